--- a/bench/truths.py
+++ b/bench/truths.py
@@ -37,7 +37,8 @@
     "calm": (Trouble(what="burst", at_s=8.0, for_s=6.0, size=1.5),),
     "herd": (
         Trouble(what="kill", at_s=6.0, share=0.7),
-        Trouble(what="list_slow", at_s=6.0, for_s=6.0, size=3.0), BAD,
+        Trouble(what="list_slow", at_s=6.0, for_s=6.0, size=3.0),
+        BAD,
     ),
     "zone": (Trouble(what="zone_lost", at_s=5.0, for_s=5.0, zone="b"), SLOW),
     "join": (Trouble(what="replace", at_s=4.0, share=0.6, within_s=7.0, after_s=3.0), BAD),
--- a/dykemux/http1.py
+++ b/dykemux/http1.py
@@ -48,9 +48,7 @@
     return b"".join([b"%b: %b\r\n" % header for header in kept])
 
 
-def answer_head(
-    status: int, lines: bytes, length: int | None, close: bool, chunked: bool = False
-) -> bytes:
+def answer_head(status: int, lines: bytes, length: int | None, close: bool, chunked: bool = False) -> bytes:
     """The head of an answer to a client.  Without a length it is chunked or ends with its connection."""
     # RFC 9110, 8.6: no length with 204; that of a 304 would be the length of what is not sent
     framing = b"Transfer-Encoding: chunked\r\n" if chunked else b""
--- a/dykemux/proxy.py
+++ b/dykemux/proxy.py
@@ -124,9 +124,7 @@
         self.origin = time.time() - time.monotonic()  # wall clock at start; it never steps after
         self.pool = Pool(loop, config, self)
         self.discovery = (
-            Discovery(
-                loop, config.discovery, config.known.index, self.told, not config.settings.watch_list
-            )
+            Discovery(loop, config.discovery, config.known.index, self.told, not config.settings.watch_list)
             if config.discovery
             else None
         )
--- a/flintplank/interface.py
+++ b/flintplank/interface.py
@@ -380,6 +380,4 @@
     backend: int
 
 
-Action = (
-    StartAttempt | CancelAttempt | Refuse | Fail | SetTimer | WatchList | FetchList | Probe | CloseIdle
-)
+Action = StartAttempt | CancelAttempt | Refuse | Fail | SetTimer | WatchList | FetchList | Probe | CloseIdle
--- a/flintplank/wire.py
+++ b/flintplank/wire.py
@@ -40,9 +40,14 @@
 Word = TypeVar("Word", bound=Enum)
 
 OUTCOMES = {
-    "served": Outcome.SERVED, "server_error": Outcome.ERROR, "turned_away": Outcome.REJECTED,
-    "no_answer": Outcome.TIMEOUT, "no_connection": Outcome.UNREACHABLE, "connection_lost": Outcome.RESET,
-    "called_off": Outcome.CANCELLED, "not_sent": Outcome.NOT_SENT,
+    "served": Outcome.SERVED,
+    "server_error": Outcome.ERROR,
+    "turned_away": Outcome.REJECTED,
+    "no_answer": Outcome.TIMEOUT,
+    "no_connection": Outcome.UNREACHABLE,
+    "connection_lost": Outcome.RESET,
+    "called_off": Outcome.CANCELLED,
+    "not_sent": Outcome.NOT_SENT,
 }
 EFFECTS = {"idempotent": Effect.IDEMPOTENT, "deduplicated": Effect.KEYED, "at_most_once": Effect.UNSAFE}
 SCOPES = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
--- a/heronreel/cli/coordinate.py
+++ b/heronreel/cli/coordinate.py
@@ -101,9 +101,7 @@
     sys.exit(code)
 
 
-def asked(
-    file: str | None, members: str | None, call: Callable[[Any], Coroutine[Any, Any, Any]]
-) -> Any:
+def asked(file: str | None, members: str | None, call: Callable[[Any], Coroutine[Any, Any, Any]]) -> Any:
     from heronreel.coordination.client import Client
     from heronreel.coordination.model import Refused
 
--- a/heronreel/cli/rehearse.py
+++ b/heronreel/cli/rehearse.py
@@ -87,14 +87,17 @@
 @click.option("--policy", default="", help="Of the proxies; by default as the script says.")
 @click.option("--alone", is_flag=True, help="Without the plain policies beside it.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object on standard output.")
-@click.option(
-    "--trace", multiple=True, type=click.IntRange(1), help="A request to be followed; repeatable."
-)
+@click.option("--trace", multiple=True, type=click.IntRange(1), help="A request to be followed; repeatable.")
 @click.option("--timeline", type=click.Path(path_type=Path), help="Write the timeline there, as JSON lines.")
 @click.option("--page", type=click.Path(path_type=Path), help="Write a page with tables and charts there.")
 @click.option("--real", is_flag=True, help="Over loopback, with real proxy processes, beside virtual time.")
-@click.option("--scale", default=1.0, show_default=True, type=click.FloatRange(0.1, 100.0),
-              help="Real ms for each ms of the script, with --real.")
+@click.option(
+    "--scale",
+    default=1.0,
+    show_default=True,
+    type=click.FloatRange(0.1, 100.0),
+    help="Real ms for each ms of the script, with --real.",
+)
 def play_command(
     file: Path, seed: int, policy: str, alone: bool, as_json: bool, trace: tuple[int, ...],
     timeline: Path | None, page: Path | None, real: bool, scale: float,
--- a/heronreel/coordination/client.py
+++ b/heronreel/coordination/client.py
@@ -114,9 +114,10 @@
     async def _ask(self, address: str, request: Request, seconds: float) -> Result:
         url = f"http://{address}{gateway.path_of(request)}"
         try:
-            async with asyncio.timeout(seconds), self.session.post(
-                url, json=gateway.body_of(request)
-            ) as response:
+            async with (
+                asyncio.timeout(seconds),
+                self.session.post(url, json=gateway.body_of(request)) as response,
+            ):
                 data = await response.read()
                 status = response.status
         except aiohttp.ClientConnectorError as error:
--- a/heronreel/coordination/disk.py
+++ b/heronreel/coordination/disk.py
@@ -71,9 +71,7 @@
                 content = Map()
             content = written(content, persist.writes)
             rows.update(persist.writes)
-            durable = Durable(
-                durable.incarnation, persist.group, persist.promised, persist.version, content
-            )
+            durable = Durable(durable.incarnation, persist.group, persist.promised, persist.version, content)
         names = _Names(self.name, durable.incarnation, durable.group, durable.promised, durable.version)
         with self.store.batch() as batch:
             for key, value in rows.items():
--- a/heronreel/coordination/process.py
+++ b/heronreel/coordination/process.py
@@ -651,4 +651,3 @@
     await node.stop()
     await front.close()
     return code
-
--- a/heronreel/coordination/service.py
+++ b/heronreel/coordination/service.py
@@ -276,9 +276,7 @@
             return outputs
         agreed: Writes = tuple(writes.items())
         actions = member.propose(now, agreed)
-        self.round = _Round(
-            member.number, state, tuple(answers), tuple(events), tuple(renewed), tuple(ended)
-        )
+        self.round = _Round(member.number, state, tuple(answers), tuple(events), tuple(renewed), tuple(ended))
         return outputs + self._settle(now, actions)
 
     def _of_leases(self, now: float, state: State, request: KeepAlive | TimeToLive | Leases) -> Answer:
@@ -341,4 +339,3 @@
     """Bytes that an event is counted with."""
     values = (record.value for record in (event.record, event.previous) if record is not None)
     return 200 + len(event.key) + sum(map(len, values))
-
--- a/heronreel/coordination/state.py
+++ b/heronreel/coordination/state.py
@@ -296,9 +296,7 @@
         if not record.lease:
             return
         left = self.attached[record.lease] - {key}
-        self.attached = (
-            self.attached.set(record.lease, left) if left else self.attached.delete(record.lease)
-        )
+        self.attached = self.attached.set(record.lease, left) if left else self.attached.delete(record.lease)
 
     # -- leases
 
--- a/heronreel/counting/closing.py
+++ b/heronreel/counting/closing.py
@@ -166,4 +166,3 @@
 
 def _book(key: bytes, record: Record) -> Book:
     return Book(key, record.mod, len(record.value), msgspec.json.decode(record.value, type=Posted))
-
--- a/heronreel/emulator/troubles.py
+++ b/heronreel/emulator/troubles.py
@@ -76,9 +76,7 @@
         setattr(owner, attribute, getattr(owner, attribute) * size)
         return names, [lambda: setattr(owner, attribute, getattr(owner, attribute) / size)]
 
-    def _each(
-        self, nodes: list[Node], change: Callable[[Node, bool], None], every_s: float = 0.0
-    ) -> Begun:
+    def _each(self, nodes: list[Node], change: Callable[[Node, bool], None], every_s: float = 0.0) -> Begun:
         """Change nodes at once, and back at the end; with `every_s` on and off meanwhile."""
         fleet, on = self.world.fleet, [False]
 
--- a/heronreel/faults/account_world.py
+++ b/heronreel/faults/account_world.py
@@ -300,4 +300,3 @@
         if len(out) > 1:
             raise Broken(f"{' and '.join(out)} are out", words)
         return words, world
-
--- a/heronreel/faults/virtual.py
+++ b/heronreel/faults/virtual.py
@@ -213,9 +213,7 @@
             return
         persist = node.waits.pop(0)
         content = written(type(node.disk.content)() if persist.whole else node.disk.content, persist.writes)
-        node.disk = Durable(
-            node.disk.incarnation, persist.group, persist.promised, persist.version, content
-        )
+        node.disk = Durable(node.disk.incarnation, persist.group, persist.promised, persist.version, content)
         for send in persist.then:
             self._send(node.name, send.to, send.message)
         if node.waits:
--- a/heronreel/fleet/machine.py
+++ b/heronreel/fleet/machine.py
@@ -1,19 +1,19 @@
 """The file of an agent: its machine's instances, and the versions that they may run.
 
-    [agent]
-    name = "m1"
-    folder = "/var/lib/heronreel/agent"
-    address = "127.0.0.1:9100"       # for orders
-    group = ["127.0.0.1:9001"]
-
-    [[versions]]
-    name = "1"
-    run = ["bin/heronreel", "serve", "/etc/heronreel/{name}.toml"]   # {listen} too
-
-    [[instances]]
-    name = "p1"
-    listen = "127.0.0.1:8080"        # answers GET /_health
-    zone = "etna"
+[agent]
+name = "m1"
+folder = "/var/lib/heronreel/agent"
+address = "127.0.0.1:9100"       # for orders
+group = ["127.0.0.1:9001"]
+
+[[versions]]
+name = "1"
+run = ["bin/heronreel", "serve", "/etc/heronreel/{name}.toml"]   # {listen} too
+
+[[instances]]
+name = "p1"
+listen = "127.0.0.1:8080"        # answers GET /_health
+zone = "etna"
 """
 
 from __future__ import annotations
--- a/heronreel/fleet/settings.py
+++ b/heronreel/fleet/settings.py
@@ -33,9 +33,9 @@
     kind: Annotated[Kind, msgspec.Meta(description='"proxy" or "backend"')]
     scope: Annotated[Scope, msgspec.Meta(description='"fleet", "zone", "group" or "pool"')] = Scope.FLEET
     only: Annotated[str, msgspec.Meta(max_length=64, description="a name of up to 64 characters")] = ""
-    most_out: (
-        Annotated[int, msgspec.Meta(ge=0, le=100_000, description="a whole number from 0")] | None
-    ) = None
+    most_out: Annotated[int, msgspec.Meta(ge=0, le=100_000, description="a whole number from 0")] | None = (
+        None
+    )
     least_serving: (
         Annotated[float, msgspec.Meta(ge=0.0, le=1.0, description="a share from 0 to 1")] | None
     ) = None
--- a/heronreel/routes/load.py
+++ b/heronreel/routes/load.py
@@ -180,9 +180,7 @@
             self.wrong(("fleet", "count_s"), f"{tenants:,} tenants", right, "count")
         return fleet
 
-    def _budgets(
-        self, raw: object
-    ) -> tuple[tuple[str, float | None, float | None, float | None], ...]:
+    def _budgets(self, raw: object) -> tuple[tuple[str, float | None, float | None, float | None], ...]:
         path: Path = ("fleet", "budgets")
         if not isinstance(raw, dict):
             self.wrong(path, f"is {shown(raw)}", "expected a table")
--- a/heronreel/serve/probes.py
+++ b/heronreel/serve/probes.py
@@ -162,4 +162,3 @@
     found = await client.ask(Range(key_of(zone)))
     assert isinstance(found, RangeDone)
     return decoded(found.records[0][1].value) if found.records else None
-
--- a/tests/test_fleet_agent_processes.py
+++ b/tests/test_fleet_agent_processes.py
@@ -217,9 +217,7 @@
         ("[[instances]]", "[[instance]]", "no such table"),
     ],
 )
-def test_a_file_that_is_wrong_is_told_with_its_line(
-    good: str, bad: str, words: str, tmp_path: Path
-) -> None:
+def test_a_file_that_is_wrong_is_told_with_its_line(good: str, bad: str, words: str, tmp_path: Path) -> None:
     harness = Harness(tmp_path, (), 1)
     harness.names = []
     text = Fleet(harness, tmp_path, "127.0.0.1:1").text.replace("group = []", 'group = ["127.0.0.1:1"]')
--- a/tests/test_fleet_rolling.py
+++ b/tests/test_fleet_rolling.py
@@ -52,9 +52,7 @@
     def _look(self) -> Instance:
         looked, condition, number = self.agent.look()
         version = self.agent.process.version if self.agent.process else ""
-        return Instance(
-            Kind.PROXY, "p", condition=condition, looked=looked, number=number, version=version
-        )
+        return Instance(Kind.PROXY, "p", condition=condition, looked=looked, number=number, version=version)
 
     def _do(self, actions: list[Any]) -> None:
         """What the agent does; its disk is as fast as its memory."""
--- a/tests/test_rfc9112.py
+++ b/tests/test_rfc9112.py
@@ -96,15 +96,11 @@
             writer.write(lines + b"Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\n\r\n")
             head = await head_of(reader)
             assert head[""].split()[1] == "200"
-            assert re.fullmatch(
-                r"[A-Z][a-z]{2}, \d\d [A-Z][a-z]{2} \d{4} \d\d:\d\d:\d\d GMT", head["date"]
-            )
+            assert re.fullmatch(r"[A-Z][a-z]{2}, \d\d [A-Z][a-z]{2} \d{4} \d\d:\d\d:\d\d GMT", head["date"])
             assert await reader.readexactly(4) == b"ride"
             assert heads[0][""] == "GET /read/obj1?x=1 HTTP/1.1"
             assert heads[0]["host"] == "other.example:81"
-            assert (
-                heads[0]["via"] == "1.1 heronreel" and "x-hop" not in heads[0]
-            )  # the last line wins here
+            assert heads[0]["via"] == "1.1 heronreel" and "x-hop" not in heads[0]  # the last line wins here
             # OPTIONS counts down and ends here at 0 (9110, 7.6.2)
             for hops, wanted in ((b"1", 2), (b"0", 2)):
                 options = READ.replace(b"GET", b"OPTIONS") + b"Max-Forwards: %b\r\n\r\n" % hops
