--- a/bench/added_cost.py
+++ b/bench/added_cost.py
@@ -16,9 +16,9 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from flintplank import interface as api
-from flintplank.choice import Balancer
-from flintplank.pools import Pools
+from heronreel.balancer import interface as api
+from heronreel.balancer.choice import Balancer
+from heronreel.balancer.pools import Pools
 from heronreel.routes.load import load
 from heronreel.serve.policies import Router, members_of, settings_of
 
--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -16,8 +16,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from flintplank import interface as api
-from flintplank.choice import Balancer
+from heronreel.balancer import interface as api
+from heronreel.balancer.choice import Balancer
 
 SIZES = (30, 60, 150)
 TURNS = 5
--- a/bench/lease_proof.py
+++ b/bench/lease_proof.py
@@ -20,11 +20,11 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from heronreel.coordination.member import Guards
-from heronreel.faults.explore import Found, World, explore
-from heronreel.faults.group_world import Budget, GroupWorld
-from heronreel.faults.lease_world import Guarded, LeaseWorld, Limits
-from heronreel.faults.schedule import Fault, drawn, shortened
-from heronreel.faults.trial import Outcome, trial
+from heronreel.fault_injection.explore import Found, World, explore
+from heronreel.fault_injection.group_world import Budget, GroupWorld
+from heronreel.fault_injection.lease_world import Guarded, LeaseWorld, Limits
+from heronreel.fault_injection.schedule import Fault, drawn, shortened
+from heronreel.fault_injection.trial import Outcome, trial
 
 NAMES = ("a", "b", "c")
 WORKERS = 8
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -20,10 +20,10 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.holder import Terms
-from heronreel.coordination.holding import Holding
 from heronreel.coordination.model import Grant, KeepAlive, LeaseDone, Put, Refused
-from heronreel.faults.processes import Harness
+from heronreel.fault_injection.processes import Harness
+from heronreel.leases.holder import Terms
+from heronreel.leases.holding import Holding
 
 SECONDS = 3.0
 REST_S = 12.0
--- a/bench/long_bodies.py
+++ b/bench/long_bodies.py
@@ -93,7 +93,12 @@
         file.flush()
         names = {"LB_NAME": "bench", "LB_LISTEN": "127.0.0.1:0", "LB_CONFIG": file.name}
         proxy = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "dykemux", cwd=HERE, env=os.environ | names, stderr=asyncio.subprocess.PIPE
+            sys.executable,
+            "-m",
+            "heronreel.proxy",
+            cwd=HERE,
+            env=os.environ | names,
+            stderr=asyncio.subprocess.PIPE,
         )
         assert proxy.stderr
         try:
--- a/bench/probing.py
+++ b/bench/probing.py
@@ -17,8 +17,8 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.model import Range, RangeDone
-from heronreel.faults.processes import Harness
-from heronreel.probing.report import key_of
+from heronreel.fault_injection.processes import Harness
+from heronreel.health.report import key_of
 
 EVERY_MS = 1000
 SECONDS = 10.0
--- a/bench/request_cost.py
+++ b/bench/request_cost.py
@@ -23,8 +23,8 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from heronreel.standins.client import Clients, Told
-from heronreel.standins.servers import Manners, ProfileNode, Rack
+from heronreel.stubs.client import Clients, Told
+from heronreel.stubs.servers import Manners, ProfileNode, Rack
 
 NODES, CONNECTIONS, BATCH = 8, 16, 1500
 CLASS = {
@@ -112,7 +112,7 @@
         env = {"LB_NAME": "n", "LB_LISTEN": f"127.0.0.1:{port}", "LB_CONFIG": str(folder / "config.json")}
         ways = []
         for words, more in (
-            (["dykemux"], env),
+            (["heronreel.proxy"], env),
             (["heronreel.cli", "serve", str(folder / "routes.toml")], {}),
         ):
             process, address = await start(words, more)
--- a/bench/start_cost.py
+++ b/bench/start_cost.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-PACKAGES = ("dykemux", "flintplank")
+PACKAGES = ("heronreel/proxy", "heronreel/balancer")
 LARGEST = 8
 
 
@@ -39,9 +39,11 @@
     starts = parser.parse_args().starts
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
+        (folder / "heronreel").mkdir()
+        shutil.copy(ROOT / "heronreel/__init__.py", folder / "heronreel")
         for package in PACKAGES:
             shutil.copytree(ROOT / package, folder / package, ignore=shutil.ignore_patterns("__pycache__"))
-        program = "import dykemux.__main__"
+        program = "import heronreel.proxy.__main__"
         bare = min(started(folder, "pass")[0] for _ in range(starts))
         without = min(started(folder, program)[0] for _ in range(starts))
         for package in PACKAGES:
--- a/bench/start_memory.py
+++ b/bench/start_memory.py
@@ -29,9 +29,9 @@
 
 
 def main() -> None:
-    rows = [("run, here", HERE, "dykemux.__main__"), ("serve, here", HERE, "heronreel.serve.program")]
+    rows = [("run, here", HERE, "heronreel.proxy.__main__"), ("serve, here", HERE, "heronreel.serve.program")]
     if len(sys.argv) > 1:
-        rows.insert(0, ("run, other", Path(sys.argv[1]), "dykemux.__main__"))
+        rows.insert(0, ("run, other", Path(sys.argv[1]), "heronreel.proxy.__main__"))
     seen: dict[str, list[int]] = {name: [] for name, _, _ in rows}
     for _ in range(ROUNDS):
         for name, folder, module in rows:
--- a/bench/store_mutations.py
+++ b/bench/store_mutations.py
@@ -75,7 +75,7 @@
 def tried(mutation: tuple[str, str, str, str]) -> tuple[str, bool, str]:
     name, file, old, new = mutation
     with tempfile.TemporaryDirectory(prefix="mutation-") as folder:
-        for part in ("heronreel", "flintplank", "dykemux", "tests"):
+        for part in ("heronreel", "tests"):
             shutil.copytree(ROOT / part, Path(folder) / part, ignore=shutil.ignore_patterns("__pycache__"))
         path = Path(folder) / "heronreel/store" / file
         text = path.read_text()
--- a/bench/truths.py
+++ b/bench/truths.py
@@ -22,8 +22,8 @@
 import msgspec
 from emulator import KINDS
 
-from flintplank import interface as api
-from flintplank.choice import COLD_SHARE, PERIOD_MS
+from heronreel.balancer import interface as api
+from heronreel.balancer.choice import COLD_SHARE, PERIOD_MS
 from heronreel.emulator.model import Class, Fleet, Prices, Proxies, Rehearsal, Tenant, Traffic, Trouble
 from heronreel.emulator.policies import Decider, Hosted
 from heronreel.emulator.world import World
@@ -89,16 +89,17 @@
 
 
 NONE = 1_000_000
+KEPT_BY = "heronreel.balancer.subset.KEPT_BY"
 CHANGES = {
     "idle": Change("connections kept for 9 s, then 1 s", ("calm", "herd"),
                    (("proxies.idle_ms", 9000),),
                    (("proxies.idle_ms", 1000),), "better"),
     "subset": Change("each node kept to by all proxies, then by 13", ("calm", "herd", "join"),
-                     (("flintplank.subset.KEPT_BY", NONE),), (("flintplank.subset.KEPT_BY", 13),), "better"),
+                     ((KEPT_BY, NONE),), ((KEPT_BY, 13),), "better"),
     "cold": Change("cold credit alike for all kinds, then by kind", ("join", "zone"),
                    (("alike", 1),), (), "better"),
     "attempts": Change("any number of tries in a shortage, then few", ("shortage",),
-                       (("flintplank.overload.FEW_TURNED_AWAY", NONE),), (), "better"),
+                       (("heronreel.balancer.overload.FEW_TURNED_AWAY", NONE),), (), "better"),
 }  # fmt: skip
 
 
--- a/dykemux/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""dykemux: the real proxy round flintplank's decisions."""
--- /dev/null
+++ b/heronreel/balancer/__init__.py
@@ -0,0 +1,6 @@
+"""The load-balancing decisions of a reverse proxy that spreads requests over HTTP servers."""
+
+from heronreel.balancer.choice import Balancer
+
+__all__ = ["Balancer"]
+__version__ = "0.1.0"
--- a/flintplank/adapter.py
+++ b/heronreel/balancer/adapter.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable, Iterator
 from typing import TextIO
 
-from flintplank.choice import Balancer
-from flintplank.wire import EVENTS, WireError, fields_of, render, settings_of
+from heronreel.balancer.choice import Balancer
+from heronreel.balancer.wire import EVENTS, WireError, fields_of, render, settings_of
 
 
 class Adapter:
@@ -62,10 +62,10 @@
             sink.write(reply)
             sink.flush()
     except WireError as error:
-        print(f"flintplank: {error}", file=sys.stderr)
+        print(f"heronreel: {error}", file=sys.stderr)
         return 2
     except UnicodeDecodeError as error:
-        print(f"flintplank: input is not UTF-8: {error.reason}", file=sys.stderr)
+        print(f"heronreel: input is not UTF-8: {error.reason}", file=sys.stderr)
         return 2
     return 0
 
--- a/flintplank/asking.py
+++ b/heronreel/balancer/asking.py
@@ -13,7 +13,7 @@
 
 import random
 
-from flintplank.interface import Lost, pause_before
+from heronreel.balancer.interface import Lost, pause_before
 
 FIRST_SHARE = 1.0 / 8.0  # of the time within which a proxy must ask: the first calls spread over it (ours)
 FIRST_MS = 1000.0  # the wait after a first failure; doubled with each further one (ours)
--- a/flintplank/choice.py
+++ b/heronreel/balancer/choice.py
@@ -1,4 +1,4 @@
-"""Every decision flintplank takes.  Its public interface: flintplank/interface.py.
+"""Every decision of the balancer.  Its public interface: heronreel/balancer/interface.py.
 
 Constants, board, learned speed, weights and turns, a request's life, then list, drains and slow start.
 """
@@ -10,13 +10,13 @@
 from functools import partial
 from heapq import heappop, heappush, nlargest
 
-from flintplank import interface as api
-from flintplank.asking import Asking
-from flintplank.board import Board
-from flintplank.maintenance import Maintenance
-from flintplank.overload import TurnedAway
-from flintplank.speed import Speed, Speeds
-from flintplank.subset import Subset, rendezvous
+from heronreel.balancer import interface as api
+from heronreel.balancer.asking import Asking
+from heronreel.balancer.board import Board
+from heronreel.balancer.maintenance import Maintenance
+from heronreel.balancer.overload import TurnedAway
+from heronreel.balancer.speed import Speed, Speeds
+from heronreel.balancer.subset import Subset, rendezvous
 
 PERIOD_MS = 200.0  # between two updates of the weights (paper)
 BASE_MS = 10.0  # fixed part of a request's cost: connection, parsing, logging (ours)
--- a/flintplank/interface.py
+++ b/heronreel/balancer/interface.py
@@ -1,6 +1,6 @@
-"""The whole public interface of flintplank: settings, events in, actions out.
+"""The whole public interface of heronreel.balancer: settings, events in, actions out.
 
-A host makes one `Balancer(settings, seed)` (see `flintplank.choice`) for each proxy and calls
+A host makes one `Balancer(settings, seed)` (see `heronreel.balancer.choice`) for each proxy and calls
 `handle(now_ms, event)` from one thread, with a clock that never goes back and events in the order they
 happened.  It carries out the returned actions in order and owes the balancer:
 
@@ -141,7 +141,7 @@
 
 
 class Books(Protocol):
-    """What a balancer asks of the books of routes (`flintplank.routes`)."""
+    """What a balancer asks of the books of routes (`heronreel.balancer.routes`)."""
 
     def may_repeat(self, policy: RoutePolicy) -> bool: ...
     def spend(self, policy: RoutePolicy) -> None: ...
--- a/flintplank/maintenance.py
+++ b/heronreel/balancer/maintenance.py
@@ -9,7 +9,7 @@
 
 from dataclasses import replace
 
-from flintplank.interface import BackendInfo
+from heronreel.balancer.interface import BackendInfo
 
 
 class Maintenance:
--- a/flintplank/pools.py
+++ b/heronreel/balancer/pools.py
@@ -11,9 +11,9 @@
 import random
 from dataclasses import dataclass, field, replace
 
-from flintplank import interface as api
-from flintplank.choice import Balancer
-from flintplank.routes import RouteBooks
+from heronreel.balancer import interface as api
+from heronreel.balancer.choice import Balancer
+from heronreel.balancer.routes import RouteBooks
 
 
 @dataclass(slots=True)
--- a/flintplank/routes.py
+++ b/heronreel/balancer/routes.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from flintplank import interface as api
+from heronreel.balancer import interface as api
 
 BURST = 10.0  # repeats that a route may save up, so that a quiet one can repeat at all
 BURST_MS = 1000.0  # of a route's rate saved up at most
--- a/flintplank/wire.py
+++ b/heronreel/balancer/wire.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import TypeVar
 
-from flintplank.interface import (
+from heronreel.balancer.interface import (
     Action,
     Arrival,
     AttemptEnded,
--- a/heronreel/cli/coordinate.py
+++ b/heronreel/cli/coordinate.py
@@ -51,10 +51,10 @@
     """
     import structlog
 
-    from heronreel.coordination.disk import Disk, OtherMember
     from heronreel.coordination.logs import to_stderr
-    from heronreel.coordination.process import run
     from heronreel.coordination.settings import load_file
+    from heronreel.coordinator.disk import Disk, OtherMember
+    from heronreel.coordinator.process import run
     from heronreel.routes.reader import BadFile
     from heronreel.store import StoreError
 
@@ -129,7 +129,7 @@
     Exit codes: 0 told or done, 1 nobody holds what is to be taken, 2 the group does not answer, 78 a bad
     file.
     """
-    from heronreel.coordination.overview import overview, take_away
+    from heronreel.leases.overview import overview, take_away
 
     if take is not None:
         number = asked(file, members, lambda client: take_away(client, take))
@@ -165,7 +165,7 @@
 
     Exit codes: 0 told or done, 1 the task is not set aside, 2 the group does not answer, 78 a bad file.
     """
-    from heronreel.coordination import overview
+    from heronreel.leases import overview
 
     if again is not None:
         done = asked(file, members, lambda client: overview.again(client, again))
@@ -197,7 +197,7 @@
 
     Exit codes: 0 told or done, 2 the group does not answer, 78 a bad file or bad names.
     """
-    from heronreel.coordination import overview
+    from heronreel.leases import overview
 
     if wish is not None:
         names = sorted(set(wish.replace(",", " ").split()))
--- a/heronreel/cli/counts.py
+++ b/heronreel/cli/counts.py
@@ -23,7 +23,7 @@
 
     Exit codes: 0 told or done, 1 there is no such book, 2 the group does not answer, 78 a bad file.
     """
-    from heronreel.counting import overview
+    from heronreel.metering import overview
 
     if forget is not None:
         done = asked(file, members, lambda client: overview.forget(client, forget))
--- a/heronreel/coordination/member.py
+++ b/heronreel/coordination/member.py
@@ -13,7 +13,7 @@
 
 Whatever an answer rests on is on the disk before it is sent: `Persist.then` is sent once that write and all
 before it are durable.  Attributes are replaced and never changed in place: a copy of the object is a copy
-of its state, which is how the explorer takes its steps (`heronreel.faults.explore`).
+of its state, which is how the explorer takes its steps (`heronreel.fault_injection.explore`).
 """
 
 from __future__ import annotations
--- a/heronreel/coordination/process.py
+++ b/heronreel/coordinator/process.py
@@ -25,10 +25,6 @@
 
 from heronreel.coordination import gateway
 from heronreel.coordination.clock import Points, clock
-from heronreel.coordination.disk import Disk
-from heronreel.coordination.duties import Duties, Work
-from heronreel.coordination.holder import HELD_PREFIX, Terms
-from heronreel.coordination.holding import Holding
 from heronreel.coordination.member import (
     Accept,
     Any,
@@ -42,7 +38,11 @@
 from heronreel.coordination.model import Answer, Failure, Refused, Request, Result, after
 from heronreel.coordination.service import Answered, Expired, Outputs, Service, Told
 from heronreel.coordination.settings import Group, GroupTable, Row, addresses_of
-from heronreel.coordination.tasks import Task, Urgency
+from heronreel.coordinator.disk import Disk
+from heronreel.leases.duties import Duties, Work
+from heronreel.leases.holder import HELD_PREFIX, Terms
+from heronreel.leases.holding import Holding
+from heronreel.leases.tasks import Task, Urgency
 from heronreel.store import StoreError, StoreLocked, WriteFailed
 
 CALL_MOST = 1 << 20  # bytes of a client's call
--- a/heronreel/demo/play.py
+++ b/heronreel/demo/play.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 
 from heronreel.demo.scene import DRAINED, RACKS, RATE, TROUBLES, file_of, requests
-from heronreel.standins.client import Clients, Told
-from heronreel.standins.servers import Manners, ProfileNode, Rack
+from heronreel.stubs.client import Clients, Told
+from heronreel.stubs.servers import Manners, ProfileNode, Rack
 
 ROOT = Path(__file__).parent.parent.parent
 START_S = 15.0  # for the proxy to be up
--- a/heronreel/demo/scene.py
+++ b/heronreel/demo/scene.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from heronreel.standins.servers import Manners
+from heronreel.stubs.servers import Manners
 
 RACKS = ("etna", "etna", "madonie", "madonie", "iblei", "iblei")
 RATE = 120.0  # requests a second
--- a/heronreel/emulator/policies.py
+++ b/heronreel/emulator/policies.py
@@ -1,9 +1,9 @@
 """The policies a rehearsal can play: ours, the plain ones it is shown beside, and careless ones.
 
-Each takes the events of `flintplank.interface` and gives its actions, as the real module does, so one host
-plays them all.  The plain ones keep the rules as anybody would who reads them, and ask for the list at the
-same pace as ours: what differs is whom they choose and whether they try again.  The careless ones break one
-rule each, to show that the observer says so.
+Each takes the events of `heronreel.balancer.interface` and gives its actions, as the real module does, so
+one host plays them all.  The plain ones keep the rules as anybody would who reads them, and ask for the
+list at the same pace as ours: what differs is whom they choose and whether they try again.  The careless
+ones break one rule each, to show that the observer says so.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from heapq import nlargest
 from typing import ClassVar, Protocol
 
-from flintplank import choice, subset
-from flintplank import interface as api
-from flintplank.asking import Asking
-from flintplank.choice import Balancer
-from flintplank.subset import Subset, rendezvous
+from heronreel.balancer import choice, subset
+from heronreel.balancer import interface as api
+from heronreel.balancer.asking import Asking
+from heronreel.balancer.choice import Balancer
+from heronreel.balancer.subset import Subset, rendezvous
 
 WATCH = 1
 ADVICE = 0.5  # of the aim: what plain policies tell the refused to wait
--- a/heronreel/emulator/proxies.py
+++ b/heronreel/emulator/proxies.py
@@ -10,7 +10,7 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from flintplank import interface as api
+from heronreel.balancer import interface as api
 from heronreel.emulator.judge import Line
 from heronreel.emulator.lists import Entry, Shape
 from heronreel.emulator.model import Class
--- a/heronreel/emulator/trace.py
+++ b/heronreel/emulator/trace.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING, Any
 
-from flintplank import interface as api
-from flintplank.choice import Balancer
+from heronreel.balancer import interface as api
+from heronreel.balancer.choice import Balancer
 from heronreel.emulator.node import Node
 from heronreel.emulator.policies import Plain
 
--- a/heronreel/emulator/world.py
+++ b/heronreel/emulator/world.py
@@ -7,7 +7,7 @@
 from statistics import NormalDist
 from typing import Any
 
-from flintplank import interface as api
+from heronreel.balancer import interface as api
 from heronreel.emulator.clients import Clients, Front
 from heronreel.emulator.draws import Draws, fixed
 from heronreel.emulator.events import Events
@@ -118,7 +118,7 @@
         if self.deciders is not None:
             return self.deciders(settings, seed)
         if self.routes is not None and self.policy == "heronreel":
-            from flintplank.pools import Pools
+            from heronreel.balancer.pools import Pools
 
             return Pools(settings, seed, discovered_pool(self.routes))
         return make(self.policy, settings, seed, self)
--- a/heronreel/experiments/identity.py
+++ b/heronreel/experiments/identity.py
@@ -18,11 +18,12 @@
 from heronreel.emulator.model import Rehearsal
 
 ROOT = Path(__file__).parent.parent.parent
-CODE = ("flintplank", "heronreel/emulator", "heronreel/serve/policies.py", "heronreel/routes")
+CODE = ("heronreel/balancer", "heronreel/emulator", "heronreel/serve/policies.py", "heronreel/routes")
 PLAYS_MOST = 100_000
 SEED_MOST = 2**63 - 1
 _SEEDS = re.compile(r"(\d+)(?:\.\.(\d+))?")
-_CONSTANT = re.compile(r"(flintplank\.[a-z]+)\.([A-Z][A-Z0-9_]*)")
+# "flintplank" was the balancer's package up to version 0.2.0: keys in scripts and tables of then still hold.
+_CONSTANT = re.compile(r"(?:flintplank|heronreel\.balancer)\.([a-z_]+)\.([A-Z][A-Z0-9_]*)")
 
 
 class BadSet(ValueError):
@@ -125,12 +126,13 @@
 def _constant(setting: Setting) -> tuple[Any, str]:
     found = _CONSTANT.fullmatch(setting.key)
     assert found
+    name = f"heronreel.balancer.{found[1]}"
     try:
-        module = importlib.import_module(found[1])
+        module = importlib.import_module(name)
     except ImportError:
-        raise BadSet(f"set: there is no module {found[1]!r}") from None
+        raise BadSet(f"set: there is no module {name!r}") from None
     if not isinstance(getattr(module, found[2], None), int | float):
-        raise BadSet(f"set: {found[1]} has no number {found[2]!r}")
+        raise BadSet(f"set: {name} has no number {found[2]!r}")
     return module, found[2]
 
 
--- a/heronreel/faults/account_world.py
+++ b/heronreel/fault_injection/account_world.py
@@ -15,10 +15,9 @@
 
 import msgspec
 
-from heronreel.coordination.holder import Ask
 from heronreel.coordination.model import Answer, Put, Refused, Txn
 from heronreel.coordination.state import EMPTY, State
-from heronreel.faults.explore import Broken
+from heronreel.fault_injection.explore import Broken
 from heronreel.fleet.model import (
     PARTS,
     REGISTER,
@@ -32,6 +31,7 @@
     rules_encoded,
 )
 from heronreel.fleet.taking import Actions, Back, Guards, Taken, Taking, halting, take_over, told
+from heronreel.leases.holder import Ask
 
 RULE = Rule("one", Kind.PROXY, most_out=1)
 IDENTS = ("proxy/x", "proxy/y")
--- a/heronreel/faults/count_world.py
+++ b/heronreel/fault_injection/count_world.py
@@ -15,14 +15,14 @@
 
 import msgspec
 
-from heronreel.coordination.holder import HELD_PREFIX, Ask
 from heronreel.coordination.model import Answer, DeleteRange, Failure, Put, Range, Refused, Txn
 from heronreel.coordination.state import EMPTY, State
-from heronreel.counting.book import OTHERS, SERVED, UNKNOWN, Book, Head, blank, head_of
-from heronreel.counting.closing import Closing, Outcome
-from heronreel.counting.posting import Actions, Confirm, Over, Posting, Registered, Seal, SetBack
-from heronreel.counting.records import BOOKS, CLOSED, SUM, TASK, Closed, Posted, Sum
-from heronreel.faults.explore import Broken
+from heronreel.fault_injection.explore import Broken
+from heronreel.leases.holder import HELD_PREFIX, Ask
+from heronreel.metering.book import OTHERS, SERVED, UNKNOWN, Book, Head, blank, head_of
+from heronreel.metering.closing import Closing, Outcome
+from heronreel.metering.posting import Actions, Confirm, Over, Posting, Registered, Seal, SetBack
+from heronreel.metering.records import BOOKS, CLOSED, SUM, TASK, Closed, Posted, Sum
 
 CLAIM = HELD_PREFIX + TASK.encode()
 EVERY_S = 10.0
--- a/heronreel/faults/duty.py
+++ b/heronreel/fault_injection/duty.py
@@ -1,8 +1,8 @@
 """A process that does a fleet-wide task with the others: each step is one entry at a guarded place.
 
-`python -m heronreel.faults.duty NAME PLACE TTL ADDRESS...`.  `HERONREEL_END_AT=step:N` or `stepped:N` ends it
-before or behind the N-th step that it does; `DUTY=TASK:CALLS` names another task, whose class may make so
-many calls a second over the fleet.
+`python -m heronreel.fault_injection.duty NAME PLACE TTL ADDRESS...`.  `HERONREEL_END_AT=step:N` or
+`stepped:N` ends it before or behind the N-th step that it does; `DUTY=TASK:CALLS` names another task, whose
+class may make so many calls a second over the fleet.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 import aiohttp
 
-from heronreel.coordination.budget import Rates
 from heronreel.coordination.clock import Points
-from heronreel.coordination.duties import Duties, Work
-from heronreel.coordination.holder import Terms
-from heronreel.coordination.holding import Holding
-from heronreel.coordination.tasks import Task
+from heronreel.leases.budget import Rates
+from heronreel.leases.duties import Duties, Work
+from heronreel.leases.holder import Terms
+from heronreel.leases.holding import Holding
+from heronreel.leases.tasks import Task
 
 NAME, _, CALLS = os.environ.get("DUTY", "ledger").partition(":")
 TASK = Task(NAME, period_s=0.01 if CALLS else 0.05, step_s=5.0)
--- a/heronreel/faults/explore.py
+++ b/heronreel/fault_injection/explore.py
@@ -20,7 +20,7 @@
         ...
 
     def steps(self) -> Iterable[tuple[str, World]]:
-        """All that can happen next, in words, with what it leads to.  Raises Broken, with the step in words."""
+        """All that can happen next, with what it leads to.  Raises Broken, with the step in words."""
         ...
 
 
--- a/heronreel/faults/group_world.py
+++ b/heronreel/fault_injection/group_world.py
@@ -42,7 +42,7 @@
     Wipe,
 )
 from heronreel.coordination.state import written
-from heronreel.faults.explore import Broken
+from heronreel.fault_injection.explore import Broken
 
 NO_TIME = Timing(beat=0.0, resend=0.0, patience=0.0, contact=math.inf)
 _FIELDS = (
--- a/heronreel/faults/lease_world.py
+++ b/heronreel/fault_injection/lease_world.py
@@ -19,13 +19,13 @@
 import msgspec
 from immutables import Map
 
-from heronreel.coordination.fence import Fence
-from heronreel.coordination.holder import Actions, Ask, Claim, Held, Lost, Session, Terms
 from heronreel.coordination.member import Actions as MemberActions
 from heronreel.coordination.member import Durable, Member, Persist, Timing
 from heronreel.coordination.model import Answer, KeepAlive, Request
 from heronreel.coordination.service import Answered, Outputs, Service
-from heronreel.faults.explore import Broken
+from heronreel.fault_injection.explore import Broken
+from heronreel.leases.fence import Fence
+from heronreel.leases.holder import Actions, Ask, Claim, Held, Lost, Session, Terms
 
 KEY = b"held/task"
 NAME = b"task"
--- a/heronreel/faults/linear.py
+++ b/heronreel/fault_injection/linear.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from heronreel.faults.histories import Call
+from heronreel.fault_injection.histories import Call
 
 READ, PUT, CAS = "read", "put", "cas"  # given: key; key, value; key, old, new
 STATES_MOST = 2_000_000
--- a/heronreel/faults/place.py
+++ b/heronreel/fault_injection/place.py
@@ -1,4 +1,4 @@
-"""A guarded place in a process of its own: `python -m heronreel.faults.place FOLDER HISTORY`.
+"""A guarded place in a process of its own: `python -m heronreel.fault_injection.place FOLDER HISTORY`.
 
 `POST /enter` and `/write` with JSON; the guard and the table are the product's (`coordination.fence`), the
 line of history beside each write that was taken is the judge's.
@@ -12,8 +12,8 @@
 
 from aiohttp import web
 
-from heronreel.coordination.fence import FencedTable
-from heronreel.faults.histories import History
+from heronreel.fault_injection.histories import History
+from heronreel.leases.fence import FencedTable
 from heronreel.store import Store
 
 
--- a/heronreel/faults/processes.py
+++ b/heronreel/fault_injection/processes.py
@@ -21,8 +21,8 @@
 from heronreel.coordination.client import Client
 from heronreel.coordination.clock import RATE
 from heronreel.coordination.model import Range, Refused
-from heronreel.faults.relay import Relay
-from heronreel.faults.schedule import HOLDER, MEMBER_KINDS, Fault
+from heronreel.fault_injection.relay import Relay
+from heronreel.fault_injection.schedule import HOLDER, MEMBER_KINDS, Fault
 
 ROOT = Path(__file__).parents[2]
 
--- a/heronreel/faults/trial.py
+++ b/heronreel/fault_injection/trial.py
@@ -25,10 +25,10 @@
     Txn,
     TxnDone,
 )
-from heronreel.faults.histories import Call, History, read
-from heronreel.faults.linear import CAS, READ, wrong
-from heronreel.faults.processes import Harness, Process
-from heronreel.faults.schedule import Fault, drawn
+from heronreel.fault_injection.histories import Call, History, read
+from heronreel.fault_injection.linear import CAS, READ, wrong
+from heronreel.fault_injection.processes import Harness, Process
+from heronreel.fault_injection.schedule import Fault, drawn
 
 KEYS = ("x", "y", "z")
 
@@ -64,11 +64,13 @@
     async with Harness(folder, members, seed, rates=rates) as harness:
         place_history = folder / "place.history"
         table = str(folder / "place")
-        place = await harness.run("place", "heronreel.faults.place", table, str(place_history))
+        place = await harness.run("place", "heronreel.fault_injection.place", table, str(place_history))
         port = (await place.line("listens")).split()[1]
         again = {
             name: [
-                "heronreel.faults.worker", name, str(folder / f"{name}.history"), f"127.0.0.1:{port}",
+                "heronreel.fault_injection.worker",
+                name,
+                str(folder / f"{name}.history"), f"127.0.0.1:{port}",
                 str(ttl), *harness.addresses,
             ]
             for name in names
--- a/heronreel/faults/virtual.py
+++ b/heronreel/fault_injection/virtual.py
@@ -16,8 +16,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from heronreel.coordination.fence import Fence
-from heronreel.coordination.holder import Actions, Ask, Held, Session, Terms
 from heronreel.coordination.member import (
     ALL_GUARDS,
     Any,
@@ -45,8 +43,10 @@
 )
 from heronreel.coordination.service import Answered, Outputs, Service
 from heronreel.coordination.state import written
-from heronreel.faults.histories import Call
-from heronreel.faults.linear import CAS, PUT, READ, wrong
+from heronreel.fault_injection.histories import Call
+from heronreel.fault_injection.linear import CAS, PUT, READ, wrong
+from heronreel.leases.fence import Fence
+from heronreel.leases.holder import Actions, Ask, Held, Session, Terms
 
 TASK = b"held/task"
 KEYS = (b"x", b"y")
--- a/heronreel/faults/worker.py
+++ b/heronreel/fault_injection/worker.py
@@ -1,7 +1,7 @@
 """A process that wants a task, and does it step by step at a guarded place for as long as it holds it.
 
-`python -m heronreel.faults.worker NAME HISTORY PLACE TTL ADDRESS...`.  Lines on standard output tell of
-what it holds; SIGTERM has it give back and end.
+`python -m heronreel.fault_injection.worker NAME HISTORY PLACE TTL ADDRESS...`.  Lines on standard output
+tell of what it holds; SIGTERM has it give back and end.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 import aiohttp
 
-from heronreel.coordination.holder import Claim, Held, Lost, Terms
-from heronreel.coordination.holding import Holding
-from heronreel.faults.histories import History
+from heronreel.fault_injection.histories import History
+from heronreel.leases.holder import Claim, Held, Lost, Terms
+from heronreel.leases.holding import Holding
 
 TASK = "ledger"
 
--- a/heronreel/fleet/account.py
+++ b/heronreel/fleet/account.py
@@ -12,7 +12,6 @@
 
 import msgspec
 
-from heronreel.coordination.holder import PRESENT_PREFIX, names_there
 from heronreel.coordination.model import Range, RangeDone, Record, Txn, TxnDone, after
 from heronreel.fleet.model import (
     HALT,
@@ -26,6 +25,7 @@
     Part,
     Rule,
 )
+from heronreel.leases.holder import PRESENT_PREFIX, names_there
 
 READ = Txn(
     (),
--- a/heronreel/fleet/controller.py
+++ b/heronreel/fleet/controller.py
@@ -20,8 +20,6 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.clock import Points
-from heronreel.coordination.holder import HELD_PREFIX, PRESENT_PREFIX, Claim
-from heronreel.coordination.holding import Holding
 from heronreel.coordination.model import Compare, Put, Range, RangeDone, Relation, Target, Txn, TxnDone
 from heronreel.coordination.model import Refused as NotDone
 from heronreel.fleet.account import Account
@@ -29,6 +27,8 @@
 from heronreel.fleet.operation import Operation, account
 from heronreel.fleet.step import Action, Adopt, End, Give, Limits, Said, Step, Take, Tell
 from heronreel.fleet.taking import Back, Fenced, Refused, Taken, Waiting, changing, halting, take_over
+from heronreel.leases.holder import HELD_PREFIX, PRESENT_PREFIX, Claim
+from heronreel.leases.holding import Holding
 
 TASK = "fleet"  # whoever holds it is the controller
 LOOK_S = 0.2  # between two readings of the account
--- a/heronreel/fleet/operation.py
+++ b/heronreel/fleet/operation.py
@@ -9,12 +9,12 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.clock import clock
-from heronreel.coordination.holder import Ask
 from heronreel.coordination.model import Put, TxnDone
 from heronreel.coordination.model import Refused as NotDone
 from heronreel.fleet.account import READ, Account, read
 from heronreel.fleet.model import RULES, Instance, Rule, rules_encoded
 from heronreel.fleet.taking import Actions, Back, Fenced, Refused, Taken, Taking, Waiting, changing, told
+from heronreel.leases.holder import Ask
 
 Outcome = Taken | Refused | Back | Waiting | Fenced
 
--- a/heronreel/fleet/serving.py
+++ b/heronreel/fleet/serving.py
@@ -12,12 +12,12 @@
 from aiohttp import web
 
 import heronreel
-from heronreel.coordination.holder import Terms
-from heronreel.coordination.holding import Holding
 from heronreel.fleet.agent import Order, Want
 from heronreel.fleet.machine import Machine
 from heronreel.fleet.operation import tell
 from heronreel.fleet.owner import Owner
+from heronreel.leases.holder import Terms
+from heronreel.leases.holding import Holding
 from heronreel.store import Store
 
 TELL_S = 1.0  # between two looks where nothing changed
--- a/heronreel/fleet/taking.py
+++ b/heronreel/fleet/taking.py
@@ -14,7 +14,6 @@
 
 import msgspec
 
-from heronreel.coordination.holder import Ask, Asking, Pause
 from heronreel.coordination.model import (
     Answer,
     Compare,
@@ -28,6 +27,7 @@
 )
 from heronreel.fleet.account import READ, Account, Standing, read
 from heronreel.fleet.model import HALT, REGISTER, Condition, Halt, Instance, Part, encoded
+from heronreel.leases.holder import Ask, Asking, Pause
 
 
 class Guards(NamedTuple):
--- a/heronreel/probing/report.py
+++ b/heronreel/health/report.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from heronreel.coordination.holder import HELD_PREFIX
 from heronreel.coordination.model import Compare, Put, Range, Relation, Target, Txn
-from heronreel.probing.health import MEMBERS_MOST, Member
+from heronreel.health.health import MEMBERS_MOST, Member
+from heronreel.leases.holder import HELD_PREFIX
 
 REPORTS = b"probe/"
 DOWN_MOST = 2000  # members told as down: more do not fit a value of the group's
--- a/heronreel/coordination/budget.py
+++ b/heronreel/leases/budget.py
@@ -14,7 +14,6 @@
 
 import msgspec
 
-from heronreel.coordination.holder import Ask, Pause, Session
 from heronreel.coordination.model import (
     Answer,
     Compare,
@@ -28,6 +27,7 @@
     TxnDone,
     after,
 )
+from heronreel.leases.holder import Ask, Pause, Session
 
 PARTS = b"budget/"
 WHOLE = 960  # parts of a budget: whole numbers, so that no rounding makes more than all of it
--- a/heronreel/coordination/duties.py
+++ b/heronreel/leases/duties.py
@@ -12,12 +12,12 @@
 import msgspec
 import structlog
 
-from heronreel.coordination.budget import Buckets, Rates, Share
 from heronreel.coordination.client import Client
-from heronreel.coordination.holder import HELD_PREFIX, PRESENT_PREFIX, Ask, Claim
-from heronreel.coordination.holding import Holding
 from heronreel.coordination.model import Answer, Range, RangeDone, Refused, after
-from heronreel.coordination.tasks import (
+from heronreel.leases.budget import Buckets, Rates, Share
+from heronreel.leases.holder import HELD_PREFIX, PRESENT_PREFIX, Ask, Claim
+from heronreel.leases.holding import Holding
+from heronreel.leases.tasks import (
     Do,
     Left,
     SetAside,
--- a/heronreel/coordination/holding.py
+++ b/heronreel/leases/holding.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable, Iterable
 from types import TracebackType
 
-from heronreel.coordination import holder
 from heronreel.coordination.client import Client
 from heronreel.coordination.clock import clock
-from heronreel.coordination.holder import Ask, Claim, Held, Lost, Session, Terms
 from heronreel.coordination.model import Answer, Failure, Refused
+from heronreel.leases import holder
+from heronreel.leases.holder import Ask, Claim, Held, Lost, Session, Terms
 
 HELD = holder.HELD_PREFIX
 PRESENT = holder.PRESENT_PREFIX
--- a/heronreel/coordination/overview.py
+++ b/heronreel/leases/overview.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.holding import HELD, PRESENT
 from heronreel.coordination.model import (
     Compare,
     DeleteRange,
@@ -25,7 +24,8 @@
     after,
 )
 from heronreel.coordination.service import MEMBERS
-from heronreel.coordination.tasks import CURSOR, decoded, encoded, given_back
+from heronreel.leases.holding import HELD, PRESENT
+from heronreel.leases.tasks import CURSOR, decoded, encoded, given_back
 
 
 async def overview(client: Client) -> dict[str, list[dict[str, Any]]]:
--- a/heronreel/coordination/tasks.py
+++ b/heronreel/leases/tasks.py
@@ -17,7 +17,6 @@
 import msgspec
 import xxhash
 
-from heronreel.coordination.holder import HELD_PREFIX, Ask, Asking
 from heronreel.coordination.model import (
     Answer,
     Compare,
@@ -29,6 +28,7 @@
     Txn,
     TxnDone,
 )
+from heronreel.leases.holder import HELD_PREFIX, Ask, Asking
 
 CURSOR = b"task/"
 TRIES_MOST = 3  # holders that begin a step and do not confirm it
--- a/heronreel/counting/closing.py
+++ b/heronreel/metering/closing.py
@@ -13,7 +13,6 @@
 
 import msgspec
 
-from heronreel.coordination.holder import HELD_PREFIX
 from heronreel.coordination.model import (
     Answer,
     Compare,
@@ -29,8 +28,9 @@
     TxnDone,
     after,
 )
-from heronreel.counting.book import added
-from heronreel.counting.records import (
+from heronreel.leases.holder import HELD_PREFIX
+from heronreel.metering.book import added
+from heronreel.metering.records import (
     BOOKS,
     CLOSED_KEPT,
     GIVEN_UP,
--- a/heronreel/counting/counter.py
+++ b/heronreel/metering/counter.py
@@ -12,12 +12,12 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.clock import Points
-from heronreel.coordination.holder import PRESENT_PREFIX, Ask, names_there
 from heronreel.coordination.model import Answer, Range, RangeDone, Refused, after
-from heronreel.counting.book import FAILED, REFUSED, SERVED
-from heronreel.counting.closing import Closing, Outcome
-from heronreel.counting.files import OpenBook, Shelf
-from heronreel.counting.posting import Actions, Confirm, Over, Phase, Posting, Registered, Seal, SetBack
+from heronreel.leases.holder import PRESENT_PREFIX, Ask, names_there
+from heronreel.metering.book import FAILED, REFUSED, SERVED
+from heronreel.metering.closing import Closing, Outcome
+from heronreel.metering.files import OpenBook, Shelf
+from heronreel.metering.posting import Actions, Confirm, Over, Phase, Posting, Registered, Seal, SetBack
 
 LOOK_S = 5.0  # between two looks for books of processes that are gone
 LEAST_S = 0.005
--- a/heronreel/counting/files.py
+++ b/heronreel/metering/files.py
@@ -13,7 +13,7 @@
 import secrets
 from pathlib import Path
 
-from heronreel.counting.book import Book, Damaged, Head, blank, head_of
+from heronreel.metering.book import Book, Damaged, Head, blank, head_of
 
 ENDING = ".counts"
 FRESH = ".fresh"  # being made
--- a/heronreel/counting/overview.py
+++ b/heronreel/metering/overview.py
@@ -7,7 +7,6 @@
 import msgspec
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.holder import PRESENT_PREFIX, names_there
 from heronreel.coordination.model import (
     Compare,
     Put,
@@ -19,8 +18,9 @@
     TxnDone,
     after,
 )
-from heronreel.counting.book import KINDS, Counts, added
-from heronreel.counting.records import BOOKS, CLOSED, GIVEN_UP, SUM, Closed, Posted, Sum, book_key
+from heronreel.leases.holder import PRESENT_PREFIX, names_there
+from heronreel.metering.book import KINDS, Counts, added
+from heronreel.metering.records import BOOKS, CLOSED, GIVEN_UP, SUM, Closed, Posted, Sum, book_key
 
 
 async def counts(client: Client, periods: int) -> dict[str, Any]:
--- a/heronreel/counting/posting.py
+++ b/heronreel/metering/posting.py
@@ -15,7 +15,6 @@
 
 import msgspec
 
-from heronreel.coordination.holder import Ask, Asking
 from heronreel.coordination.model import (
     Answer,
     Compare,
@@ -27,8 +26,9 @@
     Txn,
     TxnDone,
 )
-from heronreel.counting.book import Counts, Head, Page, added
-from heronreel.counting.records import SUM, Posted, book_key
+from heronreel.leases.holder import Ask, Asking
+from heronreel.metering.book import Counts, Head, Page, added
+from heronreel.metering.records import SUM, Posted, book_key
 
 PAUSE_S = 0.5  # before a question that nobody answered is put again, and twice that at most
 
--- a/heronreel/counting/records.py
+++ b/heronreel/metering/records.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from heronreel.counting.book import Counts
+from heronreel.metering.book import Counts
 
 BOOKS = b"count/book/"
 SUM = b"count/sum"
--- a/dykemux/__main__.py
+++ b/heronreel/proxy/__main__.py
@@ -15,11 +15,11 @@
 
 import uvloop
 
-from dykemux.clients import Clients
-from dykemux.config import Config, ConfigError, load
-from dykemux.http1 import log_to_stderr
-from dykemux.proxy import Proxy
-from dykemux.shared import Shared
+from heronreel.proxy.clients import Clients
+from heronreel.proxy.config import Config, ConfigError, load
+from heronreel.proxy.http1 import log_to_stderr
+from heronreel.proxy.proxy import Proxy
+from heronreel.proxy.shared import Shared
 
 KNOWN_S = 3.0  # a successor waits so long for discovery; it is due to serve within 6 s
 PUSHED_S = 1.0  # and a process whose agent has the list, which answers at once unless discovery is down
@@ -86,7 +86,7 @@
     ready: asyncio.Event,
 ) -> None:
     # only here: a proxy that nobody calls need not load it
-    from dykemux.operators import Operators, Orders
+    from heronreel.proxy.operators import Operators, Orders
 
     orders = Orders(loop, proxy, clients, shared)
     orders.look()  # before the first request: what was held stays held
@@ -129,13 +129,13 @@
     try:
         config = load(os.environ)
     except ConfigError as error:
-        print(f"dykemux: {error}", file=sys.stderr)
+        print(f"heronreel: {error}", file=sys.stderr)
         return 2
     log_to_stderr(config.name)
     try:
         uvloop.run(serve(config))
     except OSError as error:
-        print(f"dykemux: LB_LISTEN: {error}", file=sys.stderr)
+        print(f"heronreel: LB_LISTEN: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/dykemux/backends.py
+++ b/heronreel/proxy/backends.py
@@ -16,11 +16,11 @@
 
 import httptools
 
-from dykemux.config import Config
-from dykemux.http1 import BODY_MOST, DATE, HEAD_MOST, OWS, Budget, Headers, Unreadable, end_to_end
-from dykemux.streams import ANSWER_HOLD_MOST, STREAM_BYTES, STREAM_MOST, Upload
-from dykemux.unread import has_come
-from flintplank.interface import Outcome
+from heronreel.balancer.interface import Outcome
+from heronreel.proxy.config import Config
+from heronreel.proxy.http1 import BODY_MOST, DATE, HEAD_MOST, OWS, Budget, Headers, Unreadable, end_to_end
+from heronreel.proxy.streams import ANSWER_HOLD_MOST, STREAM_BYTES, STREAM_MOST, Upload
+from heronreel.proxy.unread import has_come
 
 LEAST_SHARE = 0.45  # of the backends' descriptors that clients may never have
 LEND_SPARE = 8  # descriptors beyond those in use that clients may not have either
--- a/dykemux/clients.py
+++ b/heronreel/proxy/clients.py
@@ -21,9 +21,10 @@
 
 import httptools
 
-from dykemux.backends import Answer, Link, Taker
-from dykemux.config import Config, beside
-from dykemux.http1 import (
+from heronreel.balancer.interface import Effect
+from heronreel.proxy.backends import Answer, Link, Taker
+from heronreel.proxy.config import Config, beside
+from heronreel.proxy.http1 import (
     CONTINUE,
     DATE,
     HEAD_MOST,
@@ -37,10 +38,9 @@
     figure,
     is_host,
 )
-from dykemux.proxy import HINT_MOST_US, Ask, Proxy, Request, Router
-from dykemux.streams import HOLD_MOST, LAST_CHUNK, STREAM_MOST, Upload, chunk
-from dykemux.unread import has_come, has_ended
-from flintplank.interface import Effect
+from heronreel.proxy.proxy import HINT_MOST_US, Ask, Proxy, Request, Router
+from heronreel.proxy.streams import HOLD_MOST, LAST_CHUNK, STREAM_MOST, Upload, chunk
+from heronreel.proxy.unread import has_come, has_ended
 
 BACKLOG = 2048
 METHODS = frozenset((b"GET", b"POST", b"PUT", b"PATCH", b"DELETE", b"OPTIONS"))
--- a/dykemux/config.py
+++ b/heronreel/proxy/config.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 from typing import Any
 
-from dykemux.discovery import BadList, Members, members_of
-from flintplank.interface import Settings
-from flintplank.wire import Fields, WireError, settings_of
+from heronreel.balancer.interface import Settings
+from heronreel.balancer.wire import Fields, WireError, settings_of
+from heronreel.proxy.discovery import BadList, Members, members_of
 
 MB = 1 << 20
 BASE_MB = 28  # of memory for the interpreter, the module and the connections' own books
--- a/dykemux/discovery.py
+++ b/heronreel/proxy/discovery.py
@@ -21,7 +21,7 @@
 
 import httptools
 
-from flintplank.interface import Lost, State
+from heronreel.balancer.interface import Lost, State
 
 LINE_MOST = 4 << 20  # bytes of one line: some 30,000 backends
 CONNECT_S = 1.0  # for a connection: a packet that vanished is sent again no sooner by the kernel
--- a/dykemux/operators.py
+++ b/heronreel/proxy/operators.py
@@ -15,10 +15,10 @@
 
 import httptools
 
-from dykemux.clients import Clients, bound_to
-from dykemux.http1 import DATE, Unreadable, answer_head
-from dykemux.proxy import Proxy
-from dykemux.shared import LOOK_S, MOST, Hold, Shared
+from heronreel.proxy.clients import Clients, bound_to
+from heronreel.proxy.http1 import DATE, Unreadable, answer_head
+from heronreel.proxy.proxy import Proxy
+from heronreel.proxy.shared import LOOK_S, MOST, Hold, Shared
 
 CALLERS_MOST = 12  # at once; the descriptors come out of those kept for ourselves
 CALL_S = 6.0  # from the connection to the call's last byte; slow callers take up to 4 s
--- a/dykemux/proxy.py
+++ b/heronreel/proxy/proxy.py
@@ -16,14 +16,14 @@
 from dataclasses import dataclass, field
 from typing import Protocol, cast
 
-from dykemux.backends import Answer, Attempt, Link, Node, Pool, Taker
-from dykemux.config import Config
-from dykemux.discovery import Discovery, Member, Members
-from dykemux.http1 import DATE, Budget
-from dykemux.shared import Hold
-from dykemux.streams import Upload
-from flintplank import interface as api
-from flintplank.choice import Balancer
+from heronreel.balancer import interface as api
+from heronreel.balancer.choice import Balancer
+from heronreel.proxy.backends import Answer, Attempt, Link, Node, Pool, Taker
+from heronreel.proxy.config import Config
+from heronreel.proxy.discovery import Discovery, Member, Members
+from heronreel.proxy.http1 import DATE, Budget
+from heronreel.proxy.shared import Hold
+from heronreel.proxy.streams import Upload
 
 UPLOAD_MOST_S = 600.0  # that a body may take to come: 32 MB at 64 kB a second, and some to spare
 RETRY_TIMER_S = 0.2  # a timer that the module failed on comes again
--- a/dykemux/streams.py
+++ b/heronreel/proxy/streams.py
@@ -10,7 +10,7 @@
 import math
 from typing import Protocol
 
-from dykemux.http1 import Budget
+from heronreel.proxy.http1 import Budget
 
 HOLD_MOST = 512 << 10  # bytes of a request that are held before it is passed on
 STREAM_MOST = 33 << 20  # bytes of a body, either way
--- a/heronreel/realtime/nodes.py
+++ b/heronreel/realtime/nodes.py
@@ -13,10 +13,10 @@
 
 import httptools
 
-from flintplank.interface import Outcome
+from heronreel.balancer.interface import Outcome
 from heronreel.emulator.node import Node
 from heronreel.emulator.proxies import Ask
-from heronreel.standins.peer import Peer
+from heronreel.stubs.peer import Peer
 
 if TYPE_CHECKING:
     from heronreel.realtime.engine import Engine
--- a/heronreel/realtime/proxies.py
+++ b/heronreel/realtime/proxies.py
@@ -1,8 +1,8 @@
 """Real proxy processes, their clients' side, and the list service's side of each.
 
 A `RealProxy` takes the place of the emulated one: it is told of arrivals and carries them over a socket to
-`python -m dykemux`, and it speaks the list's protocol to that process.  What the process does on its way to
-the nodes is seen by `nodes`.
+`python -m heronreel.proxy`, and it speaks the list's protocol to that process.  What the process does on
+its way to the nodes is seen by `nodes`.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from heronreel.emulator.lists import Entry, Shape
 from heronreel.emulator.proxies import Ask, Proxy
 from heronreel.emulator.world import World
-from heronreel.standins.client import Clients, Told
-from heronreel.standins.peer import Peer
+from heronreel.stubs.client import Clients, Told
+from heronreel.stubs.peer import Peer
 
 if TYPE_CHECKING:
     from heronreel.realtime.engine import Engine
@@ -118,7 +118,7 @@
         }  # fmt: skip
         with open(folder / "log", "wb") as log:
             self.running = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "dykemux", env=environment, stdout=log, stderr=log, cwd=folder
+                sys.executable, "-m", "heronreel.proxy", env=environment, stdout=log, stderr=log, cwd=folder
             )
         engine.clock.update()
         self._started()
--- a/heronreel/routes/load.py
+++ b/heronreel/routes/load.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from flintplank.interface import Effect
+from heronreel.balancer.interface import Effect
 from heronreel.routes import schema
 from heronreel.routes.model import (
     EFFECTS,
--- a/heronreel/routes/model.py
+++ b/heronreel/routes/model.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from flintplank.interface import NEVER_RAN, DedupScope, Effect, Outcome, pause_before
+from heronreel.balancer.interface import NEVER_RAN, DedupScope, Effect, Outcome, pause_before
 
 Path = tuple[str | int, ...]  # of a value in the file: ("routes", 3, "attempts")
 
--- a/heronreel/routes/proof.py
+++ b/heronreel/routes/proof.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from flintplank.interface import DedupScope, Effect, Settings
+from heronreel.balancer.interface import DedupScope, Effect, Settings
 from heronreel.routes.index import Clash, Example, RouteIndex
 from heronreel.routes.load import load
 from heronreel.routes.model import (
--- a/heronreel/routes/timeline.py
+++ b/heronreel/routes/timeline.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from flintplank.interface import Effect
+from heronreel.balancer.interface import Effect
 
 
 class What(Enum):
--- a/heronreel/serve/fleet.py
+++ b/heronreel/serve/fleet.py
@@ -17,19 +17,19 @@
 import structlog
 
 import heronreel
-from dykemux.proxy import Ask, Asker, Proxy, Request
-from dykemux.streams import Upload
-from heronreel.coordination.budget import Rates
 from heronreel.coordination.clock import Points, clock
-from heronreel.coordination.duties import Duties, Step, Work
-from heronreel.coordination.holder import Terms
-from heronreel.coordination.holding import Holding
 from heronreel.coordination.logs import to_stderr
-from heronreel.coordination.process import Embedded
-from heronreel.coordination.tasks import Task, Urgency
-from heronreel.counting import records
-from heronreel.counting.counter import Counted, Counter, close
-from heronreel.counting.files import Shelf
+from heronreel.coordinator.process import Embedded
+from heronreel.leases.budget import Rates
+from heronreel.leases.duties import Duties, Step, Work
+from heronreel.leases.holder import Terms
+from heronreel.leases.holding import Holding
+from heronreel.leases.tasks import Task, Urgency
+from heronreel.metering import records
+from heronreel.metering.counter import Counted, Counter, close
+from heronreel.metering.files import Shelf
+from heronreel.proxy.proxy import Ask, Asker, Proxy, Request
+from heronreel.proxy.streams import Upload
 from heronreel.routes.model import RoutesFile
 from heronreel.serve.probes import Probes
 
--- a/heronreel/serve/policies.py
+++ b/heronreel/serve/policies.py
@@ -6,9 +6,9 @@
 from collections.abc import Collection, Mapping
 from dataclasses import replace
 
-from dykemux.config import Config, shares_of
-from dykemux.discovery import Member, Members
-from flintplank import interface as api
+from heronreel.balancer import interface as api
+from heronreel.proxy.config import Config, shares_of
+from heronreel.proxy.discovery import Member, Members
 from heronreel.routes.index import RouteIndex
 from heronreel.routes.model import OUTCOMES, Exhausted, Pool, Reach, Route, RoutesFile
 
--- a/heronreel/serve/probes.py
+++ b/heronreel/serve/probes.py
@@ -8,12 +8,12 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.clock import clock
-from heronreel.coordination.duties import Work
 from heronreel.coordination.model import Range, RangeDone, Refused, TxnDone
-from heronreel.coordination.tasks import Task
-from heronreel.probing.health import Health, Member, Rules, believed
-from heronreel.probing.prober import Prober
-from heronreel.probing.report import Heard, Report, decoded, key_of, task_of, telling
+from heronreel.health.health import Health, Member, Rules, believed
+from heronreel.health.prober import Prober
+from heronreel.health.report import Heard, Report, decoded, key_of, task_of, telling
+from heronreel.leases.duties import Work
+from heronreel.leases.tasks import Task
 from heronreel.routes.model import Probe, RoutesFile
 
 SHOWN_S = 1.0  # at least between two reports that tell of no change
--- a/heronreel/serve/program.py
+++ b/heronreel/serve/program.py
@@ -13,11 +13,11 @@
 
 import uvloop
 
-from dykemux.clients import Clients
-from dykemux.config import Config, ConfigError, load
-from dykemux.http1 import log_to_stderr
-from dykemux.proxy import Proxy
-from flintplank.pools import Pools
+from heronreel.balancer.pools import Pools
+from heronreel.proxy.clients import Clients
+from heronreel.proxy.config import Config, ConfigError, load
+from heronreel.proxy.http1 import log_to_stderr
+from heronreel.proxy.proxy import Proxy
 from heronreel.routes.model import Problem, RoutesFile
 from heronreel.routes.proof import Finding, Report, limits_of
 from heronreel.serve.files import checked
--- a/heronreel/standins/client.py
+++ b/heronreel/stubs/client.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-from heronreel.standins.peer import Peer
+from heronreel.stubs.peer import Peer
 
 OUTCOMES = ("served", "refused", "failed", "lost")
 
--- a/heronreel/standins/servers.py
+++ b/heronreel/stubs/servers.py
@@ -16,7 +16,7 @@
 
 import httptools
 
-from heronreel.standins.peer import Peer
+from heronreel.stubs.peer import Peer
 
 
 @dataclass(slots=True)
--- a/tests/host.py
+++ b/tests/host.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from flintplank.choice import Balancer
-from flintplank.interface import (
+from heronreel.balancer.choice import Balancer
+from heronreel.balancer.interface import (
     NEVER_RAN,
     Action,
     Arrival,
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -236,7 +236,7 @@
     if shared:
         told["LB_ACCEPT_FD"] = str(shared.fileno())
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "dykemux", cwd=ROOT, env={**os.environ, **told}, pass_fds=passed,
+        sys.executable, "-m", "heronreel.proxy", cwd=ROOT, env={**os.environ, **told}, pass_fds=passed,
         stderr=asyncio.subprocess.PIPE,
     )  # fmt: skip
     made = Node(file, process, port, calls)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -36,7 +36,7 @@
 
 def talk(text: str, command: str | None = None, **env: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        ["/bin/sh", "-c", command or f"exec {sys.executable} -m flintplank.adapter"],
+        ["/bin/sh", "-c", command or f"exec {sys.executable} -m heronreel.balancer.adapter"],
         input=text,
         capture_output=True,
         text=True,
@@ -67,7 +67,7 @@
     assert replies[0] == "ok"
     assert replies[1].startswith("timer Who=3 ")
     assert replies[3].startswith("deliver Who=3 Call=1 Backend=")
-    assert DEPLOY["policy"][0] == "flintplank/choice.py"
+    assert DEPLOY["policy"][0] == "heronreel/balancer/choice.py"
 
 
 def test_same_actions_whatever_hash_seed_process_split_or_order() -> None:
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from flintplank.asking import Asking
-from flintplank.interface import Lost
+from heronreel.balancer.asking import Asking
+from heronreel.balancer.interface import Lost
 
 WITHIN_MS = 10_000.0
 TIMEOUT_MS = 3_000.0  # a call that would wait longer is refused
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -1,6 +1,6 @@
 """DESIGN 1 and 2, worked by hand: slots of 200 ms, 64 of them."""
 
-from flintplank.board import SLOT_MS, SLOTS, Board
+from heronreel.balancer.board import SLOT_MS, SLOTS, Board
 
 
 def test_cursor_jumps_to_a_later_task() -> None:
--- a/tests/test_books.py
+++ b/tests/test_books.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 from typing import Any
 
-from dykemux.backends import IDLE_MOST_S
-from dykemux.config import Config, load
-from dykemux.proxy import Ask, Asker, Proxy
-from flintplank import interface as api
+from heronreel.balancer import interface as api
+from heronreel.proxy.backends import IDLE_MOST_S
+from heronreel.proxy.config import Config, load
+from heronreel.proxy.proxy import Ask, Asker, Proxy
 from tests.loopback import Backend, answer_of, configuration, entry, one_behind, request, run
 
 
--- a/tests/test_coordination_budget.py
+++ b/tests/test_coordination_budget.py
@@ -10,12 +10,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heronreel.coordination.budget import LEAST, WHOLE, Bucket, Rates, Share
-from heronreel.coordination.duties import Spent, Work, _Metered
-from heronreel.coordination.holder import Ask, Session, Terms
 from heronreel.coordination.model import Failure, Grant, Refused, Revoke
 from heronreel.coordination.state import EMPTY, State
-from heronreel.coordination.tasks import Task, Urgency, next_task
+from heronreel.leases.budget import LEAST, WHOLE, Bucket, Rates, Share
+from heronreel.leases.duties import Spent, Work, _Metered
+from heronreel.leases.holder import Ask, Session, Terms
+from heronreel.leases.tasks import Task, Urgency, next_task
 
 TERMS = Terms(ttl=6, margin=1.0, answer=1.0)
 
--- a/tests/test_coordination_explored.py
+++ b/tests/test_coordination_explored.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 
 from heronreel.coordination.member import Guards
-from heronreel.faults.explore import Found, after, explore, walk
-from heronreel.faults.group_world import Budget, GroupWorld
-from heronreel.faults.lease_world import Guarded, LeaseWorld, Limits
+from heronreel.fault_injection.explore import Found, after, explore, walk
+from heronreel.fault_injection.group_world import Budget, GroupWorld
+from heronreel.fault_injection.lease_world import Guarded, LeaseWorld, Limits
 
 NAMES = ("a", "b", "c")
 LEADS = (  # a leads with c's help, and c has not heard of anything else
--- a/tests/test_coordination_processes.py
+++ b/tests/test_coordination_processes.py
@@ -17,11 +17,7 @@
 import aiohttp
 import pytest
 
-from heronreel.coordination import overview
-from heronreel.coordination.budget import BURST_S
 from heronreel.coordination.client import Client
-from heronreel.coordination.holder import Terms
-from heronreel.coordination.holding import Holding
 from heronreel.coordination.model import (
     Failure,
     Grant,
@@ -33,11 +29,15 @@
     Refused,
     TimeToLive,
 )
-from heronreel.faults.histories import Call, read
-from heronreel.faults.linear import wrong
-from heronreel.faults.processes import ROOT, Harness, Process
-from heronreel.faults.schedule import Fault, shortened
-from heronreel.faults.trial import judged, trial
+from heronreel.fault_injection.histories import Call, read
+from heronreel.fault_injection.linear import wrong
+from heronreel.fault_injection.processes import ROOT, Harness, Process
+from heronreel.fault_injection.schedule import Fault, shortened
+from heronreel.fault_injection.trial import judged, trial
+from heronreel.leases import overview
+from heronreel.leases.budget import BURST_S
+from heronreel.leases.holder import Terms
+from heronreel.leases.holding import Holding
 
 THREE = ("a", "b", "c")
 QUICK = Terms(ttl=2, margin=0.3, answer=0.3)
@@ -199,13 +199,13 @@
     async def run() -> None:
         async with Harness(tmp_path, ("a",), 5) as harness:
             history = tmp_path / "place.history"
-            words = ("heronreel.faults.place", str(tmp_path / "table"), str(history))
+            words = ("heronreel.fault_injection.place", str(tmp_path / "table"), str(history))
             place = await harness.run("place", *words)
             port = (await place.line("listens")).split()[1]
 
             async def worker(name: str) -> Process:
                 path = str(tmp_path / f"{name}.history")
-                words = ("heronreel.faults.worker", name, path, f"127.0.0.1:{port}", "2")
+                words = ("heronreel.fault_injection.worker", name, path, f"127.0.0.1:{port}", "2")
                 return await harness.run(name, *words, *harness.addresses)
 
             first = await worker("w1")
@@ -464,12 +464,12 @@
         async with Harness(tmp_path, THREE, 12) as harness, Client(harness.addresses) as client:
             await harness.whole()
             history = tmp_path / "place.history"
-            words = ("heronreel.faults.place", str(tmp_path / "table"), str(history))
+            words = ("heronreel.fault_injection.place", str(tmp_path / "table"), str(history))
             place = await harness.run("place", *words)
             port = (await place.line("listens")).split()[1]
 
             async def duty(name: str, **env: str) -> Process:
-                words = ("heronreel.faults.duty", name, f"127.0.0.1:{port}", "2", *harness.addresses)
+                words = ("heronreel.fault_injection.duty", name, f"127.0.0.1:{port}", "2", *harness.addresses)
                 return await harness.run(name, *words, **env)
 
             async def steps() -> int:
@@ -513,13 +513,13 @@
         async with Harness(tmp_path, ("a",), 13) as harness:
             await harness.serves()
             history = tmp_path / "place.history"
-            words = ("heronreel.faults.place", str(tmp_path / "table"), str(history))
+            words = ("heronreel.fault_injection.place", str(tmp_path / "table"), str(history))
             place = await harness.run("place", *words)
             port = (await place.line("listens")).split()[1]
             duties: list[Process] = []
             for number in range(5):
                 name, about = f"d{number}", (f"127.0.0.1:{port}", "2", *harness.addresses)
-                duty = ("heronreel.faults.duty", name, *about)
+                duty = ("heronreel.fault_injection.duty", name, *about)
                 duties.append(await harness.run(name, *duty, DUTY=f"t{number}:{rate:g}"))
 
             def taken(by: str) -> int:
--- a/tests/test_coordination_state.py
+++ b/tests/test_coordination_state.py
@@ -12,8 +12,6 @@
 from hypothesis import strategies as st
 
 from heronreel.coordination import gateway
-from heronreel.coordination.fence import Fence, FencedTable
-from heronreel.coordination.holder import Ask, Held, Lost, Session, Terms
 from heronreel.coordination.model import (
     Compare,
     DeleteDone,
@@ -36,6 +34,8 @@
 )
 from heronreel.coordination.settings import load
 from heronreel.coordination.state import EMPTY, State, written
+from heronreel.leases.fence import Fence, FencedTable
+from heronreel.leases.holder import Ask, Held, Lost, Session, Terms
 from heronreel.routes.reader import BadFile
 from heronreel.store import Store
 from heronreel.store.simulated import SimulatedDisk
--- a/tests/test_coordination_tasks.py
+++ b/tests/test_coordination_tasks.py
@@ -8,10 +8,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heronreel.coordination.holder import Ask
 from heronreel.coordination.model import Answer, DeleteRange, Failure, Put, Refused
 from heronreel.coordination.state import EMPTY, State
-from heronreel.coordination.tasks import (
+from heronreel.leases.holder import Ask
+from heronreel.leases.tasks import (
     Do,
     Left,
     SetAside,
--- a/tests/test_coordination_virtual.py
+++ b/tests/test_coordination_virtual.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from heronreel.coordination.member import Guards
-from heronreel.faults.virtual import VirtualWorld
+from heronreel.fault_injection.virtual import VirtualWorld
 
 
 @settings(max_examples=25, deadline=None)
--- a/tests/test_counting.py
+++ b/tests/test_counting.py
@@ -9,7 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heronreel.counting.book import (
+from heronreel.fault_injection.count_world import Budget, CountWorld, Guards
+from heronreel.fault_injection.explore import after, explore, walk
+from heronreel.metering.book import (
     KINDS,
     SERVED,
     UNKNOWN,
@@ -21,9 +23,7 @@
     blank,
     head_of,
 )
-from heronreel.counting.files import Shelf
-from heronreel.faults.count_world import Budget, CountWorld, Guards
-from heronreel.faults.explore import after, explore, walk
+from heronreel.metering.files import Shelf
 
 TENANTS = ("etna", "madonie")
 
--- a/tests/test_counting_processes.py
+++ b/tests/test_counting_processes.py
@@ -17,9 +17,9 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.model import Refused
-from heronreel.coordination.overview import overview as who
-from heronreel.counting import overview
-from heronreel.faults.processes import ROOT, Harness, Process
+from heronreel.fault_injection.processes import ROOT, Harness, Process
+from heronreel.leases.overview import overview as who
+from heronreel.metering import overview
 from heronreel.serve.program import read_report
 from tests.loopback import Backend, answer_of, free_port
 from tests.serving import get, gets_to
--- a/tests/test_emulator_fleet.py
+++ b/tests/test_emulator_fleet.py
@@ -8,9 +8,9 @@
 import msgspec
 import pytest
 
-from flintplank import interface as api
-from flintplank.choice import Balancer
-from flintplank.subset import KEPT_BY, Subset
+from heronreel.balancer import interface as api
+from heronreel.balancer.choice import Balancer
+from heronreel.balancer.subset import KEPT_BY, Subset
 from heronreel.emulator.model import Class, List, Proxies, Rehearsal, Trouble
 from heronreel.emulator.policies import Hosted, SharedRanks
 from heronreel.emulator.world import World, play
--- a/tests/test_emulator_rules.py
+++ b/tests/test_emulator_rules.py
@@ -7,8 +7,8 @@
 import msgspec
 import pytest
 
-from flintplank.choice import Balancer
-from flintplank.interface import Settings
+from heronreel.balancer.choice import Balancer
+from heronreel.balancer.interface import Settings
 from heronreel.emulator.model import Class, Rehearsal, Trouble
 from heronreel.emulator.node import REPEAT, TAKEN, Job, Node, Rack
 from heronreel.emulator.observer import Observer
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -16,7 +16,7 @@
 import pytest
 from click.testing import CliRunner
 
-from flintplank import subset
+from heronreel.balancer import subset
 from heronreel.cli.__main__ import main
 from heronreel.emulator.load import load
 from heronreel.emulator.model import Trouble
@@ -148,13 +148,13 @@
     )
     assert one.proxies.idle_ms == 9000.0 and one.troubles[0].size == 5.0 and one.list.lines_per_s == 9.0
     before = subset.KEPT_BY
-    with constants((Setting("flintplank.subset.KEPT_BY", 77),)):
+    with constants((Setting("heronreel.balancer.subset.KEPT_BY", 77),)):
         assert subset.KEPT_BY == 77
     assert before == subset.KEPT_BY
     for text, words in (
         ("proxies.idel_ms=3", "lost at 'idel_ms'"), ("troubles.7.size=2", "lost at '7'"),
-        ("proxies.idle_ms=fast", "idle_ms"), ("flintplank.subset.NONE=3", "no number"),
-        ("flintplank.nowhere.NONE=3", "no module"), ("proxies.idle_ms", "KEY=A,B,C"),
+        ("proxies.idle_ms=fast", "idle_ms"), ("heronreel.balancer.subset.NONE=3", "no number"),
+        ("heronreel.balancer.nowhere.NONE=3", "no module"), ("proxies.idle_ms", "KEY=A,B,C"),
     ):  # fmt: skip
         with pytest.raises(BadSet, match=words):
             for setting in settings_of(text):
--- a/tests/test_extensions.py
+++ b/tests/test_extensions.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from flintplank.interface import (
+from heronreel.balancer.interface import (
     BackendInfo,
     Effect,
     ListKind,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from flintplank.interface import BackendInfo, ListKind, Outcome, State
+from heronreel.balancer.interface import BackendInfo, ListKind, Outcome, State
 from tests.host import Host, large
 
 SETTINGS = large(proxies=40, slot=7, warm_keys=True, cold_ms=5_000.0)
--- a/tests/test_fleet_account.py
+++ b/tests/test_fleet_account.py
@@ -14,16 +14,16 @@
 from hypothesis import strategies as st
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.holder import PRESENT_PREFIX
 from heronreel.coordination.model import RangeDone, Record, TxnDone
-from heronreel.faults.account_world import AccountWorld, Budget
-from heronreel.faults.explore import after, explore, walk
-from heronreel.faults.processes import Harness
+from heronreel.fault_injection.account_world import AccountWorld, Budget
+from heronreel.fault_injection.explore import after, explore, walk
+from heronreel.fault_injection.processes import Harness
 from heronreel.fleet.account import Account, read
 from heronreel.fleet.model import REGISTER, Condition, Instance, Kind, Part, Rule, Scope
 from heronreel.fleet.operation import Operation, tell
 from heronreel.fleet.settings import load
 from heronreel.fleet.taking import Back, Guards, Refused, Taken, Waiting, take_over
+from heronreel.leases.holder import PRESENT_PREFIX
 from heronreel.routes.reader import BadFile
 
 TOOK = (
--- a/tests/test_fleet_agent_processes.py
+++ b/tests/test_fleet_agent_processes.py
@@ -14,7 +14,7 @@
 import pytest
 
 from heronreel.coordination.client import Client
-from heronreel.faults.processes import Harness, Process
+from heronreel.fault_injection.processes import Harness, Process
 from heronreel.fleet.machine import load
 from heronreel.fleet.model import Condition
 from heronreel.fleet.operation import account
--- a/tests/test_fleet_rolling.py
+++ b/tests/test_fleet_rolling.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 from heronreel.coordination.client import Client
-from heronreel.faults.processes import Harness, Process
+from heronreel.fault_injection.processes import Harness, Process
 from heronreel.fleet.account import Account
 from heronreel.fleet.agent import Agent, Keep, Kept, Order, Stage, Start, Want
 from heronreel.fleet.agent import Answer as Answered
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from flintplank.interface import (
+from heronreel.balancer.interface import (
     BackendInfo,
     DedupScope,
     Effect,
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from flintplank.interface import Effect, RequestClass, Settings, Tenant
+from heronreel.balancer.interface import Effect, RequestClass, Settings, Tenant
 
 ROOT = Path(__file__).parent.parent
-LINES = (ROOT / "flintplank/choice.py").read_text().splitlines()
+LINES = (ROOT / "heronreel/balancer/choice.py").read_text().splitlines()
 POLICY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
 WORK = RequestClass("work")
 
@@ -21,7 +21,7 @@
     texts = [(ROOT / name).read_text().splitlines() for name in POLICY]
     assert sum(bool(line.strip()) for lines in texts for line in lines) <= 1200
     assert max(len(line) for line in LINES) <= 110
-    assert "flintplank/interface.py" in LINES[0]
+    assert "heronreel/balancer/interface.py" in LINES[0]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -2,7 +2,15 @@
 
 import pytest
 
-from flintplank.interface import BackendInfo, Effect, HoldBackend, ListKind, Outcome, ReleaseBackend, State
+from heronreel.balancer.interface import (
+    BackendInfo,
+    Effect,
+    HoldBackend,
+    ListKind,
+    Outcome,
+    ReleaseBackend,
+    State,
+)
 from tests.host import Host, fleet
 from tests.test_life import host_of
 
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -12,7 +12,9 @@
 from tests.loopback import ROOT, Backend, Discovery, answer_of, configuration, entry, node, request, run
 
 SITES = sorted((ROOT / "deploy" / "sites").glob("*.toml"))
-PROGRAM = [path for folder in ("flintplank", "dykemux") for path in (ROOT / folder).glob("*.py")]
+PROGRAM = [
+    path for folder in ("heronreel/balancer", "heronreel/proxy") for path in (ROOT / folder).glob("*.py")
+]
 PROGRAM.append(ROOT / "deploy" / "balancer.toml")
 EFFECTS = ("idempotent", "deduplicated", "at_most_once")
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -13,10 +13,10 @@
 
 import pytest
 
-from dykemux.config import load
-from dykemux.proxy import Ask, Asker, Proxy, number_of
-from dykemux.shared import Hold, Shared
-from flintplank import interface as api
+from heronreel.balancer import interface as api
+from heronreel.proxy.config import load
+from heronreel.proxy.proxy import Ask, Asker, Proxy, number_of
+from heronreel.proxy.shared import Hold, Shared
 from tests.loopback import (
     Backend,
     Discovery,
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from flintplank import interface as api
-from flintplank.pools import Pools
-from flintplank.routes import SAMPLES_LEAST, Latencies, RouteBooks
+from heronreel.balancer import interface as api
+from heronreel.balancer.pools import Pools
+from heronreel.balancer.routes import SAMPLES_LEAST, Latencies, RouteBooks
 
 KEYED = api.RequestClass(
     "save", 500.0, 2500.0, effect=api.Effect.KEYED, scope=api.DedupScope.CELL, repeat_window_ms=5000.0
--- a/tests/test_probing.py
+++ b/tests/test_probing.py
@@ -14,9 +14,9 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.model import Put, Range, RangeDone
-from heronreel.faults.processes import Harness, Process
-from heronreel.probing.health import Health, Member, Rules, believed
-from heronreel.probing.report import Heard, Report, decoded, key_of, task_of, telling
+from heronreel.fault_injection.processes import Harness, Process
+from heronreel.health.health import Health, Member, Rules, believed
+from heronreel.health.report import Heard, Report, decoded, key_of, task_of, telling
 from tests.loopback import Listener, ok, request_of
 from tests.serving import get, served
 
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from flintplank.interface import DedupScope, Effect
+from heronreel.balancer.interface import DedupScope, Effect
 from heronreel.routes.index import Example, takes
 from heronreel.routes.model import Limits
 from heronreel.routes.proof import Finding, Witness, check
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -6,7 +6,7 @@
 import time
 from pathlib import Path
 
-from dykemux.__main__ import PUSHED_S
+from heronreel.proxy.__main__ import PUSHED_S
 from tests.loopback import (
     SETTINGS,
     Backend,
--- a/tests/test_rfc9112.py
+++ b/tests/test_rfc9112.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from dykemux.http1 import absolute_form, is_host
+from heronreel.proxy.http1 import absolute_form, is_host
 from tests.loopback import (
     Backend,
     answer_of,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintplank.choice import Balancer
-from flintplank.interface import (
+from heronreel.balancer.choice import Balancer
+from heronreel.balancer.interface import (
     BackendInfo,
     DedupScope,
     Effect,
--- a/tests/test_serve.py
+++ b/tests/test_serve.py
@@ -16,11 +16,11 @@
 
 import pytest
 
-from dykemux.proxy import Ask, Asker, Proxy
-from flintplank import interface as api
+from heronreel.balancer import interface as api
+from heronreel.proxy.proxy import Ask, Asker, Proxy
 from heronreel.routes.load import load
 from heronreel.serve.policies import Router, config_of
-from heronreel.standins.servers import Manners, ProfileNode, Rack
+from heronreel.stubs.servers import Manners, ProfileNode, Rack
 from tests.loopback import (
     ROOT,
     SETTINGS,
--- a/tests/test_speed.py
+++ b/tests/test_speed.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from flintplank.choice import Balancer
-from flintplank.interface import BackendInfo, ListKind, Outcome
-from flintplank.speed import OWN_AFTER, Speed, Speeds
+from heronreel.balancer.choice import Balancer
+from heronreel.balancer.interface import BackendInfo, ListKind, Outcome
+from heronreel.balancer.speed import OWN_AFTER, Speed, Speeds
 from tests.host import Host, large
 
 COST = 60.0  # ms: the fixed part and a hint of 50
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from dykemux.http1 import Budget
-from dykemux.streams import HOLD_MOST, STREAM_MOST, Upload
+from heronreel.proxy.http1 import Budget
+from heronreel.proxy.streams import HOLD_MOST, STREAM_MOST, Upload
 from tests.loopback import (
     Discovery,
     Listener,
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -5,15 +5,15 @@
 
 import pytest
 
-from flintplank.choice import REST
-from flintplank.interface import (
+from heronreel.balancer.choice import REST
+from heronreel.balancer.interface import (
     BackendInfo,
     ListKind,
     NewSettings,
     Outcome,
     Settings,
 )
-from flintplank.subset import KEPT_BY, LEAST, Subset
+from heronreel.balancer.subset import KEPT_BY, LEAST, Subset
 from tests.host import Host, large
 
 
--- a/tests/test_turned_away.py
+++ b/tests/test_turned_away.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from flintplank.interface import ListKind, Outcome, Refuse, RequestClass, Settings
-from flintplank.overload import FEW_TURNED_AWAY, MOST_TURNED_AWAY, TRIES, TurnedAway
+from heronreel.balancer.interface import ListKind, Outcome, Refuse, RequestClass, Settings
+from heronreel.balancer.overload import FEW_TURNED_AWAY, MOST_TURNED_AWAY, TRIES, TurnedAway
 from tests.host import Host, fleet
 
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -2,8 +2,8 @@
 
 from collections import Counter
 
-from flintplank.choice import PERIOD_MS, Balancer
-from flintplank.interface import (
+from heronreel.balancer.choice import PERIOD_MS, Balancer
+from heronreel.balancer.interface import (
     Arrival,
     BackendList,
     Effect,
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -16,8 +16,8 @@
 
 import pytest
 
-from dykemux.config import load
-from dykemux.proxy import Proxy
+from heronreel.proxy.config import load
+from heronreel.proxy.proxy import Proxy
 from tests.loopback import configuration, entry
 
 TOLD_S, GRACE_S = 6.0, 0.25  # the page's, and the least grace that a deployment of ours has
--- a/tests/world.py
+++ b/tests/world.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from flintplank import interface as api
-from flintplank.pools import Pools
+from heronreel.balancer import interface as api
+from heronreel.balancer.pools import Pools
 from heronreel.routes.model import RoutesFile
 from heronreel.routes.timeline import Step, Terms, What, broken
 from heronreel.serve.policies import Router, discovered_pool, members_of, settings_of
