--- a/bench/agreement.py
+++ b/bench/agreement.py
@@ -2,7 +2,7 @@
 
     .venv-rehearse/bin/python bench/agreement.py [--scale 2] [--seeds 2]
 
-Plays the cases of `tests/test_realtime.py`, longer, one after the other; a minute or two each.
+Plays the cases of `tests/realtime/test_realtime.py`, longer, one after the other; a minute or two each.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from heronreel.emulator.result import Result
 from heronreel.emulator.world import play
 from heronreel.realtime.engine import play_real
-from tests.test_realtime import CASES, script
+from tests.realtime.test_realtime import CASES, script
 
 
 def told(name: str, result: Result) -> str:
--- a/bench/store_mutations.py
+++ b/bench/store_mutations.py
@@ -88,7 +88,7 @@
         path.write_text(new_text.replace(old, new))
         words = [sys.executable, "-m", "pytest", "-q", "-x", "--no-header", "-p", "no:cacheprovider"]
         done = subprocess.run(
-            [*words, "tests/test_store_crashes.py", "tests/test_store.py"],
+            [*words, "tests/store/test_crashes.py", "tests/store/test_store.py"],
             cwd=folder, capture_output=True, text=True, timeout=600,
         )  # fmt: skip
         failed = [line for line in done.stdout.splitlines() if line.startswith("FAILED")]
--- a/heronreel/emulator/policies.py
+++ b/heronreel/emulator/policies.py
@@ -290,8 +290,8 @@
 class SharedRanks(Subset):
     """Ranks of all proxies for a backend, sorted once for the whole fleet: each proxy by itself counts them.
 
-    The ranks are the same (`tests/test_emulator.py`); at 200 proxies and 200 nodes counting took a third of
-    the time of a play of ten seconds.
+    The ranks are the same (`tests/emulator/test_fleet.py`); at 200 proxies and 200 nodes counting took a
+    third of the time of a play of ten seconds.
     """
 
     tables: ClassVar[dict[tuple[int, int], list[int]]] = {}
--- a/heronreel/routes/__init__.py
+++ b/heronreel/routes/__init__.py
@@ -1,6 +1,6 @@
 """Routes of our own: the file, its proof, and the lookup of a request's route.
 
-No module here does I/O or asks for the time; `tests/test_imports.py` keeps it so.
+No module here does I/O or asks for the time; `lint-imports` keeps it so.
 
 * `model`: what a checked file says, as frozen records.
 * `source`: where every key of a TOML text stands.
--- /dev/null
+++ b/tests/balancer/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the balancer's decisions."""
--- a/tests/test_adapter.py
+++ b/tests/balancer/test_adapter.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
 CONF = (
     "Balancers=2 Categories.count=1 Categories.0.Name=work Categories.0.Effect=idempotent"
--- a/tests/test_fleet.py
+++ b/tests/balancer/test_endpoint_list_changes.py
@@ -6,7 +6,7 @@
 import pytest
 
 from heronreel.balancer.interface import BackendInfo, ListKind, Outcome, State
-from tests.host import Host, large
+from tests.balancer.strict_host import Host, large
 
 SETTINGS = large(proxies=40, slot=7, warm_keys=True, cold_ms=5_000.0)
 
--- a/tests/test_limits.py
+++ b/tests/balancer/test_limits.py
@@ -10,7 +10,7 @@
 
 from heronreel.balancer.interface import Effect, RequestClass, Settings, Tenant
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 LINES = (ROOT / "heronreel/balancer/choice.py").read_text().splitlines()
 POLICY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
 WORK = RequestClass("work")
--- a/tests/test_maintenance.py
+++ b/tests/balancer/test_maintenance.py
@@ -11,8 +11,8 @@
     ReleaseBackend,
     State,
 )
-from tests.host import Host, fleet
-from tests.test_life import host_of
+from tests.balancer.strict_host import Host, fleet
+from tests.balancer.test_request_lifecycle import host_of
 
 HELD = 3
 
--- a/tests/test_extensions.py
+++ b/tests/balancer/test_regressions.py
@@ -12,7 +12,7 @@
     Settings,
     Tenant,
 )
-from tests.host import Host, fleet
+from tests.balancer.strict_host import Host, fleet
 
 READ = RequestClass("read", 500.0, 5000.0, 1.0, 0.0, Effect.IDEMPOTENT)
 
--- a/tests/test_turned_away.py
+++ b/tests/balancer/test_rejection_rate.py
@@ -4,7 +4,7 @@
 
 from heronreel.balancer.interface import ListKind, Outcome, Refuse, RequestClass, Settings
 from heronreel.balancer.overload import FEW_TURNED_AWAY, MOST_TURNED_AWAY, TRIES, TurnedAway
-from tests.host import Host, fleet
+from tests.balancer.strict_host import Host, fleet
 
 
 def attempts_of(host: Host, outcome: Outcome) -> int:
--- a/tests/test_life.py
+++ b/tests/balancer/test_request_lifecycle.py
@@ -20,7 +20,7 @@
     State,
     WatchList,
 )
-from tests.host import Host, fleet
+from tests.balancer.strict_host import Host, fleet
 
 PROVEN = {Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT}
 SCOPES = list(DedupScope)
--- a/tests/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -19,7 +19,7 @@
     State,
     Tenant,
 )
-from tests.host import Host, RuleBroken, fleet
+from tests.balancer.strict_host import Host, RuleBroken, fleet
 
 CLASSES = (
     RequestClass("safe", 400.0, 1500.0, 1.0, 0.5, Effect.IDEMPOTENT),
--- a/tests/test_speed.py
+++ b/tests/balancer/test_speed.py
@@ -5,7 +5,7 @@
 from heronreel.balancer.choice import Balancer
 from heronreel.balancer.interface import BackendInfo, ListKind, Outcome
 from heronreel.balancer.speed import OWN_AFTER, Speed, Speeds
-from tests.host import Host, large
+from tests.balancer.strict_host import Host, large
 
 COST = 60.0  # ms: the fixed part and a hint of 50
 LATENCY = {"fast": 20.0, "slow": 120.0}
--- a/tests/test_subset.py
+++ b/tests/balancer/test_subset.py
@@ -14,7 +14,7 @@
     Settings,
 )
 from heronreel.balancer.subset import KEPT_BY, LEAST, Subset
-from tests.host import Host, large
+from tests.balancer.strict_host import Host, large
 
 
 def settings(slot: int | None, proxies: int, zone: str = "z0") -> Settings:
--- a/tests/test_turns.py
+++ b/tests/balancer/test_weighted_turns.py
@@ -13,7 +13,7 @@
     Settings,
     StartAttempt,
 )
-from tests.host import Host, fleet
+from tests.balancer.strict_host import Host, fleet
 
 WORK = RequestClass("work", 500.0, 20000.0, effect=Effect.IDEMPOTENT)
 
--- /dev/null
+++ b/tests/cli/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the command line."""
--- a/tests/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -9,9 +9,9 @@
 from click.testing import CliRunner, Result
 
 from heronreel.cli.__main__ import main
-from tests.cases import UNSAFE
+from tests.support.route_files import UNSAFE
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 SAFE = str(ROOT / "examples/profili.toml")
 
 
--- /dev/null
+++ b/tests/coordination/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the replicated key-value store."""
--- /dev/null
+++ b/tests/coordinator/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the coordinator server, between processes."""
--- a/tests/test_demo.py
+++ b/tests/demo/test_demo.py
@@ -12,7 +12,7 @@
 from heronreel.demo.scene import file_of
 from heronreel.routes.proof import check
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def test_the_demo_loses_nothing_and_runs_nothing_twice() -> None:
--- a/tests/test_emulator_fleet.py
+++ b/tests/emulator/test_fleet.py
@@ -14,7 +14,7 @@
 from heronreel.emulator.model import Class, List, Proxies, Rehearsal, Trouble
 from heronreel.emulator.policies import Hosted, SharedRanks
 from heronreel.emulator.world import World, play
-from tests.rehearsing import COLD, KIND, rehearsal
+from tests.support.rehearsals import COLD, KIND, rehearsal
 
 SIZES = [(5, 12, 0), (40, 36, 0), (200, 36, 0), (40, 36, 1)]  # proxies, nodes, and the change of seed
 BORNE = 1.5  # calls that the list service bears, over one of each proxy in the time in which it must ask
--- a/tests/test_emulator_queues.py
+++ b/tests/emulator/test_queues.py
@@ -10,7 +10,7 @@
 from heronreel.emulator.model import Kind, Traffic, Trouble
 from heronreel.emulator.node import Job, Node
 from heronreel.emulator.world import World
-from tests.rehearsing import KIND, queue_of, rehearsal
+from tests.support.rehearsals import KIND, queue_of, rehearsal
 
 SERVICE_MS = 10.0
 ERROR = 0.08  # of a mean wait over some 30,000 requests
--- a/tests/test_emulator_rules.py
+++ b/tests/emulator/test_rules.py
@@ -13,7 +13,7 @@
 from heronreel.emulator.node import REPEAT, TAKEN, Job, Node, Rack
 from heronreel.emulator.observer import Observer
 from heronreel.emulator.world import World, play
-from tests.rehearsing import COLD, rehearsal
+from tests.support.rehearsals import COLD, rehearsal
 
 TROUBLES = {
     "lost": (Trouble(what="errors", at_s=2.0, for_s=6.0, share=0.5, size=0.5),),
--- a/tests/test_emulator_scripts.py
+++ b/tests/emulator/test_scripts.py
@@ -18,9 +18,9 @@
 from heronreel.emulator.world import World, play
 from heronreel.routes.load import load as load_routes
 from heronreel.routes.reader import BadFile
-from tests.rehearsing import KIND, rehearsal
+from tests.support.rehearsals import KIND, rehearsal
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 EXAMPLES = sorted((ROOT / "examples" / "rehearsals").glob("*.toml"))
 SCRIPT = """version = 1
 name = "base"
--- /dev/null
+++ b/tests/experiments/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the experiment tool."""
--- a/tests/test_experiments.py
+++ b/tests/experiments/test_experiments.py
@@ -36,9 +36,9 @@
 from heronreel.experiments.shrink import NothingBroken, shrink
 from heronreel.experiments.sweep import planned, played, sweep
 from heronreel.experiments.table import GATHERED, BadTable, Table, read
-from tests.rehearsing import rehearsal
+from tests.support.rehearsals import rehearsal
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 SMALL = rehearsal(6, 2, 0.5, 2.0)
 
 
--- /dev/null
+++ b/tests/fleet/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of fleet operations."""
--- a/tests/test_fleet_agent_processes.py
+++ b/tests/fleet/test_agent_processes.py
@@ -19,8 +19,8 @@
 from heronreel.fleet.model import Condition
 from heronreel.fleet.operation import account
 from heronreel.routes.reader import BadFile
-from tests.loopback import Backend, free_port
-from tests.serving import gets_to
+from tests.support.loopback import Backend, free_port
+from tests.support.serve_process import gets_to
 
 POINTS = ("order", "ordered", "keep", "kept", "start", "started")
 
--- a/tests/test_fleet_rolling.py
+++ b/tests/fleet/test_rolling_operations.py
@@ -26,8 +26,8 @@
 from heronreel.fleet.operation import account
 from heronreel.fleet.step import Adopt, End, Give, Guards, Limits, Said, Step, Take, Tell
 from heronreel.fleet.taking import Back, Refused, Taken, Waiting
-from tests.loopback import Backend
-from tests.test_fleet_agent_processes import Fleet
+from tests.fleet.test_agent_processes import Fleet
+from tests.support.loopback import Backend
 
 LIMITS = Limits(patience=40.0, settle=60.0)
 
--- /dev/null
+++ b/tests/health/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of health checks."""
--- a/tests/test_probing.py
+++ b/tests/health/test_health_checks.py
@@ -17,8 +17,8 @@
 from heronreel.fault_injection.processes import Harness, Process
 from heronreel.health.health import Health, Member, Rules, believed
 from heronreel.health.report import Heard, Report, decoded, key_of, task_of, telling
-from tests.loopback import Listener, ok, request_of
-from tests.serving import get, served
+from tests.support.loopback import Listener, ok, request_of
+from tests.support.serve_process import get, served
 
 RULES = Rules("/health", fall=3, rise=2)
 M = Member("p", "m")
--- /dev/null
+++ b/tests/leases/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of leases, claims and fleet-wide tasks."""
--- /dev/null
+++ b/tests/metering/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the metering of requests by tenant."""
--- a/tests/test_counting_processes.py
+++ b/tests/metering/test_metering_processes.py
@@ -21,8 +21,8 @@
 from heronreel.leases.overview import overview as who
 from heronreel.metering import overview
 from heronreel.serve.program import read_report
-from tests.loopback import Backend, answer_of, free_port
-from tests.serving import get, gets_to
+from tests.support.loopback import Backend, answer_of, free_port
+from tests.support.serve_process import get, gets_to
 
 TENANTS = ("etna", "madonie")
 USUAL = ("count", "counted", "seal", "sealed", "ask", "told", "confirm", "confirmed", "close", "closed")
@@ -199,14 +199,15 @@
 
 
 def test_every_point_that_is_announced_is_among_those_played() -> None:
-    texts = [path.read_text() for path in (ROOT / "heronreel" / "counting").glob("*.py")]
+    texts = [path.read_text() for path in (ROOT / "heronreel" / "metering").glob("*.py")]
     assert set(re.findall(r'points\.reach\("(\w+)"\)', "".join(texts))) == set(ENDS)
 
 
 def test_a_proxy_that_is_in_no_fleet_loads_nothing_of_it() -> None:
     code = "import sys, heronreel.serve.program; print(*sys.modules)"
     loaded = subprocess.check_output([sys.executable, "-c", code], cwd=ROOT, text=True).split()
-    assert "heronreel.serve" in loaded and not {"aiohttp", "heronreel.coordination"} & set(loaded)
+    of_a_fleet = {"aiohttp", "heronreel.coordination", "heronreel.coordinator", "heronreel.leases"}
+    assert "heronreel.serve" in loaded and not of_a_fleet & set(loaded)
 
 
 def test_a_table_that_is_wrong_is_told_with_line_and_what_would_be_right(tmp_path: Path) -> None:
--- /dev/null
+++ b/tests/proxy/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the HTTP/1.1 proxy on sockets."""
--- a/tests/test_operators.py
+++ b/tests/proxy/test_admin_api.py
@@ -17,7 +17,7 @@
 from heronreel.proxy.config import load
 from heronreel.proxy.proxy import Ask, Asker, Proxy, number_of
 from heronreel.proxy.shared import Hold, Shared
-from tests.loopback import (
+from tests.support.loopback import (
     Backend,
     Discovery,
     Node,
--- a/tests/test_bad_backends.py
+++ b/tests/proxy/test_bad_backends.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.loopback import (
+from tests.support.loopback import (
     Backend,
     Discovery,
     Talk,
--- a/tests/test_bad_clients.py
+++ b/tests/proxy/test_bad_clients.py
@@ -6,7 +6,17 @@
 
 import pytest
 
-from tests.loopback import Backend, Discovery, answer_of, configuration, entry, node, one_behind, request, run
+from tests.support.loopback import (
+    Backend,
+    Discovery,
+    answer_of,
+    configuration,
+    entry,
+    node,
+    one_behind,
+    request,
+    run,
+)
 
 HEAD = (
     b"POST /save/obj1 HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: b1\r\nX-Class: save\r\n"
--- a/tests/test_books.py
+++ b/tests/proxy/test_bookkeeping.py
@@ -10,7 +10,7 @@
 from heronreel.proxy.backends import IDLE_MOST_S
 from heronreel.proxy.config import Config, load
 from heronreel.proxy.proxy import Ask, Asker, Proxy
-from tests.loopback import Backend, answer_of, configuration, entry, one_behind, request, run
+from tests.support.loopback import Backend, answer_of, configuration, entry, one_behind, request, run
 
 
 def config_of(path: Path, *known: dict[str, Any]) -> Config:
--- a/tests/test_crossings.py
+++ b/tests/proxy/test_crossing_events.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from tests.loopback import (
+from tests.support.loopback import (
     SETTINGS,
     Backend,
     Discovery,
--- a/tests/test_names.py
+++ b/tests/proxy/test_no_deployment_names.py
@@ -9,11 +9,21 @@
 
 import pytest
 
-from tests.loopback import ROOT, Backend, Discovery, answer_of, configuration, entry, node, request, run
+from tests.support.loopback import (
+    ROOT,
+    Backend,
+    Discovery,
+    answer_of,
+    configuration,
+    entry,
+    node,
+    request,
+    run,
+)
 
 SITES = sorted((ROOT / "deploy" / "sites").glob("*.toml"))
 PROGRAM = [
-    path for folder in ("heronreel/balancer", "heronreel/proxy") for path in (ROOT / folder).glob("*.py")
+    path for folder in ("heronreel/balancer", "heronreel/proxy") for path in (ROOT / folder).rglob("*.py")
 ]
 PROGRAM.append(ROOT / "deploy" / "balancer.toml")
 EFFECTS = ("idempotent", "deduplicated", "at_most_once")
--- a/tests/test_overload.py
+++ b/tests/proxy/test_overload.py
@@ -4,7 +4,7 @@
 from copy import deepcopy
 from pathlib import Path
 
-from tests.loopback import (
+from tests.support.loopback import (
     Backend,
     Discovery,
     answer_of,
--- a/tests/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from heronreel.proxy.__main__ import PUSHED_S
-from tests.loopback import (
+from tests.support.loopback import (
     SETTINGS,
     Backend,
     Discovery,
--- a/tests/test_rfc9112.py
+++ b/tests/proxy/test_rfc9112.py
@@ -8,7 +8,7 @@
 import pytest
 
 from heronreel.proxy.http1 import absolute_form, is_host
-from tests.loopback import (
+from tests.support.loopback import (
     Backend,
     answer_of,
     head_of,
--- a/tests/test_streams.py
+++ b/tests/proxy/test_streams.py
@@ -12,7 +12,7 @@
 
 from heronreel.proxy.http1 import Budget
 from heronreel.proxy.streams import HOLD_MOST, STREAM_MOST, Upload
-from tests.loopback import (
+from tests.support.loopback import (
     Discovery,
     Listener,
     Node,
--- a/tests/test_watch.py
+++ b/tests/proxy/test_watch.py
@@ -18,7 +18,7 @@
 
 from heronreel.proxy.config import load
 from heronreel.proxy.proxy import Proxy
-from tests.loopback import configuration, entry
+from tests.support.loopback import configuration, entry
 
 TOLD_S, GRACE_S = 6.0, 0.25  # the page's, and the least grace that a deployment of ours has
 
--- /dev/null
+++ b/tests/realtime/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the emulator over real sockets."""
--- a/tests/test_realtime.py
+++ b/tests/realtime/test_realtime.py
@@ -16,7 +16,7 @@
 from heronreel.emulator.world import play
 from heronreel.realtime import engine
 from heronreel.realtime.engine import NotPlayable, play_real
-from tests.rehearsing import rehearsal
+from tests.support.rehearsals import rehearsal
 
 SCALE = 2.0
 MARGIN = 0.08  # of all requests: answered in time or late, refused or failed
--- /dev/null
+++ b/tests/routes/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of files of routes."""
--- a/tests/test_proof.py
+++ b/tests/routes/test_proof.py
@@ -12,9 +12,9 @@
 from heronreel.routes.model import Limits
 from heronreel.routes.proof import Finding, Witness, check
 from heronreel.routes.timeline import Step, Terms, What, broken
-from tests.cases import SAFE, UNSAFE
+from tests.support.route_files import SAFE, UNSAFE
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def marked(text: str) -> int:
--- a/tests/test_soundness.py
+++ b/tests/routes/test_soundness.py
@@ -15,8 +15,8 @@
 from heronreel.routes import proof
 from heronreel.routes.load import load
 from heronreel.routes.proof import prove
-from tests.cases import SAFE
-from tests.world import World
+from tests.routes.hostile_world import World
+from tests.support.route_files import SAFE
 
 POOLS = """
 [[pools]]
--- a/tests/test_routes_text.py
+++ b/tests/routes/test_texts.py
@@ -13,7 +13,7 @@
 from heronreel.routes.reader import BYTES_MOST, PROBLEMS_MOST, BadFile
 from heronreel.routes.source import lines_of
 
-EXAMPLE = (Path(__file__).parent.parent / "examples/profili.toml").read_bytes()
+EXAMPLE = (Path(__file__).parents[2] / "examples/profili.toml").read_bytes()
 
 
 def refused(data: bytes) -> tuple[int, str]:
--- /dev/null
+++ b/tests/serve/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of a proxy on its own pools."""
--- a/tests/test_serve.py
+++ b/tests/serve/test_serve.py
@@ -21,7 +21,7 @@
 from heronreel.routes.load import load
 from heronreel.serve.policies import Router, config_of
 from heronreel.stubs.servers import Manners, ProfileNode, Rack
-from tests.loopback import (
+from tests.support.loopback import (
     ROOT,
     SETTINGS,
     Backend,
@@ -34,7 +34,7 @@
     request_of,
     run,
 )
-from tests.serving import file_of, get, post, served
+from tests.support.serve_process import file_of, get, post, served
 
 SAVE = """\
 name = "save"
--- a/tests/test_store_crashes.py
+++ b/tests/store/test_crashes.py
@@ -18,7 +18,7 @@
 from heronreel.store import Damaged, Limits, Lost, Store, UnknownFormat, WriteFailed
 from heronreel.store.check import repair, verify
 from heronreel.store.simulated import Crash, Fault, SimulatedDisk
-from tests.stores import TINY, Judge, content, play, script
+from tests.store.recovery_checks import TINY, Judge, content, play, script
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
--- a/tests/test_store.py
+++ b/tests/store/test_store.py
@@ -33,9 +33,9 @@
 )
 from heronreel.store.disk import RealDisk
 from heronreel.store.simulated import Fault, SimulatedDisk
-from tests.stores import TINY, content
+from tests.store.recovery_checks import TINY, content
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def test_the_face(tmp_path: Path) -> None:
--- a/tests/loopback.py
+++ b/tests/support/loopback.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any, Self
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 LIMIT = 60.0
 BEAT_S = 1.0  # between two empty lines of a watch
 SETTINGS: dict[str, Any] = {
--- a/tests/serving.py
+++ b/tests/support/serve_process.py
@@ -10,7 +10,7 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from tests.loopback import ROOT, answer_of
+from tests.support.loopback import ROOT, answer_of
 
 
 class Served:
