--- a/tests/stored_control.py
+++ b/tests/compatibility/stored_control.py
@@ -1,4 +1,4 @@
-"""The control plane's stored and sent forms: one case for each committed file in `tests/stored/control`.
+"""The control plane's stored and sent forms: one case for each committed file in `stored/control`.
 
 The committed files were written by the program as it was at commit 60fa931.  They must never be regenerated
 for a refactoring: a file that no longer matches means that disks, groups or members of earlier versions are
@@ -16,22 +16,13 @@
 from enum import Enum
 from typing import Any
 
-from heronreel.coordination.budget import PARTS as BUDGETS
-from heronreel.coordination.budget import WHOLE
-from heronreel.coordination.disk import NAMES, ROW
-from heronreel.coordination.fence import FencedTable
 from heronreel.coordination.gateway import PATHS, STREAMED, WATCH
-from heronreel.coordination.holder import HELD_PREFIX, PRESENT_PREFIX
 from heronreel.coordination.member import CONFIRMED, GROUP, Role
 from heronreel.coordination.model import Relation, Target
-from heronreel.coordination.process import VIA
 from heronreel.coordination.service import MEMBERS
 from heronreel.coordination.state import HEAD, KEY, LEASE, lease_name
-from heronreel.coordination.tasks import CURSOR, Task, Urgency
-from heronreel.counting.book import KINDS
-from heronreel.counting.files import ASIDE, ENDING, FRESH
-from heronreel.counting.records import BOOKS, CLOSED, GIVEN_UP, SUM, book_key, closed_key
-from heronreel.counting.records import TASK as COUNTING
+from heronreel.coordinator.disk import NAMES, ROW
+from heronreel.coordinator.process import VIA
 from heronreel.fleet.agent import Stage, Want
 from heronreel.fleet.controller import TASK as CONTROLLER
 from heronreel.fleet.model import HALT as FLEET_HALT
@@ -41,12 +32,21 @@
 from heronreel.fleet.model import RULES as FLEET_RULES
 from heronreel.fleet.model import WORK as FLEET_WORK
 from heronreel.fleet.model import Condition, Kind, Scope, Verb
-from heronreel.probing.report import REPORTS, key_of, task_of
-from tests.stored_fleet import FORMS as FLEET_FORMS
-from tests.stored_fleet import INSTANCE, PART
-from tests.stored_forms import FOLDER, Form, as_text, with_store
-from tests.stored_group import FORMS as GROUP_FORMS
-from tests.stored_group import kept_disk
+from heronreel.health.report import REPORTS, key_of, task_of
+from heronreel.leases.budget import PARTS as BUDGETS
+from heronreel.leases.budget import WHOLE
+from heronreel.leases.fence import FencedTable
+from heronreel.leases.holder import HELD_PREFIX, PRESENT_PREFIX
+from heronreel.leases.tasks import CURSOR, Task, Urgency
+from heronreel.metering.book import KINDS
+from heronreel.metering.files import ASIDE, ENDING, FRESH
+from heronreel.metering.records import BOOKS, CLOSED, GIVEN_UP, SUM, book_key, closed_key
+from heronreel.metering.records import TASK as COUNTING
+from tests.compatibility.stored_fleet import FORMS as FLEET_FORMS
+from tests.compatibility.stored_fleet import INSTANCE, PART
+from tests.compatibility.stored_forms import FOLDER, Form, as_text, with_store
+from tests.compatibility.stored_group import FORMS as GROUP_FORMS
+from tests.compatibility.stored_group import kept_disk
 
 # -- constants that stand in keys, records and answers
 
--- a/tests/stored_fleet.py
+++ b/tests/compatibility/stored_fleet.py
@@ -1,6 +1,6 @@
 """Cases of what counting, the fleet's account, agents and probers store and send.
 
-See `tests/stored_control.py`.
+See `tests/compatibility/stored_control.py`.
 """
 
 from __future__ import annotations
@@ -16,14 +16,7 @@
 from aiohttp.test_utils import TestClient, TestServer
 
 from heronreel.coordination.gateway import answer_of
-from heronreel.coordination.holder import PRESENT_PREFIX
 from heronreel.coordination.model import Put, RangeDone, Record, Request, TxnDone
-from heronreel.counting.book import Head as BookHead
-from heronreel.counting.book import Page
-from heronreel.counting.closing import Closing
-from heronreel.counting.files import ENDING, Shelf
-from heronreel.counting.posting import Posting
-from heronreel.counting.records import SUM, Closed, Posted, Sum, book_key
 from heronreel.fleet.account import READ, Account
 from heronreel.fleet.agent import Kept, Process, Want
 from heronreel.fleet.controller import Controller
@@ -46,11 +39,18 @@
 from heronreel.fleet.serving import Serving, Told
 from heronreel.fleet.step import Said, Tell
 from heronreel.fleet.taking import Taking, changing, halting, told
-from heronreel.probing.report import Report, telling
-from heronreel.probing.report import decoded as report_of
+from heronreel.health.report import Report, telling
+from heronreel.health.report import decoded as report_of
+from heronreel.leases.holder import PRESENT_PREFIX
+from heronreel.metering.book import Head as BookHead
+from heronreel.metering.book import Page
+from heronreel.metering.closing import Closing
+from heronreel.metering.files import ENDING, Shelf
+from heronreel.metering.posting import Posting
+from heronreel.metering.records import SUM, Closed, Posted, Sum, book_key
 from heronreel.serve.fleet import Presence
 from heronreel.store import Store
-from tests.stored_forms import (
+from tests.compatibility.stored_forms import (
     DRAWN,
     HEADER,
     Form,
@@ -62,7 +62,7 @@
     stored,
     with_store,
 )
-from tests.stored_group import asked
+from tests.compatibility.stored_group import asked
 
 COUNTS = {"": (1, 0, 0, 2), "gold": (5, 1, 0, 0)}
 POSTED = Posted("p1", "etna", 3, False, True, COUNTS, 7)
--- a/tests/stored_forms.py
+++ b/tests/compatibility/stored_forms.py
@@ -1,4 +1,4 @@
-"""Kinds of stored and sent forms: how each is written and read.  The cases: `tests/stored_control.py`."""
+"""Kinds of stored and sent forms: how each is written and read.  The cases: `stored_control.py`."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     result_of,
 )
 from heronreel.coordination.model import Request, Result
-from heronreel.coordination.process import _encode, _messages
 from heronreel.coordination.state import Content
+from heronreel.coordinator.process import _encode, _messages
 from heronreel.store import Store
 
 FOLDER = Path(__file__).parent / "stored" / "control"
--- a/tests/stored_group.py
+++ b/tests/compatibility/stored_group.py
@@ -1,6 +1,6 @@
 """Cases of what a group of members stores and sends: messages, disks, the keyspace, calls and answers.
 
-See `tests/stored_control.py`.
+See `tests/compatibility/stored_control.py`.
 """
 
 from __future__ import annotations
@@ -16,13 +16,7 @@
 import msgspec
 from immutables import Map
 
-from heronreel.coordination.budget import PARTS as BUDGETS
-from heronreel.coordination.budget import WHOLE, Share
-from heronreel.coordination.budget import Part as BudgetPart
-from heronreel.coordination.disk import Disk, _Names
-from heronreel.coordination.fence import FencedTable
 from heronreel.coordination.gateway import events_of, events_told, refusal_of, refused_of, request_of
-from heronreel.coordination.holder import HELD_PREFIX, Ask, Session, Terms
 from heronreel.coordination.member import (
     Accept,
     Accepted,
@@ -64,13 +58,19 @@
     Txn,
     TxnDone,
 )
-from heronreel.coordination.overview import resize
-from heronreel.coordination.process import _line
 from heronreel.coordination.service import MEMBERS, names_of
 from heronreel.coordination.state import EMPTY, Content, State, written
-from heronreel.coordination.tasks import CURSOR, Cursor, Steps, Task, Urgency, decoded, encoded
+from heronreel.coordinator.disk import Disk, _Names
+from heronreel.coordinator.process import _line
+from heronreel.leases.budget import PARTS as BUDGETS
+from heronreel.leases.budget import WHOLE, Share
+from heronreel.leases.budget import Part as BudgetPart
+from heronreel.leases.fence import FencedTable
+from heronreel.leases.holder import HELD_PREFIX, Ask, Session, Terms
+from heronreel.leases.overview import resize
+from heronreel.leases.tasks import CURSOR, Cursor, Steps, Task, Urgency, decoded, encoded
 from heronreel.store import Store
-from tests.stored_forms import (
+from tests.compatibility.stored_forms import (
     DRAWN,
     HEADER,
     Form,
--- a/tests/test_stored_control.py
+++ b/tests/compatibility/test_stored_control.py
@@ -1,7 +1,7 @@
 """What the control plane stores and sends has the form that earlier versions wrote and read.
 
-The files in `tests/stored/control` were written by the program as it was at commit 60fa931, and must never be
-regenerated for a refactoring: see `tests/stored_control.py`, which holds a case for each of them.
+The files in `stored/control` were written by the program as it was at commit 60fa931, and must never be
+regenerated for a refactoring: see `stored_control.py`, which holds a case for each of them.
 """
 
 import asyncio
@@ -13,14 +13,14 @@
 from aiohttp.test_utils import TestClient, TestServer
 
 from heronreel.coordination.client import Changes, Client
-from heronreel.coordination.disk import Disk
 from heronreel.coordination.gateway import PATHS, WATCH, WatchAsked, path_of, request_of, watch_of
 from heronreel.coordination.model import DeleteRange, Failure, Grant, Put, Range, Refused, TimeToLive
-from heronreel.coordination.process import Front, Node
 from heronreel.coordination.settings import Group, Row
-from tests.stored_control import FORMS, MEMBER
-from tests.stored_forms import DRAWN, FOLDER, Server, drawn
-from tests.stored_group import ANSWERS, DURABLE, EVENTS, opened_folder
+from heronreel.coordinator.disk import Disk
+from heronreel.coordinator.process import Front, Node
+from tests.compatibility.stored_control import FORMS, MEMBER
+from tests.compatibility.stored_forms import DRAWN, FOLDER, Server, drawn
+from tests.compatibility.stored_group import ANSWERS, DURABLE, EVENTS, opened_folder
 
 
 @pytest.mark.parametrize("name", FORMS)
