--- a/bench/lease_proof.py
+++ b/bench/lease_proof.py
@@ -19,7 +19,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from heronreel.coordination.member import Guards
+from heronreel.coordination.consensus import Guards
 from heronreel.fault_injection.explore import Found, World, explore
 from heronreel.fault_injection.group_world import Budget, GroupWorld
 from heronreel.fault_injection.lease_world import Guarded, LeaseWorld, Limits
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -20,10 +20,10 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.model import Grant, KeepAlive, LeaseDone, Put, Refused
+from heronreel.coordination.model import LeaseGrant, LeaseKeepAlive, LeaseResponse, Put, RequestError
 from heronreel.fault_injection.processes import Harness
-from heronreel.leases.holder import Terms
-from heronreel.leases.holding import Holding
+from heronreel.leases.lease import LeaseTerms
+from heronreel.leases.session import LeaseSession
 
 SECONDS = 3.0
 REST_S = 12.0
@@ -39,7 +39,7 @@
         nonlocal done
         while loop.time() < until:
             lease = leases[number % len(leases)]
-            request = Put(b"k%d" % number, b"v" * 100) if writes else KeepAlive(lease)
+            request = Put(b"k%d" % number, b"v" * 100) if writes else LeaseKeepAlive(lease)
             await client.ask(request, 10.0)
             number += 64
             done += 1
@@ -71,7 +71,7 @@
             try:
                 await rest.ask(Put(b"over", b""), 0.3)
                 break
-            except Refused:
+            except RequestError:
                 continue
     took = time.perf_counter() - began
     if cut:
@@ -85,7 +85,7 @@
     """Bytes a second between members, and between members and holders of one task each."""
     async with AsyncExitStack() as stack:
         for number in range(holders):
-            holding = await stack.enter_async_context(Holding(harness.addresses, f"h{number}"))
+            holding = await stack.enter_async_context(LeaseSession(harness.addresses, f"h{number}"))
             await holding.held(holding.claim(f"rest{number}"))
         await asyncio.sleep(2.0)
         before = [sum(r.bytes for r in relays.values()) for relays in (harness.between, harness.front)]
@@ -108,8 +108,8 @@
                 await harness.serves()
                 leases = []
                 for _ in range(holders):
-                    granted = await client.ask(Grant(600), 10.0)
-                    assert isinstance(granted, LeaseDone)
+                    granted = await client.ask(LeaseGrant(600), 10.0)
+                    assert isinstance(granted, LeaseResponse)
                     leases.append(granted.id)
                 renewals = await rate(client, leases, writes=False)
                 writes = await rate(client, leases, writes=True)
@@ -133,9 +133,9 @@
 
 async def hand_over(harness: Harness) -> float:
     """Seconds from an orderly end until the next holder has the task."""
-    terms = Terms(ttl=3, margin=0.4, answer=0.5)
-    async with Holding(harness.addresses, "two", terms) as second:
-        async with Holding(harness.addresses, "one", terms) as first:
+    terms = LeaseTerms(ttl=3, margin=0.4, answer=0.5)
+    async with LeaseSession(harness.addresses, "two", terms) as second:
+        async with LeaseSession(harness.addresses, "one", terms) as first:
             await first.held(first.claim("task"))
             claim = second.claim("task")
         began = time.perf_counter()
--- a/bench/probing.py
+++ b/bench/probing.py
@@ -16,7 +16,7 @@
 from aiohttp import web
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.model import Range, RangeDone
+from heronreel.coordination.model import Range, RangeResponse
 from heronreel.fault_injection.processes import Harness
 from heronreel.health.report import key_of
 
@@ -68,7 +68,7 @@
         for zone in ("z0", "z1"):
             while shared:
                 found = await client.ask(Range(key_of(zone)), 5.0)
-                assert isinstance(found, RangeDone)
+                assert isinstance(found, RangeResponse)
                 if found.records:
                     break
                 await asyncio.sleep(0.2)
--- a/heronreel/cli/agent.py
+++ b/heronreel/cli/agent.py
@@ -18,13 +18,13 @@
 
     Exit codes: 0 ended as asked, 74 the folder or the address can't be used, 78 a bad file.
     """
-    from heronreel.coordination.logs import to_stderr
+    from heronreel.coordination.logs import log_to_stderr
     from heronreel.fleet.machine import load_file
     from heronreel.fleet.serving import serve
     from heronreel.routes.reader import BadFile
     from heronreel.store import StoreError
 
-    to_stderr()
+    log_to_stderr()
     try:
         machine = load_file(file)
     except BadFile as bad:
--- a/heronreel/cli/coordinate.py
+++ b/heronreel/cli/coordinate.py
@@ -23,13 +23,13 @@
 
 def group_of(file: str | None, members: str | None, folder: str) -> Any:
     """The group of a file or of --members; ends the process with its problems."""
-    from heronreel.coordination.settings import load_file, of_words
+    from heronreel.coordination.settings import group_of_addresses, load_file
     from heronreel.routes.reader import BadFile
 
     if (file is None) == (members is None):
         raise click.UsageError("expected a FILE, or --members")
     try:
-        return load_file(file) if file is not None else of_words(members or "", folder)
+        return load_file(file) if file is not None else group_of_addresses(members or "", folder)
     except BadFile as bad:
         tell(file or "--members", bad)
         sys.exit(BAD_FILE)
@@ -51,14 +51,14 @@
     """
     import structlog
 
-    from heronreel.coordination.logs import to_stderr
+    from heronreel.coordination.logs import log_to_stderr
     from heronreel.coordination.settings import load_file
-    from heronreel.coordinator.disk import Disk, OtherMember
-    from heronreel.coordinator.process import run
+    from heronreel.coordinator.disk import MemberDisk, WrongMemberError
+    from heronreel.coordinator.server import run_server
     from heronreel.routes.reader import BadFile
     from heronreel.store import StoreError
 
-    to_stderr()
+    log_to_stderr()
     log = structlog.get_logger()
     group = group_of(file, members, folder)
     row = group.row(name)
@@ -70,8 +70,8 @@
         click.echo(f"{file or '--members'}: no folder for {name!r}, and --folder is not given", err=True)
         sys.exit(BAD_FILE)
     try:
-        disk = Disk(path, name)
-    except (StoreError, OtherMember, OSError) as error:
+        disk = MemberDisk(path, name)
+    except (StoreError, WrongMemberError, OSError) as error:
         log.error("does not serve", member=name, error=str(error))
         sys.exit(NOT_SERVED)
 
@@ -92,7 +92,7 @@
         import uvloop
 
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            code = runner.run(run(group, name, disk, listen, ready, reread))
+            code = runner.run(run_server(group, name, disk, listen, ready, reread))
     except OSError as error:
         log.error("does not serve", member=name, error=str(error))
         disk.close()
@@ -103,17 +103,17 @@
 
 def asked(file: str | None, members: str | None, call: Callable[[Any], Coroutine[Any, Any, Any]]) -> Any:
     from heronreel.coordination.client import Client
-    from heronreel.coordination.model import Refused
+    from heronreel.coordination.model import RequestError
 
     group = group_of(file, members, "-")
 
-    async def run() -> Any:
+    async def run_server() -> Any:
         async with Client(row.address for row in group.members) as client:
             return await call(client)
 
     try:
-        return asyncio.run(run())
-    except Refused as refused:
+        return asyncio.run(run_server())
+    except RequestError as refused:
         click.echo(f"heronreel leases: {refused.what}", err=True)
         sys.exit(NO_GROUP)
 
@@ -129,10 +129,10 @@
     Exit codes: 0 told or done, 1 nobody holds what is to be taken, 2 the group does not answer, 78 a bad
     file.
     """
-    from heronreel.leases.overview import overview, take_away
+    from heronreel.leases.overview import lease_overview, revoke_claim
 
     if take is not None:
-        number = asked(file, members, lambda client: take_away(client, take))
+        number = asked(file, members, lambda client: revoke_claim(client, take))
         if number is None:
             click.echo(f"nobody holds {take!r}", err=True)
             sys.exit(NOT_FOUND)
@@ -140,7 +140,7 @@
         words = f"{take}: taken away, number {number} is refused from now on"
         click.echo(json.dumps(told) if as_json else words)
         return
-    rows = asked(file, members, overview)
+    rows = asked(file, members, lease_overview)
     if as_json:
         click.echo(json.dumps(rows, indent=2))
         return
@@ -168,7 +168,7 @@
     from heronreel.leases import overview
 
     if again is not None:
-        done = asked(file, members, lambda client: overview.again(client, again))
+        done = asked(file, members, lambda client: overview.restart_task(client, again))
         told = "tried anew" if done else "not set aside"
         click.echo(json.dumps({"task": again, "done": done}) if as_json else f"{again}: {told}")
         sys.exit(0 if done else NOT_FOUND)
--- a/heronreel/coordination/client.py
+++ b/heronreel/coordination/client.py
@@ -1,8 +1,8 @@
 """The way to a group from another process: any member, one after the other, within a time.
 
 An answer that is a refusal to begin (503, a connection refused) is looked for at the next member.  Where a
-request may have been begun, only one that may be done twice is asked again; any other is `Refused` with a
-code whose `maybe` says that nobody knows.
+request may have been begun, only one that may be done twice is asked again; any other is `RequestError`
+with a code whose `maybe` says that nobody knows.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 
 from heronreel.coordination import gateway
 from heronreel.coordination.model import (
-    Answer,
     Event,
-    Failure,
-    KeepAlive,
-    Leases,
+    LeaseKeepAlive,
+    LeaseList,
+    LeaseTimeToLive,
     Range,
-    Refused,
     Request,
-    Result,
-    TimeToLive,
+    RequestError,
+    Response,
+    ResponseOrError,
+    StatusCode,
     Txn,
 )
 
 ANSWER_MOST = 32 << 20  # bytes
 PAUSE_S = 0.05
-_REPEATABLE = (Range, KeepAlive, TimeToLive, Leases)
+_REPEATABLE = (Range, LeaseKeepAlive, LeaseTimeToLive, LeaseList)
 
 
-class Changes(NamedTuple):
+class WatchEvents(NamedTuple):
     """What a watch tells: events up to a revision; or, with `missed`, that some are not kept any more, and
     that all has to be read anew.
     """
@@ -74,19 +74,19 @@
     async def close(self) -> None:
         await self.session.close()
 
-    async def ask(self, request: Request, seconds: float = 3.0) -> Result:
+    async def ask(self, request: Request, seconds: float = 3.0) -> Response:
         """What the group answers within `seconds`.  Raises Refused."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
-        refused = Refused(Failure.UNAVAILABLE, "no member answers")
+        refused = RequestError(StatusCode.UNAVAILABLE, "no member answers")
         tried = 0
         while (left := until - loop.time()) > 0:
             address = self.addresses[self.first % len(self.addresses)]
             try:
                 return await self._ask(address, request, min(left, self.answer_s))
-            except Refused as error:
+            except RequestError as error:
                 self.first += 1
-                if error.code is not Failure.UNAVAILABLE and not error.maybe:
+                if error.code is not StatusCode.UNAVAILABLE and not error.maybe:
                     self.first -= 1
                     raise
                 if error.maybe and not _repeatable(request):
@@ -102,16 +102,16 @@
                 await asyncio.sleep(min(pause, max(0.0, until - loop.time())))
         raise refused
 
-    async def answer(self, request: Request, seconds: float) -> Answer:
+    async def answer(self, request: Request, seconds: float) -> ResponseOrError:
         """As `ask`, for a core that is told of a refusal as of any other answer."""
         try:
             return await self.ask(request, max(0.01, seconds))
-        except Refused as refused:
+        except RequestError as refused:
             return refused
         except (ValueError, TypeError) as error:
-            return Refused(Failure.UNKNOWN, repr(error))
+            return RequestError(StatusCode.UNKNOWN, repr(error))
 
-    async def _ask(self, address: str, request: Request, seconds: float) -> Result:
+    async def _ask(self, address: str, request: Request, seconds: float) -> Response:
         url = f"http://{address}{gateway.path_of(request)}"
         try:
             async with (
@@ -121,11 +121,11 @@
                 data = await response.read()
                 status = response.status
         except aiohttp.ClientConnectorError as error:
-            raise Refused(Failure.UNAVAILABLE, f"{address}: {error.strerror or error}") from None
+            raise RequestError(StatusCode.UNAVAILABLE, f"{address}: {error.strerror or error}") from None
         except TimeoutError:
-            raise Refused(Failure.TOO_LATE, f"{address}: no answer within {seconds:.2f} s") from None
+            raise RequestError(StatusCode.TOO_LATE, f"{address}: no answer within {seconds:.2f} s") from None
         except (aiohttp.ClientError, OSError) as error:
-            raise Refused(Failure.UNKNOWN, f"{address}: {error}") from None
+            raise RequestError(StatusCode.UNKNOWN, f"{address}: {error}") from None
         try:
             raw = json.loads(data)
             if status != 200:
@@ -134,7 +134,7 @@
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             if status != 200:
                 raise gateway.refused_of(status, None) from None
-            raise Refused(Failure.UNKNOWN, f"{address}: an answer that is none: {error!r}") from None
+            raise RequestError(StatusCode.UNKNOWN, f"{address}: an answer that is none: {error!r}") from None
 
     async def health(self, address: str) -> dict[str, Any]:
         """What a member says of itself; nothing where it does not answer."""
@@ -146,7 +146,7 @@
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
             return {}
 
-    async def watch(self, key: bytes, end: bytes = b"", start: int = 0) -> AsyncIterator[Changes]:
+    async def watch(self, key: bytes, end: bytes = b"", start: int = 0) -> AsyncIterator[WatchEvents]:
         """Changes of a range from the revision `start`, or from now on, for as long as it is iterated over.
 
         A member that ends is followed by the next, from the revision reached.  Raises Refused with
@@ -166,7 +166,7 @@
                             raw = json.loads(line)["result"]
                             if raw.get("canceled"):
                                 start = int(raw["header"]["revision"]) + 1
-                                yield Changes(start - 1, (), missed=True)
+                                yield WatchEvents(start - 1, (), missed=True)
                                 break
                             revision, events = gateway.events_told(raw)
                             # the next member goes on behind what was told here: past events of a watch that
@@ -174,11 +174,11 @@
                             if events or not start:
                                 start = revision + 1
                             if events or raw.get("created"):
-                                yield Changes(revision, events)
+                                yield WatchEvents(revision, events)
             except (aiohttp.ClientError, TimeoutError, OSError, ValueError, KeyError):
                 pass
             failures += 1
             if failures > 3 * len(self.addresses):
-                raise Refused(Failure.UNAVAILABLE, "no member answers")
+                raise RequestError(StatusCode.UNAVAILABLE, "no member answers")
             self.first += 1
             await asyncio.sleep(PAUSE_S * failures)
--- a/heronreel/coordination/clock.py
+++ b/heronreel/coordination/clock.py
@@ -14,29 +14,29 @@
 import time
 from collections.abc import Callable
 
-RATE = "HERONREEL_CLOCK_RATE"
-END_AT = "HERONREEL_END_AT"
-POINTS = "HERONREEL_POINTS"
+CLOCK_RATE_VARIABLE = "HERONREEL_CLOCK_RATE"
+CRASH_AT_VARIABLE = "HERONREEL_END_AT"
+POINTS_FILE_VARIABLE = "HERONREEL_POINTS"
 
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
-def clock() -> Callable[[], float]:
+def boot_clock() -> Callable[[], float]:
     """Seconds that only grow, also over a suspended machine."""
-    rate = float(os.environ.get(RATE, "1"))
+    rate = float(os.environ.get(CLOCK_RATE_VARIABLE, "1"))
     began = time.clock_gettime(_CLOCK)
     if rate == 1.0:
         return lambda: time.clock_gettime(_CLOCK)
     return lambda: began + (time.clock_gettime(_CLOCK) - began) * rate
 
 
-class Points:
+class CrashPoints:
     """Where a process under test can be watched and ended; outside of tests a call that does nothing."""
 
     def __init__(self) -> None:
-        name, _, count = os.environ.get(END_AT, "").partition(":")
+        name, _, count = os.environ.get(CRASH_AT_VARIABLE, "").partition(":")
         self.end_at, self.left = name, int(count or 0)
-        path = os.environ.get(POINTS)
+        path = os.environ.get(POINTS_FILE_VARIABLE)
         self.file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC) if path else None
         self.on = bool(name or path)
 
--- a/heronreel/coordination/member.py
+++ b/heronreel/coordination/consensus.py
@@ -26,10 +26,10 @@
 import msgspec
 from immutables import Map
 
-from heronreel.coordination.state import EMPTY, Content, Writes, written
+from heronreel.coordination.keyspace import EMPTY_CONTENT, Content, Writes, apply_writes
 
-GROUP = b"g"  # the record of the members: incarnations by name
-CONFIRMED = b"c"  # the record of what each member is known to have on its disk
+MEMBERSHIP_KEY = b"g"  # the record of the members: incarnations by name
+CONFIRMED_VERSIONS_KEY = b"c"  # the record of what each member is known to have on its disk
 
 
 class Ballot(NamedTuple):
@@ -51,8 +51,8 @@
         return Ballot(self.round, self.member)
 
 
-NEVER = Ballot(0, "")
-NOTHING = Version(0, "", 0)
+NO_BALLOT = Ballot(0, "")
+NO_VERSION = Version(0, "", 0)
 
 
 class Timing(msgspec.Struct, frozen=True):
@@ -64,14 +64,14 @@
     contact: float = 1.2  # a leader without a majority's answers steps down
 
 
-class Durable(NamedTuple):
+class DurableState(NamedTuple):
     """What a member's disk holds."""
 
     incarnation: str
     group: str = ""  # the founder's incarnation; empty: no group yet
-    promised: Ballot = NEVER
-    version: Version = NOTHING
-    content: Content = EMPTY
+    promised: Ballot = NO_BALLOT
+    version: Version = NO_VERSION
+    content: Content = EMPTY_CONTENT
 
 
 # -- messages
@@ -131,7 +131,7 @@
     taken: bool  # it has what the round was about
 
 
-class Forget(Message, frozen=True, array_like=True, tag=True):
+class ResetDisk(Message, frozen=True, array_like=True, tag="Forget"):
     """To a member whose disk is known to hold an older copy: begin anew."""
 
     group: str
@@ -139,14 +139,14 @@
     ballot: Ballot
 
 
-Any = Hello | Status | Prepare | Promise | Accept | Accepted | Forget
+AnyMessage = Hello | Status | Prepare | Promise | Accept | Accepted | ResetDisk
 
 # -- actions
 
 
 class Send(NamedTuple):
     to: str
-    message: Any
+    message: AnyMessage
 
 
 class Persist(NamedTuple):
@@ -171,19 +171,19 @@
     """It leads no more: what is under way may have been agreed on or not."""
 
 
-class Confirmed(NamedTuple):
+class RoundCommitted(NamedTuple):
     """A majority has taken the round."""
 
     number: int
 
 
-class Wipe(NamedTuple):
+class EraseDisk(NamedTuple):
     """The disk holds an older copy: throw it away and start with a new incarnation."""
 
     why: str
 
 
-Action = Send | Persist | Elected | Deposed | Confirmed | Wipe
+Action = Send | Persist | Elected | Deposed | RoundCommitted | EraseDisk
 Actions = list[Action]
 
 
@@ -220,14 +220,14 @@
 ALL_GUARDS = Guards()
 
 
-class Member:
+class ConsensusMember:
     """One process of a group."""
 
     def __init__(
         self,
         name: str,
         listed: Iterable[str],
-        durable: Durable,
+        durable: DurableState,
         now: float,
         *,
         timing: Timing | None = None,
@@ -249,7 +249,7 @@
         self.members: Map[str, str] = Map()
         self.confirmed: Map[str, Version] = Map()
         self._read()
-        self.role = Role.FOLLOWER if self.version != NOTHING else Role.NEW
+        self.role = Role.FOLLOWER if self.version != NO_VERSION else Role.NEW
         self.leader: str | None = None
         self.heard = now - self.timing.patience  # from a leader
         self.due = now + self.timing.patience * self.jitter()  # to seek one, or to say hello
@@ -257,11 +257,11 @@
         self.writes = 0  # numbers of Persist
         self.synced = 0  # the last of them that is durable
         # of a try to lead
-        self.ballot = NEVER
+        self.ballot = NO_BALLOT
         self.self_promise = 0  # the Persist that has this member's own promise
         self.promises: Map[str, tuple[str, Version]] = Map()
         self.willing: frozenset[str] = frozenset()
-        self.best: tuple[Version, Content] = (NOTHING, EMPTY)
+        self.best: tuple[Version, Content] = (NO_VERSION, EMPTY_CONTENT)
         # of a leader
         self.number = 0  # of the last round
         self.pending: Pending | None = None
@@ -274,16 +274,16 @@
         self.began = now  # the last round
         self.new: Map[str, str] = Map()  # names and incarnations of members with new disks
 
-    def fork(self) -> Member:
+    def fork(self) -> ConsensusMember:
         """A copy that goes its own way."""
         return copy.copy(self)
 
     def _read(self) -> None:
         """The records about the group, after the map changed as a whole or in one of them."""
-        if GROUP in self.content:
-            self.members = Map(msgspec.msgpack.decode(self.content[GROUP], type=dict[str, str]))
-        if CONFIRMED in self.content:
-            found = msgspec.msgpack.decode(self.content[CONFIRMED], type=dict[str, Version])
+        if MEMBERSHIP_KEY in self.content:
+            self.members = Map(msgspec.msgpack.decode(self.content[MEMBERSHIP_KEY], type=dict[str, str]))
+        if CONFIRMED_VERSIONS_KEY in self.content:
+            found = msgspec.msgpack.decode(self.content[CONFIRMED_VERSIONS_KEY], type=dict[str, Version])
             self.confirmed = Map(found)
 
     # -- what the shell asks
@@ -341,7 +341,7 @@
             return self._count(now, self.name)
         return []
 
-    def receive(self, now: float, message: Any) -> Actions:
+    def receive(self, now: float, message: AnyMessage) -> Actions:
         """A message, however late and however often."""
         if message.sender == self.name or message.sender not in self.listed:
             return []
@@ -391,10 +391,10 @@
         self.group = self.incarnation
         self.ballot = self.promised = Ballot(1, self._ident())
         self.seen = 1
-        self.best = NOTHING, EMPTY
+        self.best = NO_VERSION, EMPTY_CONTENT
         self.new = Map()
         self.members = Map(members)
-        return self._lead(now, ((GROUP, msgspec.msgpack.encode(members)),))
+        return self._lead(now, ((MEMBERSHIP_KEY, msgspec.msgpack.encode(members)),))
 
     def _ident(self) -> str:
         return f"{self.name}/{self.incarnation}"
@@ -438,12 +438,12 @@
         for name in changed:
             self.have = self.have.delete(name) if name in self.have else self.have
             self.confirmed = self.confirmed.delete(name) if name in self.confirmed else self.confirmed
-        return self._round(now, ((GROUP, msgspec.msgpack.encode(members)),), without=without)
+        return self._round(now, ((MEMBERSHIP_KEY, msgspec.msgpack.encode(members)),), without=without)
 
-    def _forget(self, message: Forget) -> Actions:
+    def _forget(self, message: ResetDisk) -> Actions:
         if message.group != self.group or message.you != self.incarnation or message.ballot < self.promised:
             return []
-        return [Wipe(f"{message.sender} knows that this disk held more")]
+        return [EraseDisk(f"{message.sender} knows that this disk held more")]
 
     # -- seeking a leader
 
@@ -458,7 +458,7 @@
         self.pending = None
         established, self.established = self.established, False
         self.have, self.contact, self.new, self.helped = Map(), Map(), Map(), Map()
-        self.promises, self.willing, self.best = Map(), frozenset(), (NOTHING, EMPTY)
+        self.promises, self.willing, self.best = Map(), frozenset(), (NO_VERSION, EMPTY_CONTENT)
         self.self_ack = self.self_promise = 0
         self._read()  # a member being taken up may not be in the agreed map
         self._wait(now, self.timing.patience)
@@ -466,7 +466,7 @@
 
     def ask(self, now: float) -> Actions:
         """Ask whether a try to lead would be followed: one that would not disturbs nobody."""
-        if self.name not in self.members and self.version != NOTHING:
+        if self.name not in self.members and self.version != NO_VERSION:
             self._wait(now, self.timing.patience)
             return []  # it was let go
         self.role = Role.ASKING
@@ -554,14 +554,14 @@
             return []
         _, content = self.best
         members, confirmed = self.members, self.confirmed
-        if GROUP in content:
-            members = Map(msgspec.msgpack.decode(content[GROUP], type=dict[str, str]))
-        if CONFIRMED in content:
-            confirmed = Map(msgspec.msgpack.decode(content[CONFIRMED], type=dict[str, Version]))
+        if MEMBERSHIP_KEY in content:
+            members = Map(msgspec.msgpack.decode(content[MEMBERSHIP_KEY], type=dict[str, str]))
+        if CONFIRMED_VERSIONS_KEY in content:
+            confirmed = Map(msgspec.msgpack.decode(content[CONFIRMED_VERSIONS_KEY], type=dict[str, Version]))
         count = 0
         for name, (incarnation, told) in self.promises.items():
             same = members.get(name) == incarnation or not self.guards.incarnation
-            whole = told >= confirmed.get(name, NOTHING) or not self.guards.rollback
+            whole = told >= confirmed.get(name, NO_VERSION) or not self.guards.rollback
             count += same and whole
         if members.get(self.name) != self.incarnation and self.guards.incarnation:
             return []  # its place was given to another disk
@@ -588,7 +588,7 @@
             name: version for name, (incarnation, version) in self.promises.items()
             if self.members.get(name) == incarnation
         }  # fmt: skip
-        self.promises, self.best = Map(), (NOTHING, EMPTY)
+        self.promises, self.best = Map(), (NO_VERSION, EMPTY_CONTENT)
         return self._round(now, writes, whole=whole, told=told, opening=True)
 
     def _round(
@@ -609,14 +609,14 @@
             return confirmed_alone or self._send_round(now)
         base = self.version
         record = {name: version for name, (version, _) in sorted(self.have.items())}
-        if self.version != NOTHING:
+        if self.version != NO_VERSION:
             record[self.name] = self.version
         confirmed = msgspec.msgpack.encode(record)
-        if self.content.get(CONFIRMED) != confirmed and self.guards.rollback:
-            writes = (*writes, (CONFIRMED, confirmed))
+        if self.content.get(CONFIRMED_VERSIONS_KEY) != confirmed and self.guards.rollback:
+            writes = (*writes, (CONFIRMED_VERSIONS_KEY, confirmed))
         step = self.version.step + 1 if self.version.ballot == self.ballot else 1
         self.version = Version(*self.ballot, step)
-        self.content = written(self.content, writes)
+        self.content = apply_writes(self.content, writes)
         self.pending = Pending(self.number, base, writes, frozenset(), without)
         sends = self._send_round(now, told)
         everything = tuple(sorted(self.content.items())) if whole else writes
@@ -643,10 +643,10 @@
 
     def _known(self, name: str) -> Version:
         """What a member has confirmed, as far as is known here."""
-        return self.have.get(name, (NOTHING, 0))[0] if self.guards.rollback else NOTHING
+        return self.have.get(name, (NO_VERSION, 0))[0] if self.guards.rollback else NO_VERSION
 
     def _send_forget(self, name: str, incarnation: str) -> Send:
-        return Send(name, Forget(self.name, self.incarnation, self.group, incarnation, self.ballot))
+        return Send(name, ResetDisk(self.name, self.incarnation, self.group, incarnation, self.ballot))
 
     def _message(self, name: str, told: Version | None) -> Accept:
         pending = self.pending
@@ -704,12 +704,12 @@
                 self.content = Map({key: data for key, data in writes if data is not None})
             elif message.base == self.version:
                 writes = message.writes
-                self.content = written(self.content, writes)
+                self.content = apply_writes(self.content, writes)
             if whole or message.base == self.version:
                 changed = True
                 self.version = message.version
                 self.role = Role.FOLLOWER
-                if whole or any(key in (GROUP, CONFIRMED) for key, _ in writes):
+                if whole or any(key in (MEMBERSHIP_KEY, CONFIRMED_VERSIONS_KEY) for key, _ in writes):
                     self._read()
         reply = Send(message.sender, self._answer(message, taken=self.version >= message.version))
         if not (writes or whole or changed) and self.synced == self.writes:
@@ -730,7 +730,7 @@
         if message.promised > self.ballot:
             return self._follow(now)
         self.contact = self.contact.set(name, now)
-        known, by = self.have.get(name, (NOTHING, 0))
+        known, by = self.have.get(name, (NO_VERSION, 0))
         if message.version < known and message.number > by and self.guards.rollback:
             # the answer was given after the greater version was confirmed: that disk was set back
             return [self._send_forget(name, message.incarnation)]
@@ -743,7 +743,7 @@
             if message.taken or (helped is not None and now < helped + self.timing.resend):
                 return []
             self.helped = self.helped.set(name, now)
-            return [Send(name, self._message(name, NOTHING))]
+            return [Send(name, self._message(name, NO_VERSION))]
         if self.pending is not None and message.number == self.pending.number:
             return self._count(now, name)
         return []
@@ -758,11 +758,11 @@
             return []
         self.pending = None
         if self.name not in self.members:
-            return [Confirmed(pending.number), *self._follow(now)]  # its last round: it was let go
+            return [RoundCommitted(pending.number), *self._follow(now)]  # its last round: it was let go
         if not self.established:
             self.established = True
-            return [Elected(self.ballot), Confirmed(pending.number)]
-        return [Confirmed(pending.number)]
+            return [Elected(self.ballot), RoundCommitted(pending.number)]
+        return [RoundCommitted(pending.number)]
 
     # -- the disk
 
--- a/heronreel/coordination/gateway.py
+++ b/heronreel/coordination/gateway.py
@@ -15,37 +15,43 @@
 
 from heronreel.coordination.model import (
     Compare,
-    DeleteDone,
+    CompareOperator,
+    CompareTarget,
     DeleteRange,
+    DeleteRangeResponse,
     Event,
-    Failure,
-    Grant,
-    KeepAlive,
-    LeaseDone,
-    Leases,
-    LeasesDone,
+    LeaseGrant,
+    LeaseKeepAlive,
+    LeaseList,
+    LeaseListResponse,
+    LeaseResponse,
+    LeaseRevoke,
+    LeaseTimeToLive,
     Operation,
     Put,
-    PutDone,
+    PutResponse,
     Range,
-    RangeDone,
+    RangeResponse,
     Record,
-    Refused,
-    Relation,
     Request,
-    Result,
-    Revoke,
-    Target,
-    TimeToLive,
+    RequestError,
+    Response,
+    StatusCode,
     Txn,
-    TxnDone,
+    TxnResponse,
 )
 
 STATUS = {
-    Failure.INVALID: 400, Failure.TOO_LATE: 504, Failure.NOT_FOUND: 404, Failure.EXISTS: 409,
-    Failure.EXHAUSTED: 429, Failure.PRECONDITION: 400, Failure.OUT_OF_RANGE: 400, Failure.UNKNOWN: 500,
-    Failure.UNAVAILABLE: 503,
-}  # fmt: skip
+    StatusCode.INVALID: 400,
+    StatusCode.TOO_LATE: 504,
+    StatusCode.NOT_FOUND: 404,
+    StatusCode.EXISTS: 409,
+    StatusCode.EXHAUSTED: 429,
+    StatusCode.PRECONDITION: 400,
+    StatusCode.OUT_OF_RANGE: 400,
+    StatusCode.UNKNOWN: 500,
+    StatusCode.UNAVAILABLE: 503,
+}
 _CAMEL = re.compile(r"(?<=[a-z])(?=[A-Z])")
 _SHOUTED = frozenset(("ID", "TTL"))
 Json = dict[str, Any]
@@ -82,8 +88,8 @@
 
 class _Compare(_Form, frozen=True, kw_only=True):
     key: bytes = b""
-    target: Target = Target.VERSION
-    result: Relation = Relation.EQUAL
+    target: CompareTarget = CompareTarget.VERSION
+    result: CompareOperator = CompareOperator.EQUAL
     version: int = 0
     create_revision: int = 0
     mod_revision: int = 0
@@ -145,7 +151,7 @@
         raw = msgspec.json.decode(data or b"{}")
         return msgspec.convert(_snaked(raw), form, strict=False)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise Refused(Failure.INVALID, str(error) or "too deep") from None
+        raise RequestError(StatusCode.INVALID, str(error) or "too deep") from None
 
 
 def _snaked(raw: Any) -> Any:
@@ -179,15 +185,18 @@
     if form.request_delete_range is not None:
         given.append(_delete(form.request_delete_range))
     if len(given) != 1:
-        raise Refused(Failure.INVALID, "operation: expected one of a range, a put and a delete")
+        raise RequestError(StatusCode.INVALID, "operation: expected one of a range, a put and a delete")
     return given[0]
 
 
 def _compare(form: _Compare) -> Compare:
-    values: dict[Target, int | bytes] = {
-        Target.VERSION: form.version, Target.CREATE: form.create_revision, Target.MOD: form.mod_revision,
-        Target.LEASE: form.lease, Target.VALUE: form.value,
-    }  # fmt: skip
+    values: dict[CompareTarget, int | bytes] = {
+        CompareTarget.VERSION: form.version,
+        CompareTarget.CREATE: form.create_revision,
+        CompareTarget.MOD: form.mod_revision,
+        CompareTarget.LEASE: form.lease,
+        CompareTarget.VALUE: form.value,
+    }
     value = values[form.target]
     return Compare(form.key, form.target, form.result, value)
 
@@ -205,11 +214,11 @@
     "/v3/kv/put": (_Put, _put),
     "/v3/kv/deleterange": (_Delete, _delete),
     "/v3/kv/txn": (_Txn, _txn),
-    "/v3/lease/grant": (_Grant, lambda form: Grant(form.TTL, form.ID)),
-    "/v3/lease/revoke": (_Lease, lambda form: Revoke(form.ID)),
-    "/v3/lease/keepalive": (_Lease, lambda form: KeepAlive(form.ID)),
-    "/v3/lease/timetolive": (_TimeToLive, lambda form: TimeToLive(form.ID, form.keys)),
-    "/v3/lease/leases": (_Nothing, lambda form: Leases()),
+    "/v3/lease/grant": (_Grant, lambda form: LeaseGrant(form.TTL, form.ID)),
+    "/v3/lease/revoke": (_Lease, lambda form: LeaseRevoke(form.ID)),
+    "/v3/lease/keepalive": (_Lease, lambda form: LeaseKeepAlive(form.ID)),
+    "/v3/lease/timetolive": (_TimeToLive, lambda form: LeaseTimeToLive(form.ID, form.keys)),
+    "/v3/lease/leases": (_Nothing, lambda form: LeaseList()),
 }
 WATCH = "/v3/watch"
 STREAMED = frozenset(("/v3/lease/keepalive",))  # answers stand under "result", as those of streams do
@@ -225,7 +234,7 @@
 def watch_of(data: bytes) -> WatchAsked:
     form: _Create = _convert(data, _Watch).create_request
     if not form.key:
-        raise Refused(Failure.INVALID, "key is not provided")
+        raise RequestError(StatusCode.INVALID, "key is not provided")
     return WatchAsked(form.key, form.range_end, form.start_revision, form.prev_kv)
 
 
@@ -261,24 +270,24 @@
     })  # fmt: skip
 
 
-def answer_of(header: Header, result: Result) -> Json:
+def answer_of(header: Header, result: Response) -> Json:
     """An answer as JSON would have it."""
     head = {"header": header.at(result.revision)}
-    if isinstance(result, RangeDone):
+    if isinstance(result, RangeResponse):
         rows = [_record(*row) for row in result.records]
         return head | _trimmed({"kvs": rows, "more": result.more, "count": str(result.total)})
-    if isinstance(result, PutDone):
+    if isinstance(result, PutResponse):
         previous = None
         if result.previous is not None:
             previous = _record(b"", result.previous)
         return head | _trimmed({"prev_kv": previous})
-    if isinstance(result, DeleteDone):
+    if isinstance(result, DeleteRangeResponse):
         rows = [_record(*row) for row in result.previous]
         return head | _trimmed({"deleted": str(result.deleted), "prev_kvs": rows})
-    if isinstance(result, TxnDone):
+    if isinstance(result, TxnResponse):
         done = [{_kind(each): answer_of(header, each)} for each in result.results]
         return head | _trimmed({"succeeded": result.succeeded, "responses": done})
-    if isinstance(result, LeasesDone):
+    if isinstance(result, LeaseListResponse):
         return head | _trimmed({"leases": [{"ID": str(number)} for number in result.ids]})
     return head | _trimmed({
         "ID": str(result.id), "TTL": str(result.ttl), "grantedTTL": str(result.granted),
@@ -286,10 +295,10 @@
     })  # fmt: skip
 
 
-def _kind(result: RangeDone | PutDone | DeleteDone) -> str:
-    if isinstance(result, RangeDone):
+def _kind(result: RangeResponse | PutResponse | DeleteRangeResponse) -> str:
+    if isinstance(result, RangeResponse):
         return "response_range"
-    return "response_put" if isinstance(result, PutDone) else "response_delete_range"
+    return "response_put" if isinstance(result, PutResponse) else "response_delete_range"
 
 
 def events_of(header: Header, revision: int, events: tuple[Event, ...], previous: bool) -> Json:
@@ -307,7 +316,7 @@
     return {"header": header.at(revision), "events": rows}
 
 
-def refusal_of(refused: Refused) -> tuple[int, Json]:
+def refusal_of(refused: RequestError) -> tuple[int, Json]:
     """The status and the body of a refusal."""
     return STATUS[refused.code], {"error": refused.what, "code": int(refused.code), "message": refused.what}
 
@@ -318,8 +327,8 @@
 def path_of(request: Request) -> str:
     for path, kind in (
         ("/v3/kv/range", Range), ("/v3/kv/put", Put), ("/v3/kv/deleterange", DeleteRange),
-        ("/v3/kv/txn", Txn), ("/v3/lease/grant", Grant), ("/v3/lease/revoke", Revoke),
-        ("/v3/lease/keepalive", KeepAlive), ("/v3/lease/timetolive", TimeToLive),
+        ("/v3/kv/txn", Txn), ("/v3/lease/grant", LeaseGrant), ("/v3/lease/revoke", LeaseRevoke),
+        ("/v3/lease/keepalive", LeaseKeepAlive), ("/v3/lease/timetolive", LeaseTimeToLive),
     ):  # fmt: skip
         if isinstance(request, kind):
             return path
@@ -349,18 +358,21 @@
             "success": [_operation_body(operation) for operation in request.success],
             "failure": [_operation_body(operation) for operation in request.failure],
         })  # fmt: skip
-    if isinstance(request, Grant):
+    if isinstance(request, LeaseGrant):
         return {"TTL": str(request.ttl), "ID": str(request.id)}
-    if isinstance(request, TimeToLive):
+    if isinstance(request, LeaseTimeToLive):
         return {"ID": str(request.id), "keys": request.keys}
-    return {} if isinstance(request, Leases) else {"ID": str(request.id)}
+    return {} if isinstance(request, LeaseList) else {"ID": str(request.id)}
 
 
 def _compare_body(compare: Compare) -> Json:
     field = {
-        Target.VERSION: "version", Target.CREATE: "create_revision", Target.MOD: "mod_revision",
-        Target.LEASE: "lease", Target.VALUE: "value",
-    }[compare.target]  # fmt: skip
+        CompareTarget.VERSION: "version",
+        CompareTarget.CREATE: "create_revision",
+        CompareTarget.MOD: "mod_revision",
+        CompareTarget.LEASE: "lease",
+        CompareTarget.VALUE: "value",
+    }[compare.target]
     value = base64_of(compare.value) if isinstance(compare.value, bytes) else str(compare.value)
     return {
         "key": base64_of(compare.key), "target": compare.target.value, "result": compare.relation.value,
@@ -384,17 +396,17 @@
     return tuple(_record_of(row) for row in raw.get(name, ()))
 
 
-def result_of(request: Request, raw: Json) -> Result:
+def result_of(request: Request, raw: Json) -> Response:
     """What an answer says.  Raises KeyError, TypeError or ValueError for what is none."""
     raw = raw.get("result", raw)
     revision = int(raw["header"].get("revision", 0))
     if isinstance(request, Range):
         count = int(raw.get("count", 0))
-        return RangeDone(revision, _records_of(raw, "kvs"), count, bool(raw.get("more", False)))
+        return RangeResponse(revision, _records_of(raw, "kvs"), count, bool(raw.get("more", False)))
     if isinstance(request, Put):
-        return PutDone(revision, _record_of(raw["prev_kv"])[1] if "prev_kv" in raw else None)
+        return PutResponse(revision, _record_of(raw["prev_kv"])[1] if "prev_kv" in raw else None)
     if isinstance(request, DeleteRange):
-        return DeleteDone(revision, int(raw.get("deleted", 0)), _records_of(raw, "prev_kvs"))
+        return DeleteRangeResponse(revision, int(raw.get("deleted", 0)), _records_of(raw, "prev_kvs"))
     if isinstance(request, Txn):
         succeeded = bool(raw.get("succeeded", False))
         results = tuple(
@@ -403,18 +415,18 @@
                 request.success if succeeded else request.failure, raw.get("responses", ()), strict=True
             )
         )
-        return TxnDone(revision, succeeded, results)
-    if isinstance(request, Leases):
-        return LeasesDone(revision, tuple(int(row["ID"]) for row in raw.get("leases", ())))
-    return LeaseDone(
+        return TxnResponse(revision, succeeded, results)
+    if isinstance(request, LeaseList):
+        return LeaseListResponse(revision, tuple(int(row["ID"]) for row in raw.get("leases", ())))
+    return LeaseResponse(
         revision, int(raw.get("ID", 0)), int(raw.get("TTL", 0)), int(raw.get("grantedTTL", 0)),
         tuple(base64.b64decode(key) for key in raw.get("keys", ())),
     )  # fmt: skip
 
 
-def _operation_result(operation: Operation, raw: Json) -> RangeDone | PutDone | DeleteDone:
+def _operation_result(operation: Operation, raw: Json) -> RangeResponse | PutResponse | DeleteRangeResponse:
     result = result_of(operation, raw)
-    assert isinstance(result, (RangeDone, PutDone, DeleteDone))
+    assert isinstance(result, (RangeResponse, PutResponse, DeleteRangeResponse))
     return result
 
 
@@ -429,15 +441,15 @@
     return int(raw["header"].get("revision", 0)), tuple(events)
 
 
-def refused_of(status: int, raw: Any) -> Refused:
+def refused_of(status: int, raw: Any) -> RequestError:
     """The refusal that an answer with an error status is."""
-    code, what = Failure.UNKNOWN, f"status {status}"
+    code, what = StatusCode.UNKNOWN, f"status {status}"
     if isinstance(raw, dict):
         what = str(raw.get("message") or raw.get("error") or what)
         known = raw.get("code")
-        if isinstance(known, int) and known in Failure._value2member_map_:
-            return Refused(Failure(known), what)
+        if isinstance(known, int) and known in StatusCode._value2member_map_:
+            return RequestError(StatusCode(known), what)
     for failure, number in STATUS.items():
-        if number == status and failure is not Failure.UNKNOWN:
+        if number == status and failure is not StatusCode.UNKNOWN:
             code = failure
-    return Refused(code, what)
+    return RequestError(code, what)
--- a/heronreel/coordination/state.py
+++ b/heronreel/coordination/keyspace.py
@@ -1,8 +1,8 @@
 """Keys, revisions and leases, and what a request does to them.
 
 The state is a flat map of records, bytes by bytes, as the members agree on it and as a store keeps it;
-`State` is the reading of one.  Nothing here is changed in place: what a request does is a list of writes to
-the map and the state after them, so that one which is never agreed on leaves no trace.
+`Keyspace` is the reading of one.  Nothing here is changed in place: what a request does is a list of writes
+to the map and the state after them, so that one which is never agreed on leaves no trace.
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 from immutables import Map
 
 from heronreel.coordination.model import (
-    BYTES_MOST,
-    ID_MOST,
-    KEY_MOST,
-    LEASES_MOST,
-    OPERATIONS_MOST,
-    TTL_MOST,
-    VALUE_MOST,
+    MAX_KEY_BYTES,
+    MAX_LEASE_ID,
+    MAX_LEASES,
+    MAX_OPERATIONS,
+    MAX_STATE_BYTES,
+    MAX_TTL_S,
+    MAX_VALUE_BYTES,
     Compare,
-    DeleteDone,
+    CompareOperator,
+    CompareTarget,
     DeleteRange,
+    DeleteRangeResponse,
     Event,
-    Failure,
-    Grant,
-    LeaseDone,
+    LeaseGrant,
+    LeaseResponse,
+    LeaseRevoke,
     Operation,
     Put,
-    PutDone,
+    PutResponse,
     Range,
-    RangeDone,
+    RangeResponse,
     Record,
-    Refused,
-    Relation,
-    Result,
-    Revoke,
-    Target,
+    RequestError,
+    Response,
+    StatusCode,
     Txn,
-    TxnDone,
+    TxnResponse,
 )
 
 Content = Map[bytes, bytes]
@@ -51,7 +51,7 @@
 KEY = b"k"  # and the key
 LEASE = b"l"  # and the lease's number in 8 bytes
 RECORD_COST = 64  # bytes counted for a record beside its key and value
-EMPTY: Content = Map()
+EMPTY_CONTENT: Content = Map()
 ALL_BEHIND = b"\0"
 
 
@@ -75,16 +75,16 @@
 _encode = msgspec.msgpack.Encoder().encode
 
 
-class Done(NamedTuple):
+class RequestApplied(NamedTuple):
     """What a request came to: its answer, the state after it, and what has to be written for that."""
 
-    result: Result
-    state: State
+    result: Response
+    state: Keyspace
     writes: Writes
     events: tuple[Event, ...]
 
 
-class State:
+class Keyspace:
     """One reading of the map.  Frozen; `apply` gives the next."""
 
     __slots__ = ("_order", "attached", "head", "keys", "leases")
@@ -104,7 +104,7 @@
         self._order = order  # of the keys; made when it is asked for
 
     @classmethod
-    def of(cls, content: Content) -> State:
+    def of(cls, content: Content) -> Keyspace:
         """Read a map; raises msgspec.DecodeError or ValueError for what no state wrote."""
         head = _head.decode(content[HEAD]) if HEAD in content else _Head()
         keys: dict[bytes, Record] = {}
@@ -134,13 +134,13 @@
         first = bisect.bisect_left(self._order, key)
         return self._order[first : None if end == ALL_BEHIND else bisect.bisect_left(self._order, end)]
 
-    def apply(self, request: Range | Put | DeleteRange | Txn | Grant | Revoke) -> Done:
+    def apply(self, request: Range | Put | DeleteRange | Txn | LeaseGrant | LeaseRevoke) -> RequestApplied:
         """What `request` comes to.  Raises Refused, and nothing is changed then."""
         change = _Change(self)
-        result: Result
-        if isinstance(request, Grant):
+        result: Response
+        if isinstance(request, LeaseGrant):
             result = change.grant(request)
-        elif isinstance(request, Revoke):
+        elif isinstance(request, LeaseRevoke):
             result = change.revoke(request)
         elif isinstance(request, Txn):
             result = change.transaction(request)
@@ -155,14 +155,14 @@
         leases: Map[int, int],
         attached: Map[int, frozenset[bytes]],
         moved: bool,
-    ) -> State:
-        return State(head, keys, leases, attached, None if moved else self._order)
+    ) -> Keyspace:
+        return Keyspace(head, keys, leases, attached, None if moved else self._order)
 
 
 class _Change:
     """One request at work."""
 
-    def __init__(self, state: State) -> None:
+    def __init__(self, state: Keyspace) -> None:
         self.before = state
         self.keys = state.keys
         self.leases = state.leases
@@ -179,9 +179,9 @@
         """The revision of the state as it is now, in the middle of the request."""
         return self.revision if self.touched else self.revision - 1
 
-    def done(self, result: Result) -> Done:
+    def done(self, result: Response) -> RequestApplied:
         if not self.touched and not self.written:
-            return Done(result, self.before, (), ())
+            return RequestApplied(result, self.before, (), ())
         head = _Head(self.reached, self.granted, self.size)
         writes: list[tuple[bytes, bytes | None]] = [(HEAD, _encode(head)), *self.written]
         events: list[Event] = []
@@ -191,41 +191,41 @@
             if record is not None or previous is not None:
                 events.append(Event(key, record, previous, self.revision))
         state = self.before.next(head, self.keys, self.leases, self.attached, self.moved)
-        return Done(result, state, tuple(writes), tuple(events))
+        return RequestApplied(result, state, tuple(writes), tuple(events))
 
     # -- keys
 
-    def transaction(self, txn: Txn) -> TxnDone:
+    def transaction(self, txn: Txn) -> TxnResponse:
         for part, name in ((txn.compares, "compare"), (txn.success, "success"), (txn.failure, "failure")):
-            if len(part) > OPERATIONS_MOST:
-                raise Refused(Failure.INVALID, f"{name}: {len(part)} of at most {OPERATIONS_MOST}")
+            if len(part) > MAX_OPERATIONS:
+                raise RequestError(StatusCode.INVALID, f"{name}: {len(part)} of at most {MAX_OPERATIONS}")
         for branch in (txn.success, txn.failure):
             _once_each(branch)
         holds = all(self.holds(compare) for compare in txn.compares)
         results = tuple(self.operation(operation) for operation in (txn.success if holds else txn.failure))
-        return TxnDone(self.reached, holds, results)
+        return TxnResponse(self.reached, holds, results)
 
     def holds(self, compare: Compare) -> bool:
         record = self.keys.get(_checked_key(compare.key))
-        if compare.target is Target.VALUE:
+        if compare.target is CompareTarget.VALUE:
             if not isinstance(compare.value, bytes):
-                raise Refused(Failure.INVALID, "compare: a value is bytes")
+                raise RequestError(StatusCode.INVALID, "compare: a value is bytes")
             if record is None:
                 return False  # as in etcd: what is not there has no value to compare
             return _related(record.value, compare.relation, compare.value)
         if not isinstance(compare.value, int):
-            raise Refused(Failure.INVALID, "compare: expected a number")
+            raise RequestError(StatusCode.INVALID, "compare: expected a number")
         found = 0
         if record is not None:
             found = {
-                Target.VERSION: record.version,
-                Target.CREATE: record.create,
-                Target.MOD: record.mod,
-                Target.LEASE: record.lease,
+                CompareTarget.VERSION: record.version,
+                CompareTarget.CREATE: record.create,
+                CompareTarget.MOD: record.mod,
+                CompareTarget.LEASE: record.lease,
             }[compare.target]
         return _related(found, compare.relation, compare.value)
 
-    def operation(self, operation: Operation) -> RangeDone | PutDone | DeleteDone:
+    def operation(self, operation: Operation) -> RangeResponse | PutResponse | DeleteRangeResponse:
         if isinstance(operation, Put):
             return self.put(operation)
         if isinstance(operation, DeleteRange):
@@ -237,33 +237,37 @@
         _checked_key(end, empty=True)
         if not self.moved:
             return self.before.named(key, end)
-        now = State(self.before.head, self.keys, self.leases, self.attached)
+        now = Keyspace(self.before.head, self.keys, self.leases, self.attached)
         return now.named(key, end)
 
-    def range(self, asked: Range) -> RangeDone:
+    def range(self, asked: Range) -> RangeResponse:
         if asked.revision < 0 or asked.limit < 0:
-            raise Refused(Failure.INVALID, "range: revision and limit are 0 or more")
+            raise RequestError(StatusCode.INVALID, "range: revision and limit are 0 or more")
         if asked.revision > self.before.revision:
-            raise Refused(Failure.OUT_OF_RANGE, "required revision is a future revision")
+            raise RequestError(StatusCode.OUT_OF_RANGE, "required revision is a future revision")
         if asked.revision and asked.revision < self.before.revision:
-            raise Refused(Failure.OUT_OF_RANGE, "required revision has been compacted")
+            raise RequestError(StatusCode.OUT_OF_RANGE, "required revision has been compacted")
         names = self._named(asked.key, asked.end)
         taken = [] if asked.count_only else names[: asked.limit or None]
         records = tuple((name, self.keys[name]) for name in taken)
         if asked.keys_only:
             records = tuple((name, record._replace(value=b"")) for name, record in records)
-        return RangeDone(self.reached, records, len(names), len(taken) < len(names) and not asked.count_only)
+        return RangeResponse(
+            self.reached, records, len(names), len(taken) < len(names) and not asked.count_only
+        )
 
-    def put(self, asked: Put) -> PutDone:
+    def put(self, asked: Put) -> PutResponse:
         _checked_key(asked.key)
-        if len(asked.value) > VALUE_MOST:
-            raise Refused(Failure.INVALID, f"value: {len(asked.value)} bytes of at most {VALUE_MOST}")
+        if len(asked.value) > MAX_VALUE_BYTES:
+            raise RequestError(
+                StatusCode.INVALID, f"value: {len(asked.value)} bytes of at most {MAX_VALUE_BYTES}"
+            )
         if asked.lease and asked.lease not in self.leases:
-            raise Refused(Failure.NOT_FOUND, "requested lease not found")
+            raise RequestError(StatusCode.NOT_FOUND, "requested lease not found")
         old = self.keys.get(asked.key)
         size = self.size + len(asked.value) - (len(old.value) if old else -len(asked.key) - RECORD_COST)
-        if size > BYTES_MOST and size > self.size:
-            raise Refused(Failure.EXHAUSTED, f"the state would pass {BYTES_MOST} bytes")
+        if size > MAX_STATE_BYTES and size > self.size:
+            raise RequestError(StatusCode.EXHAUSTED, f"the state would pass {MAX_STATE_BYTES} bytes")
         self.size = size
         if old is None:
             record = Record(asked.value, self.revision, self.revision, 1, asked.lease)
@@ -276,14 +280,14 @@
             self.attached = self.attached.set(asked.lease, held | {asked.key})
         self.keys = self.keys.set(asked.key, record)
         self.touched[asked.key] = record
-        return PutDone(self.revision, old if asked.previous else None)
+        return PutResponse(self.revision, old if asked.previous else None)
 
-    def delete(self, asked: DeleteRange) -> DeleteDone:
+    def delete(self, asked: DeleteRange) -> DeleteRangeResponse:
         names = list(self._named(asked.key, asked.end))
         gone = tuple((name, self.keys[name]) for name in names)
         for name, record in gone:
             self._remove(name, record)
-        return DeleteDone(self.reached, len(gone), gone if asked.previous else ())
+        return DeleteRangeResponse(self.reached, len(gone), gone if asked.previous else ())
 
     def _remove(self, key: bytes, record: Record) -> None:
         self._detach(key, record)
@@ -300,38 +304,38 @@
 
     # -- leases
 
-    def grant(self, asked: Grant) -> LeaseDone:
-        if not 1 <= asked.ttl <= TTL_MOST:
-            raise Refused(Failure.INVALID, f"TTL: {asked.ttl}, expected 1 to {TTL_MOST} seconds")
-        if not 0 <= asked.id <= ID_MOST:
-            raise Refused(Failure.INVALID, "ID: expected 0 or a positive 64-bit number")
+    def grant(self, asked: LeaseGrant) -> LeaseResponse:
+        if not 1 <= asked.ttl <= MAX_TTL_S:
+            raise RequestError(StatusCode.INVALID, f"TTL: {asked.ttl}, expected 1 to {MAX_TTL_S} seconds")
+        if not 0 <= asked.id <= MAX_LEASE_ID:
+            raise RequestError(StatusCode.INVALID, "ID: expected 0 or a positive 64-bit number")
         if asked.id in self.leases:
-            raise Refused(Failure.PRECONDITION, "lease already exists")
-        if len(self.leases) >= LEASES_MOST:
-            raise Refused(Failure.EXHAUSTED, f"{LEASES_MOST} leases are held already")
+            raise RequestError(StatusCode.PRECONDITION, "lease already exists")
+        if len(self.leases) >= MAX_LEASES:
+            raise RequestError(StatusCode.EXHAUSTED, f"{MAX_LEASES} leases are held already")
         number = asked.id
         while not number or number in self.leases:
             self.granted += 1
             number = self.granted
         self.leases = self.leases.set(number, asked.ttl)
-        self.written.append((lease_name(number), _encode(asked.ttl)))
-        return LeaseDone(self.reached, number, asked.ttl, asked.ttl)
+        self.written.append((lease_key(number), _encode(asked.ttl)))
+        return LeaseResponse(self.reached, number, asked.ttl, asked.ttl)
 
-    def revoke(self, asked: Revoke) -> LeaseDone:
+    def revoke(self, asked: LeaseRevoke) -> LeaseResponse:
         if asked.id not in self.leases:
-            raise Refused(Failure.NOT_FOUND, "requested lease not found")
+            raise RequestError(StatusCode.NOT_FOUND, "requested lease not found")
         for key in sorted(self.attached.get(asked.id, frozenset())):
             self._remove(key, self.keys[key])
         self.leases = self.leases.delete(asked.id)
-        self.written.append((lease_name(asked.id), None))
-        return LeaseDone(self.reached, asked.id, 0)
+        self.written.append((lease_key(asked.id), None))
+        return LeaseResponse(self.reached, asked.id, 0)
 
 
-def lease_name(number: int) -> bytes:
+def lease_key(number: int) -> bytes:
     return LEASE + number.to_bytes(8, "big")
 
 
-def written(content: Content, writes: Iterable[tuple[bytes, bytes | None]]) -> Content:
+def apply_writes(content: Content, writes: Iterable[tuple[bytes, bytes | None]]) -> Content:
     """The map after the writes."""
     change = content.mutate()
     for name, data in writes:
@@ -344,9 +348,9 @@
 
 def _checked_key(key: bytes, *, empty: bool = False) -> bytes:
     if not key and not empty:
-        raise Refused(Failure.INVALID, "key is not provided")
-    if len(key) > KEY_MOST:
-        raise Refused(Failure.INVALID, f"key: {len(key)} bytes of at most {KEY_MOST}")
+        raise RequestError(StatusCode.INVALID, "key is not provided")
+    if len(key) > MAX_KEY_BYTES:
+        raise RequestError(StatusCode.INVALID, f"key: {len(key)} bytes of at most {MAX_KEY_BYTES}")
     return key
 
 
@@ -356,11 +360,11 @@
     for operation in branch:
         if isinstance(operation, Put):
             if operation.key in puts:
-                raise Refused(Failure.INVALID, "duplicate key given in txn request")
+                raise RequestError(StatusCode.INVALID, "duplicate key given in txn request")
             puts.add(operation.key)
     for operation in branch:
         if isinstance(operation, DeleteRange) and any(_within(key, operation) for key in puts):
-            raise Refused(Failure.INVALID, "duplicate key given in txn request")
+            raise RequestError(StatusCode.INVALID, "duplicate key given in txn request")
 
 
 def _within(key: bytes, asked: DeleteRange) -> bool:
@@ -369,11 +373,11 @@
     return key >= asked.key and (asked.end == ALL_BEHIND or key < asked.end)
 
 
-def _related(found: int | bytes, relation: Relation, value: int | bytes) -> bool:
-    if relation is Relation.EQUAL:
+def _related(found: int | bytes, relation: CompareOperator, value: int | bytes) -> bool:
+    if relation is CompareOperator.EQUAL:
         return found == value
-    if relation is Relation.NOT_EQUAL:
+    if relation is CompareOperator.NOT_EQUAL:
         return found != value
-    if relation is Relation.GREATER:
+    if relation is CompareOperator.GREATER:
         return found > value  # type: ignore[operator]  # of one type: the caller looked
     return found < value  # type: ignore[operator]
--- a/heronreel/coordination/service.py
+++ b/heronreel/coordination/kv_service.py
@@ -16,24 +16,31 @@
 
 from immutables import Map
 
-from heronreel.coordination.member import Action, Actions, Confirmed, Deposed, Elected, Member
+from heronreel.coordination.consensus import (
+    Action,
+    Actions,
+    ConsensusMember,
+    Deposed,
+    Elected,
+    RoundCommitted,
+)
+from heronreel.coordination.keyspace import Keyspace, Writes
 from heronreel.coordination.model import (
-    Answer,
     Event,
-    Failure,
-    Grant,
-    KeepAlive,
-    LeaseDone,
-    Leases,
-    LeasesDone,
-    Refused,
+    LeaseGrant,
+    LeaseKeepAlive,
+    LeaseList,
+    LeaseListResponse,
+    LeaseResponse,
+    LeaseRevoke,
+    LeaseTimeToLive,
     Request,
-    Revoke,
-    TimeToLive,
+    RequestError,
+    ResponseOrError,
+    StatusCode,
 )
-from heronreel.coordination.state import State, Writes
 
-MEMBERS = b"group/members"  # names of those who should be in the group; without it: whoever is
+DESIRED_MEMBERS_KEY = b"group/members"  # names of those who should be in the group; without it: whoever is
 NAMES_MOST = 7
 WAITING_MOST = 20_000  # requests that wait for a round
 ROUND_MOST = 2_000  # requests of one round
@@ -43,14 +50,14 @@
 WATCHES_MOST = 5_000
 
 
-class Answered(NamedTuple):
+class RequestCompleted(NamedTuple):
     """What a request came to."""
 
     ticket: int
-    answer: Answer
+    answer: ResponseOrError
 
 
-class Told(NamedTuple):
+class WatchNotified(NamedTuple):
     """Events of a watch, up to and with a revision.  `compacted` above 0: what lies before that revision is
     not kept, and the watch has ended; `ended`: this member cannot say more.
     """
@@ -62,13 +69,13 @@
     ended: bool = False
 
 
-class Expired(NamedTuple):
+class LeaseExpired(NamedTuple):
     """The group ends a lease that was not renewed; for the log."""
 
     lease: int
 
 
-Output = Action | Answered | Told | Expired
+Output = Action | RequestCompleted | WatchNotified | LeaseExpired
 Outputs = list[Output]
 
 
@@ -91,21 +98,21 @@
 
 class _Round(NamedTuple):
     number: int
-    state: State  # after it
-    answers: tuple[Answered, ...]
+    state: Keyspace  # after it
+    answers: tuple[RequestCompleted, ...]
     events: tuple[tuple[Event, ...], ...]  # by revision
     renewed: tuple[tuple[int, int], ...]  # leases and their seconds
     ended: tuple[int, ...]
 
 
-class Service:
+class KeyValueService:
     """Requests, leases and watches of one member."""
 
-    def __init__(self, member: Member, *, drift: float = 0.01) -> None:
+    def __init__(self, member: ConsensusMember, *, drift: float = 0.01) -> None:
         """`drift`: how much a clock may run faster or slower than true time, as a share."""
         self.member = member
         self.drift = drift
-        self.state = State.of(member.content)  # agreed on; of use while this member leads
+        self.state = Keyspace.of(member.content)  # agreed on; of use while this member leads
         self.waiting: deque[_Work] = deque()
         self.round: _Round | None = None
         self.deadlines: Map[int, float] = Map()  # of leases, on this member's clock
@@ -128,21 +135,23 @@
     def ask(self, now: float, ticket: int, request: Request, until: float) -> Outputs:
         """A client's request; from `until` on its answer is of no use, and it is not begun any more."""
         if not self.member.leads:
-            return [Answered(ticket, Refused(Failure.UNAVAILABLE, "etcdserver: no leader"))]
+            return [RequestCompleted(ticket, RequestError(StatusCode.UNAVAILABLE, "etcdserver: no leader"))]
         if len(self.waiting) >= WAITING_MOST:
-            return [Answered(ticket, Refused(Failure.EXHAUSTED, "etcdserver: too many requests"))]
+            return [
+                RequestCompleted(ticket, RequestError(StatusCode.EXHAUSTED, "etcdserver: too many requests"))
+            ]
         self.waiting.append(_Work(ticket, request, until))
         return self._go_on(now)
 
     def watch(self, number: int, key: bytes, end: bytes, start: int) -> Outputs:
         """Tell of changes from the revision `start`, or from now on with 0."""
         if not self.member.leads:
-            return [Told(number, 0, (), ended=True)]
+            return [WatchNotified(number, 0, (), ended=True)]
         if len(self.watches) >= WATCHES_MOST:
-            return [Told(number, self.state.revision, (), ended=True)]
+            return [WatchNotified(number, self.state.revision, (), ended=True)]
         start = start or self.state.revision + 1
         if start <= self.kept_from:
-            return [Told(number, self.state.revision, (), compacted=self.kept_from + 1)]
+            return [WatchNotified(number, self.state.revision, (), compacted=self.kept_from + 1)]
         watch = _Watch(key, end, start)
         past = tuple(
             event
@@ -151,7 +160,7 @@
             if event.revision >= start and watch.concerns(event.key)
         )
         self.watches[number] = watch._replace(next=max(start, self.state.revision + 1))
-        return [Told(number, self.state.revision, past)]
+        return [WatchNotified(number, self.state.revision, past)]
 
     def unwatch(self, number: int) -> None:
         self.watches.pop(number, None)
@@ -174,7 +183,7 @@
             elif isinstance(action, Deposed):
                 outputs.append(action)
                 outputs += self.end()
-            elif isinstance(action, Confirmed):
+            elif isinstance(action, RoundCommitted):
                 outputs += self._confirmed(now, action.number)
             else:
                 outputs.append(action)
@@ -182,11 +191,11 @@
 
     def _wish(self) -> None:
         """Who should be in the group, by the agreed key for it."""
-        record = self.state.keys.get(MEMBERS)
+        record = self.state.keys.get(DESIRED_MEMBERS_KEY)
         self.member.wish = None if record is None else names_of(record.value)
 
     def _begin(self, now: float) -> None:
-        self.state = State.of(self.member.content)
+        self.state = Keyspace.of(self.member.content)
         self._wish()
         self.events.clear()
         self.event_bytes = 0
@@ -208,13 +217,13 @@
         outputs: Outputs = []
         if self.round is not None:
             for ticket, answer in self.round.answers:
-                lost = Refused(Failure.UNKNOWN, "etcdserver: leader changed")
-                outputs.append(Answered(ticket, answer if isinstance(answer, Refused) else lost))
+                lost = RequestError(StatusCode.UNKNOWN, "etcdserver: leader changed")
+                outputs.append(RequestCompleted(ticket, answer if isinstance(answer, RequestError) else lost))
             self.round = None
-        lost = Refused(Failure.UNAVAILABLE, "etcdserver: leader changed")
-        outputs += [Answered(work.ticket, lost) for work in self.waiting]
+        lost = RequestError(StatusCode.UNAVAILABLE, "etcdserver: leader changed")
+        outputs += [RequestCompleted(work.ticket, lost) for work in self.waiting]
         self.waiting.clear()
-        outputs += [Told(number, self.state.revision, (), ended=True) for number in self.watches]
+        outputs += [WatchNotified(number, self.state.revision, (), ended=True) for number in self.watches]
         self.watches.clear()
         self.deadlines = Map()
         self.soonest = float("inf")
@@ -230,7 +239,7 @@
             return []  # the member's own rounds go first: a tick begins them
         state = self.state
         writes: dict[bytes, bytes | None] = {}
-        answers: list[Answered] = []
+        answers: list[RequestCompleted] = []
         outputs: Outputs = []
         events: list[tuple[Event, ...]] = []
         renewed: list[tuple[int, int]] = []
@@ -238,25 +247,25 @@
         if due:
             for lease, until in self.deadlines.items():
                 if until <= now:
-                    done = state.apply(Revoke(lease))
+                    done = state.apply(LeaseRevoke(lease))
                     state = done.state
                     writes.update(done.writes)
                     ended.append(lease)
-                    outputs.append(Expired(lease))
+                    outputs.append(LeaseExpired(lease))
                     if done.events:
                         events.append(done.events)
         size = 0
         while self.waiting and len(answers) < ROUND_MOST and size < ROUND_BYTES:
             work = self.waiting.popleft()
             if work.until <= now:
-                late = Refused(Failure.UNAVAILABLE, "etcdserver: request timed out")
-                outputs.append(Answered(work.ticket, late))
+                late = RequestError(StatusCode.UNAVAILABLE, "etcdserver: request timed out")
+                outputs.append(RequestCompleted(work.ticket, late))
                 continue
             request = work.request
             try:
-                if isinstance(request, (KeepAlive, TimeToLive, Leases)):
+                if isinstance(request, (LeaseKeepAlive, LeaseTimeToLive, LeaseList)):
                     answer = self._of_leases(now, state, request)
-                    if isinstance(request, KeepAlive) and request.id in state.leases:
+                    if isinstance(request, LeaseKeepAlive) and request.id in state.leases:
                         renewed.append((request.id, state.leases[request.id]))
                 else:
                     done = state.apply(request)
@@ -265,13 +274,13 @@
                     size += sum(len(key) + len(data or b"") for key, data in done.writes)
                     if done.events:
                         events.append(done.events)
-                    if isinstance(request, Grant) and isinstance(answer, LeaseDone):
+                    if isinstance(request, LeaseGrant) and isinstance(answer, LeaseResponse):
                         renewed.append((answer.id, answer.ttl))
-                    elif isinstance(request, Revoke):
+                    elif isinstance(request, LeaseRevoke):
                         ended.append(request.id)
-            except Refused as refused:
+            except RequestError as refused:
                 answer = refused
-            answers.append(Answered(work.ticket, answer))
+            answers.append(RequestCompleted(work.ticket, answer))
         if not answers and not ended:
             return outputs
         agreed: Writes = tuple(writes.items())
@@ -279,17 +288,19 @@
         self.round = _Round(member.number, state, tuple(answers), tuple(events), tuple(renewed), tuple(ended))
         return outputs + self._settle(now, actions)
 
-    def _of_leases(self, now: float, state: State, request: KeepAlive | TimeToLive | Leases) -> Answer:
-        if isinstance(request, Leases):
-            return LeasesDone(state.revision, tuple(sorted(state.leases)))
+    def _of_leases(
+        self, now: float, state: Keyspace, request: LeaseKeepAlive | LeaseTimeToLive | LeaseList
+    ) -> ResponseOrError:
+        if isinstance(request, LeaseList):
+            return LeaseListResponse(state.revision, tuple(sorted(state.leases)))
         ttl = state.leases.get(request.id)
-        if isinstance(request, KeepAlive):
-            return LeaseDone(state.revision, request.id, ttl or 0, ttl or 0)
+        if isinstance(request, LeaseKeepAlive):
+            return LeaseResponse(state.revision, request.id, ttl or 0, ttl or 0)
         if ttl is None:
-            return LeaseDone(state.revision, request.id, -1)
+            return LeaseResponse(state.revision, request.id, -1)
         left = max(0, int(self.deadlines.get(request.id, now + ttl) - now))
         keys = tuple(sorted(state.attached.get(request.id, frozenset()))) if request.keys else ()
-        return LeaseDone(state.revision, request.id, min(left, ttl), ttl, keys)
+        return LeaseResponse(state.revision, request.id, min(left, ttl), ttl, keys)
 
     def _confirmed(self, now: float, number: int) -> Outputs:
         """A majority took the round: what it did is so."""
@@ -325,7 +336,7 @@
         for number, watch in self.watches.items():
             told = tuple(e for e in fresh if e.revision >= watch.next and watch.concerns(e.key))
             if told:
-                outputs.append(Told(number, self.state.revision, told))
+                outputs.append(WatchNotified(number, self.state.revision, told))
         return outputs
 
 
--- a/heronreel/coordination/logs.py
+++ b/heronreel/coordination/logs.py
@@ -8,7 +8,7 @@
 import structlog
 
 
-def to_stderr() -> None:
+def log_to_stderr() -> None:
     """From here on, for the whole process."""
     structlog.configure(
         processors=[
--- a/heronreel/coordination/model.py
+++ b/heronreel/coordination/model.py
@@ -11,16 +11,16 @@
 
 import msgspec
 
-KEY_MOST = 1024  # bytes of a key
-VALUE_MOST = 256 << 10  # bytes of a value
-OPERATIONS_MOST = 128  # in one transaction, each way, and as many compares
-BYTES_MOST = 8 << 20  # bytes of all keys, values and leases together: a whole state is one message
-LEASES_MOST = 20_000
-TTL_MOST = 24 * 3600  # seconds
-ID_MOST = (1 << 63) - 1
+MAX_KEY_BYTES = 1024  # bytes of a key
+MAX_VALUE_BYTES = 256 << 10  # bytes of a value
+MAX_OPERATIONS = 128  # in one transaction, each way, and as many compares
+MAX_STATE_BYTES = 8 << 20  # bytes of all keys, values and leases together: a whole state is one message
+MAX_LEASES = 20_000
+MAX_TTL_S = 24 * 3600  # seconds
+MAX_LEASE_ID = (1 << 63) - 1
 
 
-def after(prefix: bytes) -> bytes:
+def prefix_end(prefix: bytes) -> bytes:
     """The end of the range of keys that begin with `prefix`."""
     return prefix[:-1] + bytes([prefix[-1] + 1])
 
@@ -35,7 +35,7 @@
     lease: int  # the lease that it ends with; 0: none
 
 
-class Target(enum.Enum):
+class CompareTarget(enum.Enum):
     VERSION = "VERSION"
     CREATE = "CREATE"
     MOD = "MOD"
@@ -43,7 +43,7 @@
     LEASE = "LEASE"
 
 
-class Relation(enum.Enum):
+class CompareOperator(enum.Enum):
     EQUAL = "EQUAL"
     GREATER = "GREATER"
     LESS = "LESS"
@@ -54,8 +54,8 @@
     """Whether what `key` has stands so to `value`; a key that is not there has 0 of all, and no value."""
 
     key: bytes
-    target: Target
-    relation: Relation
+    target: CompareTarget
+    relation: CompareOperator
     value: int | bytes
 
 
@@ -99,58 +99,60 @@
         return any(not isinstance(each, Range) for each in (*self.success, *self.failure))
 
 
-class Grant(msgspec.Struct, frozen=True):
+class LeaseGrant(msgspec.Struct, frozen=True):
     """A lease of `ttl` seconds.  With `id` 0 the group chooses one; a chosen one is granted once."""
 
     ttl: int
     id: int = 0
 
 
-class Revoke(msgspec.Struct, frozen=True):
+class LeaseRevoke(msgspec.Struct, frozen=True):
     id: int
 
 
-class KeepAlive(msgspec.Struct, frozen=True):
+class LeaseKeepAlive(msgspec.Struct, frozen=True):
     id: int
 
 
-class TimeToLive(msgspec.Struct, frozen=True):
+class LeaseTimeToLive(msgspec.Struct, frozen=True):
     id: int
     keys: bool = False
 
 
-class Leases(msgspec.Struct, frozen=True):
+class LeaseList(msgspec.Struct, frozen=True):
     """All leases, by number."""
 
 
-Request = Range | Put | DeleteRange | Txn | Grant | Revoke | KeepAlive | TimeToLive | Leases
+Request = (
+    Range | Put | DeleteRange | Txn | LeaseGrant | LeaseRevoke | LeaseKeepAlive | LeaseTimeToLive | LeaseList
+)
 
 
-class RangeDone(NamedTuple):
+class RangeResponse(NamedTuple):
     revision: int
     records: tuple[tuple[bytes, Record], ...]
     total: int  # of the keys there are, whatever the limit
     more: bool
 
 
-class PutDone(NamedTuple):
+class PutResponse(NamedTuple):
     revision: int
     previous: Record | None
 
 
-class DeleteDone(NamedTuple):
+class DeleteRangeResponse(NamedTuple):
     revision: int
     deleted: int
     previous: tuple[tuple[bytes, Record], ...]
 
 
-class TxnDone(NamedTuple):
+class TxnResponse(NamedTuple):
     revision: int
     succeeded: bool
-    results: tuple[RangeDone | PutDone | DeleteDone, ...]
+    results: tuple[RangeResponse | PutResponse | DeleteRangeResponse, ...]
 
 
-class LeaseDone(NamedTuple):
+class LeaseResponse(NamedTuple):
     """Of grant, revoke, keep-alive and time-to-live; `ttl` is 0 or below where the lease has ended."""
 
     revision: int
@@ -160,12 +162,12 @@
     keys: tuple[bytes, ...] = ()
 
 
-class LeasesDone(NamedTuple):
+class LeaseListResponse(NamedTuple):
     revision: int
     ids: tuple[int, ...]
 
 
-class Failure(enum.IntEnum):
+class StatusCode(enum.IntEnum):
     """Why a request was not done: the numbers are gRPC's codes, as the gateway answers them."""
 
     INVALID = 3
@@ -179,21 +181,21 @@
     UNAVAILABLE = 14  # it was not done
 
 
-class Refused(Exception):
+class RequestError(Exception):
     """A request that was not done, or of which nobody knows whether it was (`maybe`)."""
 
-    def __init__(self, code: Failure, what: str) -> None:
+    def __init__(self, code: StatusCode, what: str) -> None:
         super().__init__(what)
         self.code = code
         self.what = what
 
     @property
     def maybe(self) -> bool:
-        return self.code in (Failure.TOO_LATE, Failure.UNKNOWN)
+        return self.code in (StatusCode.TOO_LATE, StatusCode.UNKNOWN)
 
 
-Result = RangeDone | PutDone | DeleteDone | TxnDone | LeaseDone | LeasesDone
-Answer = Result | Refused
+Response = RangeResponse | PutResponse | DeleteRangeResponse | TxnResponse | LeaseResponse | LeaseListResponse
+ResponseOrError = Response | RequestError
 
 
 class Event(NamedTuple):
--- a/heronreel/coordination/settings.py
+++ b/heronreel/coordination/settings.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from heronreel.coordination.member import Timing
+from heronreel.coordination.consensus import Timing
 from heronreel.routes.model import Problem
 from heronreel.routes.reader import BYTES_MOST, BadFile, Reader, parse
 
@@ -32,7 +32,7 @@
 ]
 
 
-class Row(msgspec.Struct, frozen=True):
+class MemberAddress(msgspec.Struct, frozen=True):
     """One member, under [[members]]."""
 
     name: Name
@@ -61,10 +61,10 @@
 class Group(msgspec.Struct, frozen=True):
     """A group as its file, or its command line, has it."""
 
-    members: tuple[Row, ...]
+    members: tuple[MemberAddress, ...]
     table: GroupTable = GroupTable()
 
-    def row(self, name: str) -> Row | None:
+    def row(self, name: str) -> MemberAddress | None:
         return next((row for row in self.members if row.name == name), None)
 
     @property
@@ -81,12 +81,12 @@
         if name not in ("group", "members"):
             reader.wrong((name,), "no such table", "known here: group, members", "unknown-field")
     table = GroupTable(**reader.table(raw.get("group", {}), ("group",), GroupTable))
-    rows: list[Row] = []
+    rows: list[MemberAddress] = []
     where: list[tuple[Any, ...]] = []
     for path, each in reader.tables(raw.get("members"), ("members",), MEMBERS_MOST):
-        values = reader.table(each, path, Row)
+        values = reader.table(each, path, MemberAddress)
         if "name" in values and "address" in values:
-            rows.append(Row(**values))
+            rows.append(MemberAddress(**values))
             where.append(path)
     reader.once(((path, row.name) for path, row in zip(where, rows, strict=True)), "member")
     reader.once(((path, row.address) for path, row in zip(where, rows, strict=True)), "address")
@@ -105,10 +105,10 @@
 
 def load_file(path: str) -> Group:
     """The group of a file.  Raises BadFile, for one that can't be read as well."""
-    return load(contents(path))
+    return load(read_file(path))
 
 
-def contents(path: str) -> bytes:
+def read_file(path: str) -> bytes:
     """A file's bytes, one more than may be at most.  Raises BadFile for one that can't be read."""
     try:
         with Path(path).open("rb") as file:
@@ -118,7 +118,7 @@
         raise BadFile([Problem(0, "file", wrong, "a readable file", "unreadable")]) from None
 
 
-def of_words(words: str, folder: str) -> Group:
+def group_of_addresses(words: str, folder: str) -> Group:
     """The group of `--members a=ADDRESS,b=ADDRESS`.  Raises BadFile."""
     rows: list[str] = []
     for word in words.split(","):
--- a/heronreel/coordinator/disk.py
+++ b/heronreel/coordinator/disk.py
@@ -11,8 +11,8 @@
 import msgspec
 from immutables import Map
 
-from heronreel.coordination.member import NEVER, NOTHING, Ballot, Durable, Persist, Version
-from heronreel.coordination.state import Content, written
+from heronreel.coordination.consensus import NO_BALLOT, NO_VERSION, Ballot, DurableState, Persist, Version
+from heronreel.coordination.keyspace import Content, apply_writes
 from heronreel.store import Limits, Store
 
 NAMES = b"M"  # the record of names and promises
@@ -20,7 +20,7 @@
 LIMITS = Limits(memory=2 << 20, segment=2 << 20, log=8 << 20)
 
 
-class OtherMember(Exception):
+class WrongMemberError(Exception):
     """The folder is of a member of another name."""
 
 
@@ -28,11 +28,11 @@
     name: str
     incarnation: str
     group: str = ""
-    promised: Ballot = NEVER
-    version: Version = NOTHING
+    promised: Ballot = NO_BALLOT
+    version: Version = NO_VERSION
 
 
-class Disk:
+class MemberDisk:
     """One member's store.  `keep` may be called from a thread; one call at a time."""
 
     def __init__(self, path: str | os.PathLike[str], name: str) -> None:
@@ -45,15 +45,17 @@
         try:
             data = self.store.get(NAMES)
             if data is None:
-                self.durable = Durable(secrets.token_hex(8))
+                self.durable = DurableState(secrets.token_hex(8))
                 names = _Names(name, self.durable.incarnation)
                 self.store.put(NAMES, msgspec.msgpack.encode(names))
                 return
             names = msgspec.msgpack.decode(data, type=_Names)
             if names.name != name:
-                raise OtherMember(f"the folder is of member {names.name!r}, and not of {name!r}")
+                raise WrongMemberError(f"the folder is of member {names.name!r}, and not of {name!r}")
             content: Content = Map({key[len(ROW) :]: value for key, value in self.store.scan(ROW)})
-            self.durable = Durable(names.incarnation, names.group, names.promised, names.version, content)
+            self.durable = DurableState(
+                names.incarnation, names.group, names.promised, names.version, content
+            )
         except BaseException:
             self.store.close()
             raise
@@ -69,9 +71,11 @@
             if persist.whole:
                 rows.update((key, None) for key in content)
                 content = Map()
-            content = written(content, persist.writes)
+            content = apply_writes(content, persist.writes)
             rows.update(persist.writes)
-            durable = Durable(durable.incarnation, persist.group, persist.promised, persist.version, content)
+            durable = DurableState(
+                durable.incarnation, persist.group, persist.promised, persist.version, content
+            )
         names = _Names(self.name, durable.incarnation, durable.group, durable.promised, durable.version)
         with self.store.batch() as batch:
             for key, value in rows.items():
@@ -84,7 +88,7 @@
 
     def wipe(self) -> None:
         """Begin anew, as a disk that knows nothing."""
-        fresh = Durable(secrets.token_hex(8))
+        fresh = DurableState(secrets.token_hex(8))
         with self.store.batch() as batch:
             for key in self.durable.content:
                 batch.delete(ROW + key)
--- a/heronreel/coordinator/process.py
+++ b/heronreel/coordinator/server.py
@@ -1,4 +1,4 @@
-"""The process of one member: sockets, the disk and the clock around `Service`.
+"""The process of one member: sockets, the disk and the clock around `KeyValueService`.
 
 One address serves clients (the gateway's paths) and the other members (`/member`).  A member that does not
 lead passes what clients ask to the one that does; one that knows none says 503 at once.  Whatever peers do
@@ -24,25 +24,38 @@
 from aiohttp import web
 
 from heronreel.coordination import gateway
-from heronreel.coordination.clock import Points, clock
-from heronreel.coordination.member import (
+from heronreel.coordination.clock import CrashPoints, boot_clock
+from heronreel.coordination.consensus import (
     Accept,
-    Any,
+    AnyMessage,
+    ConsensusMember,
     Deposed,
     Elected,
-    Member,
+    EraseDisk,
     Persist,
     Send,
-    Wipe,
 )
-from heronreel.coordination.model import Answer, Failure, Refused, Request, Result, after
-from heronreel.coordination.service import Answered, Expired, Outputs, Service, Told
-from heronreel.coordination.settings import Group, GroupTable, Row, addresses_of
-from heronreel.coordinator.disk import Disk
-from heronreel.leases.duties import Duties, Work
-from heronreel.leases.holder import HELD_PREFIX, Terms
-from heronreel.leases.holding import Holding
-from heronreel.leases.tasks import Task, Urgency
+from heronreel.coordination.kv_service import (
+    KeyValueService,
+    LeaseExpired,
+    Outputs,
+    RequestCompleted,
+    WatchNotified,
+)
+from heronreel.coordination.model import (
+    Request,
+    RequestError,
+    Response,
+    ResponseOrError,
+    StatusCode,
+    prefix_end,
+)
+from heronreel.coordination.settings import Group, GroupTable, MemberAddress, addresses_of
+from heronreel.coordinator.disk import MemberDisk
+from heronreel.leases.lease import CLAIM_PREFIX, LeaseTerms
+from heronreel.leases.session import LeaseSession
+from heronreel.leases.task_runner import StepContext, TaskRunner
+from heronreel.leases.tasks import Priority, Task
 from heronreel.store import StoreError, StoreLocked, WriteFailed
 
 CALL_MOST = 1 << 20  # bytes of a client's call
@@ -57,29 +70,29 @@
 LOOK_S = 0.3  # between two looks at whether the disk is free
 WATCH_MOST = 1000  # batches of events that wait for one watcher
 VIA = "X-Heronreel-Via"
-HELD = HELD_PREFIX  # a line is logged for each change of these
+HELD = CLAIM_PREFIX  # a line is logged for each change of these
 
 log = structlog.get_logger()
-_messages = msgspec.msgpack.Decoder(list[Any])
+_messages = msgspec.msgpack.Decoder(list[AnyMessage])
 _encode = msgspec.msgpack.Encoder().encode
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
-class Link:
+class PeerConnection:
     """The way to one other member: what waits goes with the next call, and what can't go is dropped, since
     whoever needs an answer asks again.
     """
 
-    def __init__(self, node: Node, row: Row) -> None:
+    def __init__(self, node: MemberNode, row: MemberAddress) -> None:
         self.node = node
         self.url = f"http://{row.address}/member"
         self.base = f"http://{row.address}"
-        self.queue: deque[Any] = deque(maxlen=QUEUE_MOST)
+        self.queue: deque[AnyMessage] = deque(maxlen=QUEUE_MOST)
         self.size = 0  # bytes of the rounds that wait
         self.fresh = asyncio.Event()
         self.task = asyncio.ensure_future(self._run())
 
-    def send(self, message: Any) -> None:
+    def send(self, message: AnyMessage) -> None:
         if isinstance(message, Accept):
             if self.queue and self.queue[-1] == message:
                 return  # said again, before it went
@@ -106,20 +119,20 @@
             self.node.points.reach("sent")
 
 
-class Node:
+class MemberNode:
     """One member at work."""
 
-    def __init__(self, group: Group, name: str, disk: Disk) -> None:
+    def __init__(self, group: Group, name: str, disk: MemberDisk) -> None:
         self.group = group
         self.name = name
         self.disk = disk
-        self.clock = clock()
-        self.points = Points()
+        self.clock = boot_clock()
+        self.points = CrashPoints()
         self.random = random.Random(secrets.randbits(64))
-        self.links: dict[str, Link] = {}
+        self.links: dict[str, PeerConnection] = {}
         self.tickets = 0
-        self.waiting: dict[int, asyncio.Future[Answer]] = {}
-        self.watchers: dict[int, asyncio.Queue[Told]] = {}
+        self.waiting: dict[int, asyncio.Future[ResponseOrError]] = {}
+        self.watchers: dict[int, asyncio.Queue[WatchNotified]] = {}
         self.log_watch = 0
         self.to_keep: list[Persist] = []
         self.keeping: asyncio.Task[None] | None = None
@@ -129,9 +142,9 @@
         self.ending = False
         self.service = self._begin()
 
-    def _begin(self) -> Service:
+    def _begin(self) -> KeyValueService:
         """The core, from what the disk holds."""
-        member = Member(
+        member = ConsensusMember(
             self.name,
             (row.name for row in self.group.members),
             self.disk.durable,
@@ -139,13 +152,15 @@
             timing=self.group.timing,
             jitter=self.random.random,
         )
-        return Service(member, drift=self.group.table.clock_drift)
+        return KeyValueService(member, drift=self.group.table.clock_drift)
 
     async def start(self) -> None:
         timeout = aiohttp.ClientTimeout(total=1.0, connect=0.5)
         self.session = aiohttp.ClientSession(timeout=timeout, headers={"Content-Type": "application/msgpack"})
         self.forwards = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=None, connect=0.5))
-        self.links = {row.name: Link(self, row) for row in self.group.members if row.name != self.name}
+        self.links = {
+            row.name: PeerConnection(self, row) for row in self.group.members if row.name != self.name
+        }
         self.event(self.service.tick)
 
     def regroup(self, group: Group) -> None:
@@ -157,7 +172,7 @@
             self.links.pop(name).task.cancel()
         for name, row in rows.items():
             if name not in self.links:
-                self.links[name] = Link(self, row)
+                self.links[name] = PeerConnection(self, row)
         self.service.member.relist(row.name for row in group.members)
         log.info("file taken", member=self.name, listed=[row.name for row in group.members])
 
@@ -168,9 +183,9 @@
             self.timer.cancel()
         for future in self.waiting.values():
             if not future.done():
-                future.set_result(Refused(Failure.UNKNOWN, "etcdserver: server stopped"))
+                future.set_result(RequestError(StatusCode.UNKNOWN, "etcdserver: server stopped"))
         for queue in self.watchers.values():
-            queue.put_nowait(Told(0, 0, (), ended=True))
+            queue.put_nowait(WatchNotified(0, 0, (), ended=True))
         for link in self.links.values():
             link.task.cancel()
         if self.keeping is not None:
@@ -198,11 +213,11 @@
             elif isinstance(output, Persist):
                 self.to_keep.append(output)
                 self._keep_soon()
-            elif isinstance(output, Answered):
+            elif isinstance(output, RequestCompleted):
                 future = self.waiting.pop(output.ticket, None)
                 if future is not None and not future.done():
                     future.set_result(output.answer)
-            elif isinstance(output, Told):
+            elif isinstance(output, WatchNotified):
                 self._tell(output)
             elif isinstance(output, Elected):
                 log.info("leads", member=self.name, round=output.ballot.round)
@@ -210,9 +225,9 @@
                 self._watch_claims()
             elif isinstance(output, Deposed):
                 log.info("leads no more", member=self.name)
-            elif isinstance(output, Expired):
+            elif isinstance(output, LeaseExpired):
                 log.info("lease ended", member=self.name, lease=str(output.lease))
-            elif isinstance(output, Wipe):
+            elif isinstance(output, EraseDisk):
                 log.warning("disk set back", member=self.name, why=output.why)
                 self.wiping = True
                 self._keep_soon()
@@ -256,7 +271,7 @@
                 self.event(functools.partial(self._persisted, persist.number))
         self.keeping = None
 
-    async def upkeep(self, work: Work) -> None:
+    async def upkeep(self, work: StepContext) -> None:
         """The disk's upkeep, beside its writes, as a step of the task that one member does at a time."""
         log.info("upkeep begins", member=self.name, step=work.step, number=work.number)
         self.points.reach("compact")
@@ -267,11 +282,11 @@
     async def tend(self) -> None:
         """Have the upkeep done once a period, by one member of the group at a time."""
         table = self.group.table
-        task = Task("upkeep", table.upkeep_s, Urgency.IDLE, step_s=UPKEEP_S, turns=True)
-        terms = Terms(table.lease_s, table.margin_s, table.answer_s)
+        task = Task("upkeep", table.upkeep_s, Priority.IDLE, step_s=UPKEEP_S, turns=True)
+        terms = LeaseTerms(table.lease_s, table.margin_s, table.answer_s)
         addresses = [row.address for row in self.group.members]
-        async with Holding(addresses, self.name, terms) as holding:
-            await Duties(holding, self.name, {task: self.upkeep}, what=None).run()
+        async with LeaseSession(addresses, self.name, terms) as holding:
+            await TaskRunner(holding, self.name, {task: self.upkeep}, what=None).run()
 
     def _persisted(self, number: int, now: float) -> Outputs:
         return self.service.settle(now, self.service.member.persisted(now, number))
@@ -291,9 +306,9 @@
         """Log each change of a holder, as the leader sees it."""
         self.tickets += 1
         self.log_watch = self.tickets
-        self.carry_out(self.service.watch(self.log_watch, HELD, after(HELD), 0))
+        self.carry_out(self.service.watch(self.log_watch, HELD, prefix_end(HELD), 0))
 
-    def _tell(self, told: Told) -> None:
+    def _tell(self, told: WatchNotified) -> None:
         if told.watch == self.log_watch:
             for event in told.events:
                 task = event.key[len(HELD) :].decode(errors="replace")
@@ -309,7 +324,7 @@
         if queue.qsize() >= WATCH_MOST:  # it does not read: it is told that it missed some
             self.service.unwatch(told.watch)
             del self.watchers[told.watch]
-            queue.put_nowait(Told(told.watch, told.revision, (), compacted=told.revision))
+            queue.put_nowait(WatchNotified(told.watch, told.revision, (), compacted=told.revision))
             return
         queue.put_nowait(told)
 
@@ -319,11 +334,11 @@
         member = self.service.member
         return gateway.Header(_number(member.group), _number(self.name), member.ballot.round)
 
-    async def ask(self, request: Request) -> Result:
+    async def ask(self, request: Request) -> Response:
         """What the group answers.  Raises Refused."""
         self.tickets += 1
         ticket = self.tickets
-        future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[ResponseOrError] = asyncio.get_running_loop().create_future()
         self.waiting[ticket] = future
         seconds = self.group.table.request_ms / 1000
         until = self.clock() + seconds
@@ -332,14 +347,14 @@
             async with asyncio.timeout(seconds):
                 answer = await future
         except TimeoutError:
-            raise Refused(Failure.TOO_LATE, "etcdserver: request timed out") from None
+            raise RequestError(StatusCode.TOO_LATE, "etcdserver: request timed out") from None
         finally:
             self.waiting.pop(ticket, None)
-        if isinstance(answer, Refused):
+        if isinstance(answer, RequestError):
             raise answer
         return answer
 
-    def leader(self) -> Link | None:
+    def leader(self) -> PeerConnection | None:
         """The way to whoever leads, if that is another."""
         name = self.service.member.leader
         return self.links.get(name) if name is not None else None
@@ -349,10 +364,10 @@
     return zlib.crc32(name.encode())
 
 
-class Front:
+class HttpListener:
     """The member's address: an application of aiohttp, and a bound on what connections may take."""
 
-    def __init__(self, node: Node) -> None:
+    def __init__(self, node: MemberNode) -> None:
         self.node = node
         self.active: dict[object, int] = {}  # calls under way, by connection
         self.since: dict[object, float] = {}  # idle, by connection
@@ -413,7 +428,7 @@
         self.active[protocol] = self.active.get(protocol, 0) + 1
         try:
             return await handler(request)
-        except Refused as refused:
+        except RequestError as refused:
             status, body = gateway.refusal_of(refused)
             response = web.json_response(body, status=status)
             if "unread" in request:  # what is left of its body is not waited for
@@ -427,7 +442,9 @@
         """The call's body.  Raises Refused for one over `most`, and for one that does not come."""
         if (request.content_length or 0) > most:
             request["unread"] = True
-            raise Refused(Failure.EXHAUSTED, f"body: {request.content_length} bytes of at most {most}")
+            raise RequestError(
+                StatusCode.EXHAUSTED, f"body: {request.content_length} bytes of at most {most}"
+            )
         parts: list[bytes] = []
         size = 0
         try:
@@ -436,11 +453,11 @@
                     size += len(part)
                     if size > most:
                         request["unread"] = True
-                        raise Refused(Failure.EXHAUSTED, f"body: over {most} bytes")
+                        raise RequestError(StatusCode.EXHAUSTED, f"body: over {most} bytes")
                     parts.append(part)
         except TimeoutError:
             request["unread"] = True
-            raise Refused(Failure.INVALID, f"body: not here within {BODY_S:g} s") from None
+            raise RequestError(StatusCode.INVALID, f"body: not here within {BODY_S:g} s") from None
         return b"".join(parts)
 
     async def _member(self, request: web.Request) -> web.Response:
@@ -448,13 +465,13 @@
         try:
             messages = _messages.decode(data)
         except msgspec.MsgspecError as error:
-            raise Refused(Failure.INVALID, str(error)) from None
+            raise RequestError(StatusCode.INVALID, str(error)) from None
         for message in messages:
             self.node.points.reach("receive")
             self.node.event(functools.partial(self._received, message))
         return web.Response(status=204)
 
-    def _received(self, message: Any, now: float) -> Outputs:
+    def _received(self, message: AnyMessage, now: float) -> Outputs:
         service = self.node.service
         return service.settle(now, service.member.receive(now, message))
 
@@ -485,7 +502,7 @@
         """Have the leader answer: one step on, and no further."""
         link = self.node.leader()
         if link is None or VIA in request.headers:
-            raise Refused(Failure.UNAVAILABLE, "etcdserver: no leader")
+            raise RequestError(StatusCode.UNAVAILABLE, "etcdserver: no leader")
         seconds = self.node.group.table.request_ms / 1000 + 0.5
         response: web.StreamResponse | None = None
         try:
@@ -503,12 +520,12 @@
                     await response.write(part)
                 return response
         except aiohttp.ClientConnectorError:
-            raise Refused(Failure.UNAVAILABLE, "etcdserver: the leader is not reached") from None
+            raise RequestError(StatusCode.UNAVAILABLE, "etcdserver: the leader is not reached") from None
         except (aiohttp.ClientError, TimeoutError, OSError):
             if response is not None:
                 request.protocol.force_close()
                 return response
-            raise Refused(Failure.UNKNOWN, "etcdserver: the leader did not answer") from None
+            raise RequestError(StatusCode.UNKNOWN, "etcdserver: the leader did not answer") from None
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
         data = await self._body(request, CALL_MOST)
@@ -518,18 +535,18 @@
             return await self._forward(request, data)
         node.tickets += 1
         number = node.tickets
-        queue: asyncio.Queue[Told] = asyncio.Queue()
+        queue: asyncio.Queue[WatchNotified] = asyncio.Queue()
         node.watchers[number] = queue
         response = web.StreamResponse(headers={"Content-Type": "application/json"})
         try:
             node.event(lambda _: node.service.watch(number, asked.key, asked.end, asked.start))
             first = await queue.get()
             if first.ended:
-                raise Refused(Failure.UNAVAILABLE, "etcdserver: no leader, or too many watches")
+                raise RequestError(StatusCode.UNAVAILABLE, "etcdserver: no leader, or too many watches")
             await response.prepare(request)
             created = {"header": node.header().at(first.revision), "created": True}
             await response.write(_line(created))
-            told: Told | None = first
+            told: WatchNotified | None = first
             while told is not None:
                 if told.compacted:
                     head = node.header().at(told.revision)
@@ -555,14 +572,14 @@
     return json.dumps({"result": result}, separators=(",", ":")).encode() + b"\n"
 
 
-class Embedded:
+class EmbeddedServer:
     """A group of one inside the processes of one machine: whichever of them has the disk serves the others,
     and when it ends another goes on.  The disk's own lock says who.
     """
 
     def __init__(self, address: str, folder: str) -> None:
         """Members of one machine name the same address and folder."""
-        self.group = Group((Row(EMBEDDED, address, folder),), GroupTable())
+        self.group = Group((MemberAddress(EMBEDDED, address, folder),), GroupTable())
         self.folder = folder
         self.serving = False
 
@@ -570,7 +587,7 @@
         """Until it is cancelled."""
         while True:
             try:
-                disk = await asyncio.to_thread(Disk, self.folder, EMBEDDED)
+                disk = await asyncio.to_thread(MemberDisk, self.folder, EMBEDDED)
             except StoreLocked:
                 await asyncio.sleep(LOOK_S)  # another process of this machine serves
                 continue
@@ -580,7 +597,7 @@
                 continue
             await self._serve(disk)
 
-    async def _serve(self, disk: Disk) -> None:
+    async def _serve(self, disk: MemberDisk) -> None:
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -591,8 +608,8 @@
             await asyncio.to_thread(disk.close)
             await asyncio.sleep(10 * LOOK_S)
             return
-        node = Node(self.group, EMBEDDED, disk)
-        front = Front(node)
+        node = MemberNode(self.group, EMBEDDED, disk)
+        front = HttpListener(node)
         await node.start()
         await front.listen(listener)
         log.info("listens", member=EMBEDDED, port=listener.getsockname()[1])
@@ -605,10 +622,10 @@
             await front.close()
 
 
-async def run(
+async def run_server(
     group: Group,
     name: str,
-    disk: Disk,
+    disk: MemberDisk,
     listen: str | None,
     ready: Callable[[int], None],
     reread: Callable[[], Group | None] = lambda: None,
@@ -626,8 +643,8 @@
     except OSError:
         listener.close()
         raise
-    node = Node(group, name, disk)
-    front = Front(node)
+    node = MemberNode(group, name, disk)
+    front = HttpListener(node)
     await node.start()
     await front.listen(listener)
     loop = asyncio.get_running_loop()
--- a/heronreel/fault_injection/account_world.py
+++ b/heronreel/fault_injection/account_world.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from heronreel.coordination.model import Answer, Put, Refused, Txn
-from heronreel.coordination.state import EMPTY, State
+from heronreel.coordination.keyspace import EMPTY_CONTENT, Keyspace
+from heronreel.coordination.model import Put, RequestError, ResponseOrError, Txn
 from heronreel.fault_injection.explore import Broken
 from heronreel.fleet.model import (
     PARTS,
@@ -31,7 +31,7 @@
     rules_encoded,
 )
 from heronreel.fleet.taking import Actions, Back, Guards, Taken, Taking, halting, take_over, told
-from heronreel.leases.holder import Ask
+from heronreel.leases.lease import SendRequest
 
 RULE = Rule("one", Kind.PROXY, most_out=1)
 IDENTS = ("proxy/x", "proxy/y")
@@ -73,7 +73,7 @@
 
 class Reply(NamedTuple):
     by: int
-    answer: Answer
+    answer: ResponseOrError
 
 
 class Operation(NamedTuple):
@@ -92,7 +92,7 @@
         self.ordered = ordered
         self.budget = budget
         self.guards = guards
-        state = State.of(EMPTY).apply(Put(RULES, rules_encoded((RULE,)))).state
+        state = Keyspace.of(EMPTY_CONTENT).apply(Put(RULES, rules_encoded((RULE,)))).state
         for ident in IDENTS:
             instance = Instance(Kind.PROXY, ident.partition("/")[2], condition=Condition.SERVING)
             state = state.apply(Put(instance.key, msgspec.json.encode(instance))).state
@@ -255,7 +255,7 @@
 
     def _carry_out(self, place: int, operation: Operation, actions: Actions) -> None:
         for action in actions:
-            if isinstance(action, Ask):
+            if isinstance(action, SendRequest):
                 assert isinstance(action.request, Txn)
                 self.budget = self.budget._replace(asks=max(0, self.budget.asks - 1))
                 self.sent |= {Question(operation.taking.number, action.request)}
@@ -268,11 +268,11 @@
     def _asked(self, question: Question) -> AccountWorld:
         world = self.fork()
         world.sent = self.sent - {question}
-        answer: Answer
+        answer: ResponseOrError
         try:
             applied = self.state.apply(question.request)
             world.state, answer = applied.state, applied.result
-        except Refused as refused:
+        except RequestError as refused:
             answer = refused
         if question.by:
             world.sent |= {Reply(question.by, answer)}
--- a/heronreel/fault_injection/count_world.py
+++ b/heronreel/fault_injection/count_world.py
@@ -15,16 +15,24 @@
 
 import msgspec
 
-from heronreel.coordination.model import Answer, DeleteRange, Failure, Put, Range, Refused, Txn
-from heronreel.coordination.state import EMPTY, State
+from heronreel.coordination.keyspace import EMPTY_CONTENT, Keyspace
+from heronreel.coordination.model import (
+    DeleteRange,
+    Put,
+    Range,
+    RequestError,
+    ResponseOrError,
+    StatusCode,
+    Txn,
+)
 from heronreel.fault_injection.explore import Broken
-from heronreel.leases.holder import HELD_PREFIX, Ask
+from heronreel.leases.lease import CLAIM_PREFIX, SendRequest
 from heronreel.metering.book import OTHERS, SERVED, UNKNOWN, Book, Head, blank, head_of
 from heronreel.metering.closing import Closing, Outcome
 from heronreel.metering.posting import Actions, Confirm, Over, Posting, Registered, Seal, SetBack
 from heronreel.metering.records import BOOKS, CLOSED, SUM, TASK, Closed, Posted, Sum
 
-CLAIM = HELD_PREFIX + TASK.encode()
+CLAIM = CLAIM_PREFIX + TASK.encode()
 EVERY_S = 10.0
 
 
@@ -68,7 +76,7 @@
 
 class Reply(NamedTuple):
     by: str
-    answer: Answer
+    answer: ResponseOrError
 
 
 GONE = "somebody gone"
@@ -86,7 +94,7 @@
     def __init__(self, budget: Budget, guards: Guards, books: int = 1) -> None:
         self.budget = budget
         self.guards = guards
-        self.state = State.of(EMPTY).apply(Put(CLAIM, b"0")).state
+        self.state = Keyspace.of(EMPTY_CONTENT).apply(Put(CLAIM, b"0")).state
         self.processes: tuple[Process, ...] = ()
         for number in range(books):
             data = blank(Head(f"b{number}", f"p{number}", "", ()))
@@ -235,7 +243,7 @@
             assert posting is not None
             book = self._book(process)
             action, *actions = actions
-            if isinstance(action, Ask):
+            if isinstance(action, SendRequest):
                 assert isinstance(action.request, Range | Txn)
                 self.budget = self.budget._replace(asks=max(0, self.budget.asks - 1))
                 self.sent |= {Question(f"p{number}", action.request)}
@@ -259,7 +267,7 @@
         if closer.asked:
             world = self.fork()
             world._forget(f"c{number}")
-            world._closed(number, closer, Refused(Failure.UNKNOWN, ""))
+            world._closed(number, closer, RequestError(StatusCode.UNKNOWN, ""))
             yield self._judged(f"the question of {name} fails", world)
         elif (request := closer.closing.next()) is not None and self.budget.asks:
             world = self.fork()
@@ -276,7 +284,7 @@
     def _closer(self, number: int, closer: Closer) -> None:
         self.closers = (*self.closers[:number], closer, *self.closers[number + 1 :])
 
-    def _closed(self, number: int, closer: Closer, answer: Answer) -> None:
+    def _closed(self, number: int, closer: Closer, answer: ResponseOrError) -> None:
         again = copy.copy(closer.closing)
         again.answered(answer)
         self._closer(number, closer._replace(closing=again, asked=False))
@@ -287,12 +295,12 @@
             world.budget = self.budget._replace(repeats=self.budget.repeats - 1)
         else:
             world.sent = self.sent - {question}
-        answer: Answer
+        answer: ResponseOrError
         try:
             applied = self.state.apply(question.request)
             world.state, answer = applied.state, applied.result
-        except Refused as refused:
-            answer = Refused(refused.code, "")
+        except RequestError as refused:
+            answer = RequestError(refused.code, "")
         if question.by != GONE:
             world.sent |= {Reply(question.by, answer)}
         if stays:  # what comes again is answered to nobody
--- a/heronreel/fault_injection/duty.py
+++ b/heronreel/fault_injection/duty.py
@@ -13,21 +13,21 @@
 
 import aiohttp
 
-from heronreel.coordination.clock import Points
-from heronreel.leases.budget import Rates
-from heronreel.leases.duties import Duties, Work
-from heronreel.leases.holder import Terms
-from heronreel.leases.holding import Holding
+from heronreel.coordination.clock import CrashPoints
+from heronreel.leases.lease import LeaseTerms
+from heronreel.leases.rate_budget import RateLimits
+from heronreel.leases.session import LeaseSession
+from heronreel.leases.task_runner import StepContext, TaskRunner
 from heronreel.leases.tasks import Task
 
 NAME, _, CALLS = os.environ.get("DUTY", "ledger").partition(":")
 TASK = Task(NAME, period_s=0.01 if CALLS else 0.05, step_s=5.0)
-BUDGETS = {TASK.urgency: Rates(calls=float(CALLS))} if CALLS else {}
+BUDGETS = {TASK.urgency: RateLimits(calls=float(CALLS))} if CALLS else {}
 
 
 async def main(name: str, place: str, ttl: str, *addresses: str) -> None:
-    points = Points()
-    terms = Terms(ttl=int(ttl), margin=0.15 * int(ttl), answer=0.15 * int(ttl))
+    points = CrashPoints()
+    terms = LeaseTerms(ttl=int(ttl), margin=0.15 * int(ttl), answer=0.15 * int(ttl))
     session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=1.0))
 
     async def call(path: str, step: int, number: int) -> None:
@@ -37,7 +37,7 @@
         if not told.get("admitted"):
             raise PermissionError(f"refused: {told}")
 
-    async def step(work: Work) -> None:
+    async def step(work: StepContext) -> None:
         points.reach("step")
         await work.pay(calls=1)
         await call("/enter", work.step, work.number)
@@ -45,8 +45,8 @@
         points.reach("stepped")
 
     print("started", name, flush=True)
-    async with session, Holding(addresses, name, terms) as holding:
-        await Duties(holding, name, {TASK: step}, what=b"zone=test", budgets=BUDGETS).run()
+    async with session, LeaseSession(addresses, name, terms) as holding:
+        await TaskRunner(holding, name, {TASK: step}, what=b"zone=test", budgets=BUDGETS).run()
 
 
 if __name__ == "__main__":
--- a/heronreel/fault_injection/group_world.py
+++ b/heronreel/fault_injection/group_world.py
@@ -1,4 +1,5 @@
-"""A group of real `Member` cores between a network that loses, doubles and delays, and disks that crash.
+"""A group of real `ConsensusMember` cores between a network that loses, doubles and delays, and disks that
+crash.
 
 Messages once sent stay sent: each may be delivered at any later time, again, or never.  A write waits for
 its disk until a step of its own makes it durable; a crash takes what waits.  Any member may try to lead at
@@ -17,31 +18,31 @@
 import msgspec
 from immutables import Map
 
-from heronreel.coordination.member import (
+from heronreel.coordination.consensus import (
     ALL_GUARDS,
-    CONFIRMED,
-    GROUP,
+    CONFIRMED_VERSIONS_KEY,
+    MEMBERSHIP_KEY,
     Accept,
     Accepted,
     Actions,
-    Any,
+    AnyMessage,
     Ballot,
-    Confirmed,
-    Durable,
-    Forget,
+    ConsensusMember,
+    DurableState,
+    EraseDisk,
     Guards,
     Hello,
-    Member,
     Persist,
     Prepare,
     Promise,
+    ResetDisk,
     Role,
+    RoundCommitted,
     Send,
     Timing,
     Version,
-    Wipe,
 )
-from heronreel.coordination.state import written
+from heronreel.coordination.keyspace import apply_writes
 from heronreel.fault_injection.explore import Broken
 
 NO_TIME = Timing(beat=0.0, resend=0.0, patience=0.0, contact=math.inf)
@@ -67,7 +68,9 @@
 
     __slots__ = ("copy", "core", "disk", "mark", "waits")
 
-    def __init__(self, core: Member, disk: Durable, waits: tuple[Persist, ...], copy: Durable) -> None:
+    def __init__(
+        self, core: ConsensusMember, disk: DurableState, waits: tuple[Persist, ...], copy: DurableState
+    ) -> None:
         self.core = core
         self.disk = disk
         self.waits = waits
@@ -84,7 +87,7 @@
 
     number: int
     to: str
-    message: Any
+    message: AnyMessage
 
     def __hash__(self) -> int:
         return self.number
@@ -93,10 +96,10 @@
         return isinstance(other, Sent) and self.number == other.number
 
 
-_NUMBERS: dict[tuple[str, Any], Sent] = {}
+_NUMBERS: dict[tuple[str, AnyMessage], Sent] = {}
 
 
-def _sent(to: str, message: Any) -> Sent:
+def _sent(to: str, message: AnyMessage) -> Sent:
     known = _NUMBERS.get((to, message))
     if known is None:
         known = _NUMBERS[to, message] = Sent(len(_NUMBERS), to, message)
@@ -132,20 +135,20 @@
         self.wish = frozenset(wish) or None
         names = founders or names
         incarnations = {name: f"{name}1" for name in names}
-        old = Map({GROUP: msgspec.msgpack.encode(incarnations)})
+        old = Map({MEMBERSHIP_KEY: msgspec.msgpack.encode(incarnations)})
         ballot = Ballot(1, f"{names[0]}/{names[0]}1")
         first = Version(*ballot, 1)
         # all have confirmed the first version, and the second one says so
-        content = old.set(CONFIRMED, msgspec.msgpack.encode(dict.fromkeys(names, first)))
+        content = old.set(CONFIRMED_VERSIONS_KEY, msgspec.msgpack.encode(dict.fromkeys(names, first)))
         self.places: Map[str, Place] = Map()
         for name in names:
             group = f"{names[0]}1"
-            disk = Durable(f"{name}1", group, ballot, Version(*ballot, 2), content)
-            copy = Durable(f"{name}1", group, ballot, Version(*ballot, 0), old)
+            disk = DurableState(f"{name}1", group, ballot, Version(*ballot, 2), content)
+            copy = DurableState(f"{name}1", group, ballot, Version(*ballot, 0), old)
             self.places = self.places.set(name, Place(self._core(name, disk), disk, (), copy))
         for name in self.names:
             if name not in names:
-                disk = Durable(f"{name}1")
+                disk = DurableState(f"{name}1")
                 self.places = self.places.set(name, Place(self._core(name, disk), disk, (), disk))
         self.sent: frozenset[Sent] = frozenset()
         self.confirmed: frozenset[bytes] = frozenset()
@@ -153,8 +156,8 @@
         self.reading: frozenset[Reading] = frozenset()
         self.made = 0  # names of writes and incarnations
 
-    def _core(self, name: str, disk: Durable) -> Member:
-        core = Member(name, self.names, disk, 0.0, timing=NO_TIME, guards=self.guards)
+    def _core(self, name: str, disk: DurableState) -> ConsensusMember:
+        core = ConsensusMember(name, self.names, disk, 0.0, timing=NO_TIME, guards=self.guards)
         core.wish = self.wish
         return core
 
@@ -246,13 +249,13 @@
         elif what == "lose":
             self.budget = budget._replace(lost=budget.lost.replace(name, "", 1))
             self.made += 1
-            disk = Durable(f"{name}{self.made + 1}")
+            disk = DurableState(f"{name}{self.made + 1}")
         else:
             self.budget = budget._replace(restored=budget.restored.replace(name, "", 1))
             disk = place.copy
         self.places = self.places.set(name, Place(self._core(name, disk), disk, (), place.copy))
 
-    def _deliver(self, to: str, message: Any) -> GroupWorld | None:
+    def _deliver(self, to: str, message: AnyMessage) -> GroupWorld | None:
         """The world after it; None where it changes nothing."""
         world = self.fork()
         core = self.places[to].core.fork()
@@ -266,7 +269,7 @@
 
     # -- what a member does, and the judge
 
-    def _act(self, name: str, core: Member, actions: Actions) -> None:
+    def _act(self, name: str, core: ConsensusMember, actions: Actions) -> None:
         disk, waits, copy = self.places[name].disk, self.places[name].waits, self.places[name].copy
         sent = set(self.sent)
         fails = name in self.budget.crashes + self.budget.lost + self.budget.restored
@@ -286,17 +289,17 @@
             elif isinstance(action, Persist):
                 disk = _kept(disk, action)
                 actions += [*action.then, *core.persisted(0.0, action.number)]
-            elif isinstance(action, Confirmed):
+            elif isinstance(action, RoundCommitted):
                 self._confirm(core, action.number)
-            elif isinstance(action, Wipe):
+            elif isinstance(action, EraseDisk):
                 self.made += 1
-                disk = Durable(f"{name}{self.made + 1}")
+                disk = DurableState(f"{name}{self.made + 1}")
                 core, waits = self._core(name, disk), ()
                 break
         self.places = self.places.set(name, Place(core, disk, waits, copy))
         self.sent = frozenset(each for each in sent if self._matters(each.to, each.message))
 
-    def _waits(self, core: Member) -> bool:
+    def _waits(self, core: ConsensusMember) -> bool:
         """Whether a write may be caught by a crash before it is durable.
 
         Of a member that answers another nothing has gone out by then, so that a crash there is one before the
@@ -304,7 +307,7 @@
         """
         return core.role is Role.LEADER or not self.guards.sync
 
-    def _confirm(self, core: Member, number: int) -> None:
+    def _confirm(self, core: ConsensusMember, number: int) -> None:
         mark = core.ballot, number
         if mark in self.writing:
             self.confirmed |= {self.writing[mark]}
@@ -315,12 +318,12 @@
                 self.reading -= {reading}
 
     @staticmethod
-    def _judge(core: Member, confirmed: frozenset[bytes], words: str) -> None:
+    def _judge(core: ConsensusMember, confirmed: frozenset[bytes], words: str) -> None:
         missing = sorted(key for key in confirmed if key not in core.content)
         if missing:
             raise Broken(f"{core.name} {words}: {b', '.join(missing).decode()}", "")
 
-    def _matters(self, to: str, message: Any) -> bool:
+    def _matters(self, to: str, message: AnyMessage) -> bool:
         """Whether it could still do something.  What is left out counts as lost, which is always allowed."""
         place = self.places[to]
         core = place.core
@@ -332,7 +335,7 @@
         if isinstance(message, Hello):
             return message.incarnation == self.places[message.sender].core.incarnation
         if not isinstance(message, (Prepare, Accept)):
-            return not isinstance(message, Forget) or message.you == core.incarnation
+            return not isinstance(message, ResetDisk) or message.you == core.incarnation
         if self.budget.restored or self.budget.lost:  # a disk may yet be what it was, or new
             return message.ballot >= place.disk.promised or not self.guards.promise
         asker = self.places[message.sender].core
@@ -351,12 +354,12 @@
         return True
 
 
-def _kept(disk: Durable, persist: Persist) -> Durable:
-    content = written(Map() if persist.whole else disk.content, persist.writes)
-    return Durable(disk.incarnation, persist.group, persist.promised, persist.version, content)
+def _kept(disk: DurableState, persist: Persist) -> DurableState:
+    content = apply_writes(Map() if persist.whole else disk.content, persist.writes)
+    return DurableState(disk.incarnation, persist.group, persist.promised, persist.version, content)
 
 
-def _words(message: Any) -> str:
+def _words(message: AnyMessage) -> str:
     if isinstance(message, Prepare):
         return f"follow ballot {message.ballot.round}?"
     if isinstance(message, Promise):
@@ -364,7 +367,7 @@
         version = message.version
         return f"{kind} to ballot {message.ballot.round}, I have {version.round}.{version.step}"
     if isinstance(message, Accept):
-        keys = [k.decode() for k, _ in message.writes if k not in (GROUP, CONFIRMED)]
+        keys = [k.decode() for k, _ in message.writes if k not in (MEMBERSHIP_KEY, CONFIRMED_VERSIONS_KEY)]
         return f"round {message.ballot.round}.{message.number} with {', '.join(keys) or 'nothing'}"
     if isinstance(message, Accepted):
         return f"I have {message.version.round}.{message.version.step}, for round {message.number}"
--- a/heronreel/fault_injection/lease_world.py
+++ b/heronreel/fault_injection/lease_world.py
@@ -1,5 +1,5 @@
-"""Two holders of one task, a group and a guarded place, around the real `Session`, `Claim`, `Service` and
-`Fence`.
+"""Two holders of one task, a group and a guarded place, around the real `LeaseClient`, `Claim`,
+`KeyValueService` and `FencingGuard`.
 
 The group answers as one (that it does is `group_world`'s to show); a step may also make it change its
 leader. Questions and answers may be late, doubled or lost.  Time goes on in steps of a second, seen by the
@@ -19,13 +19,21 @@
 import msgspec
 from immutables import Map
 
-from heronreel.coordination.member import Actions as MemberActions
-from heronreel.coordination.member import Durable, Member, Persist, Timing
-from heronreel.coordination.model import Answer, KeepAlive, Request
-from heronreel.coordination.service import Answered, Outputs, Service
+from heronreel.coordination.consensus import Actions as MemberActions
+from heronreel.coordination.consensus import ConsensusMember, DurableState, Persist, Timing
+from heronreel.coordination.kv_service import KeyValueService, Outputs, RequestCompleted
+from heronreel.coordination.model import LeaseKeepAlive, Request, ResponseOrError
 from heronreel.fault_injection.explore import Broken
-from heronreel.leases.fence import Fence
-from heronreel.leases.holder import Actions, Ask, Claim, Held, Lost, Session, Terms
+from heronreel.leases.fencing import FencingGuard
+from heronreel.leases.lease import (
+    Actions,
+    Claim,
+    ClaimAcquired,
+    ClaimLost,
+    LeaseClient,
+    LeaseTerms,
+    SendRequest,
+)
 
 KEY = b"held/task"
 NAME = b"task"
@@ -67,7 +75,7 @@
 class Reply(NamedTuple):
     holder: int
     number: int
-    answer: Answer
+    answer: ResponseOrError
 
 
 class LeaseWorld:
@@ -82,14 +90,14 @@
         self.drift = drift
         self.off = drift if true_drift is None else true_drift
         self.time = 0
-        terms = Terms(ttl=4, margin=1.0, answer=1.0, guarded=guarded.margin)
-        self.sessions: tuple[Session, ...] = ()
+        terms = LeaseTerms(ttl=4, margin=1.0, answer=1.0, guarded=guarded.margin)
+        self.sessions: tuple[LeaseClient, ...] = ()
         for holder in range(2):
-            session = Session(terms, 0.0, _Lease(holder))
+            session = LeaseClient(terms, 0.0, _Lease(holder))
             session.claim(KEY, b"%d" % holder)
             self.sessions = (*self.sessions, session)
         self.entered: tuple[int, int] = (0, 0)  # the number that each holder has entered the place with
-        self.group = self._group(Durable("a1"))
+        self.group = self._group(DurableState("a1"))
         self.sent: frozenset[Question | Reply] = frozenset()
         self.flying: frozenset[Flying] = frozenset()
         self.fence: Map[bytes, int] = Map()
@@ -104,21 +112,21 @@
         for holder, session in enumerate(self.sessions):
             actions = session.tick(0.0)
             while actions:
-                asks = [action for action in actions if isinstance(action, Ask)]
+                asks = [action for action in actions if isinstance(action, SendRequest)]
                 actions = []
                 for ask in asks:
                     outputs = self.group.ask(0.0, 1, ask.request, SECONDS_MOST)
                     for answered in self._settle(self.group, outputs):
                         actions += session.answered(0.0, ask.number, answered.answer)
-                self._hold(holder, [action for action in actions if not isinstance(action, Ask)])
+                self._hold(holder, [action for action in actions if not isinstance(action, SendRequest)])
         number = self.sessions[0].claims[0].acts(0.0)
         assert number
         self.fence = Map({NAME: number})
         self.entered = (number, 0)
 
-    def _group(self, disk: Durable) -> Service:
-        member = Member("a", ("a",), disk, 0.0, timing=Timing(0.0, 0.0, 0.0, 1e9))
-        service = Service(member, drift=self.drift if self.guarded.drift else 0.0)
+    def _group(self, disk: DurableState) -> KeyValueService:
+        member = ConsensusMember("a", ("a",), disk, 0.0, timing=Timing(0.0, 0.0, 0.0, 1e9))
+        service = KeyValueService(member, drift=self.drift if self.guarded.drift else 0.0)
         self._settle(service, service.tick(self.group_time()))
         return service
 
@@ -128,16 +136,16 @@
     def holder_time(self, holder: int) -> float:
         return self.time * (1 - self.off)
 
-    def _settle(self, service: Service, outputs: Outputs) -> list[Answered]:
+    def _settle(self, service: KeyValueService, outputs: Outputs) -> list[RequestCompleted]:
         """Let the group do all at once: its disk is durable where it writes."""
-        answered: list[Answered] = []
+        answered: list[RequestCompleted] = []
         queue = list(outputs)
         while queue:
             output = queue.pop(0)
             if isinstance(output, Persist):
                 actions: MemberActions = service.member.persisted(self.group_time(), output.number)
                 queue += service.settle(self.group_time(), actions)
-            elif isinstance(output, Answered):
+            elif isinstance(output, RequestCompleted):
                 answered.append(output)
         return answered
 
@@ -193,7 +201,7 @@
             world = self.fork()
             world.limits = limits._replace(changes=limits.changes - 1)
             member = self.group.member
-            disk = Durable("a1", member.group, member.promised, member.version, member.content)
+            disk = DurableState("a1", member.group, member.promised, member.version, member.content)
             world.group = world._group(disk)
             yield self._checked("the group's leader changes", world)
 
@@ -215,7 +223,7 @@
         waited = [claim.asked[0] for claim in session.claims if claim.asked is not None]
         if session.asked is not None:
             waited.append(session.asked[0])
-        return (isinstance(message, Question) and not isinstance(message.request, KeepAlive)) or (
+        return (isinstance(message, Question) and not isinstance(message.request, LeaseKeepAlive)) or (
             message.number in waited
         )
 
@@ -231,19 +239,19 @@
     def _hold(self, holder: int, actions: Actions) -> None:
         """What a holder does."""
         for action in actions:
-            if isinstance(action, Ask) and self.limits.questions[holder]:
+            if isinstance(action, SendRequest) and self.limits.questions[holder]:
                 first, second = self.limits.questions
                 left = (first - 1, second) if holder == 0 else (first, second - 1)
                 self.limits = self.limits._replace(questions=left)
                 self.sent |= {Question(holder, action.number, action.request)}
-            elif isinstance(action, Held):
+            elif isinstance(action, ClaimAcquired):
                 turn = max(self.turns)
                 if self.turns[holder] < turn or not turn:  # not the same grant, seen again
                     turn += 1
                 self.turns = (turn, self.turns[1]) if holder == 0 else (self.turns[0], turn)
                 if not self.guarded.grows:
                     self.sessions[holder].claims[0].number = 1
-            elif isinstance(action, Lost):
+            elif isinstance(action, ClaimLost):
                 self.entered = (0, self.entered[1]) if holder == 0 else (self.entered[0], 0)
 
     def _asked(self, question: Question) -> LeaseWorld:
@@ -264,7 +272,7 @@
 
     def _enter(self, holder: int, number: int) -> LeaseWorld:
         world = self.fork()
-        fence = Fence(self.fence.items())
+        fence = FencingGuard(self.fence.items())
         verdict = fence.admit(NAME, number)
         if verdict.admitted:
             world.fence = Map(fence.greatest)
@@ -280,7 +288,7 @@
     def _reach(self, action: Flying) -> LeaseWorld | str:
         world = self.fork()
         world.flying = self.flying - {action}
-        fence = Fence(self.fence.items())
+        fence = FencingGuard(self.fence.items())
         if self.guarded.fence and not fence.admit(NAME, action.number).admitted:
             return world
         world.fence = Map(fence.greatest) if self.guarded.fence else self.fence
@@ -306,7 +314,7 @@
         return self.next
 
 
-def _forked(session: Session) -> Session:
+def _forked(session: LeaseClient) -> LeaseClient:
     fresh = copy.copy(session)
     fresh.pause = copy.copy(session.pause)
     fresh.draw = copy.copy(session.draw)
@@ -319,7 +327,7 @@
     return fresh
 
 
-def _told(answer: Answer) -> str:
+def _told(answer: ResponseOrError) -> str:
     kind = type(answer).__name__
     if isinstance(answer, msgspec.Struct):
         return kind
--- a/heronreel/fault_injection/place.py
+++ b/heronreel/fault_injection/place.py
@@ -13,7 +13,7 @@
 from aiohttp import web
 
 from heronreel.fault_injection.histories import History
-from heronreel.leases.fence import FencedTable
+from heronreel.leases.fencing import FencedTable
 from heronreel.store import Store
 
 
--- a/heronreel/fault_injection/processes.py
+++ b/heronreel/fault_injection/processes.py
@@ -19,8 +19,8 @@
 import aiohttp
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.clock import RATE
-from heronreel.coordination.model import Range, Refused
+from heronreel.coordination.clock import CLOCK_RATE_VARIABLE
+from heronreel.coordination.model import Range, RequestError
 from heronreel.fault_injection.relay import Relay
 from heronreel.fault_injection.schedule import HOLDER, MEMBER_KINDS, Fault
 
@@ -175,7 +175,7 @@
         return [self.front[name].address for name in self.names]
 
     def _env(self, name: str, env: dict[str, str]) -> dict[str, str]:
-        return {RATE: f"{self.rates[name]:g}", **env} if name in self.rates else env
+        return {CLOCK_RATE_VARIABLE: f"{self.rates[name]:g}", **env} if name in self.rates else env
 
     def _file(self, name: str) -> Path:
         """The member's file: it finds the others behind the relays."""
@@ -223,7 +223,7 @@
                     try:
                         await client.ask(Range(b"nothing"), 1.0)
                         return
-                    except Refused:
+                    except RequestError:
                         await asyncio.sleep(0.02)
 
     async def health(self) -> list[str]:
--- a/heronreel/fault_injection/trial.py
+++ b/heronreel/fault_injection/trial.py
@@ -16,14 +16,14 @@
 from heronreel.coordination.client import Client
 from heronreel.coordination.model import (
     Compare,
+    CompareOperator,
+    CompareTarget,
     Put,
     Range,
-    RangeDone,
-    Refused,
-    Relation,
-    Target,
+    RangeResponse,
+    RequestError,
     Txn,
-    TxnDone,
+    TxnResponse,
 )
 from heronreel.fault_injection.histories import Call, History, read
 from heronreel.fault_injection.linear import CAS, READ, wrong
@@ -173,14 +173,14 @@
             if kind == CAS:
                 try:
                     seen = _value(await client.ask(Range(key.encode()), 1.0))
-                except Refused:
+                except RequestError:
                     continue
                 given = [key, seen, fresh]
             mark = history.begin(kind, given)
             try:
                 result = await _asked(client, key.encode(), kind, seen, fresh.encode())
                 history.end(mark, result)
-            except Refused:
+            except RequestError:
                 pass  # a call without an answer: nobody knows, or it was not done, which is one of the cases
             await asyncio.sleep(rng.uniform(0.0, 0.03))
     history.close()
@@ -190,14 +190,14 @@
     if kind == READ:
         return _value(await client.ask(Range(key), 1.0))
     if seen is None:
-        same = Compare(key, Target.CREATE, Relation.EQUAL, 0)
+        same = Compare(key, CompareTarget.CREATE, CompareOperator.EQUAL, 0)
     else:
-        same = Compare(key, Target.VALUE, Relation.EQUAL, seen.encode())
+        same = Compare(key, CompareTarget.VALUE, CompareOperator.EQUAL, seen.encode())
     done = await client.ask(Txn((same,), (Put(key, fresh),)), 1.0)
-    assert isinstance(done, TxnDone)
+    assert isinstance(done, TxnResponse)
     return done.succeeded
 
 
 def _value(found: object) -> str | None:
-    assert isinstance(found, RangeDone)
+    assert isinstance(found, RangeResponse)
     return found.records[0][1].value.decode() if found.records else None
--- a/heronreel/fault_injection/virtual.py
+++ b/heronreel/fault_injection/virtual.py
@@ -16,37 +16,37 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from heronreel.coordination.member import (
+from heronreel.coordination.consensus import (
     ALL_GUARDS,
-    Any,
-    Durable,
+    AnyMessage,
+    ConsensusMember,
+    DurableState,
+    EraseDisk,
     Guards,
-    Member,
     Persist,
     Send,
     Timing,
-    Wipe,
 )
+from heronreel.coordination.keyspace import apply_writes
+from heronreel.coordination.kv_service import KeyValueService, Outputs, RequestCompleted
 from heronreel.coordination.model import (
-    Answer,
     Compare,
-    Failure,
+    CompareOperator,
+    CompareTarget,
     Put,
     Range,
-    RangeDone,
-    Refused,
-    Relation,
+    RangeResponse,
     Request,
-    Target,
+    RequestError,
+    ResponseOrError,
+    StatusCode,
     Txn,
-    TxnDone,
+    TxnResponse,
 )
-from heronreel.coordination.service import Answered, Outputs, Service
-from heronreel.coordination.state import written
 from heronreel.fault_injection.histories import Call
 from heronreel.fault_injection.linear import CAS, PUT, READ, wrong
-from heronreel.leases.fence import Fence
-from heronreel.leases.holder import Actions, Ask, Held, Session, Terms
+from heronreel.leases.fencing import FencingGuard
+from heronreel.leases.lease import Actions, ClaimAcquired, LeaseClient, LeaseTerms, SendRequest
 
 TASK = b"held/task"
 KEYS = (b"x", b"y")
@@ -57,9 +57,9 @@
     """One member: its core, its disk, and what it is suffering."""
 
     name: str
-    disk: Durable
+    disk: DurableState
     rate: float
-    service: Service
+    service: KeyValueService
     waits: list[Persist] = field(default_factory=list)
     up: bool = True
     asleep: float = 0.0  # until then
@@ -72,7 +72,7 @@
 
     number: int
     rate: float
-    session: Session
+    session: LeaseClient
     asleep: float = 0.0
     entered: int = 0
     told: int = 0  # the number of the last grant
@@ -108,21 +108,21 @@
         self.names = [f"m{number}" for number in range(members)]
         self.nodes: dict[str, Node] = {}
         for name in self.names:
-            disk = Durable(f"{name}-1")
+            disk = DurableState(f"{name}-1")
             self.nodes[name] = Node(name, disk, self._rate(), self._service(name, disk, 0.0))
-        terms = Terms(ttl=3, margin=0.5, answer=0.4, guarded=margin)
+        terms = LeaseTerms(ttl=3, margin=0.5, answer=0.4, guarded=margin)
         self.players: list[Player] = []
         for number in range(holders):
             rate = self._rate()
             draw = self._draw()
-            session = Session(terms, 0.0, draw, self.rng.random)
+            session = LeaseClient(terms, 0.0, draw, self.rng.random)
             session.claim(TASK, b"%d" % number)
             self.players.append(Player(number, rate, session))
-        self.fence = Fence()
+        self.fence = FencingGuard()
         self.taken: list[tuple[float, int, int]] = []  # when, by whom, under which number
         self.order: list[tuple[int, int]] = []  # grants in the order in which they were made: number, holder
         self.calls: list[Call] = []
-        self.tickets: dict[int, Callable[[Answer], None]] = {}
+        self.tickets: dict[int, Callable[[ResponseOrError], None]] = {}
         self.ticket = 0
         self.healed = False
         self.after = 0  # calls answered after the last fault
@@ -136,12 +136,12 @@
     def _draw(self) -> Callable[[], int]:
         return lambda: self.rng.randrange(1, 1 << 62)
 
-    def _service(self, name: str, disk: Durable, now: float) -> Service:
+    def _service(self, name: str, disk: DurableState, now: float) -> KeyValueService:
         timing = Timing(beat=0.1, resend=0.1, patience=0.5, contact=1.0)
-        member = Member(
+        member = ConsensusMember(
             name, self.names, disk, now, timing=timing, jitter=self.rng.random, guards=self.guards
         )
-        return Service(member, drift=self.drift)
+        return KeyValueService(member, drift=self.drift)
 
     # -- time
 
@@ -193,12 +193,12 @@
                 node.waits.append(output)
                 if len(node.waits) == 1:
                     self._sync_later(node)
-            elif isinstance(output, Answered):
+            elif isinstance(output, RequestCompleted):
                 reply = self.tickets.pop(output.ticket, None)
                 if reply is not None:
                     reply(output.answer)
-            elif isinstance(output, Wipe):
-                self._begin(node, Durable(f"{node.name}-{self.count}"))
+            elif isinstance(output, EraseDisk):
+                self._begin(node, DurableState(f"{node.name}-{self.count}"))
                 return
 
     def _sync_later(self, node: Node) -> None:
@@ -212,8 +212,12 @@
             self.at(node.asleep, lambda: self._synced(node, life))
             return
         persist = node.waits.pop(0)
-        content = written(type(node.disk.content)() if persist.whole else node.disk.content, persist.writes)
-        node.disk = Durable(node.disk.incarnation, persist.group, persist.promised, persist.version, content)
+        content = apply_writes(
+            type(node.disk.content)() if persist.whole else node.disk.content, persist.writes
+        )
+        node.disk = DurableState(
+            node.disk.incarnation, persist.group, persist.promised, persist.version, content
+        )
         for send in persist.then:
             self._send(node.name, send.to, send.message)
         if node.waits:
@@ -221,7 +225,7 @@
         now = self._node_time(node)
         self._outputs(node, node.service.settle(now, node.service.member.persisted(now, persist.number)))
 
-    def _send(self, sender: str, to: str, message: Any) -> None:
+    def _send(self, sender: str, to: str, message: AnyMessage) -> None:
         copies = 0 if self.rng.random() < self.loss else 2 if self.rng.random() < self.loss else 1
         for _ in range(copies):
             delay = self.rng.uniform(0.001, 0.02)
@@ -229,7 +233,7 @@
                 delay += self.rng.uniform(0.0, 3.0)  # some come very late
             self.at(self.now + delay, lambda: self._receive(sender, to, message))
 
-    def _receive(self, sender: str, to: str, message: Any) -> None:
+    def _receive(self, sender: str, to: str, message: AnyMessage) -> None:
         node = self.nodes[to]
         if not node.up or (sender, to) in self.cut:
             return
@@ -239,7 +243,7 @@
         now = self._node_time(node)
         self._outputs(node, node.service.settle(now, node.service.member.receive(now, message)))
 
-    def _begin(self, node: Node, disk: Durable) -> None:
+    def _begin(self, node: Node, disk: DurableState) -> None:
         """Back from a crash, with this disk."""
         node.life += 1
         node.up = True
@@ -251,17 +255,17 @@
 
     # -- asking the group, as clients and holders do
 
-    def _ask(self, request: Request, seconds: float, told: Callable[[Answer | None], None]) -> None:
+    def _ask(self, request: Request, seconds: float, told: Callable[[ResponseOrError | None], None]) -> None:
         """Ask a member that leads, as far as anybody can tell; the answer, or None where none comes."""
         done = False
 
-        def once(answer: Answer | None) -> None:
+        def once(answer: ResponseOrError | None) -> None:
             nonlocal done
             if not done:
                 done = True
                 told(answer)
 
-        def back(answer: Answer) -> None:
+        def back(answer: ResponseOrError) -> None:
             if self.rng.random() < self.loss:
                 return  # the answer is lost
             self.at(self.now + self.rng.uniform(0.001, 0.03), lambda: once(answer))
@@ -300,20 +304,20 @@
             request = Put(key, fresh.encode())
         else:
             given += [expected, fresh]
-            same = Compare(key, Target.CREATE, Relation.EQUAL, 0)
+            same = Compare(key, CompareTarget.CREATE, CompareOperator.EQUAL, 0)
             if expected is not None:
-                same = Compare(key, Target.VALUE, Relation.EQUAL, expected.encode())
+                same = Compare(key, CompareTarget.VALUE, CompareOperator.EQUAL, expected.encode())
             request = Txn((same,), (Put(key, fresh.encode()),))
         place = len(self.calls)
         self.calls.append(Call(f"c{client}", kind, given, self.now, float("inf"), None))
 
-        def told(answer: Answer | None) -> None:
+        def told(answer: ResponseOrError | None) -> None:
             result: object = None
-            if isinstance(answer, RangeDone):
+            if isinstance(answer, RangeResponse):
                 result = answer.records[0][1].value.decode() if answer.records else None
-            elif isinstance(answer, TxnDone):
+            elif isinstance(answer, TxnResponse):
                 result = answer.succeeded
-            if answer is not None and not isinstance(answer, Refused):
+            if answer is not None and not isinstance(answer, RequestError):
                 self.calls[place] = self.calls[place]._replace(end=self.now, result=result)
                 self.after += self.healed
             self.at(self.now + self.rng.uniform(0.05, 0.4), lambda: self._client(client, number + 1))
@@ -336,18 +340,18 @@
 
     def _player_actions(self, player: Player, actions: Actions) -> None:
         for action in actions:
-            if isinstance(action, Ask):
+            if isinstance(action, SendRequest):
                 self._ask_for(player, action)
-            elif isinstance(action, Held):
+            elif isinstance(action, ClaimAcquired):
                 player.entered = 0
 
-    def _ask_for(self, player: Player, ask: Ask) -> None:
-        def told(answer: Answer | None) -> None:
+    def _ask_for(self, player: Player, ask: SendRequest) -> None:
+        def told(answer: ResponseOrError | None) -> None:
             if self.now < player.asleep:
                 self.at(player.asleep, lambda: told(answer))
                 return
             now = self._player_time(player)
-            known = Refused(Failure.TOO_LATE, "") if answer is None else answer
+            known = RequestError(StatusCode.TOO_LATE, "") if answer is None else answer
             self._player_actions(player, player.session.answered(now, ask.number, known))
             self._player_actions(player, player.session.tick(now))
 
--- a/heronreel/fault_injection/worker.py
+++ b/heronreel/fault_injection/worker.py
@@ -15,8 +15,8 @@
 import aiohttp
 
 from heronreel.fault_injection.histories import History
-from heronreel.leases.holder import Claim, Held, Lost, Terms
-from heronreel.leases.holding import Holding
+from heronreel.leases.lease import Claim, ClaimAcquired, ClaimLost, LeaseTerms
+from heronreel.leases.session import LeaseSession
 
 TASK = "ledger"
 
@@ -39,7 +39,7 @@
         except (aiohttp.ClientError, TimeoutError, OSError):
             return None
 
-    async def act(self, holding: Holding, claim: Claim) -> None:
+    async def act(self, holding: LeaseSession, claim: Claim) -> None:
         """Steps, one after the other, while the number is good."""
         number = await holding.held(claim)
         entered = await self.call("/enter", {"task": TASK, "number": number, "by": self.name})
@@ -61,14 +61,14 @@
             await asyncio.sleep(0.01)
 
     async def run(self, addresses: list[str], ttl: int) -> None:
-        def told(what: Held | Lost) -> None:
+        def told(what: ClaimAcquired | ClaimLost) -> None:
             print(type(what).__name__.lower(), what.number, flush=True)
 
         for number in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(number, self.stop.set)
-        terms = Terms(ttl=ttl, margin=0.15 * ttl, answer=0.15 * ttl)
+        terms = LeaseTerms(ttl=ttl, margin=0.15 * ttl, answer=0.15 * ttl)
         self.session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=terms.margin))
-        async with self.session, Holding(addresses, self.name, terms, told=told) as holding:
+        async with self.session, LeaseSession(addresses, self.name, terms, told=told) as holding:
             claim = holding.claim(TASK)
             stopping = asyncio.ensure_future(self.stop.wait())
             while not self.stop.is_set():
--- a/heronreel/fleet/account.py
+++ b/heronreel/fleet/account.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from heronreel.coordination.model import Range, RangeDone, Record, Txn, TxnDone, after
+from heronreel.coordination.model import Range, RangeResponse, Record, Txn, TxnResponse, prefix_end
 from heronreel.fleet.model import (
     HALT,
     INSTANCES,
@@ -25,17 +25,17 @@
     Part,
     Rule,
 )
-from heronreel.leases.holder import PRESENT_PREFIX, names_there
+from heronreel.leases.lease import PRESENCE_PREFIX, present_names
 
 READ = Txn(
     (),
     (
         Range(REGISTER),
         Range(RULES),
-        Range(INSTANCES, after(INSTANCES)),
-        Range(PARTS, after(PARTS)),
+        Range(INSTANCES, prefix_end(INSTANCES)),
+        Range(PARTS, prefix_end(PARTS)),
         Range(HALT),
-        Range(PRESENT_PREFIX, after(PRESENT_PREFIX), keys_only=True),
+        Range(PRESENCE_PREFIX, prefix_end(PRESENCE_PREFIX), keys_only=True),
     ),
 )  # all of it at one moment
 
@@ -124,13 +124,13 @@
         return sorted(ident for ident in taking if ident not in self.instances)
 
 
-def read(answer: TxnDone) -> Account:
+def read(answer: TxnResponse) -> Account:
     """The account of an answer to `READ`.  Raises msgspec.DecodeError for records that are none: nothing is
     taken from an account that can't be read.
     """
-    *rest, present = (r for r in answer.results if isinstance(r, RangeDone))
+    *rest, present = (r for r in answer.results if isinstance(r, RangeResponse))
     register, rules, instances, parts, halt = (r.records for r in rest)
-    there = set(names_there(present))
+    there = set(present_names(present))
     rows = (msgspec.json.decode(record.value, type=Instance) for _, record in instances)
     return Account(
         _mod(register),
--- a/heronreel/fleet/controller.py
+++ b/heronreel/fleet/controller.py
@@ -19,16 +19,25 @@
 import msgspec
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.clock import Points
-from heronreel.coordination.model import Compare, Put, Range, RangeDone, Relation, Target, Txn, TxnDone
-from heronreel.coordination.model import Refused as NotDone
+from heronreel.coordination.clock import CrashPoints
+from heronreel.coordination.model import (
+    Compare,
+    CompareOperator,
+    CompareTarget,
+    Put,
+    Range,
+    RangeResponse,
+    RequestError,
+    Txn,
+    TxnResponse,
+)
 from heronreel.fleet.account import Account
 from heronreel.fleet.model import WORK, Halt, Instance, Kind, Verb, Work, encoded
 from heronreel.fleet.operation import Operation, account
 from heronreel.fleet.step import Action, Adopt, End, Give, Limits, Said, Step, Take, Tell
 from heronreel.fleet.taking import Back, Fenced, Refused, Taken, Waiting, changing, halting, take_over
-from heronreel.leases.holder import HELD_PREFIX, PRESENT_PREFIX, Claim
-from heronreel.leases.holding import Holding
+from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX, Claim
+from heronreel.leases.session import LeaseSession
 
 TASK = "fleet"  # whoever holds it is the controller
 LOOK_S = 0.2  # between two readings of the account
@@ -45,7 +54,7 @@
 
 
 async def halt(client: Client, by: str, why: str) -> None:
-    """No part is taken by anybody from now on, until `resume`.  Raises Refused of the coordination."""
+    """No part is taken by anybody from now on, until `resume`.  Raises RequestError."""
     await client.ask(halting(Halt(by, why)))
 
 
@@ -56,7 +65,7 @@
 async def work_of(client: Client) -> Work | None:
     """What goes on, or went on last."""
     found = await client.ask(Range(WORK))
-    assert isinstance(found, RangeDone)
+    assert isinstance(found, RangeResponse)
     return msgspec.json.decode(found.records[0][1].value, type=Work) if found.records else None
 
 
@@ -96,9 +105,9 @@
         said: Callable[[str, str], None] = lambda ident, words: None,
     ) -> None:
         """`said` hears of each change: an instance and words for people."""
-        self.holding = Holding(addresses, f"{by} ({secrets.token_hex(3)})")
+        self.holding = LeaseSession(addresses, f"{by} ({secrets.token_hex(3)})")
         self.by, self.limits, self.said = by, limits, said
-        self.points = Points()
+        self.points = CrashPoints()
         self.claim: Claim
         self.work: Work
         self.account: Account
@@ -106,7 +115,7 @@
         self.stops = False  # nothing more is begun
 
     async def run(self, verb: Verb, words: Iterable[str], version: str, at_once: int, wait_s: float) -> Work:
-        """Begin.  Raises Busy, ValueError for what can't be begun, Lost, and Refused of the coordination."""
+        """Begin.  Raises Busy, ValueError for what can't be begun, Lost, and RequestError."""
         async with self.holding:
             await self._hold(wait_s)
             before = await work_of(self.client)
@@ -172,16 +181,18 @@
     async def _write(self, work: Work) -> None:
         """Confirm; done only while the claim is ours."""
         self.work = work
-        ours = Compare(HELD_PREFIX + TASK.encode(), Target.CREATE, Relation.EQUAL, self._number())
+        ours = Compare(
+            CLAIM_PREFIX + TASK.encode(), CompareTarget.CREATE, CompareOperator.EQUAL, self._number()
+        )
         while True:
             self.points.reach("confirm")
             try:
                 done = await self.client.ask(Txn((ours,), (Put(WORK, encoded(work)),)))
-            except NotDone:
+            except RequestError:
                 self._number()
                 await asyncio.sleep(random.uniform(0.05, 0.2))
                 continue
-            if not (isinstance(done, TxnDone) and done.succeeded):
+            if not (isinstance(done, TxnResponse) and done.succeeded):
                 raise Lost("the claim on the fleet is another's by now")
             self.points.reach("confirmed")
             return
@@ -212,7 +223,7 @@
                 self.account = await account(self.client)
                 if self.account.halted and not self.work.verb.brings_back:
                     self.stops = True
-            except (NotDone, msgspec.DecodeError):
+            except (RequestError, msgspec.DecodeError):
                 pass
             await asyncio.sleep(LOOK_S)
 
@@ -254,7 +265,7 @@
         if isinstance(action, Adopt):
             try:
                 return step.adopted(now(), await self._adopt(ident, step.number))
-            except NotDone as refused:
+            except RequestError as refused:
                 return step.unanswered(now(), refused.what)
         if isinstance(action, Tell):
             self.points.reach("tell")
@@ -269,7 +280,7 @@
         return step.gave(now(), given)
 
     async def _adopt(self, ident: str, number: int) -> bool:
-        """Whether there is a part, ours by now.  Raises Refused of the coordination."""
+        """Whether there is a part, ours by now.  Raises RequestError."""
         while True:
             seen = await account(self.client)
             part = seen.parts.get(ident)
@@ -292,17 +303,19 @@
                 if answer.status in (200, 409):
                     return Said(bool(told["taken"]), int(told["number"]), int(told["looked"]))
                 return Said(False, 0, 0, str(told.get("error", answer.status)))
-        except NotDone as refused:
+        except RequestError as refused:
             return refused.what
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError, KeyError, TypeError) as error:
             return f"its owner does not answer: {error or type(error).__name__}"
 
     async def _address(self, instance: Instance | None) -> str:
-        """Where the instance's owner takes orders.  Raises Refused, and ValueError where nobody owns it."""
+        """Where the instance's owner takes orders.  Raises RequestError, and ValueError where nobody owns
+        it.
+        """
         if instance is None or not instance.owner:
             raise ValueError("nobody owns it")
-        found = await self.client.ask(Range(PRESENT_PREFIX + instance.owner.encode()))
-        assert isinstance(found, RangeDone)
+        found = await self.client.ask(Range(PRESENCE_PREFIX + instance.owner.encode()))
+        assert isinstance(found, RangeResponse)
         if not found.records:
             raise ValueError(f"{instance.owner} is not there")
         return str(json.loads(found.records[0][1].value)["address"])
@@ -325,7 +338,7 @@
             try:
                 await halt(self.client, _told(self.work), why)
                 return
-            except NotDone:
+            except RequestError:
                 await asyncio.sleep(random.uniform(0.05, 0.2))
 
 
--- a/heronreel/fleet/machine.py
+++ b/heronreel/fleet/machine.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from heronreel.coordination.settings import contents
+from heronreel.coordination.settings import read_file
 from heronreel.routes.reader import Reader, parse
 
 Name = Annotated[
@@ -116,4 +116,4 @@
 
 def load_file(path: str) -> Machine:
     """The machine of a file.  Raises BadFile, for one that can't be read as well."""
-    return load(contents(path))
+    return load(read_file(path))
--- a/heronreel/fleet/operation.py
+++ b/heronreel/fleet/operation.py
@@ -8,13 +8,12 @@
 from typing import Any
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.clock import clock
-from heronreel.coordination.model import Put, TxnDone
-from heronreel.coordination.model import Refused as NotDone
+from heronreel.coordination.clock import boot_clock
+from heronreel.coordination.model import Put, RequestError, TxnResponse
 from heronreel.fleet.account import READ, Account, read
 from heronreel.fleet.model import RULES, Instance, Rule, rules_encoded
 from heronreel.fleet.taking import Actions, Back, Fenced, Refused, Taken, Taking, Waiting, changing, told
-from heronreel.leases.holder import Ask
+from heronreel.leases.lease import SendRequest
 
 Outcome = Taken | Refused | Back | Waiting | Fenced
 
@@ -26,7 +25,7 @@
         """`name` is drawn once: the same one finds its parts again after a crash."""
         self.client = client
         self.name, self.by, self.why, self.number = name, by, why, number
-        self.now = clock()
+        self.now = boot_clock()
         self.jitter = random.Random(secrets.randbits(64)).random
 
     async def take(self, idents: tuple[str, ...]) -> Outcome:
@@ -45,7 +44,7 @@
     async def _drive(self, taking: Taking, actions: Actions) -> Outcome:
         while True:
             for action in actions:
-                if not isinstance(action, Ask):
+                if not isinstance(action, SendRequest):
                     return action
                 answer = await self.client.answer(action.request, action.until - self.now())
                 actions = taking.answered(self.now(), action.number, answer)
@@ -56,9 +55,9 @@
 
 
 async def account(client: Client) -> Account:
-    """One reading of all records.  Raises Refused of the coordination, and msgspec.DecodeError."""
+    """One reading of all records.  Raises RequestError, and msgspec.DecodeError."""
     answer = await client.ask(READ)
-    assert isinstance(answer, TxnDone)
+    assert isinstance(answer, TxnResponse)
     return read(answer)
 
 
@@ -73,9 +72,9 @@
             if old is not None and old.looked >= instance.looked:
                 return
             done = await client.ask(told(now.register, instance))
-            if isinstance(done, TxnDone) and done.succeeded:
+            if isinstance(done, TxnResponse) and done.succeeded:
                 return
-        except NotDone:
+        except RequestError:
             pass
         await asyncio.sleep(random.uniform(0.005, 0.05))
 
--- a/heronreel/fleet/owner.py
+++ b/heronreel/fleet/owner.py
@@ -14,7 +14,7 @@
 import msgspec
 import structlog
 
-from heronreel.coordination.clock import Points, clock
+from heronreel.coordination.clock import CrashPoints, boot_clock
 from heronreel.fleet import processes
 from heronreel.fleet.agent import (
     Actions,
@@ -48,8 +48,8 @@
         self.key = f"instance/{row.name}".encode()
         # by the folder, which one agent alone can have: another's processes are not ours to end
         self.mark = f"{Path(machine.agent.folder).resolve()}/{row.name}"
-        self.now = clock()
-        self.points = Points()
+        self.now = boot_clock()
+        self.points = CrashPoints()
         self.answers: list[asyncio.Future[Answer]] = []
         self.to_keep: deque[Kept] = deque()
         self.keeping = False  # somebody writes them
--- a/heronreel/fleet/serving.py
+++ b/heronreel/fleet/serving.py
@@ -16,8 +16,8 @@
 from heronreel.fleet.machine import Machine
 from heronreel.fleet.operation import tell
 from heronreel.fleet.owner import Owner
-from heronreel.leases.holder import Terms
-from heronreel.leases.holding import Holding
+from heronreel.leases.lease import LeaseTerms
+from heronreel.leases.session import LeaseSession
 from heronreel.store import Store
 
 TELL_S = 1.0  # between two looks where nothing changed
@@ -89,8 +89,8 @@
         await site.start()
         assert site._server is not None
         log.info("listens", agent=agent.name, port=site._server.sockets[0].getsockname()[1])  # type: ignore[attr-defined]
-        terms = Terms(agent.lease_s, agent.margin_s, agent.answer_s)
-        async with Holding(agent.group, agent.name, terms) as holding:
+        terms = LeaseTerms(agent.lease_s, agent.margin_s, agent.answer_s)
+        async with LeaseSession(agent.group, agent.name, terms) as holding:
             what = {"kind": "agent", "version": heronreel.__version__, "address": agent.address}
             holding.present(agent.name, msgspec.json.encode(what))
             running = [asyncio.ensure_future(owner.run()) for owner in self.owners.values()]
@@ -101,7 +101,7 @@
             await asyncio.gather(*running, return_exceptions=True)
         await self.runner.cleanup()
 
-    async def _tell(self, holding: Holding, owner: Owner) -> None:
+    async def _tell(self, holding: LeaseSession, owner: Owner) -> None:
         """Tell the account of each look.  Without the group nothing is told, and nothing else changes."""
         while True:
             owner.changed.clear()
--- a/heronreel/fleet/settings.py
+++ b/heronreel/fleet/settings.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from heronreel.coordination.settings import contents
+from heronreel.coordination.settings import read_file
 from heronreel.fleet.model import Kind, Rule, Scope
 from heronreel.routes.reader import Reader, parse
 
@@ -65,4 +65,4 @@
 
 def load_file(path: str) -> tuple[Rule, ...]:
     """The allowances of a file.  Raises BadFile, for one that can't be read as well."""
-    return load(contents(path))
+    return load(read_file(path))
--- a/heronreel/fleet/taking.py
+++ b/heronreel/fleet/taking.py
@@ -15,19 +15,19 @@
 import msgspec
 
 from heronreel.coordination.model import (
-    Answer,
     Compare,
+    CompareOperator,
+    CompareTarget,
     DeleteRange,
     Operation,
     Put,
-    Relation,
-    Target,
+    ResponseOrError,
     Txn,
-    TxnDone,
+    TxnResponse,
 )
 from heronreel.fleet.account import READ, Account, Standing, read
 from heronreel.fleet.model import HALT, REGISTER, Condition, Halt, Instance, Part, encoded
-from heronreel.leases.holder import Ask, Asking, Pause
+from heronreel.leases.lease import JitteredBackoff, SendRequest, SingleRequestSender
 
 
 class Guards(NamedTuple):
@@ -85,7 +85,7 @@
     part: Part
 
 
-Action = Ask | Taken | Refused | Back | Waiting | Fenced
+Action = SendRequest | Taken | Refused | Back | Waiting | Fenced
 Actions = list[Action]
 
 
@@ -101,7 +101,7 @@
     GIVE = "give"
 
 
-class Taking(Asking):
+class Taking(SingleRequestSender):
     """An operation on some instances: all of their parts are taken together or none."""
 
     def __init__(
@@ -123,7 +123,7 @@
         self.idents = idents
         super().__init__(answer_s)
         self.guards = guards
-        self.pause = Pause(jitter)
+        self.pause = JitteredBackoff(jitter)
         self.phase = Phase.IDLE
         self.wish = Wish.NOTHING
         self.giving = ""  # the instance whose part is to be given back
@@ -164,12 +164,12 @@
         self.phase = Phase.IDLE
         self.due = now + self.pause.next()
 
-    def answered(self, now: float, number: int, answer: Answer) -> Actions:
+    def answered(self, now: float, number: int, answer: ResponseOrError) -> Actions:
         if not self._expects(number):
             return []
         reading = self.phase is Phase.READING
         self._again(now)
-        if not isinstance(answer, TxnDone):
+        if not isinstance(answer, TxnResponse):
             return []
         if not reading:
             self.due = now  # done, or another was faster: the records say which
@@ -242,7 +242,9 @@
     """A change of the account's records, and of the register with them, so that whatever rests on the records
     as they were is not done.  It is done itself only while the register is as it was read; None: in any case.
     """
-    same = () if register is None else (Compare(REGISTER, Target.MOD, Relation.EQUAL, register),)
+    same = (
+        () if register is None else (Compare(REGISTER, CompareTarget.MOD, CompareOperator.EQUAL, register),)
+    )
     return Txn(same, (*operations, Put(REGISTER, word)))
 
 
--- a/heronreel/health/prober.py
+++ b/heronreel/health/prober.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from heronreel.health.health import Health, Member, Rules
+from heronreel.health.checks import Health, Member, Rules
 
 AT_ONCE = 32
 READ_MOST = 4096  # bytes of an answer's body that are looked at before its connection is given up
--- a/heronreel/health/report.py
+++ b/heronreel/health/report.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from heronreel.coordination.model import Compare, Put, Range, Relation, Target, Txn
-from heronreel.health.health import MEMBERS_MOST, Member
-from heronreel.leases.holder import HELD_PREFIX
+from heronreel.coordination.model import Compare, CompareOperator, CompareTarget, Put, Range, Txn
+from heronreel.health.checks import MEMBERS_MOST, Member
+from heronreel.leases.lease import CLAIM_PREFIX
 
 REPORTS = b"probe/"
 DOWN_MOST = 2000  # members told as down: more do not fit a value of the group's
@@ -53,8 +53,8 @@
 
 def telling(zone: str, report: Report) -> Txn:
     """Done only while the claim has the report's number; the answer of a refusal says who has it."""
-    claim = HELD_PREFIX + task_of(zone).encode()
-    ours = Compare(claim, Target.CREATE, Relation.EQUAL, report.number)
+    claim = CLAIM_PREFIX + task_of(zone).encode()
+    ours = Compare(claim, CompareTarget.CREATE, CompareOperator.EQUAL, report.number)
     down = report.down[:DOWN_MOST]
     cut = msgspec.structs.replace(report, down=down, probed=min(report.probed, MEMBERS_MOST))
     return Txn((ours,), (Put(key_of(zone), msgspec.json.encode(cut)),), (Range(claim),))
--- a/heronreel/leases/fence.py
+++ b/heronreel/leases/fencing.py
@@ -26,7 +26,7 @@
     greatest: int
 
 
-class Fence:
+class FencingGuard:
     """The greatest number seen of each task.  Pure: `raised` says what has to be kept before acting."""
 
     def __init__(self, greatest: Iterable[tuple[bytes, int]] = ()) -> None:
@@ -65,7 +65,7 @@
     def __init__(self, store: Store) -> None:
         self.store = store
         rows = store.scan(self.FENCE)
-        self.fence = Fence((name[len(self.FENCE) :], _number(data)) for name, data in rows)
+        self.fence = FencingGuard((name[len(self.FENCE) :], _number(data)) for name, data in rows)
 
     def enter(self, name: bytes, number: int) -> Verdict:
         """A holder begins: nothing of an earlier one is taken from now on."""
--- a/heronreel/leases/holder.py
+++ b/heronreel/leases/lease.py
@@ -1,6 +1,6 @@
 """A process's own lease, and what it holds by it.  Pure: events and time in, actions out.
 
-`Session` is the lease: the process counts its time from before it asked, on its own clock, and stops a
+`LeaseClient` is the lease: the process counts its time from before it asked, on its own clock, and stops a
 margin before its end.  `Claim` is one thing held by it (a fleet-wide task, a place in the list of who is
 present): a key that is made only where there is none, and whose revision is the grant's number.  An answer
 that does not come is taken for neither yes nor no: the question is put again in a form that is right either
@@ -15,37 +15,37 @@
 import msgspec
 
 from heronreel.coordination.model import (
-    Answer,
     Compare,
+    CompareOperator,
+    CompareTarget,
     DeleteRange,
-    Failure,
-    Grant,
-    KeepAlive,
-    LeaseDone,
+    LeaseGrant,
+    LeaseKeepAlive,
+    LeaseResponse,
+    LeaseRevoke,
     Put,
     Range,
-    RangeDone,
-    Refused,
-    Relation,
+    RangeResponse,
     Request,
-    Revoke,
-    Target,
+    RequestError,
+    ResponseOrError,
+    StatusCode,
     Txn,
-    TxnDone,
+    TxnResponse,
 )
 
-HELD_PREFIX = b"held/"  # keys of claims
-PRESENT_PREFIX = b"present/"  # keys of who is there
-PAUSE_LEAST = 0.05  # seconds before a question is put again
-PAUSE_MOST = 2.0
+CLAIM_PREFIX = b"held/"  # keys of claims
+PRESENCE_PREFIX = b"present/"  # keys of who is there
+MIN_BACKOFF_S = 0.05  # seconds before a question is put again
+MAX_BACKOFF_S = 2.0
 
 
-def names_there(found: RangeDone) -> list[str]:
-    """Names of those present, of a range over `PRESENT_PREFIX`."""
-    return [key[len(PRESENT_PREFIX) :].decode(errors="replace") for key, _ in found.records]
+def present_names(found: RangeResponse) -> list[str]:
+    """Names of those present, of a range over `PRESENCE_PREFIX`."""
+    return [key[len(PRESENCE_PREFIX) :].decode(errors="replace") for key, _ in found.records]
 
 
-class Ask(NamedTuple):
+class SendRequest(NamedTuple):
     """Put a question to the group, and tell `answered` with its number, or without an answer by `until`."""
 
     number: int
@@ -53,7 +53,7 @@
     until: float
 
 
-class Asking:
+class SingleRequestSender:
     """Whoever puts one question at a time, and takes a late answer for none."""
 
     def __init__(self, answer_s: float) -> None:
@@ -62,10 +62,10 @@
         self.asked: tuple[int, float] | None = None  # the question under way, and when it was put
         self.count = 0
 
-    def _ask(self, now: float, request: Request) -> Ask:
+    def _ask(self, now: float, request: Request) -> SendRequest:
         self.count += 1
         self.asked = self.count, now
-        return Ask(self.count, request, now + self.answer_s)
+        return SendRequest(self.count, request, now + self.answer_s)
 
     def _late(self, now: float) -> bool:
         """The answer would have to be here by now."""
@@ -75,14 +75,14 @@
         return self.asked is not None and self.asked[0] == number
 
 
-class Held(NamedTuple):
+class ClaimAcquired(NamedTuple):
     """The claim is held: act under `number` while `Claim.acts` says so."""
 
     key: bytes
     number: int
 
 
-class Lost(NamedTuple):
+class ClaimLost(NamedTuple):
     """The claim is no longer held; what is under way ends now."""
 
     key: bytes
@@ -90,11 +90,11 @@
     why: str
 
 
-Action = Ask | Held | Lost
+Action = SendRequest | ClaimAcquired | ClaimLost
 Actions = list[Action]
 
 
-class Terms(msgspec.Struct, frozen=True):
+class LeaseTerms(msgspec.Struct, frozen=True):
     """Seconds.  `margin` is for what is under way when the lease ends: an action is begun only before it."""
 
     ttl: int = 6
@@ -113,7 +113,7 @@
         return None
 
 
-class Pause:
+class JitteredBackoff:
     """Growing pauses with a drawn part, so that many who lose the group do not come back as one."""
 
     def __init__(self, jitter: Callable[[], float]) -> None:
@@ -121,7 +121,7 @@
         self.failures = 0
 
     def next(self) -> float:
-        most: float = min(PAUSE_MOST, PAUSE_LEAST * 2.0**self.failures)
+        most: float = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2.0**self.failures)
         self.failures = min(self.failures + 1, 10)
         return most * (0.5 + self.jitter())
 
@@ -129,20 +129,24 @@
         self.failures = 0
 
 
-class Attached(Protocol):
+class LeaseAttachment(Protocol):
     """Something else that is the process's own for as long as its lease lasts."""
 
-    def tick(self, now: float) -> list[Ask]: ...
-    def answered(self, now: float, answer: Answer) -> list[Ask]: ...
+    def tick(self, now: float) -> list[SendRequest]: ...
+    def answered(self, now: float, answer: ResponseOrError) -> list[SendRequest]: ...
     def waits_for(self, number: int) -> bool: ...
     def wake(self) -> float: ...
 
 
-class Session:
+class LeaseClient:
     """The lease of one process."""
 
     def __init__(
-        self, terms: Terms, now: float, draw: Callable[[], int], jitter: Callable[[], float] = lambda: 0.5
+        self,
+        terms: LeaseTerms,
+        now: float,
+        draw: Callable[[], int],
+        jitter: Callable[[], float] = lambda: 0.5,
     ) -> None:
         """`draw` gives the number of a new lease: from 1 to 2**63 - 1, never twice."""
         self.terms = terms
@@ -152,11 +156,11 @@
         self.granted = False
         self.until = now  # of acting
         self.due = now  # of the next question
-        self.pause = Pause(jitter)
+        self.pause = JitteredBackoff(jitter)
         self.number = 0
         self.asked: tuple[int, float] | None = None  # the question under way, and when it was put
         self.claims: list[Claim] = []
-        self.attached: tuple[Attached, ...] = ()
+        self.attached: tuple[LeaseAttachment, ...] = ()
         self.ending = False
 
     def valid(self, now: float) -> bool:
@@ -201,18 +205,20 @@
         return self._stop(f"not renewed for {self.terms.ttl - self.terms.margin:.1f} s")
 
     def _ask(self, now: float) -> Actions:
-        request: Request = KeepAlive(self.lease) if self.granted else Grant(self.terms.ttl, self.lease)
+        request: Request = (
+            LeaseKeepAlive(self.lease) if self.granted else LeaseGrant(self.terms.ttl, self.lease)
+        )
         if self.ending:
-            request = Revoke(self.lease)
+            request = LeaseRevoke(self.lease)
         self.number += 1
         self.asked = self.number, now
-        return [Ask(self.number, request, now + self.terms.answer)]
+        return [SendRequest(self.number, request, now + self.terms.answer)]
 
     def _again(self, now: float) -> None:
         self.asked = None
         self.due = now + self.pause.next()
 
-    def answered(self, now: float, number: int, answer: Answer) -> Actions:
+    def answered(self, now: float, number: int, answer: ResponseOrError) -> Actions:
         """The answer to a question of this session or of one of its claims."""
         for claim in self.claims:
             if claim.asked is not None and claim.asked[0] == number:
@@ -225,19 +231,19 @@
         sent = self.asked[1]
         self.asked = None
         if self.ending:
-            gone = isinstance(answer, LeaseDone) or (
-                isinstance(answer, Refused) and answer.code is Failure.NOT_FOUND
+            gone = isinstance(answer, LeaseResponse) or (
+                isinstance(answer, RequestError) and answer.code is StatusCode.NOT_FOUND
             )
             self.due = float("inf") if gone else now + self.pause.next()
             self.granted = self.granted and not gone
             return []
-        if isinstance(answer, LeaseDone) and answer.ttl > 0:
+        if isinstance(answer, LeaseResponse) and answer.ttl > 0:
             return self._lapsed(now) + self._renewed(now, sent, answer.ttl)
-        if isinstance(answer, LeaseDone) or (
-            isinstance(answer, Refused) and answer.code is Failure.NOT_FOUND
+        if isinstance(answer, LeaseResponse) or (
+            isinstance(answer, RequestError) and answer.code is StatusCode.NOT_FOUND
         ):
             return self._gone(now)
-        if isinstance(answer, Refused) and answer.code is Failure.PRECONDITION and not self.granted:
+        if isinstance(answer, RequestError) and answer.code is StatusCode.PRECONDITION and not self.granted:
             # an earlier question was answered, and its answer lost: from now on it is renewed
             self.granted = True
             self.until = now
@@ -288,14 +294,14 @@
 class Claim:
     """One key under the session's lease."""
 
-    def __init__(self, session: Session, key: bytes, value: bytes, jitter: Callable[[], float]) -> None:
+    def __init__(self, session: LeaseClient, key: bytes, value: bytes, jitter: Callable[[], float]) -> None:
         self.session = session
         self.key = key
         self.value = value
         self.number = 0  # of the grant; 0: not held
         self.holder: tuple[bytes, int] | None = None  # who has it, as far as was seen: value and number
         self.due = 0.0
-        self.pause = Pause(jitter)
+        self.pause = JitteredBackoff(jitter)
         self.asked: tuple[int, float, int] | None = None  # the question, when, and under which lease
         self.wanted = True
         self.released = False  # given back, as the group has told
@@ -321,25 +327,25 @@
         session.number += 1
         self.asked = session.number, now, session.lease
         until = now + session.terms.answer
-        return [Ask(session.number, self._request(), until)]
+        return [SendRequest(session.number, self._request(), until)]
 
     def _request(self) -> Request:
         if not self.wanted:
             # whatever its number: a question of ours may have made it whose answer was lost
-            mine = Compare(self.key, Target.LEASE, Relation.EQUAL, self.session.lease)
-            same = Compare(self.key, Target.VALUE, Relation.EQUAL, self.value)
+            mine = Compare(self.key, CompareTarget.LEASE, CompareOperator.EQUAL, self.session.lease)
+            same = Compare(self.key, CompareTarget.VALUE, CompareOperator.EQUAL, self.value)
             return Txn((mine, same), (DeleteRange(self.key),))
-        ours = Compare(self.key, Target.CREATE, Relation.EQUAL, self.number)
+        ours = Compare(self.key, CompareTarget.CREATE, CompareOperator.EQUAL, self.number)
         # what is held is looked at again as well: it may have been taken away by hand
         put = Put(self.key, self.value, self.session.lease)
         return Txn((ours,), (Range(self.key),) if self.number else (put,), (Range(self.key),))
 
-    def answered(self, now: float, answer: Answer) -> Actions:
+    def answered(self, now: float, answer: ResponseOrError) -> Actions:
         assert self.asked is not None
         _, _, lease = self.asked
         self.asked = None
         session = self.session
-        if not isinstance(answer, TxnDone) or lease != session.lease:
+        if not isinstance(answer, TxnResponse) or lease != session.lease:
             self.due = now + self.pause.next()
             return []
         self.pause.reset()
@@ -351,7 +357,7 @@
                 return []
             return self._hold(now, answer.revision)
         (found,) = answer.results
-        assert isinstance(found, RangeDone)
+        assert isinstance(found, RangeResponse)
         if not found.records:
             return self.stop("taken away") if self.number else self._soon(now)
         record = found.records[0][1]
@@ -371,24 +377,24 @@
             return []  # looked at again once the lease is renewed
         self.number = number
         self.holder = self.value, number
-        return [Held(self.key, number)]
+        return [ClaimAcquired(self.key, number)]
 
     def _let_go(self, now: float) -> Actions:
         number, self.number = self.number, 0
         self.due = float("inf")
         self.released = True
-        return [Lost(self.key, number, "given back")] if number else []
+        return [ClaimLost(self.key, number, "given back")] if number else []
 
     def stop(self, why: str) -> Actions:
         """Held no more, as far as this process may say."""
         number, self.number = self.number, 0
         self.due = 0.0
-        return [Lost(self.key, number, why)] if number else []
+        return [ClaimLost(self.key, number, why)] if number else []
 
     def nudge(self, now: float) -> None:
         """Somebody saw the key change: ask soon."""
         if not self.number and self.asked is None:
-            self.due = min(self.due, now + self.pause.jitter() * PAUSE_LEAST)
+            self.due = min(self.due, now + self.pause.jitter() * MIN_BACKOFF_S)
 
     def release(self, now: float) -> None:
         """Give it back while the session goes on: no action is begun from now on."""
--- a/heronreel/leases/overview.py
+++ b/heronreel/leases/overview.py
@@ -7,37 +7,37 @@
 from typing import Any
 
 from heronreel.coordination.client import Client
+from heronreel.coordination.kv_service import DESIRED_MEMBERS_KEY
 from heronreel.coordination.model import (
     Compare,
+    CompareOperator,
+    CompareTarget,
     DeleteRange,
-    Failure,
-    LeaseDone,
+    LeaseResponse,
+    LeaseTimeToLive,
     Put,
     Range,
-    RangeDone,
-    Refused,
-    Relation,
-    Target,
-    TimeToLive,
+    RangeResponse,
+    RequestError,
+    StatusCode,
     Txn,
-    TxnDone,
-    after,
+    TxnResponse,
+    prefix_end,
 )
-from heronreel.coordination.service import MEMBERS
-from heronreel.leases.holding import HELD, PRESENT
-from heronreel.leases.tasks import CURSOR, decoded, encoded, given_back
+from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX
+from heronreel.leases.tasks import CURSOR_PREFIX, decode_cursor, encode_cursor, restart_suspended
 
 
-async def overview(client: Client) -> dict[str, list[dict[str, Any]]]:
+async def lease_overview(client: Client) -> dict[str, list[dict[str, Any]]]:
     """Rows for people and programs.  Raises Refused."""
-    held = await _rows(client, HELD)
-    present = await _rows(client, PRESENT)
+    held = await _rows(client, CLAIM_PREFIX)
+    present = await _rows(client, PRESENCE_PREFIX)
     left: dict[int, int | None] = {}
     silent: dict[int, int | None] = {}  # seconds since the last renewal, where one is overdue
     for _, record in (*held.records, *present.records):
         if record.lease and record.lease not in left:
-            told = await client.ask(TimeToLive(record.lease))
-            assert isinstance(told, LeaseDone)
+            told = await client.ask(LeaseTimeToLive(record.lease))
+            assert isinstance(told, LeaseResponse)
             left[record.lease] = told.ttl if told.ttl >= 0 else None
             since = told.granted - max(0, told.ttl)
             # renewed at a third; the group tells whole seconds, rounded down
@@ -45,30 +45,36 @@
     return {
         "held": [
             {
-                "task": _text(key[len(HELD) :]), "by": _text(record.value), "number": record.create,
-                "lease": str(record.lease), "left_s": left.get(record.lease),
+                "task": _text(key[len(CLAIM_PREFIX) :]),
+                "by": _text(record.value),
+                "number": record.create,
+                "lease": str(record.lease),
+                "left_s": left.get(record.lease),
             }
             for key, record in held.records
         ],
         "present": [
             {
-                "name": _text(key[len(PRESENT) :]), "what": _text(record.value), "since": record.create,
-                "lease": str(record.lease), "left_s": left.get(record.lease),
+                "name": _text(key[len(PRESENCE_PREFIX) :]),
+                "what": _text(record.value),
+                "since": record.create,
+                "lease": str(record.lease),
+                "left_s": left.get(record.lease),
                 "unknown_since_s": silent.get(record.lease),
             }
             for key, record in present.records
         ],
-    }  # fmt: skip
+    }
 
 
 async def tasks(client: Client) -> list[dict[str, Any]]:
     """Where each task is, and who has it.  Raises Refused."""
-    found = await _rows(client, CURSOR)
-    held = {key[len(HELD) :]: record for key, record in (await _rows(client, HELD)).records}
+    found = await _rows(client, CURSOR_PREFIX)
+    held = {key[len(CLAIM_PREFIX) :]: record for key, record in (await _rows(client, CLAIM_PREFIX)).records}
     rows = []
     for key, record in found.records:
-        name = key[len(CURSOR) :]
-        cursor = decoded(record.value)
+        name = key[len(CURSOR_PREFIX) :]
+        cursor = decode_cursor(record.value)
         holder = held.get(name)
         rows.append({
             "task": _text(name), "confirmed": cursor.step, "begun": cursor.begun or None,
@@ -80,25 +86,25 @@
     return rows
 
 
-async def again(client: Client, task: str) -> bool:
+async def restart_task(client: Client, task: str) -> bool:
     """Have a task that was set aside tried anew; False if it is not set aside.  Raises Refused."""
-    key = CURSOR + task.encode()
+    key = CURSOR_PREFIX + task.encode()
     for _ in range(5):
         found = await client.ask(Range(key))
-        assert isinstance(found, RangeDone)
-        if not found.records or not (cursor := decoded(found.records[0][1].value)).aside:
+        assert isinstance(found, RangeResponse)
+        if not found.records or not (cursor := decode_cursor(found.records[0][1].value)).aside:
             return False
-        same = Compare(key, Target.MOD, Relation.EQUAL, found.records[0][1].mod)
-        done = await client.ask(Txn((same,), (Put(key, encoded(given_back(cursor))),)))
-        assert isinstance(done, TxnDone)
+        same = Compare(key, CompareTarget.MOD, CompareOperator.EQUAL, found.records[0][1].mod)
+        done = await client.ask(Txn((same,), (Put(key, encode_cursor(restart_suspended(cursor))),)))
+        assert isinstance(done, TxnResponse)
         if done.succeeded:
             return True
     return False
 
 
-async def _rows(client: Client, prefix: bytes) -> RangeDone:
-    found = await client.ask(Range(prefix, after(prefix)))
-    assert isinstance(found, RangeDone)
+async def _rows(client: Client, prefix: bytes) -> RangeResponse:
+    found = await client.ask(Range(prefix, prefix_end(prefix)))
+    assert isinstance(found, RangeResponse)
     return found
 
 
@@ -106,22 +112,22 @@
     return data.decode(errors="replace")
 
 
-async def take_away(client: Client, task: str) -> int | None:
+async def revoke_claim(client: Client, task: str) -> int | None:
     """End a holder's claim; the number that is refused from now on, or None if nobody held it.
 
     The next grant has a greater number, and whoever takes it enters the places before acting: the old holder
     may go on until it looks again, or until then.  Raises Refused.
     """
-    key = HELD + task.encode()
+    key = CLAIM_PREFIX + task.encode()
     for _ in range(5):
         found = await client.ask(Range(key))
-        assert isinstance(found, RangeDone)
+        assert isinstance(found, RangeResponse)
         if not found.records:
             return None
         number = found.records[0][1].create
-        same = Compare(key, Target.CREATE, Relation.EQUAL, number)
+        same = Compare(key, CompareTarget.CREATE, CompareOperator.EQUAL, number)
         done = await client.ask(Txn((same,), (DeleteRange(key),)))
-        assert isinstance(done, TxnDone)
+        assert isinstance(done, TxnResponse)
         if done.succeeded:
             return number
     return None
@@ -131,7 +137,7 @@
     """Have the group become these: whoever is new is taken up once it has been started with an empty folder,
     then whoever is not among them is let go, one at a time.  Raises Refused.
     """
-    await client.ask(Put(MEMBERS, " ".join(sorted(names)).encode()))
+    await client.ask(Put(DESIRED_MEMBERS_KEY, " ".join(sorted(names)).encode()))
 
 
 async def members(client: Client) -> dict[str, Any]:
@@ -139,7 +145,7 @@
     told = await asyncio.gather(*(client.health(address) for address in client.addresses))
     leads = [row for row in told if row.get("role") == "leader"]
     if not leads:
-        raise Refused(Failure.UNAVAILABLE, "nobody says that it leads")
+        raise RequestError(StatusCode.UNAVAILABLE, "nobody says that it leads")
     disks = max(leads, key=lambda row: row["version"])["disks"]
     return {
         "members": [
--- a/heronreel/leases/budget.py
+++ b/heronreel/leases/rate_budget.py
@@ -3,7 +3,7 @@
 A class has a budget for the fleet: calls a second, bytes a second, a share of processors.  A process that
 holds tasks of the class takes a part of it, by a key under its own lease, and the parts never come to more
 than the whole: each is written by a transaction on the class's register, and what a lease holds is free
-again only after its holder has stopped.  Within its part a process pays before it acts (`Bucket`), so
+again only after its holder has stopped.  Within its part a process pays before it acts (`TokenBucket`), so
 neither a busy task nor many of them use more.
 """
 
@@ -15,42 +15,42 @@
 import msgspec
 
 from heronreel.coordination.model import (
-    Answer,
     Compare,
+    CompareOperator,
+    CompareTarget,
     DeleteRange,
     Put,
     Range,
-    RangeDone,
-    Relation,
-    Target,
+    RangeResponse,
+    ResponseOrError,
     Txn,
-    TxnDone,
-    after,
+    TxnResponse,
+    prefix_end,
 )
-from heronreel.leases.holder import Ask, Pause, Session
+from heronreel.leases.lease import JitteredBackoff, LeaseClient, SendRequest
 
-PARTS = b"budget/"
-WHOLE = 960  # parts of a budget: whole numbers, so that no rounding makes more than all of it
+BUDGET_PREFIX = b"budget/"
+TOTAL_UNITS = 960  # parts of a budget: whole numbers, so that no rounding makes more than all of it
 SHARES = 4  # processes that have a quarter each before parts get smaller
-LEAST = WHOLE // 64  # a process that finds less waits
+MIN_UNITS = TOTAL_UNITS // 64  # a process that finds less waits
 BURST_S = 2.0  # that may be saved up
 LOOK_S = 5.0  # between two looks at whether others want a part
 
 
-class Rates(msgspec.Struct, frozen=True):
+class RateLimits(msgspec.Struct, frozen=True):
     """Of a class over the whole fleet, or of one process's part; 0: nothing is allowed, None: no limit."""
 
     calls: float | None = None  # a second
     bytes: float | None = None  # a second
     cpu: float | None = None  # seconds of processor time a second
 
-    def part(self, share: int) -> Rates:
-        """`share` of `WHOLE`."""
+    def part(self, share: int) -> RateLimits:
+        """`share` of `TOTAL_UNITS`."""
         rates = (self.calls, self.bytes, self.cpu)
-        return Rates(*(None if rate is None else rate * share / WHOLE for rate in rates))
+        return RateLimits(*(None if rate is None else rate * share / TOTAL_UNITS for rate in rates))
 
 
-class Bucket:
+class TokenBucket:
     """Pays out a rate.  What is spent may be known only afterwards: debts are waited for."""
 
     def __init__(self, rate: float | None, now: float) -> None:
@@ -80,15 +80,15 @@
         return -self.level / self.rate if self.rate > 0.0 else float("inf")
 
 
-class Buckets:
+class TokenBuckets:
     """One process's part of a class's budget."""
 
-    def __init__(self, rates: Rates, now: float) -> None:
-        self.calls = Bucket(rates.calls, now)
-        self.bytes = Bucket(rates.bytes, now)
-        self.cpu = Bucket(rates.cpu, now)
+    def __init__(self, rates: RateLimits, now: float) -> None:
+        self.calls = TokenBucket(rates.calls, now)
+        self.bytes = TokenBucket(rates.bytes, now)
+        self.cpu = TokenBucket(rates.cpu, now)
 
-    def change(self, rates: Rates, now: float) -> None:
+    def change(self, rates: RateLimits, now: float) -> None:
         self.calls.change(rates.calls, now)
         self.bytes.change(rates.bytes, now)
         self.cpu.change(rates.cpu, now)
@@ -106,11 +106,11 @@
 
 
 class _Asked(NamedTuple):
-    ask: Ask
+    ask: SendRequest
     share: int  # that is ours if it is done
 
 
-class Share:
+class BudgetShare:
     """One process's part of one class, from when it is wanted until it is given back.
 
     A process that finds too little says so by a key of its own; whoever has more than its fair part gives
@@ -118,13 +118,13 @@
     """
 
     def __init__(
-        self, session: Session, name: str, who: str, jitter: Callable[[], float], *, guarded: bool = True
+        self, session: LeaseClient, name: str, who: str, jitter: Callable[[], float], *, guarded: bool = True
     ) -> None:
         """`name` is the class's, `who` the process's; `guarded` is taken out by a test that has to fail
         then.
         """
         self.session = session
-        self.prefix = PARTS + name.encode() + b"/"
+        self.prefix = BUDGET_PREFIX + name.encode() + b"/"
         # written with each part, so that two never take what is left at once
         self.register = self.prefix + b"register"
         self.part = self.prefix + b"part/" + who.encode()
@@ -132,13 +132,13 @@
         self.share = 0
         self.lease = 0  # under which the share is ours
         self.due = 0.0
-        self.pause = Pause(jitter)
+        self.pause = JitteredBackoff(jitter)
         self.asked: _Asked | None = None
         self.wanted = False
         self.guarded = guarded
 
     def acts(self, now: float) -> int:
-        """The part that may be used at this moment, of `WHOLE`."""
+        """The part that may be used at this moment, of `TOTAL_UNITS`."""
         ours = self.wanted and self.lease == self.session.lease and self.session.valid(now)
         return self.share if ours else 0
 
@@ -160,7 +160,7 @@
             return self.asked.ask.until
         return self.due if self.session.granted else float("inf")
 
-    def tick(self, now: float) -> list[Ask]:
+    def tick(self, now: float) -> list[SendRequest]:
         if self.lease != self.session.lease and self.share:
             self.share = 0  # the lease that had it has ended
             self.due = now
@@ -169,27 +169,27 @@
         idle = not self.wanted and not self.share
         if self.asked is not None or now < self.due or idle or not self.session.valid(now):
             return []
-        return self._ask(now, Range(self.prefix, after(self.prefix)), 0)
+        return self._ask(now, Range(self.prefix, prefix_end(self.prefix)), 0)
 
     def _again(self, now: float) -> None:
         self.asked = None
         self.due = now + self.pause.next()
 
-    def _ask(self, now: float, request: Range | Txn, share: int) -> list[Ask]:
+    def _ask(self, now: float, request: Range | Txn, share: int) -> list[SendRequest]:
         self.session.number += 1
-        ask = Ask(self.session.number, request, now + self.session.terms.answer)
+        ask = SendRequest(self.session.number, request, now + self.session.terms.answer)
         self.asked = _Asked(ask, share)
         return [ask]
 
-    def answered(self, now: float, answer: Answer) -> list[Ask]:
+    def answered(self, now: float, answer: ResponseOrError) -> list[SendRequest]:
         assert self.asked is not None
         share = self.asked.share
         self._again(now)
-        if isinstance(answer, RangeDone):
+        if isinstance(answer, RangeResponse):
             return self._read(now, answer)
-        if isinstance(answer, TxnDone) and answer.succeeded:
+        if isinstance(answer, TxnResponse) and answer.succeeded:
             self._has(now, share)
-        elif isinstance(answer, TxnDone):
+        elif isinstance(answer, TxnResponse):
             self.due = now  # another was faster
         return []
 
@@ -198,7 +198,7 @@
         self.share, self.lease = share, self.session.lease
         self.due = now + LOOK_S * (0.5 + self.pause.jitter() / 2)
 
-    def _read(self, now: float, found: RangeDone) -> list[Ask]:
+    def _read(self, now: float, found: RangeResponse) -> list[SendRequest]:
         seen = mine = others = waiting = 0
         holders = 1
         wished = False
@@ -224,10 +224,10 @@
                 return self._write(now, seen, 0, False)
             self._has(now, 0)
             return []
-        fair = WHOLE // max(SHARES, holders + waiting)
+        fair = TOTAL_UNITS // max(SHARES, holders + waiting)
         share = min(mine, fair) if waiting else mine
-        share = max(share, min(fair, WHOLE - others))
-        if share < LEAST:
+        share = max(share, min(fair, TOTAL_UNITS - others))
+        if share < MIN_UNITS:
             # those who have more than their part see the wish at their next look
             return self._write(now, seen, 0, True)
         if share == mine and not wished:
@@ -235,9 +235,9 @@
             return []
         return self._write(now, seen, share, False)
 
-    def _write(self, now: float, seen: int, share: int, wishes: bool) -> list[Ask]:
+    def _write(self, now: float, seen: int, share: int, wishes: bool) -> list[SendRequest]:
         lease = self.session.lease
-        same = Compare(self.register, Target.MOD, Relation.EQUAL, seen)
+        same = Compare(self.register, CompareTarget.MOD, CompareOperator.EQUAL, seen)
         wish = Put(self.wish, b"", lease) if wishes else DeleteRange(self.wish)
         part = Put(self.part, msgspec.json.encode(Part(share)), lease) if share else DeleteRange(self.part)
         # less than before is used at once, more only when it is known to be ours
