--- a/heronreel/leases/holding.py
+++ b/heronreel/leases/session.py
@@ -1,4 +1,4 @@
-"""A lease and its claims in a process: `Session` with a clock, a client and tasks around it."""
+"""A lease and its claims in a process: `LeaseClient` with a clock, a client and tasks around it."""
 
 from __future__ import annotations
 
@@ -9,42 +9,48 @@
 from types import TracebackType
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.clock import clock
-from heronreel.coordination.model import Answer, Failure, Refused
-from heronreel.leases import holder
-from heronreel.leases.holder import Ask, Claim, Held, Lost, Session, Terms
-
-HELD = holder.HELD_PREFIX
-PRESENT = holder.PRESENT_PREFIX
-
-
-class Holding:
+from heronreel.coordination.clock import boot_clock
+from heronreel.coordination.model import RequestError, ResponseOrError, StatusCode
+from heronreel.leases.lease import (
+    CLAIM_PREFIX,
+    PRESENCE_PREFIX,
+    Actions,
+    Claim,
+    ClaimAcquired,
+    ClaimLost,
+    LeaseClient,
+    LeaseTerms,
+    SendRequest,
+)
+
+
+class LeaseSession:
     """One process's lease.  `claim` names a task; `Claim.acts(holding.now())` is asked before each action."""
 
     def __init__(
         self,
         addresses: Iterable[str],
         identity: str,
-        terms: Terms | None = None,
+        terms: LeaseTerms | None = None,
         *,
-        told: Callable[[Held | Lost], None] = lambda what: None,
+        told: Callable[[ClaimAcquired | ClaimLost], None] = lambda what: None,
     ) -> None:
         """`identity` is shown to operators as the holder's name; `told` hears of each change, at once."""
-        self.terms = terms or Terms()
+        self.terms = terms or LeaseTerms()
         if problem := self.terms.problem():
             raise ValueError(problem)
         self.client = Client(addresses, answer_s=self.terms.answer)
         self.identity = identity
-        self.now = clock()
+        self.now = boot_clock()
         self.told = told
         drawn = random.Random(secrets.randbits(64))
-        self.session = Session(self.terms, self.now(), lambda: drawn.randrange(1, 1 << 63), drawn.random)
+        self.session = LeaseClient(self.terms, self.now(), lambda: drawn.randrange(1, 1 << 63), drawn.random)
         self.asking: set[asyncio.Task[None]] = set()
         self.timer: asyncio.TimerHandle | None = None
         self.changed = asyncio.Condition()
         self.closed = False
 
-    async def __aenter__(self) -> Holding:
+    async def __aenter__(self) -> LeaseSession:
         self._event(self.session.tick)
         return self
 
@@ -71,13 +77,13 @@
 
     def claim(self, task: str) -> Claim:
         """Want to be the one that does `task`."""
-        claim = self.session.claim(HELD + task.encode(), self.identity.encode())
+        claim = self.session.claim(CLAIM_PREFIX + task.encode(), self.identity.encode())
         self._event(self.session.tick)
         return claim
 
     def present(self, name: str, value: bytes) -> Claim:
         """Be there as `name` for as long as the lease lasts; `value` says what."""
-        claim = self.session.claim(PRESENT + name.encode(), value)
+        claim = self.session.claim(PRESENCE_PREFIX + name.encode(), value)
         self._event(self.session.tick)
         return claim
 
@@ -90,7 +96,7 @@
     def look(self) -> None:
         """Ask again soon for whatever is wanted and not held: somebody saw it change."""
 
-        def nudge(now: float) -> holder.Actions:
+        def nudge(now: float) -> Actions:
             for claim in self.session.claims:
                 claim.nudge(now)
             return self.session.tick(now)
@@ -99,13 +105,13 @@
 
     # -- the core's events and actions
 
-    def _event(self, call: Callable[[float], holder.Actions]) -> None:
+    def _event(self, call: Callable[[float], Actions]) -> None:
         if self.closed:
             return
         actions = call(self.now())
         actions += self.session.tick(self.now())
         for action in actions:
-            if isinstance(action, Ask):
+            if isinstance(action, SendRequest):
                 task = asyncio.ensure_future(self._ask(action))
                 self.asking.add(task)
                 task.add_done_callback(self.asking.discard)
@@ -124,12 +130,12 @@
         async with self.changed:
             self.changed.notify_all()
 
-    async def _ask(self, ask: Ask) -> None:
-        answer: Answer
+    async def _ask(self, ask: SendRequest) -> None:
+        answer: ResponseOrError
         try:
             answer = await self.client.ask(ask.request, max(0.01, ask.until - self.now()))
-        except Refused as refused:
+        except RequestError as refused:
             answer = refused
         except Exception as error:  # whatever went wrong, nobody knows what became of it
-            answer = Refused(Failure.UNKNOWN, repr(error))
+            answer = RequestError(StatusCode.UNKNOWN, repr(error))
         self._event(lambda now: self.session.answered(now, ask.number, answer))
--- a/heronreel/leases/duties.py
+++ b/heronreel/leases/task_runner.py
@@ -1,4 +1,6 @@
-"""Fleet-wide tasks in a process: `Steps` with a clock, a client, the process's lease and what a step does."""
+"""Fleet-wide tasks in a process: `TaskProgress` with a clock, a client, the process's lease and what a step
+does.
+"""
 
 from __future__ import annotations
 
@@ -13,20 +15,20 @@
 import structlog
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.model import Answer, Range, RangeDone, Refused, after
-from heronreel.leases.budget import Buckets, Rates, Share
-from heronreel.leases.holder import HELD_PREFIX, PRESENT_PREFIX, Ask, Claim
-from heronreel.leases.holding import Holding
+from heronreel.coordination.model import Range, RangeResponse, RequestError, ResponseOrError, prefix_end
+from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX, Claim, SendRequest
+from heronreel.leases.rate_budget import BudgetShare, RateLimits, TokenBuckets
+from heronreel.leases.session import LeaseSession
 from heronreel.leases.tasks import (
-    Do,
-    Left,
-    SetAside,
-    Stepped,
-    Steps,
+    Priority,
+    RunStep,
+    StepConfirmed,
     Task,
-    Urgency,
+    TaskProgress,
+    TaskReleased,
+    TaskSuspended,
     next_task,
-    wait_before,
+    standby_delay,
 )
 
 ASIDE_S = 30.0  # between two looks at a task that was set aside
@@ -36,15 +38,15 @@
 log = structlog.get_logger()
 
 
-class Spent:
+class BudgetSpender:
     """This process's part of a class's budget, and what its steps use of it."""
 
-    def __init__(self, rates: Rates, share: Share, now: Callable[[], float]) -> None:
+    def __init__(self, rates: RateLimits, share: BudgetShare, now: Callable[[], float]) -> None:
         self.rates = rates
         self.share = share
         self.now = now
         self.acted = 0
-        self.buckets = Buckets(rates.part(0), now())
+        self.buckets = TokenBuckets(rates.part(0), now())
 
     async def pay(self, calls: float = 0.0, bytes_: float = 0.0, cpu: float = 0.0) -> None:
         """Pay, and wait until what was paid is this process's to use."""
@@ -62,10 +64,10 @@
         return self.buckets.spend(now, calls, bytes_, cpu)
 
 
-class Work:
+class StepContext:
     """One step that is to be done."""
 
-    def __init__(self, step: int, number: int, spent: Spent | None = None) -> None:
+    def __init__(self, step: int, number: int, spent: BudgetSpender | None = None) -> None:
         self.step = step
         self.number = number  # the grant's, for every place that is acted on
         self.spent = spent
@@ -78,10 +80,10 @@
             await self.spent.pay(calls, bytes_)
 
 
-class _Metered:
+class _CpuMeteredStep:
     """A step whose time on the processor is paid between its turns."""
 
-    def __init__(self, step: Coroutine[Any, Any, None], spent: Spent) -> None:
+    def __init__(self, step: Coroutine[Any, Any, None], spent: BudgetSpender) -> None:
         self.step = step
         self.spent = spent
 
@@ -102,20 +104,20 @@
                 error = raised
 
 
-Step = Callable[[Work], Coroutine[Any, Any, None]]
+StepFunction = Callable[[StepContext], Coroutine[Any, Any, None]]
 
 
-class Duties:
+class TaskRunner:
     """Wants its tasks, and does the steps of those it holds, one at a time in the order of their urgency."""
 
     def __init__(
         self,
-        holding: Holding,
+        holding: LeaseSession,
         name: str,
-        tasks: Mapping[Task, Step],
+        tasks: Mapping[Task, StepFunction],
         *,
         what: bytes | None = b"",
-        budgets: Mapping[Urgency, Rates] | None = None,
+        budgets: Mapping[Priority, RateLimits] | None = None,
     ) -> None:
         """`name` is this process's in the list of who is present, and `what` says what it is; with None it
         is not in that list.  `budgets` are the fleet's, by class, the same in all its processes.
@@ -126,12 +128,12 @@
         self.what = what
         self.due: dict[Task, tuple[float, asyncio.Future[None]]] = {}  # steps that wait for their turn
         self.busy = False
-        self.held: Counter[Urgency] = Counter()  # tasks, by class
-        self.spent: dict[Urgency, Spent] = {}
+        self.held: Counter[Priority] = Counter()  # tasks, by class
+        self.spent: dict[Priority, BudgetSpender] = {}
         for urgency, rates in (budgets or {}).items():
-            share = Share(holding.session, urgency.name.lower(), name, holding.session.jitter)
+            share = BudgetShare(holding.session, urgency.name.lower(), name, holding.session.jitter)
             holding.session.attached += (share,)
-            self.spent[urgency] = Spent(rates, share, holding.now)
+            self.spent[urgency] = BudgetSpender(rates, share, holding.now)
 
     async def run(self) -> None:
         """Until it is cancelled; the lease is the caller's to give back."""
@@ -148,12 +150,14 @@
     async def present(self, zone: str = "") -> list[str]:
         """Who is there, in this zone, as far as the group tells; nobody where it does not."""
         try:
-            found = await self.client.ask(Range(PRESENT_PREFIX, after(PRESENT_PREFIX), keys_only=not zone))
-        except Refused:
+            found = await self.client.ask(
+                Range(PRESENCE_PREFIX, prefix_end(PRESENCE_PREFIX), keys_only=not zone)
+            )
+        except RequestError:
             return []
-        assert isinstance(found, RangeDone)
+        assert isinstance(found, RangeResponse)
         return [
-            key[len(PRESENT_PREFIX) :].decode(errors="replace")
+            key[len(PRESENCE_PREFIX) :].decode(errors="replace")
             for key, record in found.records
             if not zone or _zone_of(record.value) == zone
         ]
@@ -161,16 +165,16 @@
     async def _held_by_another(self, task: Task) -> bool:
         """One of ours is wanted again: a late question may have made it after it was given back."""
         try:
-            found = await self.client.ask(Range(HELD_PREFIX + task.name.encode()))
-        except Refused:
+            found = await self.client.ask(Range(CLAIM_PREFIX + task.name.encode()))
+        except RequestError:
             return True  # nobody knows: asked again soon
-        assert isinstance(found, RangeDone)
+        assert isinstance(found, RangeResponse)
         return any(record.lease != self.holding.session.lease for _, record in found.records)
 
     async def _duty(self, task: Task) -> None:
         while True:
             # whoever comes first by rendezvous gets the task; the others stand by in their order
-            await asyncio.sleep(wait_before(task.name, self.name, await self.present(task.zone)))
+            await asyncio.sleep(standby_delay(task.name, self.name, await self.present(task.zone)))
             if await self._held_by_another(task):
                 await asyncio.sleep(LOOK_S)
                 continue
@@ -205,36 +209,36 @@
 
     async def _drive(self, task: Task, claim: Claim, number: int) -> float:
         """Do steps for as long as the number is good; seconds to leave the task to others."""
-        steps = Steps(task, number, self.name, self.holding.now(), answer_s=self.holding.terms.answer)
+        steps = TaskProgress(task, number, self.name, self.holding.now(), answer_s=self.holding.terms.answer)
         while claim.acts(self.holding.now()) == number:
             actions = steps.tick(self.holding.now())
             while actions:
                 action = actions.pop(0)
-                if isinstance(action, Ask):
+                if isinstance(action, SendRequest):
                     answer = await self._ask(action)
                     actions += steps.answered(self.holding.now(), action.number, answer)
-                elif isinstance(action, Do):
+                elif isinstance(action, RunStep):
                     done = await self._do(task, action, claim)
                     now = self.holding.now()
                     actions += steps.done(now, action.step) if done else steps.failed(now, action.step)
-                elif isinstance(action, Stepped):
+                elif isinstance(action, StepConfirmed):
                     log.info("step confirmed", task=task.name, step=action.step, number=number)
                     if action.late_s:
                         log.warning("step late", task=task.name, step=action.step, late_s=action.late_s)
                     if task.turns:
                         return task.period_s
-                elif isinstance(action, SetAside):
+                elif isinstance(action, TaskSuspended):
                     log.error("task set aside", task=task.name, step=action.step, tries=action.tries)
                     return ASIDE_S
-                elif isinstance(action, Left):
+                elif isinstance(action, TaskReleased):
                     return LOOK_S
             await asyncio.sleep(min(max(0.002, steps.wake() - self.holding.now()), 0.2))
         return LOOK_S
 
-    async def _ask(self, ask: Ask) -> Answer:
+    async def _ask(self, ask: SendRequest) -> ResponseOrError:
         return await self.client.answer(ask.request, ask.until - self.holding.now())
 
-    async def _do(self, task: Task, do: Do, claim: Claim) -> bool:
+    async def _do(self, task: Task, do: RunStep, claim: Claim) -> bool:
         """One step, in its turn; whether it was done.  The number is looked at again once its turn has
         come.
         """
@@ -243,9 +247,9 @@
             if claim.acts(self.holding.now()) != do.number:
                 return False
             spent = self.spent.get(task.urgency)
-            step = self.tasks[task](Work(do.step, do.number, spent))
+            step = self.tasks[task](StepContext(do.step, do.number, spent))
             async with asyncio.timeout(task.step_s):
-                await (step if spent is None else _Metered(step, spent))
+                await (step if spent is None else _CpuMeteredStep(step, spent))
             return True
         except Exception as error:  # whatever a step raises, it is this task's alone
             log.warning("step failed", task=task.name, step=do.step, error=repr(error))
--- a/heronreel/leases/tasks.py
+++ b/heronreel/leases/tasks.py
@@ -18,25 +18,25 @@
 import xxhash
 
 from heronreel.coordination.model import (
-    Answer,
     Compare,
+    CompareOperator,
+    CompareTarget,
     Put,
     Range,
-    RangeDone,
-    Relation,
-    Target,
+    RangeResponse,
+    ResponseOrError,
     Txn,
-    TxnDone,
+    TxnResponse,
 )
-from heronreel.leases.holder import HELD_PREFIX, Ask, Asking
+from heronreel.leases.lease import CLAIM_PREFIX, SendRequest, SingleRequestSender
 
-CURSOR = b"task/"
+CURSOR_PREFIX = b"task/"
 TRIES_MOST = 3  # holders that begin a step and do not confirm it
 RANK_S = 0.5  # that each one behind the first in a task's order waits before it wants the task
 AGEING_S = 30.0  # of waiting lift a task by one class
 
 
-class Urgency(enum.IntEnum):
+class Priority(enum.IntEnum):
     """Classes, the most urgent first."""
 
     URGENT = 0
@@ -49,7 +49,7 @@
 
     name: str
     period_s: float = 0.0
-    urgency: Urgency = Urgency.USUAL
+    urgency: Priority = Priority.USUAL
     step_s: float = 30.0  # a step that takes longer counts as not done
     turns: bool = False  # whoever did a step leaves the next one to others; each comes once a period
     zone: str = ""  # only those there in this zone do it; "": all
@@ -57,11 +57,11 @@
 
     @property
     def key(self) -> bytes:
-        return CURSOR + self.name.encode()
+        return CURSOR_PREFIX + self.name.encode()
 
     @property
     def claim(self) -> bytes:
-        return HELD_PREFIX + self.name.encode()
+        return CLAIM_PREFIX + self.name.encode()
 
 
 class Cursor(msgspec.Struct, frozen=True):
@@ -76,25 +76,25 @@
     late: int = 0  # steps that were confirmed behind their deadline
 
 
-def encoded(cursor: Cursor) -> bytes:
+def encode_cursor(cursor: Cursor) -> bytes:
     return msgspec.json.encode(cursor)
 
 
-def decoded(data: bytes) -> Cursor:
+def decode_cursor(data: bytes) -> Cursor:
     """Raises msgspec.DecodeError for what is no cursor."""
     return msgspec.json.decode(data, type=Cursor)
 
 
-def ranked(task: str, present: Iterable[str]) -> list[str]:
+def rendezvous_order(task: str, present: Iterable[str]) -> list[str]:
     """Those present in the order in which they should do a task: by rendezvous, so that tasks spread, and
     that one who comes or goes moves no task but those that become or were its own.
     """
     return sorted(present, key=lambda name: (-xxhash.xxh3_64_intdigest(f"{task}\0{name}".encode()), name))
 
 
-def wait_before(task: str, name: str, present: Iterable[str]) -> float:
+def standby_delay(task: str, name: str, present: Iterable[str]) -> float:
     """Seconds that `name` leaves to those before it; those who are not there are not waited for."""
-    order = ranked(task, {*present, name})
+    order = rendezvous_order(task, {*present, name})
     return order.index(name) * RANK_S
 
 
@@ -106,12 +106,12 @@
     for task, since in due:
         waited = now - since
         pressed = task.deadline_s and waited >= task.deadline_s / 2
-        urgency = min(task.urgency, Urgency.URGENT) if pressed else task.urgency
+        urgency = min(task.urgency, Priority.URGENT) if pressed else task.urgency
         rows.append((urgency - waited / AGEING_S, since, task.name, task))
     return min(rows)[-1] if rows else None
 
 
-class Do(NamedTuple):
+class RunStep(NamedTuple):
     """Do this step under this number, and tell `done` or `failed`."""
 
     task: str
@@ -119,7 +119,7 @@
     number: int
 
 
-class Stepped(NamedTuple):
+class StepConfirmed(NamedTuple):
     """The step is confirmed: nobody does it again."""
 
     task: str
@@ -127,7 +127,7 @@
     late_s: float = 0.0  # behind its deadline
 
 
-class SetAside(NamedTuple):
+class TaskSuspended(NamedTuple):
     """The task is not done any more until it is given back."""
 
     task: str
@@ -135,14 +135,14 @@
     tries: int
 
 
-class Left(NamedTuple):
+class TaskReleased(NamedTuple):
     """The task is another's by now; nothing of it is done here."""
 
     task: str
     number: int
 
 
-Action = Ask | Do | Stepped | SetAside | Left
+Action = SendRequest | RunStep | StepConfirmed | TaskSuspended | TaskReleased
 Actions = list[Action]
 
 
@@ -155,7 +155,7 @@
     OVER = "over"
 
 
-class Steps(Asking):
+class TaskProgress(SingleRequestSender):
     """One held task, from the grant to its loss."""
 
     def __init__(
@@ -200,7 +200,7 @@
             return self._begin(now)
         if self.phase is Phase.DOING and now >= self.since + self.task.step_s:
             self._to(Phase.OVER, now)  # it may be under way still: another tries, under a greater number
-            return [Left(self.task.name, self.number)]
+            return [TaskReleased(self.task.name, self.number)]
         return []
 
     def _to(self, phase: Phase, now: float) -> None:
@@ -209,11 +209,11 @@
 
     def _write(self, now: float, cursor: Cursor) -> Actions:
         """Only while the claim has our number, and nobody wrote the cursor since it was read."""
-        ours = Compare(self.task.claim, Target.CREATE, Relation.EQUAL, self.number)
-        same = Compare(self.task.key, Target.MOD, Relation.EQUAL, self.seen)
+        ours = Compare(self.task.claim, CompareTarget.CREATE, CompareOperator.EQUAL, self.number)
+        same = Compare(self.task.key, CompareTarget.MOD, CompareOperator.EQUAL, self.seen)
         compares = (ours, same) if self.fenced else ()
         self.cursor = cursor
-        return [self._ask(now, Txn(compares, (Put(self.task.key, encoded(cursor)),)))]
+        return [self._ask(now, Txn(compares, (Put(self.task.key, encode_cursor(cursor)),)))]
 
     def _begin(self, now: float) -> Actions:
         cursor = self.cursor
@@ -252,19 +252,19 @@
             self.due = now + max(self.task.period_s, 1.0)
         return []
 
-    def answered(self, now: float, number: int, answer: Answer) -> Actions:
+    def answered(self, now: float, number: int, answer: ResponseOrError) -> Actions:
         if not self._expects(number):
             return []
         self.asked = None
-        if isinstance(answer, RangeDone):
+        if isinstance(answer, RangeResponse):
             return self._read(now, answer)
-        if not isinstance(answer, TxnDone):
+        if not isinstance(answer, TxnResponse):
             self._to(Phase.READING, now)
             self.due = now + 0.1
             return []
         if not answer.succeeded:
             self._to(Phase.OVER, now)
-            return [Left(self.task.name, self.number)]
+            return [TaskReleased(self.task.name, self.number)]
         self.seen = answer.revision
         return self._settled(now)
 
@@ -273,32 +273,32 @@
         cursor, name = self.cursor, self.task.name
         if cursor.aside:
             self._to(Phase.OVER, now)
-            return [SetAside(name, cursor.begun, cursor.tries)]
+            return [TaskSuspended(name, cursor.begun, cursor.tries)]
         if cursor.begun:
             self._to(Phase.DOING, now)
-            return [Do(name, cursor.begun, self.number)]
+            return [RunStep(name, cursor.begun, self.number)]
         return self._stepped(now)
 
     def _stepped(self, now: float) -> Actions:
         self._to(Phase.WAITING, now)
         self.finished = 0
         self.due = now + self.task.period_s if self.task.period_s else float("inf")
-        return [Stepped(self.task.name, self.cursor.step, self._behind(now))]
+        return [StepConfirmed(self.task.name, self.cursor.step, self._behind(now))]
 
-    def _read(self, now: float, found: RangeDone) -> Actions:
+    def _read(self, now: float, found: RangeResponse) -> Actions:
         cursor = Cursor()
         self.seen = 0
         if found.records:
             record = found.records[0][1]
             self.seen = record.mod
-            cursor = decoded(record.value)
+            cursor = decode_cursor(record.value)
         self.cursor = cursor
         if cursor.number > self.number:
             self._to(Phase.OVER, now)
-            return [Left(self.task.name, self.number)]
+            return [TaskReleased(self.task.name, self.number)]
         if cursor.aside:
             self._to(Phase.OVER, now)
-            return [SetAside(self.task.name, cursor.begun, cursor.tries)]
+            return [TaskSuspended(self.task.name, cursor.begun, cursor.tries)]
         if self.finished and cursor.number == self.number:
             # what was done here is not done again: it is confirmed already, or the confirmation is asked anew
             return self._stepped(now) if cursor.step >= self.finished else self._confirm(now)
@@ -311,6 +311,6 @@
         return []
 
 
-def given_back(cursor: Cursor) -> Cursor:
+def restart_suspended(cursor: Cursor) -> Cursor:
     """A task that was set aside, to be tried anew from the step at which it stood."""
     return Cursor(cursor.step, cursor.begun, 0, cursor.number, cursor.by, late=cursor.late)
--- a/heronreel/metering/closing.py
+++ b/heronreel/metering/closing.py
@@ -14,21 +14,21 @@
 import msgspec
 
 from heronreel.coordination.model import (
-    Answer,
     Compare,
+    CompareOperator,
+    CompareTarget,
     DeleteRange,
     Operation,
     Put,
     Range,
-    RangeDone,
+    RangeResponse,
     Record,
-    Relation,
-    Target,
+    ResponseOrError,
     Txn,
-    TxnDone,
-    after,
+    TxnResponse,
+    prefix_end,
 )
-from heronreel.leases.holder import HELD_PREFIX
+from heronreel.leases.lease import CLAIM_PREFIX
 from heronreel.metering.book import added
 from heronreel.metering.records import (
     BOOKS,
@@ -86,28 +86,28 @@
         if self.sum is None:
             return Range(SUM)
         if self.books is None:
-            return Range(BOOKS, after(BOOKS))
+            return Range(BOOKS, prefix_end(BOOKS))
         batch = self._batch(self.books)
         return self._take(self.sum, batch) if batch else self._close(self.sum, self.books)
 
-    def answered(self, answer: Answer) -> None:
+    def answered(self, answer: ResponseOrError) -> None:
         """The answer to it; whatever was not done, or may have been, is read anew."""
-        if isinstance(answer, RangeDone) and self.sum is None:
+        if isinstance(answer, RangeResponse) and self.sum is None:
             self._read_sum(answer)
             return
-        if isinstance(answer, RangeDone):
+        if isinstance(answer, RangeResponse):
             self.books = [_book(key, record) for key, record in answer.records]
             return
         reading = self.sum is not None and self.books is None
         self.sum = self.books = None
-        if isinstance(answer, TxnDone) and not answer.succeeded and not reading:
+        if isinstance(answer, TxnResponse) and not answer.succeeded and not reading:
             # the first result says who has the claim; pages that were put meanwhile are no reason to leave
             (found,) = answer.results
-            assert isinstance(found, RangeDone)
+            assert isinstance(found, RangeResponse)
             if not found.records or found.records[0][1].create != self.number:
                 self.outcome = Outcome.LEFT
 
-    def _read_sum(self, found: RangeDone) -> None:
+    def _read_sum(self, found: RangeResponse) -> None:
         self.mod = found.records[0][1].mod if found.records else 0
         self.sum = msgspec.json.decode(found.records[0][1].value, type=Sum) if found.records else Sum()
         if self.sum.closed >= self.step:
@@ -126,10 +126,10 @@
         return batch
 
     def _txn(self, compares: list[Compare], operations: list[Operation]) -> Txn:
-        claim = HELD_PREFIX + TASK.encode()
+        claim = CLAIM_PREFIX + TASK.encode()
         if self.fenced:
-            ours = Compare(claim, Target.CREATE, Relation.EQUAL, self.number)
-            same = Compare(SUM, Target.MOD, Relation.EQUAL, self.mod)
+            ours = Compare(claim, CompareTarget.CREATE, CompareOperator.EQUAL, self.number)
+            same = Compare(SUM, CompareTarget.MOD, CompareOperator.EQUAL, self.mod)
             compares = [ours, same, *compares]
         return Txn(tuple(compares), tuple(operations), (Range(claim),))
 
@@ -140,7 +140,7 @@
         for book in batch:
             posted = book.posted
             counts = added(counts, posted.counts)
-            compares.append(Compare(book.key, Target.MOD, Relation.EQUAL, book.mod))
+            compares.append(Compare(book.key, CompareTarget.MOD, CompareOperator.EQUAL, book.mod))
             if posted.last:
                 operations.append(DeleteRange(book.key))
             else:
--- a/heronreel/metering/counter.py
+++ b/heronreel/metering/counter.py
@@ -11,9 +11,9 @@
 import structlog
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.clock import Points
-from heronreel.coordination.model import Answer, Range, RangeDone, Refused, after
-from heronreel.leases.holder import PRESENT_PREFIX, Ask, names_there
+from heronreel.coordination.clock import CrashPoints
+from heronreel.coordination.model import Range, RangeResponse, RequestError, ResponseOrError, prefix_end
+from heronreel.leases.lease import PRESENCE_PREFIX, SendRequest, present_names
 from heronreel.metering.book import FAILED, REFUSED, SERVED
 from heronreel.metering.closing import Closing, Outcome
 from heronreel.metering.files import OpenBook, Shelf
@@ -94,7 +94,7 @@
         self.zone = zone
         self.every_s = every_s
         self.now = now
-        self.points = Points()
+        self.points = CrashPoints()
         self.jitter = random.Random(secrets.randbits(64)).random
         self.current = shelf.make(proxy, zone, tenants)
         self.client: Client | None = None
@@ -246,21 +246,21 @@
             self._deliver_soon(self.current)
         open_book.put_aside()
 
-    async def _ask(self, ask: Ask) -> Answer:
+    async def _ask(self, ask: SendRequest) -> ResponseOrError:
         assert self.client is not None
         return await self.client.answer(ask.request, ask.until - self.now())
 
 
-async def close(client: Client, step: int, number: int, by: str, points: Points) -> None:
+async def close(client: Client, step: int, number: int, by: str, points: CrashPoints) -> None:
     """A step of the task that closes periods.  Raises PermissionError where another holds it by now."""
-    found = await client.ask(Range(PRESENT_PREFIX, after(PRESENT_PREFIX), keys_only=True))
-    assert isinstance(found, RangeDone)
-    closing = Closing(step, number, by, names_there(found))
+    found = await client.ask(Range(PRESENCE_PREFIX, prefix_end(PRESENCE_PREFIX), keys_only=True))
+    assert isinstance(found, RangeResponse)
+    closing = Closing(step, number, by, present_names(found))
     while (request := closing.next()) is not None:
         points.reach("close")
         try:
             closing.answered(await client.ask(request, 2.0))
-        except Refused as refused:
+        except RequestError as refused:
             closing.answered(refused)
             await asyncio.sleep(0.05)
         points.reach("closed")
--- a/heronreel/metering/overview.py
+++ b/heronreel/metering/overview.py
@@ -9,29 +9,29 @@
 from heronreel.coordination.client import Client
 from heronreel.coordination.model import (
     Compare,
+    CompareOperator,
+    CompareTarget,
     Put,
     Range,
-    RangeDone,
-    Relation,
-    Target,
+    RangeResponse,
     Txn,
-    TxnDone,
-    after,
+    TxnResponse,
+    prefix_end,
 )
-from heronreel.leases.holder import PRESENT_PREFIX, names_there
+from heronreel.leases.lease import PRESENCE_PREFIX, present_names
 from heronreel.metering.book import KINDS, Counts, added
 from heronreel.metering.records import BOOKS, CLOSED, GIVEN_UP, SUM, Closed, Posted, Sum, book_key
 
 
 async def counts(client: Client, periods: int) -> dict[str, Any]:
     """Rows for people and programs.  Raises Refused."""
-    reads = Txn((), (Range(SUM), Range(BOOKS, after(BOOKS)), Range(CLOSED, after(CLOSED)),
-                     Range(PRESENT_PREFIX, after(PRESENT_PREFIX), keys_only=True)))  # fmt: skip
+    reads = Txn((), (Range(SUM), Range(BOOKS, prefix_end(BOOKS)), Range(CLOSED, prefix_end(CLOSED)),
+                     Range(PRESENCE_PREFIX, prefix_end(PRESENCE_PREFIX), keys_only=True)))  # fmt: skip
     told = await client.ask(reads)  # of one moment
-    assert isinstance(told, TxnDone)
-    *rest, present = (r for r in told.results if isinstance(r, RangeDone))
+    assert isinstance(told, TxnResponse)
+    *rest, present = (r for r in told.results if isinstance(r, RangeResponse))
     sums, books, closed = (r.records for r in rest)
-    names = set(names_there(present))
+    names = set(present_names(present))
     total = msgspec.json.decode(sums[0][1].value, type=Sum) if sums else Sum()
     rows = [msgspec.json.decode(record.value, type=Closed) for _, record in closed]
     records = [(key, msgspec.json.decode(record.value, type=Posted)) for key, record in books]
@@ -69,15 +69,15 @@
     key = book_key(ident)
     for _ in range(5):
         found = await client.ask(Range(key))
-        assert isinstance(found, RangeDone)
+        assert isinstance(found, RangeResponse)
         if not found.records:
             return False
         record = found.records[0][1]
         old = msgspec.json.decode(record.value, type=Posted)
         new = msgspec.structs.replace(old, page=GIVEN_UP)
-        same = Compare(key, Target.MOD, Relation.EQUAL, record.mod)
+        same = Compare(key, CompareTarget.MOD, CompareOperator.EQUAL, record.mod)
         done = await client.ask(Txn((same,), (Put(key, msgspec.json.encode(new)),)))
-        assert isinstance(done, TxnDone)
+        assert isinstance(done, TxnResponse)
         if done.succeeded:
             return True
     return False
--- a/heronreel/metering/posting.py
+++ b/heronreel/metering/posting.py
@@ -16,17 +16,17 @@
 import msgspec
 
 from heronreel.coordination.model import (
-    Answer,
     Compare,
+    CompareOperator,
+    CompareTarget,
     Put,
     Range,
-    RangeDone,
-    Relation,
-    Target,
+    RangeResponse,
+    ResponseOrError,
     Txn,
-    TxnDone,
+    TxnResponse,
 )
-from heronreel.leases.holder import Ask, Asking
+from heronreel.leases.lease import SendRequest, SingleRequestSender
 from heronreel.metering.book import Counts, Head, Page, added
 from heronreel.metering.records import SUM, Posted, book_key
 
@@ -64,7 +64,7 @@
     sealed: int  # that the book has
 
 
-Action = Ask | Seal | Registered | Confirm | Over | SetBack
+Action = SendRequest | Seal | Registered | Confirm | Over | SetBack
 Actions = list[Action]
 
 
@@ -76,7 +76,7 @@
     OVER = "over"
 
 
-class Posting(Asking):
+class Posting(SingleRequestSender):
     """One book, from when it is opened until the group has all of it."""
 
     def __init__(
@@ -163,10 +163,12 @@
         self.due = now + PAUSE_S * (0.5 + self.jitter())
 
     def _put(self, now: float, record: Posted) -> Actions:
-        compares = [Compare(self.key, Target.MOD, Relation.EQUAL, self.seen)] if self.guarded else []
+        compares = (
+            [Compare(self.key, CompareTarget.MOD, CompareOperator.EQUAL, self.seen)] if self.guarded else []
+        )
         if not self.seen and self.dated:
             # a late one could make the record anew behind its end: an end changes the sum
-            compares.append(Compare(SUM, Target.MOD, Relation.EQUAL, self.sum_seen))
+            compares.append(Compare(SUM, CompareTarget.MOD, CompareOperator.EQUAL, self.sum_seen))
         self.phase = Phase.POSTING
         return [self._ask(now, Txn(tuple(compares), (Put(self.key, msgspec.json.encode(record)),)))]
 
@@ -178,21 +180,21 @@
     def _record(self, page: int, counts: Counts, taken: bool, last: bool) -> Posted:
         return Posted(self.head.proxy, self.head.zone, page, taken, last, counts, self.record.step)
 
-    def answered(self, now: float, number: int, answer: Answer) -> Actions:
+    def answered(self, now: float, number: int, answer: ResponseOrError) -> Actions:
         if not self._expects(number):
             return []
-        if isinstance(answer, TxnDone) and self.phase is not Phase.POSTING:
+        if isinstance(answer, TxnResponse) and self.phase is not Phase.POSTING:
             self.asked = None
             found, total = answer.results
-            assert isinstance(found, RangeDone) and isinstance(total, RangeDone)
+            assert isinstance(found, RangeResponse) and isinstance(total, RangeResponse)
             self.sum_seen = total.records[0][1].mod if total.records else 0
             return self._read(now, found)
         self._again(now)  # whatever became of it, the record says
-        if isinstance(answer, TxnDone):
+        if isinstance(answer, TxnResponse):
             self.due = now
         return []
 
-    def _read(self, now: float, found: RangeDone) -> Actions:
+    def _read(self, now: float, found: RangeResponse) -> Actions:
         if not found.records:
             return self._absent(now)
         record = found.records[0][1]
--- a/heronreel/serve/fleet.py
+++ b/heronreel/serve/fleet.py
@@ -17,14 +17,14 @@
 import structlog
 
 import heronreel
-from heronreel.coordination.clock import Points, clock
-from heronreel.coordination.logs import to_stderr
-from heronreel.coordinator.process import Embedded
-from heronreel.leases.budget import Rates
-from heronreel.leases.duties import Duties, Step, Work
-from heronreel.leases.holder import Terms
-from heronreel.leases.holding import Holding
-from heronreel.leases.tasks import Task, Urgency
+from heronreel.coordination.clock import CrashPoints, boot_clock
+from heronreel.coordination.logs import log_to_stderr
+from heronreel.coordinator.server import EmbeddedServer
+from heronreel.leases.lease import LeaseTerms
+from heronreel.leases.rate_budget import RateLimits
+from heronreel.leases.session import LeaseSession
+from heronreel.leases.task_runner import StepContext, StepFunction, TaskRunner
+from heronreel.leases.tasks import Priority, Task
 from heronreel.metering import records
 from heronreel.metering.counter import Counted, Counter, close
 from heronreel.metering.files import Shelf
@@ -70,17 +70,17 @@
     def __init__(self, file: RoutesFile) -> None:
         """Raises OSError where counts are wanted and can't be kept."""
         assert file.fleet is not None
-        to_stderr()
+        log_to_stderr()
         self.fleet = file.fleet
         self.name, self.zone = file.process.name, file.process.zone
         self.start = secrets.token_hex(8)
-        self.points = Points()
+        self.points = CrashPoints()
         self.counter: Counter | None = None
         if self.fleet.count_s:
             shelf = Shelf(self.fleet.folder)
             tenants = tenants_of(file)
-            self.counter = Counter(shelf, self.name, self.zone, tenants, self.fleet.count_s / 2, clock())
-        self.holding: Holding | None = None
+            self.counter = Counter(shelf, self.name, self.zone, tenants, self.fleet.count_s / 2, boot_clock())
+        self.holding: LeaseSession | None = None
         self.probes: Probes | None = None
         self.running: list[asyncio.Task[None]] = []
 
@@ -93,15 +93,15 @@
         self.probes = probes
         self.running = []
         if self.fleet.embedded:
-            embedded = Embedded(self.fleet.group[0], self.fleet.embedded)
+            embedded = EmbeddedServer(self.fleet.group[0], self.fleet.embedded)
             self.running.append(asyncio.ensure_future(self._again("group", embedded.run)))
         self.running.append(asyncio.ensure_future(self._run(address, probes)))
 
     async def _run(self, address: str, probes: Probes | None) -> None:
-        terms = Terms(self.fleet.lease_s, self.fleet.margin_s, self.fleet.answer_s)
+        terms = LeaseTerms(self.fleet.lease_s, self.fleet.margin_s, self.fleet.answer_s)
         what = Presence("proxy", self.zone, address, heronreel.__version__, self.start, os.getpid())
-        async with Holding(self.fleet.group, self.name, terms, told=self._told) as self.holding:
-            steps: dict[Task, Step] = {}
+        async with LeaseSession(self.fleet.group, self.name, terms, told=self._told) as self.holding:
+            steps: dict[Task, StepFunction] = {}
             if self.counter is not None:
                 steps[Task(records.TASK, self.fleet.count_s)] = self._close_period
                 counting = asyncio.ensure_future(self._again("counts", self.counter.run, self.holding.client))
@@ -110,9 +110,9 @@
                 steps[probes.task] = functools.partial(probes.step, self.holding.client, self.name)
                 listening = self._again("probes", probes.listen, self.holding.client)
                 self.running.append(asyncio.ensure_future(listening))
-            budgets = {Urgency[name.upper()]: Rates(*rates) for name, *rates in self.fleet.budgets}
+            budgets = {Priority[name.upper()]: RateLimits(*rates) for name, *rates in self.fleet.budgets}
             about = msgspec.json.encode(what)
-            duties = Duties(self.holding, self.name, steps, what=about, budgets=budgets)
+            duties = TaskRunner(self.holding, self.name, steps, what=about, budgets=budgets)
             await self._again("tasks", duties.run)
             await asyncio.Event().wait()  # without tasks it is there all the same
 
@@ -130,7 +130,7 @@
         key = getattr(what, "key", b"").decode(errors="replace")
         log.info(kind, key=key, number=getattr(what, "number", 0), why=getattr(what, "why", None))
 
-    async def _close_period(self, work: Work) -> None:
+    async def _close_period(self, work: StepContext) -> None:
         assert self.holding is not None
         await close(self.holding.client, work.step, work.number, self.name, self.points)
 
--- a/heronreel/serve/probes.py
+++ b/heronreel/serve/probes.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable, Collection
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.clock import clock
-from heronreel.coordination.model import Range, RangeDone, Refused, TxnDone
-from heronreel.health.health import Health, Member, Rules, believed
+from heronreel.coordination.clock import boot_clock
+from heronreel.coordination.model import Range, RangeResponse, RequestError, TxnResponse
+from heronreel.health.checks import Health, Member, Rules, believed
 from heronreel.health.prober import Prober
 from heronreel.health.report import Heard, Report, decoded, key_of, task_of, telling
-from heronreel.leases.duties import Work
+from heronreel.leases.task_runner import StepContext
 from heronreel.leases.tasks import Task
 from heronreel.routes.model import Probe, RoutesFile
 
@@ -46,7 +46,7 @@
         self.rules = rules_of(file.probe)
         self.prober = Prober(self.rules)
         self.tell = down
-        self.now = clock()
+        self.now = boot_clock()
         self.told: frozenset[Member] = frozenset()
         self.health = Health(self.rules)
         # as the zone's prober
@@ -91,7 +91,7 @@
         step_s = self.rules.every_s + 5.0
         return Task(task_of(self.zone), self.rules.every_s, step_s=step_s, zone=self.zone)
 
-    async def step(self, client: Client, name: str, work: Work) -> None:
+    async def step(self, client: Client, name: str, work: StepContext) -> None:
         """One round as the zone's prober; the report where it is due.  Raises Refused and PermissionError."""
         if self.number != work.number:
             before = await _report(client, self.zone)
@@ -108,7 +108,7 @@
         report = Report(self.round, name, work.number, len(members), down)
         self.shown = 0.0  # told again if nobody knows whether it was
         done = await client.ask(telling(self.zone, report), 2.0)
-        assert isinstance(done, TxnDone)
+        assert isinstance(done, TxnResponse)
         if not done.succeeded:
             raise PermissionError("another probes the zone")
         self.shown = self.now()
@@ -120,7 +120,7 @@
             while True:
                 try:
                     await self._follow(client)
-                except Refused as refused:
+                except RequestError as refused:
                     log.warning("probes: the group does not answer: %s", refused.what)
                 await asyncio.sleep(0.5)
         finally:
@@ -129,7 +129,7 @@
     async def _follow(self, client: Client) -> None:
         key = key_of(self.zone)
         found = await client.ask(Range(key))
-        assert isinstance(found, RangeDone)
+        assert isinstance(found, RangeResponse)
         for _, record in found.records:
             self._hear(decoded(record.value))
         async for changes in client.watch(key, start=found.revision + 1):
@@ -160,5 +160,5 @@
 
 async def _report(client: Client, zone: str) -> Report | None:
     found = await client.ask(Range(key_of(zone)))
-    assert isinstance(found, RangeDone)
+    assert isinstance(found, RangeResponse)
     return decoded(found.records[0][1].value) if found.records else None
--- a/tests/compatibility/stored_control.py
+++ b/tests/compatibility/stored_control.py
@@ -16,13 +16,13 @@
 from enum import Enum
 from typing import Any
 
+from heronreel.coordination.consensus import CONFIRMED_VERSIONS_KEY, MEMBERSHIP_KEY, Role
 from heronreel.coordination.gateway import PATHS, STREAMED, WATCH
-from heronreel.coordination.member import CONFIRMED, GROUP, Role
-from heronreel.coordination.model import Relation, Target
-from heronreel.coordination.service import MEMBERS
-from heronreel.coordination.state import HEAD, KEY, LEASE, lease_name
+from heronreel.coordination.keyspace import HEAD, KEY, LEASE, lease_key
+from heronreel.coordination.kv_service import DESIRED_MEMBERS_KEY
+from heronreel.coordination.model import CompareOperator, CompareTarget
 from heronreel.coordinator.disk import NAMES, ROW
-from heronreel.coordinator.process import VIA
+from heronreel.coordinator.server import VIA
 from heronreel.fleet.agent import Stage, Want
 from heronreel.fleet.controller import TASK as CONTROLLER
 from heronreel.fleet.model import HALT as FLEET_HALT
@@ -33,11 +33,11 @@
 from heronreel.fleet.model import WORK as FLEET_WORK
 from heronreel.fleet.model import Condition, Kind, Scope, Verb
 from heronreel.health.report import REPORTS, key_of, task_of
-from heronreel.leases.budget import PARTS as BUDGETS
-from heronreel.leases.budget import WHOLE
-from heronreel.leases.fence import FencedTable
-from heronreel.leases.holder import HELD_PREFIX, PRESENT_PREFIX
-from heronreel.leases.tasks import CURSOR, Task, Urgency
+from heronreel.leases.fencing import FencedTable
+from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX
+from heronreel.leases.rate_budget import BUDGET_PREFIX as BUDGETS
+from heronreel.leases.rate_budget import TOTAL_UNITS
+from heronreel.leases.tasks import CURSOR_PREFIX, Priority, Task
 from heronreel.metering.book import KINDS
 from heronreel.metering.files import ASIDE, ENDING, FRESH
 from heronreel.metering.records import BOOKS, CLOSED, GIVEN_UP, SUM, book_key, closed_key
@@ -55,29 +55,61 @@
     return {name: text if isinstance(text, str) else text.decode("latin-1") for name, text in names.items()}
 
 
-NAMES_OF_KEYS = _texts({
-    "member: group": GROUP, "member: confirmed": CONFIRMED, "disk: names": NAMES, "disk: row": ROW,
-    "state: head": HEAD, "state: key": KEY, "state: lease 258": lease_name(258), "state: lease": LEASE,
-    "wish": MEMBERS, "held": HELD_PREFIX, "present": PRESENT_PREFIX, "task": CURSOR, "task t": Task("t").key,
-    "claim t": Task("t").claim, "budget": BUDGETS, "count books": BOOKS, "count book b1": book_key("b1"),
-    "count sum": SUM, "count closed": CLOSED, "count closed 7": closed_key(7), "count task": COUNTING,
-    "count file": ENDING, "count fresh file": FRESH, "count file aside": ASIDE,
-    "fleet instances": FLEET_INSTANCES, "fleet instance": INSTANCE.key, "fleet parts": FLEET_PARTS,
-    "fleet part": PART.key, "fleet rules": FLEET_RULES, "fleet register": FLEET_REGISTER,
-    "fleet halt": FLEET_HALT, "fleet work": FLEET_WORK, "fleet task": CONTROLLER, "probe reports": REPORTS,
-    "probe report": key_of("etna"), "probe task": task_of("etna"), "probe task, no zone": task_of(""),
-    "fence: number": FencedTable.FENCE, "fence: step": FencedTable.STEP, "fence: row": FencedTable.ROW,
-    "watch": WATCH, "forwarded by": VIA,
-})  # fmt: skip
+NAMES_OF_KEYS = _texts(
+    {
+        "member: group": MEMBERSHIP_KEY,
+        "member: confirmed": CONFIRMED_VERSIONS_KEY,
+        "disk: names": NAMES,
+        "disk: row": ROW,
+        "state: head": HEAD,
+        "state: key": KEY,
+        "state: lease 258": lease_key(258),
+        "state: lease": LEASE,
+        "wish": DESIRED_MEMBERS_KEY,
+        "held": CLAIM_PREFIX,
+        "present": PRESENCE_PREFIX,
+        "task": CURSOR_PREFIX,
+        "task t": Task("t").key,
+        "claim t": Task("t").claim,
+        "budget": BUDGETS,
+        "count books": BOOKS,
+        "count book b1": book_key("b1"),
+        "count sum": SUM,
+        "count closed": CLOSED,
+        "count closed 7": closed_key(7),
+        "count task": COUNTING,
+        "count file": ENDING,
+        "count fresh file": FRESH,
+        "count file aside": ASIDE,
+        "fleet instances": FLEET_INSTANCES,
+        "fleet instance": INSTANCE.key,
+        "fleet parts": FLEET_PARTS,
+        "fleet part": PART.key,
+        "fleet rules": FLEET_RULES,
+        "fleet register": FLEET_REGISTER,
+        "fleet halt": FLEET_HALT,
+        "fleet work": FLEET_WORK,
+        "fleet task": CONTROLLER,
+        "probe reports": REPORTS,
+        "probe report": key_of("etna"),
+        "probe task": task_of("etna"),
+        "probe task, no zone": task_of(""),
+        "fence: number": FencedTable.FENCE,
+        "fence: step": FencedTable.STEP,
+        "fence: row": FencedTable.ROW,
+        "watch": WATCH,
+        "forwarded by": VIA,
+    }
+)
 ENUMS: dict[str, type[Enum]] = {
-    "role": Role, "target": Target, "relation": Relation, "kind": Kind, "condition": Condition,
+    "role": Role, "target": CompareTarget, "relation": CompareOperator, "kind": Kind, "condition": Condition,
     "scope": Scope, "verb": Verb, "want": Want, "stage": Stage,
 }  # fmt: skip
 WORDS: dict[str, Any] = {name: [each.value for each in kind] for name, kind in ENUMS.items()}
 WORDS |= {
-    "urgency": {each.name.lower(): int(each) for each in Urgency},  # the names stand in keys of budgets
+    "urgency": {each.name.lower(): int(each) for each in Priority},  # the names stand in keys of budgets
     "paths": sorted(PATHS), "streamed": sorted(STREAMED), "kinds of counts": list(KINDS),
-    "budget": WHOLE, "book given up": GIVEN_UP,
+    "budget": TOTAL_UNITS, "book given up": GIVEN_UP,
 }  # fmt: skip
 
 
--- a/tests/compatibility/stored_fleet.py
+++ b/tests/compatibility/stored_fleet.py
@@ -16,7 +16,7 @@
 from aiohttp.test_utils import TestClient, TestServer
 
 from heronreel.coordination.gateway import answer_of
-from heronreel.coordination.model import Put, RangeDone, Record, Request, TxnDone
+from heronreel.coordination.model import Put, RangeResponse, Record, Request, TxnResponse
 from heronreel.fleet.account import READ, Account
 from heronreel.fleet.agent import Kept, Process, Want
 from heronreel.fleet.controller import Controller
@@ -41,7 +41,7 @@
 from heronreel.fleet.taking import Taking, changing, halting, told
 from heronreel.health.report import Report, telling
 from heronreel.health.report import decoded as report_of
-from heronreel.leases.holder import PRESENT_PREFIX
+from heronreel.leases.lease import PRESENCE_PREFIX
 from heronreel.metering.book import Head as BookHead
 from heronreel.metering.book import Page
 from heronreel.metering.closing import Closing
@@ -74,13 +74,16 @@
     """What a book asks: read, make its record, put a page."""
     post = Posting(BOOK_HEAD, 0, None, 1.0, 0.0)
     read = asked(post.tick(0.0, False))
-    nothing, total = RangeDone(4, (), 0, False), RangeDone(4, ((SUM, Record(b"{}", 2, 3, 1, 0)),), 1, False)
-    make = asked(post.answered(0.1, 1, TxnDone(4, True, (nothing, total))))
+    nothing, total = (
+        RangeResponse(4, (), 0, False),
+        RangeResponse(4, ((SUM, Record(b"{}", 2, 3, 1, 0)),), 1, False),
+    )
+    make = asked(post.answered(0.1, 1, TxnResponse(4, True, (nothing, total))))
     post = Posting(BOOK_HEAD, 2, Page(3, COUNTS), 1.0, 0.0, registered=True, last=True)
     post.tick(0.0, False)
     record = Record(msgspec.json.encode(Posted("p1", "etna", 2, True, False, {}, 6)), 5, 9, 2, 0)
-    found = RangeDone(9, ((book_key(DRAWN), record),), 1, False)
-    put = asked(post.answered(0.1, 1, TxnDone(9, True, (found, total))))
+    found = RangeResponse(9, ((book_key(DRAWN), record),), 1, False)
+    put = asked(post.answered(0.1, 1, TxnResponse(9, True, (found, total))))
     return {"count-read": read, "count-make": make, "count-put": put}
 
 
@@ -90,7 +93,7 @@
     for name, taken in (("count-take", False), ("count-close", True)):
         close = Closing(100, 12, "m1", ["p2"])
         total = close.next()
-        close.answered(RangeDone(9, ((SUM, Record(msgspec.json.encode(TOTAL), 3, 8, 2, 0)),), 1, False))
+        close.answered(RangeResponse(9, ((SUM, Record(msgspec.json.encode(TOTAL), 3, 8, 2, 0)),), 1, False))
         books = close.next()
         rows = tuple(
             (book_key(ident), Record(msgspec.json.encode(posted), 5, 9, 2, 0))
@@ -99,7 +102,7 @@
                 ("b2", Posted("p1", "", 4, taken, True)),
             )
         )  # fmt: skip
-        close.answered(RangeDone(9, rows, 2, False))
+        close.answered(RangeResponse(9, rows, 2, False))
         step = close.next()
         assert total is not None and books is not None and step is not None
         calls |= {"count-sum": total, "count-books": books, name: step}
@@ -120,14 +123,14 @@
     """What an operation on an instance asks: take its part, give it back."""
     serving = Instance(Kind.PROXY, "p1", "", "", "", 1.0, Condition.SERVING, 1.0, "", "", 12, 9)
     instance = ((serving.key, Record(encoded(serving), 3, 3, 1, 0)),)
-    register = RangeDone(5, ((REGISTER, Record(b"look", 2, 5, 3, 0)),), 1, False)
-    none, there = RangeDone(5, (), 0, False), RangeDone(5, instance, 1, False)
-    part = RangeDone(5, ((PART.key, Record(encoded(PART), 4, 4, 1, 0)),), 1, False)
+    register = RangeResponse(5, ((REGISTER, Record(b"look", 2, 5, 3, 0)),), 1, False)
+    none, there = RangeResponse(5, (), 0, False), RangeResponse(5, instance, 1, False)
+    part = RangeResponse(5, ((PART.key, Record(encoded(PART), 4, 4, 1, 0)),), 1, False)
     take, give = (Taking("op1", "ann", "drain", 9, ("proxy/p1",)) for _ in range(2))
     take.take(0.0)
     give.give(0.0, "proxy/p1", 11)
-    free = TxnDone(5, True, (register, none, there, none, none, none))
-    taken = TxnDone(5, True, (register, none, there, part, none, none))
+    free = TxnResponse(5, True, (register, none, there, none, none, none))
+    taken = TxnResponse(5, True, (register, none, there, part, none, none))
     return {
         "fleet-take": asked(take.answered(0.1, 1, free)), "fleet-give": asked(give.answered(0.1, 1, taken)),
     }  # fmt: skip
@@ -199,7 +202,7 @@
     async def talk() -> bytes:
         async with Server({"/order": b'{"taken": true, "number": 9, "looked": 4}'}) as server:
             presence = json.dumps({"kind": "agent", "version": "0.2.0", "address": server.address}).encode()
-            found = RangeDone(3, ((PRESENT_PREFIX + b"m1", Record(presence, 3, 3, 1, 7)),), 1, False)
+            found = RangeResponse(3, ((PRESENCE_PREFIX + b"m1", Record(presence, 3, 3, 1, 7)),), 1, False)
             server.answers["/v3/kv/range"] = json.dumps(answer_of(HEADER, found)).encode()
             controller = Controller([server.address], "ann")
             controller.account = Account(0, (), {INSTANCE.ident: INSTANCE}, {})
--- a/tests/compatibility/stored_forms.py
+++ b/tests/compatibility/stored_forms.py
@@ -23,9 +23,9 @@
     request_of,
     result_of,
 )
-from heronreel.coordination.model import Request, Result
-from heronreel.coordination.state import Content
-from heronreel.coordinator.process import _encode, _messages
+from heronreel.coordination.keyspace import Content
+from heronreel.coordination.model import Request, Response
+from heronreel.coordinator.server import _encode, _messages
 from heronreel.store import Store
 
 FOLDER = Path(__file__).parent / "stored" / "control"
@@ -75,7 +75,7 @@
     return Form(request, write, read)
 
 
-def as_answer(request: Request, result: Result) -> Form:
+def as_answer(request: Request, result: Response) -> Form:
     """The body of an answer."""
 
     def write() -> bytes:
--- a/tests/compatibility/stored_group.py
+++ b/tests/compatibility/stored_group.py
@@ -16,59 +16,67 @@
 import msgspec
 from immutables import Map
 
-from heronreel.coordination.gateway import events_of, events_told, refusal_of, refused_of, request_of
-from heronreel.coordination.member import (
+from heronreel.coordination.consensus import (
     Accept,
     Accepted,
     Ballot,
-    Durable,
-    Forget,
+    ConsensusMember,
+    DurableState,
     Hello,
-    Member,
     Persist,
     Prepare,
     Promise,
+    ResetDisk,
     Send,
     Status,
     Version,
 )
+from heronreel.coordination.gateway import events_of, events_told, refusal_of, refused_of, request_of
+from heronreel.coordination.keyspace import EMPTY_CONTENT, Content, Keyspace, apply_writes
+from heronreel.coordination.kv_service import DESIRED_MEMBERS_KEY, names_of
 from heronreel.coordination.model import (
     Compare,
-    DeleteDone,
+    CompareOperator,
+    CompareTarget,
     DeleteRange,
+    DeleteRangeResponse,
     Event,
-    Failure,
-    Grant,
-    KeepAlive,
-    LeaseDone,
-    Leases,
-    LeasesDone,
+    LeaseGrant,
+    LeaseKeepAlive,
+    LeaseList,
+    LeaseListResponse,
+    LeaseResponse,
+    LeaseRevoke,
+    LeaseTimeToLive,
     Put,
-    PutDone,
+    PutResponse,
     Range,
-    RangeDone,
+    RangeResponse,
     Record,
-    Refused,
-    Relation,
     Request,
-    Result,
-    Revoke,
-    Target,
-    TimeToLive,
+    RequestError,
+    Response,
+    StatusCode,
     Txn,
-    TxnDone,
+    TxnResponse,
 )
-from heronreel.coordination.service import MEMBERS, names_of
-from heronreel.coordination.state import EMPTY, Content, State, written
-from heronreel.coordinator.disk import Disk, _Names
-from heronreel.coordinator.process import _line
-from heronreel.leases.budget import PARTS as BUDGETS
-from heronreel.leases.budget import WHOLE, Share
-from heronreel.leases.budget import Part as BudgetPart
-from heronreel.leases.fence import FencedTable
-from heronreel.leases.holder import HELD_PREFIX, Ask, Session, Terms
+from heronreel.coordinator.disk import MemberDisk, _Names
+from heronreel.coordinator.server import _line
+from heronreel.leases.fencing import FencedTable
+from heronreel.leases.lease import CLAIM_PREFIX, LeaseClient, LeaseTerms, SendRequest
 from heronreel.leases.overview import resize
-from heronreel.leases.tasks import CURSOR, Cursor, Steps, Task, Urgency, decoded, encoded
+from heronreel.leases.rate_budget import BUDGET_PREFIX as BUDGETS
+from heronreel.leases.rate_budget import TOTAL_UNITS, BudgetShare
+from heronreel.leases.rate_budget import Part as BudgetPart
+from heronreel.leases.tasks import (
+    CURSOR_PREFIX,
+    Cursor,
+    Priority,
+    Task,
+    TaskProgress,
+    decode_cursor,
+    encode_cursor,
+)
 from heronreel.store import Store
 from tests.compatibility.stored_forms import (
     DRAWN,
@@ -98,18 +106,18 @@
     "accept": Accept("a", "aa01", "aa01", "bb02", BALLOT, 12, VERSION, OLDER, WRITES),
     "accept-whole": Accept("a", "aa01", "aa01", "bb02", BALLOT, 13, VERSION, None, WRITES[:1]),
     "accepted": Accepted("b", "bb02", BALLOT, 12, BALLOT, VERSION, True),
-    "forget": Forget("a", "aa01", "aa01", "bb02", BALLOT),
+    "forget": ResetDisk("a", "aa01", "aa01", "bb02", BALLOT),
 }
 PERSISTS = (
     Persist(1, "aa01", BALLOT, OLDER, ((b"old", b"gone"), (b"h", b"\x93\x02\x00\x00")), False, ()),
     Persist(2, "aa01", BALLOT, VERSION, ((b"h", b"\x93\x03\x01\x05"), (b"kx", b"\xff")), True, ()),
 )
-DURABLE = Durable(DRAWN, "aa01", BALLOT, VERSION, Map({b"h": b"\x93\x03\x01\x05", b"kx": b"\xff"}))
+DURABLE = DurableState(DRAWN, "aa01", BALLOT, VERSION, Map({b"h": b"\x93\x03\x01\x05", b"kx": b"\xff"}))
 
 
 def kept_disk(folder: Path) -> dict[bytes, bytes]:
     """What a member's store holds after `PERSISTS`."""
-    disk = Disk(folder / "member", "a")
+    disk = MemberDisk(folder / "member", "a")
     disk.keep(PERSISTS)
     rows = dict(disk.store.scan())
     disk.close()
@@ -119,30 +127,30 @@
 def wiped_disk(folder: Path) -> dict[bytes, bytes]:
     """What is left in a member's store once it was wiped."""
     kept_disk(folder)
-    disk = Disk(folder / "member", "a")
+    disk = MemberDisk(folder / "member", "a")
     disk.wipe()
     rows = dict(disk.store.scan())
     disk.close()
     return rows
 
 
-def durable_of(rows: Mapping[bytes, bytes]) -> Durable:
+def durable_of(rows: Mapping[bytes, bytes]) -> DurableState:
     """What a member finds on a disk with these records."""
 
-    def work(folder: Path) -> Durable:
+    def work(folder: Path) -> DurableState:
         stored(folder / "member", rows).close()
-        disk = Disk(folder / "member", "a")
+        disk = MemberDisk(folder / "member", "a")
         disk.close()
         return disk.durable
 
     return with_store(work)
 
 
-def opened_folder(folder: Path) -> Durable:
+def opened_folder(folder: Path) -> DurableState:
     """What a member finds in a copy of a store's folder."""
 
-    def work(scratch: Path) -> Durable:
-        disk = Disk(shutil.copytree(folder, scratch / "member"), "a")
+    def work(scratch: Path) -> DurableState:
+        disk = MemberDisk(shutil.copytree(folder, scratch / "member"), "a")
         disk.close()
         return disk.durable
 
@@ -151,7 +159,7 @@
 
 def founded() -> Content:
     """The map of three members that found a group, after three rounds of writes."""
-    members = {name: Member(name, "abc", Durable(f"disk-{name}"), 0.0) for name in "abc"}
+    members = {name: ConsensusMember(name, "abc", DurableState(f"disk-{name}"), 0.0) for name in "abc"}
     for moment in range(4):
         now = moment / 20  # sooner than the leader's next round without writes
         waiting = deque((name, action) for name in members for action in members[name].tick(now))
@@ -169,14 +177,14 @@
 
 def group_of(content: Content) -> tuple[dict[str, str], dict[str, Version]]:
     """Members and what they are known to have, as a member reads them in the map."""
-    member = Member("a", "abc", Durable("disk-a", "disk-a", BALLOT, VERSION, content), 0.0)
+    member = ConsensusMember("a", "abc", DurableState("disk-a", "disk-a", BALLOT, VERSION, content), 0.0)
     return dict(member.members), dict(member.confirmed)
 
 
 # -- the keyspace
 
 CHANGES: tuple[Request, ...] = (
-    Grant(6), Grant(10, 77), Put(b"held/t", b"me", 77), Put(b"x", b"\x00\xff"), Put(b"x", b"two"),
+    LeaseGrant(6), LeaseGrant(10, 77), Put(b"held/t", b"me", 77), Put(b"x", b"\x00\xff"), Put(b"x", b"two"),
     Put(b"gone", b"1"), Put(b"y", b"", 1), DeleteRange(b"gone"),
 )  # fmt: skip
 KEYS = {
@@ -186,17 +194,17 @@
 
 def changed() -> Content:
     """The map after `CHANGES`."""
-    content, state = EMPTY, State.of(EMPTY)
+    content, state = EMPTY_CONTENT, Keyspace.of(EMPTY_CONTENT)
     for request in CHANGES:
-        assert isinstance(request, Range | Put | DeleteRange | Txn | Grant | Revoke)
+        assert isinstance(request, Range | Put | DeleteRange | Txn | LeaseGrant | LeaseRevoke)
         done = state.apply(request)
-        content, state = written(content, done.writes), done.state
+        content, state = apply_writes(content, done.writes), done.state
     return content
 
 
 def state_of(content: Content) -> tuple[object, ...]:
     """All that a state reads in the map."""
-    state = State.of(content)
+    state = Keyspace.of(content)
     attached = {lease: sorted(keys) for lease, keys in state.attached.items()}
     return tuple(msgspec.structs.astuple(state.head)), dict(state.keys), dict(state.leases), attached
 
@@ -226,26 +234,26 @@
 
 def asked(actions: Iterable[object]) -> Request:
     """The question among some actions."""
-    (ask,) = (action for action in actions if isinstance(action, Ask))
+    (ask,) = (action for action in actions if isinstance(action, SendRequest))
     return ask.request
 
 
-def session() -> Session:
+def session() -> LeaseClient:
     """A process's lease, granted."""
-    made = Session(Terms(), 0.0, lambda: 77)
+    made = LeaseClient(LeaseTerms(), 0.0, lambda: 77)
     made.tick(0.0)
-    made.answered(0.1, 1, LeaseDone(1, 77, 6, 6))
+    made.answered(0.1, 1, LeaseResponse(1, 77, 6, 6))
     return made
 
 
 def claims() -> dict[str, Request]:
     """What a claim asks while it is wanted, held and given back."""
     held = session()
-    claim = held.claim(HELD_PREFIX + b"t", b"m1")
+    claim = held.claim(CLAIM_PREFIX + b"t", b"m1")
     wanted = asked(claim.tick(0.2))
-    claim.answered(0.3, TxnDone(5, True, (PutDone(5, None),)))
+    claim.answered(0.3, TxnResponse(5, True, (PutResponse(5, None),)))
     look = asked(claim.tick(4.0))
-    claim.answered(4.1, TxnDone(5, True, (RangeDone(5, (), 0, False),)))
+    claim.answered(4.1, TxnResponse(5, True, (RangeResponse(5, (), 0, False),)))
     claim.release(4.2)
     return {"claim-take": wanted, "claim-look": look, "claim-release": asked(claim.tick(4.2))}
 
@@ -253,66 +261,82 @@
 def shares() -> dict[str, Request]:
     """What a process asks for its part of a budget: all there is, and a wish where there is nothing left."""
     calls: dict[str, Request] = {}
-    for name, others in (("budget-take", 0), ("budget-wish", WHOLE)):
-        share = Share(session(), Urgency.IDLE.name.lower(), "m1", lambda: 0.5)
+    for name, others in (("budget-take", 0), ("budget-wish", TOTAL_UNITS)):
+        share = BudgetShare(session(), Priority.IDLE.name.lower(), "m1", lambda: 0.5)
         share.want(0.2)
         calls["budget-read"] = asked(share.tick(0.2))
         part = Record(msgspec.json.encode(BudgetPart(others)), 3, 3, 1, 9)
         rows = ((BUDGETS + b"idle/part/m2", part), (BUDGETS + b"idle/register", Record(b"", 2, 4, 2, 0)))
-        calls[name] = asked(share.answered(0.3, RangeDone(4, rows, 2, False)))
+        calls[name] = asked(share.answered(0.3, RangeResponse(4, rows, 2, False)))
     return calls
 
 
 def steps() -> dict[str, Request]:
     """What the holder of a task asks: begin a step, confirm it."""
-    task = Steps(Task("t", 5.0), 9, "m1", 0.0)
+    task = TaskProgress(Task("t", 5.0), 9, "m1", 0.0)
     read = asked(task.tick(0.0))
-    cursor = Record(encoded(Cursor(4, 0, 0, 8, "m2", False, 1)), 3, 6, 4, 0)
-    task.answered(0.1, 1, RangeDone(6, ((CURSOR + b"t", cursor),), 1, False))
+    cursor = Record(encode_cursor(Cursor(4, 0, 0, 8, "m2", False, 1)), 3, 6, 4, 0)
+    task.answered(0.1, 1, RangeResponse(6, ((CURSOR_PREFIX + b"t", cursor),), 1, False))
     begin = asked(task.tick(5.1))
-    task.answered(5.2, 2, TxnDone(7, True, (PutDone(7, None),)))
+    task.answered(5.2, 2, TxnResponse(7, True, (PutResponse(7, None),)))
     return {"task-read": read, "task-begin": begin, "task-confirm": asked(task.done(5.3, 5))}
 
 
 COMPARES = (
-    Compare(b"x", Target.VERSION, Relation.EQUAL, 1), Compare(b"x", Target.CREATE, Relation.GREATER, 2),
-    Compare(b"x", Target.MOD, Relation.LESS, 3), Compare(b"x", Target.LEASE, Relation.NOT_EQUAL, 4),
-    Compare(b"x", Target.VALUE, Relation.EQUAL, b"\x00\xff"),
-)  # fmt: skip
+    Compare(b"x", CompareTarget.VERSION, CompareOperator.EQUAL, 1),
+    Compare(b"x", CompareTarget.CREATE, CompareOperator.GREATER, 2),
+    Compare(b"x", CompareTarget.MOD, CompareOperator.LESS, 3),
+    Compare(b"x", CompareTarget.LEASE, CompareOperator.NOT_EQUAL, 4),
+    Compare(b"x", CompareTarget.VALUE, CompareOperator.EQUAL, b"\x00\xff"),
+)
 TXN = Txn(
     COMPARES,
     (Put(b"x", b"1", 77, True), DeleteRange(b"y", b"z", True), Range(b"z")),
     (Range(b"x", b"y", 5, 0, True, True),),
 )
 CALLS: dict[str, Request] = {
-    "range": Range(b"x"), "range-all": Range(b"\xff", b"\0", 3, 7, True, True), "put": Put(b"x", b"\x00"),
-    "put-lease": Put(b"x", b"", (1 << 63) - 1, True), "delete": DeleteRange(b"x"),
-    "delete-range": DeleteRange(b"x", b"y", True), "txn": TXN, "grant": Grant(6, 77), "revoke": Revoke(77),
-    "keepalive": KeepAlive(77), "timetolive": TimeToLive(77, True), "leases": Leases(),
-    **claims(), **shares(), **steps(),
-}  # fmt: skip
+    "range": Range(b"x"),
+    "range-all": Range(b"\xff", b"\0", 3, 7, True, True),
+    "put": Put(b"x", b"\x00"),
+    "put-lease": Put(b"x", b"", (1 << 63) - 1, True),
+    "delete": DeleteRange(b"x"),
+    "delete-range": DeleteRange(b"x", b"y", True),
+    "txn": TXN,
+    "grant": LeaseGrant(6, 77),
+    "revoke": LeaseRevoke(77),
+    "keepalive": LeaseKeepAlive(77),
+    "timetolive": LeaseTimeToLive(77, True),
+    "leases": LeaseList(),
+    **claims(),
+    **shares(),
+    **steps(),
+}
 
 
 # -- answers
 
 X, Y = Record(b"\x00\xff", 2, 9, 3, 77), Record(b"", 3, 3, 1, 0)
-ANSWERS: dict[str, tuple[Request, Result]] = {
-    "range": (Range(b"x", b"z"), RangeDone(9, ((b"x", X), (b"y", Y)), 5, True)),
-    "range-none": (Range(b"x"), RangeDone(1, (), 0, False)),
-    "put": (Put(b"x", b""), PutDone(9, None)),
-    "put-previous": (Put(b"x", b"", 0, True), PutDone(9, X)),
-    "delete": (DeleteRange(b"x", b"z", True), DeleteDone(9, 2, ((b"x", X), (b"y", Y)))),
+ANSWERS: dict[str, tuple[Request, Response]] = {
+    "range": (Range(b"x", b"z"), RangeResponse(9, ((b"x", X), (b"y", Y)), 5, True)),
+    "range-none": (Range(b"x"), RangeResponse(1, (), 0, False)),
+    "put": (Put(b"x", b""), PutResponse(9, None)),
+    "put-previous": (Put(b"x", b"", 0, True), PutResponse(9, X)),
+    "delete": (DeleteRange(b"x", b"z", True), DeleteRangeResponse(9, 2, ((b"x", X), (b"y", Y)))),
     "txn": (
         TXN,
-        TxnDone(9, True, (PutDone(9, X), DeleteDone(9, 0, ()), RangeDone(9, ((b"z", Y),), 1, False))),
+        TxnResponse(
+            9,
+            True,
+            (PutResponse(9, X), DeleteRangeResponse(9, 0, ()), RangeResponse(9, ((b"z", Y),), 1, False)),
+        ),
     ),
-    "txn-failure": (TXN, TxnDone(9, False, (RangeDone(9, (), 2, False),))),
-    "grant": (Grant(6), LeaseDone(9, 77, 6, 6)),
-    "revoke": (Revoke(77), LeaseDone(9, 77, 0)),
-    "keepalive": (KeepAlive(77), LeaseDone(9, 77, 6, 0)),
-    "timetolive": (TimeToLive(77, True), LeaseDone(9, 77, 4, 6, (b"x", b"\xff"))),
-    "timetolive-ended": (TimeToLive(77), LeaseDone(9, 77, -1)),
-    "leases": (Leases(), LeasesDone(9, (1, 77))),
+    "txn-failure": (TXN, TxnResponse(9, False, (RangeResponse(9, (), 2, False),))),
+    "grant": (LeaseGrant(6), LeaseResponse(9, 77, 6, 6)),
+    "revoke": (LeaseRevoke(77), LeaseResponse(9, 77, 0)),
+    "keepalive": (LeaseKeepAlive(77), LeaseResponse(9, 77, 6, 0)),
+    "timetolive": (LeaseTimeToLive(77, True), LeaseResponse(9, 77, 4, 6, (b"x", b"\xff"))),
+    "timetolive-ended": (LeaseTimeToLive(77), LeaseResponse(9, 77, -1)),
+    "leases": (LeaseList(), LeaseListResponse(9, (1, 77))),
 }
 EVENTS = (Event(b"x", X, None, 9), Event(b"y", Record(b"2", 3, 10, 2, 0), Y, 10), Event(b"x", None, X, 11))
 BAD_CALLS: tuple[tuple[str, str], ...] = (
@@ -327,13 +351,13 @@
 
 def refusals() -> bytes:
     """Status and body of the answer to each of `BAD_CALLS`, and to a refusal with each code."""
-    rows: list[tuple[object, ...]] = [("", "", *refusal_of(Refused(code, "why"))) for code in Failure]
+    rows: list[tuple[object, ...]] = [("", "", *refusal_of(RequestError(code, "why"))) for code in StatusCode]
     for path, body in BAD_CALLS:
         try:
             request = request_of(path, body.encode())
-            assert isinstance(request, Range | Put | DeleteRange | Txn | Grant | Revoke)
-            State.of(changed()).apply(request)
-        except Refused as refused:
+            assert isinstance(request, Range | Put | DeleteRange | Txn | LeaseGrant | LeaseRevoke)
+            Keyspace.of(changed()).apply(request)
+        except RequestError as refused:
             rows.append((path, body, *refusal_of(refused)))
     return b"[\n" + b",\n".join(json.dumps(row).encode() for row in rows) + b"\n]"
 
@@ -357,7 +381,7 @@
     """The record of who should be in the group, as an operator's command writes it."""
     recorder: Any = Recorder()
     asyncio.run(resize(recorder, names))
-    assert recorder.request.key == MEMBERS
+    assert recorder.request.key == DESIRED_MEMBERS_KEY
     return bytes(recorder.request.value)
 
 
@@ -370,11 +394,11 @@
         lambda data: events_told(json.loads(data)["result"]),
     ),
     "refusals.json": Form(
-        [*map(int, Failure), 3, 11, 11, 5, 3, 3, 9, 5], refusals, refused
+        [*map(int, StatusCode), 3, 11, 11, 5, 3, 3, 9, 5], refusals, refused
     ),
     "disk-names.msgpack": as_msgpack(_Names("a", DRAWN, "aa01", BALLOT, VERSION)),
     "disk-rows.json": as_rows(DURABLE, lambda: with_store(kept_disk), durable_of),
-    "disk-wiped.json": as_rows(Durable(DRAWN), lambda: with_store(wiped_disk), durable_of),
+    "disk-wiped.json": as_rows(DurableState(DRAWN), lambda: with_store(wiped_disk), durable_of),
     "group.json": as_rows(
         (
             {"a": "disk-a", "b": "disk-b", "c": "disk-c"},
@@ -387,7 +411,7 @@
     ),
     "fence.json": as_rows(({b"t": 9}, 1, [(9, b"one")]), lambda: with_store(fenced), fence_of),
     "wish.txt": Form(frozenset("abc"), lambda: resized("cab"), names_of),
-    "cursor.json": Form(c := Cursor(4, 5, 2, 9, "m1", True, 1), lambda: encoded(c), decoded),
-    "cursor-new.json": Form(Cursor(), lambda: encoded(Cursor()), decoded),
+    "cursor.json": Form(c := Cursor(4, 5, 2, 9, "m1", True, 1), lambda: encode_cursor(c), decode_cursor),
+    "cursor-new.json": Form(Cursor(), lambda: encode_cursor(Cursor()), decode_cursor),
     "budget-part.json": as_json(BudgetPart(240)),
 }  # fmt: skip
--- a/tests/compatibility/test_stored_control.py
+++ b/tests/compatibility/test_stored_control.py
@@ -12,12 +12,20 @@
 import pytest
 from aiohttp.test_utils import TestClient, TestServer
 
-from heronreel.coordination.client import Changes, Client
+from heronreel.coordination.client import Client, WatchEvents
 from heronreel.coordination.gateway import PATHS, WATCH, WatchAsked, path_of, request_of, watch_of
-from heronreel.coordination.model import DeleteRange, Failure, Grant, Put, Range, Refused, TimeToLive
-from heronreel.coordination.settings import Group, Row
-from heronreel.coordinator.disk import Disk
-from heronreel.coordinator.process import Front, Node
+from heronreel.coordination.model import (
+    DeleteRange,
+    LeaseGrant,
+    LeaseTimeToLive,
+    Put,
+    Range,
+    RequestError,
+    StatusCode,
+)
+from heronreel.coordination.settings import Group, MemberAddress
+from heronreel.coordinator.disk import MemberDisk
+from heronreel.coordinator.server import HttpListener, MemberNode
 from tests.compatibility.stored_control import FORMS, MEMBER
 from tests.compatibility.stored_forms import DRAWN, FOLDER, Server, drawn
 from tests.compatibility.stored_group import ANSWERS, DURABLE, EVENTS, opened_folder
@@ -53,7 +61,7 @@
                     assert server.calls[-1][0] == path
                     assert request_of(*server.calls[-1]) == request
                 async for changes in client.watch(b"x", b"z", 8):
-                    assert changes == Changes(11, EVENTS)
+                    assert changes == WatchEvents(11, EVENTS)
                     break
                 path, body = server.calls[-1]
                 assert path == WATCH == "/v3/watch"
@@ -69,8 +77,10 @@
     async def talk() -> None:
         async with Server({}) as server:
             with patch("secrets.token_hex", drawn):
-                disk = Disk(tmp_path, "a")
-            node = Node(Group((Row("a", "127.0.0.1:1"), Row("b", server.address))), "a", disk)
+                disk = MemberDisk(tmp_path, "a")
+            node = MemberNode(
+                Group((MemberAddress("a", "127.0.0.1:1"), MemberAddress("b", server.address))), "a", disk
+            )
             await node.start()
             async with asyncio.timeout(5):
                 while not server.calls:
@@ -84,10 +94,10 @@
 def test_a_member_answers_on_these_paths(tmp_path: Path) -> None:
     async def talk() -> None:
         with patch("secrets.token_hex", drawn):
-            disk = Disk(tmp_path, "a")
-        node = Node(Group((Row("a", "127.0.0.1:1"),)), "a", disk)
+            disk = MemberDisk(tmp_path, "a")
+        node = MemberNode(Group((MemberAddress("a", "127.0.0.1:1"),)), "a", disk)
         await node.start()
-        app = Front(node).runner.app
+        app = HttpListener(node).runner.app
         assert app is not None
         paths = {
             f"{route.method} {route.resource.canonical}" for route in app.router.routes() if route.resource
@@ -128,8 +138,8 @@
         ("/v3/kv/range", {"key": "eA==", "limit": 2, "sort_order": 1, "sortTarget": 0}, Range(b"x", b"", 2)),
         ("/v3/kv/put", {"key": "eA==", "prevKv": True, "lease": 77}, Put(b"x", b"", 77, True)),
         ("/v3/kv/deleterange", {"key": "eA==", "rangeEnd": "AA=="}, DeleteRange(b"x", b"\0")),
-        ("/v3/lease/grant", {"TTL": 6, "ID": "77"}, Grant(6, 77)),
-        ("/v3/lease/timetolive", {"ID": 77, "keys": True}, TimeToLive(77, True)),
+        ("/v3/lease/grant", {"TTL": 6, "ID": "77"}, LeaseGrant(6, 77)),
+        ("/v3/lease/timetolive", {"ID": 77, "keys": True}, LeaseTimeToLive(77, True)),
     ],
 )  # fmt: skip
 def test_other_spellings_of_calls_are_taken(path: str, body: dict[str, object], request_: object) -> None:
@@ -138,6 +148,6 @@
 
 @pytest.mark.parametrize("body", [b"{", b'{"key": "eA==", "values": ""}', b'{"key": 5}'])
 def test_a_call_that_is_none_is_refused(body: bytes) -> None:
-    with pytest.raises(Refused) as refused:
+    with pytest.raises(RequestError) as refused:
         request_of("/v3/kv/put", body)
-    assert refused.value.code is Failure.INVALID
+    assert refused.value.code is StatusCode.INVALID
--- a/tests/coordination/test_keyspace.py
+++ b/tests/coordination/test_keyspace.py
@@ -12,30 +12,30 @@
 from hypothesis import strategies as st
 
 from heronreel.coordination import gateway
+from heronreel.coordination.keyspace import EMPTY_CONTENT, Keyspace, apply_writes
 from heronreel.coordination.model import (
     Compare,
-    DeleteDone,
+    CompareOperator,
+    CompareTarget,
     DeleteRange,
-    Failure,
-    Grant,
-    KeepAlive,
-    LeaseDone,
+    DeleteRangeResponse,
+    LeaseGrant,
+    LeaseKeepAlive,
+    LeaseResponse,
+    LeaseRevoke,
     Put,
-    PutDone,
+    PutResponse,
     Range,
-    RangeDone,
-    Refused,
-    Relation,
+    RangeResponse,
     Request,
-    Revoke,
-    Target,
+    RequestError,
+    StatusCode,
     Txn,
-    TxnDone,
+    TxnResponse,
 )
 from heronreel.coordination.settings import load
-from heronreel.coordination.state import EMPTY, State, written
-from heronreel.leases.fence import Fence, FencedTable
-from heronreel.leases.holder import Ask, Held, Lost, Session, Terms
+from heronreel.leases.fencing import FencedTable, FencingGuard
+from heronreel.leases.lease import ClaimAcquired, ClaimLost, LeaseClient, LeaseTerms, SendRequest
 from heronreel.routes.reader import BadFile
 from heronreel.store import Store
 from heronreel.store.simulated import SimulatedDisk
@@ -47,37 +47,44 @@
 ranges = st.builds(Range, keys, ends, st.integers(0, 3))
 puts = st.builds(Put, keys, values, leases, st.booleans())
 deletes = st.builds(DeleteRange, keys, ends, st.booleans())
-numbers = st.sampled_from([Target.VERSION, Target.CREATE, Target.MOD, Target.LEASE])
+numbers = st.sampled_from(
+    [CompareTarget.VERSION, CompareTarget.CREATE, CompareTarget.MOD, CompareTarget.LEASE]
+)
 compares = st.one_of(
-    st.builds(Compare, keys, numbers, st.sampled_from(Relation), st.integers(0, 5)),
-    st.builds(Compare, keys, st.just(Target.VALUE), st.sampled_from(Relation), values),
+    st.builds(Compare, keys, numbers, st.sampled_from(CompareOperator), st.integers(0, 5)),
+    st.builds(Compare, keys, st.just(CompareTarget.VALUE), st.sampled_from(CompareOperator), values),
 )
 some = st.lists(st.one_of(ranges, puts, deletes), max_size=3).map(tuple)
 txns = st.builds(Txn, st.lists(compares, max_size=2).map(tuple), some, some)
 requests = st.one_of(
-    ranges, puts, deletes, txns, st.builds(Grant, st.integers(1, 9), leases), st.builds(Revoke, leases)
+    ranges,
+    puts,
+    deletes,
+    txns,
+    st.builds(LeaseGrant, st.integers(1, 9), leases),
+    st.builds(LeaseRevoke, leases),
 )
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.lists(requests, max_size=25))
 def test_what_is_written_is_what_is_known_and_every_form_survives_json(asked: list[Request]) -> None:
-    content, state = EMPTY, State.of(EMPTY)
+    content, state = EMPTY_CONTENT, Keyspace.of(EMPTY_CONTENT)
     for request in asked:
         form = gateway.request_of(gateway.path_of(request), json.dumps(gateway.body_of(request)).encode())
         assert form == request
         before = state
         try:
             done = state.apply(request)  # type: ignore[arg-type]
-        except Refused:
+        except RequestError:
             assert state.keys == before.keys and state.leases == before.leases
             continue
         raw = gateway.answer_of(gateway.Header(1, 2, 3), done.result)
         again = gateway.result_of(request, json.loads(json.dumps(raw)))
-        if not isinstance(done.result, (PutDone, TxnDone)):
-            assert again == done.result or isinstance(request, (Grant, Revoke))
-        content, state = written(content, done.writes), done.state
-        read = State.of(content)
+        if not isinstance(done.result, (PutResponse, TxnResponse)):
+            assert again == done.result or isinstance(request, (LeaseGrant, LeaseRevoke))
+        content, state = apply_writes(content, done.writes), done.state
+        read = Keyspace.of(content)
         assert (read.keys, read.leases, read.attached) == (state.keys, state.leases, state.attached)
         assert read.head == state.head and state.revision - before.revision in (0, 1)
         silent = isinstance(request, Txn)  # a key made and removed by one changes nothing that is told
@@ -87,59 +94,61 @@
 
 
 def test_a_transaction_is_whole_and_numbers_only_grow() -> None:
-    state = State.of(EMPTY).apply(Grant(5, 7)).state
-    free = Compare(b"task", Target.CREATE, Relation.EQUAL, 0)
+    state = Keyspace.of(EMPTY_CONTENT).apply(LeaseGrant(5, 7)).state
+    free = Compare(b"task", CompareTarget.CREATE, CompareOperator.EQUAL, 0)
     take = Txn((free,), (Put(b"task", b"one", 7), Put(b"log", b"x")), (Range(b"task"),))
     first = state.apply(take)
-    assert isinstance(first.result, TxnDone) and first.result.succeeded
+    assert isinstance(first.result, TxnResponse) and first.result.succeeded
     number = first.state.keys[b"task"].create
     second = first.state.apply(take).result
-    assert isinstance(second, TxnDone) and not second.succeeded
+    assert isinstance(second, TxnResponse) and not second.succeeded
     (found,) = second.results
-    assert isinstance(found, RangeDone) and found.records[0][1].create == number
-    with pytest.raises(Refused, match="lease not found"):  # the second write fails: the first is not done
+    assert isinstance(found, RangeResponse) and found.records[0][1].create == number
+    with pytest.raises(
+        RequestError, match="lease not found"
+    ):  # the second write fails: the first is not done
         first.state.apply(Txn((), (Put(b"y", b""), Put(b"z", b"", 99))))
-    gone = first.state.apply(Revoke(7))
+    gone = first.state.apply(LeaseRevoke(7))
     assert b"task" not in gone.state.keys and b"log" in gone.state.keys
     assert [event.record for event in gone.events] == [None]
-    again = gone.state.apply(Grant(5, 7)).state.apply(take).state
+    again = gone.state.apply(LeaseGrant(5, 7)).state.apply(take).state
     assert again.keys[b"task"].create > number
     wiped = again.apply(DeleteRange(b"\0", b"\0", True)).result
-    assert isinstance(wiped, DeleteDone) and wiped.deleted == 2
+    assert isinstance(wiped, DeleteRangeResponse) and wiped.deleted == 2
 
 
 @pytest.mark.parametrize(
     ("path", "body", "code", "words"),
     [
-        ("/v3/kv/put", {"key": base64.b64encode(b"k" * 1025).decode()}, Failure.INVALID, "1025 bytes"),
-        ("/v3/kv/put", {"value": "eA=="}, Failure.INVALID, "not provided"),
-        ("/v3/kv/put", {"key": "not base64!"}, Failure.INVALID, "ase64"),
-        ("/v3/kv/put", {"key": "eA==", "lease": "12"}, Failure.NOT_FOUND, "lease"),
-        ("/v3/kv/put", {"key": "eA==", "ignoreLease": True}, Failure.INVALID, "ignore_lease"),
-        ("/v3/kv/range", {"key": "eA==", "revision": "9"}, Failure.OUT_OF_RANGE, "future"),
-        ("/v3/kv/range", {"key": "eA==", "sort_order": "DESCEND"}, Failure.INVALID, "DESCEND"),
-        ("/v3/kv/range", {"key": "eA==", "limit": "-1"}, Failure.INVALID, "0 or more"),
-        ("/v3/kv/txn", {"success": [{}]}, Failure.INVALID, "one of"),
-        ("/v3/kv/txn", {"success": [{"requestPut": {"key": "eA=="}}] * 2}, Failure.INVALID, "duplicate"),
-        ("/v3/lease/grant", {"TTL": "0"}, Failure.INVALID, "TTL"),
-        ("/v3/lease/grant", {"TTL": "9" * 30}, Failure.INVALID, "TTL"),
-        ("/v3/lease/grant", {"TTL": "3", "ID": "-4"}, Failure.INVALID, "ID"),
-        ("/v3/lease/revoke", {"ID": "5"}, Failure.NOT_FOUND, "lease"),
+        ("/v3/kv/put", {"key": base64.b64encode(b"k" * 1025).decode()}, StatusCode.INVALID, "1025 bytes"),
+        ("/v3/kv/put", {"value": "eA=="}, StatusCode.INVALID, "not provided"),
+        ("/v3/kv/put", {"key": "not base64!"}, StatusCode.INVALID, "ase64"),
+        ("/v3/kv/put", {"key": "eA==", "lease": "12"}, StatusCode.NOT_FOUND, "lease"),
+        ("/v3/kv/put", {"key": "eA==", "ignoreLease": True}, StatusCode.INVALID, "ignore_lease"),
+        ("/v3/kv/range", {"key": "eA==", "revision": "9"}, StatusCode.OUT_OF_RANGE, "future"),
+        ("/v3/kv/range", {"key": "eA==", "sort_order": "DESCEND"}, StatusCode.INVALID, "DESCEND"),
+        ("/v3/kv/range", {"key": "eA==", "limit": "-1"}, StatusCode.INVALID, "0 or more"),
+        ("/v3/kv/txn", {"success": [{}]}, StatusCode.INVALID, "one of"),
+        ("/v3/kv/txn", {"success": [{"requestPut": {"key": "eA=="}}] * 2}, StatusCode.INVALID, "duplicate"),
+        ("/v3/lease/grant", {"TTL": "0"}, StatusCode.INVALID, "TTL"),
+        ("/v3/lease/grant", {"TTL": "9" * 30}, StatusCode.INVALID, "TTL"),
+        ("/v3/lease/grant", {"TTL": "3", "ID": "-4"}, StatusCode.INVALID, "ID"),
+        ("/v3/lease/revoke", {"ID": "5"}, StatusCode.NOT_FOUND, "lease"),
     ],
 )
-def test_bad_calls_are_refused_by_name(path: str, body: object, code: Failure, words: str) -> None:
-    with pytest.raises(Refused, match=words) as refused:
-        State.of(EMPTY).apply(gateway.request_of(path, json.dumps(body).encode()))  # type: ignore[arg-type]
+def test_bad_calls_are_refused_by_name(path: str, body: object, code: StatusCode, words: str) -> None:
+    with pytest.raises(RequestError, match=words) as refused:
+        Keyspace.of(EMPTY_CONTENT).apply(gateway.request_of(path, json.dumps(body).encode()))  # type: ignore[arg-type]
     assert refused.value.code is code
 
 
 def test_a_state_has_a_bound_and_can_still_shrink_at_it() -> None:
-    state = State.of(EMPTY)
+    state = Keyspace.of(EMPTY_CONTENT)
     value = bytes(256 << 10)
-    with pytest.raises(Refused, match="would pass") as refused:
+    with pytest.raises(RequestError, match="would pass") as refused:
         for number in range(40):
             state = state.apply(Put(b"k%d" % number, value)).state
-    assert refused.value.code is Failure.EXHAUSTED
+    assert refused.value.code is StatusCode.EXHAUSTED
     state = state.apply(Put(b"k0", b"small")).state
     assert state.apply(DeleteRange(b"k1")).state.head.size < state.head.size
 
@@ -173,15 +182,15 @@
 def test_an_even_group_with_a_yes_is_taken() -> None:
     text = "[group]\neven = true\n" + MEMBER.format("a", 1) + MEMBER.format("b", 2)
     assert [row.name for row in load(text.encode()).members] == ["a", "b"]
-    assert Terms(ttl=3, margin=1.0, answer=1.0).problem() and not Terms().problem()
+    assert LeaseTerms(ttl=3, margin=1.0, answer=1.0).problem() and not LeaseTerms().problem()
 
 
 def test_a_renewal_that_comes_after_the_end_is_told_as_a_loss_and_a_new_hold() -> None:
     """Seen between processes: who waited for its claim was not told that it had it, and kept it from
     others.
     """
-    state = State.of(EMPTY)
-    session = Session(Terms(ttl=3, margin=0.5, answer=0.5), 0.0, lambda: 7)
+    state = Keyspace.of(EMPTY_CONTENT)
+    session = LeaseClient(LeaseTerms(ttl=3, margin=0.5, answer=0.5), 0.0, lambda: 7)
     claim = session.claim(b"held/t", b"me")
     told: list[object] = []
 
@@ -190,9 +199,9 @@
         kept = []
         while actions:
             action = actions.pop(0)
-            if not isinstance(action, Ask):
+            if not isinstance(action, SendRequest):
                 told.append(action)
-            elif isinstance(action.request, KeepAlive):
+            elif isinstance(action.request, LeaseKeepAlive):
                 kept.append(action)
             else:
                 done = state.apply(action.request)  # type: ignore[arg-type]
@@ -201,11 +210,15 @@
         return kept
 
     carry(session.tick(0.0), 0.0)
-    assert told == [Held(b"held/t", claim.number)] and claim.acts(2.4) and not claim.acts(2.5)
+    assert told == [ClaimAcquired(b"held/t", claim.number)] and claim.acts(2.4) and not claim.acts(2.5)
     (renewal,) = carry(session.tick(2.2), 2.2)
-    late = LeaseDone(2, 7, 3, 3)
+    late = LeaseResponse(2, 7, 3, 3)
     carry(session.answered(2.6, renewal.number, late), 2.6)  # no tick came between
-    assert isinstance(told[1], Lost) and told[2] == Held(b"held/t", claim.number) and claim.acts(2.6)
+    assert (
+        isinstance(told[1], ClaimLost)
+        and told[2] == ClaimAcquired(b"held/t", claim.number)
+        and claim.acts(2.6)
+    )
 
 
 def test_a_fenced_table_refuses_an_old_holder_also_after_a_crash() -> None:
@@ -221,4 +234,4 @@
     with pytest.raises(ValueError, match="the next one is 2"):
         table.write(b"t", 9, 3, b"gap")
     assert table.write(b"t", 9, 2, b"two")[1] and table.rows(b"t") == [(5, b"one"), (9, b"two")]
-    assert Fence([(b"t", 3)]).admit(b"t", 2) == (False, 3)
+    assert FencingGuard([(b"t", 3)]).admit(b"t", 2) == (False, 3)
--- a/tests/coordination/test_virtual_time.py
+++ b/tests/coordination/test_virtual_time.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heronreel.coordination.member import Guards
+from heronreel.coordination.consensus import Guards
 from heronreel.fault_injection.virtual import VirtualWorld
 
 
--- a/tests/coordinator/test_processes.py
+++ b/tests/coordinator/test_processes.py
@@ -19,15 +19,15 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.model import (
-    Failure,
-    Grant,
-    KeepAlive,
-    LeaseDone,
+    LeaseGrant,
+    LeaseKeepAlive,
+    LeaseResponse,
+    LeaseTimeToLive,
     Put,
     Range,
-    RangeDone,
-    Refused,
-    TimeToLive,
+    RangeResponse,
+    RequestError,
+    StatusCode,
 )
 from heronreel.fault_injection.histories import Call, read
 from heronreel.fault_injection.linear import wrong
@@ -35,12 +35,12 @@
 from heronreel.fault_injection.schedule import Fault, shortened
 from heronreel.fault_injection.trial import judged, trial
 from heronreel.leases import overview
-from heronreel.leases.budget import BURST_S
-from heronreel.leases.holder import Terms
-from heronreel.leases.holding import Holding
+from heronreel.leases.lease import LeaseTerms
+from heronreel.leases.rate_budget import BURST_S
+from heronreel.leases.session import LeaseSession
 
 THREE = ("a", "b", "c")
-QUICK = Terms(ttl=2, margin=0.3, answer=0.3)
+QUICK = LeaseTerms(ttl=2, margin=0.3, answer=0.3)
 
 
 def other_than(leader: str) -> str:
@@ -54,13 +54,13 @@
             try:
                 await client.ask(Put(key, value), 1.0)
                 return
-            except Refused:
+            except RequestError:
                 await asyncio.sleep(0.02)
 
 
 async def value(client: Client, key: bytes) -> bytes | None:
     found = await client.ask(Range(key), 10.0)
-    assert isinstance(found, RangeDone)
+    assert isinstance(found, RangeResponse)
     return found.records[0][1].value if found.records else None
 
 
@@ -89,12 +89,12 @@
             for name in THREE:
                 if name != leader:
                     await harness.members[name].kill()
-            with pytest.raises(Refused):
+            with pytest.raises(RequestError):
                 await client.ask(Put(b"k", b"lost"), 2.0)
             async with Client([harness.front[leader].address]) as alone:
-                with pytest.raises(Refused) as refused:
+                with pytest.raises(RequestError) as refused:
                     await alone.ask(Range(b"k"), 2.5)  # also to read: who leads may be elsewhere by now
-                assert refused.value.code in (Failure.UNAVAILABLE, Failure.TOO_LATE, Failure.UNKNOWN)
+                assert refused.value.code in (StatusCode.UNAVAILABLE, StatusCode.TOO_LATE, StatusCode.UNKNOWN)
             for name in THREE:
                 if name != leader:
                     await harness.start(name)
@@ -233,8 +233,8 @@
     async def run() -> None:
         async with Harness(tmp_path, THREE, 6) as harness:
             async with (
-                Holding(harness.addresses, "one", QUICK) as one,
-                Holding(harness.addresses, "two", QUICK) as two,
+                LeaseSession(harness.addresses, "one", QUICK) as one,
+                LeaseSession(harness.addresses, "two", QUICK) as two,
             ):
                 claim, other = one.claim("task"), two.claim("task")
                 number = await one.held(claim) if await first_of(one, claim, two, other) else 0
@@ -245,11 +245,11 @@
                     holder, mine = (one, claim) if claim.number else (two, other)
                     await holder.held(mine)
                     assert mine.number == number  # the new leader counts its time anew
-                    left = await client.ask(TimeToLive(holder.session.lease, True), 5.0)
-                    assert isinstance(left, LeaseDone) and left.keys == (b"held/task",) and left.ttl >= 0
+                    left = await client.ask(LeaseTimeToLive(holder.session.lease, True), 5.0)
+                    assert isinstance(left, LeaseResponse) and left.keys == (b"held/task",) and left.ttl >= 0
                     assert not (claim.acts(one.now()) and other.acts(two.now()))
 
-    async def first_of(one: Holding, claim: Any, two: Holding, other: Any) -> bool:
+    async def first_of(one: LeaseSession, claim: Any, two: LeaseSession, other: Any) -> bool:
         waits = [asyncio.ensure_future(one.held(claim)), asyncio.ensure_future(two.held(other))]
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
@@ -272,7 +272,7 @@
                     missed += change.missed
                     if change.missed:
                         found = await client.ask(Range(b"w/", b"w0"), 10.0)
-                        assert isinstance(found, RangeDone)
+                        assert isinstance(found, RangeResponse)
                         seen.extend(key for key, _ in found.records)
                     seen.extend(event.key for event in change.events)
 
@@ -367,7 +367,7 @@
         async with Harness(tmp_path, ("a",), 10) as harness:
             await harness.serves()
             members = f"a={harness.front['a'].address}"
-            async with Holding(harness.addresses, "roller", Terms()) as holding:
+            async with LeaseSession(harness.addresses, "roller", LeaseTerms()) as holding:
                 claim = holding.claim("release")
                 number = await holding.held(claim)
                 present = holding.present("p1", b"zone=etna")
@@ -442,7 +442,7 @@
         async with Harness(tmp_path, ("a",), 11) as harness, Client(harness.addresses) as client:
             await harness.serves()
             relay = harness.front["a"]
-            async with Holding(harness.addresses, "one", QUICK) as holding:
+            async with LeaseSession(harness.addresses, "one", QUICK) as holding:
                 claim = holding.claim("t")
                 number = await holding.held(claim)
                 relay.back.cut = True  # renewals go through, their answers do not
@@ -451,10 +451,10 @@
                         await asyncio.sleep(0.01)
                 relay.heal()
                 assert await holding.held(claim) >= number
-                again = await client.ask(KeepAlive(holding.session.lease), 5.0)
-                assert isinstance(again, LeaseDone) and again.ttl == 2
-                with pytest.raises(Refused, match="exists"):
-                    await client.ask(Grant(2, holding.session.lease), 5.0)
+                again = await client.ask(LeaseKeepAlive(holding.session.lease), 5.0)
+                assert isinstance(again, LeaseResponse) and again.ttl == 2
+                with pytest.raises(RequestError, match="exists"):
+                    await client.ask(LeaseGrant(2, holding.session.lease), 5.0)
 
     asyncio.run(run())
 
@@ -475,7 +475,7 @@
             async def steps() -> int:
                 try:
                     rows = await overview.tasks(client)
-                except Refused:
+                except RequestError:
                     return 0
                 return int(rows[0]["confirmed"]) if rows else 0
 
@@ -555,7 +555,7 @@
                 await overview.resize(client, names)
                 if sorted((await overview.members(client))["disks"]) == sorted(names):
                     return
-            except Refused:
+            except RequestError:
                 pass
             await asyncio.sleep(0.05)
 
@@ -578,8 +578,8 @@
 
             await until_value(first, b"begin", b"1")
             writing = asyncio.ensure_future(write())
-            terms = Terms(ttl=6, margin=0.5, answer=0.5)
-            async with Holding([harness.front["a"].address], "one", terms) as holding:
+            terms = LeaseTerms(ttl=6, margin=0.5, answer=0.5)
+            async with LeaseSession([harness.front["a"].address], "one", terms) as holding:
                 claim = holding.claim("t")
                 number = await holding.held(claim)
                 for name in ("b", "c"):
@@ -644,17 +644,17 @@
             await harness.whole()
             alone = await harness.leader()
             front = [harness.front[alone].address]
-            async with Holding(front, "one", QUICK) as holding, Client(front) as there:
+            async with LeaseSession(front, "one", QUICK) as holding, Client(front) as there:
                 claim = holding.claim("t")
                 number = await holding.held(claim)
                 harness.cut(alone)
-                with pytest.raises(Refused):
+                with pytest.raises(RequestError):
                     await there.ask(Put(b"k", b"minority"), 2.0)
                 async with asyncio.timeout(20):
                     while claim.acts(holding.now()):
                         await asyncio.sleep(0.01)
                     others = [address for address in harness.addresses if address not in front]
-                    async with Holding(others, "two", QUICK) as second:
+                    async with LeaseSession(others, "two", QUICK) as second:
                         assert await second.held(second.claim("t")) > number  # the majority goes on
                         assert not claim.acts(holding.now())
                 harness.cut(alone, on=False)
@@ -702,7 +702,7 @@
             await harness.members["a"].kill()
             await harness.start("a", PYTHONPATH=f"{tmp_path / 'jump'}:{ROOT}")
             await harness.serves()
-            async with Holding(harness.addresses, "one", QUICK) as holding:
+            async with LeaseSession(harness.addresses, "one", QUICK) as holding:
                 claim = holding.claim("t")
                 number = await holding.held(claim)
                 real = time.time
@@ -721,11 +721,13 @@
     async def run() -> None:
         async with Harness(tmp_path, ("a",), 18) as harness:
             await harness.serves()
-            terms = Terms(ttl=6, margin=0.8, answer=0.8)
+            terms = LeaseTerms(ttl=6, margin=0.8, answer=0.8)
             async with AsyncExitStack() as stack:
                 claims = []
                 for number in range(holders):
-                    holding = await stack.enter_async_context(Holding(harness.addresses, f"h{number}", terms))
+                    holding = await stack.enter_async_context(
+                        LeaseSession(harness.addresses, f"h{number}", terms)
+                    )
                     claims.append((holding, holding.claim(f"t{number}")))
                 for holding, claim in claims:
                     await holding.held(claim)
--- a/tests/fleet/test_disruption_budget.py
+++ b/tests/fleet/test_disruption_budget.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.model import RangeDone, Record, TxnDone
+from heronreel.coordination.model import RangeResponse, Record, TxnResponse
 from heronreel.fault_injection.account_world import AccountWorld, Budget
 from heronreel.fault_injection.explore import after, explore, walk
 from heronreel.fault_injection.processes import Harness
@@ -23,7 +23,7 @@
 from heronreel.fleet.operation import Operation, tell
 from heronreel.fleet.settings import load
 from heronreel.fleet.taking import Back, Guards, Refused, Taken, Waiting, take_over
-from heronreel.leases.holder import PRESENT_PREFIX
+from heronreel.leases.lease import PRESENCE_PREFIX
 from heronreel.routes.reader import BadFile
 
 TOOK = (
@@ -233,17 +233,19 @@
 
 def test_instances_of_an_owner_that_is_not_there_are_unknown() -> None:
     rows = {"a": msgspec.structs.replace(instance("a", "x"), owner="agent-1"), "b": instance("b", "x")}
-    done = TxnDone(5, True, answers(rows, ()))
+    done = TxnResponse(5, True, answers(rows, ()))
     assert read(done).instances["proxy/a"].condition is Condition.UNKNOWN
     assert read(done).instances["proxy/b"].condition is Condition.SERVING
-    there = TxnDone(5, True, answers(rows, ("agent-1",)))
+    there = TxnResponse(5, True, answers(rows, ("agent-1",)))
     assert read(there).instances["proxy/a"].condition is Condition.SERVING
 
 
-def answers(rows: Mapping[str, Instance], present: tuple[str, ...]) -> tuple[RangeDone, ...]:
-    def found(*pairs: tuple[bytes, bytes]) -> RangeDone:
-        return RangeDone(5, tuple((key, Record(data, 1, 5, 1, 0)) for key, data in pairs), len(pairs), False)
+def answers(rows: Mapping[str, Instance], present: tuple[str, ...]) -> tuple[RangeResponse, ...]:
+    def found(*pairs: tuple[bytes, bytes]) -> RangeResponse:
+        return RangeResponse(
+            5, tuple((key, Record(data, 1, 5, 1, 0)) for key, data in pairs), len(pairs), False
+        )
 
     told = [(i.key, msgspec.json.encode(i)) for i in rows.values()]
-    names = [(PRESENT_PREFIX + name.encode(), b"") for name in present]
+    names = [(PRESENCE_PREFIX + name.encode(), b"") for name in present]
     return found((REGISTER, b"")), found(), found(*told), found(), found(), found(*names)
--- a/tests/health/test_health_checks.py
+++ b/tests/health/test_health_checks.py
@@ -13,9 +13,9 @@
 from hypothesis import strategies as st
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.model import Put, Range, RangeDone
+from heronreel.coordination.model import Put, Range, RangeResponse
 from heronreel.fault_injection.processes import Harness, Process
-from heronreel.health.health import Health, Member, Rules, believed
+from heronreel.health.checks import Health, Member, Rules, believed
 from heronreel.health.report import Heard, Report, decoded, key_of, task_of, telling
 from tests.support.loopback import Listener, ok, request_of
 from tests.support.serve_process import get, served
@@ -176,7 +176,7 @@
                     async with asyncio.timeout(40):
                         while True:
                             found = await client.ask(Range(key_of(zone)), 5.0)
-                            assert isinstance(found, RangeDone)
+                            assert isinstance(found, RangeResponse)
                             told = decoded(found.records[0][1].value) if found.records else None
                             if told is not None and told.round > beyond:
                                 return told
--- a/tests/leases/test_rate_budget.py
+++ b/tests/leases/test_rate_budget.py
@@ -10,14 +10,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heronreel.coordination.model import Failure, Grant, Refused, Revoke
-from heronreel.coordination.state import EMPTY, State
-from heronreel.leases.budget import LEAST, WHOLE, Bucket, Rates, Share
-from heronreel.leases.duties import Spent, Work, _Metered
-from heronreel.leases.holder import Ask, Session, Terms
-from heronreel.leases.tasks import Task, Urgency, next_task
+from heronreel.coordination.keyspace import EMPTY_CONTENT, Keyspace
+from heronreel.coordination.model import LeaseGrant, LeaseRevoke, RequestError, StatusCode
+from heronreel.leases.lease import LeaseClient, LeaseTerms, SendRequest
+from heronreel.leases.rate_budget import MIN_UNITS, TOTAL_UNITS, BudgetShare, RateLimits, TokenBucket
+from heronreel.leases.task_runner import BudgetSpender, StepContext, _CpuMeteredStep
+from heronreel.leases.tasks import Priority, Task, next_task
 
-TERMS = Terms(ttl=6, margin=1.0, answer=1.0)
+TERMS = LeaseTerms(ttl=6, margin=1.0, answer=1.0)
 
 
 class Fleet:
@@ -27,49 +27,49 @@
         self.rng = random.Random(seed)
         self.loss = loss
         self.guarded = guarded
-        self.state = State.of(EMPTY)
+        self.state = Keyspace.of(EMPTY_CONTENT)
         self.now = 0.0
         self.leases = 0
-        self.late: list[Ask] = []
-        self.shares: list[Share] = []
+        self.late: list[SendRequest] = []
+        self.shares: list[BudgetShare] = []
         for number in range(count):
-            session = Session(TERMS, 0.0, self.draw, self.rng.random)
-            self.shares.append(Share(session, "usual", f"p{number}", self.rng.random, guarded=guarded))
+            session = LeaseClient(TERMS, 0.0, self.draw, self.rng.random)
+            self.shares.append(BudgetShare(session, "usual", f"p{number}", self.rng.random, guarded=guarded))
             self.begin(self.shares[-1])
 
     def draw(self) -> int:
         self.leases += 1
         return self.leases
 
-    def begin(self, share: Share) -> None:
+    def begin(self, share: BudgetShare) -> None:
         """A lease that does not end by itself: the test ends it."""
         session = share.session
         session.lease, session.granted, session.until = self.draw(), True, float("inf")
-        self.state = self.state.apply(Grant(6, session.lease)).state
+        self.state = self.state.apply(LeaseGrant(6, session.lease)).state
         share.want(self.now)
 
-    def end(self, share: Share) -> None:
+    def end(self, share: BudgetShare) -> None:
         """The holder has stopped, and later its lease ends at the group."""
         lease = share.session.lease
         share.session.granted = False
         if self.rng.random() < 0.5:  # its questions may come all the same
             self.turn()
-        self.state = self.state.apply(Revoke(lease)).state
+        self.state = self.state.apply(LeaseRevoke(lease)).state
         self.begin(share)
 
-    def apply(self, ask: Ask) -> object:
+    def apply(self, ask: SendRequest) -> object:
         try:
             done = self.state.apply(ask.request)  # type: ignore[arg-type]
             self.state = done.state
             return done.result
-        except Refused as refused:
+        except RequestError as refused:
             return refused
 
     def turn(self) -> None:
         self.now += self.rng.choice((0.01, 0.3, 1.0, 6.0))
         if self.late and self.rng.random() < 0.3:
             self.apply(self.late.pop(self.rng.randrange(len(self.late))))
-        asked: list[tuple[Share, Ask]] = []
+        asked: list[tuple[BudgetShare, SendRequest]] = []
         for share in self.shares:
             asked += [(share, ask) for ask in share.tick(self.now)]
         while asked:
@@ -79,10 +79,10 @@
                 continue
             answer = self.apply(ask)
             if self.rng.random() < self.loss:
-                answer = Refused(Failure.UNKNOWN, "")
+                answer = RequestError(StatusCode.UNKNOWN, "")
             if share.waits_for(ask.number):
                 asked += [(share, more) for more in share.answered(self.now, answer)]  # type: ignore[arg-type]
-            assert self.used() <= WHOLE, [each.acts(self.now) for each in self.shares]
+            assert self.used() <= TOTAL_UNITS, [each.acts(self.now) for each in self.shares]
 
     def used(self) -> int:
         return sum(share.acts(self.now) for share in self.shares)
@@ -105,8 +105,8 @@
     for _ in range(40):
         fleet.turn()
     shares = sorted(share.acts(fleet.now) for share in fleet.shares)
-    assert shares[0] >= LEAST and shares[-1] <= WHOLE // 4, shares
-    assert sum(shares) >= WHOLE * min(count, 4) // 4 * 0.6, shares
+    assert shares[0] >= MIN_UNITS and shares[-1] <= TOTAL_UNITS // 4, shares
+    assert sum(shares) >= TOTAL_UNITS * min(count, 4) // 4 * 0.6, shares
 
 
 def test_without_the_register_parts_come_to_more_than_the_whole() -> None:
@@ -122,11 +122,11 @@
 
 
 def test_a_bucket_pays_out_its_rate_and_waits_for_debts() -> None:
-    bucket = Bucket(10.0, 0.0)
+    bucket = TokenBucket(10.0, 0.0)
     assert bucket.spend(0.0, 20.0) == 0.0 and bucket.spend(0.0, 5.0) == 0.5
     assert bucket.spend(0.5, 0.0) == 0.0 and bucket.spend(100.0, 21.0) == pytest.approx(0.1)
     bucket.change(0.0, 100.0)
-    assert bucket.spend(200.0, 0.0) == float("inf") and Bucket(None, 0.0).spend(0.0, 1e9) == 0.0
+    assert bucket.spend(200.0, 0.0) == float("inf") and TokenBucket(None, 0.0).spend(0.0, 1e9) == 0.0
 
 
 class Held:
@@ -142,11 +142,11 @@
 def test_a_step_pays_for_its_time_on_the_processor_and_is_held_up_without_a_part() -> None:
     async def run() -> None:
         now = [0.0]
-        share = Held(WHOLE // 2)
-        spent = Spent(Rates(calls=20.0, cpu=0.1), share, lambda: now[0])  # type: ignore[arg-type]
+        share = Held(TOTAL_UNITS // 2)
+        spent = BudgetSpender(RateLimits(calls=20.0, cpu=0.1), share, lambda: now[0])  # type: ignore[arg-type]
         done: list[str] = []
 
-        async def step(work: Work) -> None:
+        async def step(work: StepContext) -> None:
             began = time.thread_time()
             while time.thread_time() < began + 0.2:
                 pass
@@ -158,7 +158,7 @@
                 done.append("cancelled")
                 raise
 
-        task = asyncio.ensure_future(_wrapped(_Metered(step(Work(1, 1, spent)), spent)))
+        task = asyncio.ensure_future(_wrapped(_CpuMeteredStep(step(StepContext(1, 1, spent)), spent)))
         for _ in range(20):
             await asyncio.sleep(0)
         assert not done  # 0.2 s are two seconds' worth of its part and more
@@ -174,11 +174,11 @@
     asyncio.run(run())
 
 
-async def _wrapped(metered: _Metered) -> None:
+async def _wrapped(metered: _CpuMeteredStep) -> None:
     await metered
 
 
 def test_a_task_half_on_the_way_to_its_deadline_goes_before_others_of_its_class() -> None:
-    early, late = Task("early"), Task("late", urgency=Urgency.IDLE, deadline_s=10.0)
+    early, late = Task("early"), Task("late", urgency=Priority.IDLE, deadline_s=10.0)
     assert next_task([(early, 0.0), (late, 1.0)], 4.0) is early
     assert next_task([(early, 0.0), (late, 1.0)], 6.0) is late
--- a/tests/leases/test_tasks.py
+++ b/tests/leases/test_tasks.py
@@ -8,23 +8,23 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heronreel.coordination.model import Answer, DeleteRange, Failure, Put, Refused
-from heronreel.coordination.state import EMPTY, State
-from heronreel.leases.holder import Ask
+from heronreel.coordination.keyspace import EMPTY_CONTENT, Keyspace
+from heronreel.coordination.model import DeleteRange, Put, RequestError, ResponseOrError, StatusCode
+from heronreel.leases.lease import SendRequest
 from heronreel.leases.tasks import (
-    Do,
-    Left,
-    SetAside,
-    Stepped,
-    Steps,
+    Priority,
+    RunStep,
+    StepConfirmed,
     Task,
-    Urgency,
-    decoded,
-    encoded,
-    given_back,
+    TaskProgress,
+    TaskReleased,
+    TaskSuspended,
+    decode_cursor,
+    encode_cursor,
     next_task,
-    ranked,
-    wait_before,
+    rendezvous_order,
+    restart_suspended,
+    standby_delay,
 )
 
 TASK = Task("upkeep", period_s=5.0)
@@ -37,48 +37,48 @@
         self.rng = random.Random(seed)
         self.loss = loss
         self.fenced = fenced
-        self.state = State.of(EMPTY)
+        self.state = Keyspace.of(EMPTY_CONTENT)
         self.now = 0.0
         self.done: list[tuple[int, int]] = []  # step and number, in the order in which they were done
         self.told: list[object] = []
         self.problems: list[str] = []
 
-    def holder(self) -> Steps:
+    def holder(self) -> TaskProgress:
         """The claim is taken by the next one; whoever had it does not know."""
         self.state = self.state.apply(DeleteRange(TASK.claim)).state
         self.state = self.state.apply(Put(TASK.claim, b"x")).state
         number = self.state.keys[TASK.claim].create
-        return Steps(TASK, number, f"h{number}", self.now, fenced=self.fenced)
+        return TaskProgress(TASK, number, f"h{number}", self.now, fenced=self.fenced)
 
     def confirmed(self) -> int:
         record = self.state.keys.get(TASK.key)
-        return decoded(record.value).step if record else 0
+        return decode_cursor(record.value).step if record else 0
 
-    def turn(self, steps: Steps, die_at: str = "") -> bool:
+    def turn(self, steps: TaskProgress, die_at: str = "") -> bool:
         """What the holder does next; False where it died or has nothing to do."""
         actions = steps.tick(self.now)
         while actions:
             action = actions.pop(0)
             self.told.append(action)
-            if isinstance(action, Ask):
+            if isinstance(action, SendRequest):
                 if self.rng.random() < self.loss:
                     return True  # the question is lost
-                answer: Answer
+                answer: ResponseOrError
                 before = self.confirmed()
                 try:
                     done = self.state.apply(action.request)  # type: ignore[arg-type]
                     self.state, answer = done.state, done.result
-                except Refused as refused:
+                except RequestError as refused:
                     answer = refused
                 if self.confirmed() not in (before, before + 1):
                     self.problems.append(f"confirmed {self.confirmed()} after {before}")
                 if self.rng.random() < self.loss:
                     if self.rng.random() < 0.5:
-                        lost = Refused(Failure.UNKNOWN, "")
+                        lost = RequestError(StatusCode.UNKNOWN, "")
                         actions += steps.answered(self.now, action.number, lost)
                     continue
                 actions += steps.answered(self.now, action.number, answer)
-            elif isinstance(action, Do):
+            elif isinstance(action, RunStep):
                 if action.step <= self.confirmed():
                     self.problems.append(f"step {action.step} is done again after it was confirmed")
                 if die_at == "before":
@@ -104,7 +104,7 @@
     assert play.problems == []
     assert {step for step, _ in play.done} >= set(range(1, play.confirmed() + 1))
     # where three holders were followed before they confirmed the first step, it is set aside
-    assert play.confirmed() > 0 or any(isinstance(each, SetAside) for each in play.told)
+    assert play.confirmed() > 0 or any(isinstance(each, TaskSuspended) for each in play.told)
 
 
 def test_without_the_number_an_old_holder_takes_the_cursor_back() -> None:
@@ -133,21 +133,23 @@
         play.turn(steps)
         play.now += 10.0
         play.turn(steps, die_at)
-        assert [each for each in play.told if isinstance(each, Do)][-1].step == 2, count
+        assert [each for each in play.told if isinstance(each, RunStep)][-1].step == 2, count
     play.now += 10.0
     fourth = play.holder()
     play.turn(fourth)
     play.turn(fourth)
-    assert play.told[-1] == SetAside("upkeep", 2, 3)
+    assert play.told[-1] == TaskSuspended("upkeep", 2, 3)
     play.now += 10.0
     play.turn(play.holder())
-    assert play.told[-1] == SetAside("upkeep", 2, 3)  # whoever comes is told
+    assert play.told[-1] == TaskSuspended("upkeep", 2, 3)  # whoever comes is told
     record = play.state.keys[TASK.key]
-    play.state = play.state.apply(Put(TASK.key, encoded(given_back(decoded(record.value))))).state
+    play.state = play.state.apply(
+        Put(TASK.key, encode_cursor(restart_suspended(decode_cursor(record.value))))
+    ).state
     fifth = play.holder()
     play.turn(fifth)
     play.turn(fifth)
-    assert play.told[-1:] == [Stepped("upkeep", 2)]
+    assert play.told[-1:] == [StepConfirmed("upkeep", 2)]
 
 
 def test_one_whose_claim_was_taken_leaves_and_a_slow_step_is_not_waited_for() -> None:
@@ -157,28 +159,28 @@
     new = play.holder()
     play.now += 6.0
     play.turn(old)
-    assert isinstance(play.told[-1], Left) and old.wake() == float("inf")
+    assert isinstance(play.told[-1], TaskReleased) and old.wake() == float("inf")
     play.turn(new)
     play.now += 6.0
     play.turn(new, "behind")
     play.now += TASK.step_s
-    assert new.tick(play.now) == [Left("upkeep", new.number)] and new.done(play.now, 2) == []
+    assert new.tick(play.now) == [TaskReleased("upkeep", new.number)] and new.done(play.now, 2) == []
 
 
 def test_tasks_spread_over_those_present_and_move_little() -> None:
     names = [f"p{number}" for number in range(20)]
     tasks = [f"t{number}" for number in range(400)]
-    first = {task: ranked(task, names)[0] for task in tasks}
+    first = {task: rendezvous_order(task, names)[0] for task in tasks}
     shares = [list(first.values()).count(name) for name in names]
     assert min(shares) >= 6 and max(shares) <= 40
     left = names[:-1]
-    moved = [task for task in tasks if ranked(task, left)[0] != first[task]]
+    moved = [task for task in tasks if rendezvous_order(task, left)[0] != first[task]]
     assert all(first[task] == names[-1] for task in moved)
-    assert wait_before("t1", first["t1"], names) == 0.0 and wait_before("t1", "new", []) == 0.0
+    assert standby_delay("t1", first["t1"], names) == 0.0 and standby_delay("t1", "new", []) == 0.0
 
 
 def test_urgent_work_goes_first_and_nothing_starves() -> None:
-    urgent, idle = Task("u", urgency=Urgency.URGENT), Task("i", urgency=Urgency.IDLE)
+    urgent, idle = Task("u", urgency=Priority.URGENT), Task("i", urgency=Priority.IDLE)
     assert next_task([(idle, 0.0), (urgent, 10.0)], 10.0) == urgent
     assert next_task([(idle, 0.0), (urgent, 99.0)], 100.0) == idle  # it waited for over two classes
     assert next_task([], 1.0) is None
--- a/tests/metering/test_metering_processes.py
+++ b/tests/metering/test_metering_processes.py
@@ -16,9 +16,9 @@
 import pytest
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.model import Refused
+from heronreel.coordination.model import RequestError
 from heronreel.fault_injection.processes import ROOT, Harness, Process
-from heronreel.leases.overview import overview as who
+from heronreel.leases.overview import lease_overview
 from heronreel.metering import overview
 from heronreel.serve.program import read_report
 from tests.support.loopback import Backend, answer_of, free_port
@@ -77,9 +77,9 @@
                 async with asyncio.timeout(40):
                     while True:
                         try:
-                            if len((await who(client))["present"]) == count:
+                            if len((await lease_overview(client))["present"]) == count:
                                 return
-                        except Refused:
+                        except RequestError:
                             pass
                         await asyncio.sleep(0.05)
 
@@ -97,7 +97,7 @@
                 async with asyncio.timeout(40):
                     told = 0
                     while told < 20:
-                        with suppress(Refused):
+                        with suppress(RequestError):
                             rows = (await overview.counts(client, 1))["ever"].get("etna", {})
                             told = rows.get("served", 0) + rows.get("unknown", 0)
                         await asyncio.sleep(0.05)
@@ -160,7 +160,7 @@
         while True:
             try:
                 return await overview.counts(client, 96)
-            except Refused:
+            except RequestError:
                 await asyncio.sleep(0.02)
 
     def arrived(self, rows: dict[str, Any], tenant: str) -> bool:
