--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,235 @@
+"""What the program has written to disks, groups and programs' readers stays readable, and is written alike.
+
+The files below `tests/stored/data` were written at commit 60fa931.  They say what the forms are; a
+refactoring that needs other files has changed a form.
+"""
+
+from __future__ import annotations
+
+import json
+import os
+import shutil
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pyarrow.parquet as pq
+import pytest
+from immutables import Map
+
+from dykemux.__main__ import _inherited, _shared
+from dykemux.config import load as config_of
+from dykemux.shared import Shared
+from heronreel.coordination.model import Record
+from heronreel.coordination.state import State
+from heronreel.coordination.tasks import CURSOR, decoded
+from heronreel.counting.records import SUM, Closed, Posted, Sum, book_key, closed_key
+from heronreel.emulator.load import load
+from heronreel.emulator.model import Rehearsal
+from heronreel.experiments.identity import play_key, script_digest
+from heronreel.experiments.scripts import of_incident
+from heronreel.experiments.table import read
+from heronreel.fleet import model as fleet
+from heronreel.store import Store
+from heronreel.store.frames import (
+    HEADER_BYTES,
+    SegmentHeader,
+    decode_frame,
+    decode_operations,
+)
+from heronreel.store.manifest import decode_manifest
+from heronreel.store.opening import durable_of
+from heronreel.store.seal import unsealed
+from heronreel.store.tables import (
+    HEADER_BYTES as TABLE_HEADER_BYTES,
+)
+from heronreel.store.tables import (
+    Footer,
+    Index,
+    TableHeader,
+    decode_block,
+    encode_block,
+    find_in_block,
+)
+from tests import stored_data
+from tests.loopback import configuration, entry
+from tests.stored_data import DATA, SALT, STORE_ID
+
+ENCODERS = DATA / "encoders"
+FILES = sorted(
+    str(path.relative_to(DATA)) for path in DATA.rglob("*") if path.is_file() and path.parent.name != "input"
+)
+
+
+@pytest.fixture(scope="module")
+def again(tmp_path_factory: pytest.TempPathFactory) -> Path:
+    """All files, written by the program as it is now."""
+    folder = tmp_path_factory.mktemp("stored")
+    stored_data.write(folder)
+    return folder
+
+
+def test_the_same_files_are_written_as_before(again: Path) -> None:
+    assert sorted(str(path.relative_to(again)) for path in again.rglob("*") if path.is_file()) == FILES
+    assert len(FILES) > 50
+
+
+@pytest.mark.parametrize("name", FILES)
+def test_each_file_is_written_as_before(name: str, again: Path) -> None:
+    """Byte for byte; a Parquet file names the library that wrote it, so there by its columns and rows."""
+    if name.endswith(".parquet"):
+        old, new = pq.read_table(DATA / name), pq.read_table(again / name)
+        assert new.schema.equals(old.schema, check_metadata=True) and new.to_pylist() == old.to_pylist()
+        assert old.schema.metadata == {b"heronreel.format": b"1"}
+    else:
+        assert (again / name).read_bytes() == (DATA / name).read_bytes()
+
+
+# -- the store
+
+
+def test_the_log_s_bytes_are_read() -> None:
+    data = (ENCODERS / "segment.log").read_bytes()
+    assert SegmentHeader.decode(data, "segment.log") == stored_data.SEGMENT
+    at = HEADER_BYTES
+    for kind, sequence, durable, payload in stored_data.FRAMES:
+        frame = decode_frame(data, at, len(data), SALT)
+        assert frame is not None
+        assert (frame.kind, frame.sequence, frame.durable, frame.payload) == (
+            kind,
+            sequence,
+            durable,
+            payload,
+        )
+        at = frame.end
+    assert at == len(data)
+    assert decode_operations(stored_data.FRAMES[0][3]) == stored_data.OPERATIONS
+    assert durable_of((ENCODERS / "note").read_bytes()) == (7, 4096)
+    assert unsealed((ENCODERS / "sealed").read_bytes(), 6, 5) == b"a body"
+
+
+def test_the_tables_bytes_are_read() -> None:
+    data = (ENCODERS / "header-and-block.table").read_bytes()
+    assert TableHeader.decode(data, "a table") == stored_data.TABLE
+    block = data[TABLE_HEADER_BYTES:]
+    assert decode_block(block) == stored_data.OPERATIONS
+    assert encode_block(decode_block(block), SALT, TABLE_HEADER_BYTES) == block
+    for key, value in stored_data.OPERATIONS:
+        assert find_in_block(block, key) == (True, value)
+    assert find_in_block(block, b"c") == (False, None)
+    assert Footer.decode((ENCODERS / "footer.table").read_bytes(), SALT) == stored_data.FOOTER
+    index = Index.decode((ENCODERS / "table.index").read_bytes(), 3, SALT)
+    assert index is not None and index.encode(3, SALT) == (ENCODERS / "table.index").read_bytes()
+    assert (index.offsets, index.firsts) == (stored_data.INDEX.offsets, stored_data.INDEX.firsts)
+    assert all(index.filter.may_have(hashed) for hashed in stored_data.HASHES)
+    assert not any(index.filter.may_have(hashed) for hashed in (2, 3, 4))
+    assert decode_manifest((ENCODERS / "MANIFEST").read_bytes()) == stored_data.MANIFEST
+
+
+@pytest.mark.parametrize("read_only", [True, False])
+def test_a_whole_store_is_read_key_by_key(read_only: bool, tmp_path: Path) -> None:
+    folder = tmp_path / "store"
+    shutil.copytree(DATA / "store", folder)
+    before = {path.name: path.read_bytes() for path in folder.iterdir()}
+    wanted = stored_data.store_content()
+    assert len(wanted) == 14 and STORE_ID.hex().encode() in before["MANIFEST"]
+    with Store.open(folder, read_only=read_only, limits=stored_data.LIMITS) as store:
+        assert dict(store.scan()) == wanted
+        assert all(store.get(key) == value for key, value in wanted.items())
+        assert [store.get(key) for key in (b"key00", b"key05", b"key20", b"none")] == [None] * 4
+        assert not store.lost and not store.dropped
+        if not read_only:
+            store.put(b"more", b"of it")
+    after = {path.name: path.read_bytes() for path in folder.iterdir()}
+    assert (after == before) is read_only
+    if not read_only:
+        with Store.open(folder, read_only=True) as store:
+            assert dict(store.scan()) == wanted | {b"more": b"of it"}
+
+
+# -- a proxy's processes
+
+
+def test_what_operators_told_a_former_process_is_known(tmp_path: Path) -> None:
+    folder = tmp_path / "shared"
+    shutil.copytree(DATA / "shared", folder)
+    holds, emptying = Shared(folder).look()
+    assert holds == {hold.name: hold for hold in stored_data.HOLDS} and emptying
+    (folder / "emptying").unlink()
+    assert Shared(folder).look() == (holds, False)
+
+
+def test_a_process_finds_the_folder_and_socket_that_it_is_given(tmp_path: Path) -> None:
+    """By the names of variables and files that every version of the program has used."""
+    backend = entry("b1", "127.0.0.1:2")
+    told_in_file = configuration("127.0.0.1:3", backend) | {"mgmt": "127.0.0.1:4"}
+    (tmp_path / "config").write_text(json.dumps(told_in_file))
+    told = {"LB_NAME": "p1", "LB_LISTEN": "127.0.0.1:1", "LB_CONFIG": str(tmp_path / "config")}
+    shared = _shared(told | {"TMPDIR": str(tmp_path)}, config_of(told))
+    assert shared is not None and shared.folder == tmp_path / "heronreel-p1"
+    own = tmp_path / "heronreel-p1" / f"process-{os.getpid()}"
+    assert own.read_bytes() == b""
+    (own.parent / f"process-{os.getppid()}").write_bytes(b"")
+    assert shared.others() == [os.getppid()]
+    shared.resign()
+    assert not own.exists()
+    assert (_inherited({"LB_ACCEPT_FD": "7"}), _inherited({})) == (7, None)
+
+
+# -- the group's records, and all commands
+
+
+def test_the_group_s_records_are_read() -> None:
+    state = State.of(Map(stored_data.content_of((DATA / "group.state").read_bytes())))
+    assert state.revision == 1 + len(stored_data.RECORDS)
+    assert dict(state.leases) == {lease: 30 for lease in stored_data.LEFT}
+    assert dict(state.keys) == {
+        key: Record(value, place, place, 1, lease)
+        for place, (key, value, lease) in enumerate(stored_data.RECORDS, 2)
+    }
+    values = {key: record.value for key, record in state.keys.items()}
+    wanted: list[tuple[bytes, Any, Any]] = [
+        (book_key("book1"), Posted, stored_data.POSTED),
+        (SUM, Sum, stored_data.SUMMED),
+        (closed_key(6), Closed, stored_data.CLOSED),
+        (fleet.RULES, tuple[fleet.Rule, ...], stored_data.RULES),
+        (stored_data.PART.key, fleet.Part, stored_data.PART),
+        (fleet.HALT, fleet.Halt, stored_data.HALT),
+        (fleet.WORK, fleet.Work, stored_data.WORK),
+        *((instance.key, fleet.Instance, instance) for instance in stored_data.INSTANCES),
+    ]
+    for key, kind, value in wanted:
+        assert msgspec.json.decode(values[key], type=kind) == value
+    for name, cursor in stored_data.CURSORS.items():
+        assert decoded(values[CURSOR + name]) == cursor
+
+
+def test_commands_tell_the_same_of_the_old_files() -> None:
+    """Each `--json` form and exit code, on the committed store, plays, script and group."""
+    content = stored_data.content_of((DATA / "group.state").read_bytes())
+    told = stored_data.commands(DATA, content)
+    assert told == {path.stem: path.read_bytes() for path in (DATA / "commands").iterdir()}
+
+
+# -- experiments
+
+
+def test_scripts_are_read_and_known_by_the_same_digests() -> None:
+    script = load((DATA / "script.toml").read_bytes())
+    assert script_digest(script) == script_digest(stored_data.SCRIPT) == "9751dab712d71513"
+    assert script_digest(Rehearsal()) == "cd0403b9cd317132"
+    replayed, passed = of_incident(script, stored_data.INCIDENT)
+    assert passed == 1
+    assert script_digest(load((DATA / "incident.toml").read_bytes())) == script_digest(replayed)
+
+
+def test_plays_are_read_and_known_by_the_same_keys() -> None:
+    settings = {"proxies.idle_ms": 500, "flintplank.subset.KEPT_BY": 0.5, "a": True}
+    assert play_key("s" * 16, "c" * 16, "random", 7, settings) == "d404a695fbc4eaafb8b4a974"
+    row = stored_data.ROW
+    assert read(DATA / "plays") == [
+        {"key": "k1", **row, "p99": None},
+        {"key": "k2", **row, "seed": 2, "p99": 12.5},
+        {"key": "k3", **row, "seed": 3},
+    ]
+    assert stored_data.RESULT.digest() == "a52c31b6b9dc6d2980f705be8a1742b0b5dfd52c2173dd7a25b43e09b15705cf"
