--- a/tests/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -1,6 +1,6 @@
 """Fixed values and the files that the program makes of them.
 
-The files below `tests/stored/data` were written by the program at commit 60fa931, by `write`; those in
+The files below `stored/data` were written by the program at commit 60fa931, by `write`; those in
 `input` were written by hand.  They must never be regenerated for a refactoring: a difference means that the
 program does not read or write any more what it did.  Values are fixed, and what the store draws at random is
 counted here, so all files come out alike each time.
@@ -24,22 +24,22 @@
 from click.testing import CliRunner
 from immutables import Map
 
-from dykemux.operators import Caller, Operators
-from dykemux.shared import Hold, Shared
 from heronreel.cli.__main__ import main
 from heronreel.coordination.client import Client
-from heronreel.coordination.holding import HELD, PRESENT
-from heronreel.coordination.model import Grant, LeaseDone, Put, Request, Result, TimeToLive
-from heronreel.coordination.service import MEMBERS
-from heronreel.coordination.state import State
-from heronreel.coordination.tasks import CURSOR, Cursor, encoded
-from heronreel.counting.records import SUM, Closed, Posted, Sum, book_key, closed_key
+from heronreel.coordination.keyspace import Keyspace
+from heronreel.coordination.kv_service import DESIRED_MEMBERS_KEY
+from heronreel.coordination.model import LeaseGrant, LeaseResponse, LeaseTimeToLive, Put, Request, Response
 from heronreel.demo.play import Stage
 from heronreel.emulator import model, result
 from heronreel.experiments.scripts import of_incident, written
 from heronreel.experiments.table import Table, read
 from heronreel.fleet import model as fleet
 from heronreel.fleet.model import Condition, Instance, Rule, Scope, Verb
+from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX
+from heronreel.leases.tasks import CURSOR_PREFIX, Cursor, encode_cursor
+from heronreel.metering.records import SUM, Closed, Posted, Sum, book_key, closed_key
+from heronreel.proxy.operators import Caller, Operators
+from heronreel.proxy.shared import Hold, Shared
 from heronreel.store import Limits, Store
 from heronreel.store.frames import Kind, SegmentHeader, encode_frame, encode_operations
 from heronreel.store.manifest import DamageEntry, Manifest, RunEntry, TableEntry, encode_manifest
@@ -195,11 +195,11 @@
 CLOSED = Closed(6, 9, "w1", {"t1": (3, 0, 0, 1)}, 4, ("p9",))
 LEFT = {11: (25, 30), 12: (3, 30), 13: (-1, 30)}  # seconds that leases have left, and had
 RECORDS: list[tuple[bytes, bytes, int]] = [
-    (HELD + b"count", b"w1", 11),
-    (HELD + b"fleet", b"ada", 13),
-    (PRESENT + b"w1", b"worker", 11),
-    (PRESENT + b"p1", b"proxy \xff", 12),
-    *((CURSOR + name, encoded(cursor), 0) for name, cursor in CURSORS.items()),
+    (CLAIM_PREFIX + b"count", b"w1", 11),
+    (CLAIM_PREFIX + b"fleet", b"ada", 13),
+    (PRESENCE_PREFIX + b"w1", b"worker", 11),
+    (PRESENCE_PREFIX + b"p1", b"proxy \xff", 12),
+    *((CURSOR_PREFIX + name, encode_cursor(cursor), 0) for name, cursor in CURSORS.items()),
     (book_key("book1"), msgspec.json.encode(POSTED), 0),
     (SUM, msgspec.json.encode(SUMMED), 0),
     (closed_key(6), msgspec.json.encode(CLOSED), 0),
@@ -209,7 +209,7 @@
     (fleet.HALT, fleet.encoded(HALT), 0),
     (fleet.WORK, fleet.encoded(WORK), 0),
     (fleet.REGISTER, b"rules", 0),
-    (MEMBERS, b"a b c", 0),
+    (DESIRED_MEMBERS_KEY, b"a b c", 0),
 ]
 HEALTH: dict[str, dict[str, Any]] = {
     "127.0.0.1:1": {"member": "a", "role": "leader", "disk": "d1", "version": [3, 1],
@@ -221,9 +221,9 @@
 
 def group_content() -> dict[bytes, bytes]:
     """The group's state with all the records, as a member writes it."""
-    state = State.of(Map())
+    state = Keyspace.of(Map())
     content: dict[bytes, bytes] = {}
-    requests: list[Grant | Put] = [Grant(30, lease) for lease in LEFT]
+    requests: list[LeaseGrant | Put] = [LeaseGrant(30, lease) for lease in LEFT]
     for request in requests + [Put(key, value, lease) for key, value, lease in RECORDS]:
         done = state.apply(request)
         state = done.state
@@ -372,12 +372,12 @@
 
 def commands(source: Path, content: dict[bytes, bytes]) -> dict[str, bytes]:
     """What each command prints and ends with, on the files of `source` and the group's state `content`."""
-    state = State.of(Map(content))
+    state = Keyspace.of(Map(content))
 
-    async def ask(self: Client, request: Request, seconds: float = 3.0) -> Result:
+    async def ask(self: Client, request: Request, seconds: float = 3.0) -> Response:
         nonlocal state
-        if isinstance(request, TimeToLive):
-            return LeaseDone(state.revision, request.id, *LEFT[request.id])
+        if isinstance(request, LeaseTimeToLive):
+            return LeaseResponse(state.revision, request.id, *LEFT[request.id])
         done = state.apply(request)  # type: ignore[arg-type]
         state = done.state
         return done.result
@@ -391,7 +391,7 @@
     with tempfile.TemporaryDirectory() as folder, chdir(folder), answers, told_of:
         prepare(Path(folder), source)
         for name, words in COMMANDS.items():
-            state = State.of(Map(content))
+            state = Keyspace.of(Map(content))
             done = CliRunner().invoke(main, words)
             told[name] = f"{' '.join(words)}\nexit {done.exit_code}\n{done.stdout}".encode()
         done = CliRunner().invoke(main, PLAY)
--- a/tests/compatibility/stored_fleet.py
+++ b/tests/compatibility/stored_fleet.py
@@ -1,6 +1,6 @@
 """Cases of what counting, the fleet's account, agents and probers store and send.
 
-See `tests/compatibility/stored_control.py`.
+See `stored_control.py`.
 """
 
 from __future__ import annotations
--- a/tests/compatibility/stored_group.py
+++ b/tests/compatibility/stored_group.py
@@ -1,6 +1,6 @@
 """Cases of what a group of members stores and sends: messages, disks, the keyspace, calls and answers.
 
-See `tests/compatibility/stored_control.py`.
+See `stored_control.py`.
 """
 
 from __future__ import annotations
--- a/tests/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -1,6 +1,6 @@
 """What the program has written to disks, groups and programs' readers stays readable, and is written alike.
 
-The files below `tests/stored/data` were written at commit 60fa931.  They say what the forms are; a
+The files below `stored/data` were written at commit 60fa931.  They say what the forms are; a
 refactoring that needs other files has changed a form.
 """
 
@@ -17,19 +17,19 @@
 import pytest
 from immutables import Map
 
-from dykemux.__main__ import _inherited, _shared
-from dykemux.config import load as config_of
-from dykemux.shared import Shared
+from heronreel.coordination.keyspace import Keyspace
 from heronreel.coordination.model import Record
-from heronreel.coordination.state import State
-from heronreel.coordination.tasks import CURSOR, decoded
-from heronreel.counting.records import SUM, Closed, Posted, Sum, book_key, closed_key
 from heronreel.emulator.load import load
 from heronreel.emulator.model import Rehearsal
 from heronreel.experiments.identity import play_key, script_digest
 from heronreel.experiments.scripts import of_incident
 from heronreel.experiments.table import read
 from heronreel.fleet import model as fleet
+from heronreel.leases.tasks import CURSOR_PREFIX, decode_cursor
+from heronreel.metering.records import SUM, Closed, Posted, Sum, book_key, closed_key
+from heronreel.proxy.__main__ import _inherited, _shared
+from heronreel.proxy.config import load as config_of
+from heronreel.proxy.shared import Shared
 from heronreel.store import Store
 from heronreel.store.frames import (
     HEADER_BYTES,
@@ -51,9 +51,9 @@
     encode_block,
     find_in_block,
 )
-from tests import stored_data
-from tests.loopback import configuration, entry
-from tests.stored_data import DATA, SALT, STORE_ID
+from tests.compatibility import stored_data
+from tests.compatibility.stored_data import DATA, SALT, STORE_ID
+from tests.support.loopback import configuration, entry
 
 ENCODERS = DATA / "encoders"
 FILES = sorted(
@@ -180,7 +180,7 @@
 
 
 def test_the_group_s_records_are_read() -> None:
-    state = State.of(Map(stored_data.content_of((DATA / "group.state").read_bytes())))
+    state = Keyspace.of(Map(stored_data.content_of((DATA / "group.state").read_bytes())))
     assert state.revision == 1 + len(stored_data.RECORDS)
     assert dict(state.leases) == {lease: 30 for lease in stored_data.LEFT}
     assert dict(state.keys) == {
@@ -201,7 +201,7 @@
     for key, kind, value in wanted:
         assert msgspec.json.decode(values[key], type=kind) == value
     for name, cursor in stored_data.CURSORS.items():
-        assert decoded(values[CURSOR + name]) == cursor
+        assert decode_cursor(values[CURSOR_PREFIX + name]) == cursor
 
 
 def test_commands_tell_the_same_of_the_old_files() -> None:
