--- a/bench/leases.py
+++ b/bench/leases.py
@@ -40,7 +40,7 @@
         while loop.time() < until:
             lease = leases[number % len(leases)]
             request = Put(b"k%d" % number, b"v" * 100) if writes else LeaseKeepAlive(lease)
-            await client.ask(request, 10.0)
+            await client.call(request, 10.0)
             number += 64
             done += 1
 
@@ -108,7 +108,7 @@
                 await harness.serves()
                 leases = []
                 for _ in range(holders):
-                    granted = await client.ask(LeaseGrant(600), 10.0)
+                    granted = await client.call(LeaseGrant(600), 10.0)
                     assert isinstance(granted, LeaseResponse)
                     leases.append(granted.id)
                 renewals = await rate(client, leases, writes=False)
--- a/bench/probing.py
+++ b/bench/probing.py
@@ -67,7 +67,7 @@
             await process.line("listening on", seconds=120)
         for zone in ("z0", "z1"):
             while shared:
-                found = await client.ask(Range(key_of(zone)), 5.0)
+                found = await client.call(Range(key_of(zone)), 5.0)
                 assert isinstance(found, RangeResponse)
                 if found.records:
                     break
--- a/heronreel/coordination/client.py
+++ b/heronreel/coordination/client.py
@@ -74,7 +74,7 @@
     async def close(self) -> None:
         await self.session.close()
 
-    async def ask(self, request: Request, seconds: float = 3.0) -> Response:
+    async def call(self, request: Request, seconds: float = 3.0) -> Response:
         """What the group answers within `seconds`.  Raises Refused."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
@@ -86,10 +86,10 @@
                 return await self._ask(address, request, min(left, self.answer_s))
             except RequestError as error:
                 self.first += 1
-                if error.code is not StatusCode.UNAVAILABLE and not error.maybe:
+                if error.code is not StatusCode.UNAVAILABLE and not error.outcome_unknown:
                     self.first -= 1
                     raise
-                if error.maybe and not _repeatable(request):
+                if error.outcome_unknown and not _repeatable(request):
                     raise
                 refused = error
             tried += 1
@@ -102,10 +102,10 @@
                 await asyncio.sleep(min(pause, max(0.0, until - loop.time())))
         raise refused
 
-    async def answer(self, request: Request, seconds: float) -> ResponseOrError:
+    async def call_or_error(self, request: Request, seconds: float) -> ResponseOrError:
         """As `ask`, for a core that is told of a refusal as of any other answer."""
         try:
-            return await self.ask(request, max(0.01, seconds))
+            return await self.call(request, max(0.01, seconds))
         except RequestError as refused:
             return refused
         except (ValueError, TypeError) as error:
@@ -123,7 +123,9 @@
         except aiohttp.ClientConnectorError as error:
             raise RequestError(StatusCode.UNAVAILABLE, f"{address}: {error.strerror or error}") from None
         except TimeoutError:
-            raise RequestError(StatusCode.TOO_LATE, f"{address}: no answer within {seconds:.2f} s") from None
+            raise RequestError(
+                StatusCode.DEADLINE_EXCEEDED, f"{address}: no answer within {seconds:.2f} s"
+            ) from None
         except (aiohttp.ClientError, OSError) as error:
             raise RequestError(StatusCode.UNKNOWN, f"{address}: {error}") from None
         try:
--- a/heronreel/coordination/gateway.py
+++ b/heronreel/coordination/gateway.py
@@ -42,12 +42,12 @@
 )
 
 STATUS = {
-    StatusCode.INVALID: 400,
-    StatusCode.TOO_LATE: 504,
+    StatusCode.INVALID_ARGUMENT: 400,
+    StatusCode.DEADLINE_EXCEEDED: 504,
     StatusCode.NOT_FOUND: 404,
-    StatusCode.EXISTS: 409,
-    StatusCode.EXHAUSTED: 429,
-    StatusCode.PRECONDITION: 400,
+    StatusCode.ALREADY_EXISTS: 409,
+    StatusCode.RESOURCE_EXHAUSTED: 429,
+    StatusCode.FAILED_PRECONDITION: 400,
     StatusCode.OUT_OF_RANGE: 400,
     StatusCode.UNKNOWN: 500,
     StatusCode.UNAVAILABLE: 503,
@@ -151,7 +151,7 @@
         raw = msgspec.json.decode(data or b"{}")
         return msgspec.convert(_snaked(raw), form, strict=False)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise RequestError(StatusCode.INVALID, str(error) or "too deep") from None
+        raise RequestError(StatusCode.INVALID_ARGUMENT, str(error) or "too deep") from None
 
 
 def _snaked(raw: Any) -> Any:
@@ -185,7 +185,9 @@
     if form.request_delete_range is not None:
         given.append(_delete(form.request_delete_range))
     if len(given) != 1:
-        raise RequestError(StatusCode.INVALID, "operation: expected one of a range, a put and a delete")
+        raise RequestError(
+            StatusCode.INVALID_ARGUMENT, "operation: expected one of a range, a put and a delete"
+        )
     return given[0]
 
 
@@ -234,7 +236,7 @@
 def watch_of(data: bytes) -> WatchAsked:
     form: _Create = _convert(data, _Watch).create_request
     if not form.key:
-        raise RequestError(StatusCode.INVALID, "key is not provided")
+        raise RequestError(StatusCode.INVALID_ARGUMENT, "key is not provided")
     return WatchAsked(form.key, form.range_end, form.start_revision, form.prev_kv)
 
 
--- a/heronreel/coordination/keyspace.py
+++ b/heronreel/coordination/keyspace.py
@@ -198,7 +198,9 @@
     def transaction(self, txn: Txn) -> TxnResponse:
         for part, name in ((txn.compares, "compare"), (txn.success, "success"), (txn.failure, "failure")):
             if len(part) > MAX_OPERATIONS:
-                raise RequestError(StatusCode.INVALID, f"{name}: {len(part)} of at most {MAX_OPERATIONS}")
+                raise RequestError(
+                    StatusCode.INVALID_ARGUMENT, f"{name}: {len(part)} of at most {MAX_OPERATIONS}"
+                )
         for branch in (txn.success, txn.failure):
             _once_each(branch)
         holds = all(self.holds(compare) for compare in txn.compares)
@@ -209,12 +211,12 @@
         record = self.keys.get(_checked_key(compare.key))
         if compare.target is CompareTarget.VALUE:
             if not isinstance(compare.value, bytes):
-                raise RequestError(StatusCode.INVALID, "compare: a value is bytes")
+                raise RequestError(StatusCode.INVALID_ARGUMENT, "compare: a value is bytes")
             if record is None:
                 return False  # as in etcd: what is not there has no value to compare
             return _related(record.value, compare.relation, compare.value)
         if not isinstance(compare.value, int):
-            raise RequestError(StatusCode.INVALID, "compare: expected a number")
+            raise RequestError(StatusCode.INVALID_ARGUMENT, "compare: expected a number")
         found = 0
         if record is not None:
             found = {
@@ -242,7 +244,7 @@
 
     def range(self, asked: Range) -> RangeResponse:
         if asked.revision < 0 or asked.limit < 0:
-            raise RequestError(StatusCode.INVALID, "range: revision and limit are 0 or more")
+            raise RequestError(StatusCode.INVALID_ARGUMENT, "range: revision and limit are 0 or more")
         if asked.revision > self.before.revision:
             raise RequestError(StatusCode.OUT_OF_RANGE, "required revision is a future revision")
         if asked.revision and asked.revision < self.before.revision:
@@ -260,14 +262,14 @@
         _checked_key(asked.key)
         if len(asked.value) > MAX_VALUE_BYTES:
             raise RequestError(
-                StatusCode.INVALID, f"value: {len(asked.value)} bytes of at most {MAX_VALUE_BYTES}"
+                StatusCode.INVALID_ARGUMENT, f"value: {len(asked.value)} bytes of at most {MAX_VALUE_BYTES}"
             )
         if asked.lease and asked.lease not in self.leases:
             raise RequestError(StatusCode.NOT_FOUND, "requested lease not found")
         old = self.keys.get(asked.key)
         size = self.size + len(asked.value) - (len(old.value) if old else -len(asked.key) - RECORD_COST)
         if size > MAX_STATE_BYTES and size > self.size:
-            raise RequestError(StatusCode.EXHAUSTED, f"the state would pass {MAX_STATE_BYTES} bytes")
+            raise RequestError(StatusCode.RESOURCE_EXHAUSTED, f"the state would pass {MAX_STATE_BYTES} bytes")
         self.size = size
         if old is None:
             record = Record(asked.value, self.revision, self.revision, 1, asked.lease)
@@ -306,13 +308,15 @@
 
     def grant(self, asked: LeaseGrant) -> LeaseResponse:
         if not 1 <= asked.ttl <= MAX_TTL_S:
-            raise RequestError(StatusCode.INVALID, f"TTL: {asked.ttl}, expected 1 to {MAX_TTL_S} seconds")
+            raise RequestError(
+                StatusCode.INVALID_ARGUMENT, f"TTL: {asked.ttl}, expected 1 to {MAX_TTL_S} seconds"
+            )
         if not 0 <= asked.id <= MAX_LEASE_ID:
-            raise RequestError(StatusCode.INVALID, "ID: expected 0 or a positive 64-bit number")
+            raise RequestError(StatusCode.INVALID_ARGUMENT, "ID: expected 0 or a positive 64-bit number")
         if asked.id in self.leases:
-            raise RequestError(StatusCode.PRECONDITION, "lease already exists")
+            raise RequestError(StatusCode.FAILED_PRECONDITION, "lease already exists")
         if len(self.leases) >= MAX_LEASES:
-            raise RequestError(StatusCode.EXHAUSTED, f"{MAX_LEASES} leases are held already")
+            raise RequestError(StatusCode.RESOURCE_EXHAUSTED, f"{MAX_LEASES} leases are held already")
         number = asked.id
         while not number or number in self.leases:
             self.granted += 1
@@ -348,9 +352,9 @@
 
 def _checked_key(key: bytes, *, empty: bool = False) -> bytes:
     if not key and not empty:
-        raise RequestError(StatusCode.INVALID, "key is not provided")
+        raise RequestError(StatusCode.INVALID_ARGUMENT, "key is not provided")
     if len(key) > MAX_KEY_BYTES:
-        raise RequestError(StatusCode.INVALID, f"key: {len(key)} bytes of at most {MAX_KEY_BYTES}")
+        raise RequestError(StatusCode.INVALID_ARGUMENT, f"key: {len(key)} bytes of at most {MAX_KEY_BYTES}")
     return key
 
 
@@ -360,11 +364,11 @@
     for operation in branch:
         if isinstance(operation, Put):
             if operation.key in puts:
-                raise RequestError(StatusCode.INVALID, "duplicate key given in txn request")
+                raise RequestError(StatusCode.INVALID_ARGUMENT, "duplicate key given in txn request")
             puts.add(operation.key)
     for operation in branch:
         if isinstance(operation, DeleteRange) and any(_within(key, operation) for key in puts):
-            raise RequestError(StatusCode.INVALID, "duplicate key given in txn request")
+            raise RequestError(StatusCode.INVALID_ARGUMENT, "duplicate key given in txn request")
 
 
 def _within(key: bytes, asked: DeleteRange) -> bool:
--- a/heronreel/coordination/kv_service.py
+++ b/heronreel/coordination/kv_service.py
@@ -138,7 +138,9 @@
             return [RequestCompleted(ticket, RequestError(StatusCode.UNAVAILABLE, "etcdserver: no leader"))]
         if len(self.waiting) >= WAITING_MOST:
             return [
-                RequestCompleted(ticket, RequestError(StatusCode.EXHAUSTED, "etcdserver: too many requests"))
+                RequestCompleted(
+                    ticket, RequestError(StatusCode.RESOURCE_EXHAUSTED, "etcdserver: too many requests")
+                )
             ]
         self.waiting.append(_Work(ticket, request, until))
         return self._go_on(now)
--- a/heronreel/coordination/model.py
+++ b/heronreel/coordination/model.py
@@ -170,19 +170,19 @@
 class StatusCode(enum.IntEnum):
     """Why a request was not done: the numbers are gRPC's codes, as the gateway answers them."""
 
-    INVALID = 3
-    TOO_LATE = 4  # it may have been done
+    INVALID_ARGUMENT = 3
+    DEADLINE_EXCEEDED = 4  # it may have been done
     NOT_FOUND = 5
-    EXISTS = 6
-    EXHAUSTED = 8
-    PRECONDITION = 9
+    ALREADY_EXISTS = 6
+    RESOURCE_EXHAUSTED = 8
+    FAILED_PRECONDITION = 9
     OUT_OF_RANGE = 11
     UNKNOWN = 2  # it was begun, and may have been done
     UNAVAILABLE = 14  # it was not done
 
 
 class RequestError(Exception):
-    """A request that was not done, or of which nobody knows whether it was (`maybe`)."""
+    """A request that was not done, or of which nobody knows whether it was (`outcome_unknown`)."""
 
     def __init__(self, code: StatusCode, what: str) -> None:
         super().__init__(what)
@@ -190,8 +190,8 @@
         self.what = what
 
     @property
-    def maybe(self) -> bool:
-        return self.code in (StatusCode.TOO_LATE, StatusCode.UNKNOWN)
+    def outcome_unknown(self) -> bool:
+        return self.code in (StatusCode.DEADLINE_EXCEEDED, StatusCode.UNKNOWN)
 
 
 Response = RangeResponse | PutResponse | DeleteRangeResponse | TxnResponse | LeaseResponse | LeaseListResponse
--- a/heronreel/coordinator/server.py
+++ b/heronreel/coordinator/server.py
@@ -347,7 +347,7 @@
             async with asyncio.timeout(seconds):
                 answer = await future
         except TimeoutError:
-            raise RequestError(StatusCode.TOO_LATE, "etcdserver: request timed out") from None
+            raise RequestError(StatusCode.DEADLINE_EXCEEDED, "etcdserver: request timed out") from None
         finally:
             self.waiting.pop(ticket, None)
         if isinstance(answer, RequestError):
@@ -443,7 +443,7 @@
         if (request.content_length or 0) > most:
             request["unread"] = True
             raise RequestError(
-                StatusCode.EXHAUSTED, f"body: {request.content_length} bytes of at most {most}"
+                StatusCode.RESOURCE_EXHAUSTED, f"body: {request.content_length} bytes of at most {most}"
             )
         parts: list[bytes] = []
         size = 0
@@ -453,11 +453,11 @@
                     size += len(part)
                     if size > most:
                         request["unread"] = True
-                        raise RequestError(StatusCode.EXHAUSTED, f"body: over {most} bytes")
+                        raise RequestError(StatusCode.RESOURCE_EXHAUSTED, f"body: over {most} bytes")
                     parts.append(part)
         except TimeoutError:
             request["unread"] = True
-            raise RequestError(StatusCode.INVALID, f"body: not here within {BODY_S:g} s") from None
+            raise RequestError(StatusCode.INVALID_ARGUMENT, f"body: not here within {BODY_S:g} s") from None
         return b"".join(parts)
 
     async def _member(self, request: web.Request) -> web.Response:
@@ -465,7 +465,7 @@
         try:
             messages = _messages.decode(data)
         except msgspec.MsgspecError as error:
-            raise RequestError(StatusCode.INVALID, str(error)) from None
+            raise RequestError(StatusCode.INVALID_ARGUMENT, str(error)) from None
         for message in messages:
             self.node.points.reach("receive")
             self.node.event(functools.partial(self._received, message))
--- a/heronreel/fault_injection/processes.py
+++ b/heronreel/fault_injection/processes.py
@@ -221,7 +221,7 @@
             async with asyncio.timeout(seconds):
                 while True:
                     try:
-                        await client.ask(Range(b"nothing"), 1.0)
+                        await client.call(Range(b"nothing"), 1.0)
                         return
                     except RequestError:
                         await asyncio.sleep(0.02)
--- a/heronreel/fault_injection/trial.py
+++ b/heronreel/fault_injection/trial.py
@@ -172,7 +172,7 @@
             seen: str | None = None
             if kind == CAS:
                 try:
-                    seen = _value(await client.ask(Range(key.encode()), 1.0))
+                    seen = _value(await client.call(Range(key.encode()), 1.0))
                 except RequestError:
                     continue
                 given = [key, seen, fresh]
@@ -188,12 +188,12 @@
 
 async def _asked(client: Client, key: bytes, kind: str, seen: str | None, fresh: bytes) -> Any:
     if kind == READ:
-        return _value(await client.ask(Range(key), 1.0))
+        return _value(await client.call(Range(key), 1.0))
     if seen is None:
         same = Compare(key, CompareTarget.CREATE, CompareOperator.EQUAL, 0)
     else:
         same = Compare(key, CompareTarget.VALUE, CompareOperator.EQUAL, seen.encode())
-    done = await client.ask(Txn((same,), (Put(key, fresh),)), 1.0)
+    done = await client.call(Txn((same,), (Put(key, fresh),)), 1.0)
     assert isinstance(done, TxnResponse)
     return done.succeeded
 
--- a/heronreel/fault_injection/virtual.py
+++ b/heronreel/fault_injection/virtual.py
@@ -351,7 +351,7 @@
                 self.at(player.asleep, lambda: told(answer))
                 return
             now = self._player_time(player)
-            known = RequestError(StatusCode.TOO_LATE, "") if answer is None else answer
+            known = RequestError(StatusCode.DEADLINE_EXCEEDED, "") if answer is None else answer
             self._player_actions(player, player.session.answered(now, ask.number, known))
             self._player_actions(player, player.session.tick(now))
 
--- a/heronreel/fault_injection/worker.py
+++ b/heronreel/fault_injection/worker.py
@@ -62,7 +62,8 @@
 
     async def run(self, addresses: list[str], ttl: int) -> None:
         def told(what: ClaimAcquired | ClaimLost) -> None:
-            print(type(what).__name__.lower(), what.number, flush=True)
+            word = "held" if isinstance(what, ClaimAcquired) else "lost"
+            print(word, what.number, flush=True)
 
         for number in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(number, self.stop.set)
--- a/heronreel/fleet/controller.py
+++ b/heronreel/fleet/controller.py
@@ -55,16 +55,16 @@
 
 async def halt(client: Client, by: str, why: str) -> None:
     """No part is taken by anybody from now on, until `resume`.  Raises RequestError."""
-    await client.ask(halting(Halt(by, why)))
+    await client.call(halting(Halt(by, why)))
 
 
 async def resume(client: Client) -> None:
-    await client.ask(halting(None))
+    await client.call(halting(None))
 
 
 async def work_of(client: Client) -> Work | None:
     """What goes on, or went on last."""
-    found = await client.ask(Range(WORK))
+    found = await client.call(Range(WORK))
     assert isinstance(found, RangeResponse)
     return msgspec.json.decode(found.records[0][1].value, type=Work) if found.records else None
 
@@ -187,7 +187,7 @@
         while True:
             self.points.reach("confirm")
             try:
-                done = await self.client.ask(Txn((ours,), (Put(WORK, encoded(work)),)))
+                done = await self.client.call(Txn((ours,), (Put(WORK, encoded(work)),)))
             except RequestError:
                 self._number()
                 await asyncio.sleep(random.uniform(0.05, 0.2))
@@ -289,7 +289,7 @@
             if part.operation == self.work.name and part.number == number:
                 return True
             ours = take_over(part, self.work.name, self.by, number)
-            await self.client.ask(changing(seen.register, b"over", Put(ours.key, encoded(ours))))
+            await self.client.call(changing(seen.register, b"over", Put(ours.key, encoded(ours))))
 
     async def _tell(self, ident: str, number: int, action: Tell) -> Said | str:
         """What its owner says, or why nobody knows."""
@@ -314,7 +314,7 @@
         """
         if instance is None or not instance.owner:
             raise ValueError("nobody owns it")
-        found = await self.client.ask(Range(PRESENCE_PREFIX + instance.owner.encode()))
+        found = await self.client.call(Range(PRESENCE_PREFIX + instance.owner.encode()))
         assert isinstance(found, RangeResponse)
         if not found.records:
             raise ValueError(f"{instance.owner} is not there")
--- a/heronreel/fleet/operation.py
+++ b/heronreel/fleet/operation.py
@@ -46,7 +46,7 @@
             for action in actions:
                 if not isinstance(action, SendRequest):
                     return action
-                answer = await self.client.answer(action.request, action.until - self.now())
+                answer = await self.client.call_or_error(action.request, action.until - self.now())
                 actions = taking.answered(self.now(), action.number, answer)
                 break
             else:
@@ -56,7 +56,7 @@
 
 async def account(client: Client) -> Account:
     """One reading of all records.  Raises RequestError, and msgspec.DecodeError."""
-    answer = await client.ask(READ)
+    answer = await client.call(READ)
     assert isinstance(answer, TxnResponse)
     return read(answer)
 
@@ -71,7 +71,7 @@
             old = now.instances.get(instance.ident)
             if old is not None and old.looked >= instance.looked:
                 return
-            done = await client.ask(told(now.register, instance))
+            done = await client.call(told(now.register, instance))
             if isinstance(done, TxnResponse) and done.succeeded:
                 return
         except RequestError:
@@ -81,7 +81,7 @@
 
 async def allow(client: Client, rules: tuple[Rule, ...]) -> None:
     """Put other allowances in force.  What is out by now stays out, also where it is more than they allow."""
-    await client.ask(changing(None, b"rules", Put(RULES, rules_encoded(rules))))
+    await client.call(changing(None, b"rules", Put(RULES, rules_encoded(rules))))
 
 
 def status_of(now: Account) -> dict[str, Any]:
--- a/heronreel/leases/lease.py
+++ b/heronreel/leases/lease.py
@@ -243,7 +243,11 @@
             isinstance(answer, RequestError) and answer.code is StatusCode.NOT_FOUND
         ):
             return self._gone(now)
-        if isinstance(answer, RequestError) and answer.code is StatusCode.PRECONDITION and not self.granted:
+        if (
+            isinstance(answer, RequestError)
+            and answer.code is StatusCode.FAILED_PRECONDITION
+            and not self.granted
+        ):
             # an earlier question was answered, and its answer lost: from now on it is renewed
             self.granted = True
             self.until = now
--- a/heronreel/leases/overview.py
+++ b/heronreel/leases/overview.py
@@ -36,7 +36,7 @@
     silent: dict[int, int | None] = {}  # seconds since the last renewal, where one is overdue
     for _, record in (*held.records, *present.records):
         if record.lease and record.lease not in left:
-            told = await client.ask(LeaseTimeToLive(record.lease))
+            told = await client.call(LeaseTimeToLive(record.lease))
             assert isinstance(told, LeaseResponse)
             left[record.lease] = told.ttl if told.ttl >= 0 else None
             since = told.granted - max(0, told.ttl)
@@ -90,12 +90,12 @@
     """Have a task that was set aside tried anew; False if it is not set aside.  Raises Refused."""
     key = CURSOR_PREFIX + task.encode()
     for _ in range(5):
-        found = await client.ask(Range(key))
+        found = await client.call(Range(key))
         assert isinstance(found, RangeResponse)
         if not found.records or not (cursor := decode_cursor(found.records[0][1].value)).aside:
             return False
         same = Compare(key, CompareTarget.MOD, CompareOperator.EQUAL, found.records[0][1].mod)
-        done = await client.ask(Txn((same,), (Put(key, encode_cursor(restart_suspended(cursor))),)))
+        done = await client.call(Txn((same,), (Put(key, encode_cursor(restart_suspended(cursor))),)))
         assert isinstance(done, TxnResponse)
         if done.succeeded:
             return True
@@ -103,7 +103,7 @@
 
 
 async def _rows(client: Client, prefix: bytes) -> RangeResponse:
-    found = await client.ask(Range(prefix, prefix_end(prefix)))
+    found = await client.call(Range(prefix, prefix_end(prefix)))
     assert isinstance(found, RangeResponse)
     return found
 
@@ -120,13 +120,13 @@
     """
     key = CLAIM_PREFIX + task.encode()
     for _ in range(5):
-        found = await client.ask(Range(key))
+        found = await client.call(Range(key))
         assert isinstance(found, RangeResponse)
         if not found.records:
             return None
         number = found.records[0][1].create
         same = Compare(key, CompareTarget.CREATE, CompareOperator.EQUAL, number)
-        done = await client.ask(Txn((same,), (DeleteRange(key),)))
+        done = await client.call(Txn((same,), (DeleteRange(key),)))
         assert isinstance(done, TxnResponse)
         if done.succeeded:
             return number
@@ -137,7 +137,7 @@
     """Have the group become these: whoever is new is taken up once it has been started with an empty folder,
     then whoever is not among them is let go, one at a time.  Raises Refused.
     """
-    await client.ask(Put(DESIRED_MEMBERS_KEY, " ".join(sorted(names)).encode()))
+    await client.call(Put(DESIRED_MEMBERS_KEY, " ".join(sorted(names)).encode()))
 
 
 async def members(client: Client) -> dict[str, Any]:
--- a/heronreel/leases/session.py
+++ b/heronreel/leases/session.py
@@ -133,7 +133,7 @@
     async def _ask(self, ask: SendRequest) -> None:
         answer: ResponseOrError
         try:
-            answer = await self.client.ask(ask.request, max(0.01, ask.until - self.now()))
+            answer = await self.client.call(ask.request, max(0.01, ask.until - self.now()))
         except RequestError as refused:
             answer = refused
         except Exception as error:  # whatever went wrong, nobody knows what became of it
--- a/heronreel/leases/task_runner.py
+++ b/heronreel/leases/task_runner.py
@@ -150,7 +150,7 @@
     async def present(self, zone: str = "") -> list[str]:
         """Who is there, in this zone, as far as the group tells; nobody where it does not."""
         try:
-            found = await self.client.ask(
+            found = await self.client.call(
                 Range(PRESENCE_PREFIX, prefix_end(PRESENCE_PREFIX), keys_only=not zone)
             )
         except RequestError:
@@ -165,7 +165,7 @@
     async def _held_by_another(self, task: Task) -> bool:
         """One of ours is wanted again: a late question may have made it after it was given back."""
         try:
-            found = await self.client.ask(Range(CLAIM_PREFIX + task.name.encode()))
+            found = await self.client.call(Range(CLAIM_PREFIX + task.name.encode()))
         except RequestError:
             return True  # nobody knows: asked again soon
         assert isinstance(found, RangeResponse)
@@ -236,7 +236,7 @@
         return LOOK_S
 
     async def _ask(self, ask: SendRequest) -> ResponseOrError:
-        return await self.client.answer(ask.request, ask.until - self.holding.now())
+        return await self.client.call_or_error(ask.request, ask.until - self.holding.now())
 
     async def _do(self, task: Task, do: RunStep, claim: Claim) -> bool:
         """One step, in its turn; whether it was done.  The number is looked at again once its turn has
--- a/heronreel/metering/counter.py
+++ b/heronreel/metering/counter.py
@@ -248,18 +248,18 @@
 
     async def _ask(self, ask: SendRequest) -> ResponseOrError:
         assert self.client is not None
-        return await self.client.answer(ask.request, ask.until - self.now())
+        return await self.client.call_or_error(ask.request, ask.until - self.now())
 
 
 async def close(client: Client, step: int, number: int, by: str, points: CrashPoints) -> None:
     """A step of the task that closes periods.  Raises PermissionError where another holds it by now."""
-    found = await client.ask(Range(PRESENCE_PREFIX, prefix_end(PRESENCE_PREFIX), keys_only=True))
+    found = await client.call(Range(PRESENCE_PREFIX, prefix_end(PRESENCE_PREFIX), keys_only=True))
     assert isinstance(found, RangeResponse)
     closing = Closing(step, number, by, present_names(found))
     while (request := closing.next()) is not None:
         points.reach("close")
         try:
-            closing.answered(await client.ask(request, 2.0))
+            closing.answered(await client.call(request, 2.0))
         except RequestError as refused:
             closing.answered(refused)
             await asyncio.sleep(0.05)
--- a/heronreel/metering/overview.py
+++ b/heronreel/metering/overview.py
@@ -27,7 +27,7 @@
     """Rows for people and programs.  Raises Refused."""
     reads = Txn((), (Range(SUM), Range(BOOKS, prefix_end(BOOKS)), Range(CLOSED, prefix_end(CLOSED)),
                      Range(PRESENCE_PREFIX, prefix_end(PRESENCE_PREFIX), keys_only=True)))  # fmt: skip
-    told = await client.ask(reads)  # of one moment
+    told = await client.call(reads)  # of one moment
     assert isinstance(told, TxnResponse)
     *rest, present = (r for r in told.results if isinstance(r, RangeResponse))
     sums, books, closed = (r.records for r in rest)
@@ -68,7 +68,7 @@
     """Give up a book; what it put before stays counted.  False: there is none.  Raises Refused."""
     key = book_key(ident)
     for _ in range(5):
-        found = await client.ask(Range(key))
+        found = await client.call(Range(key))
         assert isinstance(found, RangeResponse)
         if not found.records:
             return False
@@ -76,7 +76,7 @@
         old = msgspec.json.decode(record.value, type=Posted)
         new = msgspec.structs.replace(old, page=GIVEN_UP)
         same = Compare(key, CompareTarget.MOD, CompareOperator.EQUAL, record.mod)
-        done = await client.ask(Txn((same,), (Put(key, msgspec.json.encode(new)),)))
+        done = await client.call(Txn((same,), (Put(key, msgspec.json.encode(new)),)))
         assert isinstance(done, TxnResponse)
         if done.succeeded:
             return True
--- a/heronreel/serve/fleet.py
+++ b/heronreel/serve/fleet.py
@@ -20,7 +20,7 @@
 from heronreel.coordination.clock import CrashPoints, boot_clock
 from heronreel.coordination.logs import log_to_stderr
 from heronreel.coordinator.server import EmbeddedServer
-from heronreel.leases.lease import LeaseTerms
+from heronreel.leases.lease import ClaimAcquired, ClaimLost, LeaseTerms
 from heronreel.leases.rate_budget import RateLimits
 from heronreel.leases.session import LeaseSession
 from heronreel.leases.task_runner import StepContext, StepFunction, TaskRunner
@@ -125,10 +125,10 @@
                 log.exception("begun again", what=what, error=repr(error))
                 await asyncio.sleep(1.0)
 
-    def _told(self, what: object) -> None:
-        kind = type(what).__name__.lower()
-        key = getattr(what, "key", b"").decode(errors="replace")
-        log.info(kind, key=key, number=getattr(what, "number", 0), why=getattr(what, "why", None))
+    def _told(self, what: ClaimAcquired | ClaimLost) -> None:
+        event = "claim acquired" if isinstance(what, ClaimAcquired) else "claim lost"
+        why = what.why if isinstance(what, ClaimLost) else None
+        log.info(event, key=what.key.decode(errors="replace"), number=what.number, why=why)
 
     async def _close_period(self, work: StepContext) -> None:
         assert self.holding is not None
--- a/heronreel/serve/probes.py
+++ b/heronreel/serve/probes.py
@@ -107,7 +107,7 @@
         down = tuple(sorted((member.pool, member.name) for member in self.health.fallen))
         report = Report(self.round, name, work.number, len(members), down)
         self.shown = 0.0  # told again if nobody knows whether it was
-        done = await client.ask(telling(self.zone, report), 2.0)
+        done = await client.call(telling(self.zone, report), 2.0)
         assert isinstance(done, TxnResponse)
         if not done.succeeded:
             raise PermissionError("another probes the zone")
@@ -128,7 +128,7 @@
 
     async def _follow(self, client: Client) -> None:
         key = key_of(self.zone)
-        found = await client.ask(Range(key))
+        found = await client.call(Range(key))
         assert isinstance(found, RangeResponse)
         for _, record in found.records:
             self._hear(decoded(record.value))
@@ -159,6 +159,6 @@
 
 
 async def _report(client: Client, zone: str) -> Report | None:
-    found = await client.ask(Range(key_of(zone)))
+    found = await client.call(Range(key_of(zone)))
     assert isinstance(found, RangeResponse)
     return decoded(found.records[0][1].value) if found.records else None
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -385,7 +385,7 @@
     async def health(self: Client, address: str) -> dict[str, Any]:
         return HEALTH[address]
 
-    answers = patch.object(Client, Client.ask.__name__, ask)
+    answers = patch.object(Client, Client.call.__name__, ask)
     told_of = patch.object(Client, Client.health.__name__, health)
     told: dict[str, bytes] = {}
     with tempfile.TemporaryDirectory() as folder, chdir(folder), answers, told_of:
--- a/tests/compatibility/stored_group.py
+++ b/tests/compatibility/stored_group.py
@@ -372,7 +372,7 @@
 class Recorder:
     """In the place of a client: keeps the one question and answers nothing."""
 
-    async def ask(self, request: Request) -> None:
+    async def call(self, request: Request) -> None:
         """Keep it."""
         self.request = request
 
--- a/tests/compatibility/test_stored_control.py
+++ b/tests/compatibility/test_stored_control.py
@@ -57,7 +57,7 @@
                 for name, (request, result) in ANSWERS.items():
                     path = path_of(request)
                     server.answers[path] = (FOLDER / f"answer-{name}.json").read_bytes()
-                    assert await client.ask(request) == result
+                    assert await client.call(request) == result
                     assert server.calls[-1][0] == path
                     assert request_of(*server.calls[-1]) == request
                 async for changes in client.watch(b"x", b"z", 8):
@@ -150,4 +150,4 @@
 def test_a_call_that_is_none_is_refused(body: bytes) -> None:
     with pytest.raises(RequestError) as refused:
         request_of("/v3/kv/put", body)
-    assert refused.value.code is StatusCode.INVALID
+    assert refused.value.code is StatusCode.INVALID_ARGUMENT
--- a/tests/coordination/test_keyspace.py
+++ b/tests/coordination/test_keyspace.py
@@ -120,19 +120,29 @@
 @pytest.mark.parametrize(
     ("path", "body", "code", "words"),
     [
-        ("/v3/kv/put", {"key": base64.b64encode(b"k" * 1025).decode()}, StatusCode.INVALID, "1025 bytes"),
-        ("/v3/kv/put", {"value": "eA=="}, StatusCode.INVALID, "not provided"),
-        ("/v3/kv/put", {"key": "not base64!"}, StatusCode.INVALID, "ase64"),
+        (
+            "/v3/kv/put",
+            {"key": base64.b64encode(b"k" * 1025).decode()},
+            StatusCode.INVALID_ARGUMENT,
+            "1025 bytes",
+        ),
+        ("/v3/kv/put", {"value": "eA=="}, StatusCode.INVALID_ARGUMENT, "not provided"),
+        ("/v3/kv/put", {"key": "not base64!"}, StatusCode.INVALID_ARGUMENT, "ase64"),
         ("/v3/kv/put", {"key": "eA==", "lease": "12"}, StatusCode.NOT_FOUND, "lease"),
-        ("/v3/kv/put", {"key": "eA==", "ignoreLease": True}, StatusCode.INVALID, "ignore_lease"),
+        ("/v3/kv/put", {"key": "eA==", "ignoreLease": True}, StatusCode.INVALID_ARGUMENT, "ignore_lease"),
         ("/v3/kv/range", {"key": "eA==", "revision": "9"}, StatusCode.OUT_OF_RANGE, "future"),
-        ("/v3/kv/range", {"key": "eA==", "sort_order": "DESCEND"}, StatusCode.INVALID, "DESCEND"),
-        ("/v3/kv/range", {"key": "eA==", "limit": "-1"}, StatusCode.INVALID, "0 or more"),
-        ("/v3/kv/txn", {"success": [{}]}, StatusCode.INVALID, "one of"),
-        ("/v3/kv/txn", {"success": [{"requestPut": {"key": "eA=="}}] * 2}, StatusCode.INVALID, "duplicate"),
-        ("/v3/lease/grant", {"TTL": "0"}, StatusCode.INVALID, "TTL"),
-        ("/v3/lease/grant", {"TTL": "9" * 30}, StatusCode.INVALID, "TTL"),
-        ("/v3/lease/grant", {"TTL": "3", "ID": "-4"}, StatusCode.INVALID, "ID"),
+        ("/v3/kv/range", {"key": "eA==", "sort_order": "DESCEND"}, StatusCode.INVALID_ARGUMENT, "DESCEND"),
+        ("/v3/kv/range", {"key": "eA==", "limit": "-1"}, StatusCode.INVALID_ARGUMENT, "0 or more"),
+        ("/v3/kv/txn", {"success": [{}]}, StatusCode.INVALID_ARGUMENT, "one of"),
+        (
+            "/v3/kv/txn",
+            {"success": [{"requestPut": {"key": "eA=="}}] * 2},
+            StatusCode.INVALID_ARGUMENT,
+            "duplicate",
+        ),
+        ("/v3/lease/grant", {"TTL": "0"}, StatusCode.INVALID_ARGUMENT, "TTL"),
+        ("/v3/lease/grant", {"TTL": "9" * 30}, StatusCode.INVALID_ARGUMENT, "TTL"),
+        ("/v3/lease/grant", {"TTL": "3", "ID": "-4"}, StatusCode.INVALID_ARGUMENT, "ID"),
         ("/v3/lease/revoke", {"ID": "5"}, StatusCode.NOT_FOUND, "lease"),
     ],
 )
@@ -148,7 +158,7 @@
     with pytest.raises(RequestError, match="would pass") as refused:
         for number in range(40):
             state = state.apply(Put(b"k%d" % number, value)).state
-    assert refused.value.code is StatusCode.EXHAUSTED
+    assert refused.value.code is StatusCode.RESOURCE_EXHAUSTED
     state = state.apply(Put(b"k0", b"small")).state
     assert state.apply(DeleteRange(b"k1")).state.head.size < state.head.size
 
--- a/tests/coordinator/test_processes.py
+++ b/tests/coordinator/test_processes.py
@@ -52,14 +52,14 @@
     async with asyncio.timeout(20):
         while True:
             try:
-                await client.ask(Put(key, value), 1.0)
+                await client.call(Put(key, value), 1.0)
                 return
             except RequestError:
                 await asyncio.sleep(0.02)
 
 
 async def value(client: Client, key: bytes) -> bytes | None:
-    found = await client.ask(Range(key), 10.0)
+    found = await client.call(Range(key), 10.0)
     assert isinstance(found, RangeResponse)
     return found.records[0][1].value if found.records else None
 
@@ -90,11 +90,15 @@
                 if name != leader:
                     await harness.members[name].kill()
             with pytest.raises(RequestError):
-                await client.ask(Put(b"k", b"lost"), 2.0)
+                await client.call(Put(b"k", b"lost"), 2.0)
             async with Client([harness.front[leader].address]) as alone:
                 with pytest.raises(RequestError) as refused:
-                    await alone.ask(Range(b"k"), 2.5)  # also to read: who leads may be elsewhere by now
-                assert refused.value.code in (StatusCode.UNAVAILABLE, StatusCode.TOO_LATE, StatusCode.UNKNOWN)
+                    await alone.call(Range(b"k"), 2.5)  # also to read: who leads may be elsewhere by now
+                assert refused.value.code in (
+                    StatusCode.UNAVAILABLE,
+                    StatusCode.DEADLINE_EXCEEDED,
+                    StatusCode.UNKNOWN,
+                )
             for name in THREE:
                 if name != leader:
                     await harness.start(name)
@@ -161,7 +165,7 @@
             other = other_than(leader)
             harness.between[leader, other].out.cut = True  # it hears nothing of the leader
             for number in range(20):
-                await client.ask(Put(b"k", b"%d" % number), 3.0)
+                await client.call(Put(b"k", b"%d" % number), 3.0)
             assert await harness.leader() == leader  # and disturbs nobody
             harness.between[leader, other].heal()
             await harness.whole()
@@ -245,7 +249,7 @@
                     holder, mine = (one, claim) if claim.number else (two, other)
                     await holder.held(mine)
                     assert mine.number == number  # the new leader counts its time anew
-                    left = await client.ask(LeaseTimeToLive(holder.session.lease, True), 5.0)
+                    left = await client.call(LeaseTimeToLive(holder.session.lease, True), 5.0)
                     assert isinstance(left, LeaseResponse) and left.keys == (b"held/task",) and left.ttl >= 0
                     assert not (claim.acts(one.now()) and other.acts(two.now()))
 
@@ -271,7 +275,7 @@
                 async for change in changes:
                     missed += change.missed
                     if change.missed:
-                        found = await client.ask(Range(b"w/", b"w0"), 10.0)
+                        found = await client.call(Range(b"w/", b"w0"), 10.0)
                         assert isinstance(found, RangeResponse)
                         seen.extend(key for key, _ in found.records)
                     seen.extend(event.key for event in change.events)
@@ -451,10 +455,10 @@
                         await asyncio.sleep(0.01)
                 relay.heal()
                 assert await holding.held(claim) >= number
-                again = await client.ask(LeaseKeepAlive(holding.session.lease), 5.0)
+                again = await client.call(LeaseKeepAlive(holding.session.lease), 5.0)
                 assert isinstance(again, LeaseResponse) and again.ttl == 2
                 with pytest.raises(RequestError, match="exists"):
-                    await client.ask(LeaseGrant(2, holding.session.lease), 5.0)
+                    await client.call(LeaseGrant(2, holding.session.lease), 5.0)
 
     asyncio.run(run())
 
@@ -649,7 +653,7 @@
                 number = await holding.held(claim)
                 harness.cut(alone)
                 with pytest.raises(RequestError):
-                    await there.ask(Put(b"k", b"minority"), 2.0)
+                    await there.call(Put(b"k", b"minority"), 2.0)
                 async with asyncio.timeout(20):
                     while claim.acts(holding.now()):
                         await asyncio.sleep(0.01)
@@ -735,13 +739,13 @@
                 asked: list[float] = []
                 loop = asyncio.get_running_loop()
                 for holding, _ in claims:
-                    ask = holding.client.ask
+                    ask = holding.client.call
 
                     async def counted(request: Any, seconds: float, ask: Any = ask) -> Any:
                         asked.append(loop.time())
                         return await ask(request, seconds)
 
-                    monkey.setattr(holding.client, "ask", counted)
+                    monkey.setattr(holding.client, "call", counted)
                 async with asyncio.timeout(60):
                     while any(claim.acts(holding.now()) for holding, claim in claims):
                         await asyncio.sleep(0.02)
--- a/tests/health/test_health_checks.py
+++ b/tests/health/test_health_checks.py
@@ -175,7 +175,7 @@
                 async def report(zone: str, beyond: int = 0) -> Report:
                     async with asyncio.timeout(40):
                         while True:
-                            found = await client.ask(Range(key_of(zone)), 5.0)
+                            found = await client.call(Range(key_of(zone)), 5.0)
                             assert isinstance(found, RangeResponse)
                             told = decoded(found.records[0][1].value) if found.records else None
                             if told is not None and told.round > beyond:
@@ -201,7 +201,7 @@
                 await left_alone(two, list(ports.values()))
                 # what the killed one would still have told is refused by the group
                 late = Report(last + 99, prober, number, 3)
-                done = await client.ask(telling("x", late))
+                done = await client.call(telling("x", late))
                 assert not done.succeeded and done.results[0].records  # type: ignore[union-attr]
                 two.healthy = True
                 await left_alone(two, list(ports.values()), alone=False)
