--- a/tests/test_coordination_explored.py
+++ b/tests/test_coordination_explored.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from heronreel.coordination.member import Guards
-from heronreel.faults.explore import Found, after, explore, walk
+from heronreel.faults.explore import after, explore, walk
 from heronreel.faults.group_world import Budget, GroupWorld
 from heronreel.faults.lease_world import Guarded, LeaseWorld, Limits
 
@@ -22,34 +22,47 @@
 NEW_DISK = "c: crashes, and is back with a new disk"
 
 
-def group(budget: Budget, most: int, *prefix: str, **guards: bool) -> Found:
-    return explore(after(GroupWorld(NAMES, budget, Guards(**guards)), *prefix), most)
+def group(budget: Budget, most: int, *prefix: str, **guards: bool) -> tuple[GroupWorld, int]:
+    return after(GroupWorld(NAMES, budget, Guards(**guards)), *prefix), most
+
+
+def crash_of_each() -> tuple[GroupWorld, int]:
+    return group(Budget(tries="a", writes=1, reads=1, crashes="abc"), 400_000, rollback=False)
 
 
 def test_every_order_with_a_crash_of_each_keeps_what_was_confirmed() -> None:
-    found = group(Budget(tries="a", writes=1, reads=1, crashes="abc"), 400_000, rollback=False)
+    found = explore(*crash_of_each())
     print(found)
     assert found.whole and found.broken is None and found.states > 1_000
 
 
-@pytest.mark.parametrize(
-    ("guard", "budget", "prefix"),
-    [
-        ("majority", Budget(tries="ab", writes=1), ()),
-        ("newest", Budget(tries="ab", writes=1), LEADS),
-        ("promise", Budget(tries="ab", writes=1), B_HOPES),
-        ("sync", Budget(tries="ab", writes=1, crashes="c"), LEADS),
-        ("incarnation", Budget(tries="ab", writes=1, lost="c"), (*B_HOPES, NEW_DISK, "a: tries")),
-        ("rollback", Budget(tries="ab", writes=1, restored="c"), LEADS),
-    ],
-)
+GROUP_GUARDS: list[tuple[str, Budget, tuple[str, ...]]] = [
+    ("majority", Budget(tries="ab", writes=1), ()),
+    ("newest", Budget(tries="ab", writes=1), LEADS),
+    ("promise", Budget(tries="ab", writes=1), B_HOPES),
+    ("sync", Budget(tries="ab", writes=1, crashes="c"), LEADS),
+    ("incarnation", Budget(tries="ab", writes=1, lost="c"), (*B_HOPES, NEW_DISK, "a: tries")),
+    ("rollback", Budget(tries="ab", writes=1, restored="c"), LEADS),
+]
+
+
+def with_group_guard(guard: str, budget: Budget, prefix: tuple[str, ...]) -> tuple[GroupWorld, int]:
+    others = {"rollback": False} if guard != "rollback" else {}
+    return group(budget, 6_000, *prefix, **others)
+
+
+def without_group_guard(guard: str, budget: Budget, prefix: tuple[str, ...]) -> tuple[GroupWorld, int]:
+    others = {"rollback": False} if guard != "rollback" else {}
+    return group(budget, 60_000, *prefix, **{**others, guard: False})
+
+
+@pytest.mark.parametrize(("guard", "budget", "prefix"), GROUP_GUARDS)
 def test_without_a_guard_something_confirmed_is_lost(
     guard: str, budget: Budget, prefix: tuple[str, ...]
 ) -> None:
-    others = {"rollback": False} if guard != "rollback" else {}
-    kept = group(budget, 6_000, *prefix, **others)
+    kept = explore(*with_group_guard(guard, budget, prefix))
     assert kept.broken is None, str(kept)
-    found = group(budget, 60_000, *prefix, **{**others, guard: False})
+    found = explore(*without_group_guard(guard, budget, prefix))
     print(guard, found)
     assert found.broken is not None and "confirmed write" in found.broken
 
@@ -62,15 +75,23 @@
     return GroupWorld(NAMES, budget, Guards(**guards), **how)
 
 
+def changed_size(how: dict[str, tuple[str, ...]]) -> tuple[GroupWorld, int]:
+    return resized(Budget(tries="a" if how is GROWS else "ab", writes=1), how), 25_000
+
+
+def two_let_go() -> tuple[GroupWorld, int]:
+    return resized(Budget(tries="ab", writes=1), SHRINKS, single=False), 60_000
+
+
 @pytest.mark.parametrize("how", [GROWS, SHRINKS], ids=["grows", "shrinks"])
 def test_a_group_that_changes_its_size_keeps_what_was_confirmed(how: dict[str, tuple[str, ...]]) -> None:
-    found = explore(resized(Budget(tries="a" if how is GROWS else "ab", writes=1), how), 25_000)
+    found = explore(*changed_size(how))
     print(found)
     assert found.broken is None and found.states > 2_000
 
 
 def test_with_two_let_go_at_once_something_confirmed_is_lost() -> None:
-    found = explore(resized(Budget(tries="ab", writes=1), SHRINKS, single=False), 60_000)
+    found = explore(*two_let_go())
     print(found)
     assert found.broken is not None and "confirmed write" in found.broken
 
@@ -85,32 +106,41 @@
 
 
 LEASE_LIMITS = Limits(seconds=7, questions=(0, 6), actions=2, changes=0)
+LEASE_GUARDS: list[tuple[str, dict[str, bool], str]] = [
+    ("fence", {}, "is taken after"),
+    ("grows", {}, "is taken after"),
+    ("drift", {"margin": False}, "two act at once"),
+    ("margin", {"fence": False}, "ends while"),
+]
+
+
+def with_lease_guards() -> tuple[LeaseWorld, int]:
+    return LeaseWorld(LEASE_LIMITS._replace(questions=(0, 5), changes=1), Guarded()), 12_000
+
+
+def without_lease_guard(guard: str, others: dict[str, bool]) -> tuple[LeaseWorld, int]:
+    guarded = Guarded()._replace(**{**others, guard: False})
+    return LeaseWorld(LEASE_LIMITS, guarded), 150_000
+
+
+def clocks_apart() -> tuple[LeaseWorld, int]:
+    return LeaseWorld(LEASE_LIMITS, Guarded(), drift=0.01, true_drift=0.3), 100_000
 
 
 def test_at_most_one_acts_in_every_order() -> None:
-    found = explore(LeaseWorld(LEASE_LIMITS._replace(questions=(0, 5), changes=1), Guarded()), 12_000)
+    found = explore(*with_lease_guards())
     print(found)
     assert found.broken is None and found.states > 10_000
 
 
-@pytest.mark.parametrize(
-    ("guard", "others", "words"),
-    [
-        ("fence", {}, "is taken after"),
-        ("grows", {}, "is taken after"),
-        ("drift", {"margin": False}, "two act at once"),
-        ("margin", {"fence": False}, "ends while"),
-    ],
-)
+@pytest.mark.parametrize(("guard", "others", "words"), LEASE_GUARDS)
 def test_without_a_guard_of_leases_two_act(guard: str, others: dict[str, bool], words: str) -> None:
-    guarded = Guarded()._replace(**{**others, guard: False})
-    found = explore(LeaseWorld(LEASE_LIMITS, guarded), 150_000)
+    found = explore(*without_lease_guard(guard, others))
     print(guard, found)
     assert found.broken is not None and words in found.broken
 
 
 def test_clocks_further_apart_than_the_bound_let_two_hold_and_the_fence_still_refuses() -> None:
-    apart = LeaseWorld(LEASE_LIMITS, Guarded(), drift=0.01, true_drift=0.3)
-    found = explore(apart, 100_000)
+    found = explore(*clocks_apart())
     print(found)
     assert found.broken == "two act at once"
--- a/tests/test_counting.py
+++ b/tests/test_counting.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+from collections.abc import Iterator
 from pathlib import Path
 
 import pytest
@@ -133,36 +134,50 @@
 MADE = (*READ, *READ[1:], *READ)  # the group has a record, and the book knows
 
 
+COUNT_GUARDS: list[tuple[str, Budget, tuple[str, ...]]] = [
+    ("doubts", SMALL._replace(kills=1, asks=8), ()),
+    ("record", SMALL._replace(repeats=1, asks=10), ()),
+    ("dated", SMALL, COUNTED),
+    ("registered", SMALL._replace(kills=1), (*COUNTED, *MADE)),
+]
+
+
+def with_a_kill() -> tuple[CountWorld, int]:
+    return CountWorld(SMALL._replace(kills=1, asks=9), Guards()), 100_000
+
+
+def with_count_guards(budget: Budget, prefix: tuple[str, ...]) -> tuple[CountWorld, int]:
+    return after(CountWorld(budget, Guards()), *prefix), 10_000
+
+
+def without_count_guard(guard: str, budget: Budget, prefix: tuple[str, ...]) -> tuple[CountWorld, int]:
+    return after(CountWorld(budget, Guards()._replace(**{guard: False})), *prefix), 300_000
+
+
+def walks_without_the_closers_guard() -> Iterator[list[str]]:
+    return (walked(seed, Guards()._replace(closing=False)) for seed in range(400))
+
+
 def test_every_order_with_a_kill_counts_each_answer_once() -> None:
-    found = explore(CountWorld(SMALL._replace(kills=1, asks=9), Guards()), 100_000)
+    found = explore(*with_a_kill())
     print(found)
     assert found.whole and found.broken is None and found.states > 50_000
 
 
-@pytest.mark.parametrize(
-    ("guard", "budget", "prefix"),
-    [
-        ("doubts", SMALL._replace(kills=1, asks=8), ()),
-        ("record", SMALL._replace(repeats=1, asks=10), ()),
-        ("dated", SMALL, COUNTED),
-        ("registered", SMALL._replace(kills=1), (*COUNTED, *MADE)),
-    ],
-)
+@pytest.mark.parametrize(("guard", "budget", "prefix"), COUNT_GUARDS)
 def test_without_a_guard_an_answer_is_counted_twice_or_forgotten(
     guard: str, budget: Budget, prefix: tuple[str, ...]
 ) -> None:
-    kept = explore(after(CountWorld(budget, Guards()), *prefix), 10_000)
+    kept = explore(*with_count_guards(budget, prefix))
     assert kept.broken is None, str(kept)
-    start = after(CountWorld(budget, Guards()._replace(**{guard: False})), *prefix)
-    found = explore(start, 300_000)
+    found = explore(*without_count_guard(guard, budget, prefix))
     print(guard, found)
     assert found.broken is not None
 
 
 def test_without_the_closers_guard_a_walk_counts_an_answer_twice_or_forgets_it() -> None:
     """Its shortest way is too long for every order."""
-    ways = (walked(seed, Guards()._replace(closing=False)) for seed in range(400))
-    way = next(filter(None, ways), None)
+    way = next(filter(None, walks_without_the_closers_guard()), None)
     print(way)
     assert way is not None
 
--- a/tests/test_fleet_account.py
+++ b/tests/test_fleet_account.py
@@ -33,38 +33,50 @@
 SMALL = Budget(looks=1, asks=7)
 
 
-@pytest.mark.parametrize(
-    "budget",
-    [SMALL, Budget(losses=1, looks=1, asks=4), Budget(looks=1, asks=4, halts=1)],
-    ids=["late", "lost", "halted"],
-)
+EVERY_ORDER = {
+    "late": SMALL, "lost": Budget(losses=1, looks=1, asks=4), "halted": Budget(looks=1, asks=4, halts=1)
+}  # fmt: skip
+WITHOUT_GUARD: dict[str, tuple[Budget, tuple[str, ...], dict[str, bool]]] = {
+    "register": (Budget(looks=0, asks=6), (), {"register": False}),
+    "losses": (Budget(losses=1, looks=1, asks=4), (), {"losses": False}),
+    "ordered": (Budget(looks=1, asks=8), TOOK, {"ordered": False}),
+    "entered": (Budget(looks=1, asks=8, deaths=1), TOOK, {"entered": False}),
+    "evidence": (Budget(looks=1, asks=8), TOOK, {"evidence": False, "entered": False}),
+    "halted": (Budget(looks=0, asks=4, halts=1), (), {"halted": False}),
+    "halted and register": (Budget(looks=0, asks=4, halts=1), (), {"register": False}),
+}
+
+
+def every_order(budget: Budget) -> tuple[AccountWorld, int]:
+    return AccountWorld(budget, Guards()), 60_000
+
+
+def with_all_guards(budget: Budget, prefix: tuple[str, ...]) -> tuple[AccountWorld, int]:
+    return after(AccountWorld(budget, Guards()), *prefix), 10_000
+
+
+def without_guard(
+    budget: Budget, prefix: tuple[str, ...], without: dict[str, bool]
+) -> tuple[AccountWorld, int]:
+    ordered = without.get("ordered", True)
+    guards = Guards(**{name: on for name, on in without.items() if name != "ordered"})
+    return after(AccountWorld(budget, guards, ordered=ordered), *prefix), 300_000
+
+
+@pytest.mark.parametrize("budget", EVERY_ORDER.values(), ids=EVERY_ORDER)
 def test_in_every_order_no_more_are_out_than_may_be(budget: Budget) -> None:
-    found = explore(AccountWorld(budget, Guards()), 60_000)
+    found = explore(*every_order(budget))
     print(found)
     assert found.whole and found.broken is None and found.states > 20_000
 
 
-@pytest.mark.parametrize(
-    ("budget", "prefix", "without"),
-    [
-        (Budget(looks=0, asks=6), (), {"register": False}),
-        (Budget(losses=1, looks=1, asks=4), (), {"losses": False}),
-        (Budget(looks=1, asks=8), TOOK, {"ordered": False}),
-        (Budget(looks=1, asks=8, deaths=1), TOOK, {"entered": False}),
-        (Budget(looks=1, asks=8), TOOK, {"evidence": False, "entered": False}),
-        (Budget(looks=0, asks=4, halts=1), (), {"halted": False}),
-        (Budget(looks=0, asks=4, halts=1), (), {"register": False}),
-    ],
-    ids=["register", "losses", "ordered", "entered", "evidence", "halted", "halted and register"],
-)
+@pytest.mark.parametrize(("budget", "prefix", "without"), WITHOUT_GUARD.values(), ids=WITHOUT_GUARD)
 def test_without_a_guard_more_are_out(
     budget: Budget, prefix: tuple[str, ...], without: dict[str, bool]
 ) -> None:
-    kept = explore(after(AccountWorld(budget, Guards()), *prefix), 10_000)
+    kept = explore(*with_all_guards(budget, prefix))
     assert kept.broken is None, str(kept)
-    ordered = without.get("ordered", True)
-    guards = Guards(**{name: on for name, on in without.items() if name != "ordered"})
-    found = explore(after(AccountWorld(budget, guards, ordered=ordered), *prefix), 300_000)
+    found = explore(*without_guard(budget, prefix, without))
     print(without, found)
     assert found.broken is not None
 
