--- a/heronreel/cli/agent.py
+++ b/heronreel/cli/agent.py
@@ -1,4 +1,4 @@
-"""`heronreel agent FILE`: own the instances of one machine."""
+"""`heronreel agent FILE`: run the agent that owns the instances of one machine."""
 
 from __future__ import annotations
 
@@ -13,25 +13,24 @@
 @click.command("agent")
 @click.argument("file")
 def agent_command(file: str) -> None:
-    """Start, watch, drain and end the instances of a machine as they are ordered. SIGTERM ends the agent, and
-    no instance.
+    """Start, monitor, drain and stop the instances of a machine as commanded. SIGTERM ends only the agent.
 
-    Exit codes: 0 ended as asked, 74 the folder or the address can't be used, 78 a bad file.
+    Exit codes: 0 ended by a signal, 74 the folder or the address can't be used, 78 a bad file.
     """
     from heronreel.coordination.logs import log_to_stderr
-    from heronreel.fleet.machine import load_file
-    from heronreel.fleet.serving import serve
+    from heronreel.fleet.agent_server import serve
+    from heronreel.fleet.agent_settings import load_file
     from heronreel.routes.reader import BadFile
     from heronreel.store import StoreError
 
     log_to_stderr()
     try:
-        machine = load_file(file)
-    except BadFile as bad:
-        tell(file, bad)
+        settings = load_file(file)
+    except BadFile as error:
+        tell(file, error)
         sys.exit(BAD_FILE)
     try:
-        asyncio.run(serve(machine))
+        asyncio.run(serve(settings))
     except (StoreError, OSError) as error:
         click.echo(f"heronreel agent: {error}", err=True)
         sys.exit(NOT_SERVED)
--- /dev/null
+++ b/heronreel/fleet/claim_requester.py
@@ -0,0 +1,279 @@
+"""The protocol by which one operation obtains claims on the disruption budget and releases them.
+
+Pure: it takes events and the time, and returns actions.
+
+A claim is granted before anything is done to its instance, by a transaction on the revision that was read.
+It is released only on evidence that the instance serves: an observation that the owner made after the last
+command, when it knew the fencing token under which the claim is released, so that no older operation can
+still act on the instance.  Claims do not expire.  A claim whose operation died stays until a successor
+finds out the state of the instance and takes the claim over.
+"""
+
+from __future__ import annotations
+
+import enum
+from collections.abc import Callable
+from typing import NamedTuple
+
+import msgspec
+
+from heronreel.coordination.model import DeleteRange, Operation, Put, ResponseOrError, TxnResponse
+from heronreel.fleet.budget_transactions import update_transaction
+from heronreel.fleet.disruption_budget import READ_SNAPSHOT, BudgetSnapshot, RuleStatus, parse_snapshot
+from heronreel.fleet.model import Condition, DisruptionClaim, Halt, Instance, encode_record
+from heronreel.leases.lease import JitteredBackoff, SendRequest, SingleRequestSender
+
+DEFAULT_RESPONSE_TIMEOUT_S = 1.0
+
+
+class ClaimGuards(NamedTuple):
+    """The safety checks of the protocol; tests disable them one by one and expect a violation."""
+
+    revision_checked: bool = True  # a claim is granted only if nothing has changed since the read
+    losses_counted: bool = True  # failed and unknown instances count as unavailable
+    evidence_required: bool = True  # a claim is released only on an observation after the last command
+    fencing_observed: bool = True  # and only if the owner knew the fencing token by then
+    halt_checked: bool = True  # no claim is granted during a halt
+
+
+ALL_GUARDS = ClaimGuards()
+
+
+class ClaimGranted(NamedTuple):
+    """The operation holds claims on all of these instances and may act on them under its fencing token."""
+
+    instance_ids: tuple[str, ...]
+
+
+class ClaimDenied(NamedTuple):
+    """The claims can't be granted at present."""
+
+    violations: tuple[RuleStatus, ...]
+    conflicting_claims: tuple[DisruptionClaim, ...]  # of other operations
+    unreported: tuple[str, ...]  # instances that no owner has reported
+    halt: Halt | None = None
+
+    def __str__(self) -> str:
+        reasons = [str(status) for status in self.violations]
+        reasons += [
+            f"{claim.instance_id} is claimed: {claim.reason} by {claim.operator}"
+            for claim in self.conflicting_claims
+        ]
+        reasons += [f"{instance_id}: never reported" for instance_id in self.unreported]
+        if self.halt:
+            reasons.append(f"halted by {self.halt.operator}: {self.halt.reason}")
+        return "; ".join(reasons)
+
+
+class ClaimReleased(NamedTuple):
+    """The claim is released: the instance serves."""
+
+    instance_id: str
+
+
+class ReleasePending(NamedTuple):
+    """The claim stays: there is no evidence yet that the instance serves."""
+
+    instance_id: str
+    condition: Condition
+
+
+class ClaimFenced(NamedTuple):
+    """A newer operation holds the claim: this one must not act any more."""
+
+    claim: DisruptionClaim
+
+
+ClaimOutcome = ClaimGranted | ClaimDenied | ClaimReleased | ReleasePending | ClaimFenced
+Action = SendRequest | ClaimOutcome
+Actions = list[Action]
+
+
+class RequestPhase(enum.Enum):
+    """What the request under way does."""
+
+    IDLE = "idle"
+    READING = "reading"
+    WRITING = "writing"
+
+
+class ClaimIntent(enum.Enum):
+    """What the operation asked for and has no outcome yet."""
+
+    NONE = "none"
+    ACQUIRE = "acquire"
+    RELEASE = "release"
+
+
+class ClaimRequester(SingleRequestSender):
+    """One operation's claims on some instances: they are granted together or not at all."""
+
+    def __init__(
+        self,
+        operation_id: str,
+        operator: str,
+        reason: str,
+        fencing_token: int,
+        instance_ids: tuple[str, ...],
+        *,
+        answer_s: float = DEFAULT_RESPONSE_TIMEOUT_S,
+        jitter: Callable[[], float] = lambda: 0.5,
+        guards: ClaimGuards = ALL_GUARDS,
+    ) -> None:
+        """`answer_s`: seconds until a request counts as lost; `jitter`: draws from 0 to 1."""
+        self.operation_id = operation_id
+        self.operator = operator
+        self.reason = reason
+        self.fencing_token = fencing_token
+        self.instance_ids = instance_ids
+        super().__init__(answer_s)
+        self.guards = guards
+        self.backoff = JitteredBackoff(jitter)
+        self.phase = RequestPhase.IDLE
+        self.intent = ClaimIntent.NONE
+        self.releasing = ""  # the instance whose claim is to be released
+        self.last_command_observation = 0  # observations up to this one are no evidence
+        self.due = 0.0
+
+    def wake(self) -> float:
+        """When `tick` has to be called next."""
+        if self.asked is not None:
+            return self.asked[1] + self.answer_s
+        return float("inf") if self.intent is ClaimIntent.NONE else self.due
+
+    def acquire(self, now: float) -> Actions:
+        """Request claims on all instances; ends with ClaimGranted, ClaimDenied or ClaimFenced."""
+        self.intent = ClaimIntent.ACQUIRE
+        self.due = now
+        return self.tick(now)
+
+    def release(self, now: float, instance_id: str, last_command_observation: int = 0) -> Actions:
+        """Release one claim; ends with ClaimReleased, ReleasePending or ClaimFenced.
+
+        Only an observation with a greater count than `last_command_observation`, the owner's count when it
+        accepted the last command, is evidence.
+        """
+        self.intent = ClaimIntent.RELEASE
+        self.releasing = instance_id
+        self.last_command_observation = last_command_observation
+        self.due = now
+        return self.tick(now)
+
+    def tick(self, now: float) -> Actions:
+        """Time has passed."""
+        if self._late(now):
+            self._schedule_retry(now)
+        if self.asked is not None:
+            return []
+        if self.intent is ClaimIntent.NONE or now < self.due:
+            return []
+        self.phase = RequestPhase.READING
+        return [self._ask(now, READ_SNAPSHOT)]
+
+    def _schedule_retry(self, now: float) -> None:
+        """Start again with a read: the records show whether a lost request was carried out."""
+        self.asked = None
+        self.phase = RequestPhase.IDLE
+        self.due = now + self.backoff.next()
+
+    def answered(self, now: float, number: int, answer: ResponseOrError) -> Actions:
+        """The response to the request with this number; a late one is ignored."""
+        if not self._expects(number):
+            return []
+        was_read = self.phase is RequestPhase.READING
+        self._schedule_retry(now)
+        if not isinstance(answer, TxnResponse):
+            return []
+        if not was_read:
+            self.due = now  # whether it succeeded or conflicted, the next read shows
+            return []
+        try:
+            snapshot = parse_snapshot(answer)
+        except msgspec.DecodeError:
+            return []  # no claim may be based on records that can't be read
+        self.backoff.reset()
+        if self.intent is ClaimIntent.ACQUIRE:
+            return self._acquire(now, snapshot)
+        return self._release(now, snapshot)
+
+    def _finish(self, outcome: ClaimOutcome) -> Actions:
+        self.intent = ClaimIntent.NONE
+        return [outcome]
+
+    def _is_own(self, claim: DisruptionClaim | None) -> bool:
+        if claim is None or claim.operation_id != self.operation_id:
+            return False
+        return claim.fencing_token <= self.fencing_token
+
+    def _acquire(self, now: float, snapshot: BudgetSnapshot) -> Actions:
+        claims = [snapshot.claims.get(each) for each in self.instance_ids]
+        if all(self._is_own(claim) for claim in claims):
+            return self._finish(ClaimGranted(self.instance_ids))
+        existing = [claim for claim in claims if claim is not None]
+        newer = [claim for claim in existing if claim.fencing_token > self.fencing_token]
+        if newer:
+            return self._finish(ClaimFenced(newer[0]))
+        unclaimed = [each for each in self.instance_ids if each not in snapshot.claims]
+        conflicting = tuple(claim for claim in existing if claim.operation_id != self.operation_id)
+        denial = self._denial(snapshot, unclaimed, conflicting)
+        if denial is not None:
+            return self._finish(denial)
+        return self._write(now, snapshot, [self._grant(snapshot, each) for each in unclaimed])
+
+    def _denial(
+        self, snapshot: BudgetSnapshot, unclaimed: list[str], conflicting: tuple[DisruptionClaim, ...]
+    ) -> ClaimDenied | None:
+        counted = snapshot if self.guards.losses_counted else _without_losses(snapshot)
+        violations = tuple(counted.violations(unclaimed))
+        unreported = tuple(snapshot.unreported(unclaimed))
+        halt = snapshot.halt if self.guards.halt_checked else None
+        if conflicting or violations or unreported or halt:
+            return ClaimDenied(violations, conflicting, unreported, halt)
+        return None
+
+    def _grant(self, snapshot: BudgetSnapshot, instance_id: str) -> Operation:
+        claim = DisruptionClaim(
+            instance_id,
+            self.operation_id,
+            self.operator,
+            self.reason,
+            self.fencing_token,
+            snapshot.instances[instance_id].observation,
+            snapshot.revision,
+        )
+        return Put(claim.key, encode_record(claim))
+
+    def _write(self, now: float, snapshot: BudgetSnapshot, operations: list[Operation]) -> Actions:
+        self.phase = RequestPhase.WRITING
+        revision = snapshot.revision if self.guards.revision_checked else None
+        return [self._ask(now, update_transaction(revision, self.operation_id.encode(), *operations))]
+
+    def _release(self, now: float, snapshot: BudgetSnapshot) -> Actions:
+        claim = snapshot.claims.get(self.releasing)
+        if claim is None:
+            return self._finish(ClaimReleased(self.releasing))
+        if not self._is_own(claim):
+            return self._finish(ClaimFenced(claim))
+        instance = snapshot.instances.get(self.releasing)
+        if not self._has_evidence(instance, claim):
+            condition = Condition.UNKNOWN if instance is None else instance.condition
+            return self._finish(ReleasePending(self.releasing, condition))
+        return self._write(now, snapshot, [DeleteRange(claim.key)])
+
+    def _has_evidence(self, instance: Instance | None, claim: DisruptionClaim) -> bool:
+        """Whether the owner observed the instance serving after everything that was done to it."""
+        if instance is None or not instance.condition.is_serving:
+            return False
+        last_act = max(claim.observation, self.last_command_observation)
+        if self.guards.evidence_required and instance.observation <= last_act:
+            return False
+        return instance.fencing_token >= self.fencing_token or not self.guards.fencing_observed
+
+
+def _without_losses(snapshot: BudgetSnapshot) -> BudgetSnapshot:
+    """As if every instance without a claim served; only for tests that disable `losses_counted`."""
+    serving = {
+        instance_id: msgspec.structs.replace(instance, condition=Condition.SERVING)
+        for instance_id, instance in snapshot.instances.items()
+    }
+    return snapshot._replace(instances=serving)
--- /dev/null
+++ b/heronreel/fleet/instance_runner.py
@@ -0,0 +1,190 @@
+"""Runs an operation on one instance: carries out the actions of `InstanceOperation` over the network."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+import msgspec
+
+from heronreel.coordination.model import RequestError
+from heronreel.fleet.agent_client import AgentClient
+from heronreel.fleet.budget_client import ClaimClient, read_snapshot
+from heronreel.fleet.budget_transactions import transfer_claim, transfer_transaction
+from heronreel.fleet.claim_requester import (
+    ClaimDenied,
+    ClaimFenced,
+    ClaimGranted,
+    ClaimReleased,
+    ReleasePending,
+)
+from heronreel.fleet.disruption_budget import BudgetSnapshot
+from heronreel.fleet.errors import AgentUnavailableError, CommandFailedError
+from heronreel.fleet.instance_operation import (
+    AcquireClaim,
+    Action,
+    Actions,
+    AdoptClaim,
+    Finish,
+    InstanceOperation,
+    OperationTimeouts,
+    ReleaseClaim,
+    SendCommand,
+)
+from heronreel.fleet.leadership import FleetLeadership
+from heronreel.fleet.lifecycle_messages import Command
+from heronreel.fleet.model import FleetOperation
+
+SNAPSHOT_INTERVAL_S = 0.2  # between two reads of the records
+IDLE_SLEEP_S = SNAPSHOT_INTERVAL_S / 2
+
+
+class FleetView:
+    """What the controller knows of the fleet: the last snapshot, and whether no instance is started with."""
+
+    def __init__(self, snapshot: BudgetSnapshot) -> None:
+        """`halted` is set from outside; it stays set."""
+        self.snapshot = snapshot
+        self.halted = False
+
+    async def refresh(self, leadership: FleetLeadership, operation: FleetOperation) -> None:
+        """Read the records again and again, until cancelled."""
+        while True:
+            try:
+                self.snapshot = await read_snapshot(leadership.client)
+                if self.snapshot.halt and not operation.kind.restores_service:
+                    self.halted = True
+            except (RequestError, msgspec.DecodeError):
+                pass
+            await asyncio.sleep(SNAPSHOT_INTERVAL_S)
+
+
+class InstanceRunner:
+    """One instance's part of an operation on the fleet."""
+
+    def __init__(
+        self,
+        instance_id: str,
+        operation: FleetOperation,
+        timeouts: OperationTimeouts | None,
+        leadership: FleetLeadership,
+        view: FleetView,
+        agents: AgentClient,
+        on_progress: Callable[[str, str], None],
+    ) -> None:
+        """`on_progress` is called with the instance's ID and a text for people.
+
+        Raises:
+            LeadershipLostError: This process is not the leader any more.
+        """
+        self.instance_id = instance_id
+        self.operation = operation
+        self.leadership = leadership
+        self.view = view
+        self.agents = agents
+        self.on_progress = on_progress
+        self.now = leadership.now
+        self.points = leadership.points
+        self.fencing_token = leadership.fencing_token()
+        self.steps = InstanceOperation(
+            operation.kind, self.fencing_token, self.now(), operation.version, timeouts
+        )
+        self.claims = ClaimClient(
+            leadership.client,
+            operation.id,
+            leadership.operator,
+            operation.kind.value,
+            self.fencing_token,
+        )
+
+    async def run(self) -> str:
+        """Run to the outcome.
+
+        Raises:
+            LeadershipLostError: This process is not the leader any more.
+        """
+        printed = ""
+        actions: Actions = []
+        while True:
+            actions = actions or self._next_actions()
+            finished = bool(actions) and isinstance(actions[0], Finish)
+            if not finished and self.steps.progress != printed:
+                printed = self.steps.progress
+                self.on_progress(self.instance_id, printed)
+            if not actions:
+                await asyncio.sleep(IDLE_SLEEP_S)
+                continue
+            (action,) = actions
+            if isinstance(action, Finish):
+                return action.outcome
+            self.leadership.fencing_token()
+            actions = await self._carry_out(action)
+
+    def _next_actions(self) -> Actions:
+        now = self.now()
+        instance = self.view.snapshot.instances.get(self.instance_id)
+        actions = self.steps.tick(now) or self.steps.observed(now, instance)
+        if not actions and self.view.halted:
+            actions = self.steps.halt(now)
+        return actions
+
+    async def _carry_out(self, action: Action) -> Actions:
+        if isinstance(action, AcquireClaim):
+            return await self._acquire_claim()
+        if isinstance(action, AdoptClaim):
+            return await self._adopt_claim()
+        if isinstance(action, SendCommand):
+            return await self._send_command(action)
+        assert isinstance(action, ReleaseClaim)
+        return await self._release_claim(action)
+
+    async def _acquire_claim(self) -> Actions:
+        self.points.reach("claim")
+        outcome = await self.claims.acquire((self.instance_id,))
+        assert isinstance(outcome, ClaimGranted | ClaimDenied | ClaimFenced)
+        self.points.reach("claimed")
+        return self.steps.claim_decided(self.now(), outcome)
+
+    async def _adopt_claim(self) -> Actions:
+        try:
+            holds_claim = await self._take_over_claim()
+        except RequestError as error:
+            return self.steps.request_failed(self.now(), error.what)
+        return self.steps.claim_adopted(self.now(), holds_claim)
+
+    async def _take_over_claim(self) -> bool:
+        """Whether there is a claim on the instance, which is this operation's by now."""
+        operation_id = self.operation.id
+        while True:
+            snapshot = await read_snapshot(self.leadership.client)
+            claim = snapshot.claims.get(self.instance_id)
+            if claim is None:
+                return False
+            if claim.operation_id == operation_id and claim.fencing_token == self.fencing_token:
+                return True
+            transferred = transfer_claim(claim, operation_id, self.leadership.operator, self.fencing_token)
+            await self.leadership.client.call(transfer_transaction(snapshot.revision, transferred))
+
+    async def _send_command(self, action: SendCommand) -> Actions:
+        self.points.reach("command")
+        actions = await self._send(action)
+        self.points.reach("commanded")
+        return actions
+
+    async def _send(self, action: SendCommand) -> Actions:
+        command = Command(self.fencing_token, action.sequence, action.desired_state, action.version)
+        instance = self.view.snapshot.instances.get(self.instance_id)
+        try:
+            result = await self.agents.send(instance, command)
+        except AgentUnavailableError as error:
+            return self.steps.request_failed(self.now(), str(error))
+        except CommandFailedError as error:
+            return self.steps.command_failed(self.now(), str(error))
+        return self.steps.command_acknowledged(self.now(), result)
+
+    async def _release_claim(self, action: ReleaseClaim) -> Actions:
+        self.points.reach("release")
+        outcome = await self.claims.release(self.instance_id, action.last_command_observation)
+        assert isinstance(outcome, ClaimReleased | ReleasePending | ClaimFenced)
+        self.points.reach("released")
+        return self.steps.release_decided(self.now(), outcome)
--- /dev/null
+++ b/heronreel/fleet/leadership.py
@@ -0,0 +1,139 @@
+"""The leadership of the fleet: at most one controller changes it at a time, under a fencing token."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import secrets
+from collections.abc import Iterable
+from types import TracebackType
+
+import msgspec
+
+from heronreel.coordination.client import Client
+from heronreel.coordination.clock import CrashPoints
+from heronreel.coordination.model import (
+    Compare,
+    CompareOperator,
+    CompareTarget,
+    Put,
+    Range,
+    RangeResponse,
+    RequestError,
+    Txn,
+    TxnResponse,
+)
+from heronreel.fleet.errors import FleetBusyError, LeadershipLostError
+from heronreel.fleet.model import OPERATION_KEY, FleetOperation, encode_record
+from heronreel.leases.lease import CLAIM_PREFIX, Claim
+from heronreel.leases.session import LeaseSession
+
+LEADERSHIP_NAME = "fleet"  # of the claim that the controller holds
+MIN_RETRY_DELAY_S = 0.05
+MAX_RETRY_DELAY_S = 0.2
+
+
+async def read_operation(client: Client) -> FleetOperation | None:
+    """The operation that is in progress, or the last one.
+
+    Raises:
+        RequestError: The group does not respond.
+        msgspec.DecodeError: The record is malformed.
+    """
+    response = await client.call(Range(OPERATION_KEY))
+    assert isinstance(response, RangeResponse)
+    if not response.records:
+        return None
+    return msgspec.json.decode(response.records[0][1].value, type=FleetOperation)
+
+
+def describe(operation: FleetOperation) -> str:
+    """An operation and its progress, for people."""
+    progress = f"{len(operation.outcomes)} of {len(operation.instance_ids)}"
+    return f"{operation.kind.value} {operation.id} by {operation.operator}, {progress}"
+
+
+async def sleep_before_retry() -> None:
+    """Wait for a random time, so that controllers do not retry in step."""
+    await asyncio.sleep(random.uniform(MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S))
+
+
+class FleetLeadership:
+    """Leadership under one lease, as an asynchronous context manager that gives it up at the end."""
+
+    def __init__(self, addresses: Iterable[str], operator: str, points: CrashPoints) -> None:
+        """The addresses are those of the group's members."""
+        self.operator = operator
+        self.session = LeaseSession(addresses, f"{operator} ({secrets.token_hex(3)})")
+        self.now = self.session.now
+        self.points = points
+        self.claim: Claim
+
+    async def __aenter__(self) -> FleetLeadership:
+        await self.session.__aenter__()
+        return self
+
+    async def __aexit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        await self.session.__aexit__(kind, error, trace)
+
+    @property
+    def client(self) -> Client:
+        """The client of the group."""
+        return self.session.client
+
+    async def acquire(self, wait_s: float) -> None:
+        """Become the leader within so many seconds.
+
+        Raises:
+            FleetBusyError: Another controller kept the leadership.
+            RequestError: The group does not respond.
+        """
+        self.claim = self.session.claim(LEADERSHIP_NAME)
+        try:
+            async with asyncio.timeout(wait_s):
+                await self.session.held(self.claim)
+        except TimeoutError:
+            raise FleetBusyError(await self._describe_holder()) from None
+
+    async def _describe_holder(self) -> str:
+        holder = self.claim.holder
+        name = holder[0].decode(errors="replace") if holder else "nobody"
+        operation = await read_operation(self.client)
+        if operation is None or operation.final_status:
+            return f"{name} has the fleet"
+        return f"{name} has the fleet, with {describe(operation)}"
+
+    def fencing_token(self) -> int:
+        """The token to act under; to be called again before each action.
+
+        Raises:
+            LeadershipLostError: This process is not the leader any more.
+        """
+        token = self.claim.acts(self.session.now())
+        if not token:
+            raise LeadershipLostError("the claim on the fleet is no longer held")
+        return token
+
+    async def record(self, operation: FleetOperation) -> None:
+        """Store the operation, on the condition that this process is still the leader.
+
+        Raises:
+            LeadershipLostError: It is not.
+        """
+        claim_key = CLAIM_PREFIX + LEADERSHIP_NAME.encode()
+        is_leader = Compare(claim_key, CompareTarget.CREATE, CompareOperator.EQUAL, self.fencing_token())
+        transaction = Txn((is_leader,), (Put(OPERATION_KEY, encode_record(operation)),))
+        while True:
+            self.points.reach("record")
+            try:
+                response = await self.client.call(transaction)
+            except RequestError:
+                self.fencing_token()
+                await sleep_before_retry()
+                continue
+            if not (isinstance(response, TxnResponse) and response.succeeded):
+                raise LeadershipLostError("the claim on the fleet is held by another controller")
+            self.points.reach("recorded")
+            return
--- a/heronreel/fleet/model.py
+++ b/heronreel/fleet/model.py
@@ -1,7 +1,9 @@
-"""The records of the fleet's account: instances, allowances, and the parts of them that are taken.
+"""The records that the group stores about the fleet: instances, budget rules, claims, halt and operation.
 
-Every write to any of them writes the register as well, so a transaction on the register's revision rests on
-all of them as they were read.
+Every write of a rule, an instance, a claim or the halt also writes the revision key, so a transaction that
+compares the revision key depends on all of them as they were read.
+
+Where a field's name differs from its stored name, the stored name is given with `msgspec.field`.
 """
 
 from __future__ import annotations
@@ -11,70 +13,75 @@
 
 import msgspec
 
-INSTANCES = b"fleet/instance/"
-PARTS = b"fleet/part/"
-RULES = b"fleet/rules"
-REGISTER = b"fleet/register"
-HALT = b"fleet/halt"
-WORK = b"fleet/work"
+INSTANCE_PREFIX = b"fleet/instance/"
+DISRUPTION_CLAIM_PREFIX = b"fleet/part/"
+RULES_KEY = b"fleet/rules"
+REVISION_KEY = b"fleet/register"
+HALT_KEY = b"fleet/halt"
+OPERATION_KEY = b"fleet/work"
+
+Fraction = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 
-Share = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 
+class InstanceKind(enum.Enum):
+    """What an instance is."""
 
-class Kind(enum.Enum):
     PROXY = "proxy"
     BACKEND = "backend"
 
 
 class Condition(enum.Enum):
-    """What is known of an instance, by somebody who looked."""
+    """What the owner of an instance observed last."""
 
     SERVING = "serving"
-    COLD = "cold"  # serves, and can do `share` of its capacity
-    OUT = "out"  # drained, stopped or held: by a part, or by discovery's own drain
-    FAILED = "failed"  # crashed, refused, or does not come up
-    UNKNOWN = "unknown"  # nobody can look
+    WARMING_UP = "cold"  # serves with `capacity_fraction` of its capacity
+    OUT_OF_SERVICE = "out"  # drained or stopped on purpose
+    FAILED = "failed"  # crashed, rejects requests, or does not become ready
+    UNKNOWN = "unknown"  # nobody can observe it
 
     @property
-    def serves(self) -> bool:
-        return self in (Condition.SERVING, Condition.COLD)
+    def is_serving(self) -> bool:
+        """Whether an instance in this condition serves requests."""
+        return self in (Condition.SERVING, Condition.WARMING_UP)
 
 
 class Instance(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One proxy or backend, as whoever owns it told last."""
+    """One proxy or backend, as its owner reported it last."""
 
-    kind: Kind
+    kind: InstanceKind
     name: str
     zone: str = ""
     group: str = ""
     pool: str = ""
-    capacity: float = 1.0  # what it can do when warm, in any one unit
+    capacity: float = 1.0  # when warm; any unit, as long as it is the same for all
     condition: Condition = Condition.UNKNOWN
-    share: Share = 1.0  # of its capacity, while cold
-    owner: str = ""  # whoever tells of it is there by this name; "": somebody by hand
-    start: str = ""  # drawn at each start: another one is another process
-    looked: int = 0  # counts the looks of its owner: evidence is of a look after the act
-    number: int = 0  # the greatest fencing number that its owner knew at that look
-    version: str = ""  # that its process runs; "": there is none, or nobody knows
+    capacity_fraction: Fraction = msgspec.field(default=1.0, name="share")  # while it warms up
+    owner: str = ""  # the agent that reports it, by the name of its presence; "": reported by hand
+    incarnation: str = msgspec.field(default="", name="start")  # of its process
+    observation: int = msgspec.field(default=0, name="looked")  # grows with each observation of the owner
+    fencing_token: int = msgspec.field(default=0, name="number")  # the greatest that its owner knew then
+    version: str = ""  # that its process runs; "": there is no process, or the version is unknown
 
     @property
     def key(self) -> bytes:
-        return INSTANCES + self.ident.encode()
+        """The key that this record is stored under."""
+        return INSTANCE_PREFIX + self.id.encode()
 
     @property
-    def ident(self) -> str:
+    def id(self) -> str:
+        """Kind and name, as `proxy/p1`."""
         return f"{self.kind.value}/{self.name}"
 
     @property
-    def serves(self) -> float:
-        """What it does now."""
+    def available_capacity(self) -> float:
+        """The capacity that it provides at present."""
         if self.condition is Condition.SERVING:
             return self.capacity
-        return self.capacity * self.share if self.condition is Condition.COLD else 0.0
+        return self.capacity * self.capacity_fraction if self.condition is Condition.WARMING_UP else 0.0
 
 
 class Scope(enum.Enum):
-    """What an allowance is counted over, each value of it by itself."""
+    """What a budget rule is evaluated over; except for FLEET the value names a field of `Instance`."""
 
     FLEET = "fleet"
     ZONE = "zone"
@@ -82,48 +89,49 @@
     POOL = "pool"
 
 
-class Rule(msgspec.Struct, frozen=True, omit_defaults=True):
-    """At most so many out, or at least so much of the capacity serving, or both."""
+class BudgetRule(msgspec.Struct, frozen=True, omit_defaults=True):
+    """A limit on unavailable instances, on the capacity that stays available, or on both."""
 
     name: str
-    kind: Kind
+    kind: InstanceKind
     scope: Scope = Scope.FLEET
-    only: str = ""  # this one zone, group or pool alone; "": each of them
-    most_out: int | None = None
-    least_serving: Share | None = None  # of the capacity of all instances in the scope
+    scope_value: str = msgspec.field(default="", name="only")  # only this zone, group or pool; "": each one
+    max_unavailable: int | None = msgspec.field(default=None, name="most_out")
+    min_available: Fraction | None = msgspec.field(default=None, name="least_serving")  # of all capacity
 
     def scope_of(self, instance: Instance) -> str | None:
-        """The value that an instance counts under; None where the rule does not concern it."""
+        """The scope value that an instance counts under; None if the rule does not apply to it."""
         if instance.kind is not self.kind:
             return None
         value = "" if self.scope is Scope.FLEET else str(getattr(instance, self.scope.value))
-        return value if not self.only or self.only == value else None
+        return value if not self.scope_value or self.scope_value == value else None
 
 
-class Part(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A part of the allowance that an operation took for one instance, before it acted."""
+class DisruptionClaim(msgspec.Struct, frozen=True, omit_defaults=True):
+    """One operation's granted claim on the disruption budget, for one instance."""
 
-    ident: str  # the instance's
-    operation: str  # drawn once: the same one finds its part again
-    by: str  # for people
-    why: str  # drain, restart, upgrade, hold, replace
-    number: int  # the fencing number that it was taken under
-    looked: int = 0  # of the instance when it was taken: what was seen by then is no evidence
-    taken: int = 0  # the register's revision then
+    instance_id: str = msgspec.field(name="ident")
+    operation_id: str = msgspec.field(name="operation")  # a retry after a crash finds its claim by it
+    operator: str = msgspec.field(name="by")  # for people
+    reason: str = msgspec.field(name="why")  # for people: drain, restart, upgrade ...
+    fencing_token: int = msgspec.field(name="number")
+    observation: int = msgspec.field(default=0, name="looked")  # the instance's last one before the grant
+    granted_revision: int = msgspec.field(default=0, name="taken")  # the revision that was read before it
 
     @property
     def key(self) -> bytes:
-        return PARTS + self.ident.encode()
+        """The key that this record is stored under."""
+        return DISRUPTION_CLAIM_PREFIX + self.instance_id.encode()
 
 
 class Halt(msgspec.Struct, frozen=True):
-    """While it stands, no part is taken by anybody, whoever dies or comes back in between."""
+    """While this record exists no claim is granted, whichever processes end or start in between."""
 
-    by: str
-    why: str
+    operator: str = msgspec.field(name="by")
+    reason: str = msgspec.field(name="why")
 
 
-class Verb(enum.Enum):
+class OperationKind(enum.Enum):
     """What an operation does to each of its instances."""
 
     DRAIN = "drain"
@@ -134,33 +142,37 @@
     UPGRADE = "upgrade"
 
     @property
-    def brings_back(self) -> bool:
-        """What is out by now: it takes nothing of an allowance, and no halt is against it."""
-        return self in (Verb.START, Verb.UNDRAIN)
+    def restores_service(self) -> bool:
+        """Whether it only returns instances to service: it needs no claim and ignores a halt."""
+        return self in (OperationKind.START, OperationKind.UNDRAIN)
+
 
+class FleetOperation(msgspec.Struct, frozen=True, omit_defaults=True):
+    """The operation on the fleet, with the outcomes recorded so far.
 
-class Work(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The operation that goes through the fleet, as its controller has confirmed it.  Whoever follows goes on
-    with what has no outcome.
+    A controller that takes over continues with the instances that have no outcome.
     """
 
-    name: str  # drawn once: parts are taken under it
-    verb: Verb
-    by: str
-    idents: tuple[str, ...]  # in the order in which they are begun
+    id: str = msgspec.field(name="name")  # drawn at random; claims are requested under it
+    kind: OperationKind = msgspec.field(name="verb")
+    operator: str = msgspec.field(name="by")
+    instance_ids: tuple[str, ...] = msgspec.field(name="idents")  # in the order of their start
     version: str = ""
-    at_once: int = 1
-    outcomes: dict[str, str] = {}  # by instance, of those that came to an end
-    ended: str = ""  # done, or given up; "": it goes on, or is halted
+    max_parallel: int = msgspec.field(default=1, name="at_once")
+    outcomes: dict[str, str] = {}  # by instance ID
+    final_status: str = msgspec.field(default="", name="ended")  # "": in progress or halted
 
     @property
-    def left(self) -> tuple[str, ...]:
-        return tuple(ident for ident in self.idents if ident not in self.outcomes)
+    def pending(self) -> tuple[str, ...]:
+        """IDs of the instances that have no outcome yet."""
+        return tuple(each for each in self.instance_ids if each not in self.outcomes)
 
 
-def encoded(record: Instance | Part | Halt | Work) -> bytes:
+def encode_record(record: Instance | DisruptionClaim | Halt | FleetOperation) -> bytes:
+    """The stored form of a record."""
     return msgspec.json.encode(record)
 
 
-def rules_encoded(rules: tuple[Rule, ...]) -> bytes:
+def encode_rules(rules: tuple[BudgetRule, ...]) -> bytes:
+    """The stored form of all budget rules."""
     return msgspec.json.encode(rules)
--- /dev/null
+++ b/heronreel/fleet/process_supervisor.py
@@ -0,0 +1,292 @@
+"""Supervision of one instance: carries out the actions of its lifecycle on the disk and on its process."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+import time
+from collections import deque
+from collections.abc import Callable, Coroutine
+from pathlib import Path
+from typing import Any
+
+import aiohttp
+import msgspec
+import structlog
+
+from heronreel.coordination.clock import CrashPoints, boot_clock
+from heronreel.fleet import processes
+from heronreel.fleet.agent_settings import AgentSettings, InstanceTable
+from heronreel.fleet.instance_lifecycle import InstanceLifecycle
+from heronreel.fleet.lifecycle_messages import (
+    Action,
+    Actions,
+    Command,
+    CommandResult,
+    LifecycleTimeouts,
+    Persist,
+    PersistedState,
+    ProcessIdentity,
+    ProcessStage,
+    SetQuiesced,
+    SignalProcess,
+    StartProcess,
+)
+from heronreel.fleet.model import Instance, InstanceKind
+from heronreel.store import Store, StoreError
+
+HEALTH_CHECK_INTERVAL_S = 0.1  # while a process is starting
+HTTP_TIMEOUT_S = 1.0
+PERSIST_RETRY_S = 0.5
+EXIT_POLL_S = 0.002  # while an orphan process is being killed
+MIN_TICK_DELAY_S = 0.01
+MAX_TICK_DELAY_S = 1.0
+EPOCH_BITS = 32  # observations are counted from the number of starts, shifted by this
+
+log = structlog.get_logger()
+
+
+class ProcessSupervisor:
+    """Drives the lifecycle of one instance.
+
+    All events happen in the event loop; states are written to the store one after the other.
+    """
+
+    def __init__(self, settings: AgentSettings, instance: InstanceTable, store: Store) -> None:
+        """Find the instance's process, and kill those that an agent started and did not record."""
+        self.settings = settings
+        self.instance = instance
+        self.store = store
+        self.key = f"instance/{instance.name}".encode()
+        # by the folder, which only one agent can have open: processes of another agent are not ours to kill
+        self.owner = f"{Path(settings.agent.folder).resolve()}/{instance.name}"
+        self.now = boot_clock()
+        self.points = CrashPoints()
+        self.results: deque[asyncio.Future[CommandResult]] = deque()
+        self.unpersisted: deque[PersistedState] = deque()
+        self.persisting = False
+        self.command_lock = asyncio.Lock()
+        self.stop_watching: Callable[[], None] = lambda: None
+        self.changed = asyncio.Event()
+        self.tasks: set[asyncio.Task[None]] = set()
+        self.timer: asyncio.TimerHandle | None = None
+        self.closed = False
+        self.lifecycle = self._restore()
+
+    async def run(self) -> None:
+        """Supervise until cancelled; the process keeps running."""
+        process = self.lifecycle.process
+        if process is not None and self.lifecycle.stage is not ProcessStage.NONE:
+            self._watch(process)
+        self._carry_out(self.lifecycle.tick(self.now()))
+        try:
+            timeout = aiohttp.ClientTimeout(total=HTTP_TIMEOUT_S)
+            async with aiohttp.ClientSession(timeout=timeout) as self.session:
+                while True:
+                    await self._check_health()
+                    await asyncio.sleep(HEALTH_CHECK_INTERVAL_S)
+        finally:
+            self.close()
+
+    def close(self) -> None:
+        """Stop reacting to events."""
+        self.closed = True
+        self.stop_watching()
+        if self.timer is not None:
+            self.timer.cancel()
+
+    async def command(self, command: Command) -> CommandResult:
+        """Pass a command to the lifecycle; returns once its result is durable."""
+        async with self.command_lock:
+            self.points.reach("command")
+            result: asyncio.Future[CommandResult] = asyncio.get_running_loop().create_future()
+            self.results.append(result)
+            self._carry_out(self.lifecycle.command(self.now(), command))
+            await result
+            self.points.reach("commanded")
+            return result.result()
+
+    def observe(self) -> Instance:
+        """A new observation to report to the group."""
+        observation = self.lifecycle.observe()
+        process = self.lifecycle.process
+        return Instance(
+            InstanceKind.PROXY,
+            self.instance.name,
+            self.instance.zone,
+            self.instance.group,
+            capacity=self.instance.capacity,
+            condition=observation.condition,
+            owner=self.settings.agent.name,
+            incarnation="" if process is None else f"{process.pid}.{process.start_time}",
+            observation=observation.sequence,
+            fencing_token=observation.fencing_token,
+            version="" if process is None else process.version,
+        )
+
+    # -- restoring the state of an earlier agent
+
+    def _restore(self) -> InstanceLifecycle:
+        """The lifecycle of the persisted state, once every orphan process is gone."""
+        data = self.store.get(self.key)
+        state = PersistedState() if data is None else msgspec.msgpack.decode(data, type=PersistedState)
+        self._kill_orphans(state.process)
+        table = self.settings.agent
+        timeouts = LifecycleTimeouts(table.start_s, table.drain_s, table.end_s)
+        alive = state.process is not None and processes.is_alive(state.process)
+        lifecycle = InstanceLifecycle(state, self.now(), timeouts, alive=alive)
+        lifecycle.observation_count = self._next_epoch() << EPOCH_BITS
+        return lifecycle
+
+    def _kill_orphans(self, recorded: ProcessIdentity | None) -> None:
+        """Kill processes of this instance that an earlier agent started and was killed before recording."""
+        for process in processes.owned_by(self.owner):
+            if recorded is not None and (process.pid, process.start_time) == (
+                recorded.pid,
+                recorded.start_time,
+            ):
+                continue
+            log.warning("orphan process killed", instance=self.instance.name, pid=process.pid)
+            processes.send_signal(process, signal.SIGKILL)
+            while processes.is_alive(process):
+                time.sleep(EXIT_POLL_S)  # it exits within moments, and nothing may be started beside it
+
+    def _next_epoch(self) -> int:
+        """Count a start of the agent, so that observations keep growing over its restarts."""
+        key = self.key + b"/epochs"
+        stored = self.store.get(key)
+        epoch = 1 + (0 if stored is None else int(stored))
+        self.store.put(key, b"%d" % epoch)
+        return epoch
+
+    # -- the actions of the lifecycle
+
+    def _carry_out(self, actions: Actions) -> None:
+        if self.closed:
+            return
+        condition_before = self.lifecycle.condition
+        for action in actions:
+            self._carry_out_one(action)
+        if self.lifecycle.condition is not condition_before:
+            log.info(
+                "condition changed",
+                instance=self.instance.name,
+                condition=self.lifecycle.condition.value,
+                reason=self.lifecycle.failure_reason,
+            )
+        self.changed.set()
+        self._schedule_tick()
+
+    def _carry_out_one(self, action: Action) -> None:
+        if isinstance(action, Persist):
+            self.unpersisted.append(action.state)
+            if not self.persisting:
+                self.persisting = True
+                self._spawn(self._persist_all())
+        elif isinstance(action, CommandResult):
+            if self.results:
+                self.results.popleft().set_result(action)
+        elif isinstance(action, StartProcess):
+            self._start(action.version)
+        elif isinstance(action, SignalProcess):
+            number = signal.SIGKILL if action.kill else signal.SIGTERM
+            log.info("signal sent", instance=self.instance.name, pid=action.process.pid, signal=number.name)
+            processes.send_signal(action.process, number)
+        elif isinstance(action, SetQuiesced):
+            self._spawn(self._set_quiesced(action.quiesced))
+
+    def _schedule_tick(self) -> None:
+        if self.timer is not None:
+            self.timer.cancel()
+        delay = max(MIN_TICK_DELAY_S, self.lifecycle.wake() - self.now())
+        self.timer = asyncio.get_running_loop().call_later(min(delay, MAX_TICK_DELAY_S), self._tick)
+
+    def _tick(self) -> None:
+        self._carry_out(self.lifecycle.tick(self.now()))
+
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.ensure_future(coroutine)
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
+
+    async def _persist_all(self) -> None:
+        """Write the states that wait for the disk, in order; a failed write is retried."""
+        while self.unpersisted:
+            self.points.reach("persist")
+            try:
+                data = msgspec.msgpack.encode(self.unpersisted[0])
+                await asyncio.to_thread(self.store.put, self.key, data)
+            except (StoreError, OSError) as error:
+                log.error("write failed", instance=self.instance.name, error=str(error))
+                await asyncio.sleep(PERSIST_RETRY_S)
+                continue
+            self.points.reach("persisted")
+            self.unpersisted.popleft()
+            self._carry_out(self.lifecycle.persisted(self.now()))
+        self.persisting = False
+
+    # -- the process
+
+    def _start(self, version: str) -> None:
+        self.points.reach("start")
+        try:
+            process = processes.start(self._command_line(version), self.owner, version, self._log_file())
+        except OSError as error:
+            log.error("start failed", instance=self.instance.name, version=version, error=str(error))
+            asyncio.get_running_loop().call_soon(self._exited, str(error))
+            return
+        self.points.reach("started")
+        log.info("process started", instance=self.instance.name, version=version, pid=process.pid)
+        self._carry_out(self.lifecycle.started(self.now(), process))
+        self._watch(process)
+
+    def _command_line(self, version: str) -> list[str]:
+        """The command line of a version for this instance; raises OSError if it is not configured."""
+        words = self.settings.commands.get(version)
+        if words is None:
+            raise FileNotFoundError(f"version {version!r} is not configured on this machine")
+        instance = self.instance
+        return [word.replace("{name}", instance.name).replace("{listen}", instance.listen) for word in words]
+
+    def _log_file(self) -> Path:
+        return Path(self.settings.agent.folder) / f"{self.instance.name}.log"
+
+    def _watch(self, process: ProcessIdentity) -> None:
+        self.stop_watching()
+
+        def exited(reason: str) -> None:
+            log.info("process exited", instance=self.instance.name, pid=process.pid, reason=reason)
+            self._exited(reason)
+
+        self.stop_watching = processes.watch(asyncio.get_running_loop(), process, exited)
+
+    def _exited(self, reason: str) -> None:
+        self._carry_out(self.lifecycle.exited(self.now(), reason))
+
+    async def _check_health(self) -> None:
+        """Report a process that is starting as ready once its health check succeeds."""
+        process = self.lifecycle.process
+        if self.lifecycle.stage is not ProcessStage.STARTING or process is None:
+            return
+        try:
+            async with self.session.get(f"http://{self.instance.listen}/_health") as response:
+                if response.status == 200:
+                    self._carry_out(self.lifecycle.ready(self.now(), process.version))
+        except (aiohttp.ClientError, TimeoutError, OSError):
+            return
+
+    async def _set_quiesced(self, quiesced: bool) -> None:
+        """Quiesce or resume the process through its management address.
+
+        An instance without one counts as drained at once: its graceful shutdown drains it.
+        """
+        if not self.instance.mgmt:
+            if quiesced:
+                self._carry_out(self.lifecycle.drained(self.now()))
+            return
+        action = "quiesce" if quiesced else "resume"
+        try:
+            async with self.session.post(f"http://{self.instance.mgmt}/admin/{action}") as response:
+                log.info(action, instance=self.instance.name, status=response.status)
+        except (aiohttp.ClientError, TimeoutError, OSError) as error:
+            log.error(f"{action} failed", instance=self.instance.name, error=str(error))
--- a/heronreel/fleet/processes.py
+++ b/heronreel/fleet/processes.py
@@ -1,4 +1,4 @@
-"""Processes of the system, by pid and start time, as an agent sees them."""
+"""Processes of the operating system, identified by pid and start time, as an agent handles them."""
 
 from __future__ import annotations
 
@@ -9,54 +9,58 @@
 from contextlib import suppress
 from pathlib import Path
 
-from heronreel.fleet.agent import Process as Process
+from heronreel.fleet.lifecycle_messages import ProcessIdentity
 
-MARK = "HERONREEL_AGENT"  # in the environment of each process that an agent starts
+OWNER_VARIABLE = "HERONREEL_AGENT"  # environment variable that marks each process that an agent starts
+EXIT_REASON_UNKNOWN = "gone"
 
-_PROC = Path("/proc")
+PROC_FOLDER = Path("/proc")
+STATE_FIELD = 0  # of /proc/PID/stat, counted from behind the name of the program
+START_TIME_FIELD = 19
+DEAD_STATES = ("Z", "X")  # zombie, dead
 
 
-def began(pid: int) -> int:
-    """The system's time of a process's start, in ticks since the machine's; 0 where there is none, or it has
-    ended and nobody has asked for its code yet.
-    """
+def start_time(pid: int) -> int:
+    """The start time of a process in clock ticks since boot; 0 if it does not exist or is a zombie."""
     try:
-        fields = (_PROC / str(pid) / "stat").read_text().rpartition(")")[2].split()
+        fields = (PROC_FOLDER / str(pid) / "stat").read_text().rpartition(")")[2].split()
     except OSError:
         return 0
-    return 0 if fields[0] in ("Z", "X") else int(fields[19])
+    return 0 if fields[STATE_FIELD] in DEAD_STATES else int(fields[START_TIME_FIELD])
+
 
+def is_alive(process: ProcessIdentity) -> bool:
+    """Whether the pid still belongs to this process."""
+    return process.start_time != 0 and start_time(process.pid) == process.start_time
 
-def alive(process: Process) -> bool:
-    """Whether it is this process that has the pid."""
-    return process.began != 0 and began(process.pid) == process.began
 
+def owned_by(owner: str) -> list[ProcessIdentity]:
+    """Every process that was started for this owner, without those that it started itself.
 
-def marked(mark: str) -> list[tuple[int, int]]:
-    """Pid and start time of every process that was started under a mark: the leaders of their sessions, and
-    not what they started themselves.
+    Their version is not known and stays empty.
     """
-    wanted = f"{MARK}={mark}".encode()
-    found: list[tuple[int, int]] = []
-    for path in _PROC.iterdir():
+    marker = f"{OWNER_VARIABLE}={owner}".encode()
+    found: list[ProcessIdentity] = []
+    for path in PROC_FOLDER.iterdir():
         if not path.name.isdigit() or int(path.name) == os.getpid():
             continue
         pid = int(path.name)
         with suppress(OSError):
-            ours = wanted in (path / "environ").read_bytes().split(b"\0") and os.getsid(pid) == pid
-            if ours and (at := began(pid)):
-                found.append((pid, at))
+            is_marked = marker in (path / "environ").read_bytes().split(b"\0")
+            # `start` makes each process the leader of a session; its children inherit the marker
+            if is_marked and os.getsid(pid) == pid and (started_at := start_time(pid)):
+                found.append(ProcessIdentity(pid, started_at, ""))
     return found
 
 
-def send(process: Process, number: int) -> None:
-    """A signal to this process, and to none that was given its pid later."""
+def send_signal(process: ProcessIdentity, number: int) -> None:
+    """Send a signal to this process, and never to one that was given its pid later."""
     try:
         descriptor = os.pidfd_open(process.pid)
     except OSError:
         return
     try:
-        if alive(process):  # the descriptor is of whoever has the pid now, and stays that one's
+        if is_alive(process):  # the descriptor refers to whichever process has the pid now, for good
             signal.pidfd_send_signal(descriptor, number)
     except OSError:
         pass
@@ -64,29 +68,37 @@
         os.close(descriptor)
 
 
-def start(words: Sequence[str], mark: str, log: Path) -> Process:
-    """Start a process of its own session, which outlives the agent.  Raises OSError."""
-    with log.open("ab") as output:
+def start(command: Sequence[str], owner: str, version: str, log_file: Path) -> ProcessIdentity:
+    """Start a process in a session of its own, so that it outlives the agent.
+
+    Its output is appended to the log file.
+
+    Raises:
+        OSError: The log file or the program can't be opened.
+    """
+    with log_file.open("ab") as output:
         pid = os.posix_spawnp(
-            words[0],
-            list(words),
-            {**os.environ, MARK: mark},
+            command[0],
+            list(command),
+            {**os.environ, OWNER_VARIABLE: owner},
             file_actions=[(os.POSIX_SPAWN_DUP2, output.fileno(), number) for number in (1, 2)],
             setsid=True,
         )
-    return Process(pid, began(pid), "")
+    return ProcessIdentity(pid, start_time(pid), version)
 
 
 def watch(
-    loop: asyncio.AbstractEventLoop, process: Process, ended: Callable[[str], None]
+    loop: asyncio.AbstractEventLoop, process: ProcessIdentity, on_exit: Callable[[str], None]
 ) -> Callable[[], None]:
-    """Tell when the process ends, child of ours or not, and how if that can be known; the call that stops
-    watching.
+    """Call `on_exit` with the reason when the process exits, whether or not it is a child of this one.
+
+    Returns:
+        A function that stops watching.
     """
     try:
         descriptor = os.pidfd_open(process.pid)
     except OSError:
-        loop.call_soon(ended, "gone")
+        loop.call_soon(on_exit, EXIT_REASON_UNKNOWN)
         return lambda: None
     closed = False
 
@@ -97,18 +109,22 @@
             loop.remove_reader(descriptor)
             os.close(descriptor)
 
-    def over() -> None:
-        if closed:
-            return
-        stop()
-        why = "gone"
-        with suppress(ChildProcessError):
-            _, status = os.waitpid(process.pid, os.WNOHANG)
-            code = os.waitstatus_to_exitcode(status)
-            why = f"exit {code}" if code >= 0 else f"signal {-code}"
-        ended(why)
-
-    loop.add_reader(descriptor, over)
-    if not alive(process):
-        loop.call_soon(over)
+    def report_exit() -> None:
+        if not closed:
+            stop()
+            on_exit(_exit_reason(process.pid))
+
+    loop.add_reader(descriptor, report_exit)
+    if not is_alive(process):
+        loop.call_soon(report_exit)
     return stop
+
+
+def _exit_reason(pid: int) -> str:
+    """How a child exited; a process that is no child leaves no status."""
+    try:
+        _, status = os.waitpid(pid, os.WNOHANG)
+    except ChildProcessError:
+        return EXIT_REASON_UNKNOWN
+    code = os.waitstatus_to_exitcode(status)
+    return f"exit {code}" if code >= 0 else f"signal {-code}"
--- /dev/null
+++ b/tests/fleet/agent_harness.py
@@ -0,0 +1,162 @@
+"""An agent with real proxies as processes, for the tests of agents and of rolling operations."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import signal
+import sys
+from pathlib import Path
+from typing import Any
+
+import aiohttp
+
+from heronreel.coordination.client import Client
+from heronreel.fault_injection.processes import Harness, Process
+from heronreel.fleet.budget_client import read_snapshot
+from heronreel.fleet.model import Condition, Instance
+from tests.support.loopback import free_port
+from tests.support.serve_process import gets_to
+
+REQUEST_TIMEOUT_S = 10
+STATE_TIMEOUT_S = 60
+POLL_S = 0.05
+
+
+class AgentHarness:
+    """One agent and its proxies, with settings files in a folder."""
+
+    def __init__(
+        self,
+        harness: Harness,
+        folder: Path,
+        backend: str,
+        agent: str = "m1",
+        names: tuple[str, ...] = ("p1", "p2"),
+    ) -> None:
+        self.name = agent
+        self.harness = harness
+        self.folder = folder
+        self.address = f"127.0.0.1:{free_port()}"
+        self.ports = {name: free_port() for name in names}
+        for name, port in self.ports.items():
+            self._proxy_file(name).write_text(f"""
+[[listeners]]
+name = "in"
+address = "127.0.0.1:{port}"
+{gets_to(backend)}""")
+        self.settings = self._settings()
+        self._agent_file().write_text(self.settings)
+
+    def _proxy_file(self, name: str) -> Path:
+        return self.folder / f"{name}.toml"
+
+    def _agent_file(self) -> Path:
+        return self.folder / f"{self.name}.toml"
+
+    def _settings(self) -> str:
+        run = [sys.executable, "-m", "heronreel.cli", "serve", str(self._proxy_file("{name}"))]
+        instances = "".join(
+            f'[[instances]]\nname = "{name}"\nlisten = "127.0.0.1:{port}"\nzone = "{self.name}"\n'
+            for name, port in self.ports.items()
+        )
+        group = ", ".join(f'"{address}"' for address in self.harness.addresses)
+        return f"""
+[agent]
+name = "{self.name}"
+folder = "{self.folder / self.name}"
+address = "{self.address}"
+group = [{group}]
+lease_s = 2
+margin_s = 0.3
+answer_s = 0.3
+[[versions]]
+name = "1"
+run = {run}
+[[versions]]
+name = "bad"
+run = ["false"]
+{instances}
+"""
+
+    async def start(self, **env: str) -> Process:
+        """Start the agent, and wait until it accepts commands."""
+        process = await self.harness.run(self.name, "heronreel.cli", "agent", str(self._agent_file()), **env)
+        await process.line('"listening"')
+        return process
+
+    async def _request(self, path: str, body: dict[str, Any] | None = None) -> tuple[int, dict[str, Any]]:
+        timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
+        async with aiohttp.ClientSession(timeout=timeout) as session:
+            method = session.get if body is None else session.post
+            async with method(f"http://{self.address}{path}", json=body) as response:
+                return response.status, await response.json()
+
+    async def command(
+        self, name: str, fencing_token: int, sequence: int, desired_state: str, version: str = ""
+    ) -> int:
+        """Send a command; the status of the response."""
+        body = {
+            "instance": name,
+            "number": fencing_token,
+            "order": sequence,
+            "want": desired_state,
+            "version": version,
+        }
+        status, _ = await self._request("/order", body)
+        return status
+
+    async def status(self) -> dict[str, Any]:
+        """The agent's status of each instance."""
+        _, body = await self._request("/status")
+        return body
+
+    async def until(self, name: str, **expected: Any) -> dict[str, Any]:
+        """Wait until the agent reports these values of an instance; its whole status."""
+        async with asyncio.timeout(STATE_TIMEOUT_S):
+            while True:
+                try:
+                    status = (await self.status())[name]
+                    if all(status[field] == value for field, value in expected.items()):
+                        return dict(status)
+                except (aiohttp.ClientError, OSError):
+                    pass
+                await asyncio.sleep(POLL_S)
+
+    async def responds(self, name: str) -> bool:
+        """Whether a proxy forwards a request."""
+        async with aiohttp.ClientSession() as session:
+            try:
+                async with session.get(f"http://127.0.0.1:{self.ports[name]}/ride") as response:
+                    return response.status == 200
+            except (aiohttp.ClientError, OSError):
+                return False
+
+    def running(self) -> dict[str, list[int]]:
+        """Pids of the proxies that really run, by name."""
+        found: dict[str, list[int]] = {name: [] for name in self.ports}
+        for path in Path("/proc").iterdir():
+            try:
+                words = (path / "cmdline").read_bytes().split(b"\0")
+            except (OSError, ValueError):
+                continue
+            for name in self.ports:
+                if str(self._proxy_file(name)).encode() in words and b"serve" in words:
+                    found[name].append(int(path.name))
+        return found
+
+    def kill_proxies(self) -> None:
+        """Kill what is left of this test's own proxies."""
+        for pids in self.running().values():
+            for pid in pids:
+                os.kill(pid, signal.SIGKILL)
+
+
+async def until_reported_serving(client: Client, count: int, seconds: float = 40.0) -> dict[str, Instance]:
+    """Wait until the group has so many instances and all of them serve; the instances by ID."""
+    async with asyncio.timeout(seconds):
+        while True:
+            instances = (await read_snapshot(client)).instances
+            if [each.condition for each in instances.values()] == [Condition.SERVING] * count:
+                return dict(instances)
+            await asyncio.sleep(POLL_S)
--- a/tests/fleet/test_agent_processes.py
+++ b/tests/fleet/test_agent_processes.py
@@ -1,132 +1,25 @@
-"""Agents that own real proxies: killed, cut off and told late, between processes."""
+"""Agents that own real proxies, killed, cut off from the group and commanded late, between processes."""
 
 from __future__ import annotations
 
 import asyncio
 import os
 import signal
-import sys
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
 
 import aiohttp
 import pytest
 
 from heronreel.coordination.client import Client
-from heronreel.fault_injection.processes import Harness, Process
-from heronreel.fleet.machine import load
-from heronreel.fleet.model import Condition
-from heronreel.fleet.operation import account
+from heronreel.fault_injection.processes import Harness
+from heronreel.fleet.agent_settings import load
+from heronreel.fleet.budget_client import read_snapshot
 from heronreel.routes.reader import BadFile
-from tests.support.loopback import Backend, free_port
-from tests.support.serve_process import gets_to
+from tests.fleet.agent_harness import AgentHarness, until_reported_serving
+from tests.support.loopback import Backend
 
-POINTS = ("order", "ordered", "keep", "kept", "start", "started")
-
-
-class Fleet:
-    """One agent with two proxies on files of their own."""
-
-    def __init__(
-        self,
-        harness: Harness,
-        folder: Path,
-        backend: str,
-        agent: str = "m1",
-        names: tuple[str, ...] = ("p1", "p2"),
-    ) -> None:
-        self.name = agent
-        self.harness = harness
-        self.folder = folder
-        self.address = f"127.0.0.1:{free_port()}"
-        self.ports = {name: free_port() for name in names}
-        for name, port in self.ports.items():
-            (folder / f"{name}.toml").write_text(f"""
-[[listeners]]
-name = "in"
-address = "127.0.0.1:{port}"
-{gets_to(backend)}""")
-        run = [sys.executable, "-m", "heronreel.cli", "serve", str(folder / "{name}.toml")]
-        rows = "".join(
-            f'[[instances]]\nname = "{name}"\nlisten = "127.0.0.1:{port}"\nzone = "{agent}"\n'
-            for name, port in self.ports.items()
-        )
-        group = ", ".join(f'"{address}"' for address in harness.addresses)
-        self.text = f"""
-[agent]
-name = "{agent}"
-folder = "{folder / agent}"
-address = "{self.address}"
-group = [{group}]
-lease_s = 2
-margin_s = 0.3
-answer_s = 0.3
-[[versions]]
-name = "1"
-run = {run}
-[[versions]]
-name = "bad"
-run = ["false"]
-{rows}
-"""
-        (folder / f"{agent}.toml").write_text(self.text)
-
-    async def agent(self, **env: str) -> Process:
-        process = await self.harness.run(
-            self.name, "heronreel.cli", "agent", str(self.folder / f"{self.name}.toml"), **env
-        )
-        await process.line('"listens"')
-        return process
-
-    async def call(self, path: str, body: dict[str, Any] | None = None) -> tuple[int, dict[str, Any]]:
-        async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=10)) as session:
-            how = session.get if body is None else session.post
-            async with how(f"http://{self.address}{path}", json=body) as answer:
-                return answer.status, await answer.json()
-
-    async def order(self, name: str, number: int, order: int, want: str, version: str = "") -> int:
-        row = {"instance": name, "number": number, "order": order, "want": want, "version": version}
-        return (await self.call("/order", row))[0]
-
-    async def until(self, name: str, **wanted: Any) -> dict[str, Any]:
-        """Wait until the agent says so of an instance."""
-        async with asyncio.timeout(60):
-            while True:
-                try:
-                    row = (await self.call("/status"))[1][name]
-                    if all(row[field] == value for field, value in wanted.items()):
-                        return dict(row)
-                except (aiohttp.ClientError, OSError):
-                    pass
-                await asyncio.sleep(0.05)
-
-    async def answers(self, name: str) -> bool:
-        async with aiohttp.ClientSession() as session:
-            try:
-                async with session.get(f"http://127.0.0.1:{self.ports[name]}/ride") as answer:
-                    return answer.status == 200
-            except (aiohttp.ClientError, OSError):
-                return False
-
-    def running(self) -> dict[str, list[int]]:
-        """Pids of the proxies that really run, by name."""
-        found: dict[str, list[int]] = {name: [] for name in self.ports}
-        for path in Path("/proc").iterdir():
-            try:
-                words = (path / "cmdline").read_bytes().split(b"\0")
-            except (OSError, ValueError):
-                continue
-            for name in self.ports:
-                if str(self.folder / f"{name}.toml").encode() in words and b"serve" in words:
-                    found[name].append(int(path.name))
-        return found
-
-    def clear(self) -> None:
-        """End what is left of this test's own proxies."""
-        for pids in self.running().values():
-            for pid in pids:
-                os.kill(pid, signal.SIGKILL)
+CRASH_POINTS = ("command", "commanded", "persist", "persisted", "start", "started")
 
 
 def test_an_agent_owns_its_proxies_through_its_own_kill_and_without_the_group(tmp_path: Path) -> None:
@@ -134,76 +27,76 @@
         async with Harness(tmp_path, ("a",), 1) as harness, Client(harness.addresses) as client:
             async with Backend() as backend:
                 await harness.serves()
-                fleet = Fleet(harness, tmp_path, backend.address)
+                agent = AgentHarness(harness, tmp_path, backend.address)
                 try:
-                    agent = await fleet.agent()
-                    for name in fleet.ports:
-                        assert await fleet.order(name, 5, 1, "running", "1") == 200
-                    rows = [await fleet.until(name, condition="serving") for name in fleet.ports]
-                    assert await fleet.answers("p1") and await fleet.answers("p2")
-                    assert await fleet.order("p1", 4, 9, "stopped") == 409  # of an older holder
-                    assert await fleet.order("p3", 6, 1, "stopped") == 404
-                    assert await fleet.order("p1", 6, 1, "running", "none") == 400
-                    async with asyncio.timeout(40):
-                        while True:
-                            seen = (await account(client)).instances
-                            if [i.condition for i in seen.values()] == [Condition.SERVING] * 2:
-                                break
-                            await asyncio.sleep(0.05)
-                    assert seen["proxy/p1"].number == 5
-                    looked = seen["proxy/p1"].looked
-                    await agent.kill()  # its proxies go on, and the next one finds them
-                    assert await fleet.answers("p1")
+                    process = await agent.start()
+                    for name in agent.ports:
+                        assert await agent.command(name, 5, 1, "running", "1") == 200
+                    before = [await agent.until(name, condition="serving") for name in agent.ports]
+                    assert await agent.responds("p1") and await agent.responds("p2")
+                    assert await agent.command("p1", 4, 9, "stopped") == 409  # of an older controller
+                    assert await agent.command("p3", 6, 1, "stopped") == 404
+                    assert await agent.command("p1", 6, 1, "running", "none") == 400
+                    reported = await until_reported_serving(client, 2)
+                    assert reported["proxy/p1"].fencing_token == 5
+                    observation = reported["proxy/p1"].observation
+                    await process.kill()  # its proxies keep running, and the next agent finds them
+                    assert await agent.responds("p1")
                     await harness.members["a"].kill()  # and the group is gone as well
-                    await fleet.agent()
-                    for name, row in zip(fleet.ports, rows, strict=True):
-                        again = await fleet.until(name, condition="serving")
-                        assert again["process"] == row["process"]
-                    os.kill(rows[0]["process"]["pid"], signal.SIGKILL)  # cut off, it still keeps them alive
+                    await agent.start()
+                    for name, status in zip(agent.ports, before, strict=True):
+                        after = await agent.until(name, condition="serving")
+                        assert after["process"] == status["process"]
+                    old_process = before[0]["process"]
+                    os.kill(old_process["pid"], signal.SIGKILL)  # without the group it is restarted
                     async with asyncio.timeout(40):
-                        while (await fleet.until("p1", condition="serving"))["process"] == rows[0]["process"]:
+                        while (await agent.until("p1", condition="serving"))["process"] == old_process:
                             await asyncio.sleep(0.05)
                     async with asyncio.timeout(40):
-                        while not await fleet.answers("p1"):
+                        while not await agent.responds("p1"):
                             await asyncio.sleep(0.05)
                     await harness.start("a")
                     async with asyncio.timeout(40):
-                        while (await account(client)).instances["proxy/p1"].looked <= looked:
-                            await asyncio.sleep(0.05)  # looks are counted on
-                    assert await fleet.order("p1", 7, 1, "stopped") == 200
-                    await fleet.until("p1", stage="none", condition="out")
-                    assert not await fleet.answers("p1")
-                    assert await fleet.order("p1", 7, 2, "running", "bad") == 200
-                    await fleet.until("p1", condition="failed")  # a crash loop, slowed
-                    assert {name: len(pids) for name, pids in fleet.running().items()} == {"p1": 0, "p2": 1}
+                        while True:  # observations keep growing over the agent's restart
+                            instances = (await read_snapshot(client)).instances
+                            if instances["proxy/p1"].observation > observation:
+                                break
+                            await asyncio.sleep(0.05)
+                    assert await agent.command("p1", 7, 1, "stopped") == 200
+                    await agent.until("p1", stage="none", condition="out")
+                    assert not await agent.responds("p1")
+                    assert await agent.command("p1", 7, 2, "running", "bad") == 200
+                    await agent.until("p1", condition="failed")  # a crash loop with backoff
+                    running = {name: len(pids) for name, pids in agent.running().items()}
+                    assert running == {"p1": 0, "p2": 1}
                 finally:
-                    fleet.clear()
+                    agent.kill_proxies()
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("point", POINTS)
-def test_an_agent_killed_at_a_point_leaves_one_process_and_keeps_what_it_answered(
+@pytest.mark.parametrize("point", CRASH_POINTS)
+def test_an_agent_killed_at_a_point_leaves_one_process_and_keeps_what_it_acknowledged(
     point: str, tmp_path: Path
 ) -> None:
     async def run() -> None:
         async with Harness(tmp_path, ("a",), 2) as harness, Backend() as backend:
-            fleet = Fleet(harness, tmp_path, backend.address)
+            agent = AgentHarness(harness, tmp_path, backend.address)
             try:
-                doomed = await fleet.agent(HERONREEL_END_AT=f"{point}:1")
-                taken = False
+                doomed = await agent.start(HERONREEL_END_AT=f"{point}:1")
+                accepted = False
                 with suppress(aiohttp.ClientError, OSError):
-                    taken = await fleet.order("p1", 3, 1, "running", "1") == 200
+                    accepted = await agent.command("p1", 3, 1, "running", "1") == 200
                 assert await doomed.ended(60) == -signal.SIGKILL
-                await fleet.agent()
-                row = (await fleet.call("/status"))[1]["p1"]
-                assert not taken or (row["number"], row["want"]) == (3, "running")
-                assert await fleet.order("p1", 3, 1, "running", "1") == 200  # said again
-                await fleet.until("p1", condition="serving")
-                assert await fleet.answers("p1")
-                assert len(fleet.running()["p1"]) == 1
+                await agent.start()
+                status = (await agent.status())["p1"]
+                assert not accepted or (status["number"], status["want"]) == (3, "running")
+                assert await agent.command("p1", 3, 1, "running", "1") == 200  # a retry
+                await agent.until("p1", condition="serving")
+                assert await agent.responds("p1")
+                assert len(agent.running()["p1"]) == 1
             finally:
-                fleet.clear()
+                agent.kill_proxies()
 
     asyncio.run(run())
 
@@ -217,11 +110,15 @@
         ("[[instances]]", "[[instance]]", "no such table"),
     ],
 )
-def test_a_file_that_is_wrong_is_told_with_its_line(good: str, bad: str, words: str, tmp_path: Path) -> None:
+def test_problems_of_a_settings_file_are_reported_with_their_lines(
+    good: str, bad: str, words: str, tmp_path: Path
+) -> None:
     harness = Harness(tmp_path, (), 1)
     harness.names = []
-    text = Fleet(harness, tmp_path, "127.0.0.1:1").text.replace("group = []", 'group = ["127.0.0.1:1"]')
+    agent = AgentHarness(harness, tmp_path, "127.0.0.1:1")
+    text = agent.settings.replace("group = []", 'group = ["127.0.0.1:1"]')
     assert len(load(text.encode()).instances) == 2
     with pytest.raises(BadFile) as raised:
         load(text.replace(good, bad).encode())
-    assert any(words in str(problem) for problem in raised.value.problems), raised.value.problems
+    problems = [str(problem) for problem in raised.value.problems]
+    assert any(words in problem for problem in problems), problems
--- /dev/null
+++ b/tests/fleet/test_instance_lifecycle.py
@@ -0,0 +1,223 @@
+"""The lifecycle of an instance: old commands are rejected, and there is never a second process."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from heronreel.fleet.instance_lifecycle import InstanceLifecycle
+from heronreel.fleet.lifecycle_messages import (
+    Actions,
+    Command,
+    CommandResult,
+    DesiredState,
+    LifecycleGuards,
+    LifecycleTimeouts,
+    Persist,
+    PersistedState,
+    ProcessIdentity,
+    ProcessStage,
+    SetQuiesced,
+    SignalProcess,
+    StartProcess,
+)
+from heronreel.fleet.model import Condition
+
+TIMEOUTS = LifecycleTimeouts(start=5.0, drain=5.0, termination=5.0)
+
+
+class Machine:
+    """A disk, processes and an agent that is killed now and then, checked from the outside."""
+
+    def __init__(self, seed: int, guards: LifecycleGuards | None = None) -> None:
+        self.rng = random.Random(seed)
+        self.guards = guards
+        self.now = 0.0
+        self.disk = PersistedState()
+        self.alive: dict[int, ProcessIdentity] = {}
+        self.pids = 0
+        self.greatest_accepted = (0, 0)  # fencing token and sequence number
+        self.last_sent = (0, 0)
+        self.lifecycle = InstanceLifecycle(self.disk, self.now, TIMEOUTS, guards=guards)
+        self.problems: list[str] = []
+        self.actions: Actions = []
+
+    def kill_agent(self) -> None:
+        self.actions = []
+        process = self.disk.process
+        known = process is not None and self.alive.get(process.pid) == process
+        self.lifecycle = InstanceLifecycle(self.disk, self.now, TIMEOUTS, alive=known, guards=self.guards)
+        # an orphan process is found by its environment, and killed
+        for pid in [pid for pid, each in self.alive.items() if each != process]:
+            del self.alive[pid]
+
+    def act(self, actions: Actions) -> None:
+        self.actions += actions
+        while self.actions:
+            if self.rng.random() < 0.05:
+                self.kill_agent()
+                return
+            action = self.actions.pop(0)
+            if isinstance(action, Persist):
+                self.disk = action.state
+                self.actions += self.lifecycle.persisted(self.now)
+            elif isinstance(action, StartProcess):
+                self.pids += 1
+                process = ProcessIdentity(self.pids % 3, self.pids, action.version)  # pids are reused
+                if self.alive:
+                    self.problems.append(f"{process} is started beside {self.alive}")
+                self.alive[process.pid] = process
+                self.actions += self.lifecycle.started(self.now, process)
+            elif isinstance(action, SignalProcess):
+                if self.alive.get(action.process.pid) == action.process and (
+                    action.kill or self.rng.random() < 0.5
+                ):
+                    del self.alive[action.process.pid]
+                    self.actions += self.lifecycle.exited(self.now, "terminated")
+            elif isinstance(action, CommandResult) and action.accepted:
+                if self.last_sent < self.greatest_accepted:
+                    self.problems.append(f"{self.last_sent} accepted after {self.greatest_accepted}")
+                self.greatest_accepted = max(self.greatest_accepted, self.last_sent)
+            elif isinstance(action, SetQuiesced):
+                assert self.lifecycle.stage in (ProcessStage.DRAINING, ProcessStage.STARTING)
+
+    def step(self) -> None:
+        self.now += self.rng.choice((0.1, 1.0, 6.0))
+        kind = self.rng.randrange(6)
+        if kind == 0:
+            fencing_token, sequence = self.rng.randrange(1, 5), self.rng.randrange(1, 4)
+            desired_state = self.rng.choice(list(DesiredState))
+            self.last_sent = fencing_token, sequence
+            version = self.rng.choice(("", "v1", "v2"))
+            command = Command(fencing_token, sequence, desired_state, version)
+            self.act(self.lifecycle.command(self.now, command))
+        elif kind == 1 and self.alive:
+            pid = self.rng.choice(list(self.alive))
+            process = self.alive.pop(pid)
+            if process == self.lifecycle.process:
+                self.act(self.lifecycle.exited(self.now, "crashed"))
+        elif kind == 2 and self.lifecycle.process is not None:
+            self.act(self.lifecycle.ready(self.now, self.lifecycle.process.version))
+        elif kind == 3:
+            self.act(self.lifecycle.drained(self.now))
+        elif kind == 4 and self.rng.random() < 0.3:
+            self.kill_agent()
+        else:
+            self.act(self.lifecycle.tick(self.now))
+
+
+@settings(max_examples=150, deadline=None)
+@given(st.integers(0, 1 << 30))
+def test_no_second_process_is_started_and_no_overtaken_command_is_accepted(seed: int) -> None:
+    machine = Machine(seed)
+    for _ in range(80):
+        machine.step()
+    assert machine.problems == []
+
+
+@pytest.mark.parametrize("guard", ["durable", "ordered", "single_process"])
+def test_without_a_guard_an_old_command_is_accepted_or_a_second_process_started(guard: str) -> None:
+    for seed in range(300):
+        machine = Machine(seed, LifecycleGuards(**{guard: False}))
+        for _ in range(80):
+            machine.step()
+        if machine.problems:
+            print(guard, seed, machine.problems[0])
+            return
+    raise AssertionError(f"nothing broke without {guard}")
+
+
+def running(version: str = "v1") -> InstanceLifecycle:
+    lifecycle = InstanceLifecycle(PersistedState(), 0.0, TIMEOUTS)
+    state = PersistedState(1, 1, DesiredState.RUNNING, version)
+    assert lifecycle.command(0.0, Command(1, 1, DesiredState.RUNNING, version)) == [Persist(state)]
+    result, start = lifecycle.persisted(0.0)
+    assert result == CommandResult(True, 1, 0) and start == StartProcess(version)
+    process = ProcessIdentity(7, 99, version)
+    (persist,) = lifecycle.started(0.0, process)
+    assert isinstance(persist, Persist) and persist.state.process == process
+    assert lifecycle.persisted(0.0) == []
+    conditions = [lifecycle.condition]
+    lifecycle.ready(1.0, version)
+    conditions.append(lifecycle.condition)
+    assert conditions == [Condition.UNKNOWN, Condition.SERVING]
+    return lifecycle
+
+
+def test_an_old_command_is_rejected_with_the_greatest_fencing_token() -> None:
+    lifecycle = running()
+    lifecycle.command(2.0, Command(5, 1, DesiredState.DRAINED))
+    (result, quiesce) = lifecycle.persisted(2.0)
+    assert result == CommandResult(True, 5, 0) and quiesce == SetQuiesced(True)
+    assert lifecycle.command(2.0, Command(4, 9, DesiredState.RUNNING)) == [CommandResult(False, 5, 0)]
+    retry = Command(5, 1, DesiredState.DRAINED)
+    assert lifecycle.command(2.0, retry) == [CommandResult(True, 5, 0)]
+    lifecycle.command(2.0, Command(5, 3, DesiredState.RUNNING))
+    lifecycle.persisted(2.0)
+    overtaken = Command(5, 2, DesiredState.STOPPED)
+    assert lifecycle.command(2.0, overtaken) == [CommandResult(False, 5, 0)]
+    assert lifecycle.stage is ProcessStage.STARTING and lifecycle.ready(2.0, "v1") == []
+    assert lifecycle.observe() == (1, Condition.SERVING, 5)
+
+
+def test_restarts_back_off_and_a_stable_process_resets_the_backoff() -> None:
+    lifecycle = running()
+    backoffs = []
+    now = 2.0
+    for _ in range(9):
+        lifecycle.exited(now, "crashed")
+        lifecycle.persisted(now)
+        assert lifecycle.condition is Condition.FAILED
+        backoffs.append(lifecycle.wake() - now)
+        now = lifecycle.wake()
+        assert lifecycle.tick(now) == [StartProcess("v1")]
+        lifecycle.started(now, ProcessIdentity(7, 99, "v1"))
+        lifecycle.persisted(now)
+        lifecycle.ready(now, "v1")
+    assert backoffs == [0.5, 1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 60.0, 60.0]
+    lifecycle.exited(now + 61.0, "crashed")
+    lifecycle.persisted(now + 61.0)
+    assert lifecycle.wake() - now - 61.0 == pytest.approx(0.5)
+
+
+def test_an_upgrade_drains_terminates_and_starts_and_kills_after_a_timeout() -> None:
+    lifecycle = running()
+    old = lifecycle.process
+    assert old is not None
+    lifecycle.command(10.0, Command(2, 1, DesiredState.RUNNING, "v2"))
+    _, quiesce = lifecycle.persisted(10.0)
+    assert quiesce == SetQuiesced(True) and lifecycle.condition is Condition.OUT_OF_SERVICE
+    assert lifecycle.tick(14.0) == []
+    assert lifecycle.tick(15.0) == [SignalProcess(old, False)]  # it never reports that it is drained
+    assert lifecycle.tick(19.0) == [] and lifecycle.tick(20.0) == [SignalProcess(old, True)]
+    lifecycle.exited(20.5, "killed")
+    assert lifecycle.persisted(20.5) == [StartProcess("v2")]
+    assert lifecycle.failures == 0  # the exit was requested
+    process = ProcessIdentity(8, 100, "v2")
+    lifecycle.started(21.0, process)
+    lifecycle.persisted(21.0)
+    assert lifecycle.ready(21.0, "v1") == []  # another version
+    assert lifecycle.stage is ProcessStage.STARTING
+    assert lifecycle.tick(26.0) == [SignalProcess(process, False)]  # it was not ready in time
+
+
+def test_a_restarted_agent_takes_over_its_own_process_and_no_other() -> None:
+    state = PersistedState(3, 1, DesiredState.RUNNING, "v1", ProcessIdentity(7, 99, "v1"))
+    taken_over = InstanceLifecycle(state, 0.0, TIMEOUTS, alive=True)
+    assert taken_over.tick(0.0) == [] and taken_over.ready(0.0, "v1") == []
+    assert taken_over.condition is Condition.SERVING
+    gone = InstanceLifecycle(state, 0.0, TIMEOUTS, alive=False)  # the pid is free, or of another process
+    assert gone.tick(0.0) == [StartProcess("v1")]
+
+
+def test_nothing_is_started_before_a_command_is_durable() -> None:
+    lifecycle = running()
+    lifecycle.command(2.0, Command(2, 1, DesiredState.STOPPED))
+    assert lifecycle.tick(2.0) == [] and lifecycle.wake() == float("inf")
+    assert lifecycle.observe().sequence == 0
+    one_at_a_time = Command(3, 1, DesiredState.RUNNING)
+    assert lifecycle.command(2.0, one_at_a_time) == [CommandResult(False, 2, 0)]
+    assert [type(each) for each in lifecycle.persisted(2.0)] == [CommandResult, SetQuiesced]
--- a/tests/fleet/test_rolling_operations.py
+++ b/tests/fleet/test_rolling_operations.py
@@ -1,4 +1,4 @@
-"""Operations that go through the fleet: one instance's way in any order of events, and between processes."""
+"""Operations on the fleet: the state machine of one instance, and controllers between processes."""
 
 from __future__ import annotations
 
@@ -17,196 +17,275 @@
 
 from heronreel.coordination.client import Client
 from heronreel.fault_injection.processes import Harness, Process
-from heronreel.fleet.account import Account
-from heronreel.fleet.agent import Agent, Keep, Kept, Order, Stage, Start, Want
-from heronreel.fleet.agent import Answer as Answered
-from heronreel.fleet.agent import Process as Ran
-from heronreel.fleet.controller import selected, work_of
-from heronreel.fleet.model import Condition, Instance, Kind, Verb
-from heronreel.fleet.operation import account
-from heronreel.fleet.step import Adopt, End, Give, Guards, Limits, Said, Step, Take, Tell
-from heronreel.fleet.taking import Back, Refused, Taken, Waiting
-from tests.fleet.test_agent_processes import Fleet
+from heronreel.fleet.budget_client import read_snapshot
+from heronreel.fleet.claim_requester import ClaimDenied, ClaimGranted, ClaimReleased, ReleasePending
+from heronreel.fleet.errors import InvalidSelectorError
+from heronreel.fleet.instance_lifecycle import InstanceLifecycle
+from heronreel.fleet.instance_operation import (
+    AcquireClaim,
+    AdoptClaim,
+    Finish,
+    InstanceOperation,
+    OperationGuards,
+    OperationTimeouts,
+    ReleaseClaim,
+    SendCommand,
+)
+from heronreel.fleet.instance_selector import select_instances
+from heronreel.fleet.leadership import read_operation
+from heronreel.fleet.lifecycle_messages import (
+    Command,
+    CommandResult,
+    DesiredState,
+    Persist,
+    PersistedState,
+    ProcessIdentity,
+    ProcessStage,
+    StartProcess,
+)
+from heronreel.fleet.model import Condition, Instance, InstanceKind, OperationKind
+from tests.fleet.agent_harness import AgentHarness, until_reported_serving
 from tests.support.loopback import Backend
 
-LIMITS = Limits(patience=40.0, settle=60.0)
+TIMEOUTS = OperationTimeouts(claim=40.0, command=60.0)
+FENCING_TOKEN = 7
 
 
-class Walk:
-    """One real step and one real agent; answers and looks are lost or late, the process dies, and what the
-    judge says rests on the process alone.
+class RandomRun:
+    """One real operation and one real lifecycle; responses and observations are lost or late, and the process
+    fails.  What the operation reports is compared with the process alone.
     """
 
-    def __init__(self, seed: int, verb: Verb, guards: Guards) -> None:
-        self.draw = random.Random(seed)
-        self.verb, self.now, self.pid = verb, 0.0, 1
-        self.version = "2" if verb is Verb.UPGRADE else ""
-        self.step = Step(verb, 7, 0.0, self.version, LIMITS, guards)
-        self.agent = Agent(Kept(3, 1, Want.RUNNING, "1", Ran(1, 1, "1")), 0.0, alive=True)
-        self.agent.ready(0.0, "1")
-        self.part = False
-        self.was_ready = False  # the process served at some time after the last order was durable
-        self.row = self._look()
-        self.ended = ""
-
-    def _look(self) -> Instance:
-        looked, condition, number = self.agent.look()
-        version = self.agent.process.version if self.agent.process else ""
-        return Instance(Kind.PROXY, "p", condition=condition, looked=looked, number=number, version=version)
-
-    def _do(self, actions: list[Any]) -> None:
-        """What the agent does; its disk is as fast as its memory."""
+    def __init__(self, seed: int, kind: OperationKind, guards: OperationGuards) -> None:
+        self.random = random.Random(seed)
+        self.kind = kind
+        self.now = 0.0
+        self.pid = 1
+        self.version = "2" if kind is OperationKind.UPGRADE else ""
+        self.operation = InstanceOperation(kind, FENCING_TOKEN, 0.0, self.version, TIMEOUTS, guards)
+        state = PersistedState(3, 1, DesiredState.RUNNING, "1", ProcessIdentity(1, 1, "1"))
+        self.lifecycle = InstanceLifecycle(state, 0.0, alive=True)
+        self.lifecycle.ready(0.0, "1")
+        self.has_claim = False
+        self.was_ready = False  # the process served at some time after the last command was durable
+        self.observed = self._observe()
+        self.outcome = ""
+
+    def _observe(self) -> Instance:
+        observation = self.lifecycle.observe()
+        process = self.lifecycle.process
+        return Instance(
+            InstanceKind.PROXY,
+            "p",
+            condition=observation.condition,
+            observation=observation.sequence,
+            fencing_token=observation.fencing_token,
+            version=process.version if process else "",
+        )
+
+    def _carry_out_lifecycle(self, actions: list[Any]) -> None:
+        """The disk is as fast as memory."""
         for action in actions:
-            if isinstance(action, Keep):
-                self._do(self.agent.kept(self.now))
-            elif isinstance(action, Start):
+            if isinstance(action, Persist):
+                self._carry_out_lifecycle(self.lifecycle.persisted(self.now))
+            elif isinstance(action, StartProcess):
                 self.pid += 1
-                self._do(self.agent.started(self.now, Ran(self.pid, self.pid, action.version)))
-            elif isinstance(action, Answered):
-                self.answer = Said(action.taken, action.number, action.looked)
-        if self.agent.stage is Stage.READY:
+                process = ProcessIdentity(self.pid, self.pid, action.version)
+                self._carry_out_lifecycle(self.lifecycle.started(self.now, process))
+            elif isinstance(action, CommandResult):
+                self.result = action
+        if self.lifecycle.stage is ProcessStage.READY:
             self.was_ready = True
 
-    def _event(self) -> None:
-        """Something of the machine's own."""
-        agent, process = self.agent, self.agent.process
-        if process is None or agent.stage is Stage.NONE:
-            self._do(agent.tick(self.now))
-        elif agent.stage in (Stage.ENDING, Stage.KILLED) or self.draw.random() < 0.1:
-            self._do(agent.ended(self.now, "gone"))
-        elif agent.stage is Stage.STARTING:
-            self._do(agent.ready(self.now, process.version))
-        elif agent.stage is Stage.DRAINING:
-            self._do(agent.empty(self.now))
-
-    def _acts(self, actions: list[Any]) -> None:
+    def _process_event(self) -> None:
+        lifecycle, process = self.lifecycle, self.lifecycle.process
+        if process is None or lifecycle.stage is ProcessStage.NONE:
+            self._carry_out_lifecycle(lifecycle.tick(self.now))
+        elif lifecycle.stage in (ProcessStage.TERMINATING, ProcessStage.KILLED) or self.random.random() < 0.1:
+            self._carry_out_lifecycle(lifecycle.exited(self.now, "gone"))
+        elif lifecycle.stage is ProcessStage.STARTING:
+            self._carry_out_lifecycle(lifecycle.ready(self.now, process.version))
+        elif lifecycle.stage is ProcessStage.DRAINING:
+            self._carry_out_lifecycle(lifecycle.drained(self.now))
+
+    def _carry_out_operation(self, actions: list[Any]) -> None:
         for action in actions:
-            if isinstance(action, End):
-                self.ended = action.outcome
-                self._judge(action.outcome)
-            elif self.draw.random() < 0.2 and not isinstance(action, Take):
-                self._acts(self.step.unanswered(self.now, "lost"))
-            elif isinstance(action, Take):
-                refused = self.draw.random() < 0.3
-                self.part = not refused
-                self._acts(self.step.took(self.now, Refused((), (), ("p",)) if refused else Taken(("p",))))
-            elif isinstance(action, Adopt):
-                self._acts(self.step.adopted(self.now, self.part))
-            elif isinstance(action, Tell):
-                assert self.part or self.verb in (Verb.START, Verb.UNDRAIN), "an order without a part"
-                self.was_ready = False
-                self._do(self.agent.told(self.now, Order(7, action.order, action.want, action.version)))
-                self._acts(
-                    self.step.unanswered(self.now, "lost")
-                    if self.draw.random() < 0.3
-                    else self.step.answered(self.now, self.answer)
-                )
-            elif isinstance(action, Give):
-                good = self.row.condition is Condition.SERVING and self.row.looked > action.beyond
-                self._acts(self.step.gave(self.now, Back("p") if good else Waiting("p", self.row.condition)))
-
-    def _judge(self, outcome: str) -> None:
+            if isinstance(action, Finish):
+                self.outcome = action.outcome
+                self._check(action.outcome)
+            elif self.random.random() < 0.2 and not isinstance(action, AcquireClaim):
+                self._carry_out_operation(self.operation.request_failed(self.now, "lost"))
+            elif isinstance(action, AcquireClaim):
+                denied = self.random.random() < 0.3
+                self.has_claim = not denied
+                outcome = ClaimDenied((), (), ("p",)) if denied else ClaimGranted(("p",))
+                self._carry_out_operation(self.operation.claim_decided(self.now, outcome))
+            elif isinstance(action, AdoptClaim):
+                self._carry_out_operation(self.operation.claim_adopted(self.now, self.has_claim))
+            elif isinstance(action, SendCommand):
+                self._send_command(action)
+            elif isinstance(action, ReleaseClaim):
+                self._release_claim(action)
+
+    def _send_command(self, action: SendCommand) -> None:
+        assert self.has_claim or self.kind.restores_service, "a command without a claim"
+        self.was_ready = False
+        command = Command(FENCING_TOKEN, action.sequence, action.desired_state, action.version)
+        self._carry_out_lifecycle(self.lifecycle.command(self.now, command))
+        if self.random.random() < 0.3:
+            self._carry_out_operation(self.operation.request_failed(self.now, "lost"))
+        else:
+            self._carry_out_operation(self.operation.command_acknowledged(self.now, self.result))
+
+    def _release_claim(self, action: ReleaseClaim) -> None:
+        is_later = self.observed.observation > action.last_command_observation
+        if is_later and self.observed.condition is Condition.SERVING:
+            actions = self.operation.release_decided(self.now, ClaimReleased("p"))
+        else:
+            pending = ReleasePending("p", self.observed.condition)
+            actions = self.operation.release_decided(self.now, pending)
+        self._carry_out_operation(actions)
+
+    def _check(self, outcome: str) -> None:
         if outcome.startswith("running"):
-            assert self.was_ready, "running, and it never was since it was told"
+            assert self.was_ready, "reported as running, and it never was since the command"
             assert outcome == f"running {self.version or '1'}"
         if outcome == "stopped":
-            assert self.agent.process is None, "stopped, and it runs"
+            assert self.lifecycle.process is None, "reported as stopped, and it runs"
         if outcome == "drained":
-            assert self.agent.stage in (Stage.DRAINING, Stage.DRAINED, Stage.NONE, Stage.STARTING)
+            assert self.lifecycle.stage in (
+                ProcessStage.DRAINING,
+                ProcessStage.DRAINED,
+                ProcessStage.NONE,
+                ProcessStage.STARTING,
+            )
 
     def run(self) -> str:
+        """The outcome, or nothing if there is none after many events."""
         for _ in range(600):
-            self.now += self.draw.uniform(0.0, 0.4)
-            chance = self.draw.random()
+            self.now += self.random.uniform(0.0, 0.4)
+            chance = self.random.random()
             if chance < 0.3:
-                self._event()
+                self._process_event()
             elif chance < 0.5:
-                self.row = self._look()
+                self.observed = self._observe()
             elif chance < 0.75:
-                self._acts(self.step.seen(self.now, self.row))
+                self._carry_out_operation(self.operation.observed(self.now, self.observed))
             else:
-                self._acts(self.step.tick(self.now))
-            if self.ended:
-                return self.ended
-        return "goes on"
+                self._carry_out_operation(self.operation.tick(self.now))
+            if self.outcome:
+                return self.outcome
+        return ""
 
 
 @settings(max_examples=300, deadline=None)
-@given(st.integers(0, 1 << 30), st.sampled_from(list(Verb)))
-def test_what_is_called_done_was_seen_after_it_was_asked_for(seed: int, verb: Verb) -> None:
-    assert Walk(seed, verb, Guards()).run() != "goes on"
+@given(st.integers(0, 1 << 30), st.sampled_from(list(OperationKind)))
+def test_success_is_reported_only_if_observed_after_the_command(seed: int, kind: OperationKind) -> None:
+    assert RandomRun(seed, kind, OperationGuards()).run()
 
 
-@pytest.mark.parametrize("guard", Guards._fields)
-def test_without_a_guard_something_is_called_done_that_is_not(guard: str) -> None:
-    def broken(seed: int) -> bool:
+@pytest.mark.parametrize("guard", OperationGuards._fields)
+def test_without_a_guard_a_success_is_reported_that_is_none(guard: str) -> None:
+    def violated(seed: int) -> bool:
+        kind = list(OperationKind)[seed % len(OperationKind)]
         try:
-            Walk(seed, list(Verb)[seed % len(Verb)], Guards(**{guard: False})).run()
+            RandomRun(seed, kind, OperationGuards(**{guard: False})).run()
         except AssertionError:
             return True
         return False
 
-    assert any(broken(seed) for seed in range(600))
-
-
-def test_a_step_that_halts_or_is_fenced_says_so_and_a_begun_one_goes_on() -> None:
-    step = Step(Verb.RESTART, 7, 0.0, "", LIMITS)
-    assert step.halt(0.0) == [End("not begun")]
-    step = Step(Verb.RESTART, 7, 0.0, "", LIMITS)
-    assert step.tick(0.0) == [Take()] and not step.halt(0.0)  # its answer decides
-    assert step.took(0.1, Taken(("p",))) == [Tell(1, Want.STOPPED, "")] and not step.halt(0.1)
-    assert step.answered(0.2, Said(False, 9, 0)) == [End("refused: number 9 is newer than 7")]
-    step = Step(Verb.STOP, 7, 0.0, "", LIMITS)
-    step.tick(0.0)
-    step.took(0.0, Refused((), (), ("p",)))
-    assert step.tick(41.0) == [End("refused: p: nobody told of it")]
-    step = Step(Verb.STOP, 7, 0.0, "", LIMITS)
-    step.tick(0.0)
-    step.took(0.0, Taken(("p",)))
-    step.answered(0.1, Said(True, 7, 4))
-    step.seen(0.2, Instance(Kind.PROXY, "p", condition=Condition.SERVING, looked=5, number=7, version="1"))
-    assert step.tick(61.0) == [End("failed: serving after 60 s, wanted stopped")]
-
-
-def test_instances_are_meant_by_words_and_zones_take_turns() -> None:
-    rows = [Instance(Kind.PROXY, f"p{n}", zone="xy"[n % 2], condition=Condition.SERVING) for n in range(4)]
-    now = Account(1, (), {i.ident: i for i in rows}, {})
-    assert selected(now, ["p*"]) == ("proxy/p0", "proxy/p1", "proxy/p2", "proxy/p3")
-    assert selected(now, ["zone=x", "p[0-1]"]) == ("proxy/p0",)
-    assert selected(now, ["state=failed"]) == ()
-    with pytest.raises(ValueError, match="expected a name"):
-        selected(now, ["rack=1"])
-
-
-class Two:
-    """Two agents with two proxies each, in a zone of their own, of which one a zone may be out."""
+    assert any(violated(seed) for seed in range(600))
+
+
+def new_operation(kind: OperationKind) -> InstanceOperation:
+    return InstanceOperation(kind, FENCING_TOKEN, 0.0, "", TIMEOUTS)
+
+
+def test_a_halt_ends_an_operation_only_before_it_requests_its_claim() -> None:
+    operation = new_operation(OperationKind.RESTART)
+    assert operation.halt(0.0) == [Finish("not begun")]
+    operation = new_operation(OperationKind.RESTART)
+    assert operation.tick(0.0) == [AcquireClaim()]
+    assert not operation.halt(0.0)  # the response decides
+    granted = operation.claim_decided(0.1, ClaimGranted(("p",)))
+    assert granted == [SendCommand(1, DesiredState.STOPPED, "")]
+    assert not operation.halt(0.1)
+    # and a fenced one says so
+    fenced = operation.command_acknowledged(0.2, CommandResult(False, 9, 0))
+    assert fenced == [Finish("refused: number 9 is newer than 7")]
+
+
+def test_an_operation_without_a_claim_in_time_reports_why() -> None:
+    operation = new_operation(OperationKind.STOP)
+    operation.tick(0.0)
+    operation.claim_decided(0.0, ClaimDenied((), (), ("p",)))
+    assert operation.tick(41.0) == [Finish("refused: p: never reported")]
+
+
+def test_an_operation_without_effect_in_time_reports_the_last_condition() -> None:
+    operation = new_operation(OperationKind.STOP)
+    operation.tick(0.0)
+    operation.claim_decided(0.0, ClaimGranted(("p",)))
+    operation.command_acknowledged(0.1, CommandResult(True, 7, 4))
+    serving = Instance(
+        InstanceKind.PROXY, "p", condition=Condition.SERVING, observation=5, fencing_token=7, version="1"
+    )
+    operation.observed(0.2, serving)
+    assert operation.tick(61.0) == [Finish("failed: serving after 60 s, wanted stopped")]
+
+
+def test_a_command_that_the_agent_can_not_carry_out_is_the_outcome() -> None:
+    operation = new_operation(OperationKind.STOP)
+    operation.tick(0.0)
+    operation.claim_decided(0.0, ClaimGranted(("p",)))
+    assert operation.command_failed(0.1, "no instance 'p' here") == [Finish("refused: no instance 'p' here")]
+
+
+def test_instances_are_selected_by_words_and_zones_alternate() -> None:
+    instances = [
+        Instance(InstanceKind.PROXY, f"p{number}", zone="xy"[number % 2], condition=Condition.SERVING)
+        for number in range(4)
+    ]
+    assert select_instances(instances, ["p*"]) == ("proxy/p0", "proxy/p1", "proxy/p2", "proxy/p3")
+    assert select_instances(instances, ["zone=x", "p[0-1]"]) == ("proxy/p0",)
+    assert select_instances(instances, ["state=failed"]) == ()
+    with pytest.raises(InvalidSelectorError, match="expected a name"):
+        select_instances(instances, ["rack=1"])
+
+
+class TwoAgents:
+    """Two agents with two proxies each, in a zone of their own of which one instance may be unavailable."""
 
     def __init__(self, harness: Harness, folder: Path, backend: str, client: Client) -> None:
-        self.harness, self.folder, self.client = harness, folder, client
+        self.harness = harness
+        self.client = client
         self.agents = [
-            Fleet(harness, folder, backend, "m1", ("p1", "p2")),
-            Fleet(harness, folder, backend, "m2", ("p3", "p4")),
+            AgentHarness(harness, folder, backend, "m1", ("p1", "p2")),
+            AgentHarness(harness, folder, backend, "m2", ("p3", "p4")),
         ]
-        self.most_out = 0
+        self.max_unavailable = 0  # that was ever seen in one zone
 
-    async def operator(self, *words: str, **env: str) -> Process:
+    async def start(self, *words: str, **env: str) -> Process:
+        """Start a command of an operator."""
         line = ("heronreel.cli", "fleet", *words, "--members", f"a={self.harness.addresses[0]}")
         return await self.harness.run("operator", *line, **env)
 
-    async def says(self, *words: str, code: int = 0) -> str:
+    async def output(self, *words: str, code: int = 0) -> str:
+        """The output of a command of an operator, which has to exit with the code."""
         return await asyncio.to_thread(self.harness.said, "fleet", *words, code=code)
 
     async def watch(self) -> None:
-        """The judge: what the machines' own tables say, and not the account."""
+        """Count unavailable instances by what the agents say, and not by the disruption budget."""
         while True:
             for agent in self.agents:
                 with suppress(aiohttp.ClientError, OSError, TimeoutError):
-                    rows = (await agent.call("/status"))[1]
-                    out = sum(row["condition"] != "serving" for row in rows.values())
-                    self.most_out = max(self.most_out, out)
+                    status = await agent.status()
+                    unavailable = sum(each["condition"] != "serving" for each in status.values())
+                    self.max_unavailable = max(self.max_unavailable, unavailable)
             await asyncio.sleep(0.02)
 
-    async def processes(self) -> dict[str, int]:
+    async def pids(self) -> dict[str, int]:
+        """The one process of each proxy."""
         found = {}
         for agent in self.agents:
             for name, pids in agent.running().items():
@@ -215,95 +294,93 @@
 
 
 @asynccontextmanager
-async def two(folder: Path) -> AsyncIterator[Two]:
+async def two_agents(folder: Path) -> AsyncIterator[TwoAgents]:
     async with AsyncExitStack() as stack:
         harness = await stack.enter_async_context(Harness(folder, ("a",), 1))
         client = await stack.enter_async_context(Client(harness.addresses))
         backend = await stack.enter_async_context(Backend())
         await harness.serves()
-        fleet = Two(harness, folder, backend.address, client)
+        fleet = TwoAgents(harness, folder, backend.address, client)
         try:
             for agent in fleet.agents:
-                await agent.agent()
+                await agent.start()
                 for name in agent.ports:
-                    assert await agent.order(name, 1, 1, "running", "1") == 200
+                    assert await agent.command(name, 1, 1, "running", "1") == 200
             for agent in fleet.agents:
                 for name in agent.ports:
                     await agent.until(name, condition="serving")
-            async with asyncio.timeout(40):
-                while True:
-                    seen = (await account(client)).instances
-                    if [i.condition for i in seen.values()] == [Condition.SERVING] * 4:
-                        break
-                    await asyncio.sleep(0.05)
+            await until_reported_serving(client, 4)
             (folder / "allow.toml").write_text(
                 '[[allow]]\nname = "one a zone"\nkind = "proxy"\nscope = "zone"\nmost_out = 1\n'
             )
-            await fleet.says("allow", str(folder / "allow.toml"))
+            await fleet.output("allow", str(folder / "allow.toml"))
             yield fleet
         finally:
             for agent in fleet.agents:
-                agent.clear()
+                agent.kill_proxies()
 
 
-@pytest.mark.parametrize("point", ["taken:2", "told:3"])
-def test_a_controller_killed_at_a_point_is_followed_and_no_more_are_out(point: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("point", ["claimed:2", "commanded:3"])
+def test_a_successor_of_a_killed_controller_stays_within_the_budget(point: str, tmp_path: Path) -> None:
     async def run() -> None:
-        async with two(tmp_path) as fleet:
-            before = await fleet.processes()
-            judge = asyncio.ensure_future(fleet.watch())
-            doomed = await fleet.operator("restart", "p*", "--at-once", "4", HERONREEL_END_AT=point)
+        async with two_agents(tmp_path) as fleet:
+            before = await fleet.pids()
+            watching = asyncio.ensure_future(fleet.watch())
+            doomed = await fleet.start("restart", "p*", "--at-once", "4", HERONREEL_END_AT=point)
             assert await doomed.ended(90) == -9
-            told = await fleet.says("restart", "p1", "--by", "ada", "--wait", "20", code=3)
-            assert "go on with it, or give it up" in told, told
-            told = await fleet.says("go-on", "--by", "ada", "--wait", "20")
-            assert "4 of 4" in told, told
-            judge.cancel()
-            after = await fleet.processes()
+            printed = await fleet.output("restart", "p1", "--by", "ada", "--wait", "20", code=3)
+            assert "resume it with go-on, or abandon it with give-up" in printed, printed
+            printed = await fleet.output("go-on", "--by", "ada", "--wait", "20")
+            assert "4 of 4" in printed, printed
+            watching.cancel()
+            after = await fleet.pids()
             assert all(after[name] != before[name] for name in before)
-            assert fleet.most_out == 1
-            now = await account(fleet.client)
-            assert not now.parts and {i.condition for i in now.instances.values()} == {Condition.SERVING}
-            work = await work_of(fleet.client)
-            assert work and work.ended == "done" and set(work.outcomes.values()) == {"running 1"}
+            assert fleet.max_unavailable == 1
+            snapshot = await read_snapshot(fleet.client)
+            assert not snapshot.claims
+            assert {each.condition for each in snapshot.instances.values()} == {Condition.SERVING}
+            operation = await read_operation(fleet.client)
+            assert operation and operation.final_status == "done"
+            assert set(operation.outcomes.values()) == {"running 1"}
 
     asyncio.run(run())
 
 
-def test_a_halt_stops_what_is_new_and_a_bad_version_halts_and_comes_back(tmp_path: Path) -> None:
+def test_a_halt_stops_new_instances_and_a_bad_version_halts_and_is_rolled_back(tmp_path: Path) -> None:
     async def run() -> None:
-        async with two(tmp_path) as fleet:
-            rolling = await fleet.operator("restart", "p*")
+        async with two_agents(tmp_path) as fleet:
+            rolling = await fleet.start("restart", "p*")
             await rolling.line("running 1")
-            told = await fleet.says("restart", "p2", "--by", "ada", "--wait", "1", code=3)
-            assert re.search(r"has the fleet, with restart \w+ by", told), told
-            await fleet.says("halt", "--why", "smoke", "--by", "ada")
-            halted_at = len((await account(fleet.client)).parts)
-            assert await rolling.ended(60) == 1 and halted_at <= 1
-            work = await work_of(fleet.client)
-            assert work and work.left and not work.ended
-            told = await fleet.says("status")
-            assert "HALTED by ada: smoke" in told and "halted" in told
-            told = await fleet.says("go-on", "--by", "ada", code=1)
-            assert f"{len(work.left)} not begun" in told, told  # it stands through this as well
-            await fleet.says("resume")
-            await fleet.says("go-on", "--by", "ada")
-            # a version that does not run: its first instance halts the rest, and it comes back by a start
-            told = await fleet.says("upgrade", "p*", "--to", "bad", "--settle", "4", code=1)
-            assert "proxy/p1" in told and "failed" in told, told
-            now = await account(fleet.client)
-            assert now.halted and "proxy/p1 is failed" in now.halted.why and set(now.parts) == {"proxy/p1"}
-            await fleet.says("give-up")
-            told = await fleet.says("start", "p1", "--to", "1")
-            assert "running 1" in told, told
-            now = await account(fleet.client)
-            assert not now.parts and now.halted  # nobody but `resume` lifts it
-            await fleet.says("drain", "p2", code=3)
-            await fleet.says("resume")
-            await fleet.says("stop", "p2", "p3", code=3)  # no instance has both names
-            await fleet.says("stop", "p2")
-            told = await fleet.says("stop", "p1", "--patience", "1", code=1)
-            assert "one a zone: zone m1 2 out" in told, told
-            assert "at most 1 may be" in told
+            printed = await fleet.output("restart", "p2", "--by", "ada", "--wait", "1", code=3)
+            assert re.search(r"has the fleet, with restart \w+ by", printed), printed
+            await fleet.output("halt", "--why", "smoke", "--by", "ada")
+            claims_at_halt = len((await read_snapshot(fleet.client)).claims)
+            assert await rolling.ended(60) == 1 and claims_at_halt <= 1
+            operation = await read_operation(fleet.client)
+            assert operation and operation.pending and not operation.final_status
+            printed = await fleet.output("status")
+            assert "HALTED by ada: smoke" in printed and "halted" in printed
+            printed = await fleet.output("go-on", "--by", "ada", code=1)
+            assert f"{len(operation.pending)} not begun" in printed, printed  # the halt is still in force
+            await fleet.output("resume")
+            await fleet.output("go-on", "--by", "ada")
+            # a version that does not run: its first instance halts the rest, and a start brings it back
+            printed = await fleet.output("upgrade", "p*", "--to", "bad", "--settle", "4", code=1)
+            assert "proxy/p1" in printed and "failed" in printed, printed
+            snapshot = await read_snapshot(fleet.client)
+            assert snapshot.halt and "proxy/p1 is failed" in snapshot.halt.reason
+            assert set(snapshot.claims) == {"proxy/p1"}
+            await fleet.output("give-up")
+            printed = await fleet.output("start", "p1", "--to", "1")
+            assert "running 1" in printed, printed
+            snapshot = await read_snapshot(fleet.client)
+            assert not snapshot.claims and snapshot.halt  # only `resume` lifts it
+            await fleet.output("drain", "p2", code=3)
+            await fleet.output("resume")
+            await fleet.output("stop", "p2", "p3", code=3)  # no instance has both names
+            await fleet.output("stop", "p2")
+            printed = await fleet.output("stop", "p1", "--patience", "1", code=1)
+            assert "one a zone: zone m1 2 unavailable" in printed, printed
+            assert "at most 1 allowed" in printed
 
     asyncio.run(run())
