--- a/tests/compatibility/stored_control.py
+++ b/tests/compatibility/stored_control.py
@@ -23,15 +23,9 @@
 from heronreel.coordination.model import CompareOperator, CompareTarget
 from heronreel.coordinator.disk import NAMES, ROW
 from heronreel.coordinator.server import VIA
-from heronreel.fleet.agent import Stage, Want
-from heronreel.fleet.controller import TASK as CONTROLLER
-from heronreel.fleet.model import HALT as FLEET_HALT
-from heronreel.fleet.model import INSTANCES as FLEET_INSTANCES
-from heronreel.fleet.model import PARTS as FLEET_PARTS
-from heronreel.fleet.model import REGISTER as FLEET_REGISTER
-from heronreel.fleet.model import RULES as FLEET_RULES
-from heronreel.fleet.model import WORK as FLEET_WORK
-from heronreel.fleet.model import Condition, Kind, Scope, Verb
+from heronreel.fleet import model as fleet
+from heronreel.fleet.leadership import LEADERSHIP_NAME
+from heronreel.fleet.lifecycle_messages import DesiredState, ProcessStage
 from heronreel.health.report import REPORTS, key_of, task_of
 from heronreel.leases.fencing import FencedTable
 from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX
@@ -42,8 +36,8 @@
 from heronreel.metering.files import ASIDE, ENDING, FRESH
 from heronreel.metering.records import BOOKS, CLOSED, GIVEN_UP, SUM, book_key, closed_key
 from heronreel.metering.records import TASK as COUNTING
+from tests.compatibility.stored_fleet import CLAIM, INSTANCE
 from tests.compatibility.stored_fleet import FORMS as FLEET_FORMS
-from tests.compatibility.stored_fleet import INSTANCE, PART
 from tests.compatibility.stored_forms import FOLDER, Form, as_text, with_store
 from tests.compatibility.stored_group import FORMS as GROUP_FORMS
 from tests.compatibility.stored_group import kept_disk
@@ -81,15 +75,15 @@
         "count file": ENDING,
         "count fresh file": FRESH,
         "count file aside": ASIDE,
-        "fleet instances": FLEET_INSTANCES,
+        "fleet instances": fleet.INSTANCE_PREFIX,
         "fleet instance": INSTANCE.key,
-        "fleet parts": FLEET_PARTS,
-        "fleet part": PART.key,
-        "fleet rules": FLEET_RULES,
-        "fleet register": FLEET_REGISTER,
-        "fleet halt": FLEET_HALT,
-        "fleet work": FLEET_WORK,
-        "fleet task": CONTROLLER,
+        "fleet parts": fleet.DISRUPTION_CLAIM_PREFIX,
+        "fleet part": CLAIM.key,
+        "fleet rules": fleet.RULES_KEY,
+        "fleet register": fleet.REVISION_KEY,
+        "fleet halt": fleet.HALT_KEY,
+        "fleet work": fleet.OPERATION_KEY,
+        "fleet task": LEADERSHIP_NAME,
         "probe reports": REPORTS,
         "probe report": key_of("etna"),
         "probe task": task_of("etna"),
@@ -102,8 +96,9 @@
     }
 )
 ENUMS: dict[str, type[Enum]] = {
-    "role": Role, "target": CompareTarget, "relation": CompareOperator, "kind": Kind, "condition": Condition,
-    "scope": Scope, "verb": Verb, "want": Want, "stage": Stage,
+    "role": Role, "target": CompareTarget, "relation": CompareOperator, "kind": fleet.InstanceKind,
+    "condition": fleet.Condition, "scope": fleet.Scope, "verb": fleet.OperationKind,
+    "want": DesiredState, "stage": ProcessStage,
 }  # fmt: skip
 WORDS: dict[str, Any] = {name: [each.value for each in kind] for name, kind in ENUMS.items()}
 WORDS |= {
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -34,7 +34,7 @@
 from heronreel.experiments.scripts import of_incident, written
 from heronreel.experiments.table import Table, read
 from heronreel.fleet import model as fleet
-from heronreel.fleet.model import Condition, Instance, Rule, Scope, Verb
+from heronreel.fleet.model import BudgetRule, Condition, Instance, OperationKind, Scope
 from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX
 from heronreel.leases.tasks import CURSOR_PREFIX, Cursor, encode_cursor
 from heronreel.metering.records import SUM, Closed, Posted, Sum, book_key, closed_key
@@ -176,18 +176,27 @@
 # -- the group's records
 
 INSTANCES = (
-    Instance(fleet.Kind.PROXY, "p1", "a", "g", "", 2.0, Condition.SERVING, 1.0, "w1", "s1", 3, 4, "v1"),
-    Instance(fleet.Kind.BACKEND, "n1", "b", "", "pool", 4.0, Condition.COLD, 0.25),
-    Instance(fleet.Kind.BACKEND, "n2", "b", "", "pool", 4.0, Condition.OUT, 1.0, "gone"),
+    Instance(
+        fleet.InstanceKind.PROXY, "p1", "a", "g", "", 2.0, Condition.SERVING, 1.0, "w1", "s1", 3, 4, "v1"
+    ),
+    Instance(fleet.InstanceKind.BACKEND, "n1", "b", "", "pool", 4.0, Condition.WARMING_UP, 0.25),
+    Instance(fleet.InstanceKind.BACKEND, "n2", "b", "", "pool", 4.0, Condition.OUT_OF_SERVICE, 1.0, "gone"),
 )
 RULES = (
-    Rule("few", fleet.Kind.BACKEND, Scope.ZONE, "b", 1, 0.5),
-    Rule("all", fleet.Kind.PROXY, Scope.FLEET, "", None, 0.75),
+    BudgetRule("few", fleet.InstanceKind.BACKEND, Scope.ZONE, "b", 1, 0.5),
+    BudgetRule("all", fleet.InstanceKind.PROXY, Scope.FLEET, "", None, 0.75),
 )
-PART = fleet.Part("backend/n2", "op1", "ada", "drain", 12, 5, 6)
+PART = fleet.DisruptionClaim("backend/n2", "op1", "ada", "drain", 12, 5, 6)
 HALT = fleet.Halt("ada", "smoke")
-WORK = fleet.Work(
-    "op1", Verb.UPGRADE, "ada", ("backend/n1", "backend/n2"), "v2", 2, {"backend/n1": "running v2"}, ""
+WORK = fleet.FleetOperation(
+    "op1",
+    OperationKind.UPGRADE,
+    "ada",
+    ("backend/n1", "backend/n2"),
+    "v2",
+    2,
+    {"backend/n1": "running v2"},
+    "",
 )
 CURSORS = {b"count": Cursor(4, 5, 2, 9, "w1", False, 1), b"sweep": Cursor(1, 2, 3, 7, "w2", True, 0)}
 POSTED = Posted("p1", "a", 3, False, True, {"": (1, 2, 3, 4), "t1": (5, 0, 0, 0)}, 7)
@@ -203,12 +212,12 @@
     (book_key("book1"), msgspec.json.encode(POSTED), 0),
     (SUM, msgspec.json.encode(SUMMED), 0),
     (closed_key(6), msgspec.json.encode(CLOSED), 0),
-    *((instance.key, fleet.encoded(instance), 0) for instance in INSTANCES),
-    (fleet.RULES, fleet.rules_encoded(RULES), 0),
-    (PART.key, fleet.encoded(PART), 0),
-    (fleet.HALT, fleet.encoded(HALT), 0),
-    (fleet.WORK, fleet.encoded(WORK), 0),
-    (fleet.REGISTER, b"rules", 0),
+    *((instance.key, fleet.encode_record(instance), 0) for instance in INSTANCES),
+    (fleet.RULES_KEY, fleet.encode_rules(RULES), 0),
+    (PART.key, fleet.encode_record(PART), 0),
+    (fleet.HALT_KEY, fleet.encode_record(HALT), 0),
+    (fleet.OPERATION_KEY, fleet.encode_record(WORK), 0),
+    (fleet.REVISION_KEY, b"rules", 0),
     (DESIRED_MEMBERS_KEY, b"a b c", 0),
 ]
 HEALTH: dict[str, dict[str, Any]] = {
--- a/tests/compatibility/stored_fleet.py
+++ b/tests/compatibility/stored_fleet.py
@@ -15,30 +15,37 @@
 import msgspec
 from aiohttp.test_utils import TestClient, TestServer
 
+from heronreel.coordination.client import Client
 from heronreel.coordination.gateway import answer_of
-from heronreel.coordination.model import Put, RangeResponse, Record, Request, TxnResponse
-from heronreel.fleet.account import READ, Account
-from heronreel.fleet.agent import Kept, Process, Want
-from heronreel.fleet.controller import Controller
-from heronreel.fleet.machine import AgentTable, InstanceRow, Machine
+from heronreel.coordination.model import RangeResponse, Record, Request, TxnResponse
+from heronreel.fleet.agent_client import AgentClient
+from heronreel.fleet.agent_protocol import CommandRequest
+from heronreel.fleet.agent_server import AgentServer
+from heronreel.fleet.agent_settings import AgentSettings, AgentTable, InstanceTable
+from heronreel.fleet.budget_transactions import halt_transaction, observation_transaction, rules_transaction
+from heronreel.fleet.claim_requester import ClaimRequester
+from heronreel.fleet.disruption_budget import READ_SNAPSHOT
+from heronreel.fleet.lifecycle_messages import (
+    Command,
+    CommandResult,
+    DesiredState,
+    PersistedState,
+    ProcessIdentity,
+)
 from heronreel.fleet.model import (
-    REGISTER,
-    RULES,
+    REVISION_KEY,
+    BudgetRule,
     Condition,
+    DisruptionClaim,
+    FleetOperation,
     Halt,
     Instance,
-    Kind,
-    Part,
-    Rule,
+    InstanceKind,
+    OperationKind,
     Scope,
-    Verb,
-    Work,
-    encoded,
-    rules_encoded,
+    encode_record,
+    encode_rules,
 )
-from heronreel.fleet.serving import Serving, Told
-from heronreel.fleet.step import Said, Tell
-from heronreel.fleet.taking import Taking, changing, halting, told
 from heronreel.health.report import Report, telling
 from heronreel.health.report import decoded as report_of
 from heronreel.leases.lease import PRESENCE_PREFIX
@@ -109,39 +116,45 @@
     return calls
 
 
-ALLOWED = (Rule("most", Kind.PROXY, Scope.ZONE, "etna", 2, 0.5), Rule("least", Kind.BACKEND))
+RULES = (
+    BudgetRule("most", InstanceKind.PROXY, Scope.ZONE, "etna", 2, 0.5),
+    BudgetRule("least", InstanceKind.BACKEND),
+)
 INSTANCE = Instance(
-    Kind.PROXY, "p1", "etna", "edge", "web", 4.0, Condition.COLD, 0.25, "m1", "81.9",
+    InstanceKind.PROXY, "p1", "etna", "edge", "web", 4.0, Condition.WARMING_UP, 0.25, "m1", "81.9",
     (1 << 32) + 5, 9, "2",
 )  # fmt: skip
-PART = Part("proxy/p1", "op1", "ann", "drain", 9, 11, 40)
-HALTED = Halt("ann", "smoke")
-WORK = Work("op1", Verb.RESTART, "ann", ("proxy/p1", "proxy/p2"), "2", 3, {"proxy/p1": "running 2"}, "done")
+CLAIM = DisruptionClaim("proxy/p1", "op1", "ann", "drain", 9, 11, 40)
+HALT = Halt("ann", "smoke")
+OPERATION = FleetOperation(
+    "op1", OperationKind.RESTART, "ann", ("proxy/p1", "proxy/p2"), "2", 3, {"proxy/p1": "running 2"}, "done"
+)
 
 
-def taking() -> dict[str, Request]:
-    """What an operation on an instance asks: take its part, give it back."""
-    serving = Instance(Kind.PROXY, "p1", "", "", "", 1.0, Condition.SERVING, 1.0, "", "", 12, 9)
-    instance = ((serving.key, Record(encoded(serving), 3, 3, 1, 0)),)
-    register = RangeResponse(5, ((REGISTER, Record(b"look", 2, 5, 3, 0)),), 1, False)
+def claiming() -> dict[str, Request]:
+    """What an operation on an instance requests: acquire its claim, release it."""
+    serving = Instance(InstanceKind.PROXY, "p1", "", "", "", 1.0, Condition.SERVING, 1.0, "", "", 12, 9)
+    instance = ((serving.key, Record(encode_record(serving), 3, 3, 1, 0)),)
+    revision = RangeResponse(5, ((REVISION_KEY, Record(b"look", 2, 5, 3, 0)),), 1, False)
     none, there = RangeResponse(5, (), 0, False), RangeResponse(5, instance, 1, False)
-    part = RangeResponse(5, ((PART.key, Record(encoded(PART), 4, 4, 1, 0)),), 1, False)
-    take, give = (Taking("op1", "ann", "drain", 9, ("proxy/p1",)) for _ in range(2))
-    take.take(0.0)
-    give.give(0.0, "proxy/p1", 11)
-    free = TxnResponse(5, True, (register, none, there, none, none, none))
-    taken = TxnResponse(5, True, (register, none, there, part, none, none))
+    claim = RangeResponse(5, ((CLAIM.key, Record(encode_record(CLAIM), 4, 4, 1, 0)),), 1, False)
+    acquire, release = (ClaimRequester("op1", "ann", "drain", 9, ("proxy/p1",)) for _ in range(2))
+    acquire.acquire(0.0)
+    release.release(0.0, "proxy/p1", 11)
+    free = TxnResponse(5, True, (revision, none, there, none, none, none))
+    claimed = TxnResponse(5, True, (revision, none, there, claim, none, none))
     return {
-        "fleet-take": asked(take.answered(0.1, 1, free)), "fleet-give": asked(give.answered(0.1, 1, taken)),
-    }  # fmt: skip
+        "fleet-take": asked(acquire.answered(0.1, 1, free)),
+        "fleet-give": asked(release.answered(0.1, 1, claimed)),
+    }
 
 
 REPORT = Report(5, "p1", 9, 40, (("web", "b1"), ("web", "b2")))
 CALLS: dict[str, Request] = {
-    **posting(), **closing(), **taking(),
-    "fleet-read": READ, "fleet-halt": halting(HALTED), "fleet-resume": halting(None),
-    "fleet-look": told(40, INSTANCE),
-    "fleet-rules": changing(None, b"rules", Put(RULES, rules_encoded(ALLOWED))),
+    **posting(), **closing(), **claiming(),
+    "fleet-read": READ_SNAPSHOT, "fleet-halt": halt_transaction(HALT), "fleet-resume": halt_transaction(None),
+    "fleet-look": observation_transaction(40, INSTANCE),
+    "fleet-rules": rules_transaction(RULES),
     "probe": telling("etna", REPORT),
 }  # fmt: skip
 
@@ -196,20 +209,18 @@
 # -- an agent, and what is sent to it
 
 
-def ordered(order: Told) -> bytes:
-    """The body with which a controller tells an agent an order; the agent's address is in its presence."""
+def commanded(request: CommandRequest) -> bytes:
+    """The body with which a controller commands an agent; the agent's address is in its presence."""
 
     async def talk() -> bytes:
         async with Server({"/order": b'{"taken": true, "number": 9, "looked": 4}'}) as server:
             presence = json.dumps({"kind": "agent", "version": "0.2.0", "address": server.address}).encode()
             found = RangeResponse(3, ((PRESENCE_PREFIX + b"m1", Record(presence, 3, 3, 1, 7)),), 1, False)
             server.answers["/v3/kv/range"] = json.dumps(answer_of(HEADER, found)).encode()
-            controller = Controller([server.address], "ann")
-            controller.account = Account(0, (), {INSTANCE.ident: INSTANCE}, {})
-            async with aiohttp.ClientSession() as controller.session:
-                tell = Tell(order.order, order.want, order.version)
-                assert await controller._tell(INSTANCE.ident, order.number, tell) == Said(True, 9, 4)
-            await controller.client.close()
+            command = Command(request.fencing_token, request.sequence, request.desired_state, request.version)
+            async with Client([server.address]) as client, aiohttp.ClientSession() as session:
+                result = await AgentClient(client, session).send(INSTANCE, command)
+                assert result == CommandResult(True, 9, 4)
             path, body = server.calls[-1]
             assert path == "/order"
             return body
@@ -217,10 +228,10 @@
     return asyncio.run(talk())
 
 
-def machine(folder: Path) -> Machine:
+def agent_settings(folder: Path) -> AgentSettings:
     """One instance whose program is never started."""
     table = AgentTable("m1", str(folder), "127.0.0.1:1", ("127.0.0.1:1",))
-    return Machine(table, {"2": ("true",)}, (InstanceRow("p1", "127.0.0.1:1", "", "etna", "edge"),))
+    return AgentSettings(table, {"2": ("true",)}, (InstanceTable("p1", "127.0.0.1:1", "", "etna", "edge"),))
 
 
 ORDERS = (
@@ -237,8 +248,8 @@
 
     async def talk() -> tuple[str, dict[bytes, bytes]]:
         with Store.open(folder / "orders") as store:
-            serving = Serving(machine(folder), store)
-            app = serving.runner.app
+            server = AgentServer(agent_settings(folder), store)
+            app = server.runner.app
             assert app is not None
             lines = []
             async with TestClient(TestServer(app, host="127.0.0.1")) as client:
@@ -247,9 +258,8 @@
                         lines.append(f"{answer.status} {await answer.text()}")
                 async with client.get("/status") as answer:
                     lines.append(f"{answer.status} {await answer.text()}")
-            for owner in serving.owners.values():
-                assert owner.timer is not None
-                owner.timer.cancel()
+            for supervisor in server.supervisors.values():
+                supervisor.close()
             return "\n".join(lines), dict(store.scan())
 
     return asyncio.run(talk())
@@ -265,13 +275,13 @@
     return agent_run(folder)[1]
 
 
-def agent_of(rows: Mapping[bytes, bytes]) -> tuple[Kept, int]:
+def agent_of(rows: Mapping[bytes, bytes]) -> tuple[PersistedState, int]:
     """What an agent knows that begins with these records."""
 
-    async def talk(folder: Path) -> tuple[Kept, int]:
+    async def talk(folder: Path) -> tuple[PersistedState, int]:
         with stored(folder / "orders", rows) as store:
-            core = Serving(machine(folder), store).owners["p1"].core
-            return core.kept_record, core.looked
+            lifecycle = AgentServer(agent_settings(folder), store).supervisors["p1"].lifecycle
+            return lifecycle.durable_state, lifecycle.observation_count
 
     return with_store(lambda folder: asyncio.run(talk(folder)))
 
@@ -303,21 +313,23 @@
     "sum.json": as_json(TOTAL), "sum-empty.json": as_json(Sum()),
     "closed.json": as_json(Closed(9, 12, "m1", COUNTS, 2, ("p2", "p3"))),
     "closed-least.json": as_json(Closed(9, 12, "m1")),
-    "fleet-instance.json": as_json(INSTANCE, encoded),
-    "fleet-instance-least.json": as_json(Instance(Kind.BACKEND, "b1"), encoded),
-    "fleet-part.json": as_json(PART, encoded), "fleet-halt.json": as_json(HALTED, encoded),
-    "fleet-work.json": as_json(WORK, encoded),
-    "fleet-work-least.json": as_json(Work("op1", Verb.DRAIN, "ann", ()), encoded),
+    "fleet-instance.json": as_json(INSTANCE, encode_record),
+    "fleet-instance-least.json": as_json(Instance(InstanceKind.BACKEND, "b1"), encode_record),
+    "fleet-part.json": as_json(CLAIM, encode_record), "fleet-halt.json": as_json(HALT, encode_record),
+    "fleet-work.json": as_json(OPERATION, encode_record),
+    "fleet-work-least.json": as_json(FleetOperation("op1", OperationKind.DRAIN, "ann", ()), encode_record),
     "fleet-rules.json": Form(
-        ALLOWED, lambda: rules_encoded(ALLOWED),
-        lambda data: msgspec.json.decode(data, type=tuple[Rule, ...]),
+        RULES, lambda: encode_rules(RULES),
+        lambda data: msgspec.json.decode(data, type=tuple[BudgetRule, ...]),
     ),
     "agent-rows.json": as_rows(
-        (Kept(9, 3, Want.STOPPED, "2"), 2 << 32), lambda: with_store(agent_disk), agent_of
+        (PersistedState(9, 3, DesiredState.STOPPED, "2"), 2 << 32), lambda: with_store(agent_disk), agent_of
+    ),
+    "agent-kept.msgpack": as_msgpack(
+        PersistedState(9, 3, DesiredState.DRAINED, "2", ProcessIdentity(81, 9, "2"))
     ),
-    "agent-kept.msgpack": as_msgpack(Kept(9, 3, Want.DRAINED, "2", Process(81, 9, "2"))),
-    "agent-kept-new.msgpack": as_msgpack(Kept()),
-    "agent-order.json": as_json(Told("p1", 9, 3, Want.RUNNING, "2"), ordered),
+    "agent-kept-new.msgpack": as_msgpack(PersistedState()),
+    "agent-order.json": as_json(CommandRequest("p1", 9, 3, DesiredState.RUNNING, "2"), commanded),
     "agent-answers.txt": Form(AGENT_ANSWERS, agent_answers, answers_told),
     "probe-report.json": Form(REPORT, lambda: msgspec.json.encode(REPORT), report_of),
     "probe-report-least.json": as_json(Report(1, "p1", 9)),
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -192,10 +192,10 @@
         (book_key("book1"), Posted, stored_data.POSTED),
         (SUM, Sum, stored_data.SUMMED),
         (closed_key(6), Closed, stored_data.CLOSED),
-        (fleet.RULES, tuple[fleet.Rule, ...], stored_data.RULES),
-        (stored_data.PART.key, fleet.Part, stored_data.PART),
-        (fleet.HALT, fleet.Halt, stored_data.HALT),
-        (fleet.WORK, fleet.Work, stored_data.WORK),
+        (fleet.RULES_KEY, tuple[fleet.BudgetRule, ...], stored_data.RULES),
+        (stored_data.PART.key, fleet.DisruptionClaim, stored_data.PART),
+        (fleet.HALT_KEY, fleet.Halt, stored_data.HALT),
+        (fleet.OPERATION_KEY, fleet.FleetOperation, stored_data.WORK),
         *((instance.key, fleet.Instance, instance) for instance in stored_data.INSTANCES),
     ]
     for key, kind, value in wanted:
