--- a/heronreel/cli/fleet.py
+++ b/heronreel/cli/fleet.py
@@ -20,7 +20,7 @@
 
 OPERATION_EXIT_CODES = """
 
-    Exit codes: 0 success, 1 halted or not as wanted, 2 the group does not respond, 3 rejected (who has the
+    Exit codes: 0 success, 1 halted or not as wanted, 2 the group does not respond, 3 rejected (who leads the
     fleet, or what is wrong), 4 the state of an instance is unknown, 78 a bad file.
     """
 DEFAULT_WAIT_S = 15.0
@@ -28,7 +28,7 @@
 DEFAULT_COMMAND_TIMEOUT_S = 150.0
 MAX_PARALLEL_LIMIT = 1000
 
-Command = Any  # a function or click.Command, as decorators of click take and return them
+ClickCommand = Any  # a function or click.Command, as decorators of click take and return them
 Json = dict[str, Any]
 
 
@@ -39,7 +39,7 @@
     members: str | None
 
 
-def _group_options(command: Command) -> Command:
+def _group_options(command: ClickCommand) -> ClickCommand:
     command = click.option("--members", help="Without a file: a=ADDRESS,b=ADDRESS,c=ADDRESS.")(command)
     return click.option("--group", "file", help="The group's file.")(command)
 
@@ -194,7 +194,7 @@
     sys.exit(0 if succeeded == total else NOT_AS_WANTED)
 
 
-def _controller_options(command: Command) -> Command:
+def _controller_options(command: ClickCommand) -> ClickCommand:
     wait = click.option(
         "--wait", default=DEFAULT_WAIT_S, help="Seconds to wait for another controller to let the fleet go."
     )
@@ -212,11 +212,11 @@
 )
 
 
-def _version_option(required: bool) -> Command:
+def _version_option(required: bool) -> ClickCommand:
     return click.option("--to", "version", required=required, help="A version that the agents know.")
 
 
-def _add_operation_command(name: str, description: str, version_option: Command | None = None) -> None:
+def _add_operation_command(name: str, description: str, version_option: ClickCommand | None = None) -> None:
     """Add the command for one kind of operation."""
 
     def run(
@@ -245,7 +245,7 @@
         f"{description} WORDS: names (p*), zone=, group=, state=, version=; all have to match."
         f"{OPERATION_EXIT_CODES}"
     )
-    command: Command = click.argument("words", nargs=-1, required=True)(run)
+    command: ClickCommand = click.argument("words", nargs=-1, required=True)(run)
     for option in (_parallel_option, _command_timeout_option, _claim_timeout_option):
         command = option(command)
     if version_option is not None:
--- a/heronreel/fault_injection/budget_world.py
+++ b/heronreel/fault_injection/budget_world.py
@@ -391,7 +391,7 @@
             if operation.fencing_token == message.fencing_token and asked is not None:
                 number, sent_at = asked
                 requester = copy.copy(operation.requester)
-                actions = requester.answered(sent_at, number, message.response)
+                actions = requester.response_received(sent_at, number, message.response)
                 world._carry_out(index, operation._replace(requester=requester), actions)
         return world
 
--- a/heronreel/fleet/budget_client.py
+++ b/heronreel/fleet/budget_client.py
@@ -69,7 +69,7 @@
             if not isinstance(action, SendRequest):
                 return action
             response = await self.client.call_or_error(action.request, action.until - self.now())
-            actions = requester.answered(self.now(), action.number, response)
+            actions = requester.response_received(self.now(), action.number, response)
 
 
 async def read_snapshot(client: Client) -> BudgetSnapshot:
--- a/heronreel/fleet/claim_requester.py
+++ b/heronreel/fleet/claim_requester.py
@@ -116,17 +116,17 @@
         fencing_token: int,
         instance_ids: tuple[str, ...],
         *,
-        answer_s: float = DEFAULT_RESPONSE_TIMEOUT_S,
+        response_timeout_s: float = DEFAULT_RESPONSE_TIMEOUT_S,
         jitter: Callable[[], float] = lambda: 0.5,
         guards: ClaimGuards = ALL_GUARDS,
     ) -> None:
-        """`answer_s`: seconds until a request counts as lost; `jitter`: draws from 0 to 1."""
+        """`response_timeout_s`: until a request counts as lost; `jitter`: draws from 0 to 1."""
         self.operation_id = operation_id
         self.operator = operator
         self.reason = reason
         self.fencing_token = fencing_token
         self.instance_ids = instance_ids
-        super().__init__(answer_s)
+        super().__init__(response_timeout_s)
         self.guards = guards
         self.backoff = JitteredBackoff(jitter)
         self.phase = RequestPhase.IDLE
@@ -176,19 +176,19 @@
         self.phase = RequestPhase.IDLE
         self.due = now + self.backoff.next()
 
-    def answered(self, now: float, number: int, answer: ResponseOrError) -> Actions:
+    def response_received(self, now: float, number: int, response: ResponseOrError) -> Actions:
         """The response to the request with this number; a late one is ignored."""
         if not self._expects(number):
             return []
         was_read = self.phase is RequestPhase.READING
         self._schedule_retry(now)
-        if not isinstance(answer, TxnResponse):
+        if not isinstance(response, TxnResponse):
             return []
         if not was_read:
             self.due = now  # whether it succeeded or conflicted, the next read shows
             return []
         try:
-            snapshot = parse_snapshot(answer)
+            snapshot = parse_snapshot(response)
         except msgspec.DecodeError:
             return []  # no claim may be based on records that can't be read
         self.backoff.reset()
--- a/heronreel/fleet/errors.py
+++ b/heronreel/fleet/errors.py
@@ -31,6 +31,10 @@
     """A command to an agent holds values out of range or names an unknown version."""
 
 
+class UnknownVersionError(FleetError):
+    """A version is not configured on the machine."""
+
+
 class AgentUnavailableError(FleetError):
     """The agent that owns an instance is unknown, not registered, or gives no usable response."""
 
--- a/heronreel/fleet/leadership.py
+++ b/heronreel/fleet/leadership.py
@@ -102,8 +102,8 @@
         name = holder[0].decode(errors="replace") if holder else "nobody"
         operation = await read_operation(self.client)
         if operation is None or operation.final_status:
-            return f"{name} has the fleet"
-        return f"{name} has the fleet, with {describe(operation)}"
+            return f"{name} leads the fleet"
+        return f"{name} leads the fleet, with {describe(operation)}"
 
     def fencing_token(self) -> int:
         """The token to act under; to be called again before each action.
@@ -113,7 +113,7 @@
         """
         token = self.claim.acts(self.session.now())
         if not token:
-            raise LeadershipLostError("the claim on the fleet is no longer held")
+            raise LeadershipLostError("the leadership of the fleet is lost")
         return token
 
     async def record(self, operation: FleetOperation) -> None:
@@ -134,6 +134,6 @@
                 await sleep_before_retry()
                 continue
             if not (isinstance(response, TxnResponse) and response.succeeded):
-                raise LeadershipLostError("the claim on the fleet is held by another controller")
+                raise LeadershipLostError("another controller leads the fleet")
             self.points.reach("recorded")
             return
--- a/heronreel/fleet/process_supervisor.py
+++ b/heronreel/fleet/process_supervisor.py
@@ -17,6 +17,7 @@
 from heronreel.coordination.clock import CrashPoints, boot_clock
 from heronreel.fleet import processes
 from heronreel.fleet.agent_settings import AgentSettings, InstanceTable
+from heronreel.fleet.errors import UnknownVersionError
 from heronreel.fleet.instance_lifecycle import InstanceLifecycle
 from heronreel.fleet.lifecycle_messages import (
     Action,
@@ -71,6 +72,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.timer: asyncio.TimerHandle | None = None
         self.closed = False
+        self.session: aiohttp.ClientSession  # while it runs
         self.lifecycle = self._restore()
 
     async def run(self) -> None:
@@ -140,11 +142,9 @@
 
     def _kill_orphans(self, recorded: ProcessIdentity | None) -> None:
         """Kill processes of this instance that an earlier agent started and was killed before recording."""
+        recorded_identity = None if recorded is None else (recorded.pid, recorded.start_time)
         for process in processes.owned_by(self.owner):
-            if recorded is not None and (process.pid, process.start_time) == (
-                recorded.pid,
-                recorded.start_time,
-            ):
+            if (process.pid, process.start_time) == recorded_identity:
                 continue
             log.warning("orphan process killed", instance=self.instance.name, pid=process.pid)
             processes.send_signal(process, signal.SIGKILL)
@@ -231,7 +231,7 @@
         self.points.reach("start")
         try:
             process = processes.start(self._command_line(version), self.owner, version, self._log_file())
-        except OSError as error:
+        except (OSError, UnknownVersionError) as error:
             log.error("start failed", instance=self.instance.name, version=version, error=str(error))
             asyncio.get_running_loop().call_soon(self._exited, str(error))
             return
@@ -241,10 +241,14 @@
         self._watch(process)
 
     def _command_line(self, version: str) -> list[str]:
-        """The command line of a version for this instance; raises OSError if it is not configured."""
+        """The command line of a version for this instance.
+
+        Raises:
+            UnknownVersionError: It is not configured.
+        """
         words = self.settings.commands.get(version)
         if words is None:
-            raise FileNotFoundError(f"version {version!r} is not configured on this machine")
+            raise UnknownVersionError(f"version {version!r} is not configured on this machine")
         instance = self.instance
         return [word.replace("{name}", instance.name).replace("{listen}", instance.listen) for word in words]
 
--- a/tests/compatibility/stored_fleet.py
+++ b/tests/compatibility/stored_fleet.py
@@ -144,8 +144,8 @@
     free = TxnResponse(5, True, (revision, none, there, none, none, none))
     claimed = TxnResponse(5, True, (revision, none, there, claim, none, none))
     return {
-        "fleet-take": asked(acquire.answered(0.1, 1, free)),
-        "fleet-give": asked(release.answered(0.1, 1, claimed)),
+        "fleet-take": asked(acquire.response_received(0.1, 1, free)),
+        "fleet-give": asked(release.response_received(0.1, 1, claimed)),
     }
 
 
--- a/tests/fleet/test_rolling_operations.py
+++ b/tests/fleet/test_rolling_operations.py
@@ -352,7 +352,7 @@
             rolling = await fleet.start("restart", "p*")
             await rolling.line("running 1")
             printed = await fleet.output("restart", "p2", "--by", "ada", "--wait", "1", code=3)
-            assert re.search(r"has the fleet, with restart \w+ by", printed), printed
+            assert re.search(r"leads the fleet, with restart \w+ by", printed), printed
             await fleet.output("halt", "--why", "smoke", "--by", "ada")
             claims_at_halt = len((await read_snapshot(fleet.client)).claims)
             assert await rolling.ended(60) == 1 and claims_at_halt <= 1
