--- a/heronreel/fleet/instance_runner.py
+++ b/heronreel/fleet/instance_runner.py
@@ -40,12 +40,12 @@
 
 
 class FleetView:
-    """What the controller knows of the fleet: the last snapshot, and whether no instance is started with."""
+    """What the controller knows of the fleet: the last snapshot, and whether the operation is halted."""
 
     def __init__(self, snapshot: BudgetSnapshot) -> None:
-        """`halted` is set from outside; it stays set."""
+        """The snapshot is the one to begin with."""
         self.snapshot = snapshot
-        self.halted = False
+        self.halted = False  # once set, no further instance is started with, also if the halt is lifted
 
     async def refresh(self, leadership: FleetLeadership, operation: FleetOperation) -> None:
         """Read the records again and again, until cancelled."""
--- a/tests/fleet/test_instance_lifecycle.py
+++ b/tests/fleet/test_instance_lifecycle.py
@@ -65,25 +65,33 @@
                 self.disk = action.state
                 self.actions += self.lifecycle.persisted(self.now)
             elif isinstance(action, StartProcess):
-                self.pids += 1
-                process = ProcessIdentity(self.pids % 3, self.pids, action.version)  # pids are reused
-                if self.alive:
-                    self.problems.append(f"{process} is started beside {self.alive}")
-                self.alive[process.pid] = process
-                self.actions += self.lifecycle.started(self.now, process)
+                self._start_process(action.version)
             elif isinstance(action, SignalProcess):
-                if self.alive.get(action.process.pid) == action.process and (
-                    action.kill or self.rng.random() < 0.5
-                ):
-                    del self.alive[action.process.pid]
-                    self.actions += self.lifecycle.exited(self.now, "terminated")
+                self._signal_process(action)
             elif isinstance(action, CommandResult) and action.accepted:
-                if self.last_sent < self.greatest_accepted:
-                    self.problems.append(f"{self.last_sent} accepted after {self.greatest_accepted}")
-                self.greatest_accepted = max(self.greatest_accepted, self.last_sent)
+                self._check_accepted()
             elif isinstance(action, SetQuiesced):
                 assert self.lifecycle.stage in (ProcessStage.DRAINING, ProcessStage.STARTING)
 
+    def _start_process(self, version: str) -> None:
+        self.pids += 1
+        process = ProcessIdentity(self.pids % 3, self.pids, version)  # pids are reused
+        if self.alive:
+            self.problems.append(f"{process} is started beside {self.alive}")
+        self.alive[process.pid] = process
+        self.actions += self.lifecycle.started(self.now, process)
+
+    def _signal_process(self, action: SignalProcess) -> None:
+        is_alive = self.alive.get(action.process.pid) == action.process
+        if is_alive and (action.kill or self.rng.random() < 0.5):
+            del self.alive[action.process.pid]
+            self.actions += self.lifecycle.exited(self.now, "terminated")
+
+    def _check_accepted(self) -> None:
+        if self.last_sent < self.greatest_accepted:
+            self.problems.append(f"{self.last_sent} accepted after {self.greatest_accepted}")
+        self.greatest_accepted = max(self.greatest_accepted, self.last_sent)
+
     def step(self) -> None:
         self.now += self.rng.choice((0.1, 1.0, 6.0))
         kind = self.rng.randrange(6)
