--- a/bench/request_cost.py
+++ b/bench/request_cost.py
@@ -23,8 +23,8 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from heronreel.stubs.client import Clients, Told
-from heronreel.stubs.servers import Manners, ProfileNode, Rack
+from heronreel.stubs.http_client import ClientStats, HttpClient
+from heronreel.stubs.http_server import DeduplicationGroup, ServerBehaviour, StubServer
 
 NODES, CONNECTIONS, BATCH = 8, 16, 1500
 CLASS = {
@@ -33,7 +33,7 @@
 }  # fmt: skip
 
 
-def platform_file(nodes: list[ProfileNode]) -> dict[str, object]:
+def platform_file(nodes: list[StubServer]) -> dict[str, object]:
     entries = [
         {
             "name": n.name,
@@ -51,7 +51,7 @@
     }  # fmt: skip
 
 
-def routes_file(nodes: list[ProfileNode], routes: int) -> str:
+def routes_file(nodes: list[StubServer], routes: int) -> str:
     members = "".join(
         f'[[pools.members]]\nname = "{n.name}"\naddress = "{n.address[0]}:{n.address[1]}"\nrack = "r1"\n'
         for n in nodes
@@ -83,7 +83,7 @@
     raise SystemExit(f"{words[0]} did not start")
 
 
-async def batch(clients: Clients, first: int) -> None:
+async def batch(clients: HttpClient, first: int) -> None:
     left = iter(range(first, first + BATCH))
 
     async def ask_on() -> None:
@@ -91,7 +91,7 @@
             lines = f"Host: h\r\nX-Request-Id: q{number}\r\nX-Class: r7\r\nIdempotency-Key: k{number}\r\n"
             lines += "X-Cost-Hint: 5000\r\nContent-Length: 4\r\n"
             data = f"POST /r7/x{number % 500} HTTP/1.1\r\n{lines}\r\nride"
-            await clients.ask("r7", data.encode())
+            await clients.request("r7", data.encode())
 
     await asyncio.gather(*(ask_on() for _ in range(CONNECTIONS)))
 
@@ -99,9 +99,11 @@
 async def play(rounds: int, routes: int) -> None:
     async with AsyncExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
-        rack, effects = Rack("r1"), Counter[bytes]()
+        rack, effects = DeduplicationGroup("r1"), Counter[bytes]()
         nodes = [
-            await stack.enter_async_context(ProfileNode(f"n{n}", rack, Manners(work_s=0.004), effects, n))
+            await stack.enter_async_context(
+                StubServer(f"n{n}", rack, ServerBehaviour(work_s=0.004), effects, n)
+            )
             for n in range(NODES)
         ]
         (folder / "config.json").write_text(json.dumps(platform_file(nodes)))
@@ -117,8 +119,8 @@
         ):
             process, address = await start(words, more)
             stack.callback(process.kill)
-            told = Told()
-            ways.append((process.pid, Clients(address, told), told))
+            told = ClientStats()
+            ways.append((process.pid, HttpClient(address, told), told))
         costs: list[list[float]] = [[], []]
         for turn in range(rounds + 1):
             for place, (pid, clients, _) in enumerate(ways):
@@ -127,7 +129,7 @@
                 if turn:  # the first round warms up
                     costs[place].append((spent(pid) - before) / BATCH * 1e6)
     for (_, _, told), name, row in zip(ways, ("platform", "routes"), costs, strict=True):
-        mean, served = sum(row) / len(row), f"{told.counts['served']:,} of {told.asked:,} served"
+        mean, served = sum(row) / len(row), f"{told.counts['served']:,} of {told.requests:,} served"
         print(f"{name:9} {mean:6.0f} us a request ({min(row):.0f} to {max(row):.0f}), {served}")
     ratios = sorted(two / one for one, two in zip(*costs, strict=True))
     spread = f"({ratios[0]:.2f} to {ratios[-1]:.2f})"
--- a/heronreel/cli/demo.py
+++ b/heronreel/cli/demo.py
@@ -1,4 +1,4 @@
-"""`heronreel demo`."""
+"""The command `heronreel demo`."""
 
 from __future__ import annotations
 
@@ -6,9 +6,19 @@
 import json
 import sys
 import time
+from typing import TYPE_CHECKING
 
 import click
 
+if TYPE_CHECKING:
+    from rich.table import Table
+
+    from heronreel.demo.runner import DemoState
+
+COLUMNS = ("server", "rack", "requests", "running", "repeats dropped", "fault")
+TEXT_COLUMNS = ("server", "rack")
+REFRESHES_PER_SECOND = 4
+
 
 @click.command("demo")
 @click.option(
@@ -17,45 +27,55 @@
 @click.option("--seed", default=1, show_default=True, help="Of the servers' and the clients' draws.")
 @click.option("--json", "as_json", is_flag=True, help="No table; one JSON object as the last line.")
 def demo_command(seconds: float, seed: int, as_json: bool) -> None:
-    """A proxy, six stand-in servers in trouble and a steady client, on loopback; exit 1 if a rule broke."""
-    from rich.console import Console
-    from rich.live import Live
-    from rich.table import Table
-
-    from heronreel.demo.play import DemoFailed, Stage, play
-
-    def table(stage: Stage) -> Table:
-        now = min(time.monotonic() - stage.began, stage.seconds) if stage.began else 0.0
-        result = stage.result()
-        words = ", ".join(f"{name} {count}" for name, count in result.items())
-        made = Table(title=f"{now:4.1f} of {stage.seconds:g} s   {words}")
-        for name in ("server", "rack", "asked", "running", "repeats dropped", "what is wrong with it"):
-            made.add_column(name, justify="left" if name in ("server", "rack") else "right")
-        for number, node in enumerate(stage.nodes):
-            made.add_row(
-                node.name, node.rack.name, str(node.asked), str(node.running), str(node.dropped),
-                stage.troubles.get(number, ""),
-            )  # fmt: skip
-        for route, counts in sorted(stage.told.routes.items()):
-            made.add_row(
-                f"[bold]{route}", "", "", "", "", ", ".join(f"{n} {c}" for n, c in sorted(counts.items()))
-            )
-        made.caption = (
-            f"served: median {stage.told.percentile(50):.0f} ms, p95 {stage.told.percentile(95):.0f} ms"
-        )
-        return made
+    """A proxy, six stub servers with faults and a steady client, on loopback; exit 1 if a rule broke."""
+    from heronreel.demo.runner import DemoError
 
     try:
-        if as_json:
-            stage = asyncio.run(play(seconds, seed, lambda stage: None))
-            click.echo(json.dumps(stage.result()))
-        else:
-            console = Console()
-            with Live(console=console, refresh_per_second=4, transient=not console.is_terminal) as live:
-                stage = asyncio.run(play(seconds, seed, lambda stage: live.update(table(stage))))
-            click.echo(", ".join(f"{name} {count}" for name, count in stage.result().items()))
-    except DemoFailed as error:
+        state = _run_quietly(seconds, seed) if as_json else _run_with_table(seconds, seed)
+    except DemoError as error:
         click.echo(f"heronreel demo: {error}", err=True)
         sys.exit(1)
-    result = stage.result()
-    sys.exit(1 if result["lost"] or result["twice"] or stage.code else 0)
+    result = state.result()
+    if as_json:
+        click.echo(json.dumps(result))
+    else:
+        click.echo(", ".join(f"{name} {count}" for name, count in result.items()))
+    sys.exit(1 if result["lost"] or result["twice"] or state.exit_code else 0)
+
+
+def _run_quietly(seconds: float, seed: int) -> DemoState:
+    from heronreel.demo.runner import run_demo
+
+    return asyncio.run(run_demo(seconds, seed, lambda state: None))
+
+
+def _run_with_table(seconds: float, seed: int) -> DemoState:
+    from rich.console import Console
+    from rich.live import Live
+
+    from heronreel.demo.runner import run_demo
+
+    console = Console()
+    with Live(
+        console=console, refresh_per_second=REFRESHES_PER_SECOND, transient=not console.is_terminal
+    ) as live:
+        return asyncio.run(run_demo(seconds, seed, lambda state: live.update(_table(state))))
+
+
+def _table(state: DemoState) -> Table:
+    from rich.table import Table
+
+    now_s = min(time.monotonic() - state.began, state.seconds) if state.began else 0.0
+    totals = ", ".join(f"{name} {count}" for name, count in state.result().items())
+    table = Table(title=f"{now_s:4.1f} of {state.seconds:g} s   {totals}")
+    for name in COLUMNS:
+        table.add_column(name, justify="left" if name in TEXT_COLUMNS else "right")
+    for index, server in enumerate(state.servers):
+        counters = (server.requests, server.running, server.repeats_dropped)
+        table.add_row(server.name, server.group.name, *map(str, counters), state.faults.get(index, ""))
+    for route, counts in sorted(state.stats.routes.items()):
+        outcomes = ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
+        table.add_row(f"[bold]{route}", "", "", "", "", outcomes)
+    median, p95 = state.stats.percentile(50), state.stats.percentile(95)
+    table.caption = f"served: median {median:.0f} ms, p95 {p95:.0f} ms"
+    return table
--- a/heronreel/realtime/nodes.py
+++ b/heronreel/realtime/nodes.py
@@ -16,7 +16,7 @@
 from heronreel.balancer.interface import Outcome
 from heronreel.emulator.node import Node
 from heronreel.emulator.proxies import Ask
-from heronreel.stubs.peer import Peer
+from heronreel.stubs.http_peer import HttpPeer
 
 if TYPE_CHECKING:
     from heronreel.realtime.engine import Engine
@@ -36,7 +36,7 @@
         self.node = connection.node
 
 
-class Connection(Peer):
+class Connection(HttpPeer):
     """A proxy's connection to a node's process."""
 
     parser: httptools.HttpRequestParser
--- a/heronreel/realtime/proxies.py
+++ b/heronreel/realtime/proxies.py
@@ -21,8 +21,8 @@
 from heronreel.emulator.lists import Entry, Shape
 from heronreel.emulator.proxies import Ask, Proxy
 from heronreel.emulator.world import World
-from heronreel.stubs.client import Clients, Told
-from heronreel.stubs.peer import Peer
+from heronreel.stubs.http_client import ClientStats, HttpClient
+from heronreel.stubs.http_peer import HttpPeer
 
 if TYPE_CHECKING:
     from heronreel.realtime.engine import Engine
@@ -35,7 +35,7 @@
 READY_S, DEADLINE_SLACK_MS = 20.0, 400.0  # of a busy machine: an answer this late is still told as what it is
 
 
-class ListPeer(Peer):
+class ListPeer(HttpPeer):
     """One call of a proxy process to the list service."""
 
     parser: httptools.HttpRequestParser
@@ -87,7 +87,7 @@
         self.running: asyncio.subprocess.Process | None = None
         self.address = ("127.0.0.1", 0)
         self.killed = False  # outright: what it has in hand is its clients' to repeat
-        self.clients = Clients(self.address, Told())
+        self.clients = HttpClient(self.address, ClientStats())
         self.peer: ListPeer | None = None  # the newest call
         self.list_server: asyncio.Server | None = None
         self.index = 0
@@ -105,7 +105,7 @@
             self.list_server = await engine.loop.create_server(lambda: ListPeer(self), "127.0.0.1", 0)
         with socket.create_server(("127.0.0.1", 0)) as probe:
             self.address = probe.getsockname()
-        self.clients = Clients(self.address, Told())
+        self.clients = HttpClient(self.address, ClientStats())
         folder = Path(engine.folder) / f"{self.name}-{process}"
         folder.mkdir()
         config = folder / "config.json"
--- a/heronreel/stubs/peer.py
+++ b/heronreel/stubs/http_peer.py
@@ -1,4 +1,4 @@
-"""What both ends of a stand-in's connection do alike."""
+"""What both ends of a stub's HTTP/1.1 connection have in common."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 import httptools
 
 
-class Peer(asyncio.Protocol):
-    """Feeds a parser of httptools, and breaks off where it can't read what comes."""
+class HttpPeer(asyncio.Protocol):
+    """Feeds an httptools parser, and aborts the connection where its bytes can't be parsed."""
 
     parser: httptools.HttpRequestParser | httptools.HttpResponseParser
 
@@ -16,15 +16,22 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport for writing."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Forget the transport, so that nothing more is written."""
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
+        """Parse what came; the parser calls this object's `on_...` methods."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            if self.transport:
-                self.transport.abort()
+            self.abort()
+
+    def abort(self) -> None:
+        """Reset the connection, if it is still open."""
+        if self.transport:
+            self.transport.abort()
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -29,7 +29,7 @@
 from heronreel.coordination.keyspace import Keyspace
 from heronreel.coordination.kv_service import DESIRED_MEMBERS_KEY
 from heronreel.coordination.model import LeaseGrant, LeaseResponse, LeaseTimeToLive, Put, Request, Response
-from heronreel.demo.play import Stage
+from heronreel.demo.runner import DemoState
 from heronreel.emulator import model, result
 from heronreel.experiments.scripts import of_incident, written
 from heronreel.experiments.table import Table, read
@@ -413,7 +413,7 @@
     files["script.toml"] = written(SCRIPT).encode()
     files["incident.toml"] = written(of_incident(SCRIPT, INCIDENT)[0]).encode()
     files["result.jsonl"] = RESULT.lines() + shown(RESULT.row())
-    files["demo.json"] = shown(Stage(5.0).result())
+    files["demo.json"] = shown(DemoState(5.0).result())
     for name, data in files.items():
         (folder / name).parent.mkdir(parents=True, exist_ok=True)
         (folder / name).write_bytes(data)
--- a/tests/serve/test_serve.py
+++ b/tests/serve/test_serve.py
@@ -20,7 +20,7 @@
 from heronreel.proxy.proxy import Ask, Asker, Proxy
 from heronreel.routes.load import load
 from heronreel.serve.policies import Router, config_of
-from heronreel.stubs.servers import Manners, ProfileNode, Rack
+from heronreel.stubs.http_server import DeduplicationGroup, ServerBehaviour, StubServer
 from tests.support.loopback import (
     ROOT,
     SETTINGS,
@@ -591,11 +591,11 @@
 
     async def talk() -> None:
         effects: Counter[bytes] = Counter()
-        rack = Rack("r1")
-        manners = Manners(work_s=0.02)  # 10 to 30 ms; the copy is due after 20
+        group = DeduplicationGroup("r1")
+        behaviour = ServerBehaviour(work_s=0.02)  # 10 to 30 ms; the copy is due after 20
         async with (
-            ProfileNode("one", rack, manners, effects, 1) as one,
-            ProfileNode("two", rack, manners, effects, 2) as two,
+            StubServer("one", group, behaviour, effects, 1) as one,
+            StubServer("two", group, behaviour, effects, 2) as two,
         ):
             members = [(f"{host}:{port}", "r1") for host, port in (one.address, two.address)]
             route = COPY + "retry_budget = 1\n"
@@ -605,7 +605,7 @@
                     writer.write(post("/save/1", f"k{number}", extra=f"X-Effect-Id: e{number}\r\n"))
                     assert await answer_of(reader) == ("200", b"e%d" % number)
                 assert len(effects) == 80 and set(effects.values()) == {1}
-                assert 5 < one.dropped + two.dropped < 75  # copies went out, and not for all
+                assert 5 < one.repeats_dropped + two.repeats_dropped < 75  # copies went out, and not for all
 
     run(talk())
 
