--- a/bench/added_cost.py
+++ b/bench/added_cost.py
@@ -19,7 +19,7 @@
 from heronreel.balancer import interface as api
 from heronreel.balancer.choice import Balancer
 from heronreel.balancer.pools import Pools
-from heronreel.routes.load import load
+from heronreel.routes.load import load_routes
 from heronreel.serve.policies import Router, members_of, settings_of
 
 BATCH = 2000
@@ -76,7 +76,7 @@
     parser.add_argument("--seconds", type=float, default=4.0)
     parser.add_argument("--routes", type=int, default=1000)
     told = parser.parse_args()
-    file = load(text_of(told.routes).encode())
+    file = load_routes(text_of(told.routes).encode())
     settings, router = settings_of(file), Router(file)
     assert len(members_of(file).entries) == 24
     names = [f"r{n}".encode() for n in range(told.routes)]
--- a/heronreel/cli/agent.py
+++ b/heronreel/cli/agent.py
@@ -21,13 +21,13 @@
     from heronreel.coordination.logs import log_to_stderr
     from heronreel.fleet.machine import load_file
     from heronreel.fleet.serving import serve
-    from heronreel.routes.reader import BadFile
+    from heronreel.routes.reader import ConfigFileError
     from heronreel.store import StoreError
 
     log_to_stderr()
     try:
         machine = load_file(file)
-    except BadFile as bad:
+    except ConfigFileError as bad:
         tell(file, bad)
         sys.exit(BAD_FILE)
     try:
--- a/heronreel/cli/coordinate.py
+++ b/heronreel/cli/coordinate.py
@@ -24,13 +24,13 @@
 def group_of(file: str | None, members: str | None, folder: str) -> Any:
     """The group of a file or of --members; ends the process with its problems."""
     from heronreel.coordination.settings import group_of_addresses, load_file
-    from heronreel.routes.reader import BadFile
+    from heronreel.routes.reader import ConfigFileError
 
     if (file is None) == (members is None):
         raise click.UsageError("expected a FILE, or --members")
     try:
         return load_file(file) if file is not None else group_of_addresses(members or "", folder)
-    except BadFile as bad:
+    except ConfigFileError as bad:
         tell(file or "--members", bad)
         sys.exit(BAD_FILE)
 
@@ -55,7 +55,7 @@
     from heronreel.coordination.settings import load_file
     from heronreel.coordinator.disk import MemberDisk, WrongMemberError
     from heronreel.coordinator.server import run_server
-    from heronreel.routes.reader import BadFile
+    from heronreel.routes.reader import ConfigFileError
     from heronreel.store import StoreError
 
     log_to_stderr()
@@ -84,7 +84,7 @@
             return None
         try:
             return load_file(file)
-        except BadFile as bad:
+        except ConfigFileError as bad:
             tell(file, bad)
             return None
 
--- a/heronreel/cli/fleet.py
+++ b/heronreel/cli/fleet.py
@@ -40,11 +40,11 @@
     """
     from heronreel.fleet import operation
     from heronreel.fleet.settings import load_file
-    from heronreel.routes.reader import BadFile
+    from heronreel.routes.reader import ConfigFileError
 
     try:
         rules = load_file(allowances)
-    except BadFile as bad:
+    except ConfigFileError as bad:
         tell(allowances, bad)
         sys.exit(BAD_FILE)
     asked(file, members, lambda client: operation.allow(client, rules))
--- a/heronreel/cli/rehearse.py
+++ b/heronreel/cli/rehearse.py
@@ -41,13 +41,13 @@
 
 def _script(path: Path) -> Rehearsal:
     from heronreel.emulator.load import load
-    from heronreel.routes.reader import BadFile
+    from heronreel.routes.reader import ConfigFileError
 
     try:
         return load(path.read_bytes())
     except OSError as error:
         _stop(f"{path}: {error.strerror}")
-    except BadFile as error:
+    except ConfigFileError as error:
         for problem in error.problems:
             click.echo(f"{path}:{problem}", err=True)
         sys.exit(2)
@@ -65,10 +65,10 @@
     """The file of routes that the script names, beside it."""
     if not rehearsal.proxies.routes:
         return None
-    from heronreel.serve.files import checked
+    from heronreel.serve.files import check_file
 
     place = path.parent / rehearsal.proxies.routes
-    report = checked(str(place))
+    report = check_file(str(place))
     for finding in report.findings:
         click.echo(f"{place}:{finding}", err=True)
     if not report.safe or report.file is None:
@@ -388,7 +388,7 @@
     """Turn a recorded incident (JSON lines) into a script that can be played."""
     from heronreel.emulator.load import load
     from heronreel.experiments.scripts import BadIncident, of_incident, written
-    from heronreel.routes.reader import BadFile
+    from heronreel.routes.reader import ConfigFileError
 
     rehearsal = _script(base)
     try:
@@ -399,7 +399,7 @@
         _stop(f"{incident}: {error.strerror}")
     except BadIncident as error:
         _stop(f"{incident}: {error}")
-    except BadFile as error:
+    except ConfigFileError as error:
         _stop(f"{incident}: " + "; ".join(f"{p.field}: {p.wrong}, {p.right}" for p in error.problems[:5]))
     if passed:
         click.echo(f"{incident}: {passed} lines without a trouble passed over", err=True)
--- a/heronreel/coordination/settings.py
+++ b/heronreel/coordination/settings.py
@@ -14,7 +14,7 @@
 
 from heronreel.coordination.consensus import Timing
 from heronreel.routes.model import Problem
-from heronreel.routes.reader import BYTES_MOST, BadFile, Reader, parse
+from heronreel.routes.reader import MAX_FILE_BYTES, ConfigFileError, TableReader, parse_toml
 
 MEMBERS_MOST = 7
 NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
@@ -75,8 +75,8 @@
 
 def load(data: bytes) -> Group:
     """The group of a TOML text.  Raises BadFile."""
-    raw, lines = parse(data)
-    reader = Reader(raw, lines)
+    raw, lines = parse_toml(data)
+    reader = TableReader(raw, lines)
     for name in raw:
         if name not in ("group", "members"):
             reader.wrong((name,), "no such table", "known here: group, members", "unknown-field")
@@ -112,10 +112,10 @@
     """A file's bytes, one more than may be at most.  Raises BadFile for one that can't be read."""
     try:
         with Path(path).open("rb") as file:
-            return file.read(BYTES_MOST + 1)
+            return file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         wrong = f"can't be read: {error.strerror or error}"
-        raise BadFile([Problem(0, "file", wrong, "a readable file", "unreadable")]) from None
+        raise ConfigFileError([Problem(0, "file", wrong, "a readable file", "unreadable")]) from None
 
 
 def group_of_addresses(words: str, folder: str) -> Group:
--- a/heronreel/emulator/load.py
+++ b/heronreel/emulator/load.py
@@ -13,7 +13,7 @@
 from heronreel.emulator import model
 from heronreel.emulator.policies import CARELESS, POLICIES
 from heronreel.routes.model import Path
-from heronreel.routes.reader import Reader, parse, shown
+from heronreel.routes.reader import TableReader, describe_value, parse_toml
 
 ARRAYS_MOST = 64
 SUM_SLACK = 1e-6
@@ -49,17 +49,17 @@
 
 def load(data: bytes) -> model.Rehearsal:
     """The script's record.  Raises `heronreel.routes.reader.BadFile` with every problem."""
-    raw, lines = parse(data)
+    raw, lines = parse_toml(data)
     return _Loader(raw, lines).load()
 
 
-class _Loader(Reader):
+class _Loader(TableReader):
     def load(self) -> model.Rehearsal:
         version = self.raw.get("version", model.VERSION)
         if version != model.VERSION:
             newer = isinstance(version, int) and version > model.VERSION
             right = f"this program reads version {model.VERSION}" + ("; use a newer one" if newer else "")
-            self.wrong(("version",), f"is {shown(version)}", right, "version")
+            self.wrong(("version",), f"is {describe_value(version)}", right, "version")
             self.finish()
         unknown = {name: value for name, value in self.raw.items() if name not in Top.__struct_fields__}
         self.table(unknown, (), Top)
@@ -178,7 +178,7 @@
                 self.wrong(("classes", place, "window_ms"), "is 0", right)
         if proxies.policy not in POLICIES and proxies.policy not in CARELESS:
             right = f"known here: {', '.join(sorted((*POLICIES, *CARELESS)))}"
-            self.wrong(("proxies", "policy"), f"is {shown(proxies.policy)}", right, "unknown-policy")
+            self.wrong(("proxies", "policy"), f"is {describe_value(proxies.policy)}", right, "unknown-policy")
         if proxies.count > model.PROXIES_MOST:
             self.wrong(
                 ("proxies", "count"), f"is {proxies.count:,}", f"expected at most {model.PROXIES_MOST:,}"
@@ -233,7 +233,9 @@
         ):  # fmt: skip
             if value and value not in known:
                 near = ", ".join(sorted(known)[:8]) or "none"
-                self.wrong((*path, field), f"is {shown(value)}", f"known here: {near}", "unknown-target")
+                self.wrong(
+                    (*path, field), f"is {describe_value(value)}", f"known here: {near}", "unknown-target"
+                )
         if what in WITH_ZONE and not trouble.zone:
             self.wrong((*path, "zone"), "is missing", f"{what} befalls a zone", "missing-field")
         if what == "zone_cut" and len(fleet.zones) < 2:
@@ -261,7 +263,7 @@
                 if name not in known:
                     ends = sorted(known, key=lambda one: int(one[1:]))
                     right = f"known at the start: {ends[0]} to {ends[-1]}" if ends else "none is known"
-                    self.wrong((*path, "names", place), f"is {shown(name)}", right, "unknown-target")
+                    self.wrong((*path, "names", place), f"is {describe_value(name)}", right, "unknown-target")
         ways = sum(bool(way) for way in (trouble.busiest, trouble.count, trouble.share, trouble.names))
         if what in OF_NODES | OF_PROXIES and ways > 1:
             self.wrong(
--- a/heronreel/fleet/machine.py
+++ b/heronreel/fleet/machine.py
@@ -23,7 +23,7 @@
 import msgspec
 
 from heronreel.coordination.settings import read_file
-from heronreel.routes.reader import Reader, parse
+from heronreel.routes.reader import TableReader, parse_toml
 
 Name = Annotated[
     str,
@@ -81,8 +81,8 @@
 
 def load(data: bytes) -> Machine:
     """The machine of a TOML text.  Raises BadFile."""
-    raw, lines = parse(data)
-    reader = Reader(raw, lines)
+    raw, lines = parse_toml(data)
+    reader = TableReader(raw, lines)
     for name in raw:
         if name not in ("agent", "versions", "instances"):
             reader.wrong((name,), "no such table", "known here: agent, versions, instances", "unknown-field")
@@ -100,7 +100,7 @@
 
 
 def _rows(
-    reader: Reader, raw: dict[str, Any], name: str, kind: type[Any]
+    reader: TableReader, raw: dict[str, Any], name: str, kind: type[Any]
 ) -> list[tuple[tuple[Any, ...], Any]]:
     found = []
     for path, each in reader.tables(raw.get(name), (name,), 1000):
--- a/heronreel/fleet/settings.py
+++ b/heronreel/fleet/settings.py
@@ -19,7 +19,7 @@
 
 from heronreel.coordination.settings import read_file
 from heronreel.fleet.model import Kind, Rule, Scope
-from heronreel.routes.reader import Reader, parse
+from heronreel.routes.reader import TableReader, parse_toml
 
 RULES_MOST = 100
 
@@ -43,8 +43,8 @@
 
 def load(data: bytes) -> tuple[Rule, ...]:
     """The allowances of a TOML text.  Raises BadFile."""
-    raw, lines = parse(data)
-    reader = Reader(raw, lines)
+    raw, lines = parse_toml(data)
+    reader = TableReader(raw, lines)
     for name in raw:
         if name != "allow":
             reader.wrong((name,), "no such table", "known here: allow", "unknown-field")
--- /dev/null
+++ b/heronreel/routes/checked_route.py
@@ -0,0 +1,163 @@
+"""One route under proof: its deduplication groups, and timelines that show what its policy allows."""
+
+from __future__ import annotations
+
+from heronreel.balancer.interface import DedupScope, Effect
+from heronreel.routes.findings import Witness
+from heronreel.routes.model import GROUP_NAMES, Path, PlatformLimits, Problem, RetryScope, Route, RoutesFile
+from heronreel.routes.timeline import EventKind, RequestTerms, TimelineEvent
+
+OUTCOME_TEXTS = {
+    "timeout": "timed out",
+    "reset": "the connection broke",
+    "error": "answered with an error",
+}
+
+
+class CheckedRoute:
+    """What the checks know of a route, and the builders of their witnesses."""
+
+    def __init__(self, file: RoutesFile, limits: PlatformLimits, route: Route) -> None:
+        self.file = file
+        self.limits = limits
+        self.route = route
+        self.policy = route.policy
+        self.group = self.group_name(0)
+
+    def group_name(self, index: int) -> str:
+        """The deduplication group at this index, by name where names are known."""
+        if self.policy.deduplication_scope is DedupScope.ALL:
+            return "the fleet"
+        named = sorted(self.deduplication_groups() or ())
+        kind = GROUP_NAMES[self.policy.deduplication_scope]
+        return f"{kind} {named[index]}" if index < len(named) and named[index] else f"{kind} {index + 1}"
+
+    def deduplication_groups(self, pools: tuple[str, ...] | None = None) -> frozenset[str] | None:
+        """Groups of these pools, or of all the route's; None where they can't be known."""
+        names = pools if pools is not None else tuple(share.pool for share in self.route.split)
+        groups: set[str] = set()
+        for name in names:
+            own = self.file.pools[name].groups(self.policy.deduplication_scope)
+            if own is None:
+                return None
+            groups |= own
+        return frozenset(groups)
+
+    def problem(self, field: str, wrong: str, right: str, rule: str) -> Problem:
+        """At the field's own line; at that of [defaults] if it was inherited; else at the route's."""
+        path: Path = ("routes", self.route.index, field)
+        if path not in self.file.lines and ("defaults", field) in self.file.lines:
+            origin = self.route.origins.get(field)
+            path = ("defaults", field) if origin == "defaults" else path
+        return Problem(self.file.line(*path), f"routes.{self.route.name}.{field}", wrong, right, rule)
+
+    def terms(self, effect: Effect | None = None, window_ms: float | None = None) -> RequestTerms:
+        """What holds for the route's requests, by its policy unless said otherwise."""
+        return RequestTerms(
+            effect or self.policy.effect,
+            self.policy.deduplication_window_ms if window_ms is None else window_ms,
+            self.limits.client_wait_ms,
+            self.limits.max_attempts,
+            self.limits.second_copies,
+        )
+
+    def outcome_that_may_have_run(self) -> str:
+        """An outcome that is retried although the attempt may have run."""
+        for outcome in ("timeout", "reset", "error"):
+            if outcome in self.policy.unsafe_retry_outcomes:
+                return outcome
+        return "timeout"
+
+    def first_attempt(self, group: str | None = None) -> list[TimelineEvent]:
+        """A request arrives and is sent at once."""
+        group = group or self.group
+        return [
+            TimelineEvent(0.0, EventKind.ARRIVES),
+            TimelineEvent(
+                0.0, EventKind.SENT, attempt=0, group=group, note=f"sent to {group}, where it takes effect"
+            ),
+        ]
+
+    def attempt_ended(self, at: float, outcome: str, attempt: int = 0) -> TimelineEvent:
+        """An attempt that the proxy saw fail though it ran."""
+        return TimelineEvent(
+            at, EventKind.ENDED, attempt=attempt, note=f"{OUTCOME_TEXTS[outcome]}, though it ran"
+        )
+
+    def retried_at_once(self, group: str, terms: RequestTerms, first: str | None = None) -> Witness:
+        """Ended in a way that may have run, then sent again to `group`; first sent to `first`."""
+        span = self.policy.max_attempt_ms
+        outcome = self.outcome_that_may_have_run()
+        ended = span if outcome == "timeout" else min(1.0, span)
+        again = min(ended + self.policy.backoff_before(1), self.policy.deadline_ms)
+        note = f"sent again to {group}, where it takes effect a second time"
+        events = [
+            *self.first_attempt(first),
+            self.attempt_ended(ended, outcome),
+            TimelineEvent(again, EventKind.SENT, attempt=1, group=group, note=note),
+            TimelineEvent(again, EventKind.SERVED),
+        ]
+        return Witness("twice", terms, tuple(events))
+
+    def hedged(
+        self, group: str, terms: RequestTerms, rule: str = "twice", first: str | None = None
+    ) -> Witness:
+        """A hedged request is sent to `group` while the first attempt runs."""
+        after = self.policy.hedge_after_ms
+        when = after or min(1.0, self.policy.deadline_ms)
+        note = f"second copy sent to {group} while the first runs"
+        events = [
+            *self.first_attempt(first),
+            TimelineEvent(when, EventKind.SENT, attempt=1, group=group, note=note),
+            TimelineEvent(when, EventKind.SERVED),
+        ]
+        return Witness(rule, terms, tuple(events))
+
+    def may_leave_group(self, scope: RetryScope) -> bool:
+        """Whether a retry within this scope may reach a group that does not know the key."""
+        if self.policy.effect is not Effect.KEYED or scope is RetryScope.GROUP:
+            return False
+        if scope is RetryScope.SPLIT:
+            groups = self.deduplication_groups()
+            return groups is None or len(groups) > 1
+        each = [self.deduplication_groups((share.pool,)) for share in self.route.split]
+        return any(groups is None or len(groups) > 1 for groups in each)
+
+    def two_groups(self, scope: RetryScope) -> tuple[str, str]:
+        """A group that remembers, and one that the repeat may reach, by name where they are known."""
+        kind = GROUP_NAMES[self.policy.deduplication_scope]
+        pools_of_retry: list[tuple[str, ...]] = [(share.pool,) for share in self.route.split]
+        if scope is RetryScope.SPLIT:
+            pools_of_retry = [tuple(share.pool for share in self.route.split)]
+        for pools in pools_of_retry:
+            groups = self.deduplication_groups(pools)
+            if groups and len(groups) > 1:
+                one, two = sorted(groups)[:2]
+                return f"{kind} {one or '(none)'}", f"{kind} {two or '(none)'}"
+        return f"{kind} 1", f"{kind} 2"
+
+    def _broken_promise(self, promised: TimelineEvent, end: float, note: str) -> Witness:
+        """The file promises what the deadline ends before."""
+        events = (
+            TimelineEvent(0.0, EventKind.ARRIVES),
+            promised,
+            TimelineEvent(0.0, EventKind.SENT, attempt=0, group=self.group, note="sent"),
+            TimelineEvent(end, EventKind.FAILED, note=note),
+        )
+        return Witness("promise", RequestTerms(Effect.IDEMPOTENT), events)
+
+    def attempt_never_sent(self, attempt: int, end: float) -> Witness:
+        """The file promises an attempt that the deadline forestalls."""
+        note = f"the file promises attempt {attempt + 1}"
+        promised = TimelineEvent(0.0, EventKind.PROMISED, attempt=attempt, note=note)
+        return self._broken_promise(promised, end, "the deadline ends the request before that")
+
+    def ended_before(self, until: float, words: str) -> Witness:
+        """The file promises something at a time by which the request is over."""
+        note = f"the file promises {words} {until:,.0f} ms"
+        promised = TimelineEvent(0.0, EventKind.PROMISED, until_ms=until, note=note)
+        return self._broken_promise(promised, self.policy.deadline_ms, "the deadline ends the request")
+
+    def hedge_field(self) -> str:
+        """The field that asks for hedged requests."""
+        return "second_copy_after_ms" if self.policy.hedge_after_ms else "second_copy_percentile"
--- a/heronreel/routes/explain.py
+++ b/heronreel/routes/explain.py
@@ -8,15 +8,17 @@
 from typing import Any
 from urllib.parse import urlsplit
 
-from heronreel.routes.index import RouteIndex, takes
-from heronreel.routes.model import EFFECT_WORDS, GROUP_WORDS, Route, RoutesFile
-from heronreel.routes.schema import policy_fields
+from heronreel.routes.index import RouteIndex, route_accepts
+from heronreel.routes.model import EFFECT_NAMES, GROUP_NAMES, Route, RoutesFile
+from heronreel.routes.schema import POLICY_ATTRIBUTES
 
 UNITS = {"requests_per_s": "/s", "retry_budget": " per first try", "second_copy_percentile": " %"}
 
 
 @dataclass(slots=True, frozen=True)
-class Value:
+class PolicyValue:
+    """One field of a policy, as the file names it, with its origin."""
+
     field: str
     value: Any
     origin: str  # route, defaults or built in
@@ -25,10 +27,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Explanation:
+    """What a file does with one request."""
+
     route: Route | None
     line: int
     others: tuple[Route, ...]  # that would take the request too, but come later
-    values: tuple[Value, ...]
+    values: tuple[PolicyValue, ...]
 
 
 def explain(file: RoutesFile, method: str, url: str, headers: Mapping[str, str]) -> Explanation:
@@ -49,33 +53,33 @@
     others = tuple(
         route
         for route in file.routes
-        if route is not found and takes(route, host.encode(), path, method.encode(), seen)
+        if route is not found and route_accepts(route, host.encode(), path, method.encode(), seen)
     )
     if found is None:
         return Explanation(None, 0, (), ())
-    return Explanation(found, file.line("routes", found.place), others, tuple(_values(file, found)))
+    return Explanation(found, file.line("routes", found.index), others, tuple(_values(file, found)))
 
 
-def _values(file: RoutesFile, route: Route) -> list[Value]:
+def _values(file: RoutesFile, route: Route) -> list[PolicyValue]:
     made = []
-    for field in policy_fields():
-        value = getattr(route.policy, "klass" if field == "class" else field)
+    for field, attribute in POLICY_ATTRIBUTES.items():
+        value = getattr(route.policy, attribute)
         origin = route.origins.get(field, "built in")
         line = 0
         if origin == "route":
-            line = file.line("routes", route.place, field)
+            line = file.line("routes", route.index, field)
         elif origin == "defaults":
             line = file.line("defaults", field)
-        made.append(Value(field, plain(value), origin, line))
+        made.append(PolicyValue(field, file_value(value), origin, line))
     return made
 
 
-def plain(value: Any) -> Any:
+def file_value(value: Any) -> Any:
     """A value as the file would have it."""
-    if value in EFFECT_WORDS:
-        return EFFECT_WORDS[value]
-    if value in GROUP_WORDS:
-        return GROUP_WORDS[value]
+    if value in EFFECT_NAMES:
+        return EFFECT_NAMES[value]
+    if value in GROUP_NAMES:
+        return GROUP_NAMES[value]
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, frozenset):
--- a/heronreel/routes/index.py
+++ b/heronreel/routes/index.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Clash:
+class RouteConflict:
     """Two routes that leave open which one is meant (`ambiguous`), or one that never is (`never-matches`)."""
 
     kind: str
@@ -52,7 +52,7 @@
     example: Example
 
 
-def segments_of(path: bytes) -> Segments | None:
+def path_segments(path: bytes) -> Segments | None:
     """The segments of a request's path without its query; None for one that peers could read in two ways.
 
     Guards the policies: `/salva%2Dprofilo` is `/salva-profilo` to a backend (RFC 3986, 6.2.2.2), and
@@ -136,9 +136,9 @@
     match = route.match
     if match.path_prefix:
         text = match.path_prefix.rstrip("/")
-        return tuple(segments_of(text.encode()) or ()) if text else (), True
+        return tuple(path_segments(text.encode()) or ()) if text else (), True
     text = match.path or match.path_pattern
-    segments = segments_of(text.encode()) or ()
+    segments = path_segments(text.encode()) or ()
     if match.path_pattern:
         segments = tuple(PARAMETER if s.startswith(b"{") and s.endswith(b"}") else s for s in segments)
     return segments, False
@@ -154,11 +154,11 @@
 
 
 class RouteIndex:
-    """Routes compiled for lookup.  `clashes` lists what is wrong with them; a file with any is refused."""
+    """Routes compiled for lookup.  `conflicts` lists what is wrong with them; a file with any is refused."""
 
     def __init__(self, routes: Iterable[Route]) -> None:
         self.levels: list[tuple[int, _Level]] = []
-        self.clashes: list[Clash] = []
+        self.conflicts: list[RouteConflict] = []
         self.routes = tuple(routes)
         levels: dict[int, _Level] = {}
         leaves: list[_Leaf] = []
@@ -176,7 +176,7 @@
 
         `host` is in lower case and without a port, `path` without its query, header names in lower case.
         """
-        segments = segments_of(path)
+        segments = path_segments(path)
         if segments is None:
             return None
         for _, level in self.levels:
@@ -206,10 +206,10 @@
                 methods[method] = route
 
     def _ambiguous(self, one: Route, two: Route, method: bytes) -> None:
-        first, second = sorted((one, two), key=lambda route: route.place)
+        first, second = sorted((one, two), key=lambda route: route.index)
         headers = tuple(sorted({*first.match.headers, *second.match.headers}))
         example = Example(method.decode() or "GET", _host_of(first), _path_of(first), headers)
-        self.clashes.append(Clash("ambiguous", second, (first,), example))
+        self.conflicts.append(RouteConflict("ambiguous", second, (first,), example))
 
     def _check_leaf(self, leaf: _Leaf) -> None:
         """Entries of one place with as many headers must not both take a request."""
@@ -234,7 +234,7 @@
         for values, methods in one.items():
             row = dict(zip(names, values, strict=True))
             seen.setdefault(tuple(row[name] for name in common), {}).update(methods)
-        told: set[int] = set()
+        reported: set[int] = set()
         for values, methods in two.items():
             row = dict(zip(others, values, strict=True))
             here = seen.get(tuple(row[name] for name in common), {})
@@ -244,16 +244,16 @@
                     or here.get(ANY)
                     or (next(iter(here.values()), None) if not method else None)
                 )
-                if other and route.place not in told:
-                    told.add(route.place)
+                if other and route.index not in reported:
+                    reported.add(route.index)
                     known = method or next(m for m, r in here.items() if r is other)
                     self._ambiguous(route, other, known)
 
     def _check_cover(self) -> None:
         """A route is never found if routes of higher priority take all that it would."""
         above: dict[int, list[_Level]] = {}
-        for place, (priority, _) in enumerate(self.levels):
-            above[priority] = [level for _, level in self.levels[:place]]
+        for index, (priority, _) in enumerate(self.levels):
+            above[priority] = [level for _, level in self.levels[:index]]
         for route in self.routes:
             if above[route.priority]:
                 self._check_covered(route, above[route.priority])
@@ -280,7 +280,7 @@
     def _never(self, route: Route, takers: tuple[Route, ...]) -> None:
         method = min(route.match.methods, default="GET")
         example = Example(method, _host_of(route), _path_of(route), route.match.headers)
-        self.clashes.append(Clash("never-matches", route, takers, example))
+        self.conflicts.append(RouteConflict("never-matches", route, takers, example))
 
 
 def _search(
@@ -336,10 +336,12 @@
     return match.path or re.sub(r"\{\w+\}", "1", match.path_pattern) or match.path_prefix
 
 
-def takes(route: Route, host: bytes, path: bytes, method: bytes, headers: Mapping[bytes, bytes]) -> bool:
+def route_accepts(
+    route: Route, host: bytes, path: bytes, method: bytes, headers: Mapping[bytes, bytes]
+) -> bool:
     """Whether a route alone would take a request: the plain meaning, without an index."""
     match = route.match
-    segments = segments_of(path)
+    segments = path_segments(path)
     wanted = match.host.encode()
     if segments is None or (match.methods and method.decode("latin-1") not in match.methods):
         return False
--- a/heronreel/routes/load.py
+++ b/heronreel/routes/load.py
@@ -9,7 +9,7 @@
 import difflib
 import ipaddress
 import re
-from collections.abc import Mapping
+from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
 from heronreel.balancer.interface import Effect
@@ -17,26 +17,26 @@
 from heronreel.routes.model import (
     EFFECTS,
     GROUPS,
-    Exhausted,
-    Fleet,
-    Limits,
+    ExhaustedResponse,
+    FleetSettings,
+    HealthCheckSettings,
     Listener,
     Match,
     Member,
     Path,
+    PlatformLimits,
     Policy,
     Pool,
-    Probe,
-    Process,
-    Reach,
+    PoolShare,
+    ProxySettings,
+    RetryScope,
     Route,
     RoutesFile,
-    Share,
     Tenant,
 )
-from heronreel.routes.reader import Reader, parse, shown
+from heronreel.routes.reader import TableReader, describe_value, parse_toml
 
-MEMBERS_MOST, ROUTES_MOST = 10_000, 20_000
+MAX_MEMBERS, MAX_ROUTES = 10_000, 20_000
 METHODS = frozenset(("GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"))  # that the proxy takes at all
 _TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,64}")  # RFC 9110, 5.6.2
 _HOST = re.compile(
@@ -44,18 +44,30 @@
 )
 _SEGMENT = re.compile(r"[A-Za-z0-9._~!$&'()*+,;=:@%-]*")  # RFC 3986, 3.3
 _PARAMETER = re.compile(r"\{[A-Za-z_][A-Za-z0-9_]{0,31}\}")
-SEGMENTS_MOST = 32
-URGENCIES = ("urgent", "usual", "idle")  # classes of fleet-wide tasks
-COUNTED_MOST = 1000  # tenants: a sum of all of them is one value of the group's
+MAX_SEGMENTS = 32
+HEALTH_PATH = "/_health"  # answered by the proxy itself
+HEDGE_FIELDS = ("second_copy_after_ms", "second_copy_percentile")
+VALUE_READERS: Mapping[str, Callable[[Any], Any]] = {
+    "effect": EFFECTS.__getitem__,
+    "deduplication_scope": GROUPS.__getitem__,
+    "retry_on": frozenset,
+    "retry_scope": RetryScope,
+    "hedge_scope": RetryScope,
+    "when_exhausted": ExhaustedResponse,
+}
+"""How texts of the file become values, by the attribute of `Policy`."""
 
+TASK_PRIORITIES = ("urgent", "usual", "idle")  # classes of fleet-wide tasks
+MAX_METERED_TENANTS = 1000  # tenants: a sum of all of them is one value of the group's
 
-def load(data: bytes) -> RoutesFile:
-    """The file's records.  Raises BadFile with every problem of form."""
-    raw, lines = parse(data)
+
+def load_routes(data: bytes) -> RoutesFile:
+    """The file's records.  Raises ConfigFileError with every problem of form."""
+    raw, lines = parse_toml(data)
     return _Loader(raw, lines).load()
 
 
-def loopback(address: str) -> bool:
+def is_loopback(address: str) -> bool:
     """Whether nobody but this machine's processes reaches it; False also for what is no address."""
     try:
         return ipaddress.ip_address(address.rpartition(":")[0].strip("[]")).is_loopback
@@ -63,8 +75,11 @@
         return False
 
 
-class _Loader(Reader):
+class _Loader(TableReader):
+    """Reads the tables of a file of routes."""
+
     def load(self) -> RoutesFile:
+        """Every table in turn; raises ConfigFileError with all problems at the end."""
         top = self.table(self.raw, (), schema.Top)
         file = RoutesFile(
             self._process(top.get("proxy", {})),
@@ -93,26 +108,30 @@
         except ValueError:
             # names are not looked up: a resolver that stalls would stall every request behind it
             self.wrong(
-                path, f"is {shown(text)}", 'expected an IP address and a port, such as "127.0.0.1:8080"'
+                path,
+                f"is {describe_value(text)}",
+                'expected an IP address and a port, such as "127.0.0.1:8080"',
             )
             return "127.0.0.1", 0
         return host, number
 
-    def _process(self, raw: object) -> Process:
-        told = self.table(raw, ("proxy",), schema.ProxyTable)
-        names = {field for field in Limits.__dataclass_fields__ if field in told}
-        if "discovery" in told:
-            told["discovery"] = self._address(told["discovery"], ("proxy", "discovery"), False)
-        limits = Limits(**{name: told.pop(name) for name in names})
-        return Process(**told, limits=limits)
+    def _process(self, raw: object) -> ProxySettings:
+        values = self.table(raw, ("proxy",), schema.ProxyTable)
+        names = {field for field in PlatformLimits.__dataclass_fields__ if field in values}
+        if "discovery" in values:
+            values["discovery"] = self._address(values["discovery"], ("proxy", "discovery"), False)
+        limits = PlatformLimits(**{name: values.pop(name) for name in names})
+        return ProxySettings(**values, limits=limits)
 
     def _listeners(self) -> tuple[Listener, ...]:
         made = []
         rows = self.tables(self.raw.get("listeners"), ("listeners",), 64)
         for path, row in rows:
-            told = self.table(row, path, schema.ListenerTable)
-            if "name" in told and "address" in told:
-                made.append(Listener(told["name"], self._address(told["address"], (*path, "address"), True)))
+            values = self.table(row, path, schema.ListenerTable)
+            if "name" in values and "address" in values:
+                made.append(
+                    Listener(values["name"], self._address(values["address"], (*path, "address"), True))
+                )
         self.once(((p, r["name"]) for p, r in rows if isinstance(r.get("name"), str)), "listener")
         fixed = ((p, r["address"]) for p, r in rows if isinstance(r.get("address"), str))
         self.once(((p, a) for p, a in fixed if not a.endswith(":0")), "address")
@@ -122,30 +141,32 @@
         pools: dict[str, Pool] = {}
         names: list[tuple[Path, str]] = []
         addresses: list[tuple[Path, str]] = []
-        for path, row in self.tables(self.raw.get("pools"), ("pools",), MEMBERS_MOST):
-            told = self.table(row, path, schema.PoolTable)
-            discovered = told.get("discovery") == "platform"
+        for path, row in self.tables(self.raw.get("pools"), ("pools",), MAX_MEMBERS):
+            values = self.table(row, path, schema.PoolTable)
+            discovered = values.get("discovery") == "platform"
             members = []
-            rows = self.tables(row.get("members"), (*path, "members"), MEMBERS_MOST)
-            for place, entry in rows:
-                member = self.table(entry, place, schema.MemberTable)
+            rows = self.tables(row.get("members"), (*path, "members"), MAX_MEMBERS)
+            for entry_path, entry in rows:
+                member = self.table(entry, entry_path, schema.MemberTable)
                 if "name" not in member or "address" not in member:
                     continue
-                address = self._address(member["address"], (*place, "address"), False)
-                addresses.append(((*place, "address"), f"{address[0]}:{address[1]}"))
+                address = self._address(member["address"], (*entry_path, "address"), False)
+                addresses.append(((*entry_path, "address"), f"{address[0]}:{address[1]}"))
                 members.append(Member(**{**member, "address": address}))
             if discovered and rows:
                 self.wrong(
                     (*path, "members"), "members beside the platform's discovery", "use one of the two"
                 )
-            elif not discovered and not rows and "name" in told:
+            elif not discovered and not rows and "name" in values:
                 self.wrong(
-                    path, "has no members", f"add [[pools.members]] or discovery = {shown('platform')}"
+                    path,
+                    "has no members",
+                    f"add [[pools.members]] or discovery = {describe_value('platform')}",
                 )
             self.once(((p, r["name"]) for p, r in rows if isinstance(r.get("name"), str)), "member")
-            if "name" in told:
-                names.append((path, told["name"]))
-                pools.setdefault(told["name"], Pool(told["name"], tuple(members), discovered))
+            if "name" in values:
+                names.append((path, values["name"]))
+                pools.setdefault(values["name"], Pool(values["name"], tuple(members), discovered))
         self.once(names, "pool")
         found = [path for path, name in names if pools[name].discovered]
         if len(found) > 1:  # discovery tells of no pools
@@ -156,50 +177,50 @@
 
     def _tenants(self) -> tuple[Tenant, ...]:
         rows = self.tables(self.raw.get("tenants"), ("tenants",), 10_000)
-        told = [self.table(row, path, schema.TenantTable) for path, row in rows]
+        values = [self.table(row, path, schema.TenantTable) for path, row in rows]
         self.once(((p, r["name"]) for p, r in rows if isinstance(r.get("name"), str)), "tenant")
-        return tuple(Tenant(**row) for row in told if "name" in row)
+        return tuple(Tenant(**row) for row in values if "name" in row)
 
-    def _fleet(self, raw: object, tenants: int) -> Fleet | None:
-        told = self.table(raw, ("fleet",), schema.FleetTable)
-        if "group" not in told:
+    def _fleet(self, raw: object, tenants: int) -> FleetSettings | None:
+        values = self.table(raw, ("fleet",), schema.FleetTable)
+        if "group" not in values:
             return None
-        for place, text in enumerate(told["group"]):
-            self._address(text, ("fleet", "group", place), False)
-        budgets = self._budgets(told.pop("budgets", {}))
-        fleet = Fleet(**told | {"group": tuple(told["group"]), "budgets": budgets})
+        for index, text in enumerate(values["group"]):
+            self._address(text, ("fleet", "group", index), False)
+        budgets = self._budgets(values.pop("budgets", {}))
+        fleet = FleetSettings(**values | {"group": tuple(values["group"]), "budgets": budgets})
         self.lease(("fleet", "lease_s"), fleet.lease_s, fleet.answer_s, fleet.margin_s)
-        if fleet.embedded and (len(fleet.group) != 1 or not loopback(fleet.group[0])):
+        if fleet.embedded and (len(fleet.group) != 1 or not is_loopback(fleet.group[0])):
             right = 'one address of this machine in group, as ["127.0.0.1:9001"]'
             self.wrong(("fleet", "embedded"), f"with {len(fleet.group)} in group", right, "embedded")
         if fleet.count_s and not fleet.folder:
             right = "a folder that outlives the process, for this machine's counts"
             self.wrong(("fleet", "folder"), "is missing", right, "missing-field")
-        if fleet.count_s and tenants > COUNTED_MOST:
-            right = f"at most {COUNTED_MOST:,} tenants are counted: count_s = 0"
+        if fleet.count_s and tenants > MAX_METERED_TENANTS:
+            right = f"at most {MAX_METERED_TENANTS:,} tenants are counted: count_s = 0"
             self.wrong(("fleet", "count_s"), f"{tenants:,} tenants", right, "count")
         return fleet
 
     def _budgets(self, raw: object) -> tuple[tuple[str, float | None, float | None, float | None], ...]:
         path: Path = ("fleet", "budgets")
         if not isinstance(raw, dict):
-            self.wrong(path, f"is {shown(raw)}", "expected a table")
+            self.wrong(path, f"is {describe_value(raw)}", "expected a table")
             return ()
         rows = []
         for name, table in raw.items():
-            if name not in URGENCIES:
-                right = f"known here: {', '.join(URGENCIES)}"
+            if name not in TASK_PRIORITIES:
+                right = f"known here: {', '.join(TASK_PRIORITIES)}"
                 self.wrong((*path, name), "no such class of tasks", right, "unknown-field")
                 continue
-            told = self.table(table, (*path, name), schema.BudgetTable)
-            rows.append((name, told.get("calls"), told.get("bytes"), told.get("cpu")))
+            values = self.table(table, (*path, name), schema.BudgetTable)
+            rows.append((name, values.get("calls"), values.get("bytes"), values.get("cpu")))
         return tuple(rows)
 
-    def _probe(self, raw: object) -> Probe | None:
-        told = self.table(raw, ("probe",), schema.ProbeTable)
-        if "path" not in told:
+    def _probe(self, raw: object) -> HealthCheckSettings | None:
+        values = self.table(raw, ("probe",), schema.ProbeTable)
+        if "path" not in values:
             return None
-        probe = Probe(**told)
+        probe = HealthCheckSettings(**values)
         if probe.timeout_ms > probe.every_ms:
             right = f"at most every_ms, {probe.every_ms:g}: a round is over before the next one"
             self.wrong(("probe", "timeout_ms"), f"is {probe.timeout_ms:g}", right, "probe")
@@ -212,39 +233,40 @@
                 ("defaults", "class"), "a class for all routes", "set it on each route, or leave it out"
             )
         made: list[Route] = []
-        rows = self.tables(self.raw.get("routes"), ("routes",), ROUTES_MOST)
+        rows = self.tables(self.raw.get("routes"), ("routes",), MAX_ROUTES)
         if not rows:
             self.wrong(
                 ("routes",), "no routes", "expected at least one table under [[routes]]", "missing-field"
             )
         for path, row in rows:
-            told = self.table(row, path, schema.RouteTable)
+            values = self.table(row, path, schema.RouteTable)
             match = self._match(row.get("match"), path)
-            split = self._split(row, told, path, file.pools)
-            if "name" not in told or match is None:
+            split = self._split(row, values, path, file.pools)
+            if "name" not in values or match is None:
                 continue
-            policy, origins = _inherit(told["name"], told, defaults)
-            place = int(path[1])
-            made.append(Route(told["name"], place, match, policy, split, told.get("priority", 0), origins))
+            policy, origins = _inherit(values["name"], values, defaults)
+            made.append(
+                Route(values["name"], int(path[1]), match, policy, split, values.get("priority", 0), origins)
+            )
         self.once(((p, r["name"]) for p, r in rows if isinstance(r.get("name"), str)), "route")
         return tuple(made)
 
     def _split(
-        self, row: dict[str, Any], told: dict[str, Any], path: Path, pools: Mapping[str, Pool]
-    ) -> tuple[Share, ...]:
-        shares: list[Share] = []
+        self, row: dict[str, Any], values: dict[str, Any], path: Path, pools: Mapping[str, Pool]
+    ) -> tuple[PoolShare, ...]:
+        shares: list[PoolShare] = []
         if "pool" in row and "split" in row:
             self.wrong((*path, "split"), "pool and split together", "use one of the two")
-        elif "pool" in told:
-            shares.append(Share(told["pool"], 1.0))
-            self._known(told["pool"], (*path, "pool"), pools)
+        elif "pool" in values:
+            shares.append(PoolShare(values["pool"], 1.0))
+            self._known(values["pool"], (*path, "pool"), pools)
         elif "split" in row:
             parts = self.tables(row["split"], (*path, "split"), 1000)
-            for place, part in parts:
-                share = self.table(part, place, schema.SplitTable)
+            for part_path, part in parts:
+                share = self.table(part, part_path, schema.SplitTable)
                 if "pool" in share:
-                    self._known(share["pool"], (*place, "pool"), pools)
-                    shares.append(Share(share["pool"], share.get("weight", 1.0)))
+                    self._known(share["pool"], (*part_path, "pool"), pools)
+                    shares.append(PoolShare(share["pool"], share.get("weight", 1.0)))
             self.once(((p, r["pool"]) for p, r in parts if isinstance(r.get("pool"), str)), "pool")
             if shares and not any(share.weight for share in shares):
                 self.wrong(
@@ -273,7 +295,7 @@
             )
             return None
         path = (*path, "match")
-        told = self.table(raw, path, schema.MatchTable)
+        values = self.table(raw, path, schema.MatchTable)
         if not isinstance(raw, dict):
             return None
         before = len(self.problems) + self.dropped
@@ -283,34 +305,42 @@
             self.wrong(path, what, "expected one of path, path_prefix and path_pattern")
             return None
         kind = paths[0]
-        text = told.get(kind, "/")
+        text = values.get(kind, "/")
         self._path(text, kind, (*path, kind))
-        host = told.get("host", "").lower()
+        host = values.get("host", "").lower()
         if host and not _HOST.fullmatch(host):
             self.wrong(
-                (*path, "host"), f"is {shown(host)}", 'expected a host name without port, or "*." before one'
+                (*path, "host"),
+                f"is {describe_value(host)}",
+                'expected a host name without port, or "*." before one',
             )
-        methods = told.get("methods", [])
-        for place, method in enumerate(methods):
+        methods = values.get("methods", [])
+        for index, method in enumerate(methods):
             if method not in METHODS:
                 right = f"expected some of {', '.join(sorted(METHODS))}"
                 self.wrong(
-                    (*path, "methods", place), f"{shown(method)} never arrives", right, "never-matches"
+                    (*path, "methods", index),
+                    f"{describe_value(method)} never arrives",
+                    right,
+                    "never-matches",
                 )
-        if "methods" in told and not methods:
+        if "methods" in values and not methods:
             self.wrong((*path, "methods"), "is empty", "leave it out to take any method", "never-matches")
-        headers = self._headers(told.get("headers", {}), (*path, "headers"))
+        headers = self._headers(values.get("headers", {}), (*path, "headers"))
         if len(self.problems) + self.dropped > before:
             return None
         return Match(host, **{kind: text}, methods=frozenset(methods), headers=headers)
 
-    def _headers(self, told: dict[str, str], path: Path) -> tuple[tuple[str, str], ...]:
+    def _headers(self, values: dict[str, str], path: Path) -> tuple[tuple[str, str], ...]:
         found: dict[str, str] = {}
-        for name, value in told.items():
+        for name, value in values.items():
             lower = name.lower()
             if not _TOKEN.fullmatch(name):
                 self.wrong(
-                    (*path, name), f"{shown(name)} is no header name", "see RFC 9110, 5.1", "never-matches"
+                    (*path, name),
+                    f"{describe_value(name)} is no header name",
+                    "see RFC 9110, 5.1",
+                    "never-matches",
                 )
             elif lower in found:
                 self.wrong(
@@ -318,66 +348,62 @@
                 )
             elif value != value.strip() or not value.isascii() or not value.isprintable():
                 right = "expected visible ASCII without spaces around it"
-                self.wrong((*path, name), f"{shown(value)} never arrives", right, "never-matches")
+                self.wrong((*path, name), f"{describe_value(value)} never arrives", right, "never-matches")
             found[lower] = value
         return tuple(sorted(found.items()))
 
     def _path(self, text: str, kind: str, path: Path) -> None:
         if not text.startswith("/"):
-            self.wrong(path, f"is {shown(text)}", 'expected a path that begins with "/"', "never-matches")
+            right = 'expected a path that begins with "/"'
+            self.wrong(path, f"is {describe_value(text)}", right, "never-matches")
             return
         segments = text.split("/")[1:]
-        if len(segments) > SEGMENTS_MOST:
-            self.wrong(path, f"has {len(segments)} segments", f"at most {SEGMENTS_MOST} are matched")
-        names = []
+        if len(segments) > MAX_SEGMENTS:
+            self.wrong(path, f"has {len(segments)} segments", f"at most {MAX_SEGMENTS} are matched")
+        if kind == "path_pattern":
+            parameters = [segment for segment in segments if _PARAMETER.fullmatch(segment)]
+            self._segments([segment for segment in segments if segment not in parameters], kind, path)
+            if len(set(parameters)) < len(parameters):
+                self.wrong(path, "has one name twice", "each name in braces once", "duplicate")
+            if not parameters:
+                self.wrong(path, "has no name in braces", "use path for a fixed text")
+        else:
+            self._segments(segments, kind, path)
+        if text == HEALTH_PATH and kind == "path":
+            self.wrong(path, "is answered by the proxy itself", "another path", "never-matches")
+
+    def _segments(self, segments: Iterable[str], kind: str, path: Path) -> None:
+        """Literal segments of a path."""
+        right = "letters, digits and the marks of RFC 3986, 3.3"
+        if kind == "path_pattern":
+            right += ", or one {name} for the whole segment"
         for segment in segments:
-            if kind == "path_pattern" and _PARAMETER.fullmatch(segment):
-                names.append(segment)
-            elif segment in (".", ".."):
-                self.wrong(
-                    path,
-                    f"has a segment {segment!r}",
-                    "clients take these out (RFC 3986, 5.2.4)",
-                    "never-matches",
-                )
+            if segment in (".", ".."):
+                removed = "clients take these out (RFC 3986, 5.2.4)"
+                self.wrong(path, f"has a segment {segment!r}", removed, "never-matches")
             elif not _SEGMENT.fullmatch(segment):
-                right = "letters, digits and the marks of RFC 3986, 3.3"
-                if kind == "path_pattern":
-                    right += ", or one {name} for the whole segment"
-                self.wrong(path, f"has a segment {shown(segment)}", right, "never-matches")
-        if len(set(names)) < len(names):
-            self.wrong(path, "has one name twice", "each name in braces once", "duplicate")
-        if kind == "path_pattern" and not names:
-            self.wrong(path, "has no name in braces", "use path for a fixed text")
-        if text == "/_health" and kind == "path":
-            self.wrong(path, "is answered by the proxy itself", "another path", "never-matches")
+                self.wrong(path, f"has a segment {describe_value(segment)}", right, "never-matches")
 
 
-def _inherit(name: str, told: dict[str, Any], defaults: dict[str, Any]) -> tuple[Policy, dict[str, str]]:
+def _inherit(name: str, own: dict[str, Any], defaults: dict[str, Any]) -> tuple[Policy, dict[str, str]]:
     """The policy in force and, by the field's name in the file, where each value came from."""
-    defaults = dict(defaults)
-    copies = ("second_copy_after_ms", "second_copy_percentile")
-    if any(field in told for field in copies):  # the two are one choice, made in one place
-        for field in copies:
+    defaults = {field: value for field, value in defaults.items() if field != "class"}
+    if any(field in own for field in HEDGE_FIELDS):  # the two are one choice, made in one place
+        for field in HEDGE_FIELDS:
             defaults.pop(field, None)
-    values: dict[str, Any] = {}
+    values: dict[str, Any] = {"request_class": name}
     origins: dict[str, str] = {}
-    for field in schema.policy_fields():
-        if field in told:
-            values[field], origins[field] = told[field], "route"
-        elif field in defaults and field != "class":
-            values[field], origins[field] = defaults[field], "defaults"
+    for field, attribute in schema.POLICY_ATTRIBUTES.items():
+        if field in own:
+            value, origins[field] = own[field], "route"
+        elif field in defaults:
+            value, origins[field] = defaults[field], "defaults"
         else:
             origins[field] = "built in"
-    values["klass"] = values.pop("class", name)
-    words: tuple[tuple[str, Any], ...] = (
-        ("effect", EFFECTS.__getitem__), ("group", GROUPS.__getitem__), ("retry_on", frozenset),
-        ("retry_to", Reach), ("second_copy_to", Reach), ("when_exhausted", Exhausted),
-    )  # fmt: skip
-    for field, read in words:
-        if field in values:
-            values[field] = read(values[field])
+            continue
+        read = VALUE_READERS.get(attribute)
+        values[attribute] = read(value) if read else value
     if values.get("effect") is Effect.IDEMPOTENT:  # nothing binds these to the first attempt's group
-        for field in ("retry_to", "second_copy_to"):
-            values.setdefault(field, Reach.POOL)
+        for attribute in ("retry_scope", "hedge_scope"):
+            values.setdefault(attribute, RetryScope.POOL)
     return Policy(**values), origins
--- a/heronreel/routes/model.py
+++ b/heronreel/routes/model.py
@@ -5,6 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
 from heronreel.balancer.interface import NEVER_RAN, DedupScope, Effect, Outcome, pause_before
 
@@ -18,11 +19,11 @@
     "reset": (Outcome.RESET,),
     "timeout": (Outcome.TIMEOUT,),
 }
-EFFECT_WORDS = {effect: word for word, effect in EFFECTS.items()}
-GROUP_WORDS = {scope: word for word, scope in GROUPS.items()}
+EFFECT_NAMES = {effect: word for word, effect in EFFECTS.items()}
+GROUP_NAMES = {scope: word for word, scope in GROUPS.items()}
 
 
-class Reach(Enum):
+class RetryScope(Enum):
     """How far from the first attempt's backend a further attempt may go."""
 
     GROUP = "group"  # the same dedup group of the same pool
@@ -30,7 +31,7 @@
     SPLIT = "split"  # any pool that the route splits its requests between
 
 
-class Exhausted(Enum):
+class ExhaustedResponse(Enum):
     """What the client hears when attempts are used up and one of them may have run."""
 
     FAIL = "fail"
@@ -53,6 +54,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Listener:
+    """An address where clients connect."""
+
     name: str
     address: tuple[str, int]
 
@@ -72,6 +75,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Pool:
+    """Backends among which requests are spread."""
+
     name: str
     members: tuple[Member, ...] = ()
     discovered: bool = False  # members come from the platform's discovery, so their racks are unknown here
@@ -91,6 +96,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
+    """A tenant's part of the traffic."""
+
     name: str
     share: float = 1.0
     requests_per_s: float = 0.0  # over all proxies; 0: no limit
@@ -109,7 +116,9 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Share:
+class PoolShare:
+    """A pool and its weight in the split of a route."""
+
     pool: str
     weight: float
 
@@ -118,61 +127,74 @@
 class Policy:
     """What a route's requests may do."""
 
-    klass: str
+    request_class: str
     effect: Effect = Effect.UNSAFE
-    group: DedupScope = DedupScope.CELL
-    window_ms: float = 0.0  # for so long after the first the group drops repeats of a key
-    aim_ms: float = 1000.0
+    deduplication_scope: DedupScope = DedupScope.CELL
+    deduplication_window_ms: float = 0.0  # for so long after the first the group drops repeats of a key
+    latency_objective_ms: float = 1000.0
     deadline_ms: float = 5000.0
     attempt_timeout_ms: float = 0.0  # 0: until the deadline
-    attempts: int = 1  # the first one included, second copies too
+    max_attempts: int = 1  # the first one included, hedged requests too
     backoff_ms: float = 0.0  # before the second attempt; doubled before each further one
-    backoff_most_ms: float = 1000.0
-    retry_budget: float = 0.2  # retries and second copies, per first try
+    max_backoff_ms: float = 1000.0
+    retry_budget: float = 0.2  # retries and hedged requests, per first attempt
     retry_on: frozenset[str] = frozenset(("not-run",))
-    retry_to: Reach = Reach.GROUP
-    second_copy_after_ms: float = 0.0  # 0: none after a fixed time
-    second_copy_percentile: float = 0.0  # 0: none after a percentile of the latency seen
-    second_copy_to: Reach = Reach.GROUP
-    when_exhausted: Exhausted = Exhausted.FAIL
-    requests_per_s: float = 0.0  # of this proxy; 0: no limit
-    concurrency: int = 0  # requests under way at once on this proxy; 0: no limit
-    worth: float = 1.0
-    late_worth: float = 0.0
+    retry_scope: RetryScope = RetryScope.GROUP
+    hedge_after_ms: float = 0.0  # 0: none after a fixed time
+    hedge_percentile: float = 0.0  # 0: none after a percentile of the latency seen
+    hedge_scope: RetryScope = RetryScope.GROUP
+    when_exhausted: ExhaustedResponse = ExhaustedResponse.FAIL
+    max_requests_per_s: float = 0.0  # of this proxy; 0: no limit
+    max_concurrency: int = 0  # requests under way at once on this proxy; 0: no limit
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
 
     @property
-    def copies(self) -> bool:
-        return bool(self.second_copy_after_ms or self.second_copy_percentile)
+    def hedges(self) -> bool:
+        """Whether a second attempt may be sent while the first runs."""
+        return bool(self.hedge_after_ms or self.hedge_percentile)
 
     @property
-    def retries_after_it_may_have_run(self) -> frozenset[str]:
-        return self.retry_on - {"not-run"} if self.attempts > 1 else frozenset()
+    def unsafe_retry_outcomes(self) -> frozenset[str]:
+        """Outcomes that are retried although the attempt may have run."""
+        return self.retry_on - {"not-run"} if self.max_attempts > 1 else frozenset()
 
     @property
-    def attempt_most_ms(self) -> float:
+    def max_attempt_ms(self) -> float:
         """How long one attempt may take."""
         return min(self.attempt_timeout_ms or self.deadline_ms, self.deadline_ms)
 
     def backoff_before(self, attempt: int) -> float:
         """The longest pause before attempt 1, 2, ... (0 is the first and never waits), ms."""
-        return pause_before(attempt, self.backoff_ms, self.backoff_most_ms)
+        return pause_before(attempt, self.backoff_ms, self.max_backoff_ms)
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class Route:
+    """Which requests it takes, what they may do, and where they go."""
+
     name: str
-    place: int  # in the file, from 0
+    index: int  # in the file, from 0
     match: Match
     policy: Policy
-    split: tuple[Share, ...]
+    split: tuple[PoolShare, ...]
     priority: int = 0  # a higher one is tried first, whatever is more specific
     origins: Mapping[str, str] = field(
         default_factory=dict
     )  # by field of the policy: route, defaults, built in
 
 
+class PlatformClass(NamedTuple):
+    """What a platform guarantees for one of its classes of requests."""
+
+    effect: Effect
+    scope: DedupScope
+    window_ms: float  # for so long a repeated key is dropped
+    deadline_ms: float
+
+
 @dataclass(slots=True, frozen=True)
-class Limits:
+class PlatformLimits:
     """What the proxy's surroundings allow: from the file's [proxy], or from the platform's settings."""
 
     max_attempts: int = 4
@@ -181,12 +203,11 @@
     client_wait_ms: float = 2500.0  # the longest that clients wait for an answer
     clock_margin_ms: float = 50.0  # between a decision and its first byte, on a busy machine
     max_retry_after_ms: float = 0.0
-    classes: Mapping[str, tuple[Effect, DedupScope, float, float]] | None = None
-    """On a platform that names classes: effect, group, window ms and deadline ms of each; None: free."""
+    classes: Mapping[str, PlatformClass] | None = None  # by name; None: the platform names none
 
 
 @dataclass(slots=True, frozen=True)
-class Process:
+class ProxySettings:
     """The [proxy] table: what `serve` needs to start a proxy of its own."""
 
     name: str = "heronreel"
@@ -202,11 +223,11 @@
     overload_factor: float = 2.0
     fall_ms: float = 1000.0
     discovery: tuple[str, int] | None = None  # the platform's, for a pool whose members it tells
-    limits: Limits = Limits()
+    limits: PlatformLimits = PlatformLimits()
 
 
 @dataclass(slots=True, frozen=True)
-class Fleet:
+class FleetSettings:
     """The [fleet] table: the group that this proxy is present at, and what it does of the fleet's tasks."""
 
     group: tuple[str, ...]
@@ -221,7 +242,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Probe:
+class HealthCheckSettings:
     """The [probe] table."""
 
     path: str
@@ -233,14 +254,16 @@
 
 @dataclass(slots=True, frozen=True)
 class RoutesFile:
-    process: Process
+    """Everything that a file of routes says, and the lines where it says it."""
+
+    process: ProxySettings
     listeners: tuple[Listener, ...]
     pools: Mapping[str, Pool]
     tenants: tuple[Tenant, ...]
     routes: tuple[Route, ...]
     lines: Mapping[Path, int] = field(default_factory=dict)
-    fleet: Fleet | None = None
-    probe: Probe | None = None
+    fleet: FleetSettings | None = None
+    probe: HealthCheckSettings | None = None
 
     def line(self, *path: str | int) -> int:
         """The line of a value, or of the nearest table that holds it."""
--- a/heronreel/routes/reader.py
+++ b/heronreel/routes/reader.py
@@ -18,15 +18,17 @@
 import msgspec
 
 from heronreel.routes.model import Path, Problem
-from heronreel.routes.source import lines_of
+from heronreel.routes.source import key_lines
 
-BYTES_MOST = 4 << 20  # 10,000 routes take some 2 MB; TOML is read by slow code, and a reload must not stall
-LINE_MOST = 16 << 10  # characters; a key of thousands of dotted parts costs their square
-PROBLEMS_MOST = 500
+MAX_FILE_BYTES = (
+    4 << 20
+)  # 10,000 routes take some 2 MB; TOML is read by slow code, and a reload must not stall
+MAX_LINE_LENGTH = 16 << 10  # characters; a key of thousands of dotted parts costs their square
+MAX_PROBLEMS = 500
 _PLACE = re.compile(r"\(at (?:line (\d+), column \d+|end of document)\)")
 
 
-class BadFile(Exception):
+class ConfigFileError(Exception):
     """A file that can't be used; `problems` holds all that is wrong with it, by line."""
 
     def __init__(self, problems: list[Problem]) -> None:
@@ -34,7 +36,7 @@
         super().__init__("; ".join(str(problem) for problem in self.problems[:3]))
 
 
-def shown(value: object) -> str:
+def describe_value(value: object) -> str:
     """A value as the file would have it, short."""
     if isinstance(value, bool):
         return "true" if value else "false"
@@ -51,12 +53,18 @@
     return str(value)[:40]
 
 
-def parse(data: bytes) -> tuple[dict[str, Any], dict[Path, int]]:
-    def refuse(line: int, wrong: str, right: str) -> BadFile:
-        return BadFile([Problem(line, "file", wrong, right, "text")])
+def parse_toml(data: bytes) -> tuple[dict[str, Any], dict[Path, int]]:
+    """A text's tables, and the line of each key.
 
-    if len(data) > BYTES_MOST:
-        raise refuse(0, f"has {len(data):,} bytes", f"at most {BYTES_MOST:,} are read")
+    Raises:
+        ConfigFileError: the text is too long, no UTF-8 or no TOML.
+    """
+
+    def refuse(line: int, wrong: str, right: str) -> ConfigFileError:
+        return ConfigFileError([Problem(line, "file", wrong, right, "text")])
+
+    if len(data) > MAX_FILE_BYTES:
+        raise refuse(0, f"has {len(data):,} bytes", f"at most {MAX_FILE_BYTES:,} are read")
     data = data.removeprefix(b"\xef\xbb\xbf")  # editors on some systems put a byte order mark first
     if (place := data.find(b"\0")) >= 0:
         raise refuse(data.count(b"\n", 0, place) + 1, "holds a NUL byte", "expected TOML in UTF-8")
@@ -66,12 +74,14 @@
         line = data.count(b"\n", 0, error.start) + 1
         raise refuse(line, f"byte {error.start} is not UTF-8", "expected TOML in UTF-8") from None
     for number, row in enumerate(text.split("\n"), 1):
-        if len(row) > LINE_MOST:
-            raise refuse(number, f"a line of {len(row):,} characters", f"at most {LINE_MOST:,} are read")
+        if len(row) > MAX_LINE_LENGTH:
+            raise refuse(
+                number, f"a line of {len(row):,} characters", f"at most {MAX_LINE_LENGTH:,} are read"
+            )
     text = text.replace("\r\n", "\n")
     try:
         raw = tomllib.loads(text)
-        return raw, lines_of(text)
+        return raw, key_lines(text)
     except RecursionError:
         raise refuse(0, "is nested too deeply", "expected tables and lists a few levels deep") from None
     except ValueError as error:
@@ -94,7 +104,7 @@
     return "expected another value"
 
 
-class Reader:
+class TableReader:
     """Tables of a TOML text, field by field; every problem is kept with its line."""
 
     def __init__(self, raw: dict[str, Any], lines: dict[Path, int]) -> None:
@@ -104,7 +114,8 @@
         self.dropped = 0
 
     def wrong(self, path: Path, wrong: str, right: str, rule: str = "form") -> None:
-        if len(self.problems) >= PROBLEMS_MOST:
+        """Note a problem at the line of this path, or of the nearest table that holds it."""
+        if len(self.problems) >= MAX_PROBLEMS:
             self.dropped += 1
             return
         at = path
@@ -134,7 +145,7 @@
         """The fields that are set and right, by name; a problem for each that is not."""
         fields = _fields(spec)
         if not isinstance(raw, dict):
-            self.wrong(path, f"is {shown(raw)}", "expected a table")
+            self.wrong(path, f"is {describe_value(raw)}", "expected a table")
             return {}
         values: dict[str, Any] = {}
         for name, value in raw.items():
@@ -149,7 +160,7 @@
             except msgspec.ValidationError as error:
                 place = re.search(r"`\$(.*)`", str(error))
                 where = f" at {place[1]}" if place else ""
-                self.wrong((*path, name), f"is {shown(value)}{where}", _wanted(field.type))
+                self.wrong((*path, name), f"is {describe_value(value)}{where}", _wanted(field.type))
         for name, field in fields.items():
             if field.required and name not in raw:
                 self.wrong(path, f"{name} is missing", _wanted(field.type), "missing-field")
@@ -161,7 +172,9 @@
             return []
         if not isinstance(raw, list) or not all(isinstance(row, dict) for row in raw):
             self.wrong(
-                path, f"is {shown(raw)}", f"expected tables, each under [[{'.'.join(map(str, path))}]]"
+                path,
+                f"is {describe_value(raw)}",
+                f"expected tables, each under [[{'.'.join(map(str, path))}]]",
             )
             return []
         if len(raw) > most:
@@ -193,4 +206,4 @@
             if self.dropped:
                 more = Problem(0, "file", f"{self.dropped} more problems", "mend the others first")
                 self.problems.append(more)
-            raise BadFile(self.problems)
+            raise ConfigFileError(self.problems)
--- /dev/null
+++ b/heronreel/routes/retry_checks.py
@@ -0,0 +1,184 @@
+"""No effect twice: retries and hedged requests that a deduplication group would not drop."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from heronreel.balancer.interface import DedupScope, Effect
+from heronreel.routes.checked_route import CheckedRoute
+from heronreel.routes.findings import Finding, Witness
+from heronreel.routes.model import ExhaustedResponse, PlatformLimits, Policy
+from heronreel.routes.timeline import EventKind, RequestTerms, TimelineEvent
+
+NON_IDEMPOTENT_METHODS = frozenset(("POST", "PATCH"))  # of those that are accepted (RFC 9110, 9.2.2)
+
+
+def latest_writes(policy: Policy, limits: PlatformLimits) -> list[float]:
+    """When the first byte of each attempt is written at the latest, ms after the request came."""
+    latest: list[float] = []
+    at = 0.0
+    span = policy.max_attempt_ms
+    for attempt in range(policy.max_attempts):
+        at += policy.backoff_before(attempt)
+        latest.append(min(at + limits.connect_timeout_ms, policy.deadline_ms) + limits.clock_margin_ms)
+        at = min(at + span + limits.clock_margin_ms, policy.deadline_ms)
+    return latest
+
+
+def window_outlasted(route: CheckedRoute) -> Iterator[Finding]:
+    """A repeat that is written when its group has forgotten the first."""
+    policy, limits = route.policy, route.limits
+    if policy.effect is not Effect.KEYED or not (policy.unsafe_retry_outcomes or policy.hedges):
+        return
+    window = policy.deduplication_window_ms
+    if window <= limits.connect_timeout_ms + limits.clock_margin_ms:
+        return  # `window_too_short` says it
+    latest = latest_writes(policy, limits)
+    late = next((n for n, at in enumerate(latest) if n and at >= window), None)
+    if late is None:
+        return
+    most = window - limits.clock_margin_ms
+    right = f"deadline_ms under {most:,.0f}, fewer attempts or shorter time-outs, so that all are out by then"
+    wrong = f"attempt {late + 1} may start at {latest[late]:,.0f} ms, past the window of {window:,.0f} ms"
+    problem = route.problem("attempts", wrong, right, "window-outlasted")
+    yield Finding(problem, Witness("twice", route.terms(), _retried_too_late(route, late, latest[late])))
+
+
+def _retried_too_late(route: CheckedRoute, late: int, written_at: float) -> tuple[TimelineEvent, ...]:
+    """Attempts up to number `late`, whose first byte is written after the window."""
+    policy = route.policy
+    events, at = route.first_attempt(), 0.0
+    outcome = route.outcome_that_may_have_run()
+    for attempt in range(late):
+        at = min(at + policy.max_attempt_ms, policy.deadline_ms)
+        events.append(route.attempt_ended(at, outcome, attempt))
+        at += policy.backoff_before(attempt + 1)
+        if attempt + 1 < late:
+            note = "sent again, dropped"
+            events.append(
+                TimelineEvent(at, EventKind.SENT, attempt=attempt + 1, group=route.group, note=note)
+            )
+    window = policy.deduplication_window_ms
+    note = f"sent again after connecting: {route.group} forgot the key at {window:,.0f} ms"
+    events.append(TimelineEvent(written_at, EventKind.SENT, attempt=late, group=route.group, note=note))
+    events.append(TimelineEvent(written_at, EventKind.SERVED))
+    return tuple(events)
+
+
+def window_too_short(route: CheckedRoute) -> Iterator[Finding]:
+    """The window is over before a retry can reach the group."""
+    policy, limits = route.policy, route.limits
+    if policy.effect is not Effect.KEYED or not (policy.unsafe_retry_outcomes or policy.hedges):
+        return
+    needed = limits.connect_timeout_ms + limits.clock_margin_ms
+    window = policy.deduplication_window_ms
+    if window > needed:
+        return
+    wrong = f"a window of {window:,.0f} ms, while a repeat may need {needed:,.0f} ms to get there"
+    right = 'state the time the group truly remembers, or retry_on = ["not-run"] and no second copy'
+    when = max(needed, window)
+    note = f"sent again: {route.group} has forgotten the key"
+    events = [
+        *route.first_attempt(),
+        route.attempt_ended(0.0, "reset"),
+        TimelineEvent(when, EventKind.SENT, attempt=1, group=route.group, note=note),
+        TimelineEvent(when, EventKind.SERVED),
+    ]
+    problem = route.problem("window_ms", wrong, right, "window-too-short")
+    yield Finding(problem, Witness("twice", RequestTerms(Effect.KEYED, window), tuple(events)))
+
+
+def retry_of_unsafe(route: CheckedRoute) -> Iterator[Finding]:
+    """An unsafe request is retried after an outcome that may have run."""
+    if route.policy.effect is not Effect.UNSAFE:
+        return
+    for outcome in sorted(route.policy.unsafe_retry_outcomes):
+        wrong = f"tries an unsafe request again after {outcome!r}, when it may have run"
+        right = 'retry_on = ["not-run"], or effect = "keyed" if a group drops repeats'
+        problem = route.problem("retry_on", wrong, right, "repeat-of-unsafe")
+        yield Finding(problem, route.retried_at_once(route.group_name(1), route.terms()))
+        return
+
+
+def hedge_of_unsafe(route: CheckedRoute) -> Iterator[Finding]:
+    """An unsafe request is hedged."""
+    if route.policy.effect is Effect.UNSAFE and route.policy.hedges:
+        wrong = "a second copy of an unsafe request"
+        right = 'no second copy, or effect = "keyed" or "safe"'
+        problem = route.problem(route.hedge_field(), wrong, right, "copy-of-unsafe")
+        yield Finding(problem, route.hedged(route.group_name(1), route.terms()))
+
+
+def write_called_safe(route: CheckedRoute) -> Iterator[Finding]:
+    """POST and PATCH may write; that a repeat of them does no harm is for a key to see to."""
+    if route.policy.effect is not Effect.IDEMPOTENT:
+        return
+    writes = sorted((route.route.match.methods or NON_IDEMPOTENT_METHODS) & NON_IDEMPOTENT_METHODS)
+    if not writes:
+        return
+    wrong = f"is called safe and takes {' and '.join(writes)}, which may write (RFC 9110, 9.2.2)"
+    right = 'methods = ["GET"] in match, or effect = "keyed" or "unsafe"'
+    witness = route.retried_at_once(route.group_name(1), route.terms(Effect.UNSAFE))
+    yield Finding(route.problem("effect", wrong, right, "write-called-safe"), witness)
+
+
+def retry_leaves_group(route: CheckedRoute) -> Iterator[Finding]:
+    """A retry may reach a group that does not know the key."""
+    scope = route.policy.retry_scope
+    if not route.policy.unsafe_retry_outcomes or not route.may_leave_group(scope):
+        return
+    here, there = route.two_groups(scope)
+    wrong = f"a repeat may go from {here} to {there}, which does not know the key"
+    witness = route.retried_at_once(there, route.terms(), here)
+    yield Finding(route.problem("retry_to", wrong, 'retry_to = "group"', "retry-leaves-group"), witness)
+
+
+def hedge_leaves_group(route: CheckedRoute) -> Iterator[Finding]:
+    """A hedged request may reach a group that does not know the key."""
+    scope = route.policy.hedge_scope
+    if not route.policy.hedges or not route.may_leave_group(scope):
+        return
+    here, there = route.two_groups(scope)
+    wrong = f"a second copy may go to {there} while {here} has the first"
+    witness = route.hedged(there, route.terms(), first=here)
+    yield Finding(
+        route.problem("second_copy_to", wrong, 'second_copy_to = "group"', "copy-leaves-group"), witness
+    )
+
+
+def refusal_after_run(route: CheckedRoute) -> Iterator[Finding]:
+    """A refusal invites the client to try again, which may find another group, or come too late."""
+    policy = route.policy
+    if policy.when_exhausted is not ExhaustedResponse.REFUSE or policy.effect is Effect.IDEMPOTENT:
+        return
+    back = policy.deadline_ms + route.limits.max_retry_after_ms + route.limits.client_wait_ms
+    if (
+        policy.effect is Effect.KEYED
+        and policy.deduplication_scope is DedupScope.ALL
+        and back < policy.deduplication_window_ms
+    ):
+        return
+    refused = policy.max_attempt_ms
+    other = route.group_name(1)
+    returns = (
+        refused + 1.0
+        if policy.deduplication_scope is not DedupScope.ALL
+        else max(back, policy.deduplication_window_ms)
+    )
+    events = (
+        *route.first_attempt(),
+        route.attempt_ended(refused, "timeout"),
+        TimelineEvent(refused, EventKind.REFUSED, note="refused, so the client believes that nothing ran"),
+        TimelineEvent(returns, EventKind.RETURNS),
+        TimelineEvent(
+            returns,
+            EventKind.SENT,
+            attempt=0,
+            group=other,
+            note=f"the client tries again: sent to {other}, runs again",
+        ),
+        TimelineEvent(returns, EventKind.SERVED),
+    )
+    wrong = "promises a refusal when an attempt may have run"
+    problem = route.problem("when_exhausted", wrong, 'when_exhausted = "fail"', "refusal-after-run")
+    yield Finding(problem, Witness("twice", route.terms(), events))
--- a/heronreel/routes/schema.py
+++ b/heronreel/routes/schema.py
@@ -7,10 +7,11 @@
 from __future__ import annotations
 
 import re
+from collections.abc import Mapping
 from typing import Annotated, Any, Literal
 
 import msgspec
-from msgspec import UNSET, Meta, Struct, UnsetType
+from msgspec import UNSET, Meta, Struct, UnsetType, field
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 HOUR_MS = 3_600_000.0
@@ -38,6 +39,8 @@
 
 
 class Top(Struct):
+    """The tables of a file."""
+
     version: Annotated[int, _meta("the number 1", ge=1, le=1)] = 1
     proxy: Any = UNSET
     listeners: Any = UNSET
@@ -50,6 +53,8 @@
 
 
 class ProxyTable(Struct):
+    """The [proxy] table."""
+
     name: Name = "heronreel"
     zone: Annotated[str, _meta("the name of a zone", pattern=f"^({NAME.pattern})?$")] = ""
     proxies: Many = 1
@@ -72,11 +77,15 @@
 
 
 class ListenerTable(Struct):
+    """An entry of [[listeners]]."""
+
     name: Name
     address: Address
 
 
 class MemberTable(Struct):
+    """An entry of [[pools.members]]: one backend."""
+
     name: Name
     address: Address
     zone: Text = ""
@@ -87,12 +96,16 @@
 
 
 class PoolTable(Struct):
+    """An entry of [[pools]]."""
+
     name: Name
     discovery: Annotated[Literal["static", "platform"], _meta('"static" or "platform"')] = "static"
     members: Any = UNSET
 
 
 class TenantTable(Struct):
+    """An entry of [[tenants]]."""
+
     name: Name
     share: Share = 1.0
     requests_per_s: Rate = 0.0
@@ -134,52 +147,67 @@
 
 
 class MatchTable(Struct):
+    """The match table of a route."""
+
     host: Annotated[str, _meta('a host name, or "*." before one', max_length=253)] = ""
     path: Text | UnsetType = UNSET
     path_prefix: Text | UnsetType = UNSET
     path_pattern: Text | UnsetType = UNSET
-    methods: Words = msgspec.field(default_factory=list)
-    headers: Annotated[dict[str, str], _meta("a table of header names and texts")] = msgspec.field(
+    methods: Words = field(default_factory=list)
+    headers: Annotated[dict[str, str], _meta("a table of header names and texts")] = field(
         default_factory=dict
     )
 
 
-Outcomes = Annotated[
+RetriedOutcomes = Annotated[
     list[Literal["not-run", "error", "reset", "timeout"]],
     _meta('a list of "not-run", "error", "reset" and "timeout"'),
 ]
-Reaches = Annotated[Literal["group", "pool", "split"], _meta('"group", "pool" or "split"')]
+RetryScopeName = Annotated[Literal["group", "pool", "split"], _meta('"group", "pool" or "split"')]
 
 
 class PolicyFields(Struct):
-    """What [defaults] and each route may set.  Defaults of the program are in `model.Policy`."""
+    """What [defaults] and each route may set.  Defaults of the program are in `model.Policy`.
+
+    Attributes are named as those of `model.Policy`; `name` is the field in the file.
+    """
 
-    klass: Name | UnsetType = msgspec.field(name="class", default=UNSET)
+    request_class: Name | UnsetType = field(name="class", default=UNSET)
     effect: Annotated[Literal["safe", "keyed", "unsafe"], _meta('"safe", "keyed" or "unsafe"')] = "unsafe"
-    group: Annotated[Literal["rack", "zone", "all"], _meta('"rack", "zone" or "all"')] = "rack"
-    window_ms: Span = 0.0
-    aim_ms: Positive = 1000.0
+    deduplication_scope: Annotated[Literal["rack", "zone", "all"], _meta('"rack", "zone" or "all"')] = field(
+        name="group", default="rack"
+    )
+    deduplication_window_ms: Span = field(name="window_ms", default=0.0)
+    latency_objective_ms: Positive = field(name="aim_ms", default=1000.0)
     deadline_ms: Positive = 5000.0
     attempt_timeout_ms: Span = 0.0
-    attempts: Annotated[int, _meta("a whole number from 1 to 16", ge=1, le=16)] = 1
+    max_attempts: Annotated[int, _meta("a whole number from 1 to 16", ge=1, le=16)] = field(
+        name="attempts", default=1
+    )
     backoff_ms: Span = 0.0
-    backoff_most_ms: Span = 1000.0
+    max_backoff_ms: Span = field(name="backoff_most_ms", default=1000.0)
     retry_budget: Annotated[float, _meta("a share of the first tries, such as 0.2", ge=0.0, le=100.0)] = 0.2
-    retry_on: Outcomes = msgspec.field(default_factory=lambda: ["not-run"])
-    retry_to: Reaches = "group"
-    second_copy_after_ms: Span = 0.0
-    second_copy_percentile: Annotated[
+    retry_on: RetriedOutcomes = field(default_factory=lambda: ["not-run"])
+    retry_scope: RetryScopeName = field(name="retry_to", default="group")
+    hedge_after_ms: Span = field(name="second_copy_after_ms", default=0.0)
+    hedge_percentile: Annotated[
         float, _meta("a percentile from 50 to 99.9, or 0 for none", ge=0.0, le=99.9)
-    ] = 0.0
-    second_copy_to: Annotated[Literal["group", "pool"], _meta('"group" or "pool"')] = "group"
+    ] = field(name="second_copy_percentile", default=0.0)
+    hedge_scope: Annotated[Literal["group", "pool"], _meta('"group" or "pool"')] = field(
+        name="second_copy_to", default="group"
+    )
     when_exhausted: Annotated[Literal["fail", "refuse"], _meta('"fail" or "refuse"')] = "fail"
-    requests_per_s: Rate = 0.0
-    concurrency: Count = 0
-    worth: Annotated[float, _meta("a number from 0 to 1,000,000", ge=0.0, le=1e6)] = 1.0
-    late_worth: Share = 0.0
+    max_requests_per_s: Rate = field(name="requests_per_s", default=0.0)
+    max_concurrency: Count = field(name="concurrency", default=0)
+    priority_weight: Annotated[float, _meta("a number from 0 to 1,000,000", ge=0.0, le=1e6)] = field(
+        name="worth", default=1.0
+    )
+    late_priority_weight: Share = field(name="late_worth", default=0.0)
 
 
 class RouteTable(PolicyFields, kw_only=True):
+    """An entry of [[routes]]."""
+
     name: Name
     priority: Annotated[int, _meta("a whole number from -1,000 to 1,000", ge=-1000, le=1000)] = 0
     match: Any = UNSET
@@ -188,9 +216,13 @@
 
 
 class SplitTable(Struct):
+    """An entry of a route's split."""
+
     pool: Name
     weight: Weight = 1.0
 
 
-def policy_fields() -> tuple[str, ...]:
-    return tuple(field.encode_name for field in msgspec.structs.fields(PolicyFields))
+POLICY_ATTRIBUTES: Mapping[str, str] = {
+    each.encode_name: each.name for each in msgspec.structs.fields(PolicyFields)
+}
+"""Attributes of `model.Policy` by the fields of the file, in the file's order."""
--- a/heronreel/routes/source.py
+++ b/heronreel/routes/source.py
@@ -18,25 +18,28 @@
 _LITERAL = re.compile(r"'([^'\n]*)'")
 _LONG_BASIC = re.compile(r'"""(?:[^"\\]|\\.|"(?!""))*"{3,5}', re.DOTALL)
 _LONG_LITERAL = re.compile(r"'''(?:[^']|'(?!''))*'{3,5}", re.DOTALL)
+_STRINGS = (('"""', _LONG_BASIC), ("'''", _LONG_LITERAL), ('"', _BASIC), ("'", _LITERAL))
 _PLAIN = re.compile(r"[^,\]}\n#]+")
 _ESCAPE = re.compile(r'\\(?:(["\\bfnrt])|u([0-9A-Fa-f]{4})|U([0-9A-Fa-f]{8}))')
 _SHORT = {'"': '"', "\\": "\\", "b": "\b", "f": "\f", "n": "\n", "r": "\r", "t": "\t"}
 
 
-def lines_of(text: str) -> dict[Path, int]:
+def key_lines(text: str) -> dict[Path, int]:
     """The line, from 1, of each key and table, by its path; elements of arrays count from 0."""
     return _Scanner(text).scan()
 
 
 def _unescaped(text: str) -> str:
-    def one(found: re.Match[str]) -> str:
+    def character(found: re.Match[str]) -> str:
         short, four, eight = found.groups()
         return _SHORT[short] if short else chr(int(four or eight, 16))
 
-    return _ESCAPE.sub(one, text) if "\\" in text else text
+    return _ESCAPE.sub(character, text) if "\\" in text else text
 
 
 class _Scanner:
+    """A cursor over the text, and the lines noted so far."""
+
     def __init__(self, text: str) -> None:
         self.text = text
         self.at = 0
@@ -62,8 +65,8 @@
         self.counted_to = max(self.counted_to, start)
         self.lines.setdefault(path, self.line)
 
-    def _skip(self, what: re.Pattern[str]) -> None:
-        found = what.match(self.text, self.at)
+    def _skip(self, pattern: re.Pattern[str]) -> None:
+        found = pattern.match(self.text, self.at)
         if found:
             self.at = found.end()
 
@@ -112,40 +115,39 @@
 
     def _value(self, path: Path) -> None:
         self._skip(_SPACE)
-        text, at = self.text, self.at
-        for opening, pattern in (
-            ('"""', _LONG_BASIC),
-            ("'''", _LONG_LITERAL),
-            ('"', _BASIC),
-            ("'", _LITERAL),
-        ):
-            if text.startswith(opening, at):
+        for opening, pattern in _STRINGS:
+            if self.text.startswith(opening, self.at):
                 self._skip(pattern)
                 return
-        if text.startswith("[", at):
-            self.at += 1
-            place = 0
-            while True:
-                self._skip(_BLANK)
-                if text.startswith("]", self.at):
-                    break
-                self._note((*path, place), self.at)
-                self._value((*path, place))
-                place += 1
-                self._skip(_BLANK)
-                if text.startswith(",", self.at):
-                    self.at += 1
-            self.at += 1
-        elif text.startswith("{", at):
-            self.at += 1
-            while True:
-                self._skip(_BLANK)
-                if text.startswith("}", self.at):
-                    break
-                self._pair(path)
-                self._skip(_BLANK)
-                if text.startswith(",", self.at):
-                    self.at += 1
-            self.at += 1
+        if self.text.startswith("[", self.at):
+            self._array(path)
+        elif self.text.startswith("{", self.at):
+            self._inline_table(path)
         else:
             self._skip(_PLAIN)
+
+    def _array(self, path: Path) -> None:
+        self.at += 1
+        index = 0
+        while not self._closes("]"):
+            self._note((*path, index), self.at)
+            self._value((*path, index))
+            index += 1
+            self._skip_comma()
+        self.at += 1
+
+    def _inline_table(self, path: Path) -> None:
+        self.at += 1
+        while not self._closes("}"):
+            self._pair(path)
+            self._skip_comma()
+        self.at += 1
+
+    def _closes(self, bracket: str) -> bool:
+        self._skip(_BLANK)
+        return self.text.startswith(bracket, self.at)
+
+    def _skip_comma(self) -> None:
+        self._skip(_BLANK)
+        if self.text.startswith(",", self.at):
+            self.at += 1
--- a/heronreel/serve/policies.py
+++ b/heronreel/serve/policies.py
@@ -10,7 +10,7 @@
 from heronreel.proxy.config import Config, shares_of
 from heronreel.proxy.discovery import Member, Members
 from heronreel.routes.index import RouteIndex
-from heronreel.routes.model import OUTCOMES, Exhausted, Pool, Reach, Route, RoutesFile
+from heronreel.routes.model import OUTCOMES, ExhaustedResponse, Pool, RetryScope, Route, RoutesFile
 
 ASK_WITHIN_MS = 10_000.0
 
@@ -18,14 +18,14 @@
 def class_of(route: Route) -> api.RequestClass:
     policy = route.policy
     return api.RequestClass(
-        policy.klass,
-        policy.aim_ms,
+        policy.request_class,
+        policy.latency_objective_ms,
         policy.deadline_ms,
-        policy.worth,
-        policy.late_worth,
+        policy.priority_weight,
+        policy.late_priority_weight,
         policy.effect,
-        policy.group,
-        policy.window_ms if policy.effect is api.Effect.KEYED else 0.0,
+        policy.deduplication_scope,
+        policy.deduplication_window_ms if policy.effect is api.Effect.KEYED else 0.0,
     )
 
 
@@ -35,20 +35,20 @@
     return api.RoutePolicy(
         route=route.name,
         klass=class_of(route),
-        max_attempts=policy.attempts,
+        max_attempts=policy.max_attempts,
         attempt_timeout_ms=policy.attempt_timeout_ms,
         backoff_ms=policy.backoff_ms,
-        backoff_most_ms=policy.backoff_most_ms,
+        backoff_most_ms=policy.max_backoff_ms,
         retry_on=frozenset(outcome for word in policy.retry_on for outcome in OUTCOMES[word]),
         retry_share=policy.retry_budget,
-        retry_in_group=policy.retry_to is Reach.GROUP,
-        spills=policy.retry_to is Reach.SPLIT,
-        copy_after_ms=policy.second_copy_after_ms,
-        copy_percentile=policy.second_copy_percentile,
-        copy_in_group=policy.second_copy_to is Reach.GROUP,
-        refuse_exhausted=policy.when_exhausted is Exhausted.REFUSE,
-        requests_per_s=policy.requests_per_s,
-        concurrency=policy.concurrency,
+        retry_in_group=policy.retry_scope is RetryScope.GROUP,
+        spills=policy.retry_scope is RetryScope.SPLIT,
+        copy_after_ms=policy.hedge_after_ms,
+        copy_percentile=policy.hedge_percentile,
+        copy_in_group=policy.hedge_scope is RetryScope.GROUP,
+        refuse_exhausted=policy.when_exhausted is ExhaustedResponse.REFUSE,
+        requests_per_s=policy.max_requests_per_s,
+        concurrency=policy.max_concurrency,
         margin_ms=margin_ms,
         split=tuple((share.pool, share.weight) for share in route.split),
     )
--- a/heronreel/serve/probes.py
+++ b/heronreel/serve/probes.py
@@ -14,7 +14,7 @@
 from heronreel.health.report import Heard, Report, decoded, key_of, task_of, telling
 from heronreel.leases.task_runner import StepContext
 from heronreel.leases.tasks import Task
-from heronreel.routes.model import Probe, RoutesFile
+from heronreel.routes.model import HealthCheckSettings, RoutesFile
 
 SHOWN_S = 1.0  # at least between two reports that tell of no change
 PATIENCE = 4  # reports that may be missing before nothing is known
@@ -24,7 +24,7 @@
 Down = Callable[[Collection[Member]], None]
 
 
-def rules_of(probe: Probe) -> Rules:
+def rules_of(probe: HealthCheckSettings) -> Rules:
     return Rules(probe.path, probe.every_ms / 1000, probe.timeout_ms / 1000, probe.fall, probe.rise)
 
 
--- a/heronreel/serve/program.py
+++ b/heronreel/serve/program.py
@@ -18,9 +18,10 @@
 from heronreel.proxy.config import Config, ConfigError, load
 from heronreel.proxy.http1 import log_to_stderr
 from heronreel.proxy.proxy import Proxy
+from heronreel.routes.findings import Finding, Report
 from heronreel.routes.model import Problem, RoutesFile
-from heronreel.routes.proof import Finding, Report, limits_of
-from heronreel.serve.files import checked
+from heronreel.routes.proof import platform_limits
+from heronreel.serve.files import check_file
 from heronreel.serve.policies import Router, config_of, discovered_pool, members_of
 
 ALWAYS = {"always": True}  # no limit of lines a second drops it
@@ -33,7 +34,7 @@
 
     On a platform the file is held against its settings, and its one pool is the platform's.
     """
-    report = checked(path, limits_of(platform.settings) if platform else None)
+    report = check_file(path, platform_limits(platform.settings) if platform else None)
     if report.file is None or not report.safe:
         return report
     if platform:
--- a/tests/coordination/test_keyspace.py
+++ b/tests/coordination/test_keyspace.py
@@ -36,7 +36,7 @@
 from heronreel.coordination.settings import load
 from heronreel.leases.fencing import FencedTable, FencingGuard
 from heronreel.leases.lease import ClaimAcquired, ClaimLost, LeaseClient, LeaseTerms, SendRequest
-from heronreel.routes.reader import BadFile
+from heronreel.routes.reader import ConfigFileError
 from heronreel.store import Store
 from heronreel.store.simulated import SimulatedDisk
 
@@ -182,7 +182,7 @@
     ],
 )  # fmt: skip
 def test_bad_files_are_refused_with_line_and_field(text: str, line: int, field: str, words: str) -> None:
-    with pytest.raises(BadFile) as bad:
+    with pytest.raises(ConfigFileError) as bad:
         load(text.encode())
     told = [problem for problem in bad.value.problems if words in str(problem)]
     assert told, bad.value.problems
--- a/tests/demo/test_demo.py
+++ b/tests/demo/test_demo.py
@@ -10,7 +10,7 @@
 import pytest
 
 from heronreel.demo.scenario import routes_file
-from heronreel.routes.proof import check
+from heronreel.routes.proof import check_routes
 
 ROOT = Path(__file__).parents[2]
 
@@ -34,4 +34,4 @@
 @pytest.mark.parametrize("draining", [None, 5])
 def test_its_routes_file_is_proven_safe(draining: int | None) -> None:
     addresses = [("127.0.0.1", 9000 + index) for index in range(6)]
-    assert check(routes_file(addresses, draining).encode()).findings == ()
+    assert check_routes(routes_file(addresses, draining).encode()).findings == ()
--- a/tests/emulator/test_scripts.py
+++ b/tests/emulator/test_scripts.py
@@ -16,8 +16,8 @@
 from heronreel.emulator.model import Class, Proxies, Trouble
 from heronreel.emulator.policies import make
 from heronreel.emulator.world import World, play
-from heronreel.routes.load import load as load_routes
-from heronreel.routes.reader import BadFile
+from heronreel.routes.load import load_routes
+from heronreel.routes.reader import ConfigFileError
 from tests.support.rehearsals import KIND, rehearsal
 
 ROOT = Path(__file__).parents[2]
@@ -46,7 +46,7 @@
 
 def problem(old: str, new: str) -> str:
     assert old in SCRIPT
-    with pytest.raises(BadFile) as caught:
+    with pytest.raises(ConfigFileError) as caught:
         load(SCRIPT.replace(old, new).encode())
     return str(caught.value)
 
@@ -90,7 +90,7 @@
 
 
 def test_all_that_is_wrong_comes_at_once() -> None:
-    with pytest.raises(BadFile) as caught:
+    with pytest.raises(ConfigFileError) as caught:
         load(SCRIPT.replace("nodes = 12", "nodes = 0").replace("at_s = 5.0", 'at_s = "x"').encode())
     assert [problem.line for problem in caught.value.problems] == [5, 17]
 
--- a/tests/fleet/test_agent_processes.py
+++ b/tests/fleet/test_agent_processes.py
@@ -18,7 +18,7 @@
 from heronreel.fleet.machine import load
 from heronreel.fleet.model import Condition
 from heronreel.fleet.operation import account
-from heronreel.routes.reader import BadFile
+from heronreel.routes.reader import ConfigFileError
 from tests.support.loopback import Backend, free_port
 from tests.support.serve_process import gets_to
 
@@ -222,6 +222,6 @@
     harness.names = []
     text = Fleet(harness, tmp_path, "127.0.0.1:1").text.replace("group = []", 'group = ["127.0.0.1:1"]')
     assert len(load(text.encode()).instances) == 2
-    with pytest.raises(BadFile) as raised:
+    with pytest.raises(ConfigFileError) as raised:
         load(text.replace(good, bad).encode())
     assert any(words in str(problem) for problem in raised.value.problems), raised.value.problems
--- a/tests/fleet/test_disruption_budget.py
+++ b/tests/fleet/test_disruption_budget.py
@@ -24,7 +24,7 @@
 from heronreel.fleet.settings import load
 from heronreel.fleet.taking import Back, Guards, Refused, Taken, Waiting, take_over
 from heronreel.leases.lease import PRESENCE_PREFIX
-from heronreel.routes.reader import BadFile
+from heronreel.routes.reader import ConfigFileError
 
 TOOK = (
     "1 wants", "the group is asked by 1", "1 is answered", "the group is asked by 1", "1 is answered",
@@ -192,7 +192,7 @@
 )
 def test_a_file_of_allowances_that_is_wrong_is_told_with_its_line(good: str, bad: str, words: str) -> None:
     assert len(load(FILE.encode())) == 2
-    with pytest.raises(BadFile) as raised:
+    with pytest.raises(ConfigFileError) as raised:
         load(FILE.replace(good, bad, 1).encode())
     told = [str(problem) for problem in raised.value.problems]
     assert any(words in problem for problem in told), told
--- a/tests/routes/hostile_world.py
+++ b/tests/routes/hostile_world.py
@@ -15,7 +15,7 @@
 from heronreel.balancer import interface as api
 from heronreel.balancer.pools import Pools
 from heronreel.routes.model import RoutesFile
-from heronreel.routes.timeline import Step, Terms, What, broken
+from heronreel.routes.timeline import EventKind, RequestTerms, TimelineEvent, broken_rules
 from heronreel.serve.policies import Router, discovered_pool, members_of, settings_of
 
 GRACE_MS = 50.0
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class Try:
+class Attempt:
     number: int
     backend: int
     group: str
@@ -34,14 +34,14 @@
 
 
 @dataclass
-class Ask:
+class ClientRequest:
     ident: int
     line: int  # of the timeline: a client that comes back has the same one
     deadline: float
     waits_until: float
     key: int
     policy: api.RoutePolicy
-    tries: list[Try] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
     finals: list[float] = field(default_factory=list)
 
 
@@ -57,8 +57,8 @@
         self.now = 0.0
         self.due: list[tuple[float, int, Callable[[], None]]] = []
         self.count = 0
-        self.asks: dict[int, Ask] = {}
-        self.steps: list[Step] = []
+        self.requests: dict[int, ClientRequest] = {}
+        self.steps: list[TimelineEvent] = []
         self.infos: dict[int, api.BackendInfo] = {}
         for number, member in enumerate(members_of(file).entries):
             self.infos[number] = api.BackendInfo(
@@ -69,13 +69,13 @@
         self.tell(api.BackendList(api.ListKind.CACHED, list(self.infos.values())))
         self.method = min(self.route.match.methods, default="POST")
 
-    def terms(self) -> Terms:
+    def terms(self) -> RequestTerms:
         """What the requests truly are: only a key and its group make a POST harmless to repeat."""
         effect, policy = api.Effect.IDEMPOTENT, self.route.policy
         if self.method in ("POST", "PATCH"):
             keyed = policy.effect is api.Effect.KEYED
             effect = api.Effect.KEYED if keyed else api.Effect.UNSAFE
-        return Terms(effect, policy.window_ms, self.limits.client_wait_ms + GRACE_MS)
+        return RequestTerms(effect, policy.deduplication_window_ms, self.limits.client_wait_ms + GRACE_MS)
 
     def at(self, when: float, then: Callable[[], None]) -> None:
         self.count += 1
@@ -88,16 +88,16 @@
         last = 0.0
         while self.due:
             self.now, _, then = heapq.heappop(self.due)
-            if self.now > 60_000.0 and not [a for a in self.asks.values() if not a.finals]:
+            if self.now > 60_000.0 and not [a for a in self.requests.values() if not a.finals]:
                 break  # only the module's own clock goes on
             then()
             last = max(last, self.now)
         found: dict[str, str] = {}
         for line in {step.request for step in self.steps}:
-            found |= broken([s for s in self.steps if s.request == line], self.terms())
-        for ask in self.asks.values():
-            if len(ask.finals) != 1:
-                found["lost"] = f"{len(ask.finals)} answers"
+            found |= broken_rules([s for s in self.steps if s.request == line], self.terms())
+        for request in self.requests.values():
+            if len(request.finals) != 1:
+                found["lost"] = f"{len(request.finals)} answers"
         return {rule: words for rule, words in found.items() if rule in ("lost", "twice")}
 
     def tell(self, event: api.Event) -> None:
@@ -118,12 +118,12 @@
         )  # budgets must not hide what is unsafe
         if self.blind:
             policy = replace(policy, klass=replace(policy.klass, repeat_window_ms=HOUR_MS), margin_ms=0.0)
-        ident = len(self.asks)
+        ident = len(self.requests)
         waits = self.now + self.limits.client_wait_ms
-        ask = Ask(ident, line, self.now + policy.klass.deadline_ms, waits, key, policy)
-        self.asks[ident] = ask
-        self.steps.append(Step(self.now, What.RETURNS if again else What.ARRIVES, line))
-        self.at(ask.deadline, lambda: self.deadline(ask))
+        request = ClientRequest(ident, line, self.now + policy.klass.deadline_ms, waits, key, policy)
+        self.requests[ident] = request
+        self.steps.append(TimelineEvent(self.now, EventKind.RETURNS if again else EventKind.ARRIVES, line))
+        self.at(request.deadline, lambda: self.deadline(request))
         left = policy.klass.deadline_ms
         self.tell(api.Arrival(ident, policy.klass.name, left, hint_ms=20.0, policy=policy, repeat_key=key))
 
@@ -134,49 +134,51 @@
             case api.SetTimer(token, delay):
                 self.at(self.now + delay + self.late(), lambda: self.tell(api.TimerFired(token)))
             case api.Refuse(ident, after):
-                self.final(self.asks[ident], What.REFUSED)
+                self.final(self.requests[ident], EventKind.REFUSED)
                 self.at(self.now + after, lambda: self.come_back(ident))
             case api.Fail(ident):
-                self.final(self.asks[ident], What.FAILED)
+                self.final(self.requests[ident], EventKind.FAILED)
 
     def late(self) -> float:
         return self.random.choice(self.stalls)
 
     def come_back(self, ident: int) -> None:
-        ask = self.asks[ident]
-        if ident == ask.line and self.now < ask.waits_until:  # once
-            self.arrive(ask.line, ask.key, True)
+        request = self.requests[ident]
+        if ident == request.line and self.now < request.waits_until:  # once
+            self.arrive(request.line, request.key, True)
 
-    def final(self, ask: Ask, what: What) -> None:
-        if not ask.finals:
-            self.steps.append(Step(self.now, what, ask.line))
-        ask.finals.append(self.now)
+    def final(self, request: ClientRequest, what: EventKind) -> None:
+        if not request.finals:
+            self.steps.append(TimelineEvent(self.now, what, request.line))
+        request.finals.append(self.now)
 
     def start(self, action: api.StartAttempt) -> None:
-        ask, decided = self.asks[action.request], self.now
+        request, decided = self.requests[action.request], self.now
         info = self.infos[action.backend]
-        scope = self.route.policy.group
+        scope = self.route.policy.deduplication_scope
         group = {api.DedupScope.CELL: str(info.cell), api.DedupScope.ZONE: info.zone}.get(scope, "all")
         send_by = decided + action.within_ms if action.within_ms and not self.blind else float("inf")
-        ends_at = min(ask.deadline, decided + action.timeout_ms) if action.timeout_ms else ask.deadline
-        one = Try(len(ask.tries), action.backend, group, ends_at, send_by)
-        ask.tries.append(one)
-        if decided >= ends_at or ask.finals:
-            self.end(ask, one, api.Outcome.NOT_SENT)
+        ends_at = (
+            min(request.deadline, decided + action.timeout_ms) if action.timeout_ms else request.deadline
+        )
+        one = Attempt(len(request.attempts), action.backend, group, ends_at, send_by)
+        request.attempts.append(one)
+        if decided >= ends_at or request.finals:
+            self.end(request, one, api.Outcome.NOT_SENT)
             return
         connect = self.random.choice((0.0, 1.0, 0.5, 1.0)) * self.limits.connect_timeout_ms
         if self.random.random() < 0.1:
-            self.at(min(decided + connect, ends_at), lambda: self.end(ask, one, api.Outcome.UNREACHABLE))
+            self.at(min(decided + connect, ends_at), lambda: self.end(request, one, api.Outcome.UNREACHABLE))
             return
-        self.at(ends_at + self.late(), lambda: self.end(ask, one, api.Outcome.TIMEOUT))
+        self.at(ends_at + self.late(), lambda: self.end(request, one, api.Outcome.TIMEOUT))
         if decided + connect < ends_at:
-            self.at(decided + connect + self.late(), lambda: self.write(ask, one))
+            self.at(decided + connect + self.late(), lambda: self.write(request, one))
 
-    def write(self, ask: Ask, one: Try) -> None:
+    def write(self, request: ClientRequest, one: Attempt) -> None:
         if one.ended:
             return
-        if ask.finals or self.now >= one.send_by:
-            self.end(ask, one, api.Outcome.NOT_SENT)
+        if request.finals or self.now >= one.send_by:
+            self.end(request, one, api.Outcome.NOT_SENT)
             return
         one.written = True
         outcome = self.random.choice((
@@ -184,25 +186,25 @@
             api.Outcome.TIMEOUT, api.Outcome.TIMEOUT,
         ))  # fmt: skip
         if outcome is not api.Outcome.REJECTED:
-            self.steps.append(Step(self.now, What.SENT, ask.line, one.number, one.group))
+            self.steps.append(TimelineEvent(self.now, EventKind.SENT, request.line, one.number, one.group))
         if outcome is not api.Outcome.TIMEOUT:
             took = self.random.choice((0.0, 1.0, 30.0, 340.0, 900.0, 2400.0))
-            self.at(self.now + took, lambda: self.end(ask, one, outcome))
+            self.at(self.now + took, lambda: self.end(request, one, outcome))
 
-    def end(self, ask: Ask, one: Try, outcome: api.Outcome) -> None:
+    def end(self, request: ClientRequest, one: Attempt, outcome: api.Outcome) -> None:
         if one.ended:
             return
         one.ended = True
         if outcome is api.Outcome.TIMEOUT and not one.written:
             outcome = api.Outcome.UNREACHABLE  # its connection ends with it, so it can never run
-        if outcome is api.Outcome.SERVED and not ask.finals:
-            self.final(ask, What.SERVED)
-        ids = (ask.ident, one.number, one.backend)
-        self.tell(api.AttemptEnded(*ids, outcome, 10.0, bool(ask.finals)))
-
-    def deadline(self, ask: Ask) -> None:
-        for one in ask.tries:
-            self.end(ask, one, api.Outcome.TIMEOUT)
-        if not ask.finals:
-            self.final(ask, What.FAILED)
-            self.tell(api.ClientGone(ask.ident))
+        if outcome is api.Outcome.SERVED and not request.finals:
+            self.final(request, EventKind.SERVED)
+        ids = (request.ident, one.number, one.backend)
+        self.tell(api.AttemptEnded(*ids, outcome, 10.0, bool(request.finals)))
+
+    def deadline(self, request: ClientRequest) -> None:
+        for one in request.attempts:
+            self.end(request, one, api.Outcome.TIMEOUT)
+        if not request.finals:
+            self.final(request, EventKind.FAILED)
+            self.tell(api.ClientGone(request.ident))
--- a/tests/routes/test_index.py
+++ b/tests/routes/test_index.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heronreel.routes.index import RouteIndex, segments_of, takes
+from heronreel.routes.index import RouteIndex, path_segments, route_accepts
 from heronreel.routes.model import Match, Policy, Route
 
 
@@ -38,7 +38,7 @@
         route(8, host="c.b.example.org", path="/a"),
         route(9, 1, path="/urgent"),
     ))  # fmt: skip
-    assert not index.clashes
+    assert not index.conflicts
     for text, headers, wanted in (
         ("PUT h /", {}, "r0"),
         ("PUT h /ab", {}, "r0"),
@@ -71,7 +71,7 @@
     ],
 )  # fmt: skip
 def test_paths_are_read_as_a_backend_would(path: str, segments: tuple[str, ...] | None) -> None:
-    found = segments_of(path.encode())
+    found = path_segments(path.encode())
     assert found == (tuple(part.encode() for part in segments) if segments is not None else None)
 
 
@@ -88,7 +88,7 @@
         [route(n, path_pattern=f"/api/v1/{{org}}/{n}") for n in range(count)]
         + [route(count + n, path="/one", headers=(("x-n", str(n)),)) for n in range(count)]
     )
-    assert not index.clashes
+    assert not index.conflicts
 
     class Counted(dict[bytes, bytes]):
         asked = 0
@@ -100,7 +100,7 @@
     for n in (0, 77, count - 1):
         assert named(index, f"GET h /api/v1/etna/{n}") == f"r{n}"
         found = index.find(b"h", b"/one", b"GET", Counted({b"x-n": b"%d" % n}))
-        assert found and found.place == count + n
+        assert found and found.index == count + n
     assert Counted.asked == 3  # one header asked for, each time
 
 
@@ -144,12 +144,12 @@
 @given(routes())
 def test_the_index_finds_what_a_plain_search_would(made: list[Route]) -> None:
     index = RouteIndex(made)
-    unfound = {clash.route.name for clash in index.clashes if clash.kind == "never-matches"}
-    unclear = any(clash.kind == "ambiguous" for clash in index.clashes)
+    unfound = {clash.route.name for clash in index.conflicts if clash.kind == "never-matches"}
+    unclear = any(clash.kind == "ambiguous" for clash in index.conflicts)
     seen = set()
     for host, path, method, headers in requests():
         found = index.find(host, path, method, headers)
-        taking = [one for one in made if takes(one, host, path, method, headers)]
+        taking = [one for one in made if route_accepts(one, host, path, method, headers)]
         assert (found is None) == (not taking)
         if found:
             assert found in taking
--- a/tests/routes/test_proof.py
+++ b/tests/routes/test_proof.py
@@ -8,10 +8,11 @@
 import pytest
 
 from heronreel.balancer.interface import DedupScope, Effect
-from heronreel.routes.index import Example, takes
-from heronreel.routes.model import Limits
-from heronreel.routes.proof import Finding, Witness, check
-from heronreel.routes.timeline import Step, Terms, What, broken
+from heronreel.routes.findings import Finding, Witness
+from heronreel.routes.index import Example, route_accepts
+from heronreel.routes.model import PlatformClass, PlatformLimits
+from heronreel.routes.proof import check_routes
+from heronreel.routes.timeline import EventKind, RequestTerms, TimelineEvent, broken_rules
 from tests.support.route_files import SAFE, UNSAFE
 
 ROOT = Path(__file__).parents[2]
@@ -29,23 +30,25 @@
 @pytest.mark.parametrize("text", UNSAFE.values(), ids=UNSAFE)
 def test_an_unsafe_file_is_refused_for_its_reason_at_its_line(text: str) -> None:
     (rule,) = re.findall(r"^# refused: (\S+)$", text, re.MULTILINE)
-    report = check(text.encode())
+    report = check_routes(text.encode())
     assert [(f.problem.rule, f.problem.line) for f in report.findings] == [(rule, marked(text))]
     assert report.findings[0].problem.wrong and report.findings[0].problem.right
 
 
 @pytest.mark.parametrize("text", SAFE.values(), ids=SAFE)
 def test_a_bold_but_safe_file_is_accepted(text: str) -> None:
-    assert [str(finding) for finding in check(text.encode()).findings] == []
+    assert [str(finding) for finding in check_routes(text.encode()).findings] == []
 
 
 def test_the_example_is_safe() -> None:
     for path in (ROOT / "examples").glob("*.toml"):
-        assert check(path.read_bytes()).safe
+        assert check_routes(path.read_bytes()).safe
 
 
 def witnessed() -> list[tuple[str, Finding]]:
-    return [(name, f) for name, text in UNSAFE.items() for f in check(text.encode()).findings if f.witness]
+    return [
+        (name, f) for name, text in UNSAFE.items() for f in check_routes(text.encode()).findings if f.witness
+    ]
 
 
 @pytest.mark.parametrize(
@@ -53,8 +56,8 @@
 )
 def test_a_witness_breaks_the_rule_it_names(name: str, finding: Finding) -> None:
     if isinstance(finding.witness, Witness):
-        assert set(broken(finding.witness.steps, finding.witness.terms)) == {finding.witness.rule}
-        times = [step.at_ms for step in finding.witness.steps]
+        assert set(broken_rules(finding.witness.events, finding.witness.terms)) == {finding.witness.rule}
+        times = [step.at_ms for step in finding.witness.events]
         assert times == sorted(times) and str(finding.witness)
 
 
@@ -65,13 +68,15 @@
     example = finding.witness
     if not isinstance(example, Example):
         return
-    file = check(UNSAFE[name].encode()).file
+    file = check_routes(UNSAFE[name].encode()).file
     assert file
     headers = {key.encode(): value.encode() for key, value in example.headers}
     taking = [
         route
         for route in file.routes
-        if takes(route, example.host.encode(), example.path.encode(), example.method.encode(), headers)
+        if route_accepts(
+            route, example.host.encode(), example.path.encode(), example.method.encode(), headers
+        )
     ]
     assert len(taking) > 1  # both want it: either nobody says who comes first, or the other one always does
 
@@ -81,7 +86,7 @@
     assert rules == {"lost", "twice", "platform", "promise", "budget"}
 
 
-PLATFORM = {"save": (Effect.KEYED, DedupScope.CELL, 5000.0, 2500.0)}
+PLATFORM = {"save": PlatformClass(Effect.KEYED, DedupScope.CELL, 5000.0, 2500.0)}
 ROUTE = """
 [[pools]]
 name = "p"
@@ -113,28 +118,30 @@
 def test_a_file_may_ask_the_platform_for_more_care_and_not_for_less(
     body: str, rule: str, breaks: str
 ) -> None:
-    limits = Limits(client_wait_ms=9000.0, classes=PLATFORM)
+    limits = PlatformLimits(client_wait_ms=9000.0, classes=PLATFORM)
     findings = [
-        f for f in check((ROUTE + body).encode(), limits).findings if f.problem.rule != "write-called-safe"
+        f
+        for f in check_routes((ROUTE + body).encode(), limits).findings
+        if f.problem.rule != "write-called-safe"
     ]
     assert [finding.problem.rule for finding in findings] == ([rule] if rule else [])
     for finding in findings:
         if isinstance(finding.witness, Witness):
-            assert breaks in broken(finding.witness.steps, finding.witness.terms)
+            assert breaks in broken_rules(finding.witness.events, finding.witness.terms)
 
 
 def test_the_judge_finds_no_fault_with_a_good_timeline() -> None:
-    terms = Terms(Effect.KEYED, 5000.0, 2500.0, 2, False)
+    terms = RequestTerms(Effect.KEYED, 5000.0, 2500.0, 2, False)
     good = [
-        Step(0.0, What.ARRIVES),
-        Step(0.0, What.SENT, group="r1"),
-        Step(900.0, What.ENDED),
-        Step(900.0, What.SENT, attempt=1, group="r1"),
-        Step(1000.0, What.SERVED),
+        TimelineEvent(0.0, EventKind.ARRIVES),
+        TimelineEvent(0.0, EventKind.SENT, group="r1"),
+        TimelineEvent(900.0, EventKind.ENDED),
+        TimelineEvent(900.0, EventKind.SENT, attempt=1, group="r1"),
+        TimelineEvent(1000.0, EventKind.SERVED),
     ]
-    assert broken(good, terms) == {}
-    assert set(broken([*good, Step(1001.0, What.SERVED)], terms)) == {"lost"}
-    assert set(broken(good[:-1], terms)) == {"lost"}
+    assert broken_rules(good, terms) == {}
+    assert set(broken_rules([*good, TimelineEvent(1001.0, EventKind.SERVED)], terms)) == {"lost"}
+    assert set(broken_rules(good[:-1], terms)) == {"lost"}
 
 
 def test_all_errors_come_in_one_go_with_their_lines() -> None:
@@ -156,7 +163,9 @@
 pool = "p"
 deadline_ms = []
 """
-    found = [(finding.problem.line, finding.problem.field) for finding in check(text.encode()).findings]
+    found = [
+        (finding.problem.line, finding.problem.field) for finding in check_routes(text.encode()).findings
+    ]
     assert found == [
         (2, "proxy.zone"),
         (3, "proxy.memory"),
--- a/tests/routes/test_soundness.py
+++ b/tests/routes/test_soundness.py
@@ -12,8 +12,8 @@
 from hypothesis import strategies as st
 from hypothesis.errors import NoSuchExample
 
-from heronreel.routes import proof
-from heronreel.routes.load import load
+from heronreel.routes import limit_checks, proof, retry_checks
+from heronreel.routes.load import load_routes
 from heronreel.routes.proof import prove
 from tests.routes.hostile_world import World
 from tests.support.route_files import SAFE
@@ -91,11 +91,11 @@
 
 
 def played(text: str, seed: int, stalls: tuple[float, ...], blind: bool = False) -> dict[str, str]:
-    return World(load(text.encode()), seed, stalls, blind).run(5)
+    return World(load_routes(text.encode()), seed, stalls, blind).run(5)
 
 
 def accepted(text: str) -> bool:
-    file = load(text.encode())
+    file = load_routes(text.encode())
     return not prove(file, file.process.limits)
 
 
@@ -129,7 +129,7 @@
 @given(texts(), st.integers(0, 2**16))
 def test_the_guards_hold_without_the_proof(text: str, seed: int) -> None:
     """Windows, groups and unsafe requests are the module's own to keep, whatever a file would allow."""
-    file = load(text.encode())
+    file = load_routes(text.encode())
     rules = {finding.problem.rule for finding in prove(file, file.process.limits)}
     assume(not rules & {"write-called-safe", "refusal-after-run"})  # false words about what requests are
     assert "twice" not in played(text, seed, LARGE), f"seed {seed}"
@@ -141,11 +141,11 @@
 @pytest.mark.parametrize(
     ("left_out", "breaks", "blind", "sure"),  # what is sure only saves time
     [
-        (proof._Prover.write_called_safe, "twice", False, ""),
-        (proof._Prover.refusal_after_run, "twice", False, 'effect = "unsafe"\nwhen_exhausted = "refuse"'),
-        (proof._Prover.deadline_over_wait, "lost", False, ""),
-        (proof._Prover.window_outlasted, "twice", True, 'effect = "keyed"\nwindow_ms = 1200'),
-        (proof._Prover.window_too_short, "twice", True, 'effect = "keyed"\nwindow_ms = 250'),
+        (retry_checks.write_called_safe, "twice", False, ""),
+        (retry_checks.refusal_after_run, "twice", False, 'effect = "unsafe"\nwhen_exhausted = "refuse"'),
+        (limit_checks.deadline_over_wait, "lost", False, ""),
+        (retry_checks.window_outlasted, "twice", True, 'effect = "keyed"\nwindow_ms = 1200'),
+        (retry_checks.window_too_short, "twice", True, 'effect = "keyed"\nwindow_ms = 250'),
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
@@ -169,7 +169,7 @@
 
 @pytest.mark.parametrize("text", SAFE.values(), ids=SAFE)
 def test_the_bold_files_hold_too(text: str) -> None:
-    file = load(text.encode())
+    file = load_routes(text.encode())
     for seed in range(20):
         world = World(file, seed, SMALL)
         if world.router.find(b"h", b"/x", world.method.encode(), {b"idempotency-key": b"k"}) is None:
--- a/tests/routes/test_texts.py
+++ b/tests/routes/test_texts.py
@@ -9,23 +9,23 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heronreel.routes.load import load
-from heronreel.routes.reader import BYTES_MOST, PROBLEMS_MOST, BadFile
-from heronreel.routes.source import lines_of
+from heronreel.routes.load import load_routes
+from heronreel.routes.reader import MAX_FILE_BYTES, MAX_PROBLEMS, ConfigFileError
+from heronreel.routes.source import key_lines
 
 EXAMPLE = (Path(__file__).parents[2] / "examples/profili.toml").read_bytes()
 
 
 def refused(data: bytes) -> tuple[int, str]:
-    with pytest.raises(BadFile) as caught:
-        load(data)
+    with pytest.raises(ConfigFileError) as caught:
+        load_routes(data)
     problem = caught.value.problems[0]
     return problem.line, problem.wrong
 
 
 def test_a_byte_order_mark_and_line_ends_of_two_characters_change_nothing() -> None:
-    plain = load(EXAMPLE)
-    other = load(b"\xef\xbb\xbf" + EXAMPLE.replace(b"\n", b"\r\n"))
+    plain = load_routes(EXAMPLE)
+    other = load_routes(b"\xef\xbb\xbf" + EXAMPLE.replace(b"\n", b"\r\n"))
     assert plain.lines == other.lines
     assert [route.policy for route in plain.routes] == [route.policy for route in other.routes]
 
@@ -68,11 +68,11 @@
 
 def test_thousands_of_errors_are_bounded() -> None:
     text = "".join(f"[[routes]]\nname = {n}\nwrong = 1\n" for n in range(2000))
-    with pytest.raises(BadFile) as caught:
-        load(text.encode())
-    assert len(caught.value.problems) == PROBLEMS_MOST + 1
+    with pytest.raises(ConfigFileError) as caught:
+        load_routes(text.encode())
+    assert len(caught.value.problems) == MAX_PROBLEMS + 1
     assert "more problems" in caught.value.problems[0].wrong
-    assert len(text) < BYTES_MOST
+    assert len(text) < MAX_FILE_BYTES
 
 
 def test_lines_of_every_form_of_key() -> None:
@@ -98,7 +98,7 @@
 \'\'\'
 last = 2026-12-01T10:00:00Z
 '''
-    lines = lines_of(text)
+    lines = key_lines(text)
     assert tomllib.loads(text)["rows"][1]["last"]
     assert lines[("top",)] == 2
     assert lines[("quoted key",)] == 5
@@ -143,7 +143,7 @@
 def test_every_key_that_the_parser_finds_has_a_line(raw: dict[str, object]) -> None:
     text = "\n\n".join(f"{written(key)} = {written(value)}" for key, value in raw.items())
     assert tomllib.loads(text) == raw
-    lines = lines_of(text)
+    lines = key_lines(text)
     assert set(lines) == paths(raw)
     rows = text.split("\n")
     for key in raw:
@@ -156,6 +156,6 @@
 ))  # fmt: skip
 def test_no_text_makes_the_loader_fail_in_another_way(data: bytes) -> None:
     try:
-        load(data)
-    except BadFile as error:
+        load_routes(data)
+    except ConfigFileError as error:
         assert error.problems and all(problem.wrong for problem in error.problems)
--- a/tests/serve/test_serve.py
+++ b/tests/serve/test_serve.py
@@ -18,7 +18,7 @@
 
 from heronreel.balancer import interface as api
 from heronreel.proxy.proxy import Ask, Asker, Proxy
-from heronreel.routes.load import load
+from heronreel.routes.load import load_routes
 from heronreel.serve.policies import Router, config_of
 from heronreel.stubs.http_server import DeduplicationGroup, ServerBehaviour, StubServer
 from tests.support.loopback import (
@@ -281,7 +281,7 @@
         async with Scripted() as node:
             more = '[[listeners]]\nname = "in"\naddress = "127.0.0.1:0"\n'
             text = file_of(SAVE, more=more, p=[(node.address, "r1")])
-            file = load(text.replace("[proxy]", "[proxy]\ndrain_grace_ms = 1").encode())
+            file = load_routes(text.replace("[proxy]", "[proxy]\ndrain_grace_ms = 1").encode())
             loop = asyncio.get_running_loop()
             within = 0.0 if trouble == "drain" else 60.0
             numbers: list[int] = []
