--- a/heronreel/cli/__main__.py
+++ b/heronreel/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m heronreel.cli`, and what `bin/heronreel` runs."""
+"""The command line: `python -m heronreel.cli`, which `bin/heronreel` runs."""
 
 from __future__ import annotations
 
@@ -28,19 +28,22 @@
     """A load-balancing reverse proxy that loses no request and repeats no effect."""
 
 
-main.add_command(check_command)
-main.add_command(explain_command)
-main.add_command(serve_command)
-main.add_command(demo_command)
-main.add_command(store_group)
-main.add_command(rehearse_group)
-main.add_command(agent_command)
-main.add_command(coordinate_command)
-main.add_command(counts_command)
-main.add_command(fleet_command)
-main.add_command(leases_command)
-main.add_command(members_command)
-main.add_command(tasks_command)
+for command in (
+    check_command,
+    explain_command,
+    serve_command,
+    demo_command,
+    store_group,
+    rehearse_group,
+    agent_command,
+    coordinate_command,
+    counts_command,
+    fleet_command,
+    leases_command,
+    members_command,
+    tasks_command,
+):
+    main.add_command(command)
 
 if __name__ == "__main__":
     main(prog_name="heronreel")
--- a/heronreel/cli/check.py
+++ b/heronreel/cli/check.py
@@ -1,4 +1,4 @@
-"""`heronreel check FILE...`: every way the files could break a rule."""
+"""The command `heronreel check FILE...`: every way the files could break a rule."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import click
 
-from heronreel.routes.findings import Finding, Witness
+from heronreel.routes.findings import Finding, Report, Witness
 from heronreel.routes.index import Example
 from heronreel.serve.files import check_file
 
@@ -18,36 +18,46 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object on standard output.")
 def check_command(files: tuple[str, ...], as_json: bool) -> None:
     """Check files of routes: exit 0 if all are safe, 1 with every error otherwise."""
-    reports = [(path, check_file(path)) for path in files]
+    reports = {path: check_file(path) for path in files}
     if as_json:
-        told = [
-            {"file": path, "safe": report.safe, "findings": [finding_of(found) for found in report.findings]}
-            for path, report in reports
-        ]
-        click.echo(json.dumps({"files": told}, indent=2))
+        rows = [report_row(path, report) for path, report in reports.items()]
+        click.echo(json.dumps({"files": rows}, indent=2))
     else:
-        for path, report in reports:
-            for finding in report.findings:
-                click.echo(f"{path}:{finding}")
-            if report.file and report.safe:
-                routes, pools = len(report.file.routes), len(report.file.pools)
-                click.echo(f"{path}: safe: {routes} routes, {pools} pools")
-    sys.exit(0 if all(report.safe for _, report in reports) else 1)
+        for path, report in reports.items():
+            _print_report(path, report)
+    sys.exit(0 if all(report.safe for report in reports.values()) else 1)
+
+
+def _print_report(path: str, report: Report) -> None:
+    for finding in report.findings:
+        click.echo(f"{path}:{finding}")
+    if report.file and report.safe:
+        routes, pools = len(report.file.routes), len(report.file.pools)
+        click.echo(f"{path}: safe: {routes} routes, {pools} pools")
+
+
+def report_row(path: str, report: Report) -> dict[str, Any]:
+    """One file's report as `--json` has it."""
+    findings = [finding_row(finding) for finding in report.findings]
+    return {"file": path, "safe": report.safe, "findings": findings}
 
 
-def finding_of(finding: Finding) -> dict[str, Any]:
-    """A finding as JSON has it."""
+def finding_row(finding: Finding) -> dict[str, Any]:
+    """One finding as `--json` has it."""
     problem, witness = finding.problem, finding.witness
-    told: dict[str, Any] = {
-        "line": problem.line, "field": problem.field, "rule": problem.rule,
-        "wrong": problem.wrong, "right": problem.right,
-    }  # fmt: skip
+    row: dict[str, Any] = {
+        "line": problem.line,
+        "field": problem.field,
+        "rule": problem.rule,
+        "wrong": problem.wrong,
+        "right": problem.right,
+    }
     if isinstance(witness, Witness):
-        told["breaks"] = witness.rule
-        told["witness"] = [
-            {"at_ms": step.at_ms, "what": step.kind.value, "attempt": step.attempt, "note": step.note}
-            for step in witness.events
+        row["breaks"] = witness.rule
+        row["witness"] = [
+            {"at_ms": event.at_ms, "what": event.kind.value, "attempt": event.attempt, "note": event.note}
+            for event in witness.events
         ]
     elif isinstance(witness, Example):
-        told["example"] = str(witness)
-    return told
+        row["example"] = str(witness)
+    return row
--- a/heronreel/cli/explain.py
+++ b/heronreel/cli/explain.py
@@ -1,15 +1,20 @@
-"""`heronreel explain FILE METHOD URL`: the route of one request and its policy in force."""
+"""The command `heronreel explain FILE METHOD URL`: the route of one request and its policy in force."""
 
 from __future__ import annotations
 
 import json
 import sys
+from collections.abc import Iterable
+from typing import Any
 
 import click
 
-from heronreel.routes.explain import UNITS, explain
+from heronreel.routes.explain import UNITS, Explanation, PolicyValue, explain
+from heronreel.routes.findings import Report
 from heronreel.serve.files import check_file
 
+SHOWN_ALTERNATIVES = 10  # less specific routes that are printed
+
 
 @click.command("explain")
 @click.argument("file")
@@ -26,40 +31,63 @@
         for finding in report.findings:
             click.echo(f"{file}:{finding}", err=True)
         sys.exit(1)
-    told: dict[str, str] = {}
-    for header in headers:
-        name, colon, value = header.partition(":")
-        if not colon or not name.strip():
-            raise click.BadParameter(f"not NAME: VALUE: {header!r}", param_hint="-H")
-        told[name.strip()] = value.strip()
     try:
-        found = explain(report.file, method.upper(), url, told)
+        found = explain(report.file, method.upper(), url, _parse_headers(headers))
     except ValueError as error:
         raise click.BadParameter(f"{url!r}: {error}", param_hint="URL") from None
     if as_json:
-        click.echo(json.dumps({
-            "route": found.route.name if found.route else None,
-            "line": found.line,
-            "safe": report.safe,
-            "pools": {share.pool: share.weight for share in found.route.split} if found.route else {},
-            "also": [route.name for route in found.others],
-            "policy": {v.field: {"value": v.value, "from": v.origin, "line": v.line} for v in found.values},
-        }, indent=2))  # fmt: skip
+        click.echo(json.dumps(_explanation_row(found, report), indent=2))
     elif found.route is None:
         click.echo("no route takes this request: it is answered 404")
     else:
-        click.echo(f"route {found.route.name} ({file}:{found.line})")
-        pools = ", ".join(f"{share.pool} ({share.weight:g})" for share in found.route.split)
-        click.echo(f"  pools: {pools}")
-        for row in found.values:
-            unit = " ms" if row.field.endswith("_ms") else UNITS.get(row.field, "")
-            shown = ", ".join(row.value) if isinstance(row.value, list) else row.value
-            where = f"{row.origin}, line {row.line}" if row.line else row.origin
-            click.echo(f"  {row.field:24} {shown}{unit if shown else ''}  [{where}]")
-        if found.others:
-            click.echo(f"  less specific: {', '.join(route.name for route in found.others[:10])}")
-        if not report.safe:
-            click.echo(
-                f"  the file is refused: {len(report.findings)} findings; see heronreel check", err=True
-            )
+        _print_explanation(found, file, report)
     sys.exit(0 if found.route else 1)
+
+
+def _parse_headers(headers: Iterable[str]) -> dict[str, str]:
+    parsed: dict[str, str] = {}
+    for header in headers:
+        name, colon, value = header.partition(":")
+        if not colon or not name.strip():
+            raise click.BadParameter(f"not NAME: VALUE: {header!r}", param_hint="-H")
+        parsed[name.strip()] = value.strip()
+    return parsed
+
+
+def _explanation_row(found: Explanation, report: Report) -> dict[str, Any]:
+    route = found.route
+    return {
+        "route": route.name if route else None,
+        "line": found.line,
+        "safe": report.safe,
+        "pools": {share.pool: share.weight for share in route.split} if route else {},
+        "also": [other.name for other in found.others],
+        "policy": {
+            each.field: {"value": each.value, "from": each.origin, "line": each.line} for each in found.values
+        },
+    }
+
+
+def _print_explanation(found: Explanation, file: str, report: Report) -> None:
+    assert found.route is not None
+    click.echo(f"route {found.route.name} ({file}:{found.line})")
+    pools = ", ".join(f"{share.pool} ({share.weight:g})" for share in found.route.split)
+    click.echo(f"  pools: {pools}")
+    for each in found.values:
+        click.echo(f"  {each.field:24} {_value_text(each)}  [{_origin_text(each)}]")
+    if found.others:
+        names = ", ".join(other.name for other in found.others[:SHOWN_ALTERNATIVES])
+        click.echo(f"  less specific: {names}")
+    if not report.safe:
+        count = len(report.findings)
+        click.echo(f"  the file is refused: {count} findings; see heronreel check", err=True)
+
+
+def _value_text(value: PolicyValue) -> str:
+    text = ", ".join(value.value) if isinstance(value.value, list) else value.value
+    unit = " ms" if value.field.endswith("_ms") else UNITS.get(value.field, "")
+    return f"{text}{unit if text else ''}"
+
+
+def _origin_text(value: PolicyValue) -> str:
+    return f"{value.origin}, line {value.line}" if value.line else value.origin
--- a/heronreel/cli/serve.py
+++ b/heronreel/cli/serve.py
@@ -1,4 +1,4 @@
-"""`heronreel serve FILE`."""
+"""The command `heronreel serve FILE`."""
 
 from __future__ import annotations
 
