--- a/heronreel/cli/agent.py
+++ b/heronreel/cli/agent.py
@@ -20,13 +20,13 @@
     from heronreel.coordination.logs import log_to_stderr
     from heronreel.fleet.agent_server import serve
     from heronreel.fleet.agent_settings import load_file
-    from heronreel.routes.reader import BadFile
+    from heronreel.routes.reader import ConfigFileError
     from heronreel.store import StoreError
 
     log_to_stderr()
     try:
         settings = load_file(file)
-    except BadFile as error:
+    except ConfigFileError as error:
         tell(file, error)
         sys.exit(BAD_FILE)
     try:
--- a/heronreel/cli/fleet.py
+++ b/heronreel/cli/fleet.py
@@ -64,11 +64,11 @@
     """
     from heronreel.fleet.budget_client import replace_rules
     from heronreel.fleet.budget_settings import load_file
-    from heronreel.routes.reader import BadFile
+    from heronreel.routes.reader import ConfigFileError
 
     try:
         rules = load_file(allowances)
-    except BadFile as error:
+    except ConfigFileError as error:
         tell(allowances, error)
         sys.exit(BAD_FILE)
     asked(file, members, lambda client: replace_rules(client, rules))
--- a/heronreel/fleet/agent_settings.py
+++ b/heronreel/fleet/agent_settings.py
@@ -23,7 +23,7 @@
 import msgspec
 
 from heronreel.coordination.settings import read_file
-from heronreel.routes.reader import Reader, parse
+from heronreel.routes.reader import TableReader, parse_toml
 
 MAX_TABLES = 1000  # of one kind
 TABLE_NAMES = ("agent", "versions", "instances")
@@ -94,8 +94,8 @@
     Raises:
         BadFile: The text has problems; the error holds all of them.
     """
-    raw, lines = parse(data)
-    reader = Reader(raw, lines)
+    raw, lines = parse_toml(data)
+    reader = TableReader(raw, lines)
     for name in raw:
         if name not in TABLE_NAMES:
             expected = f"known here: {', '.join(TABLE_NAMES)}"
@@ -119,7 +119,7 @@
 
 
 def _tables(
-    reader: Reader, raw: dict[str, Any], name: str, table_type: type[NamedTable]
+    reader: TableReader, raw: dict[str, Any], name: str, table_type: type[NamedTable]
 ) -> list[tuple[tuple[Any, ...], NamedTable]]:
     """All tables of one kind with their paths; at least one is expected."""
     required = [field.name for field in msgspec.structs.fields(table_type) if field.required]
--- a/heronreel/fleet/budget_settings.py
+++ b/heronreel/fleet/budget_settings.py
@@ -19,7 +19,7 @@
 
 from heronreel.coordination.settings import read_file
 from heronreel.fleet.model import BudgetRule, InstanceKind, Scope
-from heronreel.routes.reader import Reader, parse
+from heronreel.routes.reader import TableReader, parse_toml
 
 MAX_RULES = 100
 MAX_NAME_LENGTH = 64
@@ -56,8 +56,8 @@
     Raises:
         BadFile: The text has problems; the error holds all of them.
     """
-    raw, lines = parse(data)
-    reader = Reader(raw, lines)
+    raw, lines = parse_toml(data)
+    reader = TableReader(raw, lines)
     for name in raw:
         if name != TABLE_NAME:
             reader.wrong((name,), "no such table", f"known here: {TABLE_NAME}", "unknown-field")
--- a/tests/fleet/test_agent_processes.py
+++ b/tests/fleet/test_agent_processes.py
@@ -15,7 +15,7 @@
 from heronreel.fault_injection.processes import Harness
 from heronreel.fleet.agent_settings import load
 from heronreel.fleet.budget_client import read_snapshot
-from heronreel.routes.reader import BadFile
+from heronreel.routes.reader import ConfigFileError
 from tests.fleet.agent_harness import AgentHarness, until_reported_serving
 from tests.support.loopback import Backend
 
@@ -118,7 +118,7 @@
     agent = AgentHarness(harness, tmp_path, "127.0.0.1:1")
     text = agent.settings.replace("group = []", 'group = ["127.0.0.1:1"]')
     assert len(load(text.encode()).instances) == 2
-    with pytest.raises(BadFile) as raised:
+    with pytest.raises(ConfigFileError) as raised:
         load(text.replace(good, bad).encode())
     problems = [str(problem) for problem in raised.value.problems]
     assert any(words in problem for problem in problems), problems
--- a/tests/fleet/test_disruption_budget.py
+++ b/tests/fleet/test_disruption_budget.py
@@ -40,7 +40,7 @@
     Scope,
 )
 from heronreel.leases.lease import PRESENCE_PREFIX
-from heronreel.routes.reader import BadFile
+from heronreel.routes.reader import ConfigFileError
 
 CLAIM_GRANTED = (
     "1 requests a claim",
@@ -236,7 +236,7 @@
 )
 def test_problems_of_a_rules_file_are_reported_with_their_lines(good: str, bad: str, words: str) -> None:
     assert len(load(FILE.encode())) == 2
-    with pytest.raises(BadFile) as raised:
+    with pytest.raises(ConfigFileError) as raised:
         load(FILE.replace(good, bad, 1).encode())
     problems = [str(problem) for problem in raised.value.problems]
     assert any(words in problem for problem in problems), problems
