--- a/heronreel/coordination/client.py
+++ b/heronreel/coordination/client.py
@@ -1,8 +1,8 @@
-"""The way to a group from another process: any member, one after the other, within a time.
+"""A client of a group: sends requests to its members, one after the other, until one responds in time.
 
-An answer that is a refusal to begin (503, a connection refused) is looked for at the next member.  Where a
-request may have been begun, only one that may be done twice is asked again; any other is `RequestError`
-with a code whose `maybe` says that nobody knows.
+A response that says that the request was not begun (503, a refused connection) sends it to the next member.
+If the request may have been begun, only an idempotent one is sent again; any other fails with a
+`RequestError` whose `outcome_unknown` is set.
 """
 
 from __future__ import annotations
@@ -16,7 +16,8 @@
 
 import aiohttp
 
-from heronreel.coordination import gateway
+from heronreel.coordination import gateway, gateway_client
+from heronreel.coordination.errors import MalformedResponseError, RequestError, StatusCode
 from heronreel.coordination.model import (
     Event,
     LeaseKeepAlive,
@@ -24,21 +25,26 @@
     LeaseTimeToLive,
     Range,
     Request,
-    RequestError,
     Response,
     ResponseOrError,
-    StatusCode,
     Txn,
 )
 
-ANSWER_MOST = 32 << 20  # bytes
-PAUSE_S = 0.05
-_REPEATABLE = (Range, LeaseKeepAlive, LeaseTimeToLive, LeaseList)
+CONNECT_TIMEOUT_S = 0.5
+MAX_CONNECTIONS_PER_MEMBER = 64
+BACKOFF_S = 0.05  # before the second round of attempts, doubled with each further one
+MAX_BACKOFF_DOUBLINGS = 5
+MIN_REQUEST_S = 0.01
+WATCH_ATTEMPT_ROUNDS = 3  # over all members, before a watch fails
+
+_IDEMPOTENT_REQUESTS = (Range, LeaseKeepAlive, LeaseTimeToLive, LeaseList)
+_TRANSPORT_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
 
 
 class WatchEvents(NamedTuple):
-    """What a watch tells: events up to a revision; or, with `missed`, that some are not kept any more, and
-    that all has to be read anew.
+    """A notification of a watch: the events up to a revision.
+
+    With `missed`, some events are no longer kept, and the range has to be read again.
     """
 
     revision: int
@@ -46,22 +52,27 @@
     missed: bool = False
 
 
-def _repeatable(request: Request) -> bool:
-    """Whether it may be asked again where nobody knows what became of it: it writes nothing new."""
-    return not request.writes if isinstance(request, Txn) else isinstance(request, _REPEATABLE)
+def _is_idempotent(request: Request) -> bool:
+    """Whether a request may be sent again when its outcome is unknown."""
+    return not request.writes if isinstance(request, Txn) else isinstance(request, _IDEMPOTENT_REQUESTS)
 
 
 class Client:
-    """Asks a group.  Of one event loop; one connection a call under way, kept for the next."""
+    """A client of one event loop.  A connection serves one request at a time and is kept for the next."""
 
     def __init__(self, addresses: Iterable[str], *, answer_s: float = 1.0) -> None:
-        """`addresses` as "127.0.0.1:9001"; `answer_s` is how long one member may take."""
+        """Opens a session.
+
+        Args:
+            addresses: of the members, as "127.0.0.1:9001".
+            answer_s: how many seconds one member may take to respond.
+        """
         self.addresses = list(addresses)
         self.answer_s = answer_s
-        self.first = 0  # the member that answered last
-        timeout = aiohttp.ClientTimeout(total=None, connect=0.5)
-        connector = aiohttp.TCPConnector(limit=0, limit_per_host=64)
-        self.session = aiohttp.ClientSession(timeout=timeout, connector=connector)
+        self._current = 0  # the index of the member that responded last, modulo their number
+        timeout = aiohttp.ClientTimeout(total=None, connect=CONNECT_TIMEOUT_S)
+        connector = aiohttp.TCPConnector(limit=0, limit_per_host=MAX_CONNECTIONS_PER_MEMBER)
+        self._session = aiohttp.ClientSession(timeout=timeout, connector=connector)
 
     async def __aenter__(self) -> Client:
         return self
@@ -72,115 +83,171 @@
         await self.close()
 
     async def close(self) -> None:
-        await self.session.close()
+        """Close all connections."""
+        await self._session.close()
+
+    @property
+    def _address(self) -> str:
+        return self.addresses[self._current % len(self.addresses)]
+
+    # -- requests
 
     async def call(self, request: Request, seconds: float = 3.0) -> Response:
-        """What the group answers within `seconds`.  Raises Refused."""
+        """Send a request, and retry it on other members as long as that is safe.
+
+        Args:
+            request: what to send.
+            seconds: for all attempts together.
+
+        Raises:
+            RequestError: the request failed, or its outcome is unknown.
+        """
         loop = asyncio.get_running_loop()
-        until = loop.time() + seconds
-        refused = RequestError(StatusCode.UNAVAILABLE, "no member answers")
-        tried = 0
-        while (left := until - loop.time()) > 0:
-            address = self.addresses[self.first % len(self.addresses)]
+        deadline = loop.time() + seconds
+        last_error = RequestError(StatusCode.UNAVAILABLE, "no member answers")
+        attempts = 0
+        while (left := deadline - loop.time()) > 0:
             try:
-                return await self._ask(address, request, min(left, self.answer_s))
+                return await self._attempt(self._address, request, min(left, self.answer_s))
             except RequestError as error:
-                self.first += 1
-                if error.code is not StatusCode.UNAVAILABLE and not error.outcome_unknown:
-                    self.first -= 1
-                    raise
-                if error.outcome_unknown and not _repeatable(request):
+                if not _may_retry(request, error):
+                    if error.outcome_unknown:
+                        self._current += 1
                     raise
-                refused = error
-            tried += 1
-            if tried % len(self.addresses) == 0:
-                # with a drawn part: hundreds that lost the group do not come back as one; and never longer
-                # than a quarter of the time there is, so that no question sleeps through its own
-                rounds = min(tried // len(self.addresses) - 1, 5)
-                most = min(PAUSE_S * 2**rounds, max(PAUSE_S, seconds / 4))
-                pause = most * random.uniform(0.5, 1.5)
-                await asyncio.sleep(min(pause, max(0.0, until - loop.time())))
-        raise refused
+                self._current += 1
+                last_error = error
+            attempts += 1
+            if attempts % len(self.addresses) == 0:
+                pause = self._backoff(attempts, seconds)
+                await asyncio.sleep(min(pause, max(0.0, deadline - loop.time())))
+        raise last_error
 
     async def call_or_error(self, request: Request, seconds: float) -> ResponseOrError:
-        """As `ask`, for a core that is told of a refusal as of any other answer."""
+        """As `call`, for a core that takes an error as it takes any other response."""
         try:
-            return await self.call(request, max(0.01, seconds))
-        except RequestError as refused:
-            return refused
+            return await self.call(request, max(MIN_REQUEST_S, seconds))
+        except RequestError as error:
+            return error
         except (ValueError, TypeError) as error:
             return RequestError(StatusCode.UNKNOWN, repr(error))
 
-    async def _ask(self, address: str, request: Request, seconds: float) -> Response:
-        url = f"http://{address}{gateway.path_of(request)}"
+    def _backoff(self, attempts: int, seconds: float) -> float:
+        """The pause in seconds after all members were tried.
+
+        It has a random part, so that hundreds of clients that lost the group do not return at once, and is
+        never longer than a quarter of the request's time, so that no request spends its time asleep.
+        """
+        doublings = min(attempts // len(self.addresses) - 1, MAX_BACKOFF_DOUBLINGS)
+        longest: float = min(BACKOFF_S * 2**doublings, max(BACKOFF_S, seconds / 4))
+        return longest * random.uniform(0.5, 1.5)
+
+    async def _attempt(self, address: str, request: Request, seconds: float) -> Response:
+        """Send a request to one member."""
+        url = f"http://{address}{gateway.request_path(request)}"
+        body = gateway_client.encode_request(request)
         try:
-            async with (
-                asyncio.timeout(seconds),
-                self.session.post(url, json=gateway.body_of(request)) as response,
-            ):
+            async with asyncio.timeout(seconds), self._session.post(url, json=body) as response:
                 data = await response.read()
                 status = response.status
         except aiohttp.ClientConnectorError as error:
             raise RequestError(StatusCode.UNAVAILABLE, f"{address}: {error.strerror or error}") from None
         except TimeoutError:
-            raise RequestError(
-                StatusCode.DEADLINE_EXCEEDED, f"{address}: no answer within {seconds:.2f} s"
-            ) from None
+            message = f"{address}: no answer within {seconds:.2f} s"
+            raise RequestError(StatusCode.DEADLINE_EXCEEDED, message) from None
         except (aiohttp.ClientError, OSError) as error:
             raise RequestError(StatusCode.UNKNOWN, f"{address}: {error}") from None
-        try:
-            raw = json.loads(data)
-            if status != 200:
-                raise gateway.refused_of(status, raw)
-            return gateway.result_of(request, raw)
-        except (KeyError, TypeError, ValueError, AttributeError) as error:
-            if status != 200:
-                raise gateway.refused_of(status, None) from None
-            raise RequestError(StatusCode.UNKNOWN, f"{address}: an answer that is none: {error!r}") from None
+        return _read_response(address, request, status, data)
 
     async def health(self, address: str) -> dict[str, Any]:
-        """What a member says of itself; nothing where it does not answer."""
+        """A member's report of its state; empty if it does not respond."""
         try:
             async with asyncio.timeout(self.answer_s):
-                async with self.session.get(f"http://{address}/health") as response:
-                    told = await response.json()
-                    return told if isinstance(told, dict) else {}
-        except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
+                async with self._session.get(f"http://{address}/health") as response:
+                    report = await response.json()
+                    return report if isinstance(report, dict) else {}
+        except (*_TRANSPORT_ERRORS, ValueError):
             return {}
 
+    # -- watches
+
     async def watch(self, key: bytes, end: bytes = b"", start: int = 0) -> AsyncIterator[WatchEvents]:
-        """Changes of a range from the revision `start`, or from now on, for as long as it is iterated over.
+        """The changes of a range, for as long as they are iterated over.
+
+        When a member ends, the next one continues from the revision reached.
+
+        Args:
+            key: the range's first key.
+            end: the range's end, as in `model.Range`.
+            start: the first revision; 0: the next one.
 
-        A member that ends is followed by the next, from the revision reached.  Raises Refused with
-        UNAVAILABLE where no member answers for `answer_s`, three times in a row.
+        Raises:
+            RequestError: with UNAVAILABLE, no member has responded in several rounds of attempts.
         """
-        body = {"create_request": {"key": gateway.base64_of(key), "range_end": gateway.base64_of(end)}}
         failures = 0
         while True:
-            body["create_request"]["start_revision"] = str(start)
-            address = self.addresses[self.first % len(self.addresses)]
-            url = f"http://{address}{gateway.WATCH}"
             try:
-                async with self.session.post(url, json=body) as response:
-                    if response.status == 200:
-                        async for line in response.content:
-                            failures = 0
-                            raw = json.loads(line)["result"]
-                            if raw.get("canceled"):
-                                start = int(raw["header"]["revision"]) + 1
-                                yield WatchEvents(start - 1, (), missed=True)
-                                break
-                            revision, events = gateway.events_told(raw)
-                            # the next member goes on behind what was told here: past events of a watch that
-                            # began earlier come after its first line
-                            if events or not start:
-                                start = revision + 1
-                            if events or raw.get("created"):
-                                yield WatchEvents(revision, events)
-            except (aiohttp.ClientError, TimeoutError, OSError, ValueError, KeyError):
+                async with self._session.post(
+                    f"http://{self._address}{gateway.WATCH_PATH}", json=_watch_body(key, end, start)
+                ) as response:
+                    async for body in _watch_lines(response):
+                        failures = 0
+                        if body.get("canceled"):
+                            start = int(body["header"]["revision"]) + 1
+                            yield WatchEvents(start - 1, (), missed=True)
+                            break
+                        batch = gateway_client.decode_events(body)
+                        # The next member continues after what this one has reported: past events of a watch
+                        # that started earlier come after its first line.
+                        if batch.events or not start:
+                            start = batch.revision + 1
+                        if batch.events or body.get("created"):
+                            yield WatchEvents(batch.revision, batch.events)
+            except (*_TRANSPORT_ERRORS, ValueError, KeyError):
                 pass
             failures += 1
-            if failures > 3 * len(self.addresses):
+            if failures > WATCH_ATTEMPT_ROUNDS * len(self.addresses):
                 raise RequestError(StatusCode.UNAVAILABLE, "no member answers")
-            self.first += 1
-            await asyncio.sleep(PAUSE_S * failures)
+            self._current += 1
+            await asyncio.sleep(BACKOFF_S * failures)
+
+
+def _may_retry(request: Request, error: RequestError) -> bool:
+    if error.outcome_unknown:
+        return _is_idempotent(request)
+    return error.code is StatusCode.UNAVAILABLE
+
+
+def _read_response(address: str, request: Request, status: int, data: bytes) -> Response:
+    try:
+        body = json.loads(data)
+    except ValueError as error:
+        if status != 200:
+            raise gateway_client.decode_error(status, None) from None
+        raise _malformed(address, repr(error)) from None
+    if status != 200:
+        raise gateway_client.decode_error(status, body)
+    try:
+        return gateway_client.decode_response(request, body)
+    except MalformedResponseError as error:
+        raise _malformed(address, str(error)) from None
+
+
+def _malformed(address: str, reason: str) -> RequestError:
+    return RequestError(StatusCode.UNKNOWN, f"{address}: an answer that is none: {reason}")
+
+
+def _watch_body(key: bytes, end: bytes, start: int) -> gateway.Json:
+    create_request = {
+        "key": gateway.encode_base64(key),
+        "range_end": gateway.encode_base64(end),
+        "start_revision": str(start),
+    }
+    return {"create_request": create_request}
+
+
+async def _watch_lines(response: aiohttp.ClientResponse) -> AsyncIterator[gateway.Json]:
+    """The lines of a watch; none if it was rejected."""
+    if response.status != 200:
+        return
+    async for line in response.content:
+        yield json.loads(line)["result"]
--- /dev/null
+++ b/heronreel/coordination/election.py
@@ -0,0 +1,166 @@
+"""Elections: pre-votes, promises, and how a candidate becomes the leader.
+
+A member that would disturb a working leader is kept from it by pre-votes: it first asks whether it would be
+granted promises, and nothing is promised by a response to that.  A quorum of promises makes a candidate the
+leader: it knows the newest version that was reported with them, and nothing is accepted under a lower ballot.
+"""
+
+from __future__ import annotations
+
+from immutables import Map
+
+from heronreel.coordination.actions import Actions, Send
+from heronreel.coordination.ballots import NO_VERSION
+from heronreel.coordination.group_records import decode_confirmed_versions, decode_membership
+from heronreel.coordination.member_state import MemberState, PromiseRecord, Role, Snapshot
+from heronreel.coordination.messages import Prepare, Promise
+from heronreel.coordination.replication import lead
+
+# -- the candidate's side
+
+
+def start_pre_vote(state: MemberState, now: float) -> Actions:
+    """Ask the others whether a candidacy would succeed."""
+    if state.name not in state.members and state.version != NO_VERSION:
+        state.reset_election_timer(now, state.timing.election_timeout)
+        return []  # it was removed from the group
+    state.role = Role.PRE_CANDIDATE
+    state.leader = None
+    state.ballot = state.new_ballot()
+    state.pre_votes = frozenset((state.name,))
+    state.reset_election_timer(now, state.timing.election_timeout)
+    return _count_pre_votes(state, now) or [*_prepare_messages(state, pre_vote=True)]
+
+
+def start_election(state: MemberState, now: float) -> Actions:
+    """Become a candidate: this member's own promise is durable before any other is asked for."""
+    state.role = Role.CANDIDATE
+    state.leader = None
+    state.ballot = state.promised = state.new_ballot()
+    state.highest_term = state.ballot.term
+    state.promises = Map()
+    state.newest = Snapshot(state.version, state.content)
+    state.reset_election_timer(now, state.timing.election_timeout)
+    actions = state.persist((), _prepare_messages(state, pre_vote=False))
+    state.own_promise_persist = state.last_persist
+    return actions
+
+
+def record_own_promise(state: MemberState, now: float) -> Actions:
+    """This member's own promise is durable."""
+    own = PromiseRecord(state.incarnation, state.version)
+    state.promises = state.promises.set(state.name, own)
+    return _count_promises(state, now)
+
+
+def receive_promise(state: MemberState, now: float, message: Promise) -> Actions:
+    """A response to a request for promises, or to a pre-vote."""
+    state.highest_term = max(state.highest_term, message.promised.term)
+    if message.ballot != state.ballot or not message.granted:
+        return []
+    if message.pre_vote:
+        return _receive_pre_vote(state, now, message)
+    if state.role is not Role.CANDIDATE:
+        return []
+    promise = PromiseRecord(message.incarnation, message.version)
+    state.promises = state.promises.set(message.sender, promise)
+    if message.content is not None and message.version > state.newest.version and state.guards.newest_version:
+        state.newest = Snapshot(message.version, Map(message.content))
+    return _count_promises(state, now)
+
+
+def _receive_pre_vote(state: MemberState, now: float, message: Promise) -> Actions:
+    is_member = state.members.get(message.sender) == message.incarnation
+    if state.role is not Role.PRE_CANDIDATE or not is_member:
+        return []
+    state.pre_votes |= {message.sender}
+    return _count_pre_votes(state, now)
+
+
+def _count_pre_votes(state: MemberState, now: float) -> Actions:
+    enough = len(state.pre_votes) >= state.quorum_size(state.members)
+    return start_election(state, now) if enough else []
+
+
+def _count_promises(state: MemberState, now: float) -> Actions:
+    """Lead, if the promises make a quorum by the newest map's word on members and their versions."""
+    if state.name not in state.promises:
+        return []
+    members = decode_membership(state.newest.content, state.members)
+    confirmed_versions = decode_confirmed_versions(state.newest.content, state.confirmed_versions)
+    count = 0
+    for name, promise in state.promises.items():
+        is_member = members.get(name) == promise.incarnation or not state.guards.incarnation
+        rolled_back = promise.version < confirmed_versions.get(name, NO_VERSION) and state.guards.rollback
+        count += is_member and not rolled_back
+    if members.get(state.name) != state.incarnation and state.guards.incarnation:
+        return []  # another disk has taken its place
+    if count < state.quorum_size(members):
+        return []
+    state.members = members
+    state.confirmed_versions = confirmed_versions
+    return lead(state, now, ())
+
+
+def _prepare_messages(state: MemberState, *, pre_vote: bool) -> tuple[Send, ...]:
+    sends: list[Send] = []
+    for name, incarnation in sorted(state.members.items()):
+        if name == state.name:
+            continue
+        message = Prepare(
+            state.name,
+            state.incarnation,
+            state.group_id,
+            incarnation,
+            state.ballot,
+            state.version,
+            pre_vote,
+        )
+        sends.append(Send(name, message))
+    return tuple(sends)
+
+
+# -- the voter's side
+
+
+def receive_prepare(state: MemberState, now: float, message: Prepare) -> Actions:
+    """A candidate's request for a promise, or for a pre-vote."""
+    granted = False
+    if state.is_addressed_by(message):
+        state.highest_term = max(state.highest_term, message.ballot.term)
+        granted = _grants(state, now, message)
+    if message.pre_vote or not granted:
+        return [Send(message.sender, _response(state, message, granted=granted))]
+    actions: Actions = []
+    if message.ballot > state.promised:
+        actions = state.step_down(now)
+        state.promised = message.ballot
+        state.group_id = message.group_id
+        state.leader = None
+    response = _response(state, message, granted=True)
+    return actions + state.persist((), (Send(message.sender, response),))
+
+
+def _grants(state: MemberState, now: float, message: Prepare) -> bool:
+    if not message.pre_vote:
+        return message.ballot >= state.promised  # an equal one is a retransmission
+    silence = now - state.last_leader_contact
+    has_leader = silence < state.timing.election_timeout or state.is_leader
+    return message.ballot > state.promised and not has_leader
+
+
+def _response(state: MemberState, message: Prepare, *, granted: bool) -> Promise:
+    """The promise or its refusal; a promise carries the map if it is newer than the candidate's."""
+    content = None
+    if granted and not message.pre_vote and state.version > message.version:
+        content = tuple(sorted(state.content.items()))
+    return Promise(
+        state.name,
+        state.incarnation,
+        message.ballot,
+        message.pre_vote,
+        granted,
+        state.promised,
+        state.version,
+        content,
+    )
--- a/heronreel/coordination/keyspace.py
+++ b/heronreel/coordination/keyspace.py
@@ -1,20 +1,22 @@
 """Keys, revisions and leases, and what a request does to them.
 
-The state is a flat map of records, bytes by bytes, as the members agree on it and as a store keeps it;
-`Keyspace` is the reading of one.  Nothing here is changed in place: what a request does is a list of writes
-to the map and the state after them, so that one which is never agreed on leaves no trace.
+The replicated map is flat, bytes by bytes, as the members agree on it and as a store keeps it; a `Keyspace`
+is the state that one holds.  Nothing here is changed in place: a request makes a list of writes to the map
+and the state after them, so that one which is never committed leaves no trace.
 """
 
 from __future__ import annotations
 
 import bisect
 from collections.abc import Iterable
-from typing import NamedTuple
+from typing import NamedTuple, TypeVar
 
 import msgspec
 from immutables import Map
 
+from heronreel.coordination.errors import RequestError, StatusCode
 from heronreel.coordination.model import (
+    ALL_FOLLOWING_KEYS,
     MAX_KEY_BYTES,
     MAX_LEASE_ID,
     MAX_LEASES,
@@ -32,311 +34,358 @@
     LeaseResponse,
     LeaseRevoke,
     Operation,
+    OperationResponse,
     Put,
     PutResponse,
     Range,
     RangeResponse,
     Record,
-    RequestError,
     Response,
-    StatusCode,
+    StateRequest,
     Txn,
     TxnResponse,
+    key_in_range,
 )
 
 Content = Map[bytes, bytes]
-Writes = tuple[tuple[bytes, bytes | None], ...]  # None: the record goes
+Writes = tuple[tuple[bytes, bytes | None], ...]  # None: the record is deleted
 
-HEAD = b"h"  # revision, the lease counter
-KEY = b"k"  # and the key
-LEASE = b"l"  # and the lease's number in 8 bytes
-RECORD_COST = 64  # bytes counted for a record beside its key and value
+HEADER_KEY = b"h"  # the record of revision, lease counter and size
+KEY_PREFIX = b"k"  # and the key
+LEASE_PREFIX = b"l"  # and the lease's id in 8 bytes
+RECORD_OVERHEAD_BYTES = 64  # counted for a record beside its key and value
 EMPTY_CONTENT: Content = Map()
-ALL_BEHIND = b"\0"
 
 
-class _Head(msgspec.Struct, frozen=True, array_like=True):
+class Header(msgspec.Struct, frozen=True, array_like=True):
+    """The record of the state as a whole."""
+
     revision: int = 1
-    leases: int = 0  # numbers given to leases so far
+    lease_counter: int = 0  # ids given to leases so far
     size: int = 0  # bytes counted
 
 
-class _Row(msgspec.Struct, frozen=True, array_like=True):
+class _StoredRecord(msgspec.Struct, frozen=True, array_like=True):
+    """The stored form of a `Record`."""
+
     value: bytes
-    create: int
-    mod: int
+    create_revision: int
+    mod_revision: int
     version: int
     lease: int
 
 
-_head = msgspec.msgpack.Decoder(_Head)
-_row = msgspec.msgpack.Decoder(_Row)
-_ttl = msgspec.msgpack.Decoder(int)
+Value = TypeVar("Value", int, bytes)
+
+_header_decoder = msgspec.msgpack.Decoder(Header)
+_record_decoder = msgspec.msgpack.Decoder(_StoredRecord)
+_ttl_decoder = msgspec.msgpack.Decoder(int)
 _encode = msgspec.msgpack.Encoder().encode
 
 
-class RequestApplied(NamedTuple):
-    """What a request came to: its answer, the state after it, and what has to be written for that."""
+class AppliedRequest(NamedTuple):
+    """The outcome of a request: its response, the state after it, and the writes to the map for that."""
 
-    result: Response
+    response: Response
     state: Keyspace
     writes: Writes
     events: tuple[Event, ...]
 
 
 class Keyspace:
-    """One reading of the map.  Frozen; `apply` gives the next."""
+    """The state that a map holds.  Immutable; `apply` makes the next."""
 
-    __slots__ = ("_order", "attached", "head", "keys", "leases")
+    __slots__ = ("_sorted_keys", "header", "keys", "lease_keys", "leases")
 
     def __init__(
         self,
-        head: _Head,
+        header: Header,
         keys: Map[bytes, Record],
         leases: Map[int, int],
-        attached: Map[int, frozenset[bytes]],
-        order: list[bytes] | None = None,
+        lease_keys: Map[int, frozenset[bytes]],
+        sorted_keys: list[bytes] | None = None,
     ) -> None:
-        self.head = head
+        """Takes the parts of a state.
+
+        Args:
+            header: the record of the state as a whole.
+            keys: records by key.
+            leases: seconds to live by lease id.
+            lease_keys: the keys attached to each lease that has any.
+            sorted_keys: the keys in order, if they are known already.
+        """
+        self.header = header
         self.keys = keys
-        self.leases = leases  # seconds to live by number
-        self.attached = attached  # the keys that end with a lease
-        self._order = order  # of the keys; made when it is asked for
+        self.leases = leases
+        self.lease_keys = lease_keys
+        self._sorted_keys = sorted_keys  # sorted when first needed
 
     @classmethod
-    def of(cls, content: Content) -> Keyspace:
-        """Read a map; raises msgspec.DecodeError or ValueError for what no state wrote."""
-        head = _head.decode(content[HEAD]) if HEAD in content else _Head()
+    def from_content(cls, content: Content) -> Keyspace:
+        """Decode a map.
+
+        Raises:
+            msgspec.DecodeError: a record is malformed.
+        """
+        header = _header_decoder.decode(content[HEADER_KEY]) if HEADER_KEY in content else Header()
         keys: dict[bytes, Record] = {}
         leases: dict[int, int] = {}
-        attached: dict[int, set[bytes]] = {}
+        lease_keys: dict[int, set[bytes]] = {}
         for name, data in content.items():
-            if name[:1] == KEY:
-                row = _row.decode(data)
-                keys[name[1:]] = Record(row.value, row.create, row.mod, row.version, row.lease)
-                if row.lease:
-                    attached.setdefault(row.lease, set()).add(name[1:])
-            elif name[:1] == LEASE:
-                leases[int.from_bytes(name[1:], "big")] = _ttl.decode(data)
-        frozen = {lease: frozenset(names) for lease, names in attached.items()}
-        return cls(head, Map(keys), Map(leases), Map(frozen))
+            if name[:1] == KEY_PREFIX:
+                record = Record(*msgspec.structs.astuple(_record_decoder.decode(data)))
+                keys[name[1:]] = record
+                if record.lease:
+                    lease_keys.setdefault(record.lease, set()).add(name[1:])
+            elif name[:1] == LEASE_PREFIX:
+                leases[int.from_bytes(name[1:], "big")] = _ttl_decoder.decode(data)
+        frozen = {lease: frozenset(names) for lease, names in lease_keys.items()}
+        return cls(header, Map(keys), Map(leases), Map(frozen))
 
     @property
     def revision(self) -> int:
-        return self.head.revision
+        """The number of the newest change."""
+        return self.header.revision
 
-    def named(self, key: bytes, end: bytes) -> list[bytes]:
+    def keys_in_range(self, first: bytes, end: bytes) -> list[bytes]:
         """The keys of a range, in order."""
         if not end:
-            return [key] if key in self.keys else []
-        if self._order is None:
-            self._order = sorted(self.keys)
-        first = bisect.bisect_left(self._order, key)
-        return self._order[first : None if end == ALL_BEHIND else bisect.bisect_left(self._order, end)]
-
-    def apply(self, request: Range | Put | DeleteRange | Txn | LeaseGrant | LeaseRevoke) -> RequestApplied:
-        """What `request` comes to.  Raises Refused, and nothing is changed then."""
-        change = _Change(self)
-        result: Response
+            return [first] if first in self.keys else []
+        if self._sorted_keys is None:
+            self._sorted_keys = sorted(self.keys)
+        start = bisect.bisect_left(self._sorted_keys, first)
+        stop = None if end == ALL_FOLLOWING_KEYS else bisect.bisect_left(self._sorted_keys, end)
+        return self._sorted_keys[start:stop]
+
+    def keys_of_lease(self, lease: int) -> frozenset[bytes]:
+        """The keys that are attached to a lease."""
+        return self.lease_keys.get(lease, frozenset())
+
+    def apply(self, request: StateRequest) -> AppliedRequest:
+        """Carry out a request.
+
+        Raises:
+            RequestError: the request is invalid or cannot be carried out, and nothing has changed.
+        """
+        execution = _Execution(self)
+        response: Response
         if isinstance(request, LeaseGrant):
-            result = change.grant(request)
+            response = execution.grant(request)
         elif isinstance(request, LeaseRevoke):
-            result = change.revoke(request)
+            response = execution.revoke(request)
         elif isinstance(request, Txn):
-            result = change.transaction(request)
+            response = execution.transaction(request)
         else:
-            result = change.operation(request)
-        return change.done(result)
+            response = execution.operation(request)
+        return execution.finish(response)
 
-    def next(
+    def successor(
         self,
-        head: _Head,
+        header: Header,
         keys: Map[bytes, Record],
         leases: Map[int, int],
-        attached: Map[int, frozenset[bytes]],
-        moved: bool,
+        lease_keys: Map[int, frozenset[bytes]],
+        *,
+        same_keys: bool,
     ) -> Keyspace:
-        return Keyspace(head, keys, leases, attached, None if moved else self._order)
+        """The state that follows; with `same_keys` no key was created or deleted."""
+        return Keyspace(header, keys, leases, lease_keys, self._sorted_keys if same_keys else None)
 
 
-class _Change:
-    """One request at work."""
+class _Execution:
+    """One request being carried out."""
 
     def __init__(self, state: Keyspace) -> None:
+        """Starts from `state`, which stays as it is."""
         self.before = state
         self.keys = state.keys
         self.leases = state.leases
-        self.attached = state.attached
-        self.size = state.head.size
-        self.granted = state.head.leases
-        self.touched: dict[bytes, Record | None] = {}  # keys that were written or removed
-        self.written: list[tuple[bytes, bytes | None]] = []  # of leases
-        self.moved = False  # keys came or went
-        self.revision = state.revision + 1  # of whatever this request writes
+        self.lease_keys = state.lease_keys
+        self.size = state.header.size
+        self.lease_counter = state.header.lease_counter
+        self.changed: dict[bytes, Record | None] = {}  # keys that were written or deleted
+        self.lease_writes: list[tuple[bytes, bytes | None]] = []
+        self.same_keys = True  # none was created or deleted
+        self.next_revision = state.revision + 1  # of whatever this request writes
 
     @property
-    def reached(self) -> int:
+    def revision(self) -> int:
         """The revision of the state as it is now, in the middle of the request."""
-        return self.revision if self.touched else self.revision - 1
-
-    def done(self, result: Response) -> RequestApplied:
-        if not self.touched and not self.written:
-            return RequestApplied(result, self.before, (), ())
-        head = _Head(self.reached, self.granted, self.size)
-        writes: list[tuple[bytes, bytes | None]] = [(HEAD, _encode(head)), *self.written]
+        return self.next_revision if self.changed else self.next_revision - 1
+
+    def finish(self, response: Response) -> AppliedRequest:
+        """The outcome, with this response."""
+        if not self.changed and not self.lease_writes:
+            return AppliedRequest(response, self.before, (), ())
+        header = Header(self.revision, self.lease_counter, self.size)
+        writes: list[tuple[bytes, bytes | None]] = [(HEADER_KEY, _encode(header)), *self.lease_writes]
         events: list[Event] = []
-        for key, record in self.touched.items():
-            writes.append((KEY + key, None if record is None else _encode(_Row(*record))))
+        for key, record in self.changed.items():
+            writes.append((KEY_PREFIX + key, None if record is None else _encode(_StoredRecord(*record))))
             previous = self.before.keys.get(key)
             if record is not None or previous is not None:
-                events.append(Event(key, record, previous, self.revision))
-        state = self.before.next(head, self.keys, self.leases, self.attached, self.moved)
-        return RequestApplied(result, state, tuple(writes), tuple(events))
+                events.append(Event(key, record, previous, self.next_revision))
+        state = self.before.successor(
+            header, self.keys, self.leases, self.lease_keys, same_keys=self.same_keys
+        )
+        return AppliedRequest(response, state, tuple(writes), tuple(events))
 
     # -- keys
 
     def transaction(self, txn: Txn) -> TxnResponse:
+        """Carry out the branch that the compares choose."""
         for part, name in ((txn.compares, "compare"), (txn.success, "success"), (txn.failure, "failure")):
             if len(part) > MAX_OPERATIONS:
-                raise RequestError(
-                    StatusCode.INVALID_ARGUMENT, f"{name}: {len(part)} of at most {MAX_OPERATIONS}"
-                )
+                raise _invalid(f"{name}: {len(part)} of at most {MAX_OPERATIONS}")
         for branch in (txn.success, txn.failure):
-            _once_each(branch)
-        holds = all(self.holds(compare) for compare in txn.compares)
-        results = tuple(self.operation(operation) for operation in (txn.success if holds else txn.failure))
-        return TxnResponse(self.reached, holds, results)
-
-    def holds(self, compare: Compare) -> bool:
-        record = self.keys.get(_checked_key(compare.key))
+            _check_written_once(branch)
+        succeeded = all(self._holds(compare) for compare in txn.compares)
+        branch = txn.success if succeeded else txn.failure
+        responses = tuple(self.operation(operation) for operation in branch)
+        return TxnResponse(self.revision, succeeded, responses)
+
+    def _holds(self, compare: Compare) -> bool:
+        _check_key(compare.key)
+        record = self.keys.get(compare.key)
         if compare.target is CompareTarget.VALUE:
             if not isinstance(compare.value, bytes):
-                raise RequestError(StatusCode.INVALID_ARGUMENT, "compare: a value is bytes")
+                raise _invalid("compare: a value is bytes")
             if record is None:
-                return False  # as in etcd: what is not there has no value to compare
-            return _related(record.value, compare.relation, compare.value)
+                return False  # as in etcd: a missing key has no value to compare
+            return _compare(record.value, compare.relation, compare.value)
         if not isinstance(compare.value, int):
-            raise RequestError(StatusCode.INVALID_ARGUMENT, "compare: expected a number")
+            raise _invalid("compare: expected a number")
         found = 0
         if record is not None:
             found = {
                 CompareTarget.VERSION: record.version,
-                CompareTarget.CREATE: record.create,
-                CompareTarget.MOD: record.mod,
+                CompareTarget.CREATE: record.create_revision,
+                CompareTarget.MOD: record.mod_revision,
                 CompareTarget.LEASE: record.lease,
             }[compare.target]
-        return _related(found, compare.relation, compare.value)
+        return _compare(found, compare.relation, compare.value)
 
-    def operation(self, operation: Operation) -> RangeResponse | PutResponse | DeleteRangeResponse:
+    def operation(self, operation: Operation) -> OperationResponse:
+        """Carry out one operation."""
         if isinstance(operation, Put):
-            return self.put(operation)
+            return self._put(operation)
         if isinstance(operation, DeleteRange):
-            return self.delete(operation)
-        return self.range(operation)
-
-    def _named(self, key: bytes, end: bytes) -> list[bytes]:
-        _checked_key(key)
-        _checked_key(end, empty=True)
-        if not self.moved:
-            return self.before.named(key, end)
-        now = Keyspace(self.before.head, self.keys, self.leases, self.attached)
-        return now.named(key, end)
-
-    def range(self, asked: Range) -> RangeResponse:
-        if asked.revision < 0 or asked.limit < 0:
-            raise RequestError(StatusCode.INVALID_ARGUMENT, "range: revision and limit are 0 or more")
-        if asked.revision > self.before.revision:
+            return self._delete(operation)
+        return self._range(operation)
+
+    def _keys_in_range(self, first: bytes, end: bytes) -> list[bytes]:
+        _check_key(first)
+        _check_key(end, may_be_empty=True)
+        if self.same_keys:
+            return self.before.keys_in_range(first, end)
+        now = Keyspace(self.before.header, self.keys, self.leases, self.lease_keys)
+        return now.keys_in_range(first, end)
+
+    def _range(self, request: Range) -> RangeResponse:
+        if request.revision < 0 or request.limit < 0:
+            raise _invalid("range: revision and limit are 0 or more")
+        if request.revision > self.before.revision:
             raise RequestError(StatusCode.OUT_OF_RANGE, "required revision is a future revision")
-        if asked.revision and asked.revision < self.before.revision:
+        if request.revision and request.revision < self.before.revision:
             raise RequestError(StatusCode.OUT_OF_RANGE, "required revision has been compacted")
-        names = self._named(asked.key, asked.end)
-        taken = [] if asked.count_only else names[: asked.limit or None]
-        records = tuple((name, self.keys[name]) for name in taken)
-        if asked.keys_only:
-            records = tuple((name, record._replace(value=b"")) for name, record in records)
-        return RangeResponse(
-            self.reached, records, len(names), len(taken) < len(names) and not asked.count_only
-        )
-
-    def put(self, asked: Put) -> PutResponse:
-        _checked_key(asked.key)
-        if len(asked.value) > MAX_VALUE_BYTES:
-            raise RequestError(
-                StatusCode.INVALID_ARGUMENT, f"value: {len(asked.value)} bytes of at most {MAX_VALUE_BYTES}"
-            )
-        if asked.lease and asked.lease not in self.leases:
+        keys = self._keys_in_range(request.key, request.end)
+        returned = [] if request.count_only else keys[: request.limit or None]
+        records = tuple((key, self.keys[key]) for key in returned)
+        if request.keys_only:
+            records = tuple((key, record._replace(value=b"")) for key, record in records)
+        more = len(returned) < len(keys) and not request.count_only
+        return RangeResponse(self.revision, records, len(keys), more)
+
+    def _put(self, request: Put) -> PutResponse:
+        _check_key(request.key)
+        if len(request.value) > MAX_VALUE_BYTES:
+            raise _invalid(f"value: {len(request.value)} bytes of at most {MAX_VALUE_BYTES}")
+        if request.lease and request.lease not in self.leases:
             raise RequestError(StatusCode.NOT_FOUND, "requested lease not found")
-        old = self.keys.get(asked.key)
-        size = self.size + len(asked.value) - (len(old.value) if old else -len(asked.key) - RECORD_COST)
+        previous = self.keys.get(request.key)
+        self._grow(request, previous)
+        if previous is None:
+            record = Record(request.value, self.next_revision, self.next_revision, 1, request.lease)
+            self.same_keys = False
+        else:
+            created, version = previous.create_revision, previous.version + 1
+            record = Record(request.value, created, self.next_revision, version, request.lease)
+            self._detach(request.key, previous)
+        if request.lease:
+            attached = self.lease_keys.get(request.lease, frozenset())
+            self.lease_keys = self.lease_keys.set(request.lease, attached | {request.key})
+        self.keys = self.keys.set(request.key, record)
+        self.changed[request.key] = record
+        return PutResponse(self.next_revision, previous if request.previous else None)
+
+    def _grow(self, request: Put, previous: Record | None) -> None:
+        """Count a put's bytes; a state at its limit can still shrink."""
+        size = self.size + len(request.value)
+        if previous is None:
+            size += len(request.key) + RECORD_OVERHEAD_BYTES
+        else:
+            size -= len(previous.value)
         if size > MAX_STATE_BYTES and size > self.size:
             raise RequestError(StatusCode.RESOURCE_EXHAUSTED, f"the state would pass {MAX_STATE_BYTES} bytes")
         self.size = size
-        if old is None:
-            record = Record(asked.value, self.revision, self.revision, 1, asked.lease)
-            self.moved = True
-        else:
-            record = Record(asked.value, old.create, self.revision, old.version + 1, asked.lease)
-            self._detach(asked.key, old)
-        if asked.lease:
-            held = self.attached.get(asked.lease, frozenset())
-            self.attached = self.attached.set(asked.lease, held | {asked.key})
-        self.keys = self.keys.set(asked.key, record)
-        self.touched[asked.key] = record
-        return PutResponse(self.revision, old if asked.previous else None)
-
-    def delete(self, asked: DeleteRange) -> DeleteRangeResponse:
-        names = list(self._named(asked.key, asked.end))
-        gone = tuple((name, self.keys[name]) for name in names)
-        for name, record in gone:
-            self._remove(name, record)
-        return DeleteRangeResponse(self.reached, len(gone), gone if asked.previous else ())
+
+    def _delete(self, request: DeleteRange) -> DeleteRangeResponse:
+        keys = self._keys_in_range(request.key, request.end)
+        deleted = tuple((key, self.keys[key]) for key in keys)
+        for key, record in deleted:
+            self._remove(key, record)
+        return DeleteRangeResponse(self.revision, len(deleted), deleted if request.previous else ())
 
     def _remove(self, key: bytes, record: Record) -> None:
         self._detach(key, record)
         self.keys = self.keys.delete(key)
-        self.touched[key] = None
-        self.size -= len(key) + len(record.value) + RECORD_COST
-        self.moved = True
+        self.changed[key] = None
+        self.size -= len(key) + len(record.value) + RECORD_OVERHEAD_BYTES
+        self.same_keys = False
 
     def _detach(self, key: bytes, record: Record) -> None:
         if not record.lease:
             return
-        left = self.attached[record.lease] - {key}
-        self.attached = self.attached.set(record.lease, left) if left else self.attached.delete(record.lease)
+        attached = self.lease_keys[record.lease] - {key}
+        if attached:
+            self.lease_keys = self.lease_keys.set(record.lease, attached)
+        else:
+            self.lease_keys = self.lease_keys.delete(record.lease)
 
     # -- leases
 
-    def grant(self, asked: LeaseGrant) -> LeaseResponse:
-        if not 1 <= asked.ttl <= MAX_TTL_S:
-            raise RequestError(
-                StatusCode.INVALID_ARGUMENT, f"TTL: {asked.ttl}, expected 1 to {MAX_TTL_S} seconds"
-            )
-        if not 0 <= asked.id <= MAX_LEASE_ID:
-            raise RequestError(StatusCode.INVALID_ARGUMENT, "ID: expected 0 or a positive 64-bit number")
-        if asked.id in self.leases:
+    def grant(self, request: LeaseGrant) -> LeaseResponse:
+        """Grant a lease."""
+        if not 1 <= request.ttl <= MAX_TTL_S:
+            raise _invalid(f"TTL: {request.ttl}, expected 1 to {MAX_TTL_S} seconds")
+        if not 0 <= request.id <= MAX_LEASE_ID:
+            raise _invalid("ID: expected 0 or a positive 64-bit number")
+        if request.id in self.leases:
             raise RequestError(StatusCode.FAILED_PRECONDITION, "lease already exists")
         if len(self.leases) >= MAX_LEASES:
             raise RequestError(StatusCode.RESOURCE_EXHAUSTED, f"{MAX_LEASES} leases are held already")
-        number = asked.id
-        while not number or number in self.leases:
-            self.granted += 1
-            number = self.granted
-        self.leases = self.leases.set(number, asked.ttl)
-        self.written.append((lease_key(number), _encode(asked.ttl)))
-        return LeaseResponse(self.reached, number, asked.ttl, asked.ttl)
-
-    def revoke(self, asked: LeaseRevoke) -> LeaseResponse:
-        if asked.id not in self.leases:
+        lease = request.id
+        while not lease or lease in self.leases:
+            self.lease_counter += 1
+            lease = self.lease_counter
+        self.leases = self.leases.set(lease, request.ttl)
+        self.lease_writes.append((lease_key(lease), _encode(request.ttl)))
+        return LeaseResponse(self.revision, lease, request.ttl, request.ttl)
+
+    def revoke(self, request: LeaseRevoke) -> LeaseResponse:
+        """End a lease, and delete its keys."""
+        if request.id not in self.leases:
             raise RequestError(StatusCode.NOT_FOUND, "requested lease not found")
-        for key in sorted(self.attached.get(asked.id, frozenset())):
+        for key in sorted(self.lease_keys.get(request.id, frozenset())):
             self._remove(key, self.keys[key])
-        self.leases = self.leases.delete(asked.id)
-        self.written.append((lease_key(asked.id), None))
-        return LeaseResponse(self.reached, asked.id, 0)
+        self.leases = self.leases.delete(request.id)
+        self.lease_writes.append((lease_key(request.id), None))
+        return LeaseResponse(self.revision, request.id, 0)
 
 
-def lease_key(number: int) -> bytes:
-    return LEASE + number.to_bytes(8, "big")
+def lease_key(lease: int) -> bytes:
+    """The key of a lease's record in the map."""
+    return LEASE_PREFIX + lease.to_bytes(8, "big")
 
 
 def apply_writes(content: Content, writes: Iterable[tuple[bytes, bytes | None]]) -> Content:
@@ -350,38 +399,37 @@
     return change.finish()
 
 
-def _checked_key(key: bytes, *, empty: bool = False) -> bytes:
-    if not key and not empty:
-        raise RequestError(StatusCode.INVALID_ARGUMENT, "key is not provided")
+def _invalid(message: str) -> RequestError:
+    return RequestError(StatusCode.INVALID_ARGUMENT, message)
+
+
+def _check_key(key: bytes, *, may_be_empty: bool = False) -> None:
+    if not key and not may_be_empty:
+        raise _invalid("key is not provided")
     if len(key) > MAX_KEY_BYTES:
-        raise RequestError(StatusCode.INVALID_ARGUMENT, f"key: {len(key)} bytes of at most {MAX_KEY_BYTES}")
-    return key
+        raise _invalid(f"key: {len(key)} bytes of at most {MAX_KEY_BYTES}")
 
 
-def _once_each(branch: tuple[Operation, ...]) -> None:
-    """No key is written twice by one transaction, so that the order of its writes says nothing."""
+def _check_written_once(branch: tuple[Operation, ...]) -> None:
+    """Reject a transaction that writes a key twice, so that the order of its writes does not matter."""
     puts: set[bytes] = set()
     for operation in branch:
         if isinstance(operation, Put):
             if operation.key in puts:
-                raise RequestError(StatusCode.INVALID_ARGUMENT, "duplicate key given in txn request")
+                raise _invalid("duplicate key given in txn request")
             puts.add(operation.key)
     for operation in branch:
-        if isinstance(operation, DeleteRange) and any(_within(key, operation) for key in puts):
-            raise RequestError(StatusCode.INVALID_ARGUMENT, "duplicate key given in txn request")
-
-
-def _within(key: bytes, asked: DeleteRange) -> bool:
-    if not asked.end:
-        return key == asked.key
-    return key >= asked.key and (asked.end == ALL_BEHIND or key < asked.end)
+        if not isinstance(operation, DeleteRange):
+            continue
+        if any(key_in_range(key, operation.key, operation.end) for key in puts):
+            raise _invalid("duplicate key given in txn request")
 
 
-def _related(found: int | bytes, relation: CompareOperator, value: int | bytes) -> bool:
+def _compare(found: Value, relation: CompareOperator, value: Value) -> bool:
     if relation is CompareOperator.EQUAL:
         return found == value
     if relation is CompareOperator.NOT_EQUAL:
         return found != value
     if relation is CompareOperator.GREATER:
-        return found > value  # type: ignore[operator]  # of one type: the caller looked
-    return found < value  # type: ignore[operator]
+        return found > value
+    return found < value
--- /dev/null
+++ b/heronreel/coordination/lease_deadlines.py
@@ -0,0 +1,79 @@
+"""When leases expire, on the clock of the member that leads.
+
+A holder counts its lease from before it sent the request; the group counts it from after it received the
+request, and longer by what two clocks may differ.  So a lease never expires here before its holder has
+stopped using it, as long as neither clock is off by more than the drift allowed for.
+"""
+
+from __future__ import annotations
+
+import copy
+import math
+from collections.abc import Iterable, Mapping
+
+from immutables import Map
+
+
+class LeaseDeadlines:
+    """The deadlines of all leases."""
+
+    def __init__(self, drift: float) -> None:
+        """`drift`: how much a clock may run faster or slower than true time, as a share."""
+        self.drift = drift
+        self.by_lease: Map[int, float] = Map()
+        self.earliest = math.inf  # the first deadline, or a time before it
+
+    def fork(self) -> LeaseDeadlines:
+        """A copy that goes on independently."""
+        return copy.copy(self)
+
+    def restart(self, now: float, leases: Mapping[int, int]) -> None:
+        """Count all leases anew from now; `leases` has their seconds to live by number."""
+        self.by_lease = Map({lease: self._deadline(now, ttl) for lease, ttl in leases.items()})
+        self._find_earliest()
+
+    def clear(self) -> None:
+        """Forget all leases: this member no longer leads."""
+        self.by_lease = Map()
+        self.earliest = math.inf
+
+    def expired(self, now: float) -> list[int]:
+        """The leases whose deadline has passed."""
+        if self.earliest > now:
+            return []
+        return [lease for lease, deadline in self.by_lease.items() if deadline <= now]
+
+    def remaining(self, lease: int, now: float, ttl: int) -> int:
+        """The whole seconds that a lease has left; `ttl` if it is not counted yet."""
+        return max(0, int(self.by_lease.get(lease, now + ttl) - now))
+
+    def update(
+        self,
+        now: float,
+        renewed: Iterable[tuple[int, int]],
+        ended: Iterable[int],
+        leases: Mapping[int, int],
+    ) -> None:
+        """Apply a committed round.
+
+        Args:
+            now: the time in seconds.
+            renewed: granted or renewed leases, with their seconds to live.
+            ended: leases that were revoked or have expired.
+            leases: all leases after the round.
+        """
+        before = self.by_lease
+        for lease, ttl in renewed:
+            if lease in leases:
+                self.by_lease = self.by_lease.set(lease, self._deadline(now, ttl))
+        for lease in ended:
+            if lease in self.by_lease and lease not in leases:
+                self.by_lease = self.by_lease.delete(lease)
+        if self.by_lease is not before:
+            self._find_earliest()
+
+    def _deadline(self, now: float, ttl: int) -> float:
+        return now + ttl * (1.0 + self.drift) / (1.0 - self.drift)
+
+    def _find_earliest(self) -> None:
+        self.earliest = min(self.by_lease.values(), default=math.inf)
--- a/heronreel/coordination/logs.py
+++ b/heronreel/coordination/logs.py
@@ -1,4 +1,4 @@
-"""Lines of JSON on standard error, as every process that speaks to a group writes them."""
+"""Structured logs: lines of JSON on standard error, for every process that talks to a group."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def log_to_stderr() -> None:
-    """From here on, for the whole process."""
+    """Configure structlog for the whole process."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
--- /dev/null
+++ b/heronreel/coordination/membership.py
@@ -0,0 +1,139 @@
+"""Membership: founding a group, admitting members with new disks, adding and removing members.
+
+Members are added, removed or readmitted one at a time, by a round of an established leader: any quorum before
+the change has a member in common with any quorum after it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import TypeVar
+
+from immutables import Map
+
+from heronreel.coordination.actions import Actions, EraseDisk, Send
+from heronreel.coordination.ballots import Ballot
+from heronreel.coordination.group_records import MEMBERSHIP_KEY, encode_membership
+from heronreel.coordination.member_state import NO_SNAPSHOT, MemberState, Role
+from heronreel.coordination.messages import Hello, ResetDisk, Status
+from heronreel.coordination.replication import lead, start_round
+
+_FIRST_TERM = 1
+
+V = TypeVar("V")
+
+# -- founding a group
+
+
+def greet(state: MemberState, now: float) -> Actions:
+    """Announce a new disk to all configured members, or found a group of one."""
+    if state.configured_members == (state.name,):
+        return _found_group(state, now)
+    hello = Hello(state.name, state.incarnation)
+    return [Send(name, hello) for name in state.configured_members if name != state.name]
+
+
+def receive_hello(state: MemberState, message: Hello) -> Actions:
+    """A member with a new disk: a leader admits it at its next tick."""
+    name = message.sender
+    belongs = name in state.members or name in (state.desired_members or ())
+    if state.role is Role.LEADER and belongs and state.members.get(name) != message.incarnation:
+        state.joining = state.joining.set(name, message.incarnation)
+    is_new = state.role is Role.NEW and not state.group_id
+    return [Send(name, Status(state.name, state.incarnation, is_new))]
+
+
+def receive_status(state: MemberState, now: float, message: Status) -> Actions:
+    """The response to a greeting.
+
+    Only the first member by name founds a group, and only if the disks of all others are new as well.
+    """
+    if state.role is not Role.NEW or state.group_id or state.name != state.configured_members[0]:
+        return []
+    if not message.new:
+        state.joining = _without(state.joining, message.sender)
+        return []
+    state.joining = state.joining.set(message.sender, message.incarnation)
+    all_new = len(state.joining) == len(state.configured_members) - 1
+    return _found_group(state, now) if all_new else []
+
+
+def _found_group(state: MemberState, now: float) -> Actions:
+    """Lead a new group: its first version names all members, and each accepts it only if it is named."""
+    members = dict(sorted({**state.joining, state.name: state.incarnation}.items()))
+    state.group_id = state.incarnation
+    state.ballot = state.promised = Ballot(_FIRST_TERM, state.proposer_id())
+    state.highest_term = _FIRST_TERM
+    state.newest = NO_SNAPSHOT
+    state.joining = Map()
+    state.members = Map(members)
+    return lead(state, now, ((MEMBERSHIP_KEY, encode_membership(members)),))
+
+
+# -- changes by a leader
+
+
+def admit_member(state: MemberState, now: float) -> Actions:
+    """Admit the first by name of the members with new disks.
+
+    A readmitted member does not count towards the quorum of this round, since it has forgotten what it
+    promised.  An added member does.
+    """
+    name, incarnation = min(state.joining.items())
+    state.joining = state.joining.delete(name)
+    is_added = name not in state.members
+    is_wanted = name in (state.desired_members or ())
+    if state.members.get(name) == incarnation or (is_added and not is_wanted):
+        return []
+    members = {**state.members, name: incarnation}
+    if not state.guards.single_change:
+        members |= state.joining
+    state.last_contact = state.last_contact.set(name, now)
+    return _change_members(state, now, members, uncounted="" if is_added else name)
+
+
+def surplus_members(state: MemberState) -> list[str]:
+    """The members to be removed, in this order, once all desired ones are present.
+
+    Those that have been silent for longest come first, and this member comes last.
+    """
+    present = frozenset(state.members)
+    if not state.desired_members or not state.desired_members <= present:
+        return []
+    surplus = present - state.desired_members
+    return sorted(surplus, key=lambda name: (name == state.name, state.last_contact.get(name, 0.0), name))
+
+
+def remove_member(state: MemberState, now: float) -> Actions:
+    """Remove the first of the surplus members."""
+    surplus = surplus_members(state)
+    removed = surplus[:1] if state.guards.single_change else surplus
+    members = {name: incarnation for name, incarnation in state.members.items() if name not in removed}
+    return _change_members(state, now, members)
+
+
+def _change_members(
+    state: MemberState, now: float, members: Mapping[str, str], *, uncounted: str = ""
+) -> Actions:
+    members = dict(sorted(members.items()))
+    changed = [name for name, incarnation in state.members.items() if members.get(name) != incarnation]
+    state.members = Map(members)
+    for name in changed:
+        state.acknowledgements = _without(state.acknowledgements, name)
+        state.confirmed_versions = _without(state.confirmed_versions, name)
+    return start_round(state, now, ((MEMBERSHIP_KEY, encode_membership(members)),), uncounted=uncounted)
+
+
+def _without(rows: Map[str, V], name: str) -> Map[str, V]:
+    return rows.delete(name) if name in rows else rows
+
+
+# -- a disk that was rolled back
+
+
+def receive_reset_disk(state: MemberState, message: ResetDisk) -> Actions:
+    """A leader knows that this disk held a newer version than it does."""
+    is_ours = message.group_id == state.group_id and message.receiver_incarnation == state.incarnation
+    if not is_ours or message.ballot < state.promised:
+        return []
+    return [EraseDisk(f"{message.sender} knows that this disk held more")]
--- a/heronreel/coordination/model.py
+++ b/heronreel/coordination/model.py
@@ -1,7 +1,7 @@
-"""What is asked of a group and what it answers.  The names are those of etcd's v3 interface.
+"""The requests to a group and its responses.  The names are those of etcd's v3 interface.
 
-Keys and values are bytes.  A revision counts the changes of the whole state, from 1 for the empty one;
-times to live are whole seconds, as there.
+Keys and values are bytes.  A revision counts the changes of the whole state, from 1 for the empty one.
+Times to live are whole seconds.
 """
 
 from __future__ import annotations
@@ -11,6 +11,8 @@
 
 import msgspec
 
+from heronreel.coordination.errors import RequestError
+
 MAX_KEY_BYTES = 1024  # bytes of a key
 MAX_VALUE_BYTES = 256 << 10  # bytes of a value
 MAX_OPERATIONS = 128  # in one transaction, each way, and as many compares
@@ -20,22 +22,34 @@
 MAX_LEASE_ID = (1 << 63) - 1
 
 
+ALL_FOLLOWING_KEYS = b"\0"  # as the end of a range
+
+
 def prefix_end(prefix: bytes) -> bytes:
     """The end of the range of keys that begin with `prefix`."""
     return prefix[:-1] + bytes([prefix[-1] + 1])
 
 
+def key_in_range(key: bytes, first: bytes, end: bytes) -> bool:
+    """Whether a key is in the range from `first` up to `end`, in the notation of `Range`."""
+    if not end:
+        return key == first
+    return key >= first and (end == ALL_FOLLOWING_KEYS or key < end)
+
+
 class Record(NamedTuple):
     """What a key holds."""
 
     value: bytes
-    create: int  # the revision that made the key; 0 would be: none
-    mod: int  # the revision that wrote it last
-    version: int  # writes since it was made, from 1
-    lease: int  # the lease that it ends with; 0: none
+    create_revision: int  # that created the key
+    mod_revision: int  # that last wrote it
+    version: int  # writes since it was created, from 1
+    lease: int  # the lease that it is deleted with; 0: none
 
 
 class CompareTarget(enum.Enum):
+    """What of a record is compared."""
+
     VERSION = "VERSION"
     CREATE = "CREATE"
     MOD = "MOD"
@@ -44,6 +58,8 @@
 
 
 class CompareOperator(enum.Enum):
+    """How the record's part, on the left, is compared with the given value."""
+
     EQUAL = "EQUAL"
     GREATER = "GREATER"
     LESS = "LESS"
@@ -51,7 +67,7 @@
 
 
 class Compare(msgspec.Struct, frozen=True):
-    """Whether what `key` has stands so to `value`; a key that is not there has 0 of all, and no value."""
+    """A condition on a key's record.  A missing key has 0 of everything, and no value."""
 
     key: bytes
     target: CompareTarget
@@ -60,34 +76,41 @@
 
 
 class Range(msgspec.Struct, frozen=True):
-    """The keys from `key` up to `end`: `end` empty means the one key, and one NUL byte means all behind."""
+    """The keys from `key` up to, and without, `end`.
+
+    An empty `end` means the one key, and `ALL_FOLLOWING_KEYS` all from `key` on.
+    """
 
     key: bytes
     end: bytes = b""
-    limit: int = 0  # records answered at most; 0: all
-    revision: int = 0  # 0: the newest; an older one is not kept
+    limit: int = 0  # of records in the response; 0: none
+    revision: int = 0  # 0: the newest; older ones are not kept
     keys_only: bool = False
     count_only: bool = False
 
 
 class Put(msgspec.Struct, frozen=True):
+    """Write a key."""
+
     key: bytes
     value: bytes
     lease: int = 0
-    previous: bool = False  # answer what was there before
+    previous: bool = False  # whether the response has the record before
 
 
 class DeleteRange(msgspec.Struct, frozen=True):
+    """Delete the keys of a range, which is given as in `Range`."""
+
     key: bytes
     end: bytes = b""
-    previous: bool = False
+    previous: bool = False  # whether the response has the deleted records
 
 
 Operation = Range | Put | DeleteRange
 
 
 class Txn(msgspec.Struct, frozen=True):
-    """If all compares hold, `success` is done, `failure` otherwise; as a whole either way."""
+    """Carry out `success` if all compares hold, and `failure` otherwise; atomically either way."""
 
     compares: tuple[Compare, ...] = ()
     success: tuple[Operation, ...] = ()
@@ -100,108 +123,103 @@
 
 
 class LeaseGrant(msgspec.Struct, frozen=True):
-    """A lease of `ttl` seconds.  With `id` 0 the group chooses one; a chosen one is granted once."""
+    """Grant a lease of `ttl` seconds.  With `id` 0 the group chooses one; a given one must not exist."""
 
     ttl: int
     id: int = 0
 
 
 class LeaseRevoke(msgspec.Struct, frozen=True):
+    """End a lease, and delete its keys."""
+
     id: int
 
 
 class LeaseKeepAlive(msgspec.Struct, frozen=True):
+    """Renew a lease for its granted time."""
+
     id: int
 
 
 class LeaseTimeToLive(msgspec.Struct, frozen=True):
+    """The time a lease has left, and with `keys` the keys attached to it."""
+
     id: int
     keys: bool = False
 
 
 class LeaseList(msgspec.Struct, frozen=True):
-    """All leases, by number."""
+    """The ids of all leases, in ascending order."""
 
 
-Request = (
-    Range | Put | DeleteRange | Txn | LeaseGrant | LeaseRevoke | LeaseKeepAlive | LeaseTimeToLive | LeaseList
-)
+StateRequest = Range | Put | DeleteRange | Txn | LeaseGrant | LeaseRevoke  # the state alone decides these
+LeaseTimeRequest = LeaseKeepAlive | LeaseTimeToLive | LeaseList  # only the leader knows the time of leases
+Request = StateRequest | LeaseTimeRequest
 
 
 class RangeResponse(NamedTuple):
+    """The records of a range, in the order of their keys."""
+
     revision: int
     records: tuple[tuple[bytes, Record], ...]
-    total: int  # of the keys there are, whatever the limit
-    more: bool
+    total: int  # of keys in the range, whatever the limit
+    more: bool  # whether the limit cut some off
 
 
 class PutResponse(NamedTuple):
+    """The response to `Put`."""
+
     revision: int
     previous: Record | None
 
 
 class DeleteRangeResponse(NamedTuple):
+    """The response to `DeleteRange`."""
+
     revision: int
-    deleted: int
+    deleted: int  # how many keys
     previous: tuple[tuple[bytes, Record], ...]
 
 
+OperationResponse = RangeResponse | PutResponse | DeleteRangeResponse
+
+
 class TxnResponse(NamedTuple):
+    """The response to `Txn`: which branch was carried out, and the responses to its operations."""
+
     revision: int
     succeeded: bool
-    results: tuple[RangeResponse | PutResponse | DeleteRangeResponse, ...]
+    responses: tuple[OperationResponse, ...]
 
 
 class LeaseResponse(NamedTuple):
-    """Of grant, revoke, keep-alive and time-to-live; `ttl` is 0 or below where the lease has ended."""
+    """The response to grant, revoke, keep-alive and time-to-live.
+
+    The `ttl` is 0 or below if the lease has ended.
+    """
 
     revision: int
     id: int
     ttl: int
-    granted: int = 0
+    granted_ttl: int = 0
     keys: tuple[bytes, ...] = ()
 
 
 class LeaseListResponse(NamedTuple):
+    """The response to `LeaseList`."""
+
     revision: int
     ids: tuple[int, ...]
 
 
-class StatusCode(enum.IntEnum):
-    """Why a request was not done: the numbers are gRPC's codes, as the gateway answers them."""
-
-    INVALID_ARGUMENT = 3
-    DEADLINE_EXCEEDED = 4  # it may have been done
-    NOT_FOUND = 5
-    ALREADY_EXISTS = 6
-    RESOURCE_EXHAUSTED = 8
-    FAILED_PRECONDITION = 9
-    OUT_OF_RANGE = 11
-    UNKNOWN = 2  # it was begun, and may have been done
-    UNAVAILABLE = 14  # it was not done
-
-
-class RequestError(Exception):
-    """A request that was not done, or of which nobody knows whether it was (`outcome_unknown`)."""
-
-    def __init__(self, code: StatusCode, what: str) -> None:
-        super().__init__(what)
-        self.code = code
-        self.what = what
-
-    @property
-    def outcome_unknown(self) -> bool:
-        return self.code in (StatusCode.DEADLINE_EXCEEDED, StatusCode.UNKNOWN)
-
-
 Response = RangeResponse | PutResponse | DeleteRangeResponse | TxnResponse | LeaseResponse | LeaseListResponse
 ResponseOrError = Response | RequestError
 
 
 class Event(NamedTuple):
-    """One change of one key, as watches tell it."""
+    """One change of one key, as watches report it."""
 
     key: bytes
-    record: Record | None  # None: the key is gone
+    record: Record | None  # None: the key was deleted
     previous: Record | None
     revision: int
--- /dev/null
+++ b/heronreel/coordination/watches.py
@@ -0,0 +1,126 @@
+"""Watches: the recent history of changes, and who is notified of new ones."""
+
+from __future__ import annotations
+
+import copy
+from collections import deque
+from collections.abc import Iterable
+from typing import NamedTuple
+
+from heronreel.coordination.model import Event, key_in_range
+
+MAX_HISTORY_REVISIONS = 20_000  # kept for watches that start in the past
+MAX_HISTORY_BYTES = 16 << 20
+MAX_WATCHES = 5_000
+EVENT_OVERHEAD_BYTES = 200  # counted for an event beside its key and values
+
+Events = tuple[Event, ...]  # of one revision
+
+
+class WatchNotified(NamedTuple):
+    """Events of a watch, up to and including a revision.
+
+    With `compact_revision` above 0 the changes before that revision are no longer kept, and the watch has
+    ended. With `ended` this member can notify it no more.
+    """
+
+    watch_id: int
+    revision: int
+    events: Events
+    compact_revision: int = 0
+    ended: bool = False
+
+
+class _Watch(NamedTuple):
+    key: bytes
+    end: bytes
+    next_revision: int  # the first revision it has not been notified of
+
+    def matches(self, event: Event) -> bool:
+        return event.revision >= self.next_revision and key_in_range(event.key, self.key, self.end)
+
+
+class WatchHub:
+    """The watches of one member while it leads, and the changes since it does."""
+
+    def __init__(self) -> None:
+        self._history: deque[Events] = deque()
+        self._history_bytes = 0
+        self._compacted_revision = 0  # the history begins after it
+        self._watches: dict[int, _Watch] = {}
+
+    def fork(self) -> WatchHub:
+        """A copy that goes on independently."""
+        forked = copy.copy(self)
+        forked._history = self._history.copy()
+        forked._watches = self._watches.copy()
+        return forked
+
+    def reset(self, revision: int) -> None:
+        """Forget the history: it begins after `revision`."""
+        self._history.clear()
+        self._history_bytes = 0
+        self._compacted_revision = revision
+
+    def add(self, watch_id: int, key: bytes, end: bytes, start: int, revision: int) -> WatchNotified:
+        """Add a watch of a range, and return its first notification, with the past events it asks for.
+
+        Args:
+            watch_id: names the watch in its notifications.
+            key: the range's first key.
+            end: the range's end, as in `model.Range`.
+            start: the first revision to notify of; 0: the next one.
+            revision: the present revision.
+        """
+        if len(self._watches) >= MAX_WATCHES:
+            return WatchNotified(watch_id, revision, (), ended=True)
+        start = start or revision + 1
+        if start <= self._compacted_revision:
+            return WatchNotified(watch_id, revision, (), compact_revision=self._compacted_revision + 1)
+        watch = _Watch(key, end, start)
+        past = tuple(event for events in self._history for event in events if watch.matches(event))
+        self._watches[watch_id] = watch._replace(next_revision=max(start, revision + 1))
+        return WatchNotified(watch_id, revision, past)
+
+    def remove(self, watch_id: int) -> None:
+        """Remove a watch, if it is there."""
+        self._watches.pop(watch_id, None)
+
+    def end_all(self, revision: int) -> list[WatchNotified]:
+        """End all watches."""
+        ended = [WatchNotified(watch_id, revision, (), ended=True) for watch_id in self._watches]
+        self._watches.clear()
+        return ended
+
+    def publish(self, changes: Iterable[Events], revision: int) -> list[WatchNotified]:
+        """Add changes, one element a revision, to the history, and notify the watches that match them."""
+        published = [event for events in changes for event in events]
+        if not published:
+            return []
+        for events in changes:
+            self._history.append(events)
+            self._history_bytes += _size(events)
+        self._compact()
+        notifications: list[WatchNotified] = []
+        for watch_id, watch in self._watches.items():
+            matching = tuple(event for event in published if watch.matches(event))
+            if matching:
+                notifications.append(WatchNotified(watch_id, revision, matching))
+        return notifications
+
+    def _compact(self) -> None:
+        """Drop the oldest changes until the history is within its limits."""
+        while len(self._history) > MAX_HISTORY_REVISIONS or self._history_bytes > MAX_HISTORY_BYTES:
+            dropped = self._history.popleft()
+            self._history_bytes -= _size(dropped)
+            self._compacted_revision = dropped[0].revision
+
+
+def _size(events: Events) -> int:
+    """The bytes that the events of a revision are counted with."""
+    size = 0
+    for event in events:
+        records = (event.record, event.previous)
+        values = (record.value for record in records if record is not None)
+        size += EVENT_OVERHEAD_BYTES + len(event.key) + sum(map(len, values))
+    return size
--- a/heronreel/fault_injection/explore.py
+++ b/heronreel/fault_injection/explore.py
@@ -1,4 +1,7 @@
-"""Every order of events of a small world, breadth first, so that what is found first is shortest."""
+"""Exhaustive exploration: every order of events of a small world, breadth first.
+
+Breadth first means that the first counterexample found is a shortest one.
+"""
 
 from __future__ import annotations
 
@@ -8,110 +11,136 @@
 from typing import Any, NamedTuple, Protocol, TypeVar, cast
 
 
-class Broken(Exception):
-    """A promise that a step breaks."""
+class ExplorationError(Exception):
+    """The base of this module's errors."""
+
+
+class InvariantViolationError(ExplorationError):
+    """A step breaks an invariant of its world."""
+
+    def __init__(self, reason: str, step: str) -> None:
+        """Takes what is broken, and the description of the step that breaks it."""
+        super().__init__(reason, step)
+        self.reason = reason
+        self.step = step
+
+
+class UnknownStepError(ExplorationError, ValueError):
+    """A world has no step of the given description."""
 
 
 class World(Protocol):
-    """One state.  Steps make new ones and leave this one as it is."""
+    """One state.  Its steps make new states and leave this one as it is."""
 
     def key(self) -> Hashable:
         """Equal for states that have the same future."""
         ...
 
     def steps(self) -> Iterable[tuple[str, World]]:
-        """All that can happen next, with what it leads to.  Raises Broken, with the step in words."""
+        """All that can happen next: descriptions, and the states they lead to.
+
+        Raises:
+            InvariantViolationError: a step breaks an invariant.
+        """
         ...
 
 
 W = TypeVar("W", bound=World)
 
 
-class Found(NamedTuple):
-    """What exploring came to: states seen, steps taken, and the shortest way to a broken promise."""
+class ExplorationResult(NamedTuple):
+    """What an exploration has seen, and the shortest path to a violation."""
 
     states: int
     steps: int
-    whole: bool  # all of them were seen, and not only the first so many
-    broken: str | None = None
-    way: tuple[str, ...] = ()
+    complete: bool  # all states were seen, and not only as many as allowed
+    violation: str | None = None
+    path: tuple[str, ...] = ()  # the descriptions of the steps to the violation
 
     def __str__(self) -> str:
-        if self.broken is None:
-            return f"{self.states:,} states, {self.steps:,} steps{'' if self.whole else ', cut off'}: kept"
-        lines = [f"broken after {len(self.way)} steps: {self.broken}"]
-        lines += [f"  {number:2} {words}" for number, words in enumerate(self.way, 1)]
+        if self.violation is None:
+            return f"{self.states:,} states, {self.steps:,} steps{'' if self.complete else ', cut off'}: kept"
+        lines = [f"broken after {len(self.path)} steps: {self.violation}"]
+        lines += [f"  {number:2} {description}" for number, description in enumerate(self.path, 1)]
         return "\n".join(lines)
 
 
-def after(start: W, *words: str) -> W:
-    """The state behind the given steps, each named by how its words begin: where a search may start."""
+def advance(start: W, *prefixes: str) -> W:
+    """The state after the given steps, each named by a prefix of its description.
+
+    Raises:
+        UnknownStepError: a state has no such step.
+    """
     world: Any = start
-    for word in words:
-        names = []
-        for name, reached in world.steps():
-            if name.startswith(word):
+    for prefix in prefixes:
+        descriptions = []
+        for description, reached in world.steps():
+            if description.startswith(prefix):
                 world = reached
                 break
-            names.append(name)
+            descriptions.append(description)
         else:
-            raise ValueError(f"no step {word!r} among {names}")
+            raise UnknownStepError(f"no step {prefix!r} among {descriptions}")
     return cast(W, world)
 
 
-def walk(world: World, rng: random.Random, steps: int) -> list[str]:
-    """One random way through a world too large for every order; empty unless it comes to a broken promise."""
-    way: list[str] = []
+def random_walk(world: World, rng: random.Random, steps: int) -> list[str]:
+    """One random path through a world too large to explore; empty unless it comes to a violation."""
+    path: list[str] = []
     try:
         for _ in range(steps):
             choices = list(world.steps())
             if not choices:
                 break
-            words, world = rng.choice(choices)
-            way.append(words)
-    except Broken as broken:
-        return [*way, broken.args[1], broken.args[0]]
+            description, world = rng.choice(choices)
+            path.append(description)
+    except InvariantViolationError as violation:
+        return [*path, violation.step, violation.reason]
     return []
 
 
-def explore(start: World, most: int) -> Found:
-    """Look at up to `most` states.  States are told apart by 64-bit hashes of their keys: of a million, two
-    different ones are taken for one with a chance of 3 in 100 million.
+def explore(start: World, max_states: int) -> ExplorationResult:
+    """Explore up to `max_states` states.
+
+    States are told apart by 64-bit hashes of their keys: of a million, two different ones are taken for the
+    same with a probability of 3 in 100 million.
     """
-    gc.disable()  # millions of objects, none in a circle
+    gc.disable()  # millions of objects, and no reference cycles
     try:
-        return _explore(start, most)
+        return _explore(start, max_states)
     finally:
         gc.enable()
 
 
-def _explore(start: World, most: int) -> Found:
+def _explore(start: World, max_states: int) -> ExplorationResult:
     first = hash(start.key())
-    came: dict[int, tuple[int, str] | None] = {first: None}
-    edge: list[tuple[int, World]] = [(first, start)]
+    came_from: dict[int, tuple[int, str] | None] = {first: None}
+    frontier: list[tuple[int, World]] = [(first, start)]
     steps = 0
-    while edge:
-        fresh: list[tuple[int, World]] = []
-        for mark, world in edge:
+    while frontier:
+        next_frontier: list[tuple[int, World]] = []
+        for state, world in frontier:
             try:
-                for words, reached in world.steps():
+                for description, reached in world.steps():
                     steps += 1
-                    there = hash(reached.key())
-                    if there in came:
+                    next_state = hash(reached.key())
+                    if next_state in came_from:
                         continue
-                    came[there] = mark, words
-                    fresh.append((there, reached))
-            except Broken as broken:
-                return Found(len(came), steps, False, broken.args[0], (*_way(came, mark), broken.args[1]))
-            if len(came) >= most:
-                return Found(len(came), steps, False)
-        edge = fresh
-    return Found(len(came), steps, True)
-
-
-def _way(came: dict[int, tuple[int, str] | None], mark: int) -> tuple[str, ...]:
-    words: list[str] = []
-    while (before := came[mark]) is not None:
-        mark = before[0]
-        words.append(before[1])
-    return tuple(reversed(words))
+                    came_from[next_state] = state, description
+                    next_frontier.append((next_state, reached))
+            except InvariantViolationError as violation:
+                path = (*_path_to(came_from, state), violation.step)
+                return ExplorationResult(len(came_from), steps, False, violation.reason, path)
+            if len(came_from) >= max_states:
+                return ExplorationResult(len(came_from), steps, False)
+        frontier = next_frontier
+    return ExplorationResult(len(came_from), steps, True)
+
+
+def _path_to(came_from: dict[int, tuple[int, str] | None], state: int) -> tuple[str, ...]:
+    """The descriptions of the steps to a state."""
+    path: list[str] = []
+    while (origin := came_from[state]) is not None:
+        state, description = origin
+        path.append(description)
+    return tuple(reversed(path))
--- a/heronreel/fault_injection/group_world.py
+++ b/heronreel/fault_injection/group_world.py
@@ -1,117 +1,118 @@
-"""A group of real `ConsensusMember` cores between a network that loses, doubles and delays, and disks that
-crash.
+"""A group of real `ConsensusMember` cores between a lossy network and disks that crash.
 
-Messages once sent stay sent: each may be delivered at any later time, again, or never.  A write waits for
-its disk until a step of its own makes it durable; a crash takes what waits.  Any member may try to lead at
-any time: no clock keeps it from that, so what holds here does not rest on time-outs.
+Messages that were sent stay sent: each may be delivered at any later time, again, or never.  A write waits
+for its disk until a step of its own makes it durable, and a crash takes the writes that wait.  Any member
+may start an election at any time: no clock keeps it from that, so what holds here does not depend on
+time-outs.
 
-The judge knows which writes were confirmed to a client, and looks at what leaders then show: a leader that
-begins and a confirmed reading must have every write that had been confirmed before it began.
+The judge knows which writes were confirmed to a client, and checks what leaders then show: a leader that
+begins and a confirmed read must have every write that had been confirmed before it began.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Hashable, Iterator
+from enum import Enum
 from typing import NamedTuple
 
-import msgspec
 from immutables import Map
 
-from heronreel.coordination.consensus import (
-    ALL_GUARDS,
+from heronreel.coordination.actions import Actions, EraseDisk, Persist, RoundCommitted, Send
+from heronreel.coordination.ballots import Ballot, Version
+from heronreel.coordination.consensus import ConsensusMember
+from heronreel.coordination.group_records import (
     CONFIRMED_VERSIONS_KEY,
     MEMBERSHIP_KEY,
+    encode_confirmed_versions,
+    encode_membership,
+)
+from heronreel.coordination.keyspace import Content, apply_writes
+from heronreel.coordination.member_state import ALL_GUARDS, DurableState, Guards, Role, Timing
+from heronreel.coordination.messages import (
     Accept,
     Accepted,
-    Actions,
     AnyMessage,
-    Ballot,
-    ConsensusMember,
-    DurableState,
-    EraseDisk,
-    Guards,
     Hello,
-    Persist,
     Prepare,
     Promise,
     ResetDisk,
-    Role,
-    RoundCommitted,
-    Send,
-    Timing,
-    Version,
 )
-from heronreel.coordination.keyspace import apply_writes
-from heronreel.fault_injection.explore import Broken
+from heronreel.fault_injection.explore import InvariantViolationError
+from heronreel.fault_injection.group_network import MessagePool, SentMessage, describe_delivery
+
+NO_TIME = Timing(
+    heartbeat_interval=0.0, retransmit_interval=0.0, election_timeout=0.0, step_down_timeout=math.inf
+)
+NOW = 0.0  # at every step
 
-NO_TIME = Timing(beat=0.0, resend=0.0, patience=0.0, contact=math.inf)
-_FIELDS = (
-    "incarnation", "group", "promised", "version", "content", "members", "confirmed", "role", "seen",
-    "ballot", "promises", "best", "number", "pending", "established", "have", "new",
+# what two equal states of a member have in common; the numbers of its Persists are compared as differences
+_STATE_FIELDS = (
+    "incarnation", "group_id", "promised", "version", "content", "members", "confirmed_versions", "role",
+    "highest_term", "ballot", "promises", "newest", "round_number", "round_in_flight", "established",
+    "acknowledgements", "joining",
 )  # fmt: skip
 
 
 class Budget(NamedTuple):
-    """How often each thing may happen, by whom it may: what keeps the world small."""
+    """How often each thing may happen: what keeps the world small.
 
-    tries: str = "ab"  # to lead: each member as often as it stands here
+    A string names the members that something may happen to, each as often as it occurs there.
+    """
+
+    elections: str = "ab"  # who starts an election
     writes: int = 2
     reads: int = 0
-    crashes: str = ""  # who crashes and is back, as often as it stands here
-    lost: str = ""  # whose disk is lost in a crash
-    restored: str = ""  # whose disk is set back to an old copy in a crash
+    crashes: str = ""  # who crashes and restarts
+    lost_disks: str = ""  # whose disk is lost in a crash
+    restored_disks: str = ""  # whose disk is restored from an older copy in a crash
+
 
+class Event(Enum):
+    """What may happen to a member beside the delivery of a message.  The value completes "NAME: "."""
 
-class Place:
-    """One member, its disk, and what waits for it.  Never changed once made."""
+    SYNC = "the write reaches the disk"
+    HELLO = "says hello"
+    ELECTION = "starts an election"
+    ADMIT = "admits a new disk"
+    REMOVE = "removes a member"
+    WRITE = "a client writes"
+    READ = "a client reads"
+    CRASH = "crashes and restarts"
+    LOSE_DISK = "crashes, and restarts with a new disk"
+    RESTORE_DISK = "crashes, and restarts with an old copy"
 
-    __slots__ = ("copy", "core", "disk", "mark", "waits")
+
+class Node:
+    """One member, its disk, and the writes that wait for it.  Never changed once made."""
+
+    __slots__ = ("backup", "core", "disk", "mark", "waiting")
 
     def __init__(
-        self, core: ConsensusMember, disk: DurableState, waits: tuple[Persist, ...], copy: DurableState
+        self, core: ConsensusMember, disk: DurableState, waiting: tuple[Persist, ...], backup: DurableState
     ) -> None:
+        """Takes the parts; `backup` is an older copy of the disk."""
         self.core = core
         self.disk = disk
-        self.waits = waits
-        self.copy = copy  # an older copy of the disk
-        self.mark = hash((
-            tuple(getattr(core, field) for field in _FIELDS),
-            core.self_ack - core.synced, core.self_promise - core.synced, disk,
-            tuple(wait._replace(number=0) for wait in waits),
-        ))  # fmt: skip
-
-
-class Sent(NamedTuple):
-    """A message on its way, under a number that equal ones share."""
-
-    number: int
-    to: str
-    message: AnyMessage
-
-    def __hash__(self) -> int:
-        return self.number
-
-    def __eq__(self, other: object) -> bool:
-        return isinstance(other, Sent) and self.number == other.number
-
-
-_NUMBERS: dict[tuple[str, AnyMessage], Sent] = {}
-
-
-def _sent(to: str, message: AnyMessage) -> Sent:
-    known = _NUMBERS.get((to, message))
-    if known is None:
-        known = _NUMBERS[to, message] = Sent(len(_NUMBERS), to, message)
-    return known
-
-
-class Reading(NamedTuple):
-    """A round that shows what the leader has, and the writes confirmed when it began."""
+        self.waiting = waiting
+        self.backup = backup
+        self.mark = hash(
+            (
+                tuple(getattr(core, field) for field in _STATE_FIELDS),
+                core.own_accept_persist - core.synced_persist,
+                core.own_promise_persist - core.synced_persist,
+                disk,
+                tuple(persist._replace(number=0) for persist in waiting),
+            )
+        )
+
+
+class Read(NamedTuple):
+    """A round that shows what the leader has, and the writes that were confirmed when it began."""
 
     ballot: Ballot
-    number: int
-    before: frozenset[bytes]
+    round_number: int
+    confirmed_before: frozenset[bytes]
 
 
 class GroupWorld:
@@ -124,251 +125,323 @@
         guards: Guards = ALL_GUARDS,
         *,
         founders: tuple[str, ...] = (),
-        wish: tuple[str, ...] = (),
+        desired_members: tuple[str, ...] = (),
     ) -> None:
-        """`founders` are in the group at first (all of `names` if none are named), the others' disks are
-        new; with a `wish` the group is to become that.
+        """Starts with a group that has a history.
+
+        Args:
+            names: of all processes.
+            budget: how often each thing may happen.
+            guards: the safeguards in force.
+            founders: the members of the group at first; all of `names` if none are named.  The disks of the
+                others are new.
+            desired_members: who the group is to consist of; nobody: whoever does already.
         """
         self.budget = budget
         self.guards = guards
         self.names = names
-        self.wish = frozenset(wish) or None
-        names = founders or names
-        incarnations = {name: f"{name}1" for name in names}
-        old = Map({MEMBERSHIP_KEY: msgspec.msgpack.encode(incarnations)})
-        ballot = Ballot(1, f"{names[0]}/{names[0]}1")
+        self.desired_members = frozenset(desired_members) or None
+        self.pool = MessagePool()
+        self.nodes: Map[str, Node] = Map()
+        self._make_nodes(founders or names)
+        self.sent: frozenset[SentMessage] = frozenset()
+        self.confirmed: frozenset[bytes] = frozenset()
+        self.writes: Map[tuple[Ballot, int], bytes] = Map()  # in flight, by ballot and round
+        self.reads: frozenset[Read] = frozenset()
+        self.last_name = 0  # counts the names of writes and incarnations
+
+    def _make_nodes(self, founders: tuple[str, ...]) -> None:
+        incarnations = {name: f"{name}1" for name in founders}
+        group_id = incarnations[founders[0]]
+        ballot = Ballot(1, f"{founders[0]}/{group_id}")
         first = Version(*ballot, 1)
+        old: Content = Map({MEMBERSHIP_KEY: encode_membership(incarnations)})
         # all have confirmed the first version, and the second one says so
-        content = old.set(CONFIRMED_VERSIONS_KEY, msgspec.msgpack.encode(dict.fromkeys(names, first)))
-        self.places: Map[str, Place] = Map()
-        for name in names:
-            group = f"{names[0]}1"
-            disk = DurableState(f"{name}1", group, ballot, Version(*ballot, 2), content)
-            copy = DurableState(f"{name}1", group, ballot, Version(*ballot, 0), old)
-            self.places = self.places.set(name, Place(self._core(name, disk), disk, (), copy))
+        confirmed = encode_confirmed_versions(dict.fromkeys(founders, first))
+        content = old.set(CONFIRMED_VERSIONS_KEY, confirmed)
+        for name, incarnation in incarnations.items():
+            disk = DurableState(incarnation, group_id, ballot, Version(*ballot, 2), content)
+            backup = DurableState(incarnation, group_id, ballot, Version(*ballot, 0), old)
+            self._add_node(name, disk, backup)
         for name in self.names:
-            if name not in names:
+            if name not in founders:
                 disk = DurableState(f"{name}1")
-                self.places = self.places.set(name, Place(self._core(name, disk), disk, (), disk))
-        self.sent: frozenset[Sent] = frozenset()
-        self.confirmed: frozenset[bytes] = frozenset()
-        self.writing: Map[tuple[Ballot, int], bytes] = Map()  # writes under way, by ballot and round
-        self.reading: frozenset[Reading] = frozenset()
-        self.made = 0  # names of writes and incarnations
+                self._add_node(name, disk, disk)
+
+    def _add_node(self, name: str, disk: DurableState, backup: DurableState) -> None:
+        self.nodes = self.nodes.set(name, Node(self._core(name, disk), disk, (), backup))
 
     def _core(self, name: str, disk: DurableState) -> ConsensusMember:
-        core = ConsensusMember(name, self.names, disk, 0.0, timing=NO_TIME, guards=self.guards)
-        core.wish = self.wish
+        core = ConsensusMember(name, self.names, disk, NOW, timing=NO_TIME, guards=self.guards)
+        core.desired_members = self.desired_members
         return core
 
     def fork(self) -> GroupWorld:
+        """A copy that goes on independently."""
         copy = object.__new__(GroupWorld)
         copy.__dict__.update(self.__dict__)
         return copy
 
     def key(self) -> Hashable:
-        rows = tuple(self.places[name].mark for name in self.names)
-        return (rows, self.sent, self.confirmed, self.writing, self.reading, self.budget)
+        """Equal for states that have the same future."""
+        marks = tuple(self.nodes[name].mark for name in self.names)
+        return (marks, self.sent, self.confirmed, self.writes, self.reads, self.budget)
 
     # -- steps
 
     def steps(self) -> Iterator[tuple[str, GroupWorld]]:
-        budget = self.budget
+        """All that can happen next: descriptions, and the states they lead to.
+
+        Raises:
+            InvariantViolationError: a step shows that a confirmed write is lost.
+        """
         for name in self.names:
-            place = self.places[name]
-            core = place.core
-            if place.waits:
-                yield self._step(f"{name}: the write reaches the disk", name, "sync")
-            if core.role is Role.NEW and not core.group:
-                yield self._step(f"{name}: says hello", name, "hello")
-            stands = core.role is not Role.NEW and core.role is not Role.LEADER and name in core.members
-            if stands and name in budget.tries:
-                yield self._step(f"{name}: tries to lead", name, "stand")
-            if core.leads and not core.busy:
-                if core.changing:
-                    what = "takes a new disk up" if core.new else "lets a member go"
-                    yield self._step(f"{name}: {what}", name, "tick")
-                if budget.writes:
-                    yield self._step(f"{name}: a client writes", name, "write")
-                if budget.reads:
-                    yield self._step(f"{name}: a client reads", name, "read")
-            if name in budget.crashes:
-                yield self._step(f"{name}: crashes and is back", name, "crash")
-            if name in budget.lost:
-                yield self._step(f"{name}: crashes, and is back with a new disk", name, "lose")
-            if name in budget.restored and place.copy != place.disk:
-                yield self._step(f"{name}: crashes, and is back with an old copy", name, "restore")
+            for event in (*self._protocol_events(name), *self._leader_events(name), *self._faults(name)):
+                yield self._step(name, event)
         for _, to, message in self.sent:
-            step = self._deliver(to, message)
-            if step is not None:
-                yield f"{to}: is told by {message.sender}: {_words(message)}", step
+            yield self._delivery(to, message)
+
+    def _protocol_events(self, name: str) -> Iterator[Event]:
+        node = self.nodes[name]
+        core = node.core
+        if node.waiting:
+            yield Event.SYNC
+        if core.role is Role.NEW and not core.group_id:
+            yield Event.HELLO
+        may_lead = core.role not in (Role.NEW, Role.LEADER) and name in core.members
+        if may_lead and name in self.budget.elections:
+            yield Event.ELECTION
+
+    def _leader_events(self, name: str) -> Iterator[Event]:
+        core = self.nodes[name].core
+        if not core.is_leader or core.has_round_in_flight:
+            return
+        if core.has_membership_change:
+            yield Event.ADMIT if core.joining else Event.REMOVE
+        if self.budget.writes:
+            yield Event.WRITE
+        if self.budget.reads:
+            yield Event.READ
+
+    def _faults(self, name: str) -> Iterator[Event]:
+        node = self.nodes[name]
+        if name in self.budget.crashes:
+            yield Event.CRASH
+        if name in self.budget.lost_disks:
+            yield Event.LOSE_DISK
+        if name in self.budget.restored_disks and node.backup != node.disk:
+            yield Event.RESTORE_DISK
+
+    def _step(self, name: str, event: Event) -> tuple[str, GroupWorld]:
+        description = f"{name}: {event.value}"
+        world = self.fork()
+        try:
+            world._apply(name, event)
+        except InvariantViolationError as violation:
+            raise InvariantViolationError(violation.reason, description) from None
+        return description, world
 
-    def _step(self, words: str, name: str, what: str) -> tuple[str, GroupWorld]:
+    def _delivery(self, to: str, message: AnyMessage) -> tuple[str, GroupWorld]:
+        description = describe_delivery(to, message)
         world = self.fork()
-        place = world.places[name]
-        core = place.core.fork()
-        budget = world.budget
+        core = self.nodes[to].core.fork()
         try:
-            if what == "sync":
-                persist, *waits = place.waits
-                disk = _kept(place.disk, persist)
-                world.places = world.places.set(name, Place(core, disk, tuple(waits), place.copy))
-                world._act(name, core, [*persist.then, *core.persisted(0.0, persist.number)])
-            elif what == "stand":
-                world.budget = budget._replace(tries=budget.tries.replace(name, "", 1))
-                world._act(name, core, core.stand(0.0))
-            elif what == "hello":
+            world._carry_out(to, core, core.receive(NOW, message))
+        except InvariantViolationError as violation:
+            raise InvariantViolationError(violation.reason, description) from None
+        return description, world
+
+    # -- events
+
+    def _apply(self, name: str, event: Event) -> None:
+        core = self.nodes[name].core.fork()
+        match event:
+            case Event.SYNC:
+                self._sync(name, core)
+            case Event.HELLO:
                 hello = Hello(name, core.incarnation)
-                world._act(name, core, [Send(each, hello) for each in self.names if each != name])
-            elif what == "tick":
-                world._act(name, core, core.tick(0.0))
-            elif what == "write":
-                world.budget = budget._replace(writes=budget.writes - 1)
-                world.made += 1
-                key = b"w%d" % world.made
-                actions = core.propose(0.0, ((key, b"1"),))
-                world.writing = world.writing.set((core.ballot, core.number), key)
-                world._act(name, core, actions)
-            elif what == "read":
-                world.budget = budget._replace(reads=budget.reads - 1)
-                actions = core.propose(0.0, ())
-                reading = Reading(core.ballot, core.number, world.confirmed)
-                world.reading = world.reading | {reading}
-                world._act(name, core, actions)
-            else:
-                world._crash(name, place, what)
-        except Broken as broken:
-            raise Broken(broken.args[0], words) from None
-        return words, world
-
-    def _crash(self, name: str, place: Place, what: str) -> None:
+                self._carry_out(name, core, [Send(each, hello) for each in self.names if each != name])
+            case Event.ELECTION:
+                self.budget = self.budget._replace(elections=self.budget.elections.replace(name, "", 1))
+                self._carry_out(name, core, core.start_election(NOW))
+            case Event.ADMIT | Event.REMOVE:
+                self._carry_out(name, core, core.tick(NOW))
+            case Event.WRITE:
+                self._write(name, core)
+            case Event.READ:
+                self._read(name, core)
+            case Event.CRASH | Event.LOSE_DISK | Event.RESTORE_DISK:
+                self._crash(name, event)
+
+    def _sync(self, name: str, core: ConsensusMember) -> None:
+        node = self.nodes[name]
+        persist, *waiting = node.waiting
+        disk = _persisted(node.disk, persist)
+        actions = [*persist.sends, *core.persisted(NOW, persist.number)]
+        self.nodes = self.nodes.set(name, Node(core, disk, tuple(waiting), node.backup))
+        self._carry_out(name, core, actions)
+
+    def _write(self, name: str, core: ConsensusMember) -> None:
+        self.budget = self.budget._replace(writes=self.budget.writes - 1)
+        self.last_name += 1
+        key = b"w%d" % self.last_name
+        actions = core.propose(NOW, ((key, b"1"),))
+        self.writes = self.writes.set((core.ballot, core.round_number), key)
+        self._carry_out(name, core, actions)
+
+    def _read(self, name: str, core: ConsensusMember) -> None:
+        self.budget = self.budget._replace(reads=self.budget.reads - 1)
+        actions = core.propose(NOW, ())
+        self.reads |= {Read(core.ballot, core.round_number, self.confirmed)}
+        self._carry_out(name, core, actions)
+
+    def _crash(self, name: str, event: Event) -> None:
         budget = self.budget
-        disk = place.disk
-        if what == "crash":
+        node = self.nodes[name]
+        if event is Event.CRASH:
             self.budget = budget._replace(crashes=budget.crashes.replace(name, "", 1))
-        elif what == "lose":
-            self.budget = budget._replace(lost=budget.lost.replace(name, "", 1))
-            self.made += 1
-            disk = DurableState(f"{name}{self.made + 1}")
+            disk = node.disk
+        elif event is Event.LOSE_DISK:
+            self.budget = budget._replace(lost_disks=budget.lost_disks.replace(name, "", 1))
+            disk = self._new_disk(name)
         else:
-            self.budget = budget._replace(restored=budget.restored.replace(name, "", 1))
-            disk = place.copy
-        self.places = self.places.set(name, Place(self._core(name, disk), disk, (), place.copy))
+            self.budget = budget._replace(restored_disks=budget.restored_disks.replace(name, "", 1))
+            disk = node.backup
+        self._add_node(name, disk, node.backup)
 
-    def _deliver(self, to: str, message: AnyMessage) -> GroupWorld | None:
-        """The world after it; None where it changes nothing."""
-        world = self.fork()
-        core = self.places[to].core.fork()
-        try:
-            actions = core.receive(0.0, message)
-            world._act(to, core, actions)
-        except Broken as broken:
-            words = f"{to}: is told by {message.sender}: {_words(message)}"
-            raise Broken(broken.args[0], words) from None
-        return world
+    def _new_disk(self, name: str) -> DurableState:
+        self.last_name += 1
+        return DurableState(f"{name}{self.last_name + 1}")
 
-    # -- what a member does, and the judge
+    # -- what a member does
 
-    def _act(self, name: str, core: ConsensusMember, actions: Actions) -> None:
-        disk, waits, copy = self.places[name].disk, self.places[name].waits, self.places[name].copy
+    def _carry_out(self, name: str, core: ConsensusMember, actions: Actions) -> None:
+        """Carry out a member's actions, and those that follow from them."""
+        node = self.nodes[name]
+        disk = node.disk
+        waiting = node.waiting
         sent = set(self.sent)
-        fails = name in self.budget.crashes + self.budget.lost + self.budget.restored
-        led = self.places[name].core.role is Role.LEADER
-        actions = list(actions)
+        was_leader = node.core.role is Role.LEADER
+        queue = list(actions)
         while True:
-            if core.role is Role.LEADER and not led:
-                led = True  # its first round shows what it goes on from
-                self.reading |= {Reading(core.ballot, 1, self.confirmed)}
-            if not actions:
+            if core.role is Role.LEADER and not was_leader:
+                was_leader = True  # its first round shows what it continues from
+                self.reads |= {Read(core.ballot, 1, self.confirmed)}
+            if not queue:
                 break
-            action = actions.pop(0)
+            action = queue.pop(0)
             if isinstance(action, Send):
-                sent.add(_sent(action.to, action.message))
-            elif isinstance(action, Persist) and (waits or (fails and self._waits(core))):
-                waits = (*waits, action)
+                sent.add(self.pool.intern(action.to, action.message))
+            elif isinstance(action, Persist) and (waiting or self._waits_for_disk(core)):
+                waiting = (*waiting, action)
             elif isinstance(action, Persist):
-                disk = _kept(disk, action)
-                actions += [*action.then, *core.persisted(0.0, action.number)]
+                disk = _persisted(disk, action)
+                queue += [*action.sends, *core.persisted(NOW, action.number)]
             elif isinstance(action, RoundCommitted):
                 self._confirm(core, action.number)
             elif isinstance(action, EraseDisk):
-                self.made += 1
-                disk = DurableState(f"{name}{self.made + 1}")
-                core, waits = self._core(name, disk), ()
+                disk = self._new_disk(name)
+                core = self._core(name, disk)
+                waiting = ()
                 break
-        self.places = self.places.set(name, Place(core, disk, waits, copy))
+        self.nodes = self.nodes.set(name, Node(core, disk, waiting, node.backup))
         self.sent = frozenset(each for each in sent if self._matters(each.to, each.message))
 
-    def _waits(self, core: ConsensusMember) -> bool:
-        """Whether a write may be caught by a crash before it is durable.
+    def _waits_for_disk(self, core: ConsensusMember) -> bool:
+        """Whether a crash may take a write before it is durable.
 
-        Of a member that answers another nothing has gone out by then, so that a crash there is one before the
-        message came: only a leader, whose rounds go out beside its own write, has to wait.
+        Of a member that responds to another nothing has been sent by then, so that a crash there is like one
+        before the message came: only a leader, whose rounds are sent while its own write is under way, has to
+        wait.
         """
+        budget = self.budget
+        if core.name not in budget.crashes + budget.lost_disks + budget.restored_disks:
+            return False
         return core.role is Role.LEADER or not self.guards.sync
 
-    def _confirm(self, core: ConsensusMember, number: int) -> None:
-        mark = core.ballot, number
-        if mark in self.writing:
-            self.confirmed |= {self.writing[mark]}
-            self.writing = self.writing.delete(mark)
-        for reading in self.reading:
-            if (reading.ballot, reading.number) == mark:
-                self._judge(core, reading.before, "leads, or answers a reading, without a confirmed write")
-                self.reading -= {reading}
+    # -- the judge
+
+    def _confirm(self, core: ConsensusMember, round_number: int) -> None:
+        """A round is committed: a write in it is confirmed to its client, and a read is answered."""
+        committed = core.ballot, round_number
+        if committed in self.writes:
+            self.confirmed |= {self.writes[committed]}
+            self.writes = self.writes.delete(committed)
+        for read in self.reads:
+            if (read.ballot, read.round_number) == committed:
+                self._check_read(core, read)
+                self.reads -= {read}
 
     @staticmethod
-    def _judge(core: ConsensusMember, confirmed: frozenset[bytes], words: str) -> None:
-        missing = sorted(key for key in confirmed if key not in core.content)
+    def _check_read(core: ConsensusMember, read: Read) -> None:
+        missing = sorted(key for key in read.confirmed_before if key not in core.content)
         if missing:
-            raise Broken(f"{core.name} {words}: {b', '.join(missing).decode()}", "")
+            names = b", ".join(missing).decode()
+            reason = f"{core.name} leads, or answers a read, without a confirmed write: {names}"
+            raise InvariantViolationError(reason, "")
+
+    # -- messages that no longer matter
 
     def _matters(self, to: str, message: AnyMessage) -> bool:
-        """Whether it could still do something.  What is left out counts as lost, which is always allowed."""
-        place = self.places[to]
-        core = place.core
-        if isinstance(message, Promise):
-            return core.role is Role.CANDIDATE and core.ballot == message.ballot and message.granted
-        if isinstance(message, Accepted):
-            leads = core.role is Role.LEADER and core.ballot == message.ballot
-            return leads and (message.number == core.number or bool(self.budget.restored))
-        if isinstance(message, Hello):
-            return message.incarnation == self.places[message.sender].core.incarnation
-        if not isinstance(message, (Prepare, Accept)):
-            return not isinstance(message, ResetDisk) or message.you == core.incarnation
-        if self.budget.restored or self.budget.lost:  # a disk may yet be what it was, or new
-            return message.ballot >= place.disk.promised or not self.guards.promise
-        asker = self.places[message.sender].core
-        asks = asker.ballot == message.ballot
-        if isinstance(message, Prepare):
-            if message.ballot == place.disk.promised:
-                return asks and asker.role is Role.CANDIDATE and to not in asker.promises
-            return message.ballot > place.disk.promised
-        if message.ballot < place.disk.promised:
+        """Whether a message could still have an effect.
+
+        What is left out counts as lost, which is always allowed.
+        """
+        core = self.nodes[to].core
+        match message:
+            case Promise():
+                is_candidate = core.role is Role.CANDIDATE and core.ballot == message.ballot
+                return is_candidate and message.granted
+            case Accepted():
+                leads = core.role is Role.LEADER and core.ballot == message.ballot
+                is_newest = message.round_number == core.round_number
+                return leads and (is_newest or bool(self.budget.restored_disks))
+            case Hello():
+                return message.incarnation == self.nodes[message.sender].core.incarnation
+            case Prepare():
+                return self._prepare_matters(to, message)
+            case Accept():
+                return self._accept_matters(to, message)
+            case ResetDisk():
+                return message.receiver_incarnation == core.incarnation
+            case _:
+                return True
+
+    def _prepare_matters(self, to: str, message: Prepare) -> bool:
+        promised = self.nodes[to].disk.promised
+        if self._disk_may_change():
+            return message.ballot >= promised or not self.guards.promise
+        if message.ballot != promised:
+            return message.ballot > promised
+        candidate = self.nodes[message.sender].core
+        is_open = candidate.ballot == message.ballot and candidate.role is Role.CANDIDATE
+        return is_open and to not in candidate.promises
+
+    def _accept_matters(self, to: str, message: Accept) -> bool:
+        node = self.nodes[to]
+        if self._disk_may_change():
+            return message.ballot >= node.disk.promised or not self.guards.promise
+        if message.ballot < node.disk.promised:
             return not self.guards.promise
-        have = place.disk.version
-        if have.ballot == message.ballot and have.step >= message.version.step and have == core.version:
-            pending = asker.pending
-            waited_for = pending is not None and message.number == pending.number and to not in pending.acks
-            return asks and asker.role is Role.LEADER and waited_for
-        return True
-
-
-def _kept(disk: DurableState, persist: Persist) -> DurableState:
-    content = apply_writes(Map() if persist.whole else disk.content, persist.writes)
-    return DurableState(disk.incarnation, persist.group, persist.promised, persist.version, content)
-
-
-def _words(message: AnyMessage) -> str:
-    if isinstance(message, Prepare):
-        return f"follow ballot {message.ballot.round}?"
-    if isinstance(message, Promise):
-        kind = "yes" if message.granted else "no"
-        version = message.version
-        return f"{kind} to ballot {message.ballot.round}, I have {version.round}.{version.step}"
-    if isinstance(message, Accept):
-        keys = [k.decode() for k, _ in message.writes if k not in (MEMBERSHIP_KEY, CONFIRMED_VERSIONS_KEY)]
-        return f"round {message.ballot.round}.{message.number} with {', '.join(keys) or 'nothing'}"
-    if isinstance(message, Accepted):
-        return f"I have {message.version.round}.{message.version.step}, for round {message.number}"
-    return type(message).__name__.lower()
+        version = node.disk.version
+        is_known = version.ballot == message.ballot and version.step >= message.version.step
+        if not is_known or version != node.core.version:
+            return True
+        leader = self.nodes[message.sender].core
+        if leader.ballot != message.ballot or leader.role is not Role.LEADER:
+            return False
+        current = leader.round_in_flight
+        return (
+            current is not None and message.round_number == current.number and to not in current.accepted_by
+        )
+
+    def _disk_may_change(self) -> bool:
+        """Whether a disk may yet be lost or restored."""
+        return bool(self.budget.restored_disks or self.budget.lost_disks)
+
+
+def _persisted(disk: DurableState, persist: Persist) -> DurableState:
+    """A disk after a write."""
+    content: Content = Map() if persist.replaces_all else disk.content
+    content = apply_writes(content, persist.writes)
+    return DurableState(disk.incarnation, persist.group_id, persist.promised, persist.version, content)
--- a/heronreel/fault_injection/virtual.py
+++ b/heronreel/fault_injection/virtual.py
@@ -16,19 +16,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from heronreel.coordination.consensus import (
-    ALL_GUARDS,
-    AnyMessage,
-    ConsensusMember,
-    DurableState,
-    EraseDisk,
-    Guards,
-    Persist,
-    Send,
-    Timing,
-)
+from heronreel.coordination.actions import EraseDisk, Persist, Send
+from heronreel.coordination.consensus import ConsensusMember
+from heronreel.coordination.errors import RequestError, StatusCode
 from heronreel.coordination.keyspace import apply_writes
-from heronreel.coordination.kv_service import KeyValueService, Outputs, RequestCompleted
+from heronreel.coordination.kv_service import KeyValueService, Outputs
+from heronreel.coordination.member_state import ALL_GUARDS, DurableState, Guards, Timing
+from heronreel.coordination.messages import AnyMessage
 from heronreel.coordination.model import (
     Compare,
     CompareOperator,
@@ -37,12 +31,11 @@
     Range,
     RangeResponse,
     Request,
-    RequestError,
     ResponseOrError,
-    StatusCode,
     Txn,
     TxnResponse,
 )
+from heronreel.coordination.request_batch import RequestCompleted
 from heronreel.fault_injection.histories import Call
 from heronreel.fault_injection.linear import CAS, PUT, READ, wrong
 from heronreel.leases.fencing import FencingGuard
@@ -137,7 +130,9 @@
         return lambda: self.rng.randrange(1, 1 << 62)
 
     def _service(self, name: str, disk: DurableState, now: float) -> KeyValueService:
-        timing = Timing(beat=0.1, resend=0.1, patience=0.5, contact=1.0)
+        timing = Timing(
+            heartbeat_interval=0.1, retransmit_interval=0.1, election_timeout=0.5, step_down_timeout=1.0
+        )
         member = ConsensusMember(
             name, self.names, disk, now, timing=timing, jitter=self.rng.random, guards=self.guards
         )
@@ -182,7 +177,7 @@
             self.at(node.asleep, lambda: self._tick_node(node, life))
             return
         self._outputs(node, node.service.tick(self._node_time(node)))
-        due = node.service.wake() / node.rate
+        due = node.service.next_wakeup() / node.rate
         self.at(max(due, self.now + 0.005), lambda: self._tick_node(node, life))
 
     def _outputs(self, node: Node, outputs: Outputs) -> None:
@@ -196,7 +191,7 @@
             elif isinstance(output, RequestCompleted):
                 reply = self.tickets.pop(output.ticket, None)
                 if reply is not None:
-                    reply(output.answer)
+                    reply(output.response)
             elif isinstance(output, EraseDisk):
                 self._begin(node, DurableState(f"{node.name}-{self.count}"))
                 return
@@ -213,17 +208,19 @@
             return
         persist = node.waits.pop(0)
         content = apply_writes(
-            type(node.disk.content)() if persist.whole else node.disk.content, persist.writes
+            type(node.disk.content)() if persist.replaces_all else node.disk.content, persist.writes
         )
         node.disk = DurableState(
-            node.disk.incarnation, persist.group, persist.promised, persist.version, content
+            node.disk.incarnation, persist.group_id, persist.promised, persist.version, content
         )
-        for send in persist.then:
+        for send in persist.sends:
             self._send(node.name, send.to, send.message)
         if node.waits:
             self._sync_later(node)
         now = self._node_time(node)
-        self._outputs(node, node.service.settle(now, node.service.member.persisted(now, persist.number)))
+        self._outputs(
+            node, node.service.handle_actions(now, node.service.member.persisted(now, persist.number))
+        )
 
     def _send(self, sender: str, to: str, message: AnyMessage) -> None:
         copies = 0 if self.rng.random() < self.loss else 2 if self.rng.random() < self.loss else 1
@@ -241,7 +238,7 @@
             self.at(node.asleep, lambda: self._receive(sender, to, message))
             return
         now = self._node_time(node)
-        self._outputs(node, node.service.settle(now, node.service.member.receive(now, message)))
+        self._outputs(node, node.service.handle_actions(now, node.service.member.receive(now, message)))
 
     def _begin(self, node: Node, disk: DurableState) -> None:
         """Back from a crash, with this disk."""
@@ -280,9 +277,9 @@
             ticket = self.ticket
             self.tickets[ticket] = back
             now = self._node_time(node)
-            self._outputs(node, node.service.ask(now, ticket, request, now + 2.0))
+            self._outputs(node, node.service.submit(now, ticket, request, now + 2.0))
 
-        leaders = [node for node in self.nodes.values() if node.up and node.service.member.leads]
+        leaders = [node for node in self.nodes.values() if node.up and node.service.member.is_leader]
         self.at(self.now + seconds, lambda: once(None))
         if leaders and self.rng.random() >= self.loss:
             node = self.rng.choice(leaders)  # two may believe that they lead
--- a/tests/coordination/test_exhaustive.py
+++ b/tests/coordination/test_exhaustive.py
@@ -8,41 +8,48 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heronreel.coordination.consensus import Guards
-from heronreel.fault_injection.explore import after, explore, walk
+from heronreel.coordination.member_state import Guards
+from heronreel.fault_injection.explore import advance, explore, random_walk
 from heronreel.fault_injection.group_world import Budget, GroupWorld
 from heronreel.fault_injection.lease_world import Guarded, LeaseWorld, Limits
 
 NAMES = ("a", "b", "c")
-LEADS = (  # a leads with c's help, and c has not heard of anything else
-    "a: tries", "c: is told by a: follow", "a: is told by c: yes", "c: is told by a: round 2.1",
-    "a: is told by c: I have 2.1, for round 1",
-)  # fmt: skip
-B_HOPES = ("b: tries", "c: is told by b: follow")  # and c's promise is on its way to b
-NEW_DISK = "c: crashes, and is back with a new disk"
+A_LEADS = (  # a leads with c's help, and c has not heard of anything else
+    "a: starts",
+    "c: receives from a: prepare",
+    "a: receives from c: promise",
+    "c: receives from a: round 2.1",
+    "a: receives from c: at version 2.1, for round 1",
+)
+B_IS_CANDIDATE = ("b: starts", "c: receives from b: prepare")  # and c's promise is on its way to b
+NEW_DISK = "c: crashes, and restarts with a new disk"
 
 
-def group(budget: Budget, most: int, *prefix: str, **guards: bool) -> tuple[GroupWorld, int]:
-    return after(GroupWorld(NAMES, budget, Guards(**guards)), *prefix), most
+def group(budget: Budget, max_states: int, *prefix: str, **guards: bool) -> tuple[GroupWorld, int]:
+    return advance(GroupWorld(NAMES, budget, Guards(**guards)), *prefix), max_states
 
 
 def crash_of_each() -> tuple[GroupWorld, int]:
-    return group(Budget(tries="a", writes=1, reads=1, crashes="abc"), 400_000, rollback=False)
+    return group(Budget(elections="a", writes=1, reads=1, crashes="abc"), 400_000, rollback=False)
 
 
 def test_every_order_with_a_crash_of_each_keeps_what_was_confirmed() -> None:
     found = explore(*crash_of_each())
     print(found)
-    assert found.whole and found.broken is None and found.states > 1_000
+    assert found.complete and found.violation is None and found.states > 1_000
 
 
 GROUP_GUARDS: list[tuple[str, Budget, tuple[str, ...]]] = [
-    ("majority", Budget(tries="ab", writes=1), ()),
-    ("newest", Budget(tries="ab", writes=1), LEADS),
-    ("promise", Budget(tries="ab", writes=1), B_HOPES),
-    ("sync", Budget(tries="ab", writes=1, crashes="c"), LEADS),
-    ("incarnation", Budget(tries="ab", writes=1, lost="c"), (*B_HOPES, NEW_DISK, "a: tries")),
-    ("rollback", Budget(tries="ab", writes=1, restored="c"), LEADS),
+    ("quorum", Budget(elections="ab", writes=1), ()),
+    ("newest_version", Budget(elections="ab", writes=1), A_LEADS),
+    ("promise", Budget(elections="ab", writes=1), B_IS_CANDIDATE),
+    ("sync", Budget(elections="ab", writes=1, crashes="c"), A_LEADS),
+    (
+        "incarnation",
+        Budget(elections="ab", writes=1, lost_disks="c"),
+        (*B_IS_CANDIDATE, NEW_DISK, "a: starts"),
+    ),
+    ("rollback", Budget(elections="ab", writes=1, restored_disks="c"), A_LEADS),
 ]
 
 
@@ -61,14 +68,14 @@
     guard: str, budget: Budget, prefix: tuple[str, ...]
 ) -> None:
     kept = explore(*with_group_guard(guard, budget, prefix))
-    assert kept.broken is None, str(kept)
+    assert kept.violation is None, str(kept)
     found = explore(*without_group_guard(guard, budget, prefix))
     print(guard, found)
-    assert found.broken is not None and "confirmed write" in found.broken
+    assert found.violation is not None and "confirmed write" in found.violation
 
 
-GROWS: dict[str, tuple[str, ...]] = {"founders": ("a",), "wish": NAMES}
-SHRINKS: dict[str, tuple[str, ...]] = {"wish": ("a",)}
+GROWS: dict[str, tuple[str, ...]] = {"founders": ("a",), "desired_members": NAMES}
+SHRINKS: dict[str, tuple[str, ...]] = {"desired_members": ("a",)}
 
 
 def resized(budget: Budget, how: dict[str, tuple[str, ...]], **guards: bool) -> GroupWorld:
@@ -76,24 +83,24 @@
 
 
 def changed_size(how: dict[str, tuple[str, ...]]) -> tuple[GroupWorld, int]:
-    return resized(Budget(tries="a" if how is GROWS else "ab", writes=1), how), 25_000
+    return resized(Budget(elections="a" if how is GROWS else "ab", writes=1), how), 25_000
 
 
 def two_let_go() -> tuple[GroupWorld, int]:
-    return resized(Budget(tries="ab", writes=1), SHRINKS, single=False), 60_000
+    return resized(Budget(elections="ab", writes=1), SHRINKS, single_change=False), 60_000
 
 
 @pytest.mark.parametrize("how", [GROWS, SHRINKS], ids=["grows", "shrinks"])
 def test_a_group_that_changes_its_size_keeps_what_was_confirmed(how: dict[str, tuple[str, ...]]) -> None:
     found = explore(*changed_size(how))
     print(found)
-    assert found.broken is None and found.states > 2_000
+    assert found.violation is None and found.states > 2_000
 
 
 def test_with_two_let_go_at_once_something_confirmed_is_lost() -> None:
     found = explore(*two_let_go())
     print(found)
-    assert found.broken is not None and "confirmed write" in found.broken
+    assert found.violation is not None and "confirmed write" in found.violation
 
 
 @settings(max_examples=30, deadline=None)
@@ -101,8 +108,8 @@
 def test_any_walk_of_a_group_that_changes_its_size_keeps_what_was_confirmed(
     seed: int, how: dict[str, tuple[str, ...]]
 ) -> None:
-    budget = Budget(tries="aaabbbccc", writes=4, reads=3, crashes="abc")
-    assert walk(resized(budget, how), random.Random(seed), 300) == []
+    budget = Budget(elections="aaabbbccc", writes=4, reads=3, crashes="abc")
+    assert random_walk(resized(budget, how), random.Random(seed), 300) == []
 
 
 LEASE_LIMITS = Limits(seconds=7, questions=(0, 6), actions=2, changes=0)
@@ -130,17 +137,17 @@
 def test_at_most_one_acts_in_every_order() -> None:
     found = explore(*with_lease_guards())
     print(found)
-    assert found.broken is None and found.states > 10_000
+    assert found.violation is None and found.states > 10_000
 
 
 @pytest.mark.parametrize(("guard", "others", "words"), LEASE_GUARDS)
 def test_without_a_guard_of_leases_two_act(guard: str, others: dict[str, bool], words: str) -> None:
     found = explore(*without_lease_guard(guard, others))
     print(guard, found)
-    assert found.broken is not None and words in found.broken
+    assert found.violation is not None and words in found.violation
 
 
 def test_clocks_further_apart_than_the_bound_let_two_hold_and_the_fence_still_refuses() -> None:
     found = explore(*clocks_apart())
     print(found)
-    assert found.broken == "two act at once"
+    assert found.violation == "two act at once"
--- a/tests/coordination/test_keyspace.py
+++ b/tests/coordination/test_keyspace.py
@@ -11,7 +11,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heronreel.coordination import gateway
+from heronreel.coordination.errors import RequestError, StatusCode
+from heronreel.coordination.gateway import request_path
+from heronreel.coordination.gateway_client import decode_response, encode_request
+from heronreel.coordination.gateway_server import ResponseHeader, decode_request, encode_response
 from heronreel.coordination.keyspace import EMPTY_CONTENT, Keyspace, apply_writes
 from heronreel.coordination.model import (
     Compare,
@@ -28,12 +31,10 @@
     Range,
     RangeResponse,
     Request,
-    RequestError,
-    StatusCode,
     Txn,
     TxnResponse,
 )
-from heronreel.coordination.settings import load
+from heronreel.coordination.settings import parse_group
 from heronreel.leases.fencing import FencedTable, FencingGuard
 from heronreel.leases.lease import ClaimAcquired, ClaimLost, LeaseClient, LeaseTerms, SendRequest
 from heronreel.routes.reader import BadFile
@@ -69,9 +70,9 @@
 @settings(max_examples=150, deadline=None)
 @given(st.lists(requests, max_size=25))
 def test_what_is_written_is_what_is_known_and_every_form_survives_json(asked: list[Request]) -> None:
-    content, state = EMPTY_CONTENT, Keyspace.of(EMPTY_CONTENT)
+    content, state = EMPTY_CONTENT, Keyspace.from_content(EMPTY_CONTENT)
     for request in asked:
-        form = gateway.request_of(gateway.path_of(request), json.dumps(gateway.body_of(request)).encode())
+        form = decode_request(request_path(request), json.dumps(encode_request(request)).encode())
         assert form == request
         before = state
         try:
@@ -79,31 +80,31 @@
         except RequestError:
             assert state.keys == before.keys and state.leases == before.leases
             continue
-        raw = gateway.answer_of(gateway.Header(1, 2, 3), done.result)
-        again = gateway.result_of(request, json.loads(json.dumps(raw)))
-        if not isinstance(done.result, (PutResponse, TxnResponse)):
-            assert again == done.result or isinstance(request, (LeaseGrant, LeaseRevoke))
+        raw = encode_response(ResponseHeader(1, 2, 3), done.response)
+        again = decode_response(request, json.loads(json.dumps(raw)))
+        if not isinstance(done.response, (PutResponse, TxnResponse)):
+            assert again == done.response or isinstance(request, (LeaseGrant, LeaseRevoke))
         content, state = apply_writes(content, done.writes), done.state
-        read = Keyspace.of(content)
-        assert (read.keys, read.leases, read.attached) == (state.keys, state.leases, state.attached)
-        assert read.head == state.head and state.revision - before.revision in (0, 1)
+        read = Keyspace.from_content(content)
+        assert (read.keys, read.leases, read.lease_keys) == (state.keys, state.leases, state.lease_keys)
+        assert read.header == state.header and state.revision - before.revision in (0, 1)
         silent = isinstance(request, Txn)  # a key made and removed by one changes nothing that is told
         assert bool(done.events) == (state.revision > before.revision) or silent
-        assert state.named(b"\0", b"\0") == sorted(state.keys)
+        assert state.keys_in_range(b"\0", b"\0") == sorted(state.keys)
         assert all(record.lease in state.leases for record in state.keys.values() if record.lease)
 
 
 def test_a_transaction_is_whole_and_numbers_only_grow() -> None:
-    state = Keyspace.of(EMPTY_CONTENT).apply(LeaseGrant(5, 7)).state
+    state = Keyspace.from_content(EMPTY_CONTENT).apply(LeaseGrant(5, 7)).state
     free = Compare(b"task", CompareTarget.CREATE, CompareOperator.EQUAL, 0)
     take = Txn((free,), (Put(b"task", b"one", 7), Put(b"log", b"x")), (Range(b"task"),))
     first = state.apply(take)
-    assert isinstance(first.result, TxnResponse) and first.result.succeeded
-    number = first.state.keys[b"task"].create
-    second = first.state.apply(take).result
+    assert isinstance(first.response, TxnResponse) and first.response.succeeded
+    number = first.state.keys[b"task"].create_revision
+    second = first.state.apply(take).response
     assert isinstance(second, TxnResponse) and not second.succeeded
-    (found,) = second.results
-    assert isinstance(found, RangeResponse) and found.records[0][1].create == number
+    (found,) = second.responses
+    assert isinstance(found, RangeResponse) and found.records[0][1].create_revision == number
     with pytest.raises(
         RequestError, match="lease not found"
     ):  # the second write fails: the first is not done
@@ -112,8 +113,8 @@
     assert b"task" not in gone.state.keys and b"log" in gone.state.keys
     assert [event.record for event in gone.events] == [None]
     again = gone.state.apply(LeaseGrant(5, 7)).state.apply(take).state
-    assert again.keys[b"task"].create > number
-    wiped = again.apply(DeleteRange(b"\0", b"\0", True)).result
+    assert again.keys[b"task"].create_revision > number
+    wiped = again.apply(DeleteRange(b"\0", b"\0", True)).response
     assert isinstance(wiped, DeleteRangeResponse) and wiped.deleted == 2
 
 
@@ -148,19 +149,19 @@
 )
 def test_bad_calls_are_refused_by_name(path: str, body: object, code: StatusCode, words: str) -> None:
     with pytest.raises(RequestError, match=words) as refused:
-        Keyspace.of(EMPTY_CONTENT).apply(gateway.request_of(path, json.dumps(body).encode()))  # type: ignore[arg-type]
+        Keyspace.from_content(EMPTY_CONTENT).apply(decode_request(path, json.dumps(body).encode()))  # type: ignore[arg-type]
     assert refused.value.code is code
 
 
 def test_a_state_has_a_bound_and_can_still_shrink_at_it() -> None:
-    state = Keyspace.of(EMPTY_CONTENT)
+    state = Keyspace.from_content(EMPTY_CONTENT)
     value = bytes(256 << 10)
     with pytest.raises(RequestError, match="would pass") as refused:
         for number in range(40):
             state = state.apply(Put(b"k%d" % number, value)).state
     assert refused.value.code is StatusCode.RESOURCE_EXHAUSTED
     state = state.apply(Put(b"k0", b"small")).state
-    assert state.apply(DeleteRange(b"k1")).state.head.size < state.head.size
+    assert state.apply(DeleteRange(b"k1")).state.header.size < state.header.size
 
 
 MEMBER = '[[members]]\nname = "{}"\naddress = "127.0.0.1:{}"\n'
@@ -183,7 +184,7 @@
 )  # fmt: skip
 def test_bad_files_are_refused_with_line_and_field(text: str, line: int, field: str, words: str) -> None:
     with pytest.raises(BadFile) as bad:
-        load(text.encode())
+        parse_group(text.encode())
     told = [problem for problem in bad.value.problems if words in str(problem)]
     assert told, bad.value.problems
     assert told[0].line == line and field in str(told[0])
@@ -191,7 +192,7 @@
 
 def test_an_even_group_with_a_yes_is_taken() -> None:
     text = "[group]\neven = true\n" + MEMBER.format("a", 1) + MEMBER.format("b", 2)
-    assert [row.name for row in load(text.encode()).members] == ["a", "b"]
+    assert [row.name for row in parse_group(text.encode()).members] == ["a", "b"]
     assert LeaseTerms(ttl=3, margin=1.0, answer=1.0).problem() and not LeaseTerms().problem()
 
 
@@ -199,7 +200,7 @@
     """Seen between processes: who waited for its claim was not told that it had it, and kept it from
     others.
     """
-    state = Keyspace.of(EMPTY_CONTENT)
+    state = Keyspace.from_content(EMPTY_CONTENT)
     session = LeaseClient(LeaseTerms(ttl=3, margin=0.5, answer=0.5), 0.0, lambda: 7)
     claim = session.claim(b"held/t", b"me")
     told: list[object] = []
@@ -216,7 +217,7 @@
             else:
                 done = state.apply(action.request)  # type: ignore[arg-type]
                 state = done.state
-                actions += session.answered(now, action.number, done.result)
+                actions += session.answered(now, action.number, done.response)
         return kept
 
     carry(session.tick(0.0), 0.0)
--- a/tests/coordination/test_virtual_time.py
+++ b/tests/coordination/test_virtual_time.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heronreel.coordination.consensus import Guards
+from heronreel.coordination.member_state import Guards
 from heronreel.fault_injection.virtual import VirtualWorld
 
 
@@ -29,8 +29,8 @@
 @pytest.mark.parametrize(
     ("without", "seeds"),
     [
-        ({"guards": Guards(majority=False)}, 40),
-        ({"guards": Guards(newest=False)}, 60),
+        ({"guards": Guards(quorum=False)}, 40),
+        ({"guards": Guards(newest_version=False)}, 60),
         ({"fenced": False}, 60),
     ],
 )
