--- a/bench/lease_proof.py
+++ b/bench/lease_proof.py
@@ -19,8 +19,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from heronreel.coordination.consensus import Guards
-from heronreel.fault_injection.explore import Found, World, explore
+from heronreel.coordination.member_state import Guards
+from heronreel.fault_injection.explore import ExplorationResult, World, explore
 from heronreel.fault_injection.group_world import Budget, GroupWorld
 from heronreel.fault_injection.lease_world import Guarded, LeaseWorld, Limits
 from heronreel.fault_injection.schedule import Fault, drawn, shortened
@@ -33,12 +33,18 @@
 
 WORLDS: dict[str, World] = {
     "one leader, a write, a read, a crash of each": GroupWorld(
-        NAMES, Budget(tries="a", writes=1, reads=1, crashes="abc"), NO_COPIES
+        NAMES, Budget(elections="a", writes=1, reads=1, crashes="abc"), NO_COPIES
+    ),
+    "two leaders, a write": GroupWorld(NAMES, Budget(elections="ab", writes=1), NO_COPIES),
+    "two leaders, a write, a crash": GroupWorld(
+        NAMES, Budget(elections="ab", writes=1, crashes="c"), NO_COPIES
+    ),
+    "two leaders, a write, a lost disk": GroupWorld(
+        NAMES, Budget(elections="ab", writes=1, lost_disks="c"), NO_COPIES
+    ),
+    "two leaders, a write, an old copy": GroupWorld(
+        NAMES, Budget(elections="ab", writes=1, restored_disks="c")
     ),
-    "two leaders, a write": GroupWorld(NAMES, Budget(tries="ab", writes=1), NO_COPIES),
-    "two leaders, a write, a crash": GroupWorld(NAMES, Budget(tries="ab", writes=1, crashes="c"), NO_COPIES),
-    "two leaders, a write, a lost disk": GroupWorld(NAMES, Budget(tries="ab", writes=1, lost="c"), NO_COPIES),
-    "two leaders, a write, an old copy": GroupWorld(NAMES, Budget(tries="ab", writes=1, restored="c")),
     "two holders, leader changes": LeaseWorld(
         Limits(seconds=7, questions=(0, 5), actions=2, changes=1), Guarded()
     ),
@@ -48,7 +54,7 @@
 }
 
 
-def world(name: str, most: int) -> tuple[str, Found, float]:
+def world(name: str, most: int) -> tuple[str, ExplorationResult, float]:
     began = time.perf_counter()
     found = explore(WORLDS[name], most)
     return name, found, time.perf_counter() - began
@@ -59,7 +65,7 @@
     with ProcessPoolExecutor(7) as pool:
         for name, found, seconds in pool.map(world, WORLDS, [most] * len(WORLDS)):
             print(f"{name}: {found} ({seconds:.0f} s)", flush=True)
-            good = good and found.broken is None
+            good = good and found.violation is None
     return good
 
 
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -20,7 +20,8 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.model import LeaseGrant, LeaseKeepAlive, LeaseResponse, Put, RequestError
+from heronreel.coordination.errors import RequestError
+from heronreel.coordination.model import LeaseGrant, LeaseKeepAlive, LeaseResponse, Put
 from heronreel.fault_injection.processes import Harness
 from heronreel.leases.lease import LeaseTerms
 from heronreel.leases.session import LeaseSession
--- a/heronreel/cli/coordinate.py
+++ b/heronreel/cli/coordinate.py
@@ -23,13 +23,13 @@
 
 def group_of(file: str | None, members: str | None, folder: str) -> Any:
     """The group of a file or of --members; ends the process with its problems."""
-    from heronreel.coordination.settings import group_of_addresses, load_file
+    from heronreel.coordination.settings import group_from_addresses, load_group
     from heronreel.routes.reader import BadFile
 
     if (file is None) == (members is None):
         raise click.UsageError("expected a FILE, or --members")
     try:
-        return load_file(file) if file is not None else group_of_addresses(members or "", folder)
+        return load_group(file) if file is not None else group_from_addresses(members or "", folder)
     except BadFile as bad:
         tell(file or "--members", bad)
         sys.exit(BAD_FILE)
@@ -52,7 +52,7 @@
     import structlog
 
     from heronreel.coordination.logs import log_to_stderr
-    from heronreel.coordination.settings import load_file
+    from heronreel.coordination.settings import load_group
     from heronreel.coordinator.disk import MemberDisk, WrongMemberError
     from heronreel.coordinator.server import run_server
     from heronreel.routes.reader import BadFile
@@ -61,7 +61,7 @@
     log_to_stderr()
     log = structlog.get_logger()
     group = group_of(file, members, folder)
-    row = group.row(name)
+    row = group.member(name)
     if row is None:
         click.echo(f"--name: {name!r} is none of {', '.join(r.name for r in group.members)}", err=True)
         sys.exit(BAD_FILE)
@@ -83,7 +83,7 @@
         if file is None:
             return None
         try:
-            return load_file(file)
+            return load_group(file)
         except BadFile as bad:
             tell(file, bad)
             return None
@@ -103,7 +103,7 @@
 
 def asked(file: str | None, members: str | None, call: Callable[[Any], Coroutine[Any, Any, Any]]) -> Any:
     from heronreel.coordination.client import Client
-    from heronreel.coordination.model import RequestError
+    from heronreel.coordination.errors import RequestError
 
     group = group_of(file, members, "-")
 
@@ -114,7 +114,7 @@
     try:
         return asyncio.run(run_server())
     except RequestError as refused:
-        click.echo(f"heronreel leases: {refused.what}", err=True)
+        click.echo(f"heronreel leases: {refused.message}", err=True)
         sys.exit(NO_GROUP)
 
 
--- a/heronreel/cli/fleet.py
+++ b/heronreel/cli/fleet.py
@@ -98,7 +98,7 @@
     limits: Any = None,
 ) -> None:
     """Run a controller, tell each change as it comes, and end with the code that says how it went."""
-    from heronreel.coordination.model import RequestError
+    from heronreel.coordination.errors import RequestError
     from heronreel.fleet import controller
 
     group = group_of(file, members, "-")
@@ -118,7 +118,7 @@
         click.echo(f"heronreel fleet: {lost}; whoever follows goes on with it", err=True)
         sys.exit(LEFT)
     except RequestError as refused:
-        click.echo(f"heronreel fleet: {refused.what}", err=True)
+        click.echo(f"heronreel fleet: {refused.message}", err=True)
         sys.exit(NO_GROUP)
     good = sum(outcome.startswith(controller.GOOD) for outcome in work.outcomes.values())
     click.echo(f"{work.verb.value} {work.name}: {good} of {len(work.idents)}, {len(work.left)} not begun")
--- a/heronreel/coordinator/disk.py
+++ b/heronreel/coordinator/disk.py
@@ -11,8 +11,10 @@
 import msgspec
 from immutables import Map
 
-from heronreel.coordination.consensus import NO_BALLOT, NO_VERSION, Ballot, DurableState, Persist, Version
+from heronreel.coordination.actions import Persist
+from heronreel.coordination.ballots import NO_BALLOT, NO_VERSION, Ballot, Version
 from heronreel.coordination.keyspace import Content, apply_writes
+from heronreel.coordination.member_state import DurableState
 from heronreel.store import Limits, Store
 
 NAMES = b"M"  # the record of names and promises
@@ -68,15 +70,15 @@
         rows: dict[bytes, bytes | None] = {}
         content = durable.content
         for persist in persists:
-            if persist.whole:
+            if persist.replaces_all:
                 rows.update((key, None) for key in content)
                 content = Map()
             content = apply_writes(content, persist.writes)
             rows.update(persist.writes)
             durable = DurableState(
-                durable.incarnation, persist.group, persist.promised, persist.version, content
+                durable.incarnation, persist.group_id, persist.promised, persist.version, content
             )
-        names = _Names(self.name, durable.incarnation, durable.group, durable.promised, durable.version)
+        names = _Names(self.name, durable.incarnation, durable.group_id, durable.promised, durable.version)
         with self.store.batch() as batch:
             for key, value in rows.items():
                 if value is not None:
--- a/heronreel/coordinator/server.py
+++ b/heronreel/coordinator/server.py
@@ -23,34 +23,18 @@
 import structlog
 from aiohttp import web
 
-from heronreel.coordination import gateway
-from heronreel.coordination.clock import CrashPoints, boot_clock
-from heronreel.coordination.consensus import (
-    Accept,
-    AnyMessage,
-    ConsensusMember,
-    Deposed,
-    Elected,
-    EraseDisk,
-    Persist,
-    Send,
-)
-from heronreel.coordination.kv_service import (
-    KeyValueService,
-    LeaseExpired,
-    Outputs,
-    RequestCompleted,
-    WatchNotified,
-)
-from heronreel.coordination.model import (
-    Request,
-    RequestError,
-    Response,
-    ResponseOrError,
-    StatusCode,
-    prefix_end,
-)
-from heronreel.coordination.settings import Group, GroupTable, MemberAddress, addresses_of
+from heronreel.coordination import gateway, gateway_server
+from heronreel.coordination.actions import Deposed, Elected, EraseDisk, Persist, Send
+from heronreel.coordination.clock import boot_clock
+from heronreel.coordination.consensus import ConsensusMember
+from heronreel.coordination.crash_points import CrashPoints
+from heronreel.coordination.errors import RequestError, StatusCode
+from heronreel.coordination.kv_service import KeyValueService, LeaseExpired, Outputs
+from heronreel.coordination.messages import Accept, AnyMessage
+from heronreel.coordination.model import Request, Response, ResponseOrError, prefix_end
+from heronreel.coordination.request_batch import RequestCompleted
+from heronreel.coordination.settings import GroupConfig, GroupSettings, MemberAddress, parse_addresses
+from heronreel.coordination.watches import WatchNotified
 from heronreel.coordinator.disk import MemberDisk
 from heronreel.leases.lease import CLAIM_PREFIX, LeaseTerms
 from heronreel.leases.session import LeaseSession
@@ -122,7 +106,7 @@
 class MemberNode:
     """One member at work."""
 
-    def __init__(self, group: Group, name: str, disk: MemberDisk) -> None:
+    def __init__(self, group: GroupConfig, name: str, disk: MemberDisk) -> None:
         self.group = group
         self.name = name
         self.disk = disk
@@ -152,7 +136,7 @@
             timing=self.group.timing,
             jitter=self.random.random,
         )
-        return KeyValueService(member, drift=self.group.table.clock_drift)
+        return KeyValueService(member, drift=self.group.settings.clock_drift)
 
     async def start(self) -> None:
         timeout = aiohttp.ClientTimeout(total=1.0, connect=0.5)
@@ -163,7 +147,7 @@
         }
         self.event(self.service.tick)
 
-    def regroup(self, group: Group) -> None:
+    def regroup(self, group: GroupConfig) -> None:
         """Another file: others, or others' addresses.  Who is in the group is not the file's to say."""
         old = {row.name: row for row in self.group.members}
         self.group = group
@@ -173,7 +157,7 @@
         for name, row in rows.items():
             if name not in self.links:
                 self.links[name] = PeerConnection(self, row)
-        self.service.member.relist(row.name for row in group.members)
+        self.service.member.set_configured_members(row.name for row in group.members)
         log.info("file taken", member=self.name, listed=[row.name for row in group.members])
 
     async def stop(self) -> None:
@@ -203,7 +187,7 @@
         self.carry_out(call(self.clock()))
         if self.timer is not None:
             self.timer.cancel()
-        delay = max(0.001, self.service.wake() - self.clock())
+        delay = max(0.001, self.service.next_wakeup() - self.clock())
         self.timer = asyncio.get_running_loop().call_later(min(delay, 1.0), self.event, self.service.tick)
 
     def carry_out(self, outputs: Outputs) -> None:
@@ -216,11 +200,11 @@
             elif isinstance(output, RequestCompleted):
                 future = self.waiting.pop(output.ticket, None)
                 if future is not None and not future.done():
-                    future.set_result(output.answer)
+                    future.set_result(output.response)
             elif isinstance(output, WatchNotified):
                 self._tell(output)
             elif isinstance(output, Elected):
-                log.info("leads", member=self.name, round=output.ballot.round)
+                log.info("leads", member=self.name, round=output.ballot.term)
                 self.points.reach("elected")
                 self._watch_claims()
             elif isinstance(output, Deposed):
@@ -228,7 +212,7 @@
             elif isinstance(output, LeaseExpired):
                 log.info("lease ended", member=self.name, lease=str(output.lease))
             elif isinstance(output, EraseDisk):
-                log.warning("disk set back", member=self.name, why=output.why)
+                log.warning("disk set back", member=self.name, why=output.reason)
                 self.wiping = True
                 self._keep_soon()
 
@@ -266,7 +250,7 @@
                 self._restart()
                 continue
             for persist in persists:
-                for send in persist.then:
+                for send in persist.sends:
                     self._send(send)
                 self.event(functools.partial(self._persisted, persist.number))
         self.keeping = None
@@ -281,7 +265,7 @@
 
     async def tend(self) -> None:
         """Have the upkeep done once a period, by one member of the group at a time."""
-        table = self.group.table
+        table = self.group.settings
         task = Task("upkeep", table.upkeep_s, Priority.IDLE, step_s=UPKEEP_S, turns=True)
         terms = LeaseTerms(table.lease_s, table.margin_s, table.answer_s)
         addresses = [row.address for row in self.group.members]
@@ -289,11 +273,11 @@
             await TaskRunner(holding, self.name, {task: self.upkeep}, what=None).run()
 
     def _persisted(self, number: int, now: float) -> Outputs:
-        return self.service.settle(now, self.service.member.persisted(now, number))
+        return self.service.handle_actions(now, self.service.member.persisted(now, number))
 
     def _restart(self) -> None:
         """Begin again from the disk, as after a crash: what was not durable is forgotten."""
-        outputs = self.service.end()
+        outputs = self.service.stop_leading()
         self.to_keep.clear()
         self.service = self._begin()
         self.carry_out(outputs)
@@ -309,30 +293,32 @@
         self.carry_out(self.service.watch(self.log_watch, HELD, prefix_end(HELD), 0))
 
     def _tell(self, told: WatchNotified) -> None:
-        if told.watch == self.log_watch:
+        if told.watch_id == self.log_watch:
             for event in told.events:
                 task = event.key[len(HELD) :].decode(errors="replace")
                 if event.record is None:
                     log.info("held by none", member=self.name, task=task, revision=event.revision)
                 else:
                     holder = event.record.value.decode(errors="replace")[:200]
-                    log.info("held", member=self.name, task=task, by=holder, number=event.record.create)
+                    log.info(
+                        "held", member=self.name, task=task, by=holder, number=event.record.create_revision
+                    )
             return
-        queue = self.watchers.get(told.watch)
+        queue = self.watchers.get(told.watch_id)
         if queue is None:
             return
         if queue.qsize() >= WATCH_MOST:  # it does not read: it is told that it missed some
-            self.service.unwatch(told.watch)
-            del self.watchers[told.watch]
-            queue.put_nowait(WatchNotified(told.watch, told.revision, (), compacted=told.revision))
+            self.service.cancel_watch(told.watch_id)
+            del self.watchers[told.watch_id]
+            queue.put_nowait(WatchNotified(told.watch_id, told.revision, (), compact_revision=told.revision))
             return
         queue.put_nowait(told)
 
     # -- clients
 
-    def header(self) -> gateway.Header:
+    def header(self) -> gateway_server.ResponseHeader:
         member = self.service.member
-        return gateway.Header(_number(member.group), _number(self.name), member.ballot.round)
+        return gateway_server.ResponseHeader(_number(member.group_id), _number(self.name), member.ballot.term)
 
     async def ask(self, request: Request) -> Response:
         """What the group answers.  Raises Refused."""
@@ -340,9 +326,9 @@
         ticket = self.tickets
         future: asyncio.Future[ResponseOrError] = asyncio.get_running_loop().create_future()
         self.waiting[ticket] = future
-        seconds = self.group.table.request_ms / 1000
+        seconds = self.group.settings.request_ms / 1000
         until = self.clock() + seconds
-        self.event(lambda now: self.service.ask(now, ticket, request, until))
+        self.event(lambda now: self.service.submit(now, ticket, request, until))
         try:
             async with asyncio.timeout(seconds):
                 answer = await future
@@ -373,8 +359,8 @@
         self.since: dict[object, float] = {}  # idle, by connection
         app = web.Application(client_max_size=MEMBER_MOST, middlewares=[self._bounded])
         app.router.add_post("/member", self._member)
-        app.router.add_post(gateway.WATCH, self._watch)
-        for path in gateway.PATHS:
+        app.router.add_post(gateway.WATCH_PATH, self._watch)
+        for path in gateway.REQUEST_PATHS.values():
             app.router.add_post(path, self._call)
         app.router.add_get("/health", self._health)
         self.runner = web.AppRunner(
@@ -429,7 +415,7 @@
         try:
             return await handler(request)
         except RequestError as refused:
-            status, body = gateway.refusal_of(refused)
+            status, body = gateway_server.encode_error(refused)
             response = web.json_response(body, status=status)
             if "unread" in request:  # what is left of its body is not waited for
                 response.force_close()
@@ -473,28 +459,29 @@
 
     def _received(self, message: AnyMessage, now: float) -> Outputs:
         service = self.node.service
-        return service.settle(now, service.member.receive(now, message))
+        return service.handle_actions(now, service.member.receive(now, message))
 
     async def _health(self, request: web.Request) -> web.Response:
         member = self.node.service.member
-        led = member.leads or self.node.leader() is not None
+        led = member.is_leader or self.node.leader() is not None
         body = {
             "member": self.node.name, "leader": member.leader or "", "role": member.role.value,
             "disk": member.incarnation, "version": list(member.version), "disks": dict(member.members),
-            "wish": None if member.wish is None else sorted(member.wish), "listed": list(member.listed),
+            "wish": None if member.desired_members is None else sorted(member.desired_members),
+            "listed": list(member.configured_members),
             "promised": list(member.promised),
         }  # fmt: skip
         return web.json_response(body, status=200 if led else 503)
 
     async def _call(self, request: web.Request) -> web.StreamResponse:
         data = await self._body(request, CALL_MOST)
-        asked = gateway.request_of(request.path, data)
-        if not self.node.service.member.leads:
+        asked = gateway_server.decode_request(request.path, data)
+        if not self.node.service.member.is_leader:
             return await self._forward(request, data)
         self.node.points.reach("asked")
-        raw = gateway.answer_of(self.node.header(), await self.node.ask(asked))
+        raw = gateway_server.encode_response(self.node.header(), await self.node.ask(asked))
         self.node.points.reach("answer")
-        if request.path in gateway.STREAMED:
+        if request.path in gateway.STREAMED_PATHS:
             raw = {"result": raw}
         return web.json_response(raw)
 
@@ -503,13 +490,13 @@
         link = self.node.leader()
         if link is None or VIA in request.headers:
             raise RequestError(StatusCode.UNAVAILABLE, "etcdserver: no leader")
-        seconds = self.node.group.table.request_ms / 1000 + 0.5
+        seconds = self.node.group.settings.request_ms / 1000 + 0.5
         response: web.StreamResponse | None = None
         try:
             async with self.node.forwards.post(
                 link.base + request.path, data=data, headers={VIA: self.node.name}
             ) as answer:
-                if request.path != gateway.WATCH:
+                if request.path != gateway.WATCH_PATH:
                     async with asyncio.timeout(seconds):
                         body = await answer.read()
                     return web.Response(body=body, status=answer.status, content_type="application/json")
@@ -529,9 +516,9 @@
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
         data = await self._body(request, CALL_MOST)
-        asked = gateway.watch_of(data)
+        asked = gateway_server.decode_watch_request(data)
         node = self.node
-        if not node.service.member.leads:
+        if not node.service.member.is_leader:
             return await self._forward(request, data)
         node.tickets += 1
         number = node.tickets
@@ -544,20 +531,22 @@
             if first.ended:
                 raise RequestError(StatusCode.UNAVAILABLE, "etcdserver: no leader, or too many watches")
             await response.prepare(request)
-            created = {"header": node.header().at(first.revision), "created": True}
+            created = {"header": node.header().at_revision(first.revision), "created": True}
             await response.write(_line(created))
             told: WatchNotified | None = first
             while told is not None:
-                if told.compacted:
-                    head = node.header().at(told.revision)
-                    end = {"header": head, "canceled": True, "compact_revision": str(told.compacted)}
+                if told.compact_revision:
+                    head = node.header().at_revision(told.revision)
+                    end = {"header": head, "canceled": True, "compact_revision": str(told.compact_revision)}
                     await response.write(_line(end))
                     break
                 if told.ended:
                     request.protocol.force_close()
                     break
                 if told.events:
-                    line = gateway.events_of(node.header(), told.revision, told.events, asked.previous)
+                    line = gateway_server.encode_events(
+                        node.header(), told.revision, told.events, with_previous=asked.previous
+                    )
                     await response.write(_line(line))
                 told = await queue.get()
             return response
@@ -565,7 +554,7 @@
             return response
         finally:
             node.watchers.pop(number, None)
-            node.service.unwatch(number)
+            node.service.cancel_watch(number)
 
 
 def _line(result: gateway.Json) -> bytes:
@@ -579,7 +568,7 @@
 
     def __init__(self, address: str, folder: str) -> None:
         """Members of one machine name the same address and folder."""
-        self.group = Group((MemberAddress(EMBEDDED, address, folder),), GroupTable())
+        self.group = GroupConfig((MemberAddress(EMBEDDED, address, folder),), GroupSettings())
         self.folder = folder
         self.serving = False
 
@@ -601,7 +590,7 @@
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
-            listener.bind(addresses_of([self.group.members[0].address])[0])
+            listener.bind(parse_addresses([self.group.members[0].address])[0])
         except OSError as error:
             log.error("does not serve", member=EMBEDDED, error=str(error))
             listener.close()
@@ -623,19 +612,19 @@
 
 
 async def run_server(
-    group: Group,
+    group: GroupConfig,
     name: str,
     disk: MemberDisk,
     listen: str | None,
     ready: Callable[[int], None],
-    reread: Callable[[], Group | None] = lambda: None,
+    reread: Callable[[], GroupConfig | None] = lambda: None,
 ) -> int:
     """Serve as the member `name` until SIGTERM; the exit code.  `ready` is told the port; at SIGHUP `reread`
     gives the group as its file has it by then, or None where that can't be taken.
     """
-    row = group.row(name)
+    row = group.member(name)
     assert row is not None
-    (address,) = addresses_of([listen or row.address])
+    (address,) = parse_addresses([listen or row.address])
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
@@ -653,14 +642,14 @@
 
     def again() -> None:
         fresh = reread()
-        if fresh is not None and fresh.row(name) is not None:
+        if fresh is not None and fresh.member(name) is not None:
             node.regroup(fresh)
         else:
             log.error("file not taken", member=name, why="see above" if fresh is None else "names us no more")
 
     loop.add_signal_handler(signal.SIGHUP, again)
     ready(listener.getsockname()[1])
-    tending = asyncio.ensure_future(node.tend()) if group.table.upkeep_s else None
+    tending = asyncio.ensure_future(node.tend()) if group.settings.upkeep_s else None
     code = await node.over
     if tending is not None:
         tending.cancel()
--- a/heronreel/fault_injection/account_world.py
+++ b/heronreel/fault_injection/account_world.py
@@ -15,9 +15,10 @@
 
 import msgspec
 
+from heronreel.coordination.errors import RequestError
 from heronreel.coordination.keyspace import EMPTY_CONTENT, Keyspace
-from heronreel.coordination.model import Put, RequestError, ResponseOrError, Txn
-from heronreel.fault_injection.explore import Broken
+from heronreel.coordination.model import Put, ResponseOrError, Txn
+from heronreel.fault_injection.explore import InvariantViolationError
 from heronreel.fleet.model import (
     PARTS,
     REGISTER,
@@ -92,7 +93,7 @@
         self.ordered = ordered
         self.budget = budget
         self.guards = guards
-        state = Keyspace.of(EMPTY_CONTENT).apply(Put(RULES, rules_encoded((RULE,)))).state
+        state = Keyspace.from_content(EMPTY_CONTENT).apply(Put(RULES, rules_encoded((RULE,)))).state
         for ident in IDENTS:
             instance = Instance(Kind.PROXY, ident.partition("/")[2], condition=Condition.SERVING)
             state = state.apply(Put(instance.key, msgspec.json.encode(instance))).state
@@ -209,7 +210,7 @@
             looked = owner.looked + 1
             name = ident.partition("/")[2]
             seen = Instance(Kind.PROXY, name, condition=condition, looked=looked, number=owner.fence[0])
-            telling = told(self.state.keys[REGISTER].mod, seen)
+            telling = told(self.state.keys[REGISTER].mod_revision, seen)
             world._own(place, owner._replace(looked=looked, telling=telling))
             yield f"the owner of {ident} looks: {condition.value}", world
         if owner.telling is not None:
@@ -218,7 +219,11 @@
             before = world.state
             world.state = before.apply(owner.telling).state
             if owner.lost and world.state is not before and b"failed" in repr(owner.telling).encode():
-                world.loss_told = ident if world.state.keys[REGISTER].mod != before.keys[REGISTER].mod else ""
+                world.loss_told = (
+                    ident
+                    if world.state.keys[REGISTER].mod_revision != before.keys[REGISTER].mod_revision
+                    else ""
+                )
             yield f"the owner of {ident} tells of its look", world
 
     def _commanded(self, command: Command) -> Iterator[tuple[str, AccountWorld]]:
@@ -271,16 +276,16 @@
         answer: ResponseOrError
         try:
             applied = self.state.apply(question.request)
-            world.state, answer = applied.state, applied.result
+            world.state, answer = applied.state, applied.response
         except RequestError as refused:
             answer = refused
         if question.by:
             world.sent |= {Reply(question.by, answer)}
         fresh = [key for key in world.state.keys if key.startswith(PARTS) and key not in self.state.keys]
         if self.loss_told and any(key != PARTS + self.loss_told.encode() for key in fresh):
-            raise Broken("a part was taken though a loss was known", "the group is asked")
+            raise InvariantViolationError("a part was taken though a loss was known", "the group is asked")
         if self.halted and fresh:
-            raise Broken("a part was taken after the halt", "the group is asked")
+            raise InvariantViolationError("a part was taken after the halt", "the group is asked")
         return world
 
     def _answered(self, reply: Reply) -> AccountWorld:
@@ -298,5 +303,5 @@
         rows = zip(IDENTS, world.owners, strict=True)
         out = [ident for ident, owner in rows if owner.out and not owner.lost]
         if len(out) > 1:
-            raise Broken(f"{' and '.join(out)} are out", words)
+            raise InvariantViolationError(f"{' and '.join(out)} are out", words)
         return words, world
--- a/heronreel/fault_injection/count_world.py
+++ b/heronreel/fault_injection/count_world.py
@@ -15,17 +15,10 @@
 
 import msgspec
 
+from heronreel.coordination.errors import RequestError, StatusCode
 from heronreel.coordination.keyspace import EMPTY_CONTENT, Keyspace
-from heronreel.coordination.model import (
-    DeleteRange,
-    Put,
-    Range,
-    RequestError,
-    ResponseOrError,
-    StatusCode,
-    Txn,
-)
-from heronreel.fault_injection.explore import Broken
+from heronreel.coordination.model import DeleteRange, Put, Range, ResponseOrError, Txn
+from heronreel.fault_injection.explore import InvariantViolationError
 from heronreel.leases.lease import CLAIM_PREFIX, SendRequest
 from heronreel.metering.book import OTHERS, SERVED, UNKNOWN, Book, Head, blank, head_of
 from heronreel.metering.closing import Closing, Outcome
@@ -94,14 +87,14 @@
     def __init__(self, budget: Budget, guards: Guards, books: int = 1) -> None:
         self.budget = budget
         self.guards = guards
-        self.state = Keyspace.of(EMPTY_CONTENT).apply(Put(CLAIM, b"0")).state
+        self.state = Keyspace.from_content(EMPTY_CONTENT).apply(Put(CLAIM, b"0")).state
         self.processes: tuple[Process, ...] = ()
         for number in range(books):
             data = blank(Head(f"b{number}", f"p{number}", "", ()))
             words = tuple(int.from_bytes(data[at : at + 8], "little") for at in range(0, len(data), 8))
             self.processes += (Process(words, None),)
             self.processes = self._with(number, self._begun(number))
-        grant = self.state.keys[CLAIM].create
+        grant = self.state.keys[CLAIM].create_revision
         self.closers: tuple[Closer, ...] = (Closer(grant, self._closing(1, grant)),)
         self.sent: frozenset[Question | Reply] = frozenset()
         self.least = self.most = 0  # answers handed over for sure, and those that were begun
@@ -168,7 +161,7 @@
             world = self.fork()
             world.budget = self.budget._replace(holders=self.budget.holders - 1)
             world.state = world.state.apply(DeleteRange(CLAIM)).state.apply(Put(CLAIM, b"1")).state
-            grant = world.state.keys[CLAIM].create
+            grant = world.state.keys[CLAIM].create_revision
             step = self.closers[-1].closing.step
             if len(self.closers) > 1:  # whoever held it before the last one is gone
                 world._forget("c0")
@@ -259,7 +252,7 @@
             elif isinstance(action, Over):
                 process = process._replace(removed=True)
             elif isinstance(action, SetBack):
-                raise Broken("a book that goes with its record is set back", f"p{number}")
+                raise InvariantViolationError("a book that goes with its record is set back", f"p{number}")
             self.processes = self._with(number, process._replace(words=tuple(book.words)))
 
     def _of_closer(self, number: int, closer: Closer) -> Iterator[tuple[str, CountWorld]]:
@@ -298,7 +291,7 @@
         answer: ResponseOrError
         try:
             applied = self.state.apply(question.request)
-            world.state, answer = applied.state, applied.result
+            world.state, answer = applied.state, applied.response
         except RequestError as refused:
             answer = RequestError(refused.code, "")
         if question.by != GONE:
@@ -335,12 +328,16 @@
     def _judged(self, words: str, world: CountWorld) -> tuple[str, CountWorld]:
         known, unknown, closed, ever = world.told()
         if known > world.least:
-            raise Broken(f"{known} answers are counted, and {world.least} were handed over", words)
+            raise InvariantViolationError(
+                f"{known} answers are counted, and {world.least} were handed over", words
+            )
         if closed != ever:
-            raise Broken(f"the periods come to {closed}, and all of them together to {ever}", words)
+            raise InvariantViolationError(
+                f"the periods come to {closed}, and all of them together to {ever}", words
+            )
         if world.drained and known + unknown < world.most:
             told = f"{known} answers are counted and {unknown} unknown"
-            raise Broken(f"{told}, and {world.most} were begun", words)
+            raise InvariantViolationError(f"{told}, and {world.most} were begun", words)
         return words, world
 
     def told(self) -> tuple[int, int, int, int]:
--- a/heronreel/fault_injection/duty.py
+++ b/heronreel/fault_injection/duty.py
@@ -13,7 +13,7 @@
 
 import aiohttp
 
-from heronreel.coordination.clock import CrashPoints
+from heronreel.coordination.crash_points import CrashPoints
 from heronreel.leases.lease import LeaseTerms
 from heronreel.leases.rate_budget import RateLimits
 from heronreel.leases.session import LeaseSession
--- a/heronreel/fault_injection/lease_world.py
+++ b/heronreel/fault_injection/lease_world.py
@@ -19,11 +19,14 @@
 import msgspec
 from immutables import Map
 
-from heronreel.coordination.consensus import Actions as MemberActions
-from heronreel.coordination.consensus import ConsensusMember, DurableState, Persist, Timing
-from heronreel.coordination.kv_service import KeyValueService, Outputs, RequestCompleted
+from heronreel.coordination.actions import Actions as MemberActions
+from heronreel.coordination.actions import Persist
+from heronreel.coordination.consensus import ConsensusMember
+from heronreel.coordination.kv_service import KeyValueService, Outputs
+from heronreel.coordination.member_state import DurableState, Timing
 from heronreel.coordination.model import LeaseKeepAlive, Request, ResponseOrError
-from heronreel.fault_injection.explore import Broken
+from heronreel.coordination.request_batch import RequestCompleted
+from heronreel.fault_injection.explore import InvariantViolationError
 from heronreel.leases.fencing import FencingGuard
 from heronreel.leases.lease import (
     Actions,
@@ -115,9 +118,9 @@
                 asks = [action for action in actions if isinstance(action, SendRequest)]
                 actions = []
                 for ask in asks:
-                    outputs = self.group.ask(0.0, 1, ask.request, SECONDS_MOST)
+                    outputs = self.group.submit(0.0, 1, ask.request, SECONDS_MOST)
                     for answered in self._settle(self.group, outputs):
-                        actions += session.answered(0.0, ask.number, answered.answer)
+                        actions += session.answered(0.0, ask.number, answered.response)
                 self._hold(holder, [action for action in actions if not isinstance(action, SendRequest)])
         number = self.sessions[0].claims[0].acts(0.0)
         assert number
@@ -144,7 +147,7 @@
             output = queue.pop(0)
             if isinstance(output, Persist):
                 actions: MemberActions = service.member.persisted(self.group_time(), output.number)
-                queue += service.settle(self.group_time(), actions)
+                queue += service.handle_actions(self.group_time(), actions)
             elif isinstance(output, RequestCompleted):
                 answered.append(output)
         return answered
@@ -153,11 +156,7 @@
         world = object.__new__(LeaseWorld)
         world.__dict__.update(self.__dict__)
         world.sessions = tuple(_forked(session) for session in self.sessions)
-        group = copy.copy(self.group)
-        group.member = self.group.member.fork()
-        group.waiting = self.group.waiting.copy()
-        group.events = self.group.events.copy()
-        world.group = group
+        world.group = self.group.fork()
         return world
 
     def key(self) -> Hashable:
@@ -172,7 +171,7 @@
         return (
             tuple(rows), self.entered, self.time, self.limits, self.sent, self.flying, self.fence, self.acted,
             self.turns,
-            group.state.keys, group.state.leases, group.deadlines, group.state.revision,
+            group.state.keys, group.state.leases, group.lease_deadlines.by_lease, group.state.revision,
         )  # fmt: skip
 
     # -- steps
@@ -201,20 +200,20 @@
             world = self.fork()
             world.limits = limits._replace(changes=limits.changes - 1)
             member = self.group.member
-            disk = DurableState("a1", member.group, member.promised, member.version, member.content)
+            disk = DurableState("a1", member.group_id, member.promised, member.version, member.content)
             world.group = world._group(disk)
             yield self._checked("the group's leader changes", world)
 
     def _checked(self, words: str, world: LeaseWorld | str) -> tuple[str, LeaseWorld]:
         if isinstance(world, str):
-            raise Broken(world, words)
+            raise InvariantViolationError(world, words)
         world.sent = frozenset(message for message in world.sent if world._matters(message))
         acting = [
             holder for holder, session in enumerate(world.sessions)
             if session.claims[0].acts(world.holder_time(holder))
         ]  # fmt: skip
         if len(acting) > 1:
-            raise Broken("two act at once", words)
+            raise InvariantViolationError("two act at once", words)
         return words, world
 
     def _matters(self, message: Question | Reply) -> bool:
@@ -257,9 +256,9 @@
     def _asked(self, question: Question) -> LeaseWorld:
         world = self.fork()
         now = world.group_time()
-        outputs = world.group.ask(now, 1, question.request, now + SECONDS_MOST)
+        outputs = world.group.submit(now, 1, question.request, now + SECONDS_MOST)
         for answered in world._settle(world.group, outputs):
-            world.sent |= {Reply(question.holder, question.number, answered.answer)}
+            world.sent |= {Reply(question.holder, question.number, answered.response)}
         return world
 
     def _answered(self, reply: Reply) -> LeaseWorld:
--- a/heronreel/fault_injection/processes.py
+++ b/heronreel/fault_injection/processes.py
@@ -20,7 +20,8 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.clock import CLOCK_RATE_VARIABLE
-from heronreel.coordination.model import Range, RequestError
+from heronreel.coordination.errors import RequestError
+from heronreel.coordination.model import Range
 from heronreel.fault_injection.relay import Relay
 from heronreel.fault_injection.schedule import HOLDER, MEMBER_KINDS, Fault
 
--- a/heronreel/fault_injection/trial.py
+++ b/heronreel/fault_injection/trial.py
@@ -14,6 +14,7 @@
 from typing import Any, NamedTuple
 
 from heronreel.coordination.client import Client
+from heronreel.coordination.errors import RequestError
 from heronreel.coordination.model import (
     Compare,
     CompareOperator,
@@ -21,7 +22,6 @@
     Put,
     Range,
     RangeResponse,
-    RequestError,
     Txn,
     TxnResponse,
 )
--- a/heronreel/fleet/account.py
+++ b/heronreel/fleet/account.py
@@ -128,7 +128,7 @@
     """The account of an answer to `READ`.  Raises msgspec.DecodeError for records that are none: nothing is
     taken from an account that can't be read.
     """
-    *rest, present = (r for r in answer.results if isinstance(r, RangeResponse))
+    *rest, present = (r for r in answer.responses if isinstance(r, RangeResponse))
     register, rules, instances, parts, halt = (r.records for r in rest)
     there = set(present_names(present))
     rows = (msgspec.json.decode(record.value, type=Instance) for _, record in instances)
@@ -149,4 +149,4 @@
 
 
 def _mod(records: tuple[tuple[bytes, Record], ...]) -> int:
-    return records[0][1].mod if records else 0
+    return records[0][1].mod_revision if records else 0
--- a/heronreel/fleet/controller.py
+++ b/heronreel/fleet/controller.py
@@ -19,7 +19,8 @@
 import msgspec
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.clock import CrashPoints
+from heronreel.coordination.crash_points import CrashPoints
+from heronreel.coordination.errors import RequestError
 from heronreel.coordination.model import (
     Compare,
     CompareOperator,
@@ -27,7 +28,6 @@
     Put,
     Range,
     RangeResponse,
-    RequestError,
     Txn,
     TxnResponse,
 )
@@ -266,7 +266,7 @@
             try:
                 return step.adopted(now(), await self._adopt(ident, step.number))
             except RequestError as refused:
-                return step.unanswered(now(), refused.what)
+                return step.unanswered(now(), refused.message)
         if isinstance(action, Tell):
             self.points.reach("tell")
             said = await self._tell(ident, step.number, action)
@@ -304,7 +304,7 @@
                     return Said(bool(told["taken"]), int(told["number"]), int(told["looked"]))
                 return Said(False, 0, 0, str(told.get("error", answer.status)))
         except RequestError as refused:
-            return refused.what
+            return refused.message
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError, KeyError, TypeError) as error:
             return f"its owner does not answer: {error or type(error).__name__}"
 
--- a/heronreel/fleet/operation.py
+++ b/heronreel/fleet/operation.py
@@ -9,7 +9,8 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.clock import boot_clock
-from heronreel.coordination.model import Put, RequestError, TxnResponse
+from heronreel.coordination.errors import RequestError
+from heronreel.coordination.model import Put, TxnResponse
 from heronreel.fleet.account import READ, Account, read
 from heronreel.fleet.model import RULES, Instance, Rule, rules_encoded
 from heronreel.fleet.taking import Actions, Back, Fenced, Refused, Taken, Taking, Waiting, changing, told
--- a/heronreel/fleet/owner.py
+++ b/heronreel/fleet/owner.py
@@ -14,7 +14,8 @@
 import msgspec
 import structlog
 
-from heronreel.coordination.clock import CrashPoints, boot_clock
+from heronreel.coordination.clock import boot_clock
+from heronreel.coordination.crash_points import CrashPoints
 from heronreel.fleet import processes
 from heronreel.fleet.agent import (
     Actions,
--- a/heronreel/leases/lease.py
+++ b/heronreel/leases/lease.py
@@ -14,6 +14,7 @@
 
 import msgspec
 
+from heronreel.coordination.errors import RequestError, StatusCode
 from heronreel.coordination.model import (
     Compare,
     CompareOperator,
@@ -27,9 +28,7 @@
     Range,
     RangeResponse,
     Request,
-    RequestError,
     ResponseOrError,
-    StatusCode,
     Txn,
     TxnResponse,
 )
@@ -360,16 +359,16 @@
             if self.number:
                 return []
             return self._hold(now, answer.revision)
-        (found,) = answer.results
+        (found,) = answer.responses
         assert isinstance(found, RangeResponse)
         if not found.records:
             return self.stop("taken away") if self.number else self._soon(now)
         record = found.records[0][1]
-        self.holder = record.value, record.create
+        self.holder = record.value, record.create_revision
         if record.value == self.value and record.lease == session.lease:
-            if self.number and self.number != record.create:
-                return [*self.stop("taken away"), *self._hold(now, record.create)]
-            return [] if self.number else self._hold(now, record.create)
+            if self.number and self.number != record.create_revision:
+                return [*self.stop("taken away"), *self._hold(now, record.create_revision)]
+            return [] if self.number else self._hold(now, record.create_revision)
         return self.stop("another holds it") if self.number else []
 
     def _soon(self, now: float) -> Actions:
--- a/heronreel/leases/overview.py
+++ b/heronreel/leases/overview.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 from heronreel.coordination.client import Client
+from heronreel.coordination.errors import RequestError, StatusCode
 from heronreel.coordination.kv_service import DESIRED_MEMBERS_KEY
 from heronreel.coordination.model import (
     Compare,
@@ -18,8 +19,6 @@
     Put,
     Range,
     RangeResponse,
-    RequestError,
-    StatusCode,
     Txn,
     TxnResponse,
     prefix_end,
@@ -39,15 +38,15 @@
             told = await client.call(LeaseTimeToLive(record.lease))
             assert isinstance(told, LeaseResponse)
             left[record.lease] = told.ttl if told.ttl >= 0 else None
-            since = told.granted - max(0, told.ttl)
+            since = told.granted_ttl - max(0, told.ttl)
             # renewed at a third; the group tells whole seconds, rounded down
-            silent[record.lease] = since if since > told.granted / 3 + 1 else None
+            silent[record.lease] = since if since > told.granted_ttl / 3 + 1 else None
     return {
         "held": [
             {
                 "task": _text(key[len(CLAIM_PREFIX) :]),
                 "by": _text(record.value),
-                "number": record.create,
+                "number": record.create_revision,
                 "lease": str(record.lease),
                 "left_s": left.get(record.lease),
             }
@@ -57,7 +56,7 @@
             {
                 "name": _text(key[len(PRESENCE_PREFIX) :]),
                 "what": _text(record.value),
-                "since": record.create,
+                "since": record.create_revision,
                 "lease": str(record.lease),
                 "left_s": left.get(record.lease),
                 "unknown_since_s": silent.get(record.lease),
@@ -94,7 +93,7 @@
         assert isinstance(found, RangeResponse)
         if not found.records or not (cursor := decode_cursor(found.records[0][1].value)).aside:
             return False
-        same = Compare(key, CompareTarget.MOD, CompareOperator.EQUAL, found.records[0][1].mod)
+        same = Compare(key, CompareTarget.MOD, CompareOperator.EQUAL, found.records[0][1].mod_revision)
         done = await client.call(Txn((same,), (Put(key, encode_cursor(restart_suspended(cursor))),)))
         assert isinstance(done, TxnResponse)
         if done.succeeded:
@@ -124,7 +123,7 @@
         assert isinstance(found, RangeResponse)
         if not found.records:
             return None
-        number = found.records[0][1].create
+        number = found.records[0][1].create_revision
         same = Compare(key, CompareTarget.CREATE, CompareOperator.EQUAL, number)
         done = await client.call(Txn((same,), (DeleteRange(key),)))
         assert isinstance(done, TxnResponse)
--- a/heronreel/leases/rate_budget.py
+++ b/heronreel/leases/rate_budget.py
@@ -204,7 +204,7 @@
         wished = False
         for key, record in found.records:
             if key == self.register:
-                seen = record.mod
+                seen = record.mod_revision
             elif key == self.part:
                 # of an earlier lease of ours it is free only when that has ended, as anybody's
                 share = msgspec.json.decode(record.value, type=Part).share
--- a/heronreel/leases/session.py
+++ b/heronreel/leases/session.py
@@ -10,7 +10,8 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.clock import boot_clock
-from heronreel.coordination.model import RequestError, ResponseOrError, StatusCode
+from heronreel.coordination.errors import RequestError, StatusCode
+from heronreel.coordination.model import ResponseOrError
 from heronreel.leases.lease import (
     CLAIM_PREFIX,
     PRESENCE_PREFIX,
--- a/heronreel/leases/task_runner.py
+++ b/heronreel/leases/task_runner.py
@@ -15,7 +15,8 @@
 import structlog
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.model import Range, RangeResponse, RequestError, ResponseOrError, prefix_end
+from heronreel.coordination.errors import RequestError
+from heronreel.coordination.model import Range, RangeResponse, ResponseOrError, prefix_end
 from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX, Claim, SendRequest
 from heronreel.leases.rate_budget import BudgetShare, RateLimits, TokenBuckets
 from heronreel.leases.session import LeaseSession
--- a/heronreel/leases/tasks.py
+++ b/heronreel/leases/tasks.py
@@ -290,7 +290,7 @@
         self.seen = 0
         if found.records:
             record = found.records[0][1]
-            self.seen = record.mod
+            self.seen = record.mod_revision
             cursor = decode_cursor(record.value)
         self.cursor = cursor
         if cursor.number > self.number:
--- a/heronreel/metering/closing.py
+++ b/heronreel/metering/closing.py
@@ -102,13 +102,13 @@
         self.sum = self.books = None
         if isinstance(answer, TxnResponse) and not answer.succeeded and not reading:
             # the first result says who has the claim; pages that were put meanwhile are no reason to leave
-            (found,) = answer.results
+            (found,) = answer.responses
             assert isinstance(found, RangeResponse)
-            if not found.records or found.records[0][1].create != self.number:
+            if not found.records or found.records[0][1].create_revision != self.number:
                 self.outcome = Outcome.LEFT
 
     def _read_sum(self, found: RangeResponse) -> None:
-        self.mod = found.records[0][1].mod if found.records else 0
+        self.mod = found.records[0][1].mod_revision if found.records else 0
         self.sum = msgspec.json.decode(found.records[0][1].value, type=Sum) if found.records else Sum()
         if self.sum.closed >= self.step:
             self.outcome = Outcome.CLOSED
@@ -165,4 +165,4 @@
 
 
 def _book(key: bytes, record: Record) -> Book:
-    return Book(key, record.mod, len(record.value), msgspec.json.decode(record.value, type=Posted))
+    return Book(key, record.mod_revision, len(record.value), msgspec.json.decode(record.value, type=Posted))
--- a/heronreel/metering/counter.py
+++ b/heronreel/metering/counter.py
@@ -11,8 +11,9 @@
 import structlog
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.clock import CrashPoints
-from heronreel.coordination.model import Range, RangeResponse, RequestError, ResponseOrError, prefix_end
+from heronreel.coordination.crash_points import CrashPoints
+from heronreel.coordination.errors import RequestError
+from heronreel.coordination.model import Range, RangeResponse, ResponseOrError, prefix_end
 from heronreel.leases.lease import PRESENCE_PREFIX, SendRequest, present_names
 from heronreel.metering.book import FAILED, REFUSED, SERVED
 from heronreel.metering.closing import Closing, Outcome
--- a/heronreel/metering/overview.py
+++ b/heronreel/metering/overview.py
@@ -29,7 +29,7 @@
                      Range(PRESENCE_PREFIX, prefix_end(PRESENCE_PREFIX), keys_only=True)))  # fmt: skip
     told = await client.call(reads)  # of one moment
     assert isinstance(told, TxnResponse)
-    *rest, present = (r for r in told.results if isinstance(r, RangeResponse))
+    *rest, present = (r for r in told.responses if isinstance(r, RangeResponse))
     sums, books, closed = (r.records for r in rest)
     names = set(present_names(present))
     total = msgspec.json.decode(sums[0][1].value, type=Sum) if sums else Sum()
@@ -75,7 +75,7 @@
         record = found.records[0][1]
         old = msgspec.json.decode(record.value, type=Posted)
         new = msgspec.structs.replace(old, page=GIVEN_UP)
-        same = Compare(key, CompareTarget.MOD, CompareOperator.EQUAL, record.mod)
+        same = Compare(key, CompareTarget.MOD, CompareOperator.EQUAL, record.mod_revision)
         done = await client.call(Txn((same,), (Put(key, msgspec.json.encode(new)),)))
         assert isinstance(done, TxnResponse)
         if done.succeeded:
--- a/heronreel/metering/posting.py
+++ b/heronreel/metering/posting.py
@@ -185,9 +185,9 @@
             return []
         if isinstance(answer, TxnResponse) and self.phase is not Phase.POSTING:
             self.asked = None
-            found, total = answer.results
+            found, total = answer.responses
             assert isinstance(found, RangeResponse) and isinstance(total, RangeResponse)
-            self.sum_seen = total.records[0][1].mod if total.records else 0
+            self.sum_seen = total.records[0][1].mod_revision if total.records else 0
             return self._read(now, found)
         self._again(now)  # whatever became of it, the record says
         if isinstance(answer, TxnResponse):
@@ -198,7 +198,7 @@
         if not found.records:
             return self._absent(now)
         record = found.records[0][1]
-        self.seen = record.mod
+        self.seen = record.mod_revision
         self.record = posted = msgspec.json.decode(record.value, type=Posted)
         ours = self.page.number if self.page else self.confirmed
         if posted.page > ours or posted.page < self.confirmed:
--- a/heronreel/serve/fleet.py
+++ b/heronreel/serve/fleet.py
@@ -17,7 +17,8 @@
 import structlog
 
 import heronreel
-from heronreel.coordination.clock import CrashPoints, boot_clock
+from heronreel.coordination.clock import boot_clock
+from heronreel.coordination.crash_points import CrashPoints
 from heronreel.coordination.logs import log_to_stderr
 from heronreel.coordinator.server import EmbeddedServer
 from heronreel.leases.lease import ClaimAcquired, ClaimLost, LeaseTerms
--- a/heronreel/serve/probes.py
+++ b/heronreel/serve/probes.py
@@ -8,7 +8,8 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.clock import boot_clock
-from heronreel.coordination.model import Range, RangeResponse, RequestError, TxnResponse
+from heronreel.coordination.errors import RequestError
+from heronreel.coordination.model import Range, RangeResponse, TxnResponse
 from heronreel.health.checks import Health, Member, Rules, believed
 from heronreel.health.prober import Prober
 from heronreel.health.report import Heard, Report, decoded, key_of, task_of, telling
@@ -121,7 +122,7 @@
                 try:
                     await self._follow(client)
                 except RequestError as refused:
-                    log.warning("probes: the group does not answer: %s", refused.what)
+                    log.warning("probes: the group does not answer: %s", refused.message)
                 await asyncio.sleep(0.5)
         finally:
             ending.cancel()
--- a/tests/compatibility/fingerprints.py
+++ b/tests/compatibility/fingerprints.py
@@ -129,12 +129,13 @@
     states: int | None
     if name in UNCOUNTED:
         states = None
-    elif found.broken is not None:
-        states = explore(Within(start, len(found.way) - 1), most).states
+    elif found.violation is not None:
+        states = explore(Within(start, len(found.path) - 1), most).states
     else:
-        states = found.states if found.whole else most
+        states = found.states if found.complete else most
     return {
-        "states": states, "whole": found.whole, "broken": found.broken is not None, "length": len(found.way)
+        "states": states, "whole": found.complete, "broken": found.violation is not None,
+        "length": len(found.path),
     }  # fmt: skip
 
 
--- a/tests/compatibility/stored_control.py
+++ b/tests/compatibility/stored_control.py
@@ -16,10 +16,11 @@
 from enum import Enum
 from typing import Any
 
-from heronreel.coordination.consensus import CONFIRMED_VERSIONS_KEY, MEMBERSHIP_KEY, Role
-from heronreel.coordination.gateway import PATHS, STREAMED, WATCH
-from heronreel.coordination.keyspace import HEAD, KEY, LEASE, lease_key
+from heronreel.coordination.gateway import REQUEST_PATHS, STREAMED_PATHS, WATCH_PATH
+from heronreel.coordination.group_records import CONFIRMED_VERSIONS_KEY, MEMBERSHIP_KEY
+from heronreel.coordination.keyspace import HEADER_KEY, KEY_PREFIX, LEASE_PREFIX, lease_key
 from heronreel.coordination.kv_service import DESIRED_MEMBERS_KEY
+from heronreel.coordination.member_state import Role
 from heronreel.coordination.model import CompareOperator, CompareTarget
 from heronreel.coordinator.disk import NAMES, ROW
 from heronreel.coordinator.server import VIA
@@ -61,10 +62,10 @@
         "member: confirmed": CONFIRMED_VERSIONS_KEY,
         "disk: names": NAMES,
         "disk: row": ROW,
-        "state: head": HEAD,
-        "state: key": KEY,
+        "state: head": HEADER_KEY,
+        "state: key": KEY_PREFIX,
         "state: lease 258": lease_key(258),
-        "state: lease": LEASE,
+        "state: lease": LEASE_PREFIX,
         "wish": DESIRED_MEMBERS_KEY,
         "held": CLAIM_PREFIX,
         "present": PRESENCE_PREFIX,
@@ -97,7 +98,7 @@
         "fence: number": FencedTable.FENCE,
         "fence: step": FencedTable.STEP,
         "fence: row": FencedTable.ROW,
-        "watch": WATCH,
+        "watch": WATCH_PATH,
         "forwarded by": VIA,
     }
 )
@@ -108,7 +109,8 @@
 WORDS: dict[str, Any] = {name: [each.value for each in kind] for name, kind in ENUMS.items()}
 WORDS |= {
     "urgency": {each.name.lower(): int(each) for each in Priority},  # the names stand in keys of budgets
-    "paths": sorted(PATHS), "streamed": sorted(STREAMED), "kinds of counts": list(KINDS),
+    "paths": sorted(REQUEST_PATHS.values()), "streamed": sorted(STREAMED_PATHS),
+    "kinds of counts": list(KINDS),
     "budget": TOTAL_UNITS, "book given up": GIVEN_UP,
 }  # fmt: skip
 
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -221,7 +221,7 @@
 
 def group_content() -> dict[bytes, bytes]:
     """The group's state with all the records, as a member writes it."""
-    state = Keyspace.of(Map())
+    state = Keyspace.from_content(Map())
     content: dict[bytes, bytes] = {}
     requests: list[LeaseGrant | Put] = [LeaseGrant(30, lease) for lease in LEFT]
     for request in requests + [Put(key, value, lease) for key, value, lease in RECORDS]:
@@ -372,7 +372,7 @@
 
 def commands(source: Path, content: dict[bytes, bytes]) -> dict[str, bytes]:
     """What each command prints and ends with, on the files of `source` and the group's state `content`."""
-    state = Keyspace.of(Map(content))
+    state = Keyspace.from_content(Map(content))
 
     async def ask(self: Client, request: Request, seconds: float = 3.0) -> Response:
         nonlocal state
@@ -380,7 +380,7 @@
             return LeaseResponse(state.revision, request.id, *LEFT[request.id])
         done = state.apply(request)  # type: ignore[arg-type]
         state = done.state
-        return done.result
+        return done.response
 
     async def health(self: Client, address: str) -> dict[str, Any]:
         return HEALTH[address]
@@ -391,7 +391,7 @@
     with tempfile.TemporaryDirectory() as folder, chdir(folder), answers, told_of:
         prepare(Path(folder), source)
         for name, words in COMMANDS.items():
-            state = Keyspace.of(Map(content))
+            state = Keyspace.from_content(Map(content))
             done = CliRunner().invoke(main, words)
             told[name] = f"{' '.join(words)}\nexit {done.exit_code}\n{done.stdout}".encode()
         done = CliRunner().invoke(main, PLAY)
--- a/tests/compatibility/stored_fleet.py
+++ b/tests/compatibility/stored_fleet.py
@@ -15,7 +15,7 @@
 import msgspec
 from aiohttp.test_utils import TestClient, TestServer
 
-from heronreel.coordination.gateway import answer_of
+from heronreel.coordination.gateway_server import encode_response
 from heronreel.coordination.model import Put, RangeResponse, Record, Request, TxnResponse
 from heronreel.fleet.account import READ, Account
 from heronreel.fleet.agent import Kept, Process, Want
@@ -203,7 +203,7 @@
         async with Server({"/order": b'{"taken": true, "number": 9, "looked": 4}'}) as server:
             presence = json.dumps({"kind": "agent", "version": "0.2.0", "address": server.address}).encode()
             found = RangeResponse(3, ((PRESENCE_PREFIX + b"m1", Record(presence, 3, 3, 1, 7)),), 1, False)
-            server.answers["/v3/kv/range"] = json.dumps(answer_of(HEADER, found)).encode()
+            server.answers["/v3/kv/range"] = json.dumps(encode_response(HEADER, found)).encode()
             controller = Controller([server.address], "ann")
             controller.account = Account(0, (), {INSTANCE.ident: INSTANCE}, {})
             async with aiohttp.ClientSession() as controller.session:
--- a/tests/compatibility/stored_forms.py
+++ b/tests/compatibility/stored_forms.py
@@ -14,15 +14,9 @@
 from aiohttp.test_utils import TestServer
 from immutables import Map
 
-from heronreel.coordination.gateway import (
-    STREAMED,
-    Header,
-    answer_of,
-    body_of,
-    path_of,
-    request_of,
-    result_of,
-)
+from heronreel.coordination.gateway import STREAMED_PATHS, request_path
+from heronreel.coordination.gateway_client import decode_response, encode_request
+from heronreel.coordination.gateway_server import ResponseHeader, decode_request, encode_response
 from heronreel.coordination.keyspace import Content
 from heronreel.coordination.model import Request, Response
 from heronreel.coordinator.server import _encode, _messages
@@ -31,7 +25,7 @@
 FOLDER = Path(__file__).parent / "stored" / "control"
 DRAWN = "00112233aabbccdd"  # stands for what the program draws at random
 T = TypeVar("T")
-HEADER = Header(123, 456, 3)  # of each answer
+HEADER = ResponseHeader(123, 456, 3)  # of each answer
 
 
 class Form(NamedTuple):
@@ -66,11 +60,11 @@
     """A client's call: a line with the path, and the body."""
 
     def write() -> bytes:
-        return f"{path_of(request)}\n{json.dumps(body_of(request))}".encode()
+        return f"{request_path(request)}\n{json.dumps(encode_request(request))}".encode()
 
     def read(data: bytes) -> Request:
         path, _, body = data.partition(b"\n")
-        return request_of(path.decode(), body)
+        return decode_request(path.decode(), body)
 
     return Form(request, write, read)
 
@@ -79,10 +73,10 @@
     """The body of an answer."""
 
     def write() -> bytes:
-        raw = answer_of(HEADER, result)
-        return json.dumps({"result": raw} if path_of(request) in STREAMED else raw).encode()
+        raw = encode_response(HEADER, result)
+        return json.dumps({"result": raw} if request_path(request) in STREAMED_PATHS else raw).encode()
 
-    return Form(result, write, lambda data: result_of(request, json.loads(data)))
+    return Form(result, write, lambda data: decode_response(request, json.loads(data)))
 
 
 def as_rows(value: object, rows: Callable[[], Mapping[bytes, bytes]], read: Callable[[Content], Any]) -> Form:
--- a/tests/compatibility/stored_group.py
+++ b/tests/compatibility/stored_group.py
@@ -16,24 +16,16 @@
 import msgspec
 from immutables import Map
 
-from heronreel.coordination.consensus import (
-    Accept,
-    Accepted,
-    Ballot,
-    ConsensusMember,
-    DurableState,
-    Hello,
-    Persist,
-    Prepare,
-    Promise,
-    ResetDisk,
-    Send,
-    Status,
-    Version,
-)
-from heronreel.coordination.gateway import events_of, events_told, refusal_of, refused_of, request_of
+from heronreel.coordination.actions import Persist, Send
+from heronreel.coordination.ballots import Ballot, Version
+from heronreel.coordination.consensus import ConsensusMember
+from heronreel.coordination.errors import RequestError, StatusCode
+from heronreel.coordination.gateway_client import decode_error, decode_events
+from heronreel.coordination.gateway_server import decode_request, encode_error, encode_events
 from heronreel.coordination.keyspace import EMPTY_CONTENT, Content, Keyspace, apply_writes
-from heronreel.coordination.kv_service import DESIRED_MEMBERS_KEY, names_of
+from heronreel.coordination.kv_service import DESIRED_MEMBERS_KEY, parse_member_names
+from heronreel.coordination.member_state import DurableState
+from heronreel.coordination.messages import Accept, Accepted, Hello, Prepare, Promise, ResetDisk, Status
 from heronreel.coordination.model import (
     Compare,
     CompareOperator,
@@ -54,9 +46,7 @@
     RangeResponse,
     Record,
     Request,
-    RequestError,
     Response,
-    StatusCode,
     Txn,
     TxnResponse,
 )
@@ -163,14 +153,14 @@
     for moment in range(4):
         now = moment / 20  # sooner than the leader's next round without writes
         waiting = deque((name, action) for name in members for action in members[name].tick(now))
-        if members["a"].leads and not members["a"].busy:
+        if members["a"].is_leader and not members["a"].has_round_in_flight:
             waiting.extend(("a", action) for action in members["a"].propose(now, ((b"kx", b"%d" % moment),)))
         while waiting:
             name, action = waiting.popleft()
             if isinstance(action, Send):
                 waiting.extend((action.to, each) for each in members[action.to].receive(now, action.message))
             elif isinstance(action, Persist):
-                waiting.extend((name, each) for each in action.then)
+                waiting.extend((name, each) for each in action.sends)
                 waiting.extend((name, each) for each in members[name].persisted(now, action.number))
     return members["a"].content
 
@@ -178,7 +168,7 @@
 def group_of(content: Content) -> tuple[dict[str, str], dict[str, Version]]:
     """Members and what they are known to have, as a member reads them in the map."""
     member = ConsensusMember("a", "abc", DurableState("disk-a", "disk-a", BALLOT, VERSION, content), 0.0)
-    return dict(member.members), dict(member.confirmed)
+    return dict(member.members), dict(member.confirmed_versions)
 
 
 # -- the keyspace
@@ -194,7 +184,7 @@
 
 def changed() -> Content:
     """The map after `CHANGES`."""
-    content, state = EMPTY_CONTENT, Keyspace.of(EMPTY_CONTENT)
+    content, state = EMPTY_CONTENT, Keyspace.from_content(EMPTY_CONTENT)
     for request in CHANGES:
         assert isinstance(request, Range | Put | DeleteRange | Txn | LeaseGrant | LeaseRevoke)
         done = state.apply(request)
@@ -204,9 +194,9 @@
 
 def state_of(content: Content) -> tuple[object, ...]:
     """All that a state reads in the map."""
-    state = Keyspace.of(content)
-    attached = {lease: sorted(keys) for lease, keys in state.attached.items()}
-    return tuple(msgspec.structs.astuple(state.head)), dict(state.keys), dict(state.leases), attached
+    state = Keyspace.from_content(content)
+    attached = {lease: sorted(keys) for lease, keys in state.lease_keys.items()}
+    return tuple(msgspec.structs.astuple(state.header)), dict(state.keys), dict(state.leases), attached
 
 
 def fenced(folder: Path) -> dict[bytes, bytes]:
@@ -351,21 +341,23 @@
 
 def refusals() -> bytes:
     """Status and body of the answer to each of `BAD_CALLS`, and to a refusal with each code."""
-    rows: list[tuple[object, ...]] = [("", "", *refusal_of(RequestError(code, "why"))) for code in StatusCode]
+    rows: list[tuple[object, ...]] = [
+        ("", "", *encode_error(RequestError(code, "why"))) for code in StatusCode
+    ]
     for path, body in BAD_CALLS:
         try:
-            request = request_of(path, body.encode())
+            request = decode_request(path, body.encode())
             assert isinstance(request, Range | Put | DeleteRange | Txn | LeaseGrant | LeaseRevoke)
-            Keyspace.of(changed()).apply(request)
+            Keyspace.from_content(changed()).apply(request)
         except RequestError as refused:
-            rows.append((path, body, *refusal_of(refused)))
+            rows.append((path, body, *encode_error(refused)))
     return b"[\n" + b",\n".join(json.dumps(row).encode() for row in rows) + b"\n]"
 
 
 def refused(data: bytes) -> list[int]:
     """The codes of refusals as a client reads them; nothing else is in a body than it says."""
-    found = [(refused_of(status, body), status, body) for _, _, status, body in json.loads(data)]
-    assert all(refusal_of(each) == (status, body) for each, status, body in found)
+    found = [(decode_error(status, body), status, body) for _, _, status, body in json.loads(data)]
+    assert all(encode_error(each) == (status, body) for each, status, body in found)
     return [int(each.code) for each, _, _ in found]
 
 
@@ -390,8 +382,8 @@
     **{f"call-{name}.txt": as_call(request) for name, request in CALLS.items()},
     **{f"answer-{name}.json": as_answer(*pair) for name, pair in ANSWERS.items()},
     "watch-events.json": Form(
-        (11, EVENTS), lambda: _line(events_of(HEADER, 11, EVENTS, True)),
-        lambda data: events_told(json.loads(data)["result"]),
+        (11, EVENTS), lambda: _line(encode_events(HEADER, 11, EVENTS, with_previous=True)),
+        lambda data: decode_events(json.loads(data)["result"]),
     ),
     "refusals.json": Form(
         [*map(int, StatusCode), 3, 11, 11, 5, 3, 3, 9, 5], refusals, refused
@@ -410,7 +402,7 @@
         ((7, 1, 205), KEYS, {1: 6, 77: 10}, {1: [b"y"], 77: [b"held/t"]}), changed, state_of
     ),
     "fence.json": as_rows(({b"t": 9}, 1, [(9, b"one")]), lambda: with_store(fenced), fence_of),
-    "wish.txt": Form(frozenset("abc"), lambda: resized("cab"), names_of),
+    "wish.txt": Form(frozenset("abc"), lambda: resized("cab"), parse_member_names),
     "cursor.json": Form(c := Cursor(4, 5, 2, 9, "m1", True, 1), lambda: encode_cursor(c), decode_cursor),
     "cursor-new.json": Form(Cursor(), lambda: encode_cursor(Cursor()), decode_cursor),
     "budget-part.json": as_json(BudgetPart(240)),
--- a/tests/compatibility/test_stored_control.py
+++ b/tests/compatibility/test_stored_control.py
@@ -13,17 +13,11 @@
 from aiohttp.test_utils import TestClient, TestServer
 
 from heronreel.coordination.client import Client, WatchEvents
-from heronreel.coordination.gateway import PATHS, WATCH, WatchAsked, path_of, request_of, watch_of
-from heronreel.coordination.model import (
-    DeleteRange,
-    LeaseGrant,
-    LeaseTimeToLive,
-    Put,
-    Range,
-    RequestError,
-    StatusCode,
-)
-from heronreel.coordination.settings import Group, MemberAddress
+from heronreel.coordination.errors import RequestError, StatusCode
+from heronreel.coordination.gateway import REQUEST_PATHS, WATCH_PATH, request_path
+from heronreel.coordination.gateway_server import WatchRequest, decode_request, decode_watch_request
+from heronreel.coordination.model import DeleteRange, LeaseGrant, LeaseTimeToLive, Put, Range
+from heronreel.coordination.settings import GroupConfig, MemberAddress
 from heronreel.coordinator.disk import MemberDisk
 from heronreel.coordinator.server import HttpListener, MemberNode
 from tests.compatibility.stored_control import FORMS, MEMBER
@@ -52,23 +46,23 @@
 
 def test_a_client_sends_these_calls_and_takes_these_answers() -> None:
     async def talk() -> None:
-        async with Server({WATCH: (FOLDER / "watch-events.json").read_bytes()}) as server:
+        async with Server({WATCH_PATH: (FOLDER / "watch-events.json").read_bytes()}) as server:
             async with Client([server.address]) as client:
                 for name, (request, result) in ANSWERS.items():
-                    path = path_of(request)
+                    path = request_path(request)
                     server.answers[path] = (FOLDER / f"answer-{name}.json").read_bytes()
                     assert await client.call(request) == result
                     assert server.calls[-1][0] == path
-                    assert request_of(*server.calls[-1]) == request
+                    assert decode_request(*server.calls[-1]) == request
                 async for changes in client.watch(b"x", b"z", 8):
                     assert changes == WatchEvents(11, EVENTS)
                     break
                 path, body = server.calls[-1]
-                assert path == WATCH == "/v3/watch"
+                assert path == WATCH_PATH == "/v3/watch"
                 assert json.loads(body) == {
                     "create_request": {"key": "eA==", "range_end": "eg==", "start_revision": "8"}
                 }
-                assert watch_of(body) == WatchAsked(b"x", b"z", 8, False)
+                assert decode_watch_request(body) == WatchRequest(b"x", b"z", 8, False)
 
     asyncio.run(talk())
 
@@ -79,7 +73,9 @@
             with patch("secrets.token_hex", drawn):
                 disk = MemberDisk(tmp_path, "a")
             node = MemberNode(
-                Group((MemberAddress("a", "127.0.0.1:1"), MemberAddress("b", server.address))), "a", disk
+                GroupConfig((MemberAddress("a", "127.0.0.1:1"), MemberAddress("b", server.address))),
+                "a",
+                disk,
             )
             await node.start()
             async with asyncio.timeout(5):
@@ -95,18 +91,18 @@
     async def talk() -> None:
         with patch("secrets.token_hex", drawn):
             disk = MemberDisk(tmp_path, "a")
-        node = MemberNode(Group((MemberAddress("a", "127.0.0.1:1"),)), "a", disk)
+        node = MemberNode(GroupConfig((MemberAddress("a", "127.0.0.1:1"),)), "a", disk)
         await node.start()
         app = HttpListener(node).runner.app
         assert app is not None
         paths = {
             f"{route.method} {route.resource.canonical}" for route in app.router.routes() if route.resource
         }
-        calls = {f"POST {path}" for path in PATHS}
+        calls = {f"POST {path}" for path in REQUEST_PATHS.values()}
         assert paths == calls | {"POST /member", "POST /v3/watch", "GET /health", "HEAD /health"}
         async with TestClient(TestServer(app, host="127.0.0.1")) as client:
             async with asyncio.timeout(5):
-                while not node.service.member.leads:
+                while not node.service.member.is_leader:
                     await asyncio.sleep(0.005)
             async with client.post("/v3/kv/put", data=b'{"key": "eA==", "value": "AA=="}') as answer:
                 head = {
@@ -143,11 +139,11 @@
     ],
 )  # fmt: skip
 def test_other_spellings_of_calls_are_taken(path: str, body: dict[str, object], request_: object) -> None:
-    assert request_of(path, json.dumps(body).encode()) == request_
+    assert decode_request(path, json.dumps(body).encode()) == request_
 
 
 @pytest.mark.parametrize("body", [b"{", b'{"key": "eA==", "values": ""}', b'{"key": 5}'])
 def test_a_call_that_is_none_is_refused(body: bytes) -> None:
     with pytest.raises(RequestError) as refused:
-        request_of("/v3/kv/put", body)
+        decode_request("/v3/kv/put", body)
     assert refused.value.code is StatusCode.INVALID_ARGUMENT
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -180,7 +180,7 @@
 
 
 def test_the_group_s_records_are_read() -> None:
-    state = Keyspace.of(Map(stored_data.content_of((DATA / "group.state").read_bytes())))
+    state = Keyspace.from_content(Map(stored_data.content_of((DATA / "group.state").read_bytes())))
     assert state.revision == 1 + len(stored_data.RECORDS)
     assert dict(state.leases) == {lease: 30 for lease in stored_data.LEFT}
     assert dict(state.keys) == {
--- a/tests/coordinator/test_processes.py
+++ b/tests/coordinator/test_processes.py
@@ -18,6 +18,7 @@
 import pytest
 
 from heronreel.coordination.client import Client
+from heronreel.coordination.errors import RequestError, StatusCode
 from heronreel.coordination.model import (
     LeaseGrant,
     LeaseKeepAlive,
@@ -26,8 +27,6 @@
     Put,
     Range,
     RangeResponse,
-    RequestError,
-    StatusCode,
 )
 from heronreel.fault_injection.histories import Call, read
 from heronreel.fault_injection.linear import wrong
--- a/tests/fleet/test_disruption_budget.py
+++ b/tests/fleet/test_disruption_budget.py
@@ -16,7 +16,7 @@
 from heronreel.coordination.client import Client
 from heronreel.coordination.model import RangeResponse, Record, TxnResponse
 from heronreel.fault_injection.account_world import AccountWorld, Budget
-from heronreel.fault_injection.explore import after, explore, walk
+from heronreel.fault_injection.explore import advance, explore, random_walk
 from heronreel.fault_injection.processes import Harness
 from heronreel.fleet.account import Account, read
 from heronreel.fleet.model import REGISTER, Condition, Instance, Kind, Part, Rule, Scope
@@ -52,7 +52,7 @@
 
 
 def with_all_guards(budget: Budget, prefix: tuple[str, ...]) -> tuple[AccountWorld, int]:
-    return after(AccountWorld(budget, Guards()), *prefix), 10_000
+    return advance(AccountWorld(budget, Guards()), *prefix), 10_000
 
 
 def without_guard(
@@ -60,14 +60,14 @@
 ) -> tuple[AccountWorld, int]:
     ordered = without.get("ordered", True)
     guards = Guards(**{name: on for name, on in without.items() if name != "ordered"})
-    return after(AccountWorld(budget, guards, ordered=ordered), *prefix), 300_000
+    return advance(AccountWorld(budget, guards, ordered=ordered), *prefix), 300_000
 
 
 @pytest.mark.parametrize("budget", EVERY_ORDER.values(), ids=EVERY_ORDER)
 def test_in_every_order_no_more_are_out_than_may_be(budget: Budget) -> None:
     found = explore(*every_order(budget))
     print(found)
-    assert found.whole and found.broken is None and found.states > 20_000
+    assert found.complete and found.violation is None and found.states > 20_000
 
 
 @pytest.mark.parametrize(("budget", "prefix", "without"), WITHOUT_GUARD.values(), ids=WITHOUT_GUARD)
@@ -75,17 +75,17 @@
     budget: Budget, prefix: tuple[str, ...], without: dict[str, bool]
 ) -> None:
     kept = explore(*with_all_guards(budget, prefix))
-    assert kept.broken is None, str(kept)
+    assert kept.violation is None, str(kept)
     found = explore(*without_guard(budget, prefix, without))
     print(without, found)
-    assert found.broken is not None
+    assert found.violation is not None
 
 
 @settings(max_examples=40, deadline=None)
 @given(st.integers(0, 1 << 30))
 def test_in_any_walk_no_more_are_out_than_may_be(seed: int) -> None:
     budget = Budget(wishes="0011", looks=20, losses=1, deaths=4, asks=120)
-    assert walk(AccountWorld(budget, Guards()), random.Random(seed), 400) == []
+    assert random_walk(AccountWorld(budget, Guards()), random.Random(seed), 400) == []
 
 
 def instance(name: str, zone: str, condition: Condition = Condition.SERVING, **more: float) -> Instance:
--- a/tests/leases/test_rate_budget.py
+++ b/tests/leases/test_rate_budget.py
@@ -10,8 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from heronreel.coordination.errors import RequestError, StatusCode
 from heronreel.coordination.keyspace import EMPTY_CONTENT, Keyspace
-from heronreel.coordination.model import LeaseGrant, LeaseRevoke, RequestError, StatusCode
+from heronreel.coordination.model import LeaseGrant, LeaseRevoke
 from heronreel.leases.lease import LeaseClient, LeaseTerms, SendRequest
 from heronreel.leases.rate_budget import MIN_UNITS, TOTAL_UNITS, BudgetShare, RateLimits, TokenBucket
 from heronreel.leases.task_runner import BudgetSpender, StepContext, _CpuMeteredStep
@@ -27,7 +28,7 @@
         self.rng = random.Random(seed)
         self.loss = loss
         self.guarded = guarded
-        self.state = Keyspace.of(EMPTY_CONTENT)
+        self.state = Keyspace.from_content(EMPTY_CONTENT)
         self.now = 0.0
         self.leases = 0
         self.late: list[SendRequest] = []
@@ -61,7 +62,7 @@
         try:
             done = self.state.apply(ask.request)  # type: ignore[arg-type]
             self.state = done.state
-            return done.result
+            return done.response
         except RequestError as refused:
             return refused
 
--- a/tests/leases/test_tasks.py
+++ b/tests/leases/test_tasks.py
@@ -8,8 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from heronreel.coordination.errors import RequestError, StatusCode
 from heronreel.coordination.keyspace import EMPTY_CONTENT, Keyspace
-from heronreel.coordination.model import DeleteRange, Put, RequestError, ResponseOrError, StatusCode
+from heronreel.coordination.model import DeleteRange, Put, ResponseOrError
 from heronreel.leases.lease import SendRequest
 from heronreel.leases.tasks import (
     Priority,
@@ -37,7 +38,7 @@
         self.rng = random.Random(seed)
         self.loss = loss
         self.fenced = fenced
-        self.state = Keyspace.of(EMPTY_CONTENT)
+        self.state = Keyspace.from_content(EMPTY_CONTENT)
         self.now = 0.0
         self.done: list[tuple[int, int]] = []  # step and number, in the order in which they were done
         self.told: list[object] = []
@@ -47,7 +48,7 @@
         """The claim is taken by the next one; whoever had it does not know."""
         self.state = self.state.apply(DeleteRange(TASK.claim)).state
         self.state = self.state.apply(Put(TASK.claim, b"x")).state
-        number = self.state.keys[TASK.claim].create
+        number = self.state.keys[TASK.claim].create_revision
         return TaskProgress(TASK, number, f"h{number}", self.now, fenced=self.fenced)
 
     def confirmed(self) -> int:
@@ -67,7 +68,7 @@
                 before = self.confirmed()
                 try:
                     done = self.state.apply(action.request)  # type: ignore[arg-type]
-                    self.state, answer = done.state, done.result
+                    self.state, answer = done.state, done.response
                 except RequestError as refused:
                     answer = refused
                 if self.confirmed() not in (before, before + 1):
--- a/tests/metering/test_metering.py
+++ b/tests/metering/test_metering.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from heronreel.fault_injection.count_world import Budget, CountWorld, Guards
-from heronreel.fault_injection.explore import after, explore, walk
+from heronreel.fault_injection.explore import advance, explore, random_walk
 from heronreel.metering.book import (
     KINDS,
     SERVED,
@@ -147,11 +147,11 @@
 
 
 def with_count_guards(budget: Budget, prefix: tuple[str, ...]) -> tuple[CountWorld, int]:
-    return after(CountWorld(budget, Guards()), *prefix), 10_000
+    return advance(CountWorld(budget, Guards()), *prefix), 10_000
 
 
 def without_count_guard(guard: str, budget: Budget, prefix: tuple[str, ...]) -> tuple[CountWorld, int]:
-    return after(CountWorld(budget, Guards()._replace(**{guard: False})), *prefix), 300_000
+    return advance(CountWorld(budget, Guards()._replace(**{guard: False})), *prefix), 300_000
 
 
 def walks_without_the_closers_guard() -> Iterator[list[str]]:
@@ -161,7 +161,7 @@
 def test_every_order_with_a_kill_counts_each_answer_once() -> None:
     found = explore(*with_a_kill())
     print(found)
-    assert found.whole and found.broken is None and found.states > 50_000
+    assert found.complete and found.violation is None and found.states > 50_000
 
 
 @pytest.mark.parametrize(("guard", "budget", "prefix"), COUNT_GUARDS)
@@ -169,10 +169,10 @@
     guard: str, budget: Budget, prefix: tuple[str, ...]
 ) -> None:
     kept = explore(*with_count_guards(budget, prefix))
-    assert kept.broken is None, str(kept)
+    assert kept.violation is None, str(kept)
     found = explore(*without_count_guard(guard, budget, prefix))
     print(guard, found)
-    assert found.broken is not None
+    assert found.violation is not None
 
 
 def test_without_the_closers_guard_a_walk_counts_an_answer_twice_or_forgets_it() -> None:
@@ -186,7 +186,7 @@
 
 
 def walked(seed: int, guards: Guards, books: int = 2) -> list[str]:
-    return walk(CountWorld(LARGE, guards, books), random.Random(seed), 600)
+    return random_walk(CountWorld(LARGE, guards, books), random.Random(seed), 600)
 
 
 @settings(max_examples=40, deadline=None)
--- a/tests/metering/test_metering_processes.py
+++ b/tests/metering/test_metering_processes.py
@@ -16,7 +16,7 @@
 import pytest
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.model import RequestError
+from heronreel.coordination.errors import RequestError
 from heronreel.fault_injection.processes import ROOT, Harness, Process
 from heronreel.leases.overview import lease_overview
 from heronreel.metering import overview
