--- a/heronreel/coordination/gateway.py
+++ b/heronreel/coordination/gateway.py
@@ -1,8 +1,8 @@
 """What both sides of the gateway share: its paths, its HTTP statuses, and the encoding of values.
 
-The form is the published one of etcd's v3 gateway (grpc-gateway over rpc.proto).  Requests and responses are JSON.  Keys and values are base64, 64-bit numbers are strings, and fields with
-default values may be left out.  `gateway_server` reads requests and writes responses, `gateway_client` the
-other way round.
+The form is the published one of etcd's v3 gateway (grpc-gateway over rpc.proto).  Requests and responses
+are JSON.  Keys and values are base64, 64-bit numbers are strings, and fields with default values may be
+left out.  `gateway_server` reads requests and writes responses, `gateway_client` the other way round.
 """
 
 from __future__ import annotations
--- a/heronreel/fault_injection/virtual.py
+++ b/heronreel/fault_injection/virtual.py
@@ -1,12 +1,12 @@
-"""A whole group and its holders in virtual time, around the very cores that processes run, from one seed.
+"""A group and its lease holders in virtual time, around the cores that processes run, from one seed.
 
-Messages are delayed by drawn times, so they overtake one another; they are lost and doubled; ways are cut,
-one way or both; members crash and are back with what had reached their disk; any process sleeps; clocks run
-apart by up to the bound.  After the last fault the group has to answer again.
+Messages are delayed by random times, so they overtake one another; they are lost and duplicated; links are
+partitioned in one or both directions; members crash and restart with what had reached their disk; any process
+is paused; clocks drift apart by up to the bound.  After the last fault the group has to respond again.
 
-The judge looks at every step: never do two holders act, unless one sleeps, and then the place takes nothing
-of the earlier one after it took something of the later; and the calls of clients have an order that
-explains them.
+Invariants are checked at every step: never do two holders act, unless one is paused, and then the fenced
+resource accepts nothing of the earlier one after it accepted something of the later; and the calls of clients
+are linearizable.
 """
 
 from __future__ import annotations
@@ -47,32 +47,31 @@
 
 @dataclass
 class Node:
-    """One member: its core, its disk, and what it is suffering."""
+    """One member: its core, its disk, and its faults."""
 
     name: str
     disk: DurableState
     rate: float
     service: KeyValueService
-    waits: list[Persist] = field(default_factory=list)
+    waiting: list[Persist] = field(default_factory=list)
     up: bool = True
-    asleep: float = 0.0  # until then
-    life: int = 0  # counts crashes: what was under way before one is gone
+    paused_until: float = 0.0
+    restarts: int = 0  # what was under way before a restart is dropped
 
 
 @dataclass
-class Player:
-    """One holder."""
+class Holder:
+    """A process that claims the lease."""
 
     number: int
     rate: float
     session: LeaseClient
-    asleep: float = 0.0
-    entered: int = 0
-    told: int = 0  # the number of the last grant
+    paused_until: float = 0.0
+    entered: int = 0  # the fencing token it has entered the resource with
 
 
 class VirtualWorld:
-    """`run` plays it; `problems` is what was wrong."""
+    """One run, which its seed determines: `run` plays it, and `problems` has what went wrong."""
 
     def __init__(
         self,
@@ -87,6 +86,19 @@
         fenced: bool = True,
         margin: bool = True,
     ) -> None:
+        """Prepares a run.
+
+        Args:
+            seed: determines everything random.
+            members: of the group, by number.
+            holders: processes that claim the same lease.
+            seconds: the virtual time that the run takes; no fault comes in its last third.
+            faults: how many are injected.
+            drift: how much clocks run faster or slower than true time, at most, as a share.
+            guards: the safeguards of the consensus protocol in force.
+            fenced: whether the resource rejects earlier holders.
+            margin: whether holders stop before their lease ends.
+        """
         self.rng = random.Random(f"virtual {seed}")
         self.now = 0.0
         self.end = seconds
@@ -94,9 +106,9 @@
         self.guards = guards
         self.fenced = fenced
         self.problems: list[str] = []
-        self.heap: list[tuple[float, int, Callable[[], None]]] = []
-        self.count = 0
-        self.cut: set[tuple[str, str]] = set()
+        self._events: list[tuple[float, int, Callable[[], None]]] = []
+        self._event_count = 0
+        self.partitioned: set[tuple[str, str]] = set()
         self.loss = 0.02
         self.names = [f"m{number}" for number in range(members)]
         self.nodes: dict[str, Node] = {}
@@ -104,24 +116,24 @@
             disk = DurableState(f"{name}-1")
             self.nodes[name] = Node(name, disk, self._rate(), self._service(name, disk, 0.0))
         terms = LeaseTerms(ttl=3, margin=0.5, answer=0.4, guarded=margin)
-        self.players: list[Player] = []
+        self.holders: list[Holder] = []
         for number in range(holders):
             rate = self._rate()
             draw = self._draw()
             session = LeaseClient(terms, 0.0, draw, self.rng.random)
             session.claim(TASK, b"%d" % number)
-            self.players.append(Player(number, rate, session))
-        self.fence = FencingGuard()
-        self.taken: list[tuple[float, int, int]] = []  # when, by whom, under which number
-        self.order: list[tuple[int, int]] = []  # grants in the order in which they were made: number, holder
+            self.holders.append(Holder(number, rate, session))
+        self.fencing = FencingGuard()
+        self.accepted: list[tuple[float, int, int]] = []  # when, of whom, in which turn
+        self.grants: list[tuple[int, int]] = []  # token and holder, in the order made
         self.calls: list[Call] = []
-        self.tickets: dict[int, Callable[[ResponseOrError], None]] = {}
-        self.ticket = 0
+        self._responders: dict[int, Callable[[ResponseOrError], None]] = {}
+        self._last_ticket = 0
         self.healed = False
-        self.after = 0  # calls answered after the last fault
+        self.responses_after_heal = 0
         for at in sorted(self.rng.uniform(1.0, seconds * 0.6) for _ in range(faults)):
-            self.at(at, self._fault)
-        self.at(seconds * 0.7, self._heal)
+            self.schedule(at, self._fault)
+        self.schedule(seconds * 0.7, self._heal)
 
     def _rate(self) -> float:
         return 1.0 + self.rng.uniform(-self.drift, self.drift)
@@ -140,26 +152,27 @@
 
     # -- time
 
-    def at(self, time: float, call: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.heap, (time, self.count, call))
+    def schedule(self, time: float, call: Callable[[], None]) -> None:
+        """Make a call at a virtual time, in seconds."""
+        self._event_count += 1
+        heapq.heappush(self._events, (time, self._event_count, call))
 
     def run(self) -> list[str]:
-        """Play all of it; what was wrong."""
+        """Play all of it, and return what went wrong."""
         for node in self.nodes.values():
-            self._tick_node(node, node.life)
-        for player in self.players:
-            self._tick_player(player)
+            self._tick_node(node, node.restarts)
+        for holder in self.holders:
+            self._tick_holder(holder)
         for client in range(2):
-            self.at(0.5, lambda client=client: self._client(client, 0))  # type: ignore[misc]
-        while self.heap and not self.problems:
-            self.now, _, call = heapq.heappop(self.heap)
+            self.schedule(0.5, lambda client=client: self._client(client, 0))  # type: ignore[misc]
+        while self._events and not self.problems:
+            self.now, _, call = heapq.heappop(self._events)
             if self.now > self.end:
                 break
             call()
-            self._judge()
+            self._check_invariants()
         if not self.problems:
-            if not self.after:
+            if not self.responses_after_heal:
                 self.problems.append("nothing was answered after the last fault")
             if why := wrong(self.calls):
                 self.problems.append(why)
@@ -170,43 +183,43 @@
     def _node_time(self, node: Node) -> float:
         return self.now * node.rate
 
-    def _tick_node(self, node: Node, life: int) -> None:
-        if node.life != life or not node.up:
+    def _tick_node(self, node: Node, restarts: int) -> None:
+        if node.restarts != restarts or not node.up:
             return
-        if self.now < node.asleep:
-            self.at(node.asleep, lambda: self._tick_node(node, life))
+        if self.now < node.paused_until:
+            self.schedule(node.paused_until, lambda: self._tick_node(node, restarts))
             return
         self._outputs(node, node.service.tick(self._node_time(node)))
         due = node.service.next_wakeup() / node.rate
-        self.at(max(due, self.now + 0.005), lambda: self._tick_node(node, life))
+        self.schedule(max(due, self.now + 0.005), lambda: self._tick_node(node, restarts))
 
     def _outputs(self, node: Node, outputs: Outputs) -> None:
         for output in outputs:
             if isinstance(output, Send):
                 self._send(node.name, output.to, output.message)
             elif isinstance(output, Persist):
-                node.waits.append(output)
-                if len(node.waits) == 1:
+                node.waiting.append(output)
+                if len(node.waiting) == 1:
                     self._sync_later(node)
             elif isinstance(output, RequestCompleted):
-                reply = self.tickets.pop(output.ticket, None)
+                reply = self._responders.pop(output.ticket, None)
                 if reply is not None:
                     reply(output.response)
             elif isinstance(output, EraseDisk):
-                self._begin(node, DurableState(f"{node.name}-{self.count}"))
+                self._restart(node, DurableState(f"{node.name}-{self._event_count}"))
                 return
 
     def _sync_later(self, node: Node) -> None:
-        life = node.life
-        self.at(self.now + self.rng.uniform(0.001, 0.02), lambda: self._synced(node, life))
+        restarts = node.restarts
+        self.schedule(self.now + self.rng.uniform(0.001, 0.02), lambda: self._synced(node, restarts))
 
-    def _synced(self, node: Node, life: int) -> None:
-        if node.life != life or not node.waits:
+    def _synced(self, node: Node, restarts: int) -> None:
+        if node.restarts != restarts or not node.waiting:
             return
-        if self.now < node.asleep:
-            self.at(node.asleep, lambda: self._synced(node, life))
+        if self.now < node.paused_until:
+            self.schedule(node.paused_until, lambda: self._synced(node, restarts))
             return
-        persist = node.waits.pop(0)
+        persist = node.waiting.pop(0)
         content = apply_writes(
             type(node.disk.content)() if persist.replaces_all else node.disk.content, persist.writes
         )
@@ -215,7 +228,7 @@
         )
         for send in persist.sends:
             self._send(node.name, send.to, send.message)
-        if node.waits:
+        if node.waiting:
             self._sync_later(node)
         now = self._node_time(node)
         self._outputs(
@@ -228,196 +241,222 @@
             delay = self.rng.uniform(0.001, 0.02)
             if self.rng.random() < 0.02:
                 delay += self.rng.uniform(0.0, 3.0)  # some come very late
-            self.at(self.now + delay, lambda: self._receive(sender, to, message))
+            self.schedule(self.now + delay, lambda: self._receive(sender, to, message))
 
     def _receive(self, sender: str, to: str, message: AnyMessage) -> None:
         node = self.nodes[to]
-        if not node.up or (sender, to) in self.cut:
+        if not node.up or (sender, to) in self.partitioned:
             return
-        if self.now < node.asleep:
-            self.at(node.asleep, lambda: self._receive(sender, to, message))
+        if self.now < node.paused_until:
+            self.schedule(node.paused_until, lambda: self._receive(sender, to, message))
             return
         now = self._node_time(node)
         self._outputs(node, node.service.handle_actions(now, node.service.member.receive(now, message)))
 
-    def _begin(self, node: Node, disk: DurableState) -> None:
-        """Back from a crash, with this disk."""
-        node.life += 1
+    def _restart(self, node: Node, disk: DurableState) -> None:
+        """Restart a member with this disk."""
+        node.restarts += 1
         node.up = True
-        node.asleep = 0.0
-        node.waits.clear()
+        node.paused_until = 0.0
+        node.waiting.clear()
         node.disk = disk
         node.service = self._service(node.name, disk, self._node_time(node))
-        self._tick_node(node, node.life)
+        self._tick_node(node, node.restarts)
 
-    # -- asking the group, as clients and holders do
+    # -- requests of clients and holders
 
-    def _ask(self, request: Request, seconds: float, told: Callable[[ResponseOrError | None], None]) -> None:
-        """Ask a member that leads, as far as anybody can tell; the answer, or None where none comes."""
+    def _send_request(
+        self, request: Request, seconds: float, on_response: Callable[[ResponseOrError | None], None]
+    ) -> None:
+        """Send a request to a member that believes it leads.
+
+        `on_response` is called once, with None if there is no response within `seconds`.
+        """
         done = False
 
-        def once(answer: ResponseOrError | None) -> None:
+        def once(response: ResponseOrError | None) -> None:
             nonlocal done
             if not done:
                 done = True
-                told(answer)
+                on_response(response)
 
-        def back(answer: ResponseOrError) -> None:
+        def respond(response: ResponseOrError) -> None:
             if self.rng.random() < self.loss:
-                return  # the answer is lost
-            self.at(self.now + self.rng.uniform(0.001, 0.03), lambda: once(answer))
+                return  # the response is lost
+            self.schedule(self.now + self.rng.uniform(0.001, 0.03), lambda: once(response))
 
         def arrive(node: Node) -> None:
             if not node.up:
                 return
-            if self.now < node.asleep:
-                self.at(node.asleep, lambda: arrive(node))
+            if self.now < node.paused_until:
+                self.schedule(node.paused_until, lambda: arrive(node))
                 return
-            self.ticket += 1
-            ticket = self.ticket
-            self.tickets[ticket] = back
+            self._last_ticket += 1
+            ticket = self._last_ticket
+            self._responders[ticket] = respond
             now = self._node_time(node)
             self._outputs(node, node.service.submit(now, ticket, request, now + 2.0))
 
         leaders = [node for node in self.nodes.values() if node.up and node.service.member.is_leader]
-        self.at(self.now + seconds, lambda: once(None))
+        self.schedule(self.now + seconds, lambda: once(None))
         if leaders and self.rng.random() >= self.loss:
             node = self.rng.choice(leaders)  # two may believe that they lead
-            self.at(self.now + self.rng.uniform(0.001, 0.03), lambda: arrive(node))
+            self.schedule(self.now + self.rng.uniform(0.001, 0.03), lambda: arrive(node))
 
     def _client(self, client: int, number: int) -> None:
-        """One call after the other on a few keys."""
+        """Make one call after the other on a few keys."""
         key = self.rng.choice(KEYS)
         kind = self.rng.choice((READ, PUT, CAS))
         fresh = f"{client}.{number}"
         written_lately = [call.given[-1] for call in self.calls[-6:] if call.what != READ]
         expected = self.rng.choice(written_lately or [None])
-        request: Request
-        given: list[str | None] = [key.decode()]
-        if kind == READ:
-            request = Range(key)
-        elif kind == PUT:
-            given.append(fresh)
-            request = Put(key, fresh.encode())
-        else:
-            given += [expected, fresh]
-            same = Compare(key, CompareTarget.CREATE, CompareOperator.EQUAL, 0)
-            if expected is not None:
-                same = Compare(key, CompareTarget.VALUE, CompareOperator.EQUAL, expected.encode())
-            request = Txn((same,), (Put(key, fresh.encode()),))
-        place = len(self.calls)
+        request, given = _client_request(kind, key, fresh, expected)
+        index = len(self.calls)
         self.calls.append(Call(f"c{client}", kind, given, self.now, float("inf"), None))
 
-        def told(answer: ResponseOrError | None) -> None:
+        def on_response(response: ResponseOrError | None) -> None:
             result: object = None
-            if isinstance(answer, RangeResponse):
-                result = answer.records[0][1].value.decode() if answer.records else None
-            elif isinstance(answer, TxnResponse):
-                result = answer.succeeded
-            if answer is not None and not isinstance(answer, RequestError):
-                self.calls[place] = self.calls[place]._replace(end=self.now, result=result)
-                self.after += self.healed
-            self.at(self.now + self.rng.uniform(0.05, 0.4), lambda: self._client(client, number + 1))
+            if isinstance(response, RangeResponse):
+                result = response.records[0][1].value.decode() if response.records else None
+            elif isinstance(response, TxnResponse):
+                result = response.succeeded
+            if response is not None and not isinstance(response, RequestError):
+                self.calls[index] = self.calls[index]._replace(end=self.now, result=result)
+                self.responses_after_heal += self.healed
+            self.schedule(self.now + self.rng.uniform(0.05, 0.4), lambda: self._client(client, number + 1))
 
-        self._ask(request, 1.0, told)
+        self._send_request(request, 1.0, on_response)
 
     # -- holders
 
-    def _player_time(self, player: Player) -> float:
-        return self.now * player.rate
+    def _holder_time(self, holder: Holder) -> float:
+        return self.now * holder.rate
 
-    def _tick_player(self, player: Player) -> None:
-        if self.now < player.asleep:
-            self.at(player.asleep, lambda: self._tick_player(player))
+    def _tick_holder(self, holder: Holder) -> None:
+        if self.now < holder.paused_until:
+            self.schedule(holder.paused_until, lambda: self._tick_holder(holder))
             return
-        self._player_actions(player, player.session.tick(self._player_time(player)))
-        self._act(player)
-        due = player.session.wake() / player.rate
-        self.at(min(max(due, self.now + 0.01), self.now + 0.2), lambda: self._tick_player(player))
+        self._holder_actions(holder, holder.session.tick(self._holder_time(holder)))
+        self._act(holder)
+        due = holder.session.wake() / holder.rate
+        self.schedule(min(max(due, self.now + 0.01), self.now + 0.2), lambda: self._tick_holder(holder))
 
-    def _player_actions(self, player: Player, actions: Actions) -> None:
+    def _holder_actions(self, holder: Holder, actions: Actions) -> None:
         for action in actions:
             if isinstance(action, SendRequest):
-                self._ask_for(player, action)
+                self._send_for(holder, action)
             elif isinstance(action, ClaimAcquired):
-                player.entered = 0
+                holder.entered = 0
 
-    def _ask_for(self, player: Player, ask: SendRequest) -> None:
-        def told(answer: ResponseOrError | None) -> None:
-            if self.now < player.asleep:
-                self.at(player.asleep, lambda: told(answer))
+    def _send_for(self, holder: Holder, action: SendRequest) -> None:
+        def on_response(response: ResponseOrError | None) -> None:
+            if self.now < holder.paused_until:
+                self.schedule(holder.paused_until, lambda: on_response(response))
                 return
-            now = self._player_time(player)
-            known = RequestError(StatusCode.DEADLINE_EXCEEDED, "") if answer is None else answer
-            self._player_actions(player, player.session.answered(now, ask.number, known))
-            self._player_actions(player, player.session.tick(now))
+            now = self._holder_time(holder)
+            known = RequestError(StatusCode.DEADLINE_EXCEEDED, "") if response is None else response
+            self._holder_actions(holder, holder.session.answered(now, action.number, known))
+            self._holder_actions(holder, holder.session.tick(now))
 
-        self._ask(ask.request, player.session.terms.answer, told)
+        self._send_request(action.request, holder.session.terms.answer, on_response)
 
-    def _act(self, player: Player) -> None:
-        """Look, and act: what is done reaches the place a little later, or after a sleep."""
-        number = player.session.claims[0].acts(self._player_time(player))
+    def _act(self, holder: Holder) -> None:
+        """Check for the lease, and act: the action reaches the resource a little later, or after a pause."""
+        number = holder.session.claims[0].acts(self._holder_time(holder))
         if not number:
             return
-        if player.entered != number:
-            if self.fenced and not self.fence.admit(TASK, number).admitted:
+        if holder.entered != number:
+            if self.fenced and not self.fencing.admit(TASK, number).admitted:
                 return
-            player.entered = number
-            if (number, player.number) not in self.order:
-                self.order.append((number, player.number))
+            holder.entered = number
+            if (number, holder.number) not in self.grants:
+                self.grants.append((number, holder.number))
         delay = self.rng.uniform(0.0, 0.3)
         if self.rng.random() < 0.02:
             delay += self.rng.uniform(0.0, 6.0)
-        self.at(self.now + delay, lambda: self._reach(player, number))
+        self.schedule(self.now + delay, lambda: self._act_on_resource(holder, number))
 
-    def _reach(self, player: Player, number: int) -> None:
-        if self.fenced and not self.fence.admit(TASK, number).admitted:
+    def _act_on_resource(self, holder: Holder, number: int) -> None:
+        if self.fenced and not self.fencing.admit(TASK, number).admitted:
             return
-        turn = self.order.index((number, player.number))
-        if self.taken and turn < self.taken[-1][2]:
-            self.problems.append(f"{self.now:.2f} s: {player.number} is taken after a later holder")
-        self.taken.append((self.now, player.number, turn))
+        turn = self.grants.index((number, holder.number))
+        if self.accepted and turn < self.accepted[-1][2]:
+            self.problems.append(f"{self.now:.2f} s: {holder.number} is taken after a later holder")
+        self.accepted.append((self.now, holder.number, turn))
 
     # -- faults and the judge
 
     def _fault(self) -> None:
-        rng = self.rng
-        out = [node for node in self.nodes.values() if not node.up or node.asleep > self.now]
-        node = rng.choice(list(self.nodes.values()))
-        kind = rng.choice(("crash", "sleep", "cut", "one-way", "loss", "holder", "holder"))
-        length = rng.uniform(0.3, 4.0)
+        """Inject a random fault into a random member or holder, for a random time."""
+        node = self.rng.choice(list(self.nodes.values()))
+        kind = self.rng.choice(("crash", "sleep", "cut", "one-way", "loss", "holder", "holder"))
+        length = self.rng.uniform(0.3, 4.0)
         if kind == "holder":
-            awake = [p for p in self.players if p.session.claims[0].number] or self.players
-            rng.choice(awake).asleep = self.now + length
+            self._pause_holder(length)
         elif kind == "loss":
-            self.loss = rng.choice((0.02, 0.2, 0.4))
+            self.loss = self.rng.choice((0.02, 0.2, 0.4))
         elif kind in ("cut", "one-way"):
-            for other in self.names:
-                if other != node.name:
-                    self.cut.add((node.name, other))
-                    if kind == "cut":
-                        self.cut.add((other, node.name))
-            self.at(self.now + length, self.cut.clear)
-        elif kind == "sleep" and len(out) < len(self.nodes):
-            node.asleep = self.now + length
-        elif kind == "crash" and node.up:
-            node.up = False
-            node.life += 1
-            node.waits.clear()
-            self.at(self.now + length, lambda: None if node.up else self._begin(node, node.disk))
+            self._partition(node, length, both_ways=kind == "cut")
+        elif kind == "sleep":
+            self._pause_member(node, length)
+        elif node.up:
+            self._crash(node, length)
+
+    def _pause_holder(self, length: float) -> None:
+        """Pause a holder, one that has the lease if there is any."""
+        holding = [holder for holder in self.holders if holder.session.claims[0].number]
+        self.rng.choice(holding or self.holders).paused_until = self.now + length
+
+    def _partition(self, node: Node, length: float, *, both_ways: bool) -> None:
+        """Cut the links from a member to all others, and those to it as well if `both_ways`."""
+        for other in self.names:
+            if other == node.name:
+                continue
+            self.partitioned.add((node.name, other))
+            if both_ways:
+                self.partitioned.add((other, node.name))
+        self.schedule(self.now + length, self.partitioned.clear)
+
+    def _pause_member(self, node: Node, length: float) -> None:
+        """Pause a member, unless all are down or paused."""
+        if any(other.up and other.paused_until <= self.now for other in self.nodes.values()):
+            node.paused_until = self.now + length
+
+    def _crash(self, node: Node, length: float) -> None:
+        """Crash a member, which loses what has not reached its disk, and restart it later."""
+        node.up = False
+        node.restarts += 1
+        node.waiting.clear()
+        self.schedule(self.now + length, lambda: None if node.up else self._restart(node, node.disk))
 
     def _heal(self) -> None:
+        """End all faults."""
         self.healed = True
-        self.cut.clear()
+        self.partitioned.clear()
         self.loss = 0.0
         for node in self.nodes.values():
             if not node.up:
-                self._begin(node, node.disk)
+                self._restart(node, node.disk)
 
-    def _judge(self) -> None:
+    def _check_invariants(self) -> None:
         acting = [
-            player.number for player in self.players
-            if self.now >= player.asleep and player.session.claims[0].acts(self._player_time(player))
+            holder.number for holder in self.holders
+            if self.now >= holder.paused_until and holder.session.claims[0].acts(self._holder_time(holder))
         ]  # fmt: skip
         if len(acting) > 1:
             self.problems.append(f"{self.now:.2f} s: {acting} act at once")
+
+
+def _client_request(
+    kind: str, key: bytes, fresh: str, expected: str | None
+) -> tuple[Request, list[str | None]]:
+    """A client's request, and its arguments as the history has them."""
+    given: list[str | None] = [key.decode()]
+    if kind == READ:
+        return Range(key), given
+    if kind == PUT:
+        return Put(key, fresh.encode()), [*given, fresh]
+    same = Compare(key, CompareTarget.CREATE, CompareOperator.EQUAL, 0)
+    if expected is not None:
+        same = Compare(key, CompareTarget.VALUE, CompareOperator.EQUAL, expected.encode())
+    return Txn((same,), (Put(key, fresh.encode()),)), [*given, expected, fresh]
--- a/tests/compatibility/fingerprints.py
+++ b/tests/compatibility/fingerprints.py
@@ -81,10 +81,10 @@
 
 def _cases() -> dict[str, Start]:
     cases: dict[str, Start] = {
-        "group: a crash of each": coordination.crash_of_each,
-        "group: grows": partial(coordination.changed_size, coordination.GROWS),
-        "group: shrinks": partial(coordination.changed_size, coordination.SHRINKS),
-        "group: two let go at once": coordination.two_let_go,
+        "group: a crash of each": coordination.crash_of_each_member,
+        "group: grows": partial(coordination.resized_group, coordination.GROWS),
+        "group: shrinks": partial(coordination.resized_group, coordination.SHRINKS),
+        "group: two let go at once": coordination.two_members_removed,
         "lease: all guards": coordination.with_lease_guards,
         "lease: clocks apart": coordination.clocks_apart,
         "count: a kill": counting.with_a_kill,
--- a/tests/coordination/test_exhaustive.py
+++ b/tests/coordination/test_exhaustive.py
@@ -1,4 +1,4 @@
-"""Every order of events of small worlds around the real cores; and with each guard out, a way to harm."""
+"""Exhaustive exploration of small worlds around the real cores; without each guard, a counterexample."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     return advance(GroupWorld(NAMES, budget, Guards(**guards)), *prefix), max_states
 
 
-def crash_of_each() -> tuple[GroupWorld, int]:
+def crash_of_each_member() -> tuple[GroupWorld, int]:
     return group(Budget(elections="a", writes=1, reads=1, crashes="abc"), 400_000, rollback=False)
 
 
-def test_every_order_with_a_crash_of_each_keeps_what_was_confirmed() -> None:
-    found = explore(*crash_of_each())
+def test_no_confirmed_write_is_lost_in_any_order_with_a_crash_of_each_member() -> None:
+    found = explore(*crash_of_each_member())
     print(found)
     assert found.complete and found.violation is None and found.states > 1_000
 
@@ -64,11 +64,11 @@
 
 
 @pytest.mark.parametrize(("guard", "budget", "prefix"), GROUP_GUARDS)
-def test_without_a_guard_something_confirmed_is_lost(
+def test_a_confirmed_write_is_lost_without_a_guard(
     guard: str, budget: Budget, prefix: tuple[str, ...]
 ) -> None:
-    kept = explore(*with_group_guard(guard, budget, prefix))
-    assert kept.violation is None, str(kept)
+    with_guard = explore(*with_group_guard(guard, budget, prefix))
+    assert with_guard.violation is None, str(with_guard)
     found = explore(*without_group_guard(guard, budget, prefix))
     print(guard, found)
     assert found.violation is not None and "confirmed write" in found.violation
@@ -78,38 +78,38 @@
 SHRINKS: dict[str, tuple[str, ...]] = {"desired_members": ("a",)}
 
 
-def resized(budget: Budget, how: dict[str, tuple[str, ...]], **guards: bool) -> GroupWorld:
-    return GroupWorld(NAMES, budget, Guards(**guards), **how)
+def resized(budget: Budget, change: dict[str, tuple[str, ...]], **guards: bool) -> GroupWorld:
+    return GroupWorld(NAMES, budget, Guards(**guards), **change)
 
 
-def changed_size(how: dict[str, tuple[str, ...]]) -> tuple[GroupWorld, int]:
-    return resized(Budget(elections="a" if how is GROWS else "ab", writes=1), how), 25_000
+def resized_group(change: dict[str, tuple[str, ...]]) -> tuple[GroupWorld, int]:
+    return resized(Budget(elections="a" if change is GROWS else "ab", writes=1), change), 25_000
 
 
-def two_let_go() -> tuple[GroupWorld, int]:
+def two_members_removed() -> tuple[GroupWorld, int]:
     return resized(Budget(elections="ab", writes=1), SHRINKS, single_change=False), 60_000
 
 
-@pytest.mark.parametrize("how", [GROWS, SHRINKS], ids=["grows", "shrinks"])
-def test_a_group_that_changes_its_size_keeps_what_was_confirmed(how: dict[str, tuple[str, ...]]) -> None:
-    found = explore(*changed_size(how))
+@pytest.mark.parametrize("change", [GROWS, SHRINKS], ids=["grows", "shrinks"])
+def test_no_confirmed_write_is_lost_while_the_group_is_resized(change: dict[str, tuple[str, ...]]) -> None:
+    found = explore(*resized_group(change))
     print(found)
     assert found.violation is None and found.states > 2_000
 
 
-def test_with_two_let_go_at_once_something_confirmed_is_lost() -> None:
-    found = explore(*two_let_go())
+def test_a_confirmed_write_is_lost_when_two_members_are_removed_at_once() -> None:
+    found = explore(*two_members_removed())
     print(found)
     assert found.violation is not None and "confirmed write" in found.violation
 
 
 @settings(max_examples=30, deadline=None)
 @given(st.integers(0, 1 << 30), st.sampled_from([GROWS, SHRINKS]))
-def test_any_walk_of_a_group_that_changes_its_size_keeps_what_was_confirmed(
-    seed: int, how: dict[str, tuple[str, ...]]
+def test_no_confirmed_write_is_lost_in_random_walks_of_a_resized_group(
+    seed: int, change: dict[str, tuple[str, ...]]
 ) -> None:
     budget = Budget(elections="aaabbbccc", writes=4, reads=3, crashes="abc")
-    assert random_walk(resized(budget, how), random.Random(seed), 300) == []
+    assert random_walk(resized(budget, change), random.Random(seed), 300) == []
 
 
 LEASE_LIMITS = Limits(seconds=7, questions=(0, 6), actions=2, changes=0)
@@ -134,20 +134,20 @@
     return LeaseWorld(LEASE_LIMITS, Guarded(), drift=0.01, true_drift=0.3), 100_000
 
 
-def test_at_most_one_acts_in_every_order() -> None:
+def test_at_most_one_holder_acts_in_any_order() -> None:
     found = explore(*with_lease_guards())
     print(found)
     assert found.violation is None and found.states > 10_000
 
 
 @pytest.mark.parametrize(("guard", "others", "words"), LEASE_GUARDS)
-def test_without_a_guard_of_leases_two_act(guard: str, others: dict[str, bool], words: str) -> None:
+def test_two_holders_act_without_a_guard(guard: str, others: dict[str, bool], words: str) -> None:
     found = explore(*without_lease_guard(guard, others))
     print(guard, found)
     assert found.violation is not None and words in found.violation
 
 
-def test_clocks_further_apart_than_the_bound_let_two_hold_and_the_fence_still_refuses() -> None:
+def test_two_hold_when_clocks_drift_beyond_the_bound_and_the_fence_still_rejects() -> None:
     found = explore(*clocks_apart())
     print(found)
     assert found.violation == "two act at once"
--- a/tests/coordination/test_keyspace.py
+++ b/tests/coordination/test_keyspace.py
@@ -1,8 +1,7 @@
-"""What a request does to the state, the gateway's form of it, and files of groups."""
+"""What requests do to the state, and the clients and fenced tables that rely on it."""
 
 from __future__ import annotations
 
-import base64
 import json
 import random
 from typing import Any
@@ -34,10 +33,8 @@
     Txn,
     TxnResponse,
 )
-from heronreel.coordination.settings import parse_group
 from heronreel.leases.fencing import FencedTable, FencingGuard
 from heronreel.leases.lease import ClaimAcquired, ClaimLost, LeaseClient, LeaseTerms, SendRequest
-from heronreel.routes.reader import BadFile
 from heronreel.store import Store
 from heronreel.store.simulated import SimulatedDisk
 
@@ -69,7 +66,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.lists(requests, max_size=25))
-def test_what_is_written_is_what_is_known_and_every_form_survives_json(asked: list[Request]) -> None:
+def test_writes_reproduce_the_state_and_every_message_survives_json(asked: list[Request]) -> None:
     content, state = EMPTY_CONTENT, Keyspace.from_content(EMPTY_CONTENT)
     for request in asked:
         form = decode_request(request_path(request), json.dumps(encode_request(request)).encode())
@@ -94,7 +91,7 @@
         assert all(record.lease in state.leases for record in state.keys.values() if record.lease)
 
 
-def test_a_transaction_is_whole_and_numbers_only_grow() -> None:
+def test_transactions_are_atomic_and_revisions_only_grow() -> None:
     state = Keyspace.from_content(EMPTY_CONTENT).apply(LeaseGrant(5, 7)).state
     free = Compare(b"task", CompareTarget.CREATE, CompareOperator.EQUAL, 0)
     take = Txn((free,), (Put(b"task", b"one", 7), Put(b"log", b"x")), (Range(b"task"),))
@@ -118,42 +115,7 @@
     assert isinstance(wiped, DeleteRangeResponse) and wiped.deleted == 2
 
 
-@pytest.mark.parametrize(
-    ("path", "body", "code", "words"),
-    [
-        (
-            "/v3/kv/put",
-            {"key": base64.b64encode(b"k" * 1025).decode()},
-            StatusCode.INVALID_ARGUMENT,
-            "1025 bytes",
-        ),
-        ("/v3/kv/put", {"value": "eA=="}, StatusCode.INVALID_ARGUMENT, "not provided"),
-        ("/v3/kv/put", {"key": "not base64!"}, StatusCode.INVALID_ARGUMENT, "ase64"),
-        ("/v3/kv/put", {"key": "eA==", "lease": "12"}, StatusCode.NOT_FOUND, "lease"),
-        ("/v3/kv/put", {"key": "eA==", "ignoreLease": True}, StatusCode.INVALID_ARGUMENT, "ignore_lease"),
-        ("/v3/kv/range", {"key": "eA==", "revision": "9"}, StatusCode.OUT_OF_RANGE, "future"),
-        ("/v3/kv/range", {"key": "eA==", "sort_order": "DESCEND"}, StatusCode.INVALID_ARGUMENT, "DESCEND"),
-        ("/v3/kv/range", {"key": "eA==", "limit": "-1"}, StatusCode.INVALID_ARGUMENT, "0 or more"),
-        ("/v3/kv/txn", {"success": [{}]}, StatusCode.INVALID_ARGUMENT, "one of"),
-        (
-            "/v3/kv/txn",
-            {"success": [{"requestPut": {"key": "eA=="}}] * 2},
-            StatusCode.INVALID_ARGUMENT,
-            "duplicate",
-        ),
-        ("/v3/lease/grant", {"TTL": "0"}, StatusCode.INVALID_ARGUMENT, "TTL"),
-        ("/v3/lease/grant", {"TTL": "9" * 30}, StatusCode.INVALID_ARGUMENT, "TTL"),
-        ("/v3/lease/grant", {"TTL": "3", "ID": "-4"}, StatusCode.INVALID_ARGUMENT, "ID"),
-        ("/v3/lease/revoke", {"ID": "5"}, StatusCode.NOT_FOUND, "lease"),
-    ],
-)
-def test_bad_calls_are_refused_by_name(path: str, body: object, code: StatusCode, words: str) -> None:
-    with pytest.raises(RequestError, match=words) as refused:
-        Keyspace.from_content(EMPTY_CONTENT).apply(decode_request(path, json.dumps(body).encode()))  # type: ignore[arg-type]
-    assert refused.value.code is code
-
-
-def test_a_state_has_a_bound_and_can_still_shrink_at_it() -> None:
+def test_the_size_of_the_state_is_limited_and_can_shrink_at_the_limit() -> None:
     state = Keyspace.from_content(EMPTY_CONTENT)
     value = bytes(256 << 10)
     with pytest.raises(RequestError, match="would pass") as refused:
@@ -164,39 +126,7 @@
     assert state.apply(DeleteRange(b"k1")).state.header.size < state.header.size
 
 
-MEMBER = '[[members]]\nname = "{}"\naddress = "127.0.0.1:{}"\n'
-THREE = "".join(MEMBER.format(name, 9001 + place) for place, name in enumerate("abc"))
-
-
-@pytest.mark.parametrize(
-    ("text", "line", "field", "words"),
-    [
-        (THREE + MEMBER.format("b", 9009), 10, "members.b", "stands on line 4 already"),
-        (THREE.replace("9002", "9001"), 4, "members.b", "address '127.0.0.1:9001' stands on line 1"),
-        (MEMBER.format("a", 1) + MEMBER.format("b", 2), 1, "members", "even = true"),
-        ("[group]\nlease_s = 4\n" + THREE, 2, "group.lease_s", "at least 6"),
-        ("[group]\npatience_ms = 200\n" + THREE, 2, "group.patience_ms", "at least 300"),
-        ("[group]\nclock_drift = 0.5\n" + THREE, 2, "group.clock_drift", "a share from 0 to 0.2"),
-        ("[group]\nlaese_s = 9\n" + THREE, 2, "group.laese_s", "did you mean 'lease_s'"),
-        ("[[members]]\nname = \"A b\"\naddress = \"x\"\n", 2, "members.A b.name", "small letters"),
-        ("", 0, "members", "at least one"),
-    ],
-)  # fmt: skip
-def test_bad_files_are_refused_with_line_and_field(text: str, line: int, field: str, words: str) -> None:
-    with pytest.raises(BadFile) as bad:
-        parse_group(text.encode())
-    told = [problem for problem in bad.value.problems if words in str(problem)]
-    assert told, bad.value.problems
-    assert told[0].line == line and field in str(told[0])
-
-
-def test_an_even_group_with_a_yes_is_taken() -> None:
-    text = "[group]\neven = true\n" + MEMBER.format("a", 1) + MEMBER.format("b", 2)
-    assert [row.name for row in parse_group(text.encode()).members] == ["a", "b"]
-    assert LeaseTerms(ttl=3, margin=1.0, answer=1.0).problem() and not LeaseTerms().problem()
-
-
-def test_a_renewal_that_comes_after_the_end_is_told_as_a_loss_and_a_new_hold() -> None:
+def test_a_renewal_after_expiry_is_reported_as_a_loss_and_a_new_claim() -> None:
     """Seen between processes: who waited for its claim was not told that it had it, and kept it from
     others.
     """
@@ -232,7 +162,7 @@
     )
 
 
-def test_a_fenced_table_refuses_an_old_holder_also_after_a_crash() -> None:
+def test_a_fenced_table_rejects_an_earlier_holder_after_a_crash() -> None:
     disk = SimulatedDisk()
     table = FencedTable(Store.open(disk))
     assert table.enter(b"t", 5).admitted
--- /dev/null
+++ b/tests/coordination/test_settings.py
@@ -0,0 +1,40 @@
+"""Configuration files of groups."""
+
+from __future__ import annotations
+
+import pytest
+
+from heronreel.coordination.settings import parse_group
+from heronreel.leases.lease import LeaseTerms
+from heronreel.routes.reader import BadFile
+
+MEMBER = '[[members]]\nname = "{}"\naddress = "127.0.0.1:{}"\n'
+THREE = "".join(MEMBER.format(name, 9001 + place) for place, name in enumerate("abc"))
+
+
+@pytest.mark.parametrize(
+    ("text", "line", "field", "words"),
+    [
+        (THREE + MEMBER.format("b", 9009), 10, "members.b", "stands on line 4 already"),
+        (THREE.replace("9002", "9001"), 4, "members.b", "address '127.0.0.1:9001' stands on line 1"),
+        (MEMBER.format("a", 1) + MEMBER.format("b", 2), 1, "members", "even = true"),
+        ("[group]\nlease_s = 4\n" + THREE, 2, "group.lease_s", "at least 6"),
+        ("[group]\npatience_ms = 200\n" + THREE, 2, "group.patience_ms", "at least 300"),
+        ("[group]\nclock_drift = 0.5\n" + THREE, 2, "group.clock_drift", "a share from 0 to 0.2"),
+        ("[group]\nlaese_s = 9\n" + THREE, 2, "group.laese_s", "did you mean 'lease_s'"),
+        ("[[members]]\nname = \"A b\"\naddress = \"x\"\n", 2, "members.A b.name", "small letters"),
+        ("", 0, "members", "at least one"),
+    ],
+)  # fmt: skip
+def test_invalid_files_are_rejected_with_line_and_field(text: str, line: int, field: str, words: str) -> None:
+    with pytest.raises(BadFile) as bad:
+        parse_group(text.encode())
+    told = [problem for problem in bad.value.problems if words in str(problem)]
+    assert told, bad.value.problems
+    assert told[0].line == line and field in str(told[0])
+
+
+def test_an_even_group_is_accepted_if_the_file_says_so() -> None:
+    text = "[group]\neven = true\n" + MEMBER.format("a", 1) + MEMBER.format("b", 2)
+    assert [row.name for row in parse_group(text.encode()).members] == ["a", "b"]
+    assert LeaseTerms(ttl=3, margin=1.0, answer=1.0).problem() and not LeaseTerms().problem()
