--- a/bench/leases.py
+++ b/bench/leases.py
@@ -67,7 +67,7 @@
         await harness.members[leader].kill()
     away = [harness.front[name].address for name in harness.names if name != leader]
     began = time.perf_counter()
-    async with Client(away, answer_s=0.2) as rest:
+    async with Client(away, response_timeout_s=0.2) as rest:
         while True:
             try:
                 await rest.ask(Put(b"over", b""), 0.3)
--- a/heronreel/coordination/client.py
+++ b/heronreel/coordination/client.py
@@ -60,15 +60,15 @@
 class Client:
     """A client of one event loop.  A connection serves one request at a time and is kept for the next."""
 
-    def __init__(self, addresses: Iterable[str], *, answer_s: float = 1.0) -> None:
+    def __init__(self, addresses: Iterable[str], *, response_timeout_s: float = 1.0) -> None:
         """Opens a session.
 
         Args:
             addresses: of the members, as "127.0.0.1:9001".
-            answer_s: how many seconds one member may take to respond.
+            response_timeout_s: how many seconds one member may take to respond.
         """
         self.addresses = list(addresses)
-        self.answer_s = answer_s
+        self.response_timeout_s = response_timeout_s
         self._current = 0  # the index of the member that responded last, modulo their number
         timeout = aiohttp.ClientTimeout(total=None, connect=CONNECT_TIMEOUT_S)
         connector = aiohttp.TCPConnector(limit=0, limit_per_host=MAX_CONNECTIONS_PER_MEMBER)
@@ -108,7 +108,7 @@
         attempts = 0
         while (left := deadline - loop.time()) > 0:
             try:
-                return await self._attempt(self._address, request, min(left, self.answer_s))
+                return await self._attempt(self._address, request, min(left, self.response_timeout_s))
             except RequestError as error:
                 if not _may_retry(request, error):
                     if error.outcome_unknown:
@@ -161,7 +161,7 @@
     async def health(self, address: str) -> dict[str, Any]:
         """A member's report of its state; empty if it does not respond."""
         try:
-            async with asyncio.timeout(self.answer_s):
+            async with asyncio.timeout(self.response_timeout_s):
                 async with self._session.get(f"http://{address}/health") as response:
                     report = await response.json()
                     return report if isinstance(report, dict) else {}
--- a/heronreel/fault_injection/processes.py
+++ b/heronreel/fault_injection/processes.py
@@ -218,7 +218,7 @@
 
     async def serves(self, seconds: float = 20.0) -> None:
         """Wait until the group answers."""
-        async with Client(self.addresses, answer_s=0.5) as client:
+        async with Client(self.addresses, response_timeout_s=0.5) as client:
             async with asyncio.timeout(seconds):
                 while True:
                     try:
--- a/heronreel/fault_injection/trial.py
+++ b/heronreel/fault_injection/trial.py
@@ -162,7 +162,7 @@
     first = rng.randrange(len(harness.addresses))
     addresses = harness.addresses[first:] + harness.addresses[:first]
     count = 0
-    async with Client(addresses, answer_s=0.5) as client:
+    async with Client(addresses, response_timeout_s=0.5) as client:
         while not stop.is_set():
             key = rng.choice(KEYS)
             count += 1
--- a/heronreel/fault_injection/virtual.py
+++ b/heronreel/fault_injection/virtual.py
@@ -15,6 +15,8 @@
 import random
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from enum import Enum, auto
+from typing import NamedTuple
 
 from heronreel.coordination.actions import EraseDisk, Persist, Send
 from heronreel.coordination.consensus import ConsensusMember
@@ -70,6 +72,45 @@
     entered: int = 0  # the fencing token it has entered the resource with
 
 
+class Grant(NamedTuple):
+    """A lease that was granted to a holder."""
+
+    token: int
+    holder: int
+
+
+class AcceptedAction(NamedTuple):
+    """An action that the resource has accepted."""
+
+    at: float  # seconds
+    holder: int
+    turn: int  # the place of the holder's grant among all
+
+
+class Fault(Enum):
+    """What may go wrong."""
+
+    CRASH = auto()
+    PAUSE_MEMBER = auto()
+    PARTITION = auto()
+    ONE_WAY_PARTITION = auto()
+    LOSS = auto()
+    PAUSE_HOLDER = auto()
+
+
+# drawn from at random: a holder is paused twice as often as anything else happens
+_FAULTS = (
+    Fault.CRASH,
+    Fault.PAUSE_MEMBER,
+    Fault.PARTITION,
+    Fault.ONE_WAY_PARTITION,
+    Fault.LOSS,
+    Fault.PAUSE_HOLDER,
+    Fault.PAUSE_HOLDER,
+)
+LOSS_RATES = (0.02, 0.2, 0.4)  # shares of messages
+
+
 class VirtualWorld:
     """One run, which its seed determines: `run` plays it, and `problems` has what went wrong."""
 
@@ -124,8 +165,8 @@
             session.claim(TASK, b"%d" % number)
             self.holders.append(Holder(number, rate, session))
         self.fencing = FencingGuard()
-        self.accepted: list[tuple[float, int, int]] = []  # when, of whom, in which turn
-        self.grants: list[tuple[int, int]] = []  # token and holder, in the order made
+        self.accepted: list[AcceptedAction] = []
+        self.grants: list[Grant] = []  # in the order made
         self.calls: list[Call] = []
         self._responders: dict[int, Callable[[ResponseOrError], None]] = {}
         self._last_ticket = 0
@@ -369,8 +410,9 @@
             if self.fenced and not self.fencing.admit(TASK, number).admitted:
                 return
             holder.entered = number
-            if (number, holder.number) not in self.grants:
-                self.grants.append((number, holder.number))
+            grant = Grant(number, holder.number)
+            if grant not in self.grants:
+                self.grants.append(grant)
         delay = self.rng.uniform(0.0, 0.3)
         if self.rng.random() < 0.02:
             delay += self.rng.uniform(0.0, 6.0)
@@ -379,28 +421,29 @@
     def _act_on_resource(self, holder: Holder, number: int) -> None:
         if self.fenced and not self.fencing.admit(TASK, number).admitted:
             return
-        turn = self.grants.index((number, holder.number))
-        if self.accepted and turn < self.accepted[-1][2]:
+        turn = self.grants.index(Grant(number, holder.number))
+        if self.accepted and turn < self.accepted[-1].turn:
             self.problems.append(f"{self.now:.2f} s: {holder.number} is taken after a later holder")
-        self.accepted.append((self.now, holder.number, turn))
+        self.accepted.append(AcceptedAction(self.now, holder.number, turn))
 
     # -- faults and the judge
 
     def _fault(self) -> None:
         """Inject a random fault into a random member or holder, for a random time."""
         node = self.rng.choice(list(self.nodes.values()))
-        kind = self.rng.choice(("crash", "sleep", "cut", "one-way", "loss", "holder", "holder"))
+        fault = self.rng.choice(_FAULTS)
         length = self.rng.uniform(0.3, 4.0)
-        if kind == "holder":
-            self._pause_holder(length)
-        elif kind == "loss":
-            self.loss = self.rng.choice((0.02, 0.2, 0.4))
-        elif kind in ("cut", "one-way"):
-            self._partition(node, length, both_ways=kind == "cut")
-        elif kind == "sleep":
-            self._pause_member(node, length)
-        elif node.up:
-            self._crash(node, length)
+        match fault:
+            case Fault.PAUSE_HOLDER:
+                self._pause_holder(length)
+            case Fault.LOSS:
+                self.loss = self.rng.choice(LOSS_RATES)
+            case Fault.PARTITION | Fault.ONE_WAY_PARTITION:
+                self._partition(node, length, both_ways=fault is Fault.PARTITION)
+            case Fault.PAUSE_MEMBER:
+                self._pause_member(node, length)
+            case Fault.CRASH if node.up:
+                self._crash(node, length)
 
     def _pause_holder(self, length: float) -> None:
         """Pause a holder, one that has the lease if there is any."""
--- a/heronreel/leases/session.py
+++ b/heronreel/leases/session.py
@@ -40,7 +40,7 @@
         self.terms = terms or LeaseTerms()
         if problem := self.terms.problem():
             raise ValueError(problem)
-        self.client = Client(addresses, answer_s=self.terms.answer)
+        self.client = Client(addresses, response_timeout_s=self.terms.answer)
         self.identity = identity
         self.now = boot_clock()
         self.told = told
