--- a/bench/leases.py
+++ b/bench/leases.py
@@ -20,7 +20,8 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.model import LeaseGrant, LeaseKeepAlive, LeaseResponse, Put, RequestError
+from heronreel.coordination.errors import RequestError
+from heronreel.coordination.model import LeaseGrant, LeaseKeepAlive, LeaseResponse, Put
 from heronreel.fault_injection.processes import Harness
 from heronreel.leases.lease import LeaseTerms
 from heronreel.leases.session import LeaseSession
@@ -66,7 +67,7 @@
         await harness.members[leader].kill()
     away = [harness.front[name].address for name in harness.names if name != leader]
     began = time.perf_counter()
-    async with Client(away, answer_s=0.2) as rest:
+    async with Client(away, response_timeout_s=0.2) as rest:
         while True:
             try:
                 await rest.ask(Put(b"over", b""), 0.3)
--- a/heronreel/cli/fleet.py
+++ b/heronreel/cli/fleet.py
@@ -143,7 +143,7 @@
     timeouts: Any = None,
 ) -> None:
     """Run a controller, print each change as it comes, and exit with the code of the result."""
-    from heronreel.coordination.model import RequestError
+    from heronreel.coordination.errors import RequestError
     from heronreel.fleet.controller import Controller
     from heronreel.fleet.errors import (
         FleetBusyError,
@@ -168,7 +168,7 @@
     except LeadershipLostError as error:
         _exit_with(UNKNOWN_STATE, f"{error}; another controller can resume the operation")
     except RequestError as error:
-        _exit_with(NO_GROUP, error.what)
+        _exit_with(NO_GROUP, error.message)
     _exit_with_result(operation)
 
 
--- a/heronreel/fault_injection/budget_world.py
+++ b/heronreel/fault_injection/budget_world.py
@@ -17,9 +17,10 @@
 
 import msgspec
 
+from heronreel.coordination.errors import RequestError
 from heronreel.coordination.keyspace import EMPTY_CONTENT, Keyspace
-from heronreel.coordination.model import Put, RequestError, ResponseOrError, Txn
-from heronreel.fault_injection.explore import Broken
+from heronreel.coordination.model import Put, ResponseOrError, Txn
+from heronreel.fault_injection.explore import InvariantViolationError
 from heronreel.fleet.budget_transactions import (
     TRANSFER_CHANGE,
     halt_transaction,
@@ -140,7 +141,7 @@
         self.ordered = ordered
         self.limits = limits
         self.guards = guards
-        state = Keyspace.of(EMPTY_CONTENT).apply(Put(RULES_KEY, encode_rules((RULE,)))).state
+        state = Keyspace.from_content(EMPTY_CONTENT).apply(Put(RULES_KEY, encode_rules((RULE,)))).state
         for instance_id in INSTANCE_IDS:
             instance = Instance(InstanceKind.PROXY, _name_of(instance_id), condition=Condition.SERVING)
             state = state.apply(Put(instance.key, encode_record(instance))).state
@@ -333,7 +334,7 @@
             observation=observation,
             fencing_token=owner.position[0],
         )
-        report = observation_transaction(self.state.keys[REVISION_KEY].mod, instance)
+        report = observation_transaction(self.state.keys[REVISION_KEY].mod_revision, instance)
         world._set_owner(index, owner._replace(observation=observation, report=report))
         return f"the owner of {instance.id} observes it: {instance.condition.value}", world
 
@@ -344,7 +345,7 @@
         before = self.state
         world.state = before.apply(report).state
         if owner.lost and world.state is not before and _reports_failure(report):
-            stored = world.state.keys[REVISION_KEY].mod != before.keys[REVISION_KEY].mod
+            stored = world.state.keys[REVISION_KEY].mod_revision != before.keys[REVISION_KEY].mod_revision
             world.recorded_loss = instance_id if stored else ""
         return f"the owner of {instance_id} reports", world
 
@@ -375,7 +376,7 @@
         response: ResponseOrError
         try:
             applied = self.state.apply(message.request)
-            world.state, response = applied.state, applied.result
+            world.state, response = applied.state, applied.response
         except RequestError as error:
             response = error
         if message.fencing_token != NO_OPERATION:
@@ -423,15 +424,19 @@
         ]
         lost_key = DISRUPTION_CLAIM_PREFIX + self.recorded_loss.encode()
         if self.recorded_loss and any(key != lost_key for key in granted):
-            raise Broken("a claim was granted although a loss was recorded", "the group receives a request")
+            raise InvariantViolationError(
+                "a claim was granted although a loss was recorded", "the group receives a request"
+            )
         if self.halted and granted:
-            raise Broken("a claim was granted after the halt", "the group receives a request")
+            raise InvariantViolationError(
+                "a claim was granted after the halt", "the group receives a request"
+            )
 
     def _checked(self, words: str, world: BudgetWorld) -> Step:
         owners = zip(INSTANCE_IDS, world.owners, strict=True)
         disrupted = [instance_id for instance_id, owner in owners if owner.disrupted and not owner.lost]
         if len(disrupted) > MAX_UNAVAILABLE:
-            raise Broken(f"{' and '.join(disrupted)} are out of service", words)
+            raise InvariantViolationError(f"{' and '.join(disrupted)} are out of service", words)
         return words, world
 
 
--- a/heronreel/fault_injection/processes.py
+++ b/heronreel/fault_injection/processes.py
@@ -20,7 +20,8 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.clock import CLOCK_RATE_VARIABLE
-from heronreel.coordination.model import Range, RequestError
+from heronreel.coordination.errors import RequestError
+from heronreel.coordination.model import Range
 from heronreel.fault_injection.relay import Relay
 from heronreel.fault_injection.schedule import HOLDER, MEMBER_KINDS, Fault
 
@@ -217,7 +218,7 @@
 
     async def serves(self, seconds: float = 20.0) -> None:
         """Wait until the group answers."""
-        async with Client(self.addresses, answer_s=0.5) as client:
+        async with Client(self.addresses, response_timeout_s=0.5) as client:
             async with asyncio.timeout(seconds):
                 while True:
                     try:
--- a/heronreel/fleet/agent_client.py
+++ b/heronreel/fleet/agent_client.py
@@ -6,7 +6,8 @@
 import msgspec
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.model import Range, RangeResponse, RequestError
+from heronreel.coordination.errors import RequestError
+from heronreel.coordination.model import Range, RangeResponse
 from heronreel.fleet.agent_protocol import (
     COMMAND_PATH,
     AgentPresence,
@@ -43,7 +44,7 @@
             address = await self._address(instance.owner)
             return await self._post(address, instance, command)
         except RequestError as error:
-            raise AgentUnavailableError(error.what) from error
+            raise AgentUnavailableError(error.message) from error
         except (aiohttp.ClientError, TimeoutError, OSError, msgspec.MsgspecError) as error:
             raise AgentUnavailableError(f"its agent does not respond: {_reason(error)}") from error
 
--- a/heronreel/fleet/budget_client.py
+++ b/heronreel/fleet/budget_client.py
@@ -8,7 +8,8 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.clock import boot_clock
-from heronreel.coordination.model import RequestError, TxnResponse
+from heronreel.coordination.errors import RequestError
+from heronreel.coordination.model import TxnResponse
 from heronreel.fleet.budget_transactions import halt_transaction, observation_transaction, rules_transaction
 from heronreel.fleet.claim_requester import Actions, ClaimOutcome, ClaimRequester
 from heronreel.fleet.disruption_budget import READ_SNAPSHOT, BudgetSnapshot, parse_snapshot
--- a/heronreel/fleet/controller.py
+++ b/heronreel/fleet/controller.py
@@ -14,8 +14,8 @@
 import aiohttp
 import msgspec
 
-from heronreel.coordination.clock import CrashPoints
-from heronreel.coordination.model import RequestError
+from heronreel.coordination.crash_points import CrashPoints
+from heronreel.coordination.errors import RequestError
 from heronreel.fleet.agent_client import AgentClient
 from heronreel.fleet.budget_client import halt_fleet, read_snapshot
 from heronreel.fleet.errors import FleetBusyError, OperationRejectedError
--- a/heronreel/fleet/disruption_budget.py
+++ b/heronreel/fleet/disruption_budget.py
@@ -159,7 +159,7 @@
     Raises:
         msgspec.DecodeError: A record is malformed; no claim may be based on such a response.
     """
-    *ranges, presence = (each for each in response.results if isinstance(each, RangeResponse))
+    *ranges, presence = (each for each in response.responses if isinstance(each, RangeResponse))
     revision, rules, instances, claims, halt = (each.records for each in ranges)
     present_owners = set(present_names(presence))
     reported = [msgspec.json.decode(record.value, type=Instance) for _, record in instances]
@@ -181,4 +181,4 @@
 
 
 def _modification_revision(records: tuple[tuple[bytes, Record], ...]) -> int:
-    return records[0][1].mod if records else 0
+    return records[0][1].mod_revision if records else 0
--- a/heronreel/fleet/instance_runner.py
+++ b/heronreel/fleet/instance_runner.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from heronreel.coordination.model import RequestError
+from heronreel.coordination.errors import RequestError
 from heronreel.fleet.agent_client import AgentClient
 from heronreel.fleet.budget_client import ClaimClient, read_snapshot
 from heronreel.fleet.budget_transactions import transfer_claim, transfer_transaction
@@ -149,7 +149,7 @@
         try:
             holds_claim = await self._take_over_claim()
         except RequestError as error:
-            return self.steps.request_failed(self.now(), error.what)
+            return self.steps.request_failed(self.now(), error.message)
         return self.steps.claim_adopted(self.now(), holds_claim)
 
     async def _take_over_claim(self) -> bool:
--- a/heronreel/fleet/leadership.py
+++ b/heronreel/fleet/leadership.py
@@ -11,7 +11,8 @@
 import msgspec
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.clock import CrashPoints
+from heronreel.coordination.crash_points import CrashPoints
+from heronreel.coordination.errors import RequestError
 from heronreel.coordination.model import (
     Compare,
     CompareOperator,
@@ -19,7 +20,6 @@
     Put,
     Range,
     RangeResponse,
-    RequestError,
     Txn,
     TxnResponse,
 )
--- a/heronreel/leases/session.py
+++ b/heronreel/leases/session.py
@@ -10,7 +10,8 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.clock import boot_clock
-from heronreel.coordination.model import RequestError, ResponseOrError, StatusCode
+from heronreel.coordination.errors import RequestError, StatusCode
+from heronreel.coordination.model import ResponseOrError
 from heronreel.leases.lease import (
     CLAIM_PREFIX,
     PRESENCE_PREFIX,
@@ -39,7 +40,7 @@
         self.terms = terms or LeaseTerms()
         if problem := self.terms.problem():
             raise ValueError(problem)
-        self.client = Client(addresses, answer_s=self.terms.answer)
+        self.client = Client(addresses, response_timeout_s=self.terms.answer)
         self.identity = identity
         self.now = boot_clock()
         self.told = told
--- a/tests/compatibility/stored_fleet.py
+++ b/tests/compatibility/stored_fleet.py
@@ -16,7 +16,7 @@
 from aiohttp.test_utils import TestClient, TestServer
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.gateway import answer_of
+from heronreel.coordination.gateway_server import encode_response
 from heronreel.coordination.model import RangeResponse, Record, Request, TxnResponse
 from heronreel.fleet.agent_client import AgentClient
 from heronreel.fleet.agent_protocol import CommandRequest
@@ -216,7 +216,7 @@
         async with Server({"/order": b'{"taken": true, "number": 9, "looked": 4}'}) as server:
             presence = json.dumps({"kind": "agent", "version": "0.2.0", "address": server.address}).encode()
             found = RangeResponse(3, ((PRESENCE_PREFIX + b"m1", Record(presence, 3, 3, 1, 7)),), 1, False)
-            server.answers["/v3/kv/range"] = json.dumps(answer_of(HEADER, found)).encode()
+            server.answers["/v3/kv/range"] = json.dumps(encode_response(HEADER, found)).encode()
             command = Command(request.fencing_token, request.sequence, request.desired_state, request.version)
             async with Client([server.address]) as client, aiohttp.ClientSession() as session:
                 result = await AgentClient(client, session).send(INSTANCE, command)
--- a/tests/fleet/test_agent_client.py
+++ b/tests/fleet/test_agent_client.py
@@ -12,8 +12,9 @@
 from aiohttp.test_utils import TestServer
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.model import RangeResponse, Record, Request, StatusCode
-from heronreel.coordination.model import RequestError as GroupError
+from heronreel.coordination.errors import RequestError as GroupError
+from heronreel.coordination.errors import StatusCode
+from heronreel.coordination.model import RangeResponse, Record, Request
 from heronreel.fleet.agent_client import AgentClient
 from heronreel.fleet.errors import AgentUnavailableError, CommandFailedError
 from heronreel.fleet.lifecycle_messages import Command, CommandResult, DesiredState
--- a/tests/fleet/test_disruption_budget.py
+++ b/tests/fleet/test_disruption_budget.py
@@ -16,7 +16,7 @@
 from heronreel.coordination.client import Client
 from heronreel.coordination.model import RangeResponse, Record, TxnResponse
 from heronreel.fault_injection.budget_world import BudgetWorld, Limits
-from heronreel.fault_injection.explore import after, explore, walk
+from heronreel.fault_injection.explore import advance, explore, random_walk
 from heronreel.fault_injection.processes import Harness
 from heronreel.fleet.budget_client import ClaimClient, report_instance
 from heronreel.fleet.budget_settings import load
@@ -80,7 +80,7 @@
 
 
 def with_all_guards(limits: Limits, prefix: tuple[str, ...]) -> tuple[BudgetWorld, int]:
-    return after(BudgetWorld(limits, ClaimGuards()), *prefix), 10_000
+    return advance(BudgetWorld(limits, ClaimGuards()), *prefix), 10_000
 
 
 def without_guard(
@@ -88,14 +88,14 @@
 ) -> tuple[BudgetWorld, int]:
     ordered = without.get("ordered", True)
     guards = ClaimGuards(**{name: on for name, on in without.items() if name != "ordered"})
-    return after(BudgetWorld(limits, guards, ordered=ordered), *prefix), 300_000
+    return advance(BudgetWorld(limits, guards, ordered=ordered), *prefix), 300_000
 
 
 @pytest.mark.parametrize("limits", EVERY_ORDER.values(), ids=EVERY_ORDER)
 def test_the_budget_is_kept_in_every_order_of_events(limits: Limits) -> None:
     found = explore(*every_order(limits))
     print(found)
-    assert found.whole and found.broken is None and found.states > 20_000
+    assert found.complete and found.violation is None and found.states > 20_000
 
 
 @pytest.mark.parametrize(("limits", "prefix", "without"), WITHOUT_GUARD.values(), ids=WITHOUT_GUARD)
@@ -103,17 +103,17 @@
     limits: Limits, prefix: tuple[str, ...], without: dict[str, bool]
 ) -> None:
     guarded = explore(*with_all_guards(limits, prefix))
-    assert guarded.broken is None, str(guarded)
+    assert guarded.violation is None, str(guarded)
     found = explore(*without_guard(limits, prefix, without))
     print(without, found)
-    assert found.broken is not None
+    assert found.violation is not None
 
 
 @settings(max_examples=40, deadline=None)
 @given(st.integers(0, 1 << 30))
 def test_the_budget_is_kept_on_random_walks(seed: int) -> None:
     limits = Limits(requests="0011", observations=20, losses=1, deaths=4, messages=120)
-    assert walk(BudgetWorld(limits, ClaimGuards()), random.Random(seed), 400) == []
+    assert random_walk(BudgetWorld(limits, ClaimGuards()), random.Random(seed), 400) == []
 
 
 def instance(name: str, zone: str, condition: Condition = Condition.SERVING, **more: float) -> Instance:
