--- a/heronreel/cli/counts.py
+++ b/heronreel/cli/counts.py
@@ -1,51 +1,65 @@
-"""`heronreel counts`: what was served by tenant, over the fleet and by period."""
+"""`heronreel counts`: usage by tenant, over the fleet and by period."""
 
 from __future__ import annotations
 
 import json
 import sys
+from typing import TYPE_CHECKING
 
 import click
 
 from heronreel.cli.coordinate import NOT_FOUND, asked
 
+if TYPE_CHECKING:
+    from heronreel.metering.overview import CountsByKind, UsageOverview
+
 
 @click.command("counts")
 @click.argument("file", required=False)
 @click.option("--members", help="Without a FILE: a=ADDRESS,b=ADDRESS,c=ADDRESS.")
 @click.option("--periods", type=click.IntRange(0, 96), default=1, help="How many of the last closed ones.")
-@click.option("--forget", help="Give up a book whose disk is lost: nothing of it is taken from now on.")
+@click.option("--forget", help="Abandon a ledger whose disk is lost: nothing more of it is counted.")
 @click.option("--json", "as_json", is_flag=True, help="JSON on standard output.")
 def counts_command(
     file: str | None, members: str | None, periods: int, forget: str | None, as_json: bool
 ) -> None:
-    """Requests by tenant over all proxies: ever, in the period that is open, and in the last closed ones.
+    """Requests by tenant over all proxies: ever, in the open period, and in the last closed ones.
 
-    Exit codes: 0 told or done, 1 there is no such book, 2 the group does not answer, 78 a bad file.
+    Exit codes: 0 printed or done, 1 no such ledger, 2 the group does not respond, 78 a bad file.
     """
     from heronreel.metering import overview
 
     if forget is not None:
-        done = asked(file, members, lambda client: overview.forget(client, forget))
-        told = "nothing of it is taken from now on" if done else "no such book"
-        click.echo(json.dumps({"book": forget, "done": done}) if as_json else f"{forget}: {told}")
+        done = asked(file, members, lambda client: overview.abandon_ledger(client, forget))
+        _print_abandoned(forget, done, as_json)
         sys.exit(0 if done else NOT_FOUND)
-    rows = asked(file, members, lambda client: overview.counts(client, periods))
+    usage = asked(file, members, lambda client: overview.usage_overview(client, periods))
+    if as_json:
+        click.echo(json.dumps(usage, indent=2))
+    else:
+        _print_usage(usage)
+
+
+def _print_abandoned(ledger_id: str, done: bool, as_json: bool) -> None:
     if as_json:
-        click.echo(json.dumps(rows, indent=2))
-        return
-    for title, counts in (("ever", rows["ever"]), ("open", rows["open"])):
-        _table(title, counts)
-    for row in rows["periods"]:
-        _table(f"period {row['step']}, closed by {row['by']}", row["counts"])
-        if row["unknown"]:
-            click.echo(f"  not known yet: what {', '.join(row['unknown'])} counted last")
-    for row in rows["books"]:
-        state = "there" if row["there"] else "not there"
-        click.echo(f"book {row['book']} of {row['proxy']}: page {row['page']}, {state}")
-
-
-def _table(title: str, counts: dict[str, dict[str, int]]) -> None:
+        click.echo(json.dumps({"book": ledger_id, "done": done}))
+    else:
+        click.echo(f"{ledger_id}: {'nothing more of it is counted' if done else 'no such ledger'}")
+
+
+def _print_usage(usage: UsageOverview) -> None:
+    _print_counts("ever", usage["ever"])
+    _print_counts("open", usage["open"])
+    for period in usage["periods"]:
+        _print_counts(f"period {period['step']}, closed by {period['by']}", period["counts"])
+        if period["unknown"]:
+            click.echo(f"  not known yet: the last counts of {', '.join(period['unknown'])}")
+    for ledger in usage["books"]:
+        state = "present" if ledger["there"] else "absent"
+        click.echo(f"ledger {ledger['book']} of {ledger['proxy']}: page {ledger['page']}, {state}")
+
+
+def _print_counts(title: str, counts: CountsByKind) -> None:
     click.echo(title)
     for tenant, row in counts.items():
         numbers = "  ".join(f"{kind} {number:,}" for kind, number in row.items())
--- a/heronreel/fault_injection/count_world.py
+++ b/heronreel/fault_injection/count_world.py
@@ -1,16 +1,17 @@
-"""Books of counts, a group and holders of the closing task, around the real `Book`, `Posting`, `Closing`.
+"""Usage ledgers, the coordination service and holders of the closing task, explored in every order.
 
-Time-outs come at any moment; questions may be late, doubled or lost, processes killed between any two steps
-and their books taken over, and the task given to the second holder while the first goes on.
+The world is built around the real `Ledger`, `LedgerUpload` and `PeriodClosing`.  Timeouts come at any moment;
+requests may be late, duplicated or lost, processes killed between any two steps and their ledgers adopted,
+and the task granted to a second holder while the first goes on.
 
-The judge knows which answers were handed over, and reads what the group has: never more than that is
-counted, and nothing is missing once every book has ended.
+The checker knows which responses were handed over, and reads what is stored: never more than that is counted,
+and nothing is missing once every ledger is uploaded.
 """
 
 from __future__ import annotations
 
 import copy
-from collections.abc import Hashable, Iterator
+from collections.abc import Callable, Hashable, Iterator
 from typing import NamedTuple
 
 import msgspec
@@ -26,339 +27,461 @@
     Txn,
 )
 from heronreel.fault_injection.explore import Broken
-from heronreel.leases.lease import CLAIM_PREFIX, SendRequest
-from heronreel.metering.book import OTHERS, SERVED, UNKNOWN, Book, Head, blank, head_of
-from heronreel.metering.closing import Closing, Outcome
-from heronreel.metering.posting import Actions, Confirm, Over, Posting, Registered, Seal, SetBack
-from heronreel.metering.records import BOOKS, CLOSED, SUM, TASK, Closed, Posted, Sum
+from heronreel.leases.lease import SendRequest
+from heronreel.metering.counts import NO_TENANT, Counts, ResponseKind
+from heronreel.metering.ledger import Ledger
+from heronreel.metering.ledger_format import WORD_BYTES, LedgerHeader, decode_header, encode_new_ledger
+from heronreel.metering.period_closing import CLAIM_KEY, ClosingOutcome, PeriodClosing
+from heronreel.metering.records import (
+    CLOSED_PREFIX,
+    LEDGER_PREFIX,
+    TOTALS_KEY,
+    ClosedPeriod,
+    LedgerRecord,
+    Totals,
+)
+from heronreel.metering.upload import (
+    Actions,
+    ConfirmPage,
+    LedgerUpload,
+    MarkRegistered,
+    QuarantineLedger,
+    RemoveLedger,
+    SealPage,
+)
 
-CLAIM = CLAIM_PREFIX + TASK.encode()
-EVERY_S = 10.0
+INTERVAL_S = 10.0
+NOBODY = "nobody"  # sender of a request whose response nobody waits for
+
+Step = tuple[str, "CountWorld"]  # in words, and what it leads to
 
 
 class Guards(NamedTuple):
-    """What keeps the promise; taken out one by one."""
+    """What keeps the promise; tests take them out one by one."""
 
-    record: bool = True  # a page is put only onto the record as it was read
-    closing: bool = True  # pages are taken only by whoever holds the task, from a sum as it was read
-    registered: bool = True  # a book keeps that the group had a record of it
-    dated: bool = True  # a record is made only while the sum is as it was read
-    doubts: bool = True  # what was under way when a process was killed is unknown
+    record_revision: bool = True  # a page is added only to the record as it was read
+    closing_fence: bool = True  # pages are aggregated only by the task's holder, into the totals as read
+    registration: bool = True  # a ledger keeps that its record exists
+    totals_revision: bool = True  # a record is created only while the totals are as they were read
+    in_flight_unknown: bool = True  # what was in flight when a process was killed is unknown
 
 
 class Budget(NamedTuple):
     """How often each thing may still happen."""
 
-    answers: int = 2
+    responses: int = 2
     kills: int = 1
-    repeats: int = 1  # questions that come a second time
+    duplicates: int = 1  # of requests
     periods: int = 2
-    holders: int = 1  # times that the task is given to the other
-    asks: int = 40
+    new_holders: int = 1  # grants of the task to another
+    requests: int = 40
 
 
 class Process(NamedTuple):
-    """One book, and its process if it lives."""
+    """One ledger, and its process if it is alive."""
 
     words: tuple[int, ...]
-    posting: Posting | None
+    upload: LedgerUpload | None
     now: float = 0.0
-    under_way: int = 0
+    in_flight: int = 0
     removed: bool = False
 
 
-class Question(NamedTuple):
-    """On its way; of whoever does not wait for an answer any more it is `GONE`'s."""
+class SentRequest(NamedTuple):
+    """A request on its way."""
 
-    by: str
+    sender: str
     request: Range | Txn
 
 
-class Reply(NamedTuple):
-    by: str
-    answer: ResponseOrError
+class SentResponse(NamedTuple):
+    """A response on its way back."""
+
+    receiver: str
+    response: ResponseOrError
 
 
-GONE = "somebody gone"
+class Holder(NamedTuple):
+    """A process that holds the closing task, or believes that it does."""
 
+    fencing_token: int
+    closing: PeriodClosing
+    waiting: bool = False  # for a response
 
-class Closer(NamedTuple):
-    number: int
-    closing: Closing
-    asked: bool = False
+
+class Usage(NamedTuple):
+    """What is stored, over all tenants."""
+
+    served: int
+    unknown: int
+    served_in_periods: int  # the sum of the closed periods
+    served_in_totals: int  # the sum that the totals keep of them
 
 
 class CountWorld:
     """One state of the world."""
 
-    def __init__(self, budget: Budget, guards: Guards, books: int = 1) -> None:
+    def __init__(self, budget: Budget, guards: Guards, ledgers: int = 1) -> None:
         self.budget = budget
         self.guards = guards
-        self.state = Keyspace.of(EMPTY_CONTENT).apply(Put(CLAIM, b"0")).state
+        self.keyspace = Keyspace.of(EMPTY_CONTENT).apply(Put(CLAIM_KEY, b"0")).state
         self.processes: tuple[Process, ...] = ()
-        for number in range(books):
-            data = blank(Head(f"b{number}", f"p{number}", "", ()))
-            words = tuple(int.from_bytes(data[at : at + 8], "little") for at in range(0, len(data), 8))
-            self.processes += (Process(words, None),)
-            self.processes = self._with(number, self._begun(number))
-        grant = self.state.keys[CLAIM].create
-        self.closers: tuple[Closer, ...] = (Closer(grant, self._closing(1, grant)),)
-        self.sent: frozenset[Question | Reply] = frozenset()
-        self.least = self.most = 0  # answers handed over for sure, and those that were begun
-
-    def _with(self, number: int, process: Process) -> tuple[Process, ...]:
-        return (*self.processes[:number], process, *self.processes[number + 1 :])
-
-    def _book(self, process: Process) -> Book:
-        data = b"".join(word.to_bytes(8, "little") for word in process.words)
-        head, first = head_of(data)
-        return Book(head, list(process.words), first)
-
-    def _begun(self, number: int) -> Process:
-        process = self.processes[number]
-        book = self._book(process)
-        registered = book.registered if self.guards.registered else False
-        posting = Posting(
-            book.head, book.confirmed, book.sealed(), EVERY_S, process.now,
-            registered=registered, last=book.ended, guarded=self.guards.record,
-            dated=self.guards.dated,
-        )  # fmt: skip
-        return process._replace(posting=posting)
+        for number in range(ledgers):
+            data = encode_new_ledger(LedgerHeader(f"b{number}", f"p{number}", "", ()))
+            self.processes += (Process(_words_of(data), None),)
+            self._set_process(number, self._with_upload(self.processes[number]))
+        fencing_token = self.keyspace.keys[CLAIM_KEY].create
+        self.holders: tuple[Holder, ...] = (Holder(fencing_token, self._closing(1, fencing_token)),)
+        self.messages: frozenset[SentRequest | SentResponse] = frozenset()
+        self.settled = self.begun = 0  # responses handed over for sure, and those that were begun
 
     def fork(self) -> CountWorld:
+        """A copy to be changed by a step."""
         world = object.__new__(CountWorld)
         world.__dict__.update(self.__dict__)
         return world
 
     def key(self) -> Hashable:
+        """Equal for states that have the same future."""
         rows: list[object] = []
         for process in self.processes:
-            posting = process.posting
-            told = None if posting is None else [
-                posting.page, posting.confirmed, posting.phase, posting.seen, posting.record,
-                posting.asked is not None,
-                posting.registered, posting.last, posting.final, posting.due - process.now,
-                posting.next_seal <= process.now,
-            ]  # fmt: skip
-            rows.append((process.words, told, process.under_way, process.removed))
-        for closer in self.closers:
-            closing = closer.closing
-            rows.append((closing.step, closing.sum, closing.mod))
-            rows.append((closing.books, closing.outcome, closer.asked))
-        return (
-            msgspec.msgpack.encode(rows), self.budget, self.sent, self.state.keys, self.least, self.most,
-        )  # fmt: skip
-
-    # -- steps
-
-    def steps(self) -> Iterator[tuple[str, CountWorld]]:
+            upload = process.upload
+            state = None if upload is None else _upload_state(upload, process.now)
+            rows.append((process.words, state, process.in_flight, process.removed))
+        for holder in self.holders:
+            closing = holder.closing
+            rows.append((closing.period, closing.totals, closing.totals_revision))
+            rows.append((closing.ledgers, closing.outcome, holder.waiting))
+        encoded = msgspec.msgpack.encode(rows)
+        return encoded, self.budget, self.messages, self.keyspace.keys, self.settled, self.begun
+
+    def steps(self) -> Iterator[Step]:
+        """All that can happen next, with what it leads to.
+
+        Raises:
+            Broken: a step breaks the promise.
+        """
+        for words, world in self._unchecked_steps():
+            world.check(words)
+            yield words, world
+
+    def _unchecked_steps(self) -> Iterator[Step]:
         for number, process in enumerate(self.processes):
-            if not process.removed:
-                yield from self._of_process(number, process)
-        for number, closer in enumerate(self.closers):
-            yield from self._of_closer(number, closer)
-        for message in self.sent:
-            if isinstance(message, Question):
-                yield self._judged(f"the group is asked by {message.by}", self._asked(message, False))
-                if self.budget.repeats:
-                    yield self._judged(f"a question of {message.by} comes twice", self._asked(message, True))
+            if process.removed:
+                continue
+            if process.upload is None:
+                yield self._adopted(number, process)
             else:
-                yield self._judged(f"{message.by} is answered", self._answered(message))
-        if self.budget.holders:
-            world = self.fork()
-            world.budget = self.budget._replace(holders=self.budget.holders - 1)
-            world.state = world.state.apply(DeleteRange(CLAIM)).state.apply(Put(CLAIM, b"1")).state
-            grant = world.state.keys[CLAIM].create
-            step = self.closers[-1].closing.step
-            if len(self.closers) > 1:  # whoever held it before the last one is gone
-                world._forget("c0")
-                moved = (m._replace(by="c0") if m.by == "c1" else m for m in world.sent)
-                world.sent = frozenset(moved)
-            world.closers = (self.closers[-1], Closer(grant, self._closing(step, grant)))
-            yield self._judged("another holds the task", world)
-
-    def _closing(self, step: int, grant: int) -> Closing:
-        return Closing(step, grant, "x", ("p0",), fenced=self.guards.closing)
-
-    def _of_process(self, number: int, process: Process) -> Iterator[tuple[str, CountWorld]]:
-        name = f"p{number}"
-        posting = process.posting
-        if posting is None:
-            world = self.fork()
-            book = self._book(process)
-            if self.guards.doubts:
-                book.doubts()
-            world.processes = self._with(number, process._replace(words=tuple(book.words), under_way=0))
-            fresh = world._begun(number)
-            assert fresh.posting is not None
-            fresh.posting.finish(fresh.now)
-            world.processes = world._with(number, fresh)
-            yield self._judged(f"the book of {name} is taken over", world)
-            return
-        if self.budget.answers and not posting.final:
-            world = self.fork()
-            world.budget = self.budget._replace(answers=self.budget.answers - 1)
-            world.processes = self._with(number, self._stored(process, "begin", OTHERS, 1))
-            world.most += 1
-            yield self._judged(f"{name} hands an answer over", world)
-        if process.under_way:
-            world = self.fork()
-            world.processes = self._with(number, self._stored(process, "settle", 0, -1))
-            world.least += 1
-            yield self._judged(f"{name} has handed it over", world)
+                yield from self._process_steps(number, process, process.upload)
+        for number, holder in enumerate(self.holders):
+            yield from self._holder_steps(number, holder)
+        for message in self.messages:
+            yield from self._message_steps(message)
+        if self.budget.new_holders:
+            yield "another process holds the task", self._with_new_holder()
+
+    # -- processes
+
+    def _set_process(self, number: int, process: Process) -> None:
+        self.processes = (*self.processes[:number], process, *self.processes[number + 1 :])
+
+    def _with_upload(self, process: Process) -> Process:
+        """The process as it starts with its ledger."""
+        ledger = _ledger_of(process)
+        upload = LedgerUpload(
+            ledger.header,
+            ledger.confirmed_page,
+            ledger.pending_page(),
+            INTERVAL_S,
+            process.now,
+            registered=ledger.registered and self.guards.registration,
+            pending_is_last=ledger.is_complete,
+            compares_record=self.guards.record_revision,
+            compares_totals=self.guards.totals_revision,
+        )
+        return process._replace(upload=upload)
+
+    def _adopted(self, number: int, process: Process) -> Step:
+        world = self.fork()
+        ledger = _ledger_of(process)
+        if self.guards.in_flight_unknown:
+            ledger.count_in_flight_as_unknown()
+        adopted = self._with_upload(process._replace(words=tuple(ledger.words), in_flight=0))
+        assert adopted.upload is not None
+        adopted.upload.finish(adopted.now)
+        world._set_process(number, adopted)
+        return f"the ledger of p{number} is adopted", world
+
+    def _process_steps(self, number: int, process: Process, upload: LedgerUpload) -> Iterator[Step]:
+        if self.budget.responses and not upload.finishing:
+            yield self._response_begun(number, process)
+        if process.in_flight:
+            yield self._response_settled(number, process)
         if self.budget.kills:
-            world = self.fork()
-            world.budget = self.budget._replace(kills=self.budget.kills - 1)
-            world.processes = self._with(number, process._replace(posting=None))
-            world._forget(name)
-            yield self._judged(f"{name} is killed", world)
-        if not posting.final and not process.under_way and not self.budget.answers:
-            world = self.fork()
-            again = copy.copy(posting)
-            again.finish(process.now)
-            world.processes = self._with(number, process._replace(posting=again))
-            yield self._judged(f"{name} ends", world)
-        if self.budget.asks and posting.wake() < float("inf"):
-            world = self.fork()
-            world._forget(name)
-            again = copy.copy(posting)
-            now = max(process.now, posting.wake())
-            actions = again.tick(now, bool(self._book(process).counted()))
-            world.processes = self._with(number, process._replace(posting=again, now=now))
-            world._carry_out(number, actions)
-            yield self._judged(f"the time of {name} has come", world)
-
-    def _stored(self, process: Process, call: str, word: object, change: int) -> Process:
-        book = self._book(process)
-        if call == "begin":
-            book.begin(str(word))
-        else:
-            book.settle(0, SERVED)
-        return process._replace(words=tuple(book.words), under_way=process.under_way + change)
+            yield self._killed(number, process)
+        if not upload.finishing and not process.in_flight and not self.budget.responses:
+            yield self._finished(number, process, upload)
+        if self.budget.requests and upload.next_wakeup() < float("inf"):
+            yield self._ticked(number, process, upload)
+
+    def _response_begun(self, number: int, process: Process) -> Step:
+        world = self.fork()
+        world.budget = self.budget._replace(responses=self.budget.responses - 1)
+        changed = _changed(process, lambda ledger: ledger.begin(NO_TENANT))
+        world._set_process(number, changed._replace(in_flight=process.in_flight + 1))
+        world.begun += 1
+        return f"p{number} begins a response", world
+
+    def _response_settled(self, number: int, process: Process) -> Step:
+        world = self.fork()
+        changed = _changed(process, lambda ledger: ledger.settle(0, ResponseKind.SERVED))
+        world._set_process(number, changed._replace(in_flight=process.in_flight - 1))
+        world.settled += 1
+        return f"p{number} settles a response", world
+
+    def _killed(self, number: int, process: Process) -> Step:
+        world = self.fork()
+        world.budget = self.budget._replace(kills=self.budget.kills - 1)
+        world._set_process(number, process._replace(upload=None))
+        world._disconnect(f"p{number}")
+        return f"p{number} is killed", world
+
+    def _finished(self, number: int, process: Process, upload: LedgerUpload) -> Step:
+        world = self.fork()
+        finishing = copy.copy(upload)
+        finishing.finish(process.now)
+        world._set_process(number, process._replace(upload=finishing))
+        return f"p{number} finishes", world
+
+    def _ticked(self, number: int, process: Process, upload: LedgerUpload) -> Step:
+        world = self.fork()
+        world._disconnect(f"p{number}")
+        ticked = copy.copy(upload)
+        now = max(process.now, upload.next_wakeup())
+        actions = ticked.tick(now, bool(_ledger_of(process).open_counts()))
+        world._set_process(number, process._replace(upload=ticked, now=now))
+        world._carry_out(number, actions)
+        return f"p{number} wakes up", world
 
     def _carry_out(self, number: int, actions: Actions) -> None:
-        while actions:
-            process = self.processes[number]
-            posting = process.posting
-            assert posting is not None
-            book = self._book(process)
-            action, *actions = actions
+        for action in actions:
             if isinstance(action, SendRequest):
                 assert isinstance(action.request, Range | Txn)
-                self.budget = self.budget._replace(asks=max(0, self.budget.asks - 1))
-                self.sent |= {Question(f"p{number}", action.request)}
-                continue
-            if isinstance(action, Seal):
-                if action.last:
-                    book.end()
-                actions = posting.sealed(process.now, book.seal(), action.last) + actions
-            elif isinstance(action, Registered):
-                book.register()
-            elif isinstance(action, Confirm):
-                book.confirm(action.number)
-            elif isinstance(action, Over):
-                process = process._replace(removed=True)
-            elif isinstance(action, SetBack):
-                raise Broken("a book that goes with its record is set back", f"p{number}")
-            self.processes = self._with(number, process._replace(words=tuple(book.words)))
-
-    def _of_closer(self, number: int, closer: Closer) -> Iterator[tuple[str, CountWorld]]:
-        name = f"closer {closer.number}"
-        if closer.asked:
+                self.budget = self.budget._replace(requests=max(0, self.budget.requests - 1))
+                self.messages |= {SentRequest(f"p{number}", action.request)}
+            elif isinstance(action, RemoveLedger):
+                self._set_process(number, self.processes[number]._replace(removed=True))
+            elif isinstance(action, QuarantineLedger):
+                raise Broken("a ledger that agrees with its record is quarantined", f"p{number}")
+            else:
+                self._change_ledger(number, action)
+
+    def _change_ledger(self, number: int, action: SealPage | MarkRegistered | ConfirmPage) -> None:
+        process = self.processes[number]
+        assert process.upload is not None
+        ledger = _ledger_of(process)
+        if isinstance(action, SealPage):
+            if action.last:
+                ledger.mark_last_page()
+            process.upload.page_sealed(process.now, ledger.seal_page(), action.last)
+        elif isinstance(action, MarkRegistered):
+            ledger.mark_registered()
+        else:
+            ledger.confirm_page(action.number)
+        self._set_process(number, process._replace(words=tuple(ledger.words)))
+
+    # -- holders of the task
+
+    def _closing(self, period: int, fencing_token: int) -> PeriodClosing:
+        return PeriodClosing(period, fencing_token, "x", ("p0",), fenced=self.guards.closing_fence)
+
+    def _set_holder(self, number: int, holder: Holder) -> None:
+        self.holders = (*self.holders[:number], holder, *self.holders[number + 1 :])
+
+    def _holder_steps(self, number: int, holder: Holder) -> Iterator[Step]:
+        name = f"holder {holder.fencing_token}"
+        closing = holder.closing
+        if holder.waiting:
             world = self.fork()
-            world._forget(f"c{number}")
-            world._closed(number, closer, RequestError(StatusCode.UNKNOWN, ""))
-            yield self._judged(f"the question of {name} fails", world)
-        elif (request := closer.closing.next()) is not None and self.budget.asks:
+            world._disconnect(f"c{number}")
+            world._respond_to_holder(number, RequestError(StatusCode.UNKNOWN, ""))
+            yield f"the request of {name} fails", world
+        elif (request := closing.next_request()) is not None and self.budget.requests:
             world = self.fork()
-            world.budget = self.budget._replace(asks=self.budget.asks - 1)
-            world.sent = self.sent | {Question(f"c{number}", request)}
-            world._closer(number, closer._replace(asked=True))
-            yield self._judged(f"{name} asks", world)
-        elif closer.closing.outcome is Outcome.CLOSED and closer.closing.step < self.budget.periods:
+            world.budget = self.budget._replace(requests=self.budget.requests - 1)
+            world.messages = self.messages | {SentRequest(f"c{number}", request)}
+            world._set_holder(number, holder._replace(waiting=True))
+            yield f"{name} sends a request", world
+        elif closing.outcome is ClosingOutcome.CLOSED and closing.period < self.budget.periods:
             world = self.fork()
-            again = closer._replace(closing=self._closing(closer.closing.step + 1, closer.number))
-            world._closer(number, again)
-            yield self._judged(f"{name} begins the next period", world)
+            next_period = self._closing(closing.period + 1, holder.fencing_token)
+            world._set_holder(number, holder._replace(closing=next_period))
+            yield f"{name} begins the next period", world
 
-    def _closer(self, number: int, closer: Closer) -> None:
-        self.closers = (*self.closers[:number], closer, *self.closers[number + 1 :])
+    def _respond_to_holder(self, number: int, response: ResponseOrError) -> None:
+        holder = self.holders[number]
+        closing = copy.copy(holder.closing)
+        closing.on_response(response)
+        self._set_holder(number, holder._replace(closing=closing, waiting=False))
 
-    def _closed(self, number: int, closer: Closer, answer: ResponseOrError) -> None:
-        again = copy.copy(closer.closing)
-        again.answered(answer)
-        self._closer(number, closer._replace(closing=again, asked=False))
+    def _with_new_holder(self) -> CountWorld:
+        world = self.fork()
+        world.budget = self.budget._replace(new_holders=self.budget.new_holders - 1)
+        world.keyspace = world.keyspace.apply(DeleteRange(CLAIM_KEY)).state.apply(Put(CLAIM_KEY, b"1")).state
+        fencing_token = world.keyspace.keys[CLAIM_KEY].create
+        last = self.holders[-1]
+        if len(self.holders) > 1:  # the holder before the last one is gone
+            world._disconnect("c0")
+            world.messages = frozenset(map(_from_first_holder, world.messages))
+        world.holders = (last, Holder(fencing_token, self._closing(last.closing.period, fencing_token)))
+        return world
 
-    def _asked(self, question: Question, stays: bool) -> CountWorld:
+    # -- messages
+
+    def _message_steps(self, message: SentRequest | SentResponse) -> Iterator[Step]:
+        if isinstance(message, SentResponse):
+            yield f"{message.receiver} receives a response", self._received(message)
+            return
+        yield f"a request of {message.sender} is handled", self._handled(message, False)
+        if self.budget.duplicates:
+            yield f"a request of {message.sender} is duplicated", self._handled(message, True)
+
+    def _handled(self, message: SentRequest, duplicated: bool) -> CountWorld:
         world = self.fork()
-        if stays:
-            world.budget = self.budget._replace(repeats=self.budget.repeats - 1)
-        else:
-            world.sent = self.sent - {question}
-        answer: ResponseOrError
+        world.messages = self.messages - {message}
+        response: ResponseOrError
         try:
-            applied = self.state.apply(question.request)
-            world.state, answer = applied.state, applied.result
-        except RequestError as refused:
-            answer = RequestError(refused.code, "")
-        if question.by != GONE:
-            world.sent |= {Reply(question.by, answer)}
-        if stays:  # what comes again is answered to nobody
-            world.sent = world.sent - {question} | {Question(GONE, question.request)}
+            applied = self.keyspace.apply(message.request)
+            world.keyspace, response = applied.state, applied.result
+        except RequestError as error:
+            response = RequestError(error.code, "")
+        if message.sender != NOBODY:
+            world.messages |= {SentResponse(message.sender, response)}
+        if duplicated:  # the response to the duplicate is received by nobody
+            world.budget = self.budget._replace(duplicates=self.budget.duplicates - 1)
+            world.messages |= {SentRequest(NOBODY, message.request)}
         return world
 
-    def _forget(self, by: str) -> None:
-        """Whoever asked waits no more: an answer finds nobody, but what was asked may still come."""
-        kept = {message for message in self.sent if message.by != by}
-        for message in self.sent - kept:
-            if isinstance(message, Question) and isinstance(message.request, Txn) and message.request.writes:
-                kept.add(Question(GONE, message.request))
-        self.sent = frozenset(kept)
-
-    def _answered(self, reply: Reply) -> CountWorld:
+    def _received(self, message: SentResponse) -> CountWorld:
         world = self.fork()
-        world.sent = self.sent - {reply}
-        number = int(reply.by[1:])
-        if reply.by[0] == "c":
-            world._closed(number, self.closers[number], reply.answer)
+        world.messages = self.messages - {message}
+        number = int(message.receiver[1:])
+        if message.receiver[0] == "c":
+            world._respond_to_holder(number, message.response)
             return world
         process = self.processes[number]
-        assert process.posting is not None and process.posting.asked is not None
-        again = copy.copy(process.posting)
-        actions = again.answered(process.now, process.posting.asked[0], reply.answer)
-        world.processes = self._with(number, process._replace(posting=again))
+        assert process.upload is not None and process.upload.asked is not None
+        upload = copy.copy(process.upload)
+        actions = upload.on_response(process.now, process.upload.asked[0], message.response)
+        world._set_process(number, process._replace(upload=upload))
         world._carry_out(number, actions)
         return world
 
-    # -- the judge
-
-    def _judged(self, words: str, world: CountWorld) -> tuple[str, CountWorld]:
-        known, unknown, closed, ever = world.told()
-        if known > world.least:
-            raise Broken(f"{known} answers are counted, and {world.least} were handed over", words)
-        if closed != ever:
-            raise Broken(f"the periods come to {closed}, and all of them together to {ever}", words)
-        if world.drained and known + unknown < world.most:
-            told = f"{known} answers are counted and {unknown} unknown"
-            raise Broken(f"{told}, and {world.most} were begun", words)
-        return words, world
-
-    def told(self) -> tuple[int, int, int, int]:
-        """What the group has: answers known and unknown, the sum of the periods, the sum kept of them."""
-        keys = self.state.keys
-        total = msgspec.json.decode(keys[SUM].value, type=Sum) if SUM in keys else Sum()
-        rows = [total.ever, total.open]
-        closed = 0
-        for key, record in keys.items():
-            if key.startswith(BOOKS):
-                rows.append(msgspec.json.decode(record.value, type=Posted).counts)
-            elif key.startswith(CLOSED):
-                row = msgspec.json.decode(record.value, type=Closed)
-                closed += sum(counts[SERVED] for counts in row.counts.values())
-        known = sum(counts[SERVED] for row in rows for counts in row.values())
-        unknown = sum(counts[UNKNOWN] for row in rows for counts in row.values())
-        return known, unknown, closed, sum(counts[SERVED] for counts in total.ever.values())
+    def _disconnect(self, name: str) -> None:
+        """A process waits for no response any more, but what it requested may still be handled."""
+        kept = {message for message in self.messages if _party(message) != name}
+        for message in self.messages - kept:
+            if (
+                isinstance(message, SentRequest)
+                and isinstance(message.request, Txn)
+                and message.request.writes
+            ):
+                kept.add(SentRequest(NOBODY, message.request))
+        self.messages = frozenset(kept)
+
+    # -- the checker
+
+    def check(self, step: str) -> None:
+        """Check the promise in this state, which the step led to.
+
+        Raises:
+            Broken: it does not hold.
+        """
+        usage = self.usage()
+        if usage.served > self.settled:
+            raise Broken(f"{usage.served} responses are counted, and {self.settled} were handed over", step)
+        if usage.served_in_periods != usage.served_in_totals:
+            sums = f"{usage.served_in_periods}, and the totals to {usage.served_in_totals}"
+            raise Broken(f"the periods come to {sums}", step)
+        if self.drained and usage.served + usage.unknown < self.begun:
+            counted = f"{usage.served} responses are counted and {usage.unknown} unknown"
+            raise Broken(f"{counted}, and {self.begun} were begun", step)
+
+    def usage(self) -> Usage:
+        """What is stored."""
+        keys = self.keyspace.keys
+        totals = Totals()
+        if TOTALS_KEY in keys:
+            totals = msgspec.json.decode(keys[TOTALS_KEY].value, type=Totals)
+        counts = [totals.closed_counts, totals.open_counts]
+        served_in_periods = 0
+        for key, stored in keys.items():
+            if key.startswith(LEDGER_PREFIX):
+                counts.append(msgspec.json.decode(stored.value, type=LedgerRecord).counts)
+            elif key.startswith(CLOSED_PREFIX):
+                period = msgspec.json.decode(stored.value, type=ClosedPeriod)
+                served_in_periods += _sum_of(period.counts, ResponseKind.SERVED)
+        return Usage(
+            sum(_sum_of(each, ResponseKind.SERVED) for each in counts),
+            sum(_sum_of(each, ResponseKind.UNKNOWN) for each in counts),
+            served_in_periods,
+            _sum_of(totals.closed_counts, ResponseKind.SERVED),
+        )
 
     @property
     def drained(self) -> bool:
+        """Whether every ledger is uploaded to its end."""
         return all(process.removed for process in self.processes)
+
+
+def _words_of(data: bytes) -> tuple[int, ...]:
+    starts = range(0, len(data), WORD_BYTES)
+    return tuple(int.from_bytes(data[start : start + WORD_BYTES], "little") for start in starts)
+
+
+def _ledger_of(process: Process) -> Ledger:
+    """The process's ledger, on a copy of its words."""
+    data = b"".join(word.to_bytes(WORD_BYTES, "little") for word in process.words)
+    header, first_cell = decode_header(data)
+    return Ledger(header, list(process.words), first_cell)
+
+
+def _changed(process: Process, change: Callable[[Ledger], object]) -> Process:
+    ledger = _ledger_of(process)
+    change(ledger)
+    return process._replace(words=tuple(ledger.words))
+
+
+def _upload_state(upload: LedgerUpload, now: float) -> list[object]:
+    """What decides an upload's future."""
+    return [
+        upload.pending_page,
+        upload.confirmed_page,
+        upload.phase,
+        upload.record_revision,
+        upload.record,
+        upload.asked is not None,
+        upload.registered,
+        upload.pending_is_last,
+        upload.finishing,
+        upload.next_action_at - now,
+        upload.next_seal_at <= now,
+    ]
+
+
+def _party(message: SentRequest | SentResponse) -> str:
+    """Who sent a request, or is to receive a response."""
+    return message.sender if isinstance(message, SentRequest) else message.receiver
+
+
+def _from_first_holder(message: SentRequest | SentResponse) -> SentRequest | SentResponse:
+    """The message as it is once the second holder has become the first one."""
+    if _party(message) != "c1":
+        return message
+    if isinstance(message, SentRequest):
+        return message._replace(sender="c0")
+    return message._replace(receiver="c0")
+
+
+def _sum_of(counts: Counts, kind: ResponseKind) -> int:
+    return sum(row[kind] for row in counts.values())
--- a/heronreel/metering/overview.py
+++ b/heronreel/metering/overview.py
@@ -1,8 +1,8 @@
-"""What operators see of the counts, and giving up a book whose disk is lost."""
+"""What operators see of the counts, and abandoning a ledger whose disk is lost."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TypedDict
 
 import msgspec
 
@@ -14,70 +14,145 @@
     Put,
     Range,
     RangeResponse,
+    Record,
     Txn,
     TxnResponse,
     prefix_end,
 )
 from heronreel.leases.lease import PRESENCE_PREFIX, present_names
-from heronreel.metering.book import KINDS, Counts, added
-from heronreel.metering.records import BOOKS, CLOSED, GIVEN_UP, SUM, Closed, Posted, Sum, book_key
-
-
-async def counts(client: Client, periods: int) -> dict[str, Any]:
-    """Rows for people and programs.  Raises Refused."""
-    reads = Txn((), (Range(SUM), Range(BOOKS, prefix_end(BOOKS)), Range(CLOSED, prefix_end(CLOSED)),
-                     Range(PRESENCE_PREFIX, prefix_end(PRESENCE_PREFIX), keys_only=True)))  # fmt: skip
-    told = await client.call(reads)  # of one moment
-    assert isinstance(told, TxnResponse)
-    *rest, present = (r for r in told.results if isinstance(r, RangeResponse))
-    sums, books, closed = (r.records for r in rest)
-    names = set(present_names(present))
-    total = msgspec.json.decode(sums[0][1].value, type=Sum) if sums else Sum()
-    rows = [msgspec.json.decode(record.value, type=Closed) for _, record in closed]
-    records = [(key, msgspec.json.decode(record.value, type=Posted)) for key, record in books]
-    open_ = total.open
-    for _, posted in records:
-        open_ = added(open_, posted.counts)
+from heronreel.metering.counts import KIND_NAMES, Counts, merge_counts
+from heronreel.metering.records import (
+    ABANDONED_PAGE,
+    CLOSED_PREFIX,
+    LEDGER_PREFIX,
+    TOTALS_KEY,
+    ClosedPeriod,
+    LedgerRecord,
+    Totals,
+    ledger_key,
+)
+
+MAX_ABANDON_ATTEMPTS = 5
+
+CountsByKind = dict[str, dict[str, int]]  # by tenant, then by the names of kinds
+
+
+class PeriodRow(TypedDict):
+    """A closed period, as `heronreel counts --json` prints it."""
+
+    step: int
+    by: str
+    number: int
+    counts: CountsByKind
+    unknown: list[str]  # proxies that are absent, and whose last counts are not uploaded
+
+
+class LedgerRow(TypedDict):
+    """A ledger, as `heronreel counts --json` prints it."""
+
+    book: str
+    proxy: str
+    zone: str
+    page: int
+    there: bool  # its proxy is present
+
+
+class UsageOverview(TypedDict):
+    """Usage over the fleet, as `heronreel counts --json` prints it."""
+
+    ever: CountsByKind  # all there is, uploaded pages that are not aggregated included
+    open: CountsByKind  # the open period, and uploaded pages that are not aggregated
+    closed: int  # the number of the last closed period
+    periods: list[PeriodRow]  # the oldest first
+    books: list[LedgerRow]
+
+
+async def usage_overview(client: Client, periods: int) -> UsageOverview:
+    """Usage at one moment, with up to `periods` of the last closed periods.
+
+    Raises:
+        RequestError: the coordination service did not respond.
+    """
+    reads = (
+        Range(TOTALS_KEY),
+        Range(LEDGER_PREFIX, prefix_end(LEDGER_PREFIX)),
+        Range(CLOSED_PREFIX, prefix_end(CLOSED_PREFIX)),
+        Range(PRESENCE_PREFIX, prefix_end(PRESENCE_PREFIX), keys_only=True),
+    )
+    response = await client.call(Txn((), reads))
+    assert isinstance(response, TxnResponse)
+    totals_read, ledgers_read, closed_read, presence = (
+        result for result in response.results if isinstance(result, RangeResponse)
+    )
+    totals = _decode_totals(totals_read.records)
+    closed = [msgspec.json.decode(stored.value, type=ClosedPeriod) for _, stored in closed_read.records]
+    ledgers = [
+        (key, msgspec.json.decode(stored.value, type=LedgerRecord)) for key, stored in ledgers_read.records
+    ]
+    present = set(present_names(presence))
+    open_counts = totals.open_counts
+    for _, record in ledgers:
+        open_counts = merge_counts(open_counts, record.counts)
     return {
-        "ever": _shown(added(total.ever, open_)),
-        "open": _shown(open_),
-        "closed": total.closed,
-        "periods": [
-            {
-                "step": row.step, "by": row.by, "number": row.number, "counts": _shown(row.counts),
-                "unknown": list(row.unknown),
-            }
-            for row in rows[len(rows) - periods :]
-        ],
+        "ever": _by_kind(merge_counts(totals.closed_counts, open_counts)),
+        "open": _by_kind(open_counts),
+        "closed": totals.last_closed,
+        "periods": [_period_row(period) for period in closed[len(closed) - periods :]],
         "books": [
-            {
-                "book": key[len(BOOKS) :].decode(), "proxy": posted.proxy, "zone": posted.zone,
-                "page": posted.page, "there": posted.proxy in names,
-            }
-            for key, posted in records
-            if posted.page < GIVEN_UP
+            _ledger_row(key, record, present) for key, record in ledgers if record.page < ABANDONED_PAGE
         ],
-    }  # fmt: skip
+    }
+
+
+def _decode_totals(records: tuple[tuple[bytes, Record], ...]) -> Totals:
+    return msgspec.json.decode(records[0][1].value, type=Totals) if records else Totals()
+
+
+def _period_row(period: ClosedPeriod) -> PeriodRow:
+    return {
+        "step": period.period,
+        "by": period.closed_by,
+        "number": period.fencing_token,
+        "counts": _by_kind(period.counts),
+        "unknown": list(period.missing_proxies),
+    }
+
+
+def _ledger_row(key: bytes, record: LedgerRecord, present: set[str]) -> LedgerRow:
+    return {
+        "book": key[len(LEDGER_PREFIX) :].decode(),
+        "proxy": record.proxy,
+        "zone": record.zone,
+        "page": record.page,
+        "there": record.proxy in present,
+    }
+
+
+def _by_kind(counts: Counts) -> CountsByKind:
+    return {tenant: dict(zip(KIND_NAMES, row, strict=True)) for tenant, row in sorted(counts.items())}
 
 
-def _shown(counts: Counts) -> dict[str, dict[str, int]]:
-    return {name: dict(zip(KINDS, row, strict=True)) for name, row in sorted(counts.items())}
+async def abandon_ledger(client: Client, ledger_id: str) -> bool:
+    """Give up a ledger: what it uploaded before stays counted, and later pages are rejected.
 
+    Returns:
+        False where there is no such ledger, or where its record changed at every attempt.
 
-async def forget(client: Client, ident: str) -> bool:
-    """Give up a book; what it put before stays counted.  False: there is none.  Raises Refused."""
-    key = book_key(ident)
-    for _ in range(5):
+    Raises:
+        RequestError: the coordination service did not respond.
+    """
+    key = ledger_key(ledger_id)
+    for _ in range(MAX_ABANDON_ATTEMPTS):
         found = await client.call(Range(key))
         assert isinstance(found, RangeResponse)
         if not found.records:
             return False
-        record = found.records[0][1]
-        old = msgspec.json.decode(record.value, type=Posted)
-        new = msgspec.structs.replace(old, page=GIVEN_UP)
-        same = Compare(key, CompareTarget.MOD, CompareOperator.EQUAL, record.mod)
-        done = await client.call(Txn((same,), (Put(key, msgspec.json.encode(new)),)))
-        assert isinstance(done, TxnResponse)
-        if done.succeeded:
+        stored = found.records[0][1]
+        record = msgspec.json.decode(stored.value, type=LedgerRecord)
+        abandoned = msgspec.structs.replace(record, page=ABANDONED_PAGE)
+        unchanged = Compare(key, CompareTarget.MOD, CompareOperator.EQUAL, stored.mod)
+        response = await client.call(Txn((unchanged,), (Put(key, msgspec.json.encode(abandoned)),)))
+        assert isinstance(response, TxnResponse)
+        if response.succeeded:
             return True
     return False
--- a/heronreel/metering/records.py
+++ b/heronreel/metering/records.py
@@ -1,61 +1,68 @@
-"""What the group keeps of the counts: one record for each book, one sum, and the periods closed last.
+"""What the coordination service stores: a record for each ledger, the totals, and the last closed periods.
 
-A book's record holds what nobody has taken yet.  A page is added to it, and what it holds is taken out, by
-transactions on the record's own revision, so a page that was put twice or late is never in it twice.
+A ledger's record holds the counts that are not aggregated yet.  A page is added to it, and its counts are
+moved to the totals, by transactions on the record's own revision, so a page that is uploaded twice or late is
+never in it twice.
+
+Fields are stored under the names given by `name=`, which never change.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-from heronreel.metering.book import Counts
+from heronreel.metering.counts import Counts
 
-BOOKS = b"count/book/"
-SUM = b"count/sum"
-CLOSED = b"count/closed/"
-CLOSED_KEPT = 96  # periods that stay to be read
-GIVEN_UP = 1 << 62  # the page of a book that was given up by hand: later than any it may have
+LEDGER_PREFIX = b"count/book/"
+TOTALS_KEY = b"count/sum"
+CLOSED_PREFIX = b"count/closed/"
+MAX_CLOSED_PERIODS = 96  # older ones are deleted
+ABANDONED_PAGE = 1 << 62  # the page of a ledger that an operator abandoned: later than any it may have
 
-TASK = "count"  # the name of the fleet-wide task that closes periods
+TASK_NAME = "count"  # of the fleet-wide task that closes periods
 
 
-class Posted(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A book's record."""
+class LedgerRecord(msgspec.Struct, frozen=True, omit_defaults=True):
+    """The record of one ledger."""
 
     proxy: str
     zone: str = ""
-    page: int = 0  # the newest that was put here; 0: none yet
-    taken: bool = True  # all of them are in the sum
+    page: int = 0  # the newest one that was uploaded; 0: none yet
+    aggregated: bool = msgspec.field(default=True, name="taken")  # all pages are in the totals
     last: bool = False  # no page follows
-    counts: Counts = {}  # of the pages that are not
-    step: int = 0  # the period that it was taken for, the last time
+    counts: Counts = {}  # of the pages that are not aggregated
+    period: int = msgspec.field(default=0, name="step")  # in which pages were aggregated the last time
+
 
+class Totals(msgspec.Struct, frozen=True, omit_defaults=True):
+    """The open period, and the sum of all closed ones."""
 
-class Sum(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The period that is open, and all that were closed."""
+    last_closed: int = msgspec.field(default=0, name="closed")  # the number of the last closed period
+    open_counts: Counts = msgspec.field(default_factory=dict, name="open")  # of the period after it
+    pages: int = 0  # aggregated into the open period
+    closed_counts: Counts = msgspec.field(default_factory=dict, name="ever")  # of all closed periods
 
-    closed: int = 0  # the last one
-    open: Counts = {}  # of the period behind it
-    pages: int = 0  # taken for it
-    ever: Counts = {}  # of all closed ones
 
+class ClosedPeriod(msgspec.Struct, frozen=True, omit_defaults=True):
+    """One closed period.
 
-class Closed(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One period.  A request is in the period that its page was taken for: commonly the one in which it was
-    answered or the next, and later where its proxy could not reach the group.
+    A request is in the period in which its page was aggregated: commonly the one in which it was answered or
+    the next, and later where its proxy could not reach the coordination service.
     """
 
-    step: int
-    number: int  # the grant under which it was closed
-    by: str
+    period: int = msgspec.field(name="step")
+    fencing_token: int = msgspec.field(name="number")  # of the task's holder that closed it
+    closed_by: str = msgspec.field(name="by")
     counts: Counts = {}
     pages: int = 0
-    unknown: tuple[str, ...] = ()  # proxies that are not there and whose last counts have not come
+    missing_proxies: tuple[str, ...] = msgspec.field(default=(), name="unknown")  # absent, not all uploaded
 
 
-def book_key(ident: str) -> bytes:
-    return BOOKS + ident.encode()
+def ledger_key(ledger_id: str) -> bytes:
+    """The key of a ledger's record."""
+    return LEDGER_PREFIX + ledger_id.encode()
 
 
-def closed_key(step: int) -> bytes:
-    return CLOSED + b"%012d" % step
+def closed_period_key(period: int) -> bytes:
+    """The key of a closed period: keys sort as the numbers do."""
+    return CLOSED_PREFIX + b"%012d" % period
--- a/tests/metering/test_metering.py
+++ b/tests/metering/test_metering.py
@@ -1,4 +1,4 @@
-"""Counts by tenant: no answer twice, none forgotten, whatever is killed, lost, late or doubled."""
+"""Usage by tenant: no response counted twice, none left out, whatever is killed, lost, late or duplicated."""
 
 from __future__ import annotations
 
@@ -12,33 +12,25 @@
 
 from heronreel.fault_injection.count_world import Budget, CountWorld, Guards
 from heronreel.fault_injection.explore import after, explore, walk
-from heronreel.metering.book import (
-    KINDS,
-    SERVED,
-    UNKNOWN,
-    Book,
-    Counts,
-    Damaged,
-    Head,
-    added,
-    blank,
-    head_of,
-)
-from heronreel.metering.files import Shelf
+from heronreel.metering.counts import KIND_NAMES, Counts, ResponseKind, merge_counts
+from heronreel.metering.errors import InvalidLedgerError
+from heronreel.metering.ledger import Ledger
+from heronreel.metering.ledger_files import LedgerDirectory
+from heronreel.metering.ledger_format import LedgerHeader, decode_header, encode_new_ledger
 
 TENANTS = ("etna", "madonie")
 
 
-class Stores(list[int]):
-    """Words that keep what the buffer was after each store: where a kill may leave it."""
+class RecordedWords(list[int]):
+    """Words that keep the buffer as it was after each store: as a kill may leave it."""
 
     def __init__(self, words: list[int]) -> None:
         super().__init__(words)
-        self.seen: list[list[int]] = []
+        self.states: list[list[int]] = []
 
     def __setitem__(self, place, value):  # type: ignore[no-untyped-def]
         super().__setitem__(place, value)
-        self.seen.append(list(self))
+        self.states.append(list(self))
 
 
 def words_of(data: bytes) -> list[int]:
@@ -46,104 +38,105 @@
 
 
 def served(counts: Counts) -> int:
-    return sum(row[SERVED] for row in counts.values())
+    return sum(row[ResponseKind.SERVED] for row in counts.values())
 
 
 def unknown(counts: Counts) -> int:
-    return sum(row[UNKNOWN] for row in counts.values())
+    return sum(row[ResponseKind.UNKNOWN] for row in counts.values())
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.sampled_from(["begin", "settle", "seal", "confirm"]), max_size=40), st.integers(0, 99))
-def test_a_book_that_is_killed_at_any_store_tells_what_it_counted(calls: list[str], seed: int) -> None:
+def test_a_ledger_killed_at_any_store_holds_what_was_counted(calls: list[str], seed: int) -> None:
     rng = random.Random(seed)
-    head = Head("id", "p", "z", TENANTS)
-    data = blank(head)
-    _, first = head_of(data)
-    stores = Stores(words_of(data))
-    book = Book(head, stores, first)
-    begun: list[int] = []
-    sure = asked = 0  # settled, and begun
-    taken: Counts = {}  # of pages that the group has
+    header = LedgerHeader("id", "p", "z", TENANTS)
+    data = encode_new_ledger(header)
+    _, first_cell = decode_header(data)
+    words = RecordedWords(words_of(data))
+    ledger = Ledger(header, words, first_cell)
+    in_flight: list[int] = []
+    settled = begun = 0
+    uploaded: Counts = {}  # of confirmed pages
     for call in calls:
-        before, pages = (sure, asked), taken
-        del stores.seen[:]
+        settled_before, begun_before, uploaded_before = settled, begun, uploaded
+        del words.states[:]
         if call == "begin":
-            begun.append(book.begin(rng.choice((*TENANTS, "other"))))
-            asked += 1
-        elif call == "settle" and begun:
-            book.settle(begun.pop(rng.randrange(len(begun))), SERVED)
-            sure += 1
-        elif call == "seal" and book.sealed() is None:
-            book.seal()
-        elif call == "confirm" and (page := book.sealed()) is not None:
-            taken = added(taken, page.counts)  # the group had it before the book is told
-            book.confirm(page.number)
-        for state in (list(stores), *stores.seen):
-            found = Book(head, list(state), first)
-            told = found.doubts()
-            assert found.doubts() == 0
-            total = taken if found.confirmed == book.confirmed else pages
-            waiting = found.sealed()
-            total = added(total, waiting.counts if waiting else {})
-            total = added(total, found.counted())
-            assert before[0] <= served(total) <= sure
-            assert max(before[1], sure) <= served(total) + unknown(total)
-            assert unknown(total) <= told <= asked - before[0]
-
-
-def test_a_file_is_taken_over_only_from_a_process_that_is_gone(tmp_path: Path) -> None:
-    shelf, other = Shelf(tmp_path), Shelf(tmp_path)
-    one = shelf.make("p", "z", TENANTS)
-    place = one.book.begin("etna")
-    one.book.settle(one.book.begin("madonie"), SERVED)
-    assert other.orphans() == ([], [])  # it lives
-    one.close()  # its process is gone, in the middle of an answer
+            in_flight.append(ledger.begin(rng.choice((*TENANTS, "other"))))
+            begun += 1
+        elif call == "settle" and in_flight:
+            ledger.settle(in_flight.pop(rng.randrange(len(in_flight))), ResponseKind.SERVED)
+            settled += 1
+        elif call == "seal" and ledger.pending_page() is None:
+            ledger.seal_page()
+        elif call == "confirm" and (page := ledger.pending_page()) is not None:
+            uploaded = merge_counts(uploaded, page.counts)  # it is stored before it is confirmed
+            ledger.confirm_page(page.number)
+        for state in (list(words), *words.states):
+            adopted = Ledger(header, list(state), first_cell)
+            marked_unknown = adopted.count_in_flight_as_unknown()
+            assert adopted.count_in_flight_as_unknown() == 0
+            total = uploaded if adopted.confirmed_page == ledger.confirmed_page else uploaded_before
+            pending = adopted.pending_page()
+            total = merge_counts(total, pending.counts if pending else {})
+            total = merge_counts(total, adopted.open_counts())
+            assert settled_before <= served(total) <= settled
+            assert max(begun_before, settled) <= served(total) + unknown(total)
+            assert unknown(total) <= marked_unknown <= begun - settled_before
+
+
+def test_a_ledger_is_adopted_only_from_a_process_that_is_gone(tmp_path: Path) -> None:
+    directory, other = LedgerDirectory(tmp_path), LedgerDirectory(tmp_path)
+    one = directory.create("p", "z", TENANTS)
+    tenant_index = one.ledger.begin("etna")
+    one.ledger.settle(one.ledger.begin("madonie"), ResponseKind.SERVED)
+    assert other.adopt_orphans() == ([], [])  # its process is alive
+    one.close()  # its process is gone, with a response in flight
     (tmp_path / "x.counts").write_bytes(b"hrcount1 and no more")
     (tmp_path / "y.counts").write_bytes(b"")
     (tmp_path / "z.fresh").write_bytes(b"")
-    ((found,), wrong) = other.orphans()
-    assert found.book.doubts() == 1 and place == 1
-    assert found.book.counted() == {"etna": (0, 0, 0, 1), "madonie": (1, 0, 0, 0)}
-    assert len(wrong) == 2 and other.orphans() == ([], []) and not (tmp_path / "z.fresh").exists()
-    found.remove()
+    ((adopted,), problems) = other.adopt_orphans()
+    assert adopted.ledger.count_in_flight_as_unknown() == 1 and tenant_index == 1
+    assert adopted.ledger.open_counts() == {"etna": (0, 0, 0, 1), "madonie": (1, 0, 0, 0)}
+    assert len(problems) == 2 and other.adopt_orphans() == ([], [])
+    assert not (tmp_path / "z.fresh").exists()
+    adopted.remove()
     assert [path.suffix for path in tmp_path.iterdir()] == [".counts", ".counts"]  # the damaged ones stay
 
 
 @settings(max_examples=80, deadline=None)
 @given(st.data())
-def test_a_buffer_that_was_written_over_is_no_book(data: st.DataObject) -> None:
-    good = blank(Head("id", "p", "z", TENANTS))
+def test_a_buffer_that_was_overwritten_is_no_ledger(data: st.DataObject) -> None:
+    good = encode_new_ledger(LedgerHeader("id", "p", "z", TENANTS))
     cut = data.draw(st.integers(0, len(good) - 1))
-    with pytest.raises(Damaged):
-        head_of(good[:cut])
+    with pytest.raises(InvalidLedgerError):
+        decode_header(good[:cut])
     at = data.draw(st.integers(0, 39))
     other = data.draw(st.integers(1, 255))
-    spoilt = good[:at] + bytes([good[at] ^ other]) + good[at + 1 :]
-    with pytest.raises(Damaged):
-        head_of(spoilt)
-    assert head_of(good)[0].tenants == TENANTS and len(KINDS) == 4
+    overwritten = good[:at] + bytes([good[at] ^ other]) + good[at + 1 :]
+    with pytest.raises(InvalidLedgerError):
+        decode_header(overwritten)
+    assert decode_header(good)[0].tenants == TENANTS and len(KIND_NAMES) == len(ResponseKind) == 4
 
 
-# -- books, a group and two holders of the task
+# -- ledgers, the coordination service and two holders of the task
 
 
-SMALL = Budget(answers=1, kills=0, repeats=0, periods=1, holders=0, asks=14)
-COUNTED = ("p0 hands an answer over", "p0 has handed it over", "p0 ends")
-READ = ("the time of p0 has come", "the group is asked by p0", "p0 is answered")
-MADE = (*READ, *READ[1:], *READ)  # the group has a record, and the book knows
+SMALL = Budget(responses=1, kills=0, duplicates=0, periods=1, new_holders=0, requests=14)
+COUNTED = ("p0 begins a response", "p0 settles a response", "p0 finishes")
+READ = ("p0 wakes up", "a request of p0 is handled", "p0 receives a response")
+REGISTERED = (*READ, *READ[1:], *READ)  # the record exists, and the ledger keeps that
 
 
 COUNT_GUARDS: list[tuple[str, Budget, tuple[str, ...]]] = [
-    ("doubts", SMALL._replace(kills=1, asks=8), ()),
-    ("record", SMALL._replace(repeats=1, asks=10), ()),
-    ("dated", SMALL, COUNTED),
-    ("registered", SMALL._replace(kills=1), (*COUNTED, *MADE)),
+    ("in_flight_unknown", SMALL._replace(kills=1, requests=8), ()),
+    ("record_revision", SMALL._replace(duplicates=1, requests=10), ()),
+    ("totals_revision", SMALL, COUNTED),
+    ("registration", SMALL._replace(kills=1), (*COUNTED, *REGISTERED)),
 ]
 
 
 def with_a_kill() -> tuple[CountWorld, int]:
-    return CountWorld(SMALL._replace(kills=1, asks=9), Guards()), 100_000
+    return CountWorld(SMALL._replace(kills=1, requests=9), Guards()), 100_000
 
 
 def with_count_guards(budget: Budget, prefix: tuple[str, ...]) -> tuple[CountWorld, int]:
@@ -154,18 +147,18 @@
     return after(CountWorld(budget, Guards()._replace(**{guard: False})), *prefix), 300_000
 
 
-def walks_without_the_closers_guard() -> Iterator[list[str]]:
-    return (walked(seed, Guards()._replace(closing=False)) for seed in range(400))
+def walks_without_the_closing_fence() -> Iterator[list[str]]:
+    return (walked(seed, Guards()._replace(closing_fence=False)) for seed in range(400))
 
 
-def test_every_order_with_a_kill_counts_each_answer_once() -> None:
+def test_every_order_with_a_kill_counts_each_response_once() -> None:
     found = explore(*with_a_kill())
     print(found)
     assert found.whole and found.broken is None and found.states > 50_000
 
 
 @pytest.mark.parametrize(("guard", "budget", "prefix"), COUNT_GUARDS)
-def test_without_a_guard_an_answer_is_counted_twice_or_forgotten(
+def test_without_a_guard_a_response_is_counted_twice_or_lost(
     guard: str, budget: Budget, prefix: tuple[str, ...]
 ) -> None:
     kept = explore(*with_count_guards(budget, prefix))
@@ -175,21 +168,21 @@
     assert found.broken is not None
 
 
-def test_without_the_closers_guard_a_walk_counts_an_answer_twice_or_forgets_it() -> None:
+def test_without_the_closing_fence_a_walk_counts_a_response_twice_or_loses_it() -> None:
     """Its shortest way is too long for every order."""
-    way = next(filter(None, walks_without_the_closers_guard()), None)
+    way = next(filter(None, walks_without_the_closing_fence()), None)
     print(way)
     assert way is not None
 
 
-LARGE = Budget(answers=12, kills=4, repeats=6, periods=4, holders=3, asks=150)
+LARGE = Budget(responses=12, kills=4, duplicates=6, periods=4, new_holders=3, requests=150)
 
 
-def walked(seed: int, guards: Guards, books: int = 2) -> list[str]:
-    return walk(CountWorld(LARGE, guards, books), random.Random(seed), 600)
+def walked(seed: int, guards: Guards, ledgers: int = 2) -> list[str]:
+    return walk(CountWorld(LARGE, guards, ledgers), random.Random(seed), 600)
 
 
 @settings(max_examples=40, deadline=None)
 @given(st.integers(0, 1 << 30))
-def test_any_walk_through_a_large_world_counts_each_answer_once(seed: int) -> None:
+def test_any_walk_through_a_large_world_counts_each_response_once(seed: int) -> None:
     assert walked(seed, Guards()) == []
--- a/tests/metering/test_metering_processes.py
+++ b/tests/metering/test_metering_processes.py
@@ -1,4 +1,4 @@
-"""The count of requests by tenant on real proxies, each killed at every point of its way."""
+"""Usage metering on real proxies, each killed at every announced crash point."""
 
 from __future__ import annotations
 
@@ -11,7 +11,6 @@
 from collections import Counter
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
 
 import pytest
 
@@ -20,14 +19,18 @@
 from heronreel.fault_injection.processes import ROOT, Harness, Process
 from heronreel.leases.overview import lease_overview
 from heronreel.metering import overview
+from heronreel.metering.overview import UsageOverview
 from heronreel.serve.program import read_report
 from tests.support.loopback import Backend, answer_of, free_port
 from tests.support.serve_process import get, gets_to
 
 TENANTS = ("etna", "madonie")
-USUAL = ("count", "counted", "seal", "sealed", "ask", "told", "confirm", "confirmed", "close", "closed")
-ENDS = {point: (f"{point}:2", f"{point}:5") for point in USUAL}  # of the first process and of the second
-ENDS |= {point: ("counted:4", f"{point}:1") for point in ("adopt", "adopted", "over")}
+FREQUENT_POINTS = (
+    "begin", "settled", "seal", "sealed", "request", "response", "confirm", "confirmed", "close", "closed",
+)  # fmt: skip
+# where the first process is killed, and where the second one is
+CRASH_POINTS = {point: (f"{point}:2", f"{point}:5") for point in FREQUENT_POINTS}
+CRASH_POINTS |= {point: ("settled:4", f"{point}:1") for point in ("adopt", "adopted", "remove")}
 
 
 def routes(folder: Path, name: str, backend: str, group: list[str], embedded: str = "") -> Path:
@@ -57,92 +60,111 @@
     return path
 
 
-def test_a_machine_of_its_own_needs_no_group_beside_its_proxies(tmp_path: Path) -> None:
-    """Whichever proxy has the disk serves the group; killed, another goes on with what was agreed."""
+class SingleMachine:
+    """Proxies that embed their coordination service on one disk of their machine."""
+
+    def __init__(self, folder: Path, address: str, backend: str) -> None:
+        self.folder = folder
+        self.address = address
+        self.backend = backend
+        self.running: dict[str, Process] = {}
+
+    async def start(self, name: str) -> int:
+        """The port on which the proxy listens."""
+        path = routes(self.folder, name, self.backend, [self.address], str(self.folder / "group"))
+        self.running[name] = await Process.start(name, ("heronreel.cli", "serve", str(path)))
+        line = await self.running[name].line("listening on")
+        return int(line.split("127.0.0.1:")[1].split()[0])
+
+    async def end(self) -> None:
+        for process in self.running.values():
+            process.signal(signal.SIGTERM)
+            assert await process.ended() == 0
+
+    async def kill(self) -> None:
+        for process in self.running.values():
+            if process.process.returncode is None:
+                await process.kill()
+
+
+async def until_present(client: Client, count: int) -> None:
+    async with asyncio.timeout(40):
+        while True:
+            with suppress(RequestError):
+                if len((await lease_overview(client))["present"]) == count:
+                    return
+            await asyncio.sleep(0.05)
+
+
+async def until_counted(client: Client, tenant: str, count: int) -> int:
+    """What is counted for the tenant, served or unknown, once it is so many."""
+    counted = 0
+    async with asyncio.timeout(40):
+        while counted < count:
+            with suppress(RequestError):
+                row = (await overview.usage_overview(client, 1))["ever"].get(tenant, {})
+                counted = row.get("served", 0) + row.get("unknown", 0)
+            await asyncio.sleep(0.05)
+    return counted
+
+
+def test_a_single_machine_needs_no_coordinator_beside_its_proxies(tmp_path: Path) -> None:
+    """Whichever proxy has the disk serves the group; when it is killed another goes on with its state."""
 
     async def run() -> None:
         address = f"127.0.0.1:{free_port()}"
-        running: dict[str, Process] = {}
         clients = Clients()
         async with Backend() as backend, Client([address]) as client:
-
-            async def start(name: str) -> int:
-                path = routes(tmp_path, name, backend.address, [address], str(tmp_path / "group"))
-                words = ("heronreel.cli", "serve", str(path))
-                running[name] = await Process.start(name, words)
-                line = await running[name].line("listening on")
-                return int(line.split("127.0.0.1:")[1].split()[0])
-
-            async def there(count: int) -> None:
-                async with asyncio.timeout(40):
-                    while True:
-                        try:
-                            if len((await lease_overview(client))["present"]) == count:
-                                return
-                        except RequestError:
-                            pass
-                        await asyncio.sleep(0.05)
-
+            machine = SingleMachine(tmp_path, address, backend.address)
             try:
-                ports = [await start("one")]
-                await running["one"].line('"listens"')
-                ports.append(await start("two"))
-                await there(2)
+                ports = [await machine.start("one")]
+                await machine.running["one"].line('"listens"')
+                ports.append(await machine.start("two"))
+                await until_present(client, 2)
                 for port in ports:
-                    assert await clients.ask(port, "etna", 10)
-                await running["one"].kill()
-                await running["two"].line('"listens"')
-                await start("one")
-                await there(2)
-                async with asyncio.timeout(40):
-                    told = 0
-                    while told < 20:
-                        with suppress(RequestError):
-                            rows = (await overview.counts(client, 1))["ever"].get("etna", {})
-                            told = rows.get("served", 0) + rows.get("unknown", 0)
-                        await asyncio.sleep(0.05)
-                assert told <= 21 and clients.served["etna"] == 20
-                for process in running.values():
-                    process.signal(signal.SIGTERM)
-                    assert await process.ended() == 0
+                    assert await clients.send(port, "etna", 10)
+                await machine.running["one"].kill()
+                await machine.running["two"].line('"listens"')
+                await machine.start("one")
+                await until_present(client, 2)
+                assert await until_counted(client, "etna", 20) <= 21 and clients.served["etna"] == 20
+                await machine.end()
             finally:
-                for process in running.values():
-                    if process.process.returncode is None:
-                        await process.kill()
+                await machine.kill()
 
     asyncio.run(run())
 
 
 class Clients:
-    """What clients of one proxy heard: answers by tenant, and requests of which they heard nothing."""
+    """Clients of the proxies: by tenant, the responses they got, and the requests without a response."""
 
     def __init__(self) -> None:
         self.served: Counter[str] = Counter()
-        self.nothing: Counter[str] = Counter()
+        self.unanswered: Counter[str] = Counter()
 
-    async def ask(self, port: int, tenant: str, count: int) -> bool:
-        """So many requests on one connection; False where it broke."""
-        asked = False
+    async def send(self, port: int, tenant: str, count: int) -> bool:
+        """Send so many requests on one connection; False where it broke."""
+        in_flight = False
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             for _ in range(count):
                 writer.write(get("/ride", extra=f"X-Tenant: {tenant}\r\n"))
-                asked = True
+                in_flight = True
                 status, _ = await answer_of(reader)
                 if status == "closed":
                     break
-                asked = False
+                in_flight = False
                 assert status == "200"
                 self.served[tenant] += 1
             writer.close()
         except OSError:
             pass
-        self.nothing[tenant] += asked
-        return not asked
+        self.unanswered[tenant] += in_flight
+        return not in_flight
 
 
 class Fleet:
-    """Proxies on one group; what was counted is read from the group, what was served from the clients."""
+    """Proxies of one group: what was counted is read from the group, what was served from the clients."""
 
     def __init__(self, harness: Harness, folder: Path, backend: str) -> None:
         self.harness = harness
@@ -156,61 +178,61 @@
         line = await process.line("listening on")
         return process, int(line.split("127.0.0.1:")[1].split()[0])
 
-    async def counts(self, client: Client) -> dict[str, Any]:
+    async def usage(self, client: Client) -> UsageOverview:
         while True:
             try:
-                return await overview.counts(client, 96)
+                return await overview.usage_overview(client, 96)
             except RequestError:
                 await asyncio.sleep(0.02)
 
-    def arrived(self, rows: dict[str, Any], tenant: str) -> bool:
-        told = rows["ever"].get(tenant, {"served": 0, "unknown": 0})
-        return bool(told["served"] + told["unknown"] >= self.clients.served[tenant])
+    def is_counted(self, usage: UsageOverview, tenant: str) -> bool:
+        row = usage["ever"].get(tenant, {"served": 0, "unknown": 0})
+        return row["served"] + row["unknown"] >= self.clients.served[tenant]
 
-    async def settled(self, client: Client) -> dict[str, Any]:
-        """Wait until nothing but the last proxy's own book is left, and all is in closed periods."""
+    async def settled_usage(self, client: Client) -> UsageOverview:
+        """Wait until no ledger is left but the last proxy's own, and all is in closed periods."""
         async with asyncio.timeout(60):
             while True:
-                rows = await self.counts(client)
-                closed = not any(row["served"] for row in rows["open"].values()) and len(rows["books"]) <= 1
-                left = list(self.folder.glob("counts-*/*.counts"))
-                if closed and len(left) <= 1 and all(self.arrived(rows, tenant) for tenant in TENANTS):
-                    return rows
+                usage = await self.usage(client)
+                closed = not any(row["served"] for row in usage["open"].values()) and len(usage["books"]) <= 1
+                files = list(self.folder.glob("counts-*/*.counts"))
+                if closed and len(files) <= 1 and all(self.is_counted(usage, tenant) for tenant in TENANTS):
+                    return usage
                 await asyncio.sleep(0.05)
 
 
-def judged(rows: dict[str, Any], clients: Clients) -> None:
-    """Known is never more than what clients were served, and with what is unknown never less."""
-    periods: Counter[str] = Counter()
-    for row in rows["periods"]:
-        for tenant, counts in row["counts"].items():
-            periods[tenant] += counts["served"]
+def check_usage(usage: UsageOverview, clients: Clients, *, all_in_periods: bool = True) -> None:
+    """Served is never more than what clients got, and together with unknown never less."""
+    in_periods: Counter[str] = Counter()
+    for period in usage["periods"]:
+        for tenant, counts in period["counts"].items():
+            in_periods[tenant] += counts["served"]
     for tenant in TENANTS:
-        told = rows["ever"].get(tenant, {"served": 0, "unknown": 0})
-        served, nothing = clients.served[tenant], clients.nothing[tenant]
-        print(tenant, told, "clients were served", served, "heard nothing of", nothing)
-        assert told["served"] <= served + nothing
-        assert served <= told["served"] + told["unknown"]
-        assert told["unknown"] <= nothing + 1  # an answer that had gone out when its process was killed
-        if not told["unknown"]:
-            assert told["served"] - nothing <= served <= told["served"]
-        if rows["closed"] <= 96:
-            assert periods[tenant] == told["served"]
-
-
-def test_every_point_that_is_announced_is_among_those_played() -> None:
+        row = usage["ever"].get(tenant, {"served": 0, "unknown": 0})
+        served, unanswered = clients.served[tenant], clients.unanswered[tenant]
+        print(tenant, row, "clients were served", served, "and not answered", unanswered)
+        assert row["served"] <= served + unanswered
+        assert served <= row["served"] + row["unknown"]
+        assert row["unknown"] <= unanswered + 1  # a response that had gone out when its process was killed
+        if not row["unknown"]:
+            assert row["served"] - unanswered <= served <= row["served"]
+        if all_in_periods and usage["closed"] <= 96:
+            assert in_periods[tenant] == row["served"]
+
+
+def test_every_announced_crash_point_is_tested() -> None:
     texts = [path.read_text() for path in (ROOT / "heronreel" / "metering").glob("*.py")]
-    assert set(re.findall(r'points\.reach\("(\w+)"\)', "".join(texts))) == set(ENDS)
+    assert set(re.findall(r'points\.reach\("(\w+)"\)', "".join(texts))) == set(CRASH_POINTS)
 
 
-def test_a_proxy_that_is_in_no_fleet_loads_nothing_of_it() -> None:
+def test_a_proxy_outside_a_fleet_loads_none_of_its_modules() -> None:
     code = "import sys, heronreel.serve.program; print(*sys.modules)"
     loaded = subprocess.check_output([sys.executable, "-c", code], cwd=ROOT, text=True).split()
-    of_a_fleet = {"aiohttp", "heronreel.coordination", "heronreel.coordinator", "heronreel.leases"}
-    assert "heronreel.serve" in loaded and not of_a_fleet & set(loaded)
+    fleet_modules = {"aiohttp", "heronreel.coordination", "heronreel.coordinator", "heronreel.leases"}
+    assert "heronreel.serve" in loaded and not fleet_modules & set(loaded)
 
 
-def test_a_table_that_is_wrong_is_told_with_line_and_what_would_be_right(tmp_path: Path) -> None:
+def test_an_invalid_table_is_reported_with_its_line_and_a_remedy(tmp_path: Path) -> None:
     text = routes(tmp_path, "one", "127.0.0.1:1", ["127.0.0.1:2"]).read_text()
     for good, bad, words in (
         ('group = ["127.0.0.1:2"]', "group = []", "expected a list of 1 to 7 addresses"),
@@ -224,44 +246,47 @@
     ):
         assert good in text
         (tmp_path / "bad.toml").write_text(text.replace(good, bad))
-        told = [str(finding.problem) for finding in read_report(str(tmp_path / "bad.toml")).findings]
-        assert len(told) == 1 and words in told[0] and int(told[0].split(":")[0]) > 0, told
+        problems = [str(finding.problem) for finding in read_report(str(tmp_path / "bad.toml")).findings]
+        assert len(problems) == 1 and words in problems[0] and int(problems[0].split(":")[0]) > 0, problems
     away = text.replace('embedded = ""', 'embedded = "x"').replace("127.0.0.1:2", "10.0.0.1:2")
     (tmp_path / "bad.toml").write_text(away)
-    (found,) = read_report(str(tmp_path / "bad.toml")).findings
-    assert "fleet.embedded" in str(found.problem) and "one address of this machine" in str(found.problem)
+    (finding,) = read_report(str(tmp_path / "bad.toml")).findings
+    assert "fleet.embedded" in str(finding.problem)
+    assert "one address of this machine" in str(finding.problem)
 
 
-@pytest.mark.parametrize("point", ENDS)
-def test_a_proxy_killed_at_a_point_counts_what_its_clients_were_served(point: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("point", CRASH_POINTS)
+def test_a_proxy_killed_at_a_crash_point_counts_what_its_clients_were_served(
+    point: str, tmp_path: Path
+) -> None:
     async def run() -> None:
         async with Harness(tmp_path, ("a",), 1) as harness, Client(harness.addresses) as client:
             async with Backend() as backend:
                 await harness.serves()
                 fleet = Fleet(harness, tmp_path, backend.address)
-                for end in ENDS[point]:
-                    doomed, port = await fleet.proxy("one", HERONREEL_END_AT=end)
+                for crash_at in CRASH_POINTS[point]:
+                    doomed, port = await fleet.proxy("one", HERONREEL_END_AT=crash_at)
                     async with asyncio.timeout(60):
                         while doomed.process.returncode is None:
                             for tenant in TENANTS:
-                                if not await fleet.clients.ask(port, tenant, 3):
+                                if not await fleet.clients.send(port, tenant, 3):
                                     break
                             await asyncio.sleep(0.01)
                     assert doomed.process.returncode == -signal.SIGKILL
                 last, port = await fleet.proxy("one")
-                await fleet.clients.ask(port, "etna", 5)
-                rows = await fleet.settled(client)
-                judged(rows, fleet.clients)
+                await fleet.clients.send(port, "etna", 5)
+                usage = await fleet.settled_usage(client)
+                check_usage(usage, fleet.clients)
                 last.signal(signal.SIGTERM)
                 assert await last.ended() == 0
-                rows = await fleet.counts(client)
-                judged(rows | {"periods": [], "closed": 97}, fleet.clients)
+                usage = await fleet.usage(client)
+                check_usage(usage, fleet.clients, all_in_periods=False)
 
     asyncio.run(run())
 
 
-def test_a_fleet_counts_each_answer_once_through_kills_of_proxies_and_of_the_leader(tmp_path: Path) -> None:
-    """The closing task runs on the proxies themselves: whoever holds it is killed with the rest."""
+def test_a_fleet_counts_each_response_once_through_kills_of_proxies_and_of_the_leader(tmp_path: Path) -> None:
+    """The closing task runs on the proxies themselves: its holder is killed like the rest."""
 
     async def run() -> None:
         async with Harness(tmp_path, ("a", "b", "c"), 2) as harness, Client(harness.addresses) as client:
@@ -272,7 +297,7 @@
                 running = {name: await fleet.proxy(name) for name in names}
                 for turn in range(4):
                     for name, (_, port) in running.items():
-                        assert await fleet.clients.ask(port, TENANTS[turn % 2], 20), name
+                        assert await fleet.clients.send(port, TENANTS[turn % 2], 20), name
                     doomed = names[turn % 3]
                     await running[doomed][0].kill()
                     if turn == 1:
@@ -283,10 +308,10 @@
                 for name in names[1:]:
                     running[name][0].signal(signal.SIGTERM)
                     assert await running[name][0].ended() == 0
-                rows = await fleet.settled(client)
-                judged(rows, fleet.clients)
-                told = json.loads(await asyncio.to_thread(harness.said, "counts", "--json"))
-                assert told["ever"] == rows["ever"] and len(told["periods"]) == 1
-                assert 240 <= sum(row["served"] + row["unknown"] for row in rows["ever"].values()) <= 244
+                usage = await fleet.settled_usage(client)
+                check_usage(usage, fleet.clients)
+                printed = json.loads(await asyncio.to_thread(harness.said, "counts", "--json"))
+                assert printed["ever"] == usage["ever"] and len(printed["periods"]) == 1
+                assert 240 <= sum(row["served"] + row["unknown"] for row in usage["ever"].values()) <= 244
 
     asyncio.run(run())
