--- a/heronreel/serve/fleet.py
+++ b/heronreel/serve/fleet.py
@@ -26,8 +26,10 @@
 from heronreel.leases.task_runner import StepContext, StepFunction, TaskRunner
 from heronreel.leases.tasks import Priority, Task
 from heronreel.metering import records
-from heronreel.metering.counter import Counted, Counter, close
-from heronreel.metering.files import Shelf
+from heronreel.metering.ledger_files import LedgerDirectory
+from heronreel.metering.meter import MeteredClient, UsageMeter
+from heronreel.metering.period_task import close_period
+from heronreel.metering.uploader import LedgerUploader
 from heronreel.proxy.proxy import Ask, Asker, Proxy, Request
 from heronreel.proxy.streams import Upload
 from heronreel.routes.model import RoutesFile
@@ -52,16 +54,16 @@
 class CountedProxy(Proxy):
     """A proxy whose answers are counted by tenant."""
 
-    def __init__(self, counter: Counter, *made: Any) -> None:
+    def __init__(self, meter: UsageMeter, *made: Any) -> None:
         """`made`: as any proxy is."""
         super().__init__(*made)
-        self.counter = counter
+        self.meter = meter
 
     def arrive(
         self, client: Asker, ask: Ask, body: bytes | bytearray, upload: Upload | None = None
     ) -> Request:
         tenant = ask.tenant if ask.tenant in self.tenants else ""
-        return super().arrive(Counted(self.counter, client, tenant), ask, body, upload)
+        return super().arrive(MeteredClient(self.meter, client, tenant), ask, body, upload)
 
 
 class InFleet:
@@ -75,18 +77,18 @@
         self.name, self.zone = file.process.name, file.process.zone
         self.start = secrets.token_hex(8)
         self.points = CrashPoints()
-        self.counter: Counter | None = None
+        self.uploader: LedgerUploader | None = None
         if self.fleet.count_s:
-            shelf = Shelf(self.fleet.folder)
-            tenants = tenants_of(file)
-            self.counter = Counter(shelf, self.name, self.zone, tenants, self.fleet.count_s / 2, boot_clock())
+            directory = LedgerDirectory(self.fleet.folder)
+            meter = UsageMeter(directory, self.name, self.zone, tenants_of(file))
+            self.uploader = LedgerUploader(meter, self.fleet.count_s / 2, boot_clock())
         self.holding: LeaseSession | None = None
         self.probes: Probes | None = None
         self.running: list[asyncio.Task[None]] = []
 
     def proxy(self, *made: Any) -> Proxy:
         """The proxy, made as any other; with its answers counted where counts are wanted."""
-        return Proxy(*made) if self.counter is None else CountedProxy(self.counter, *made)
+        return Proxy(*made) if self.uploader is None else CountedProxy(self.uploader.meter, *made)
 
     def begin(self, address: str, probes: Probes | None = None) -> None:
         """Be there from now on; whatever fails is logged and tried again, and does not end the proxy."""
@@ -102,9 +104,11 @@
         what = Presence("proxy", self.zone, address, heronreel.__version__, self.start, os.getpid())
         async with LeaseSession(self.fleet.group, self.name, terms, told=self._told) as self.holding:
             steps: dict[Task, StepFunction] = {}
-            if self.counter is not None:
-                steps[Task(records.TASK, self.fleet.count_s)] = self._close_period
-                counting = asyncio.ensure_future(self._again("counts", self.counter.run, self.holding.client))
+            if self.uploader is not None:
+                steps[Task(records.TASK_NAME, self.fleet.count_s)] = self._close_period
+                counting = asyncio.ensure_future(
+                    self._again("counts", self.uploader.run, self.holding.client)
+                )
                 self.running.append(counting)
             if probes is not None:
                 steps[probes.task] = functools.partial(probes.step, self.holding.client, self.name)
@@ -132,18 +136,18 @@
 
     async def _close_period(self, work: StepContext) -> None:
         assert self.holding is not None
-        await close(self.holding.client, work.step, work.number, self.name, self.points)
+        await close_period(self.holding.client, work.step, work.number, self.name, self.points)
 
     def reload(self, file: RoutesFile) -> None:
         """Another file is in force.  Raises OSError where its tenants can't be counted."""
-        if self.counter is not None:
-            self.counter.renew(tenants_of(file))
+        if self.uploader is not None:
+            self.uploader.change_tenants(tenants_of(file))
         if file.fleet != self.fleet:
             log.error("reload: fleet: changes need a restart; the old ones stay")
 
     async def end(self) -> None:
         """All clients have their answers: bring the last counts to the group, and give everything back."""
-        if self.counter is not None and not await self.counter.finish(END_S if self.holding else 0.0):
+        if self.uploader is not None and not await self.uploader.finish(END_S if self.holding else 0.0):
             log.error("counts are left on the disk", folder=self.fleet.folder)
         for task in reversed(self.running):  # an embedded group last: the lease is given back to it
             task.cancel()
--- a/tests/compatibility/fingerprints.py
+++ b/tests/compatibility/fingerprints.py
@@ -123,7 +123,7 @@
 def explored(name: str) -> Fingerprint:
     """Explore one case.  Of the random walks it is told only whether one of them breaks a promise."""
     if name == WALKS:
-        return {"broken": any(counting.walks_without_the_closers_guard())}
+        return {"broken": any(counting.walks_without_the_closing_fence())}
     start, most = CASES[name]()
     found = explore(start, most)
     states: int | None
--- a/tests/compatibility/stored_control.py
+++ b/tests/compatibility/stored_control.py
@@ -38,10 +38,17 @@
 from heronreel.leases.rate_budget import BUDGET_PREFIX as BUDGETS
 from heronreel.leases.rate_budget import TOTAL_UNITS
 from heronreel.leases.tasks import CURSOR_PREFIX, Priority, Task
-from heronreel.metering.book import KINDS
-from heronreel.metering.files import ASIDE, ENDING, FRESH
-from heronreel.metering.records import BOOKS, CLOSED, GIVEN_UP, SUM, book_key, closed_key
-from heronreel.metering.records import TASK as COUNTING
+from heronreel.metering.counts import KIND_NAMES
+from heronreel.metering.ledger_files import LEDGER_SUFFIX, QUARANTINE_SUFFIX, TEMPORARY_SUFFIX
+from heronreel.metering.records import (
+    ABANDONED_PAGE,
+    CLOSED_PREFIX,
+    LEDGER_PREFIX,
+    TOTALS_KEY,
+    closed_period_key,
+    ledger_key,
+)
+from heronreel.metering.records import TASK_NAME as METERING_TASK
 from tests.compatibility.stored_fleet import FORMS as FLEET_FORMS
 from tests.compatibility.stored_fleet import INSTANCE, PART
 from tests.compatibility.stored_forms import FOLDER, Form, as_text, with_store
@@ -72,15 +79,15 @@
         "task t": Task("t").key,
         "claim t": Task("t").claim,
         "budget": BUDGETS,
-        "count books": BOOKS,
-        "count book b1": book_key("b1"),
-        "count sum": SUM,
-        "count closed": CLOSED,
-        "count closed 7": closed_key(7),
-        "count task": COUNTING,
-        "count file": ENDING,
-        "count fresh file": FRESH,
-        "count file aside": ASIDE,
+        "count books": LEDGER_PREFIX,
+        "count book b1": ledger_key("b1"),
+        "count sum": TOTALS_KEY,
+        "count closed": CLOSED_PREFIX,
+        "count closed 7": closed_period_key(7),
+        "count task": METERING_TASK,
+        "count file": LEDGER_SUFFIX,
+        "count fresh file": TEMPORARY_SUFFIX,
+        "count file aside": QUARANTINE_SUFFIX,
         "fleet instances": FLEET_INSTANCES,
         "fleet instance": INSTANCE.key,
         "fleet parts": FLEET_PARTS,
@@ -108,8 +115,8 @@
 WORDS: dict[str, Any] = {name: [each.value for each in kind] for name, kind in ENUMS.items()}
 WORDS |= {
     "urgency": {each.name.lower(): int(each) for each in Priority},  # the names stand in keys of budgets
-    "paths": sorted(PATHS), "streamed": sorted(STREAMED), "kinds of counts": list(KINDS),
-    "budget": TOTAL_UNITS, "book given up": GIVEN_UP,
+    "paths": sorted(PATHS), "streamed": sorted(STREAMED), "kinds of counts": list(KIND_NAMES),
+    "budget": TOTAL_UNITS, "book given up": ABANDONED_PAGE,
 }  # fmt: skip
 
 
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -37,7 +37,14 @@
 from heronreel.fleet.model import Condition, Instance, Rule, Scope, Verb
 from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX
 from heronreel.leases.tasks import CURSOR_PREFIX, Cursor, encode_cursor
-from heronreel.metering.records import SUM, Closed, Posted, Sum, book_key, closed_key
+from heronreel.metering.records import (
+    TOTALS_KEY,
+    ClosedPeriod,
+    LedgerRecord,
+    Totals,
+    closed_period_key,
+    ledger_key,
+)
 from heronreel.proxy.operators import Caller, Operators
 from heronreel.proxy.shared import Hold, Shared
 from heronreel.store import Limits, Store
@@ -190,9 +197,9 @@
     "op1", Verb.UPGRADE, "ada", ("backend/n1", "backend/n2"), "v2", 2, {"backend/n1": "running v2"}, ""
 )
 CURSORS = {b"count": Cursor(4, 5, 2, 9, "w1", False, 1), b"sweep": Cursor(1, 2, 3, 7, "w2", True, 0)}
-POSTED = Posted("p1", "a", 3, False, True, {"": (1, 2, 3, 4), "t1": (5, 0, 0, 0)}, 7)
-SUMMED = Sum(6, {"t1": (1, 0, 0, 0)}, 2, {"t1": (10, 1, 0, 0)})
-CLOSED = Closed(6, 9, "w1", {"t1": (3, 0, 0, 1)}, 4, ("p9",))
+LEDGER_RECORD = LedgerRecord("p1", "a", 3, False, True, {"": (1, 2, 3, 4), "t1": (5, 0, 0, 0)}, 7)
+TOTALS = Totals(6, {"t1": (1, 0, 0, 0)}, 2, {"t1": (10, 1, 0, 0)})
+CLOSED_PERIOD = ClosedPeriod(6, 9, "w1", {"t1": (3, 0, 0, 1)}, 4, ("p9",))
 LEFT = {11: (25, 30), 12: (3, 30), 13: (-1, 30)}  # seconds that leases have left, and had
 RECORDS: list[tuple[bytes, bytes, int]] = [
     (CLAIM_PREFIX + b"count", b"w1", 11),
@@ -200,9 +207,9 @@
     (PRESENCE_PREFIX + b"w1", b"worker", 11),
     (PRESENCE_PREFIX + b"p1", b"proxy \xff", 12),
     *((CURSOR_PREFIX + name, encode_cursor(cursor), 0) for name, cursor in CURSORS.items()),
-    (book_key("book1"), msgspec.json.encode(POSTED), 0),
-    (SUM, msgspec.json.encode(SUMMED), 0),
-    (closed_key(6), msgspec.json.encode(CLOSED), 0),
+    (ledger_key("book1"), msgspec.json.encode(LEDGER_RECORD), 0),
+    (TOTALS_KEY, msgspec.json.encode(TOTALS), 0),
+    (closed_period_key(6), msgspec.json.encode(CLOSED_PERIOD), 0),
     *((instance.key, fleet.encoded(instance), 0) for instance in INSTANCES),
     (fleet.RULES, fleet.rules_encoded(RULES), 0),
     (PART.key, fleet.encoded(PART), 0),
--- a/tests/compatibility/stored_fleet.py
+++ b/tests/compatibility/stored_fleet.py
@@ -42,12 +42,12 @@
 from heronreel.health.report import Report, telling
 from heronreel.health.report import decoded as report_of
 from heronreel.leases.lease import PRESENCE_PREFIX
-from heronreel.metering.book import Head as BookHead
-from heronreel.metering.book import Page
-from heronreel.metering.closing import Closing
-from heronreel.metering.files import ENDING, Shelf
-from heronreel.metering.posting import Posting
-from heronreel.metering.records import SUM, Closed, Posted, Sum, book_key
+from heronreel.metering.ledger import Page
+from heronreel.metering.ledger_files import LEDGER_SUFFIX, LedgerDirectory
+from heronreel.metering.ledger_format import LedgerHeader
+from heronreel.metering.period_closing import PeriodClosing
+from heronreel.metering.records import TOTALS_KEY, ClosedPeriod, LedgerRecord, Totals, ledger_key
+from heronreel.metering.upload import LedgerUpload
 from heronreel.serve.fleet import Presence
 from heronreel.store import Store
 from tests.compatibility.stored_forms import (
@@ -65,47 +65,51 @@
 from tests.compatibility.stored_group import asked
 
 COUNTS = {"": (1, 0, 0, 2), "gold": (5, 1, 0, 0)}
-POSTED = Posted("p1", "etna", 3, False, True, COUNTS, 7)
-TOTAL = Sum(8, {"gold": (1, 1, 1, 1)}, 2, {"": (9, 0, 0, 0)})
-BOOK_HEAD = BookHead(DRAWN, "p1", "etna", ("gold", "näm"))
+LEDGER_RECORD = LedgerRecord("p1", "etna", 3, False, True, COUNTS, 7)
+TOTALS = Totals(8, {"gold": (1, 1, 1, 1)}, 2, {"": (9, 0, 0, 0)})
+LEDGER_HEADER = LedgerHeader(DRAWN, "p1", "etna", ("gold", "näm"))
 
 
-def posting() -> dict[str, Request]:
-    """What a book asks: read, make its record, put a page."""
-    post = Posting(BOOK_HEAD, 0, None, 1.0, 0.0)
-    read = asked(post.tick(0.0, False))
+def upload() -> dict[str, Request]:
+    """What the upload of a ledger requests: read, create its record, add a page."""
+    ledger_upload = LedgerUpload(LEDGER_HEADER, 0, None, 1.0, 0.0)
+    read = asked(ledger_upload.tick(0.0, False))
     nothing, total = (
         RangeResponse(4, (), 0, False),
-        RangeResponse(4, ((SUM, Record(b"{}", 2, 3, 1, 0)),), 1, False),
+        RangeResponse(4, ((TOTALS_KEY, Record(b"{}", 2, 3, 1, 0)),), 1, False),
     )
-    make = asked(post.answered(0.1, 1, TxnResponse(4, True, (nothing, total))))
-    post = Posting(BOOK_HEAD, 2, Page(3, COUNTS), 1.0, 0.0, registered=True, last=True)
-    post.tick(0.0, False)
-    record = Record(msgspec.json.encode(Posted("p1", "etna", 2, True, False, {}, 6)), 5, 9, 2, 0)
-    found = RangeResponse(9, ((book_key(DRAWN), record),), 1, False)
-    put = asked(post.answered(0.1, 1, TxnResponse(9, True, (found, total))))
+    make = asked(ledger_upload.on_response(0.1, 1, TxnResponse(4, True, (nothing, total))))
+    ledger_upload = LedgerUpload(
+        LEDGER_HEADER, 2, Page(3, COUNTS), 1.0, 0.0, registered=True, pending_is_last=True
+    )
+    ledger_upload.tick(0.0, False)
+    record = Record(msgspec.json.encode(LedgerRecord("p1", "etna", 2, True, False, {}, 6)), 5, 9, 2, 0)
+    found = RangeResponse(9, ((ledger_key(DRAWN), record),), 1, False)
+    put = asked(ledger_upload.on_response(0.1, 1, TxnResponse(9, True, (found, total))))
     return {"count-read": read, "count-make": make, "count-put": put}
 
 
-def closing() -> dict[str, Request]:
-    """What the task that closes periods asks: read, take pages, close a period."""
+def period_closing() -> dict[str, Request]:
+    """What the task that closes periods requests: read, aggregate pages, close a period."""
     calls: dict[str, Request] = {}
-    for name, taken in (("count-take", False), ("count-close", True)):
-        close = Closing(100, 12, "m1", ["p2"])
-        total = close.next()
-        close.answered(RangeResponse(9, ((SUM, Record(msgspec.json.encode(TOTAL), 3, 8, 2, 0)),), 1, False))
-        books = close.next()
+    for name, aggregated in (("count-take", False), ("count-close", True)):
+        closing = PeriodClosing(100, 12, "m1", ["p2"])
+        total = closing.next_request()
+        closing.on_response(
+            RangeResponse(9, ((TOTALS_KEY, Record(msgspec.json.encode(TOTALS), 3, 8, 2, 0)),), 1, False)
+        )
+        ledgers = closing.next_request()
         rows = tuple(
-            (book_key(ident), Record(msgspec.json.encode(posted), 5, 9, 2, 0))
-            for ident, posted in (
-                ("b1", Posted("p1", "etna", 3, taken, False, COUNTS)),
-                ("b2", Posted("p1", "", 4, taken, True)),
+            (ledger_key(ident), Record(msgspec.json.encode(record), 5, 9, 2, 0))
+            for ident, record in (
+                ("b1", LedgerRecord("p1", "etna", 3, aggregated, False, COUNTS)),
+                ("b2", LedgerRecord("p1", "", 4, aggregated, True)),
             )
         )  # fmt: skip
-        close.answered(RangeResponse(9, rows, 2, False))
-        step = close.next()
-        assert total is not None and books is not None and step is not None
-        calls |= {"count-sum": total, "count-books": books, name: step}
+        closing.on_response(RangeResponse(9, rows, 2, False))
+        step = closing.next_request()
+        assert total is not None and ledgers is not None and step is not None
+        calls |= {"count-sum": total, "count-books": ledgers, name: step}
     return calls
 
 
@@ -138,7 +142,7 @@
 
 REPORT = Report(5, "p1", 9, 40, (("web", "b1"), ("web", "b2")))
 CALLS: dict[str, Request] = {
-    **posting(), **closing(), **taking(),
+    **upload(), **period_closing(), **taking(),
     "fleet-read": READ, "fleet-halt": halting(HALTED), "fleet-resume": halting(None),
     "fleet-look": told(40, INSTANCE),
     "fleet-rules": changing(None, b"rules", Put(RULES, rules_encoded(ALLOWED))),
@@ -146,47 +150,49 @@
 }  # fmt: skip
 
 
-# -- books of counts
+# -- usage ledgers
 
 
-def book() -> bytes:
-    """The file of a book with a confirmed, a sealed and an open page and an answer under way."""
+def ledger_file() -> bytes:
+    """The file of a ledger with a confirmed, a sealed and an open page, and a response in flight."""
 
     def work(folder: Path) -> bytes:
-        opened = Shelf(folder).make("p1", "etna", ("gold", "näm"))
-        found, path = opened.book, opened.path
-        assert path.name == DRAWN + ENDING
+        opened = LedgerDirectory(folder).create("p1", "etna", ("gold", "näm"))
+        ledger, path = opened.ledger, opened.path
+        assert path.name == DRAWN + LEDGER_SUFFIX
         for tenants in (("gold",), ("gold", "", "gold", "näm")):
             for kind, tenant in enumerate(tenants):
-                found.settle(found.begin(tenant), kind)
+                ledger.settle(ledger.begin(tenant), kind)
             if tenants == ("gold",):
-                found.register()
-                found.confirm(found.seal().number)
-        found.end()
-        found.seal()
-        found.settle(found.begin("nobody's"), 0)
-        found.begin("gold")
+                ledger.mark_registered()
+                ledger.confirm_page(ledger.seal_page().number)
+        ledger.mark_last_page()
+        ledger.seal_page()
+        ledger.settle(ledger.begin("nobody's"), 0)
+        ledger.begin("gold")
         opened.close()
         return path.read_bytes()
 
     return with_store(work)
 
 
-BOOK = (
-    BOOK_HEAD, 3, 1, True, True, [0, 1, 0], {"": (1, 0, 0, 0)},
+LEDGER = (
+    LEDGER_HEADER, 3, 1, True, True, [0, 1, 0], {"": (1, 0, 0, 0)},
     Page(2, {"": (0, 1, 0, 0), "gold": (1, 0, 1, 0), "näm": (0, 0, 0, 1)}),
 )  # fmt: skip
 
 
-def book_of(data: bytes) -> tuple[object, ...]:
-    """What whoever takes over a book finds in it."""
+def ledger_of(data: bytes) -> tuple[object, ...]:
+    """What whoever adopts a ledger finds in it."""
 
     def work(folder: Path) -> tuple[object, ...]:
-        (folder / (DRAWN + ENDING)).write_bytes(data)
-        (opened,), _ = Shelf(folder).orphans()
-        b = opened.book
-        flags = b.registered, b.ended
-        all_of_it = b.head, b.number, b.confirmed, *flags, list(b.under_way()), b.counted(), b.sealed()
+        (folder / (DRAWN + LEDGER_SUFFIX)).write_bytes(data)
+        (opened,), _ = LedgerDirectory(folder).adopt_orphans()
+        ledger = opened.ledger
+        flags = ledger.registered, ledger.is_complete
+        pages = ledger.open_page, ledger.confirmed_page
+        counts = list(ledger.in_flight()), ledger.open_counts(), ledger.pending_page()
+        all_of_it = ledger.header, *pages, *flags, *counts
         opened.close()
         return all_of_it
 
@@ -298,11 +304,11 @@
 FORMS: dict[str, Form] = {
     **{f"call-{name}.txt": as_call(request) for name, request in CALLS.items()},
     "presence.json": as_json(Presence("proxy", "etna", "127.0.0.1:80", "0.2.0", DRAWN, 81)),
-    "book.bin": Form(BOOK, book, book_of),
-    "posted.json": as_json(POSTED), "posted-least.json": as_json(Posted("p1")),
-    "sum.json": as_json(TOTAL), "sum-empty.json": as_json(Sum()),
-    "closed.json": as_json(Closed(9, 12, "m1", COUNTS, 2, ("p2", "p3"))),
-    "closed-least.json": as_json(Closed(9, 12, "m1")),
+    "book.bin": Form(LEDGER, ledger_file, ledger_of),
+    "posted.json": as_json(LEDGER_RECORD), "posted-least.json": as_json(LedgerRecord("p1")),
+    "sum.json": as_json(TOTALS), "sum-empty.json": as_json(Totals()),
+    "closed.json": as_json(ClosedPeriod(9, 12, "m1", COUNTS, 2, ("p2", "p3"))),
+    "closed-least.json": as_json(ClosedPeriod(9, 12, "m1")),
     "fleet-instance.json": as_json(INSTANCE, encoded),
     "fleet-instance-least.json": as_json(Instance(Kind.BACKEND, "b1"), encoded),
     "fleet-part.json": as_json(PART, encoded), "fleet-halt.json": as_json(HALTED, encoded),
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -26,7 +26,14 @@
 from heronreel.experiments.table import read
 from heronreel.fleet import model as fleet
 from heronreel.leases.tasks import CURSOR_PREFIX, decode_cursor
-from heronreel.metering.records import SUM, Closed, Posted, Sum, book_key, closed_key
+from heronreel.metering.records import (
+    TOTALS_KEY,
+    ClosedPeriod,
+    LedgerRecord,
+    Totals,
+    closed_period_key,
+    ledger_key,
+)
 from heronreel.proxy.__main__ import _inherited, _shared
 from heronreel.proxy.config import load as config_of
 from heronreel.proxy.shared import Shared
@@ -189,9 +196,9 @@
     }
     values = {key: record.value for key, record in state.keys.items()}
     wanted: list[tuple[bytes, Any, Any]] = [
-        (book_key("book1"), Posted, stored_data.POSTED),
-        (SUM, Sum, stored_data.SUMMED),
-        (closed_key(6), Closed, stored_data.CLOSED),
+        (ledger_key("book1"), LedgerRecord, stored_data.LEDGER_RECORD),
+        (TOTALS_KEY, Totals, stored_data.TOTALS),
+        (closed_period_key(6), ClosedPeriod, stored_data.CLOSED_PERIOD),
         (fleet.RULES, tuple[fleet.Rule, ...], stored_data.RULES),
         (stored_data.PART.key, fleet.Part, stored_data.PART),
         (fleet.HALT, fleet.Halt, stored_data.HALT),
