--- a/bench/probing.py
+++ b/bench/probing.py
@@ -18,7 +18,7 @@
 from heronreel.coordination.client import Client
 from heronreel.coordination.model import Range, RangeResponse
 from heronreel.fault_injection.processes import Harness
-from heronreel.health.report import key_of
+from heronreel.health.report import report_key
 
 EVERY_MS = 1000
 SECONDS = 10.0
@@ -67,7 +67,7 @@
             await process.line("listening on", seconds=120)
         for zone in ("z0", "z1"):
             while shared:
-                found = await client.call(Range(key_of(zone)), 5.0)
+                found = await client.call(Range(report_key(zone)), 5.0)
                 assert isinstance(found, RangeResponse)
                 if found.records:
                     break
--- a/heronreel/health/__init__.py
+++ b/heronreel/health/__init__.py
@@ -1,5 +1,6 @@
-"""Probing of a file's own servers: by each proxy for itself, or once a zone and shared.
+"""Active health checks of the configured backends: by each proxy for itself, or by one prober a zone.
 
-`health` says who is down from what probes found, `report` is what a zone's prober tells the others and what
-they make of it; both are pure.  `prober` makes the calls.
+* `checks`: thresholds of consecutive results, and the panic threshold; `report`: what a zone's prober reports
+  and how long that is believed.  Both are pure: they do no I/O, and take the time as an argument.
+* `prober`: probes over HTTP.
 """
--- a/heronreel/health/prober.py
+++ b/heronreel/health/prober.py
@@ -1,4 +1,4 @@
-"""Probes over HTTP/1.1: one GET a member and round, a few at once."""
+"""Probes over HTTP/1.1: in each round one GET to every member, several at once."""
 
 from __future__ import annotations
 
@@ -7,60 +7,71 @@
 
 import aiohttp
 
-from heronreel.health.checks import Health, Member, Rules
+from heronreel.health.checks import HealthCheckConfig, HealthTracker, Member
 
-AT_ONCE = 32
-READ_MOST = 4096  # bytes of an answer's body that are looked at before its connection is given up
+MAX_CONCURRENT_PROBES = 32
+MAX_BODY_BYTES = 4096  # read of a response's body, before its connection is given up
+KEEPALIVE_ROUNDS = 3  # for which an idle connection is kept
+MIN_ERROR_STATUS = 400  # statuses below it are healthy
+
+Address = tuple[str, int]  # IP address and port
 
 
 class Prober:
-    """Calls the members of a file's pools, on connections that are kept between rounds."""
+    """Probes the members of pools, on connections that are kept between rounds."""
 
-    def __init__(self, rules: Rules) -> None:
-        self.rules = rules
-        self.calls = 0  # ever made
-        self.session: aiohttp.ClientSession | None = None
+    def __init__(self, config: HealthCheckConfig) -> None:
+        self.config = config
+        self._session: aiohttp.ClientSession | None = None
 
     async def close(self) -> None:
-        if self.session is not None:
-            await self.session.close()
+        """Close the connections."""
+        if self._session is not None:
+            await self._session.close()
 
-    async def round(
+    async def probe_all(
         self,
-        members: Mapping[Member, tuple[str, int]],
-        health: Health,
-        pay: Callable[[], Awaitable[None]] | None = None,
+        members: Mapping[Member, Address],
+        tracker: HealthTracker,
+        acquire_budget: Callable[[], Awaitable[None]] | None = None,
     ) -> bool:
-        """Probe everybody once; whether anybody went down or came up.  `pay` is awaited before each call."""
-        if self.session is None:
-            timeout = aiohttp.ClientTimeout(total=self.rules.timeout_s)
-            connector = aiohttp.TCPConnector(limit=AT_ONCE, keepalive_timeout=3 * self.rules.every_s)
-            self.session = aiohttp.ClientSession(timeout=timeout, connector=connector)
-        health.keep(members.keys())
-        gate = asyncio.Semaphore(AT_ONCE)
-        changed = False
-
-        async def one(member: Member, address: tuple[str, int]) -> None:
-            nonlocal changed
+        """Probe every member once; returns whether any went down or came up.
+
+        `acquire_budget` is awaited before each probe.
+        """
+        session = self._open_session()
+        tracker.retain(members.keys())
+        gate = asyncio.Semaphore(MAX_CONCURRENT_PROBES)
+        changes: list[Member] = []
+
+        async def probe_member(member: Member, address: Address) -> None:
             async with gate:
-                if pay is not None:
-                    await pay()
-                well = await self._probe(address)  # others change `changed` meanwhile
-                changed |= health.observe(member, well)
+                if acquire_budget is not None:
+                    await acquire_budget()
+                if tracker.observe(member, await self._probe(session, address)):
+                    changes.append(member)
 
         async with asyncio.TaskGroup() as group:
             for member, address in members.items():
-                group.create_task(one(member, address))
-        return changed
+                group.create_task(probe_member(member, address))
+        return bool(changes)
+
+    def _open_session(self) -> aiohttp.ClientSession:
+        if self._session is None:
+            timeout = aiohttp.ClientTimeout(total=self.config.timeout_s)
+            keepalive_s = KEEPALIVE_ROUNDS * self.config.interval_s
+            connector = aiohttp.TCPConnector(limit=MAX_CONCURRENT_PROBES, keepalive_timeout=keepalive_s)
+            self._session = aiohttp.ClientSession(timeout=timeout, connector=connector)
+        return self._session
 
-    async def _probe(self, address: tuple[str, int]) -> bool:
-        assert self.session is not None
-        host = f"[{address[0]}]" if ":" in address[0] else address[0]
-        self.calls += 1
+    async def _probe(self, session: aiohttp.ClientSession, address: Address) -> bool:
+        host, port = address
+        if ":" in host:
+            host = f"[{host}]"
         try:
-            url = f"http://{host}:{address[1]}{self.rules.path}"
-            async with self.session.get(url, allow_redirects=False) as answer:
-                await answer.content.read(READ_MOST)
-                return answer.status < 400
+            url = f"http://{host}:{port}{self.config.path}"
+            async with session.get(url, allow_redirects=False) as response:
+                await response.content.read(MAX_BODY_BYTES)
+                return response.status < MIN_ERROR_STATUS
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
             return False
--- a/heronreel/health/report.py
+++ b/heronreel/health/report.py
@@ -1,98 +1,115 @@
-"""What a zone's prober tells, and what the proxies of the zone make of it.  Pure.
+"""The health report of a zone's prober, and how long the zone's proxies believe it.  Pure.
 
-The report is one agreed key a zone.  The prober writes it when somebody goes down or comes up, and now and
-then to show that it goes on; each writing is a transaction on the claim's number, so a prober that was
-followed tells nothing any more.  Who hears nothing new for too long knows nothing: it takes nobody for
-down, and says so.
+The report is stored under one key a zone.  The prober writes it when a member goes down or comes up, and
+periodically to show that it is alive; each write is a transaction that is fenced by the claim on the zone's
+task, so a prober that was replaced can't write any more.  A proxy that receives no new report for too long
+knows nothing: no member counts as down then.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection
+from typing import NamedTuple
 
 import msgspec
 
 from heronreel.coordination.model import Compare, CompareOperator, CompareTarget, Put, Range, Txn
-from heronreel.health.checks import MEMBERS_MOST, Member
+from heronreel.health.checks import MAX_MEMBERS, Member
 from heronreel.leases.lease import CLAIM_PREFIX
 
-REPORTS = b"probe/"
-DOWN_MOST = 2000  # members told as down: more do not fit a value of the group's
+REPORT_PREFIX = b"probe/"
+MAX_REPORTED_DOWN = 2000  # members: more do not fit a stored value
 
 
-class Report(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One zone's servers as its prober found them."""
+class HealthReport(msgspec.Struct, frozen=True, omit_defaults=True):
+    """The health of one zone's members.  Fields are stored under the names given by `name=`."""
 
     round: int  # of probes, counted over all probers of the zone
-    by: str
-    number: int  # the grant under which it was written
+    prober: str = msgspec.field(name="by")
+    fencing_token: int = msgspec.field(name="number")  # of the prober's claim on the zone's task
     probed: int = 0  # members
     down: tuple[tuple[str, str], ...] = ()  # pool and name
 
     @property
-    def members(self) -> frozenset[Member]:
+    def down_members(self) -> frozenset[Member]:
+        """The members that are down."""
         return frozenset(Member(pool, name) for pool, name in self.down)
 
 
-def task_of(zone: str) -> str:
-    """The name of the zone's task."""
+def probe_task_name(zone: str) -> str:
+    """The name of the fleet-wide task whose holder probes a zone."""
     return f"probe-{zone}" if zone else "probe"
 
 
-def key_of(zone: str) -> bytes:
-    return REPORTS + zone.encode()
+def report_key(zone: str) -> bytes:
+    """The key of a zone's report."""
+    return REPORT_PREFIX + zone.encode()
 
 
-def decoded(data: bytes) -> Report | None:
-    """None for what is no report."""
+def decode_report(data: bytes) -> HealthReport | None:
+    """The report; None for what is not a report."""
     try:
-        return msgspec.json.decode(data, type=Report)
+        return msgspec.json.decode(data, type=HealthReport)
     except msgspec.DecodeError:
         return None
 
 
-def telling(zone: str, report: Report) -> Txn:
-    """Done only while the claim has the report's number; the answer of a refusal says who has it."""
-    claim = CLAIM_PREFIX + task_of(zone).encode()
-    ours = Compare(claim, CompareTarget.CREATE, CompareOperator.EQUAL, report.number)
-    down = report.down[:DOWN_MOST]
-    cut = msgspec.structs.replace(report, down=down, probed=min(report.probed, MEMBERS_MOST))
-    return Txn((ours,), (Put(key_of(zone), msgspec.json.encode(cut)),), (Range(claim),))
+def publish_request(zone: str, report: HealthReport) -> Txn:
+    """The transaction that writes a report, while its prober still holds the zone's task.
 
+    Otherwise it fails, and its response has the current claim.
+    """
+    claim = CLAIM_PREFIX + probe_task_name(zone).encode()
+    fence = Compare(claim, CompareTarget.CREATE, CompareOperator.EQUAL, report.fencing_token)
+    bounded = msgspec.structs.replace(
+        report, down=report.down[:MAX_REPORTED_DOWN], probed=min(report.probed, MAX_MEMBERS)
+    )
+    return Txn((fence,), (Put(report_key(zone), msgspec.json.encode(bounded)),), (Range(claim),))
 
-class Heard:
-    """What one proxy knows of its zone's servers."""
 
-    def __init__(self, patience_s: float, now: float) -> None:
-        """Nothing new for `patience_s`, on the proxy's own clock: nothing is known any more."""
-        self.patience_s = patience_s
-        self.report: Report | None = None
-        self.heard = now - patience_s
-        self.greatest = (0, 0)  # number and round of the newest report: older ones are passed over
+class ReportVersion(NamedTuple):
+    """The order of reports: by prober, then by round."""
 
-    def told(self, report: Report | None, now: float) -> bool:
-        """What the group has; False where it is not new.  A group that lost its state begins anew, with
-        smaller numbers: by then what was known has ended.
+    fencing_token: int
+    round: int
+
+
+class ReceivedReport:
+    """What one proxy knows of its zone's members: the newest report, until it expires."""
+
+    def __init__(self, max_age_s: float) -> None:
+        """`max_age_s`: seconds without a new report after which nothing is known, on the proxy's clock."""
+        self.max_age_s = max_age_s
+        self.report: HealthReport | None = None
+        self.received_at = -max_age_s
+        self._newest = ReportVersion(0, 0)
+
+    def receive(self, report: HealthReport | None, now: float) -> bool:
+        """Take the stored report; returns False where it is not a new one.
+
+        A coordination service that lost its state begins with smaller fencing tokens: its reports are taken
+        once the newest one has expired.
         """
         if report is None:
             return False
-        mark = report.number, report.round
-        if mark <= self.greatest and self.known(now):
+        version = ReportVersion(report.fencing_token, report.round)
+        if version == self._newest:
+            return False  # nobody has probed since
+        if version < self._newest and self.is_current(now):
             return False
-        if mark == self.greatest:
-            return False  # the same as before: nobody has probed since
-        self.greatest = mark
+        self._newest = version
         self.report = report
-        self.heard = now
+        self.received_at = now
         return True
 
-    def known(self, now: float) -> bool:
-        return self.report is not None and now < self.heard + self.patience_s
+    def is_current(self, now: float) -> bool:
+        """Whether there is a report that has not expired."""
+        return self.report is not None and now < self.expires_at()
 
-    def until(self) -> float:
-        """When what is known ends."""
-        return self.heard + self.patience_s
+    def expires_at(self) -> float:
+        """When the report expires unless a new one is received."""
+        return self.received_at + self.max_age_s
 
     def down(self, now: float) -> Collection[Member]:
-        """Whom the prober found down; nobody where that is not known."""
-        return self.report.members if self.report is not None and self.known(now) else frozenset()
+        """The members that are reported down; none without a current report."""
+        return self.report.down_members if self.report is not None and self.is_current(now) else frozenset()
--- a/heronreel/serve/files.py
+++ b/heronreel/serve/files.py
@@ -1,4 +1,4 @@
-"""Reading the files that commands and reloads name."""
+"""Reading and checking the files that commands and reloads name."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 from heronreel.routes.reader import BYTES_MOST
 
 
-def checked(path: str, platform: Limits | None = None) -> Report:
-    """The report on a file; one that can't be read is a finding too."""
+def check_file(path: str, platform: Limits | None = None) -> Report:
+    """The report on a file; a file that can't be read is reported as a finding."""
     try:
         with Path(path).open("rb") as file:
-            data = file.read(BYTES_MOST + 1)  # one beyond the most, so that `load` can say so
+            data = file.read(BYTES_MOST + 1)  # one beyond the limit, so that `load` reports it
     except OSError as error:
         wrong = f"can't be read: {error.strerror or error}"
-        return Report(None, (Finding(Problem(0, "file", wrong, "a readable file", "unreadable")),))
+        problem = Problem(0, "file", wrong, "a readable file", "unreadable")
+        return Report(None, (Finding(problem),))
     return check(data, platform)
--- a/heronreel/serve/fleet.py
+++ b/heronreel/serve/fleet.py
@@ -1,7 +1,7 @@
-"""A proxy as one of a fleet: there by a lease, and doing its part of the fleet's tasks.
+"""A serving proxy as a member of a fleet: present by a lease, and doing its part of the fleet's tasks.
 
-Nothing here is waited for by a request: a group that is away, or slow, costs the fleet its tasks and no
-client its answer.
+No request waits for anything here: a coordination service that is away, or slow, costs the fleet its tasks
+and no client its response.
 """
 
 from __future__ import annotations
@@ -25,23 +25,26 @@
 from heronreel.leases.session import LeaseSession
 from heronreel.leases.task_runner import StepContext, StepFunction, TaskRunner
 from heronreel.leases.tasks import Priority, Task
-from heronreel.metering import records
 from heronreel.metering.ledger_files import LedgerDirectory
 from heronreel.metering.meter import MeteredClient, UsageMeter
 from heronreel.metering.period_task import close_period
+from heronreel.metering.records import TASK_NAME as METERING_TASK
 from heronreel.metering.uploader import LedgerUploader
 from heronreel.proxy.proxy import Ask, Asker, Proxy, Request
 from heronreel.proxy.streams import Upload
 from heronreel.routes.model import RoutesFile
-from heronreel.serve.probes import Probes
+from heronreel.serve.health_checks import HealthChecks
+from heronreel.serve.zone_health import ZoneProber, ZoneReportFollower
 
-END_S = 2.0  # for what is left to be told to the group at an end in order
+FINAL_UPLOAD_TIMEOUT_S = 2.0  # for the last counts, at a graceful shutdown
+RESTART_DELAY_S = 1.0  # before a component that failed is run again
+PAGES_PER_PERIOD = 2  # of a usage ledger
 
 log = structlog.get_logger()
 
 
 class Presence(msgspec.Struct, frozen=True):
-    """What a proxy says of itself under `present/`."""
+    """What a proxy says of itself under its presence key."""
 
     kind: str
     zone: str
@@ -51,110 +54,136 @@
     pid: int
 
 
-class CountedProxy(Proxy):
-    """A proxy whose answers are counted by tenant."""
+class MeteredProxy(Proxy):
+    """A proxy whose responses are counted by tenant."""
 
-    def __init__(self, meter: UsageMeter, *made: Any) -> None:
-        """`made`: as any proxy is."""
-        super().__init__(*made)
+    def __init__(self, meter: UsageMeter, *proxy_arguments: Any) -> None:
+        """`proxy_arguments` are those of `Proxy`."""
+        super().__init__(*proxy_arguments)
         self.meter = meter
 
     def arrive(
         self, client: Asker, ask: Ask, body: bytes | bytearray, upload: Upload | None = None
     ) -> Request:
+        """Take a request; what its client receives is counted."""
         tenant = ask.tenant if ask.tenant in self.tenants else ""
         return super().arrive(MeteredClient(self.meter, client, tenant), ask, body, upload)
 
 
-class InFleet:
+class FleetMember:
     """The fleet's side of a serving process."""
 
     def __init__(self, file: RoutesFile) -> None:
-        """Raises OSError where counts are wanted and can't be kept."""
+        """Prepare usage metering where it is configured.
+
+        Raises:
+            OSError: usage is to be metered, and no ledger can be created.
+        """
         assert file.fleet is not None
         log_to_stderr()
         self.fleet = file.fleet
-        self.name, self.zone = file.process.name, file.process.zone
-        self.start = secrets.token_hex(8)
+        self.name = file.process.name
+        self.zone = file.process.zone
+        self.incarnation = secrets.token_hex(8)
         self.points = CrashPoints()
         self.uploader: LedgerUploader | None = None
         if self.fleet.count_s:
             directory = LedgerDirectory(self.fleet.folder)
             meter = UsageMeter(directory, self.name, self.zone, tenants_of(file))
-            self.uploader = LedgerUploader(meter, self.fleet.count_s / 2, boot_clock())
-        self.holding: LeaseSession | None = None
-        self.probes: Probes | None = None
-        self.running: list[asyncio.Task[None]] = []
-
-    def proxy(self, *made: Any) -> Proxy:
-        """The proxy, made as any other; with its answers counted where counts are wanted."""
-        return Proxy(*made) if self.uploader is None else CountedProxy(self.uploader.meter, *made)
-
-    def begin(self, address: str, probes: Probes | None = None) -> None:
-        """Be there from now on; whatever fails is logged and tried again, and does not end the proxy."""
-        self.probes = probes
-        self.running = []
+            self.uploader = LedgerUploader(meter, self.fleet.count_s / PAGES_PER_PERIOD, boot_clock())
+        self.session: LeaseSession | None = None
+        self.checks: HealthChecks | None = None
+        self._components: list[asyncio.Task[None]] = []
+
+    def make_proxy(self, *proxy_arguments: Any) -> Proxy:
+        """A proxy like any other, with its responses counted where usage is metered."""
+        if self.uploader is None:
+            return Proxy(*proxy_arguments)
+        return MeteredProxy(self.uploader.meter, *proxy_arguments)
+
+    def start(self, address: str, checks: HealthChecks | None = None) -> None:
+        """Be present from now on; components that fail are logged and run again, and the proxy goes on."""
+        self.checks = checks
+        self._components = []
         if self.fleet.embedded:
             embedded = EmbeddedServer(self.fleet.group[0], self.fleet.embedded)
-            self.running.append(asyncio.ensure_future(self._again("group", embedded.run)))
-        self.running.append(asyncio.ensure_future(self._run(address, probes)))
+            self._run_component("group", embedded.run)
+        self._components.append(asyncio.ensure_future(self._run(address)))
+
+    async def stop(self) -> None:
+        """All clients have their responses: upload the last counts, and release everything."""
+        if self.uploader is not None:
+            timeout_s = FINAL_UPLOAD_TIMEOUT_S if self.session else 0.0
+            if not await self.uploader.finish(timeout_s):
+                log.error("usage left on the disk", folder=self.fleet.folder)
+        for component in reversed(self._components):  # an embedded group last: the lease is revoked at it
+            component.cancel()
+            await asyncio.gather(component, return_exceptions=True)
+        if self.checks is not None:
+            await self.checks.close()
+
+    def reload(self, file: RoutesFile) -> None:
+        """Another file is in force.
+
+        Raises:
+            OSError: its tenants need a new usage ledger, and none can be created.
+        """
+        if self.uploader is not None:
+            self.uploader.change_tenants(tenants_of(file))
+        if file.fleet != self.fleet:
+            log.error("reload: fleet: changes need a restart; the old ones stay")
 
-    async def _run(self, address: str, probes: Probes | None) -> None:
+    async def _run(self, address: str) -> None:
         terms = LeaseTerms(self.fleet.lease_s, self.fleet.margin_s, self.fleet.answer_s)
-        what = Presence("proxy", self.zone, address, heronreel.__version__, self.start, os.getpid())
-        async with LeaseSession(self.fleet.group, self.name, terms, told=self._told) as self.holding:
-            steps: dict[Task, StepFunction] = {}
-            if self.uploader is not None:
-                steps[Task(records.TASK_NAME, self.fleet.count_s)] = self._close_period
-                counting = asyncio.ensure_future(
-                    self._again("counts", self.uploader.run, self.holding.client)
-                )
-                self.running.append(counting)
-            if probes is not None:
-                steps[probes.task] = functools.partial(probes.step, self.holding.client, self.name)
-                listening = self._again("probes", probes.listen, self.holding.client)
-                self.running.append(asyncio.ensure_future(listening))
+        async with LeaseSession(
+            self.fleet.group, self.name, terms, told=self._on_claim_change
+        ) as self.session:
+            steps = {**self._metering_steps(self.session), **self._health_steps(self.session)}
             budgets = {Priority[name.upper()]: RateLimits(*rates) for name, *rates in self.fleet.budgets}
-            about = msgspec.json.encode(what)
-            duties = TaskRunner(self.holding, self.name, steps, what=about, budgets=budgets)
-            await self._again("tasks", duties.run)
-            await asyncio.Event().wait()  # without tasks it is there all the same
-
-    async def _again(self, what: str, call: Callable[..., Awaitable[None]], *words: object) -> None:
+            presence = msgspec.json.encode(self._presence(address))
+            runner = TaskRunner(self.session, self.name, steps, what=presence, budgets=budgets)
+            await self._run_again("tasks", runner.run)
+            await asyncio.Event().wait()  # without tasks it is present all the same
+
+    def _presence(self, address: str) -> Presence:
+        return Presence("proxy", self.zone, address, heronreel.__version__, self.incarnation, os.getpid())
+
+    def _metering_steps(self, session: LeaseSession) -> dict[Task, StepFunction]:
+        if self.uploader is None:
+            return {}
+        self._run_component("metering", self.uploader.run, session.client)
+        return {Task(METERING_TASK, self.fleet.count_s): self._close_period}
+
+    def _health_steps(self, session: LeaseSession) -> dict[Task, StepFunction]:
+        if self.checks is None:
+            return {}
+        self._run_component("health checks", ZoneReportFollower(self.checks).run, session.client)
+        prober = ZoneProber(self.checks, self.name)
+        return {prober.task: functools.partial(prober.run_step, session.client)}
+
+    def _run_component(self, name: str, run: Callable[..., Awaitable[None]], *arguments: object) -> None:
+        self._components.append(asyncio.ensure_future(self._run_again(name, run, *arguments)))
+
+    async def _run_again(self, name: str, run: Callable[..., Awaitable[None]], *arguments: object) -> None:
+        """Run a component to its end, again after each failure."""
         while True:
             try:
-                await call(*words)
+                await run(*arguments)
                 return
             except Exception as error:
-                log.exception("begun again", what=what, error=repr(error))
-                await asyncio.sleep(1.0)
-
-    def _told(self, what: ClaimAcquired | ClaimLost) -> None:
-        event = "claim acquired" if isinstance(what, ClaimAcquired) else "claim lost"
-        why = what.why if isinstance(what, ClaimLost) else None
-        log.info(event, key=what.key.decode(errors="replace"), number=what.number, why=why)
+                log.exception("component failed, restarting", component=name, error=repr(error))
+                await asyncio.sleep(RESTART_DELAY_S)
 
-    async def _close_period(self, work: StepContext) -> None:
-        assert self.holding is not None
-        await close_period(self.holding.client, work.step, work.number, self.name, self.points)
-
-    def reload(self, file: RoutesFile) -> None:
-        """Another file is in force.  Raises OSError where its tenants can't be counted."""
-        if self.uploader is not None:
-            self.uploader.change_tenants(tenants_of(file))
-        if file.fleet != self.fleet:
-            log.error("reload: fleet: changes need a restart; the old ones stay")
+    def _on_claim_change(self, change: ClaimAcquired | ClaimLost) -> None:
+        event = "claim acquired" if isinstance(change, ClaimAcquired) else "claim lost"
+        why = change.why if isinstance(change, ClaimLost) else None
+        log.info(event, key=change.key.decode(errors="replace"), number=change.number, why=why)
 
-    async def end(self) -> None:
-        """All clients have their answers: bring the last counts to the group, and give everything back."""
-        if self.uploader is not None and not await self.uploader.finish(END_S if self.holding else 0.0):
-            log.error("counts are left on the disk", folder=self.fleet.folder)
-        for task in reversed(self.running):  # an embedded group last: the lease is given back to it
-            task.cancel()
-            await asyncio.gather(task, return_exceptions=True)
-        if self.probes is not None:
-            await self.probes.close()
+    async def _close_period(self, context: StepContext) -> None:
+        assert self.session is not None
+        await close_period(self.session.client, context.step, context.number, self.name, self.points)
 
 
 def tenants_of(file: RoutesFile) -> tuple[str, ...]:
+    """The names of the tenants that the file configures."""
     return tuple(tenant.name for tenant in file.tenants)
--- a/tests/health/test_health_checks.py
+++ b/tests/health/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Probing of a file's own servers: by a proxy alone, and once a zone through kills of whoever does it."""
+"""Health checks of configured members: by a proxy alone, and once a zone through kills of its prober."""
 
 from __future__ import annotations
 
@@ -13,60 +13,76 @@
 from hypothesis import strategies as st
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.model import Put, Range, RangeResponse
+from heronreel.coordination.model import Put, Range, RangeResponse, TxnResponse
 from heronreel.fault_injection.processes import Harness, Process
-from heronreel.health.checks import Health, Member, Rules, believed
-from heronreel.health.report import Heard, Report, decoded, key_of, task_of, telling
+from heronreel.health.checks import HealthCheckConfig, HealthTracker, Member, apply_panic_threshold
+from heronreel.health.report import (
+    HealthReport,
+    ReceivedReport,
+    decode_report,
+    probe_task_name,
+    publish_request,
+    report_key,
+)
 from tests.support.loopback import Listener, ok, request_of
 from tests.support.serve_process import get, served
 
-RULES = Rules("/health", fall=3, rise=2)
-M = Member("p", "m")
+CONFIG = HealthCheckConfig("/health", fall=3, rise=2)
+MEMBER = Member("p", "m")
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.booleans(), max_size=40), st.integers(1, 4), st.integers(1, 4))
-def test_down_after_so_many_failures_in_a_row_and_up_after_so_many_successes(
+def test_down_after_fall_failures_in_a_row_and_up_after_rise_successes(
     results: list[bool], fall: int, rise: int
 ) -> None:
-    health = Health(RULES._replace(fall=fall, rise=rise))
+    tracker = HealthTracker(CONFIG._replace(fall=fall, rise=rise))
     down = False
-    for place, ok_ in enumerate(results):
-        row = 0
-        while row <= place and results[place - row] is ok_:
-            row += 1
-        was, down = down, (down and not (ok_ and row >= rise)) or (not ok_ and row >= fall)
-        assert health.observe(M, ok_) == (was != down) and (M in health.fallen) == down
+    for place, healthy in enumerate(results):
+        streak = 0
+        while streak <= place and results[place - streak] is healthy:
+            streak += 1
+        was_down = down
+        down = (down and not (healthy and streak >= rise)) or (not healthy and streak >= fall)
+        assert tracker.observe(MEMBER, healthy) == (was_down != down)
+        assert (MEMBER in tracker.down) == down
 
 
-def test_a_prober_that_finds_most_of_a_pool_down_is_not_believed() -> None:
+def test_more_than_the_panic_threshold_of_a_pool_down_is_not_believed() -> None:
     members = [Member("p", f"m{n}") for n in range(4)] + [Member("q", "one")]
-    assert believed(members[:2], members) == set(members[:2])
-    assert believed(members[:3], members) == set() == believed([members[4]], members)
-    assert believed([Member("p", "gone"), members[0]], members) == {members[0]}
+    assert apply_panic_threshold(members[:2], members) == set(members[:2])
+    assert (
+        apply_panic_threshold(members[:3], members) == set() == apply_panic_threshold([members[4]], members)
+    )
+    assert apply_panic_threshold([Member("p", "gone"), members[0]], members) == {members[0]}
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.integers(0, 1 << 30))
-def test_what_is_told_late_or_not_at_all_is_not_believed(seed: int) -> None:
+def test_a_report_that_is_late_or_missing_is_not_believed(seed: int) -> None:
     rng = random.Random(seed)
-    heard, now, newest, when = Heard(8.0, 0.0), 0.0, (0, 0), -100.0
-    reports = [Report(r, "x", n, 1, (("p", f"m{n}-{r}"),)) for n in (5, 9, 12) for r in (1, 2, 3)]
+    received, now, newest, received_at = ReceivedReport(8.0), 0.0, (0, 0), -100.0
+    reports = [
+        HealthReport(round_, "x", token, 1, (("p", f"m{token}-{round_}"),))
+        for token in (5, 9, 12)
+        for round_ in (1, 2, 3)
+    ]
     for _ in range(60):
         now += rng.choice((0.1, 1.0, 9.0))
         report = rng.choice(reports)
-        mark = report.number, report.round
-        fresh = mark > newest or (mark != newest and now >= when + 8.0)
-        assert heard.told(report, now) == fresh
-        if fresh:
-            newest, when = mark, now
-        down = heard.down(now + 1.0)
-        assert down == (heard.report.members if heard.report and now + 1.0 < when + 8.0 else frozenset())
-    assert decoded(b"no report") is None and not heard.told(None, now)
+        version = report.fencing_token, report.round
+        is_new = version > newest or (version != newest and now >= received_at + 8.0)
+        assert received.receive(report, now) == is_new
+        if is_new:
+            newest, received_at = version, now
+        down = received.down(now + 1.0)
+        is_current = received.report is not None and now + 1.0 < received_at + 8.0
+        assert down == (received.report.down_members if received.report and is_current else frozenset())
+    assert decode_report(b"no report") is None and not received.receive(None, now)
 
 
 class Server(Listener):
-    """Answers probes as it is told to, and counts them and requests."""
+    """A backend that is healthy or not, and counts probes and requests."""
 
     def __init__(self) -> None:
         super().__init__(self._talk)
@@ -122,7 +138,7 @@
 """
 
 
-async def asked(port: int, count: int = 12) -> None:
+async def send_requests(port: int, count: int = 12) -> None:
     for _ in range(count):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(get("/ride"))
@@ -130,94 +146,133 @@
         writer.close()
 
 
-async def left_alone(server: Server, ports: list[int], alone: bool = True) -> None:
-    """Wait until none of the proxies sends it anything, or until all do."""
+async def until_unused(server: Server, ports: list[int]) -> None:
+    """Wait until each of the proxies sends it no requests."""
+    await _until_used(server, ports, False)
+
+
+async def until_used(server: Server, ports: list[int]) -> None:
+    """Wait until each of the proxies sends it requests."""
+    await _until_used(server, ports, True)
+
+
+async def _until_used(server: Server, ports: list[int], used: bool) -> None:
     async with asyncio.timeout(40):
         for port in ports:
             while True:
                 before = server.requests
-                await asked(port)
-                if (server.requests == before) == alone:
+                await send_requests(port)
+                if (server.requests != before) == used:
                     break
                 await asyncio.sleep(0.05)
 
 
-def test_a_proxy_alone_leaves_a_server_that_is_down_until_it_is_up(tmp_path: Path) -> None:
+def test_a_proxy_alone_sends_nothing_to_a_server_while_it_is_down(tmp_path: Path) -> None:
     async def run() -> None:
         async with Server() as one, Server() as two, Server() as three:
             async with served(tmp_path, routes("x", "z", [one, two, three], [])) as proxy:
-                await left_alone(two, [proxy.ports["in"]], alone=False)
+                await until_used(two, [proxy.ports["in"]])
                 two.healthy = False
                 await proxy.log_line("p/m1 is down")
-                await left_alone(two, [proxy.ports["in"]])
+                await until_unused(two, [proxy.ports["in"]])
                 one.healthy = three.healthy = False  # more likely that the probes are wrong
-                await proxy.log_line("p/m1 is not known to be down any more")
-                await left_alone(two, [proxy.ports["in"]], alone=False)
+                await proxy.log_line("p/m1 is no longer known to be down")
+                await until_used(two, [proxy.ports["in"]])
 
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-def test_one_probes_for_a_zone_and_another_goes_on_where_it_is_killed(tmp_path: Path) -> None:
+class Zones:
+    """Proxies in two zones, on one coordinator."""
+
+    def __init__(self, harness: Harness, client: Client, folder: Path, servers: list[Server]) -> None:
+        self.harness = harness
+        self.client = client
+        self.folder = folder
+        self.servers = servers
+        self.proxies: dict[str, Process] = {}
+        self.ports: dict[str, int] = {}
+
+    async def start(self, name: str, zone: str) -> None:
+        path = self.folder / f"{name}.toml"
+        path.write_text(routes(name, zone, self.servers, self.harness.addresses))
+        self.proxies[name] = await self.harness.run(name, "heronreel.cli", "serve", str(path))
+        line = await self.proxies[name].line("listening on")
+        self.ports[name] = int(line.split("127.0.0.1:")[1].split()[0])
+
+    async def report(self, zone: str, after_round: int = 0) -> HealthReport:
+        """The zone's report, once it is of a later round."""
+        async with asyncio.timeout(40):
+            while True:
+                found = await self.client.call(Range(report_key(zone)), 5.0)
+                assert isinstance(found, RangeResponse)
+                report = decode_report(found.records[0][1].value) if found.records else None
+                if report is not None and report.round > after_round:
+                    return report
+                await asyncio.sleep(0.05)
+
+    async def check_probe_rate(self) -> None:
+        """Each server is probed once a zone, and not once a proxy."""
+        counts, began = [server.probes for server in self.servers], time.monotonic()
+        await self.report("x", (await self.report("x")).round + 5)
+        rounds = (time.monotonic() - began) / 0.1 + 2
+        for server, before in zip(self.servers, counts, strict=True):
+            assert server.probes - before <= 2 * rounds  # two zones, and not five proxies
+
+    async def kill_prober(self, zone: str) -> HealthReport:
+        """Kill the zone's prober; returns its last report."""
+        prober = (await self.report(zone)).prober
+        await self.proxies[prober].kill()
+        del self.ports[prober]
+        last = await self.report(zone)
+        assert last.prober == prober
+        return last
+
+    async def end(self) -> None:
+        for name in self.ports:
+            self.proxies[name].signal(signal.SIGTERM)
+            assert await self.proxies[name].ended() == 0
+
+
+def test_one_proxy_probes_for_a_zone_and_another_replaces_it_when_it_is_killed(tmp_path: Path) -> None:
     async def run() -> None:
         async with Server() as one, Server() as two, Server() as three:
-            servers = [one, two, three]
             async with Harness(tmp_path, ("a",), 1) as harness, Client(harness.addresses) as client:
                 await harness.serves()
-                proxies: dict[str, Process] = {}
-                ports: dict[str, int] = {}
+                zones = Zones(harness, client, tmp_path, [one, two, three])
                 for name, zone in (("x1", "x"), ("x2", "x"), ("x3", "x"), ("y1", "y"), ("y2", "y")):
-                    path = tmp_path / f"{name}.toml"
-                    path.write_text(routes(name, zone, servers, harness.addresses))
-                    proxies[name] = await harness.run(name, "heronreel.cli", "serve", str(path))
-                    line = await proxies[name].line("listening on")
-                    ports[name] = int(line.split("127.0.0.1:")[1].split()[0])
-
-                async def report(zone: str, beyond: int = 0) -> Report:
-                    async with asyncio.timeout(40):
-                        while True:
-                            found = await client.call(Range(key_of(zone)), 5.0)
-                            assert isinstance(found, RangeResponse)
-                            told = decoded(found.records[0][1].value) if found.records else None
-                            if told is not None and told.round > beyond:
-                                return told
-                            await asyncio.sleep(0.05)
-
-                await report("x")
-                await report("y")
-                counts, began = [server.probes for server in servers], time.monotonic()
-                await report("x", (await report("x")).round + 5)
-                rounds = (time.monotonic() - began) / 0.1 + 2
-                for server, before in zip(servers, counts, strict=True):
-                    assert server.probes - before <= 2 * rounds  # two zones, and not five proxies
+                    await zones.start(name, zone)
+                await zones.report("x")
+                await zones.report("y")
+                await zones.check_probe_rate()
                 two.healthy = False
-                await left_alone(two, list(ports.values()))
-                prober = (await report("x")).by
-                await proxies[prober].kill()
-                del ports[prober]
-                number = (await report("x")).number
-                last = (await report("x")).round
-                after = await report("x", last)
-                assert after.by != prober and after.number > number and after.down == (("p", "m1"),)
-                await left_alone(two, list(ports.values()))
-                # what the killed one would still have told is refused by the group
-                late = Report(last + 99, prober, number, 3)
-                done = await client.call(telling("x", late))
-                assert not done.succeeded and done.results[0].records  # type: ignore[union-attr]
+                await until_unused(two, list(zones.ports.values()))
+                killed = await zones.kill_prober("x")
+                after = await zones.report("x", killed.round)
+                assert after.prober != killed.prober and after.fencing_token > killed.fencing_token
+                assert after.down == (("p", "m1"),)
+                ports = list(zones.ports.values())
+                await until_unused(two, ports)
+                # what the killed one would still have published is rejected by the coordinator
+                late = HealthReport(killed.round + 99, killed.prober, killed.fencing_token, 3)
+                response = await client.call(publish_request("x", late))
+                assert isinstance(response, TxnResponse) and not response.succeeded
+                (claim,) = response.results
+                assert isinstance(claim, RangeResponse) and claim.records
                 two.healthy = True
-                await left_alone(two, list(ports.values()), alone=False)
+                await until_used(two, ports)
                 two.healthy = False
-                await left_alone(two, list(ports.values()))
-                await harness.members["a"].kill()  # nobody tells any more: nobody is known to be down
-                await left_alone(two, list(ports.values()), alone=False)
-                for name in ports:
-                    proxies[name].signal(signal.SIGTERM)
-                    assert await proxies[name].ended() == 0
+                await until_unused(two, ports)
+                await harness.members["a"].kill()  # there are no more reports: no member is known to be down
+                await until_used(two, ports)
+                await zones.end()
 
     asyncio.run(run())
 
 
-def test_a_report_of_nonsense_is_passed_over() -> None:
-    assert task_of("") == "probe" and task_of("z") == "probe-z" and key_of("z") == b"probe/z"
-    txn = telling("z", Report(1, "x", 7, 3, tuple(("p", f"m{n}") for n in range(5000))))
-    put = txn.success[0]
+def test_a_report_is_bounded_and_stored_under_its_zone() -> None:
+    assert probe_task_name("") == "probe" and probe_task_name("z") == "probe-z"
+    assert report_key("z") == b"probe/z"
+    request = publish_request("z", HealthReport(1, "x", 7, 3, tuple(("p", f"m{n}") for n in range(5000))))
+    put = request.success[0]
     assert isinstance(put, Put) and len(put.value) < 64 << 10
