--- a/heronreel/cli/check.py
+++ b/heronreel/cli/check.py
@@ -10,7 +10,7 @@
 
 from heronreel.routes.index import Example
 from heronreel.routes.proof import Finding, Witness
-from heronreel.serve.files import checked
+from heronreel.serve.files import check_file
 
 
 @click.command("check")
@@ -18,7 +18,7 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object on standard output.")
 def check_command(files: tuple[str, ...], as_json: bool) -> None:
     """Check files of routes: exit 0 if all are safe, 1 with every error otherwise."""
-    reports = [(path, checked(path)) for path in files]
+    reports = [(path, check_file(path)) for path in files]
     if as_json:
         told = [
             {"file": path, "safe": report.safe, "findings": [finding_of(found) for found in report.findings]}
--- a/heronreel/cli/explain.py
+++ b/heronreel/cli/explain.py
@@ -8,7 +8,7 @@
 import click
 
 from heronreel.routes.explain import UNITS, explain
-from heronreel.serve.files import checked
+from heronreel.serve.files import check_file
 
 
 @click.command("explain")
@@ -21,7 +21,7 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object on standard output.")
 def explain_command(file: str, method: str, url: str, headers: tuple[str, ...], as_json: bool) -> None:
     """Say which route takes a request, what it may do, and where each value came from."""
-    report = checked(file)
+    report = check_file(file)
     if report.file is None:
         for finding in report.findings:
             click.echo(f"{file}:{finding}", err=True)
--- a/heronreel/cli/rehearse.py
+++ b/heronreel/cli/rehearse.py
@@ -65,10 +65,10 @@
     """The file of routes that the script names, beside it."""
     if not rehearsal.proxies.routes:
         return None
-    from heronreel.serve.files import checked
+    from heronreel.serve.files import check_file
 
     place = path.parent / rehearsal.proxies.routes
-    report = checked(str(place))
+    report = check_file(str(place))
     for finding in report.findings:
         click.echo(f"{place}:{finding}", err=True)
     if not report.safe or report.file is None:
--- a/heronreel/serve/program.py
+++ b/heronreel/serve/program.py
@@ -20,7 +20,7 @@
 from heronreel.proxy.proxy import Proxy
 from heronreel.routes.model import Problem, RoutesFile
 from heronreel.routes.proof import Finding, Report, limits_of
-from heronreel.serve.files import checked
+from heronreel.serve.files import check_file
 from heronreel.serve.policies import Router, config_of, discovered_pool, members_of
 
 ALWAYS = {"always": True}  # no limit of lines a second drops it
@@ -33,7 +33,7 @@
 
     On a platform the file is held against its settings, and its one pool is the platform's.
     """
-    report = checked(path, limits_of(platform.settings) if platform else None)
+    report = check_file(path, limits_of(platform.settings) if platform else None)
     if report.file is None or not report.safe:
         return report
     if platform:
@@ -82,20 +82,20 @@
         self.platform = platform is not None
         config = platform or config_of(file)
         self.pools = Pools(config.settings, config.seed, discovered_pool(file))
-        self.in_fleet = None
+        self.fleet_member = None
         if file.fleet is not None:  # nothing of it is loaded otherwise
-            from heronreel.serve.fleet import InFleet
+            from heronreel.serve.fleet import FleetMember
 
-            self.in_fleet = InFleet(file)
-        make = Proxy if self.in_fleet is None else self.in_fleet.proxy
+            self.fleet_member = FleetMember(file)
+        make = Proxy if self.fleet_member is None else self.fleet_member.make_proxy
         self.proxy = make(loop, config, self.pools, Router(file))
         self.config = config
         self.down: Collection[tuple[str, str]] = ()  # members that probes found down
-        self.probes = None
+        self.health_checks = None
         if file.probe is not None:
-            from heronreel.serve.probes import Probes
+            from heronreel.serve.health_checks import HealthChecks
 
-            self.probes = Probes(file, self.leave_alone)
+            self.health_checks = HealthChecks(file, self.leave_alone)
         self.clients = Clients(loop, config, self.proxy)
 
     async def listen(self) -> dict[str, tuple[str, int]]:
@@ -134,8 +134,8 @@
             )
             return Report(None, (Finding(problem),))
         old_probe = self.file.probe
-        if self.in_fleet is not None:
-            self.in_fleet.reload(file)
+        if self.fleet_member is not None:
+            self.fleet_member.reload(file)
         elif file.fleet is not None:
             log.error("reload: fleet: a restart is needed to be one of a fleet")
         self.proxy.reload(config)
@@ -143,8 +143,8 @@
         self.proxy.router = router
         self.pools.books.keep(route.name for route in file.routes)
         self.file, self.config = file, config
-        if self.probes is not None and file.probe is not None:
-            self.probes.reload(file)
+        if self.health_checks is not None and file.probe is not None:
+            self.health_checks.reload(file)
         if file.probe != old_probe:
             log.error("reload: probe: changes need a restart; the old ones stay")
         return report
@@ -166,10 +166,10 @@
     server = Server(loop, path, file, platform)
     bound = await server.listen()
     ready(bound)
-    if server.in_fleet is not None:
-        server.in_fleet.begin("{}:{}".format(*next(iter(bound.values()))), server.probes)
-    elif server.probes is not None:
-        probing = loop.create_task(server.probes.alone())
+    if server.fleet_member is not None:
+        server.fleet_member.start("{}:{}".format(*next(iter(bound.values()))), server.health_checks)
+    elif server.health_checks is not None:
+        probing = loop.create_task(server.health_checks.run())
     gc.collect()
     gc.freeze()
     reloading = loop.create_task(_reloads(reload, server))
@@ -178,8 +178,8 @@
     await server.clients.drain()
     if probing is not None:
         probing.cancel()
-    if server.in_fleet is not None:
-        await server.in_fleet.end()
+    if server.fleet_member is not None:
+        await server.fleet_member.stop()
     reloading.cancel()
 
 
--- a/tests/compatibility/stored_control.py
+++ b/tests/compatibility/stored_control.py
@@ -32,7 +32,7 @@
 from heronreel.fleet.model import RULES as FLEET_RULES
 from heronreel.fleet.model import WORK as FLEET_WORK
 from heronreel.fleet.model import Condition, Kind, Scope, Verb
-from heronreel.health.report import REPORTS, key_of, task_of
+from heronreel.health.report import REPORT_PREFIX, probe_task_name, report_key
 from heronreel.leases.fencing import FencedTable
 from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX
 from heronreel.leases.rate_budget import BUDGET_PREFIX as BUDGETS
@@ -97,10 +97,10 @@
         "fleet halt": FLEET_HALT,
         "fleet work": FLEET_WORK,
         "fleet task": CONTROLLER,
-        "probe reports": REPORTS,
-        "probe report": key_of("etna"),
-        "probe task": task_of("etna"),
-        "probe task, no zone": task_of(""),
+        "probe reports": REPORT_PREFIX,
+        "probe report": report_key("etna"),
+        "probe task": probe_task_name("etna"),
+        "probe task, no zone": probe_task_name(""),
         "fence: number": FencedTable.FENCE,
         "fence: step": FencedTable.STEP,
         "fence: row": FencedTable.ROW,
--- a/tests/compatibility/stored_fleet.py
+++ b/tests/compatibility/stored_fleet.py
@@ -39,8 +39,7 @@
 from heronreel.fleet.serving import Serving, Told
 from heronreel.fleet.step import Said, Tell
 from heronreel.fleet.taking import Taking, changing, halting, told
-from heronreel.health.report import Report, telling
-from heronreel.health.report import decoded as report_of
+from heronreel.health.report import HealthReport, decode_report, publish_request
 from heronreel.leases.lease import PRESENCE_PREFIX
 from heronreel.metering.ledger import Page
 from heronreel.metering.ledger_files import LEDGER_SUFFIX, LedgerDirectory
@@ -140,13 +139,13 @@
     }  # fmt: skip
 
 
-REPORT = Report(5, "p1", 9, 40, (("web", "b1"), ("web", "b2")))
+REPORT = HealthReport(5, "p1", 9, 40, (("web", "b1"), ("web", "b2")))
 CALLS: dict[str, Request] = {
     **upload(), **period_closing(), **taking(),
     "fleet-read": READ, "fleet-halt": halting(HALTED), "fleet-resume": halting(None),
     "fleet-look": told(40, INSTANCE),
     "fleet-rules": changing(None, b"rules", Put(RULES, rules_encoded(ALLOWED))),
-    "probe": telling("etna", REPORT),
+    "probe": publish_request("etna", REPORT),
 }  # fmt: skip
 
 
@@ -325,6 +324,6 @@
     "agent-kept-new.msgpack": as_msgpack(Kept()),
     "agent-order.json": as_json(Told("p1", 9, 3, Want.RUNNING, "2"), ordered),
     "agent-answers.txt": Form(AGENT_ANSWERS, agent_answers, answers_told),
-    "probe-report.json": Form(REPORT, lambda: msgspec.json.encode(REPORT), report_of),
-    "probe-report-least.json": as_json(Report(1, "p1", 9)),
+    "probe-report.json": Form(REPORT, lambda: msgspec.json.encode(REPORT), decode_report),
+    "probe-report-least.json": as_json(HealthReport(1, "p1", 9)),
 }  # fmt: skip
