--- a/bench/probing.py
+++ b/bench/probing.py
@@ -1,8 +1,8 @@
-"""Probing calls over a fleet, each proxy for itself and once a zone.
+"""Health checks over a fleet: probes a second with each proxy for itself, and with one prober a zone.
 
 `python bench/probing.py [PROXIES] [SERVERS]`
 
-Real proxies in two zones, a group of one, servers that count who calls; calls a second over ten seconds.
+Real proxies in two zones, a group of one, servers that count their probes; averages over ten seconds.
 """
 
 from __future__ import annotations
@@ -11,6 +11,8 @@
 import json
 import sys
 import tempfile
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
 from pathlib import Path
 
 from aiohttp import web
@@ -20,8 +22,39 @@
 from heronreel.fault_injection.processes import Harness
 from heronreel.health.report import report_key
 
-EVERY_MS = 1000
-SECONDS = 10.0
+INTERVAL_MS = 1000
+WARM_UP_S = 2.0
+MEASURED_S = 10.0
+ZONES = ("z0", "z1")
+
+
+class Servers:
+    """Servers that are healthy, and count all their probes."""
+
+    def __init__(self) -> None:
+        self.ports: list[int] = []
+        self.probes = 0
+
+    async def health(self, _: web.Request) -> web.Response:
+        self.probes += 1
+        return web.Response()
+
+
+@asynccontextmanager
+async def running_servers(count: int) -> AsyncIterator[Servers]:
+    servers = Servers()
+    app = web.Application()
+    app.router.add_get("/health", servers.health)
+    runner = web.AppRunner(app, access_log=None)
+    await runner.setup()
+    for _ in range(count):
+        site = web.TCPSite(runner, "127.0.0.1", 0)
+        await site.start()
+        servers.ports.append(site._server.sockets[0].getsockname()[1])  # type: ignore[union-attr]
+    try:
+        yield servers
+    finally:
+        await runner.cleanup()
 
 
 def routes(name: str, zone: str, ports: list[int], group: list[str]) -> str:
@@ -32,62 +65,56 @@
     )
     return (
         f'[proxy]\nname = "{name}"\nzone = "{zone}"\n[[listeners]]\nname = "in"\naddress = "127.0.0.1:0"\n'
-        f'[probe]\npath = "/health"\nevery_ms = {EVERY_MS}\n{fleet}\n[[pools]]\nname = "p"\n{members}'
+        f'[probe]\npath = "/health"\nevery_ms = {INTERVAL_MS}\n{fleet}\n[[pools]]\nname = "p"\n{members}'
         '[[routes]]\nname = "all"\nmatch = { path_prefix = "/", methods = ["GET"] }\neffect = "safe"\n'
         'deadline_ms = 2000\npool = "p"\n'
     )
 
 
-async def measured(folder: Path, proxies: int, servers: int, shared: bool) -> float:
-    calls = 0
+async def start_proxies(harness: Harness, count: int, ports: list[int], group: list[str]) -> None:
+    started = []
+    for number in range(count):
+        path = harness.folder / f"x{number}.toml"
+        path.write_text(routes(f"x{number}", ZONES[number % len(ZONES)], ports, group))
+        started.append(await harness.run(f"x{number}", "heronreel.cli", "serve", str(path)))
+    for process in started:
+        await process.line("listening on", seconds=120)
 
-    async def health(_: web.Request) -> web.Response:
-        nonlocal calls
-        calls += 1
-        return web.Response()
 
-    app = web.Application()
-    app.router.add_get("/health", health)
-    runner = web.AppRunner(app, access_log=None)
-    await runner.setup()
-    ports = []
-    for _ in range(servers):
-        site = web.TCPSite(runner, "127.0.0.1", 0)
-        await site.start()
-        ports.append(site._server.sockets[0].getsockname()[1])  # type: ignore[union-attr]
-    async with Harness(folder, ("a",), 1) as harness, Client(harness.addresses) as client:
+async def until_reported(client: Client, zone: str) -> None:
+    while True:
+        found = await client.call(Range(report_key(zone)), 5.0)
+        assert isinstance(found, RangeResponse)
+        if found.records:
+            return
+        await asyncio.sleep(0.2)
+
+
+async def probes_per_second(folder: Path, proxies: int, servers: int, shared: bool) -> float:
+    async with (
+        running_servers(servers) as probed,
+        Harness(folder, ("a",), 1) as harness,
+        Client(harness.addresses) as client,
+    ):
         await harness.serves()
-        group = harness.addresses if shared else []
-        started = []
-        for number in range(proxies):
-            path = folder / f"x{number}.toml"
-            path.write_text(routes(f"x{number}", f"z{number % 2}", ports, group))
-            started.append(await harness.run(f"x{number}", "heronreel.cli", "serve", str(path)))
-        for process in started:
-            await process.line("listening on", seconds=120)
-        for zone in ("z0", "z1"):
-            while shared:
-                found = await client.call(Range(report_key(zone)), 5.0)
-                assert isinstance(found, RangeResponse)
-                if found.records:
-                    break
-                await asyncio.sleep(0.2)
-        await asyncio.sleep(2.0)
-        before = calls
-        await asyncio.sleep(SECONDS)
-        rate = (calls - before) / SECONDS
-    await runner.cleanup()
-    return rate
+        await start_proxies(harness, proxies, probed.ports, harness.addresses if shared else [])
+        if shared:
+            for zone in ZONES:
+                await until_reported(client, zone)
+        await asyncio.sleep(WARM_UP_S)
+        before = probed.probes
+        await asyncio.sleep(MEASURED_S)
+        return (probed.probes - before) / MEASURED_S
 
 
 async def main(proxies: int, servers: int) -> None:
+    setting = f"{proxies} proxies in {len(ZONES)} zones, {servers} servers, every {INTERVAL_MS} ms"
     for shared in (False, True):
         with tempfile.TemporaryDirectory() as folder:
-            rate = await measured(Path(folder), proxies, servers, shared)
-        how = "once a zone" if shared else "each for itself"
-        what = f"{proxies} proxies in 2 zones, {servers} servers, every {EVERY_MS} ms"
-        print(f"{what}, {how}: {rate:.1f} calls/s", flush=True)
+            rate = await probes_per_second(Path(folder), proxies, servers, shared)
+        mode = "one prober a zone" if shared else "each proxy for itself"
+        print(f"{setting}, {mode}: {rate:.1f} probes/s", flush=True)
 
 
 if __name__ == "__main__":
-    asyncio.run(main(*(int(word) for word in (sys.argv[1:] or ["20", "10"]))))
+    asyncio.run(main(*(int(argument) for argument in (sys.argv[1:] or ["20", "10"]))))
--- a/heronreel/metering/ledger.py
+++ b/heronreel/metering/ledger.py
@@ -1,7 +1,7 @@
 """The usage ledger of one process: two pages of counts in a buffer that outlives it.  Pure.
 
-The buffer is a memory-mapped file: what was stored in it is found by whoever opens the file next, whenever
-the process was killed.  Each change takes effect by *one* store of eight bytes, so there is no state in
+The buffer is a memory-mapped file: what was stored in it is found by the process that opens the file next,
+whenever this one was killed.  Each change takes effect by *one* store of eight bytes, so there is no state in
 between: the open page has a number, and raising the number seals that page and opens the other one.  A page
 is sealed only once the one before it is confirmed, so two pages are enough, however long the coordination
 service is away: until then the open page goes on growing.
--- a/heronreel/metering/ledger_files.py
+++ b/heronreel/metering/ledger_files.py
@@ -1,6 +1,6 @@
 """Ledgers on a disk: one file each, mapped into memory, and locked for as long as its process lives.
 
-A ledger whose lock is free is an orphan: its process is gone, and whoever finds it adopts it.  What a killed
+A ledger whose lock is free is an orphan: its process is gone, and the next process adopts it.  What a killed
 process stored is in the system's page cache and found at once; a machine that crashed may have lost what was
 stored since the last page was sealed, and nothing before.
 """
@@ -58,7 +58,7 @@
         self.map.flush()
 
     def close(self) -> None:
-        """Release the lock; the file stays for whoever adopts it."""
+        """Release the lock; the file stays for the process that adopts it."""
         self.words.release()
         self.map.close()
         os.close(self.descriptor)
--- a/heronreel/metering/period_closing.py
+++ b/heronreel/metering/period_closing.py
@@ -2,8 +2,8 @@
 
 Every transaction succeeds only while the task's claim has the fencing token that it is done under, nobody
 else wrote the totals, and each record aggregated is as it was read.  A page is added to the totals and marked
-as aggregated in one of them, so whoever repeats a step, after a lost response or a kill of the holder, finds
-what is left.
+as aggregated in one of them, so the process that repeats a step, after a lost response or a kill of the
+holder, finds what is left.
 """
 
 from __future__ import annotations
@@ -112,7 +112,7 @@
         was_reading = self.totals is not None and self.ledgers is None
         self.totals = self.ledgers = None
         if isinstance(response, TxnResponse) and not response.succeeded and not was_reading:
-            # the claim tells whether the task is lost; pages that were uploaded meanwhile don't end the step
+            # the claim shows whether the task is lost; pages that were uploaded meanwhile don't end the step
             (claim,) = response.results
             assert isinstance(claim, RangeResponse)
             if not claim.records or claim.records[0][1].create != self.fencing_token:
--- a/heronreel/metering/period_task.py
+++ b/heronreel/metering/period_task.py
@@ -22,7 +22,7 @@
 
     Raises:
         PeriodTaskLostError: another process holds the task by now.
-        RequestError: the coordination service did not tell who is present.
+        RequestError: the coordination service did not respond about who is present.
     """
     presence = await client.call(Range(PRESENCE_PREFIX, prefix_end(PRESENCE_PREFIX), keys_only=True))
     assert isinstance(presence, RangeResponse)
--- a/heronreel/metering/uploader.py
+++ b/heronreel/metering/uploader.py
@@ -67,7 +67,7 @@
     async def finish(self, timeout_s: float) -> bool:
         """Nothing is counted any more: upload all there is, and return whether that was done in time.
 
-        What was not uploaded stays on the disk for whoever adopts it.
+        What was not uploaded stays on the disk for the process that adopts it.
         """
         self.meter.flush()
         self._finishing = True
--- a/heronreel/serve/fleet.py
+++ b/heronreel/serve/fleet.py
@@ -108,7 +108,7 @@
         if self.fleet.embedded:
             embedded = EmbeddedServer(self.fleet.group[0], self.fleet.embedded)
             self._run_component("group", embedded.run)
-        self._components.append(asyncio.ensure_future(self._run(address)))
+        self._components.append(asyncio.create_task(self._run(address)))
 
     async def stop(self) -> None:
         """All clients have their responses: upload the last counts, and release everything."""
@@ -162,7 +162,7 @@
         return {prober.task: functools.partial(prober.run_step, session.client)}
 
     def _run_component(self, name: str, run: Callable[..., Awaitable[None]], *arguments: object) -> None:
-        self._components.append(asyncio.ensure_future(self._run_again(name, run, *arguments)))
+        self._components.append(asyncio.create_task(self._run_again(name, run, *arguments)))
 
     async def _run_again(self, name: str, run: Callable[..., Awaitable[None]], *arguments: object) -> None:
         """Run a component to its end, again after each failure."""
--- a/heronreel/serve/zone_health.py
+++ b/heronreel/serve/zone_health.py
@@ -99,7 +99,7 @@
 
     async def run(self, client: Client) -> None:
         """Follow reports until this is cancelled."""
-        expiry = asyncio.ensure_future(self._expire_reports())
+        expiry = asyncio.create_task(self._expire_reports())
         try:
             while True:
                 try:
--- a/tests/metering/test_metering_processes.py
+++ b/tests/metering/test_metering_processes.py
@@ -234,7 +234,7 @@
 
 def test_an_invalid_table_is_reported_with_its_line_and_a_remedy(tmp_path: Path) -> None:
     text = routes(tmp_path, "one", "127.0.0.1:1", ["127.0.0.1:2"]).read_text()
-    for good, bad, words in (
+    for valid, invalid, message in (
         ('group = ["127.0.0.1:2"]', "group = []", "expected a list of 1 to 7 addresses"),
         ('group = ["127.0.0.1:2"]', 'group = ["there:2"]', "expected an IP address and a port"),
         ("lease_s = 2", "lease_s = 1", "lease_s: is 1; at least 1.8"),
@@ -244,10 +244,10 @@
         ("count_s = 0.2", "budgets = { slow = { calls = 1 } }", "known here: urgent, usual, idle"),
         ("count_s = 0.2", "budgets = { idle = { calls = -1 } }", "expected calls a second from 0"),
     ):
-        assert good in text
-        (tmp_path / "bad.toml").write_text(text.replace(good, bad))
+        assert valid in text
+        (tmp_path / "bad.toml").write_text(text.replace(valid, invalid))
         problems = [str(finding.problem) for finding in read_report(str(tmp_path / "bad.toml")).findings]
-        assert len(problems) == 1 and words in problems[0] and int(problems[0].split(":")[0]) > 0, problems
+        assert len(problems) == 1 and message in problems[0] and int(problems[0].split(":")[0]) > 0, problems
     away = text.replace('embedded = ""', 'embedded = "x"').replace("127.0.0.1:2", "10.0.0.1:2")
     (tmp_path / "bad.toml").write_text(away)
     (finding,) = read_report(str(tmp_path / "bad.toml")).findings
