--- a/heronreel/metering/meter.py
+++ b/heronreel/metering/meter.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from heronreel.coordination.clock import CrashPoints
-from heronreel.metering.counts import ResponseKind, kind_of_status
+from heronreel.metering.counts import ResponseKind
 from heronreel.metering.ledger_files import LedgerDirectory, LedgerFile
 
 
@@ -62,49 +62,3 @@
         """
         replaced, self.current = self.current, self.directory.create(self.proxy, self.zone, tenants)
         return replaced
-
-
-class MeteredClient:
-    """The receiver of a response, with its tenant: what reaches it is counted.
-
-    It stands where the proxy expects its client, and passes every call on.
-    """
-
-    __slots__ = ("begun", "client", "meter", "tenant")
-
-    def __init__(self, meter: UsageMeter, client: Any, tenant: str) -> None:
-        self.meter = meter
-        self.client = client
-        self.tenant = tenant
-        self.begun: BegunResponse | None = None
-
-    def _settle(self, kind: ResponseKind) -> None:
-        assert self.begun is not None
-        self.meter.settle(self.begun, kind)
-
-    def answer(self, status: int, lines: bytes, body: bytes = b"") -> None:
-        """Pass on a complete response."""
-        self.begun = self.meter.begin(self.tenant)
-        self.client.answer(status, lines, body)
-        self._settle(kind_of_status(status))
-
-    def begin(self, link: Any, answer: Any, length: int | None) -> Any:
-        """Pass on the start of a streamed response: in flight for as long as its client takes it."""
-        taker = self.client.begin(link, answer, length)
-        if taker is not None:
-            self.begun = self.meter.begin(self.tenant)
-        return taker
-
-    def finish(self) -> None:
-        """Pass on the end of a streamed response."""
-        self.client.finish()
-        self._settle(ResponseKind.SERVED)
-
-    def has_left(self) -> bool:
-        """Whether the client has closed its connection."""
-        return bool(self.client.has_left())
-
-    def cut(self) -> None:
-        """Pass on that a streamed response can't be completed."""
-        self.client.cut()
-        self._settle(ResponseKind.FAILED)
--- a/heronreel/serve/fleet.py
+++ b/heronreel/serve/fleet.py
@@ -26,14 +26,14 @@
 from heronreel.leases.task_runner import StepContext, StepFunction, TaskRunner
 from heronreel.leases.tasks import Priority, Task
 from heronreel.metering.ledger_files import LedgerDirectory
-from heronreel.metering.meter import MeteredClient, UsageMeter
+from heronreel.metering.meter import UsageMeter
 from heronreel.metering.period_task import close_period
 from heronreel.metering.records import TASK_NAME as METERING_TASK
 from heronreel.metering.uploader import LedgerUploader
-from heronreel.proxy.proxy import Ask, Asker, Proxy, Request
-from heronreel.proxy.streams import Upload
+from heronreel.proxy.proxy import Proxy
 from heronreel.routes.model import RoutesFile
 from heronreel.serve.health_checks import HealthChecks
+from heronreel.serve.metered_proxy import MeteredProxy
 from heronreel.serve.zone_health import ZoneProber, ZoneReportFollower
 
 FINAL_UPLOAD_TIMEOUT_S = 2.0  # for the last counts, at a graceful shutdown
@@ -54,22 +54,6 @@
     pid: int
 
 
-class MeteredProxy(Proxy):
-    """A proxy whose responses are counted by tenant."""
-
-    def __init__(self, meter: UsageMeter, *proxy_arguments: Any) -> None:
-        """`proxy_arguments` are those of `Proxy`."""
-        super().__init__(*proxy_arguments)
-        self.meter = meter
-
-    def arrive(
-        self, client: Asker, ask: Ask, body: bytes | bytearray, upload: Upload | None = None
-    ) -> Request:
-        """Take a request; what its client receives is counted."""
-        tenant = ask.tenant if ask.tenant in self.tenants else ""
-        return super().arrive(MeteredClient(self.meter, client, tenant), ask, body, upload)
-
-
 class FleetMember:
     """The fleet's side of a serving process."""
 
