--- a/heronreel/serve/program.py
+++ b/heronreel/serve/program.py
@@ -83,20 +83,20 @@
         self.platform = platform is not None
         config = platform or config_of(file)
         self.pools = Pools(config.settings, config.seed, discovered_pool(file))
-        self.in_fleet = None
+        self.fleet_member = None
         if file.fleet is not None:  # nothing of it is loaded otherwise
-            from heronreel.serve.fleet import InFleet
+            from heronreel.serve.fleet import FleetMember
 
-            self.in_fleet = InFleet(file)
-        make = Proxy if self.in_fleet is None else self.in_fleet.proxy
+            self.fleet_member = FleetMember(file)
+        make = Proxy if self.fleet_member is None else self.fleet_member.make_proxy
         self.proxy = make(loop, config, self.pools, Router(file))
         self.config = config
         self.down: Collection[tuple[str, str]] = ()  # members that probes found down
-        self.probes = None
+        self.health_checks = None
         if file.probe is not None:
-            from heronreel.serve.probes import Probes
+            from heronreel.serve.health_checks import HealthChecks
 
-            self.probes = Probes(file, self.leave_alone)
+            self.health_checks = HealthChecks(file, self.leave_alone)
         self.clients = Clients(loop, config, self.proxy)
 
     async def listen(self) -> dict[str, tuple[str, int]]:
@@ -135,8 +135,8 @@
             )
             return Report(None, (Finding(problem),))
         old_probe = self.file.probe
-        if self.in_fleet is not None:
-            self.in_fleet.reload(file)
+        if self.fleet_member is not None:
+            self.fleet_member.reload(file)
         elif file.fleet is not None:
             log.error("reload: fleet: a restart is needed to be one of a fleet")
         self.proxy.reload(config)
@@ -144,8 +144,8 @@
         self.proxy.router = router
         self.pools.books.keep(route.name for route in file.routes)
         self.file, self.config = file, config
-        if self.probes is not None and file.probe is not None:
-            self.probes.reload(file)
+        if self.health_checks is not None and file.probe is not None:
+            self.health_checks.reload(file)
         if file.probe != old_probe:
             log.error("reload: probe: changes need a restart; the old ones stay")
         return report
@@ -167,10 +167,10 @@
     server = Server(loop, path, file, platform)
     bound = await server.listen()
     ready(bound)
-    if server.in_fleet is not None:
-        server.in_fleet.begin("{}:{}".format(*next(iter(bound.values()))), server.probes)
-    elif server.probes is not None:
-        probing = loop.create_task(server.probes.alone())
+    if server.fleet_member is not None:
+        server.fleet_member.start("{}:{}".format(*next(iter(bound.values()))), server.health_checks)
+    elif server.health_checks is not None:
+        probing = loop.create_task(server.health_checks.run())
     gc.collect()
     gc.freeze()
     reloading = loop.create_task(_reloads(reload, server))
@@ -179,8 +179,8 @@
     await server.clients.drain()
     if probing is not None:
         probing.cancel()
-    if server.in_fleet is not None:
-        await server.in_fleet.end()
+    if server.fleet_member is not None:
+        await server.fleet_member.stop()
     reloading.cancel()
 
 
--- a/tests/compatibility/stored_control.py
+++ b/tests/compatibility/stored_control.py
@@ -27,16 +27,23 @@
 from heronreel.fleet import model as fleet
 from heronreel.fleet.leadership import LEADERSHIP_NAME
 from heronreel.fleet.lifecycle_messages import DesiredState, ProcessStage
-from heronreel.health.report import REPORTS, key_of, task_of
+from heronreel.health.report import REPORT_PREFIX, probe_task_name, report_key
 from heronreel.leases.fencing import FencedTable
 from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX
 from heronreel.leases.rate_budget import BUDGET_PREFIX as BUDGETS
 from heronreel.leases.rate_budget import TOTAL_UNITS
 from heronreel.leases.tasks import CURSOR_PREFIX, Priority, Task
-from heronreel.metering.book import KINDS
-from heronreel.metering.files import ASIDE, ENDING, FRESH
-from heronreel.metering.records import BOOKS, CLOSED, GIVEN_UP, SUM, book_key, closed_key
-from heronreel.metering.records import TASK as COUNTING
+from heronreel.metering.counts import KIND_NAMES
+from heronreel.metering.ledger_files import LEDGER_SUFFIX, QUARANTINE_SUFFIX, TEMPORARY_SUFFIX
+from heronreel.metering.records import (
+    ABANDONED_PAGE,
+    CLOSED_PREFIX,
+    LEDGER_PREFIX,
+    TOTALS_KEY,
+    closed_period_key,
+    ledger_key,
+)
+from heronreel.metering.records import TASK_NAME as COUNTING
 from tests.compatibility.stored_fleet import CLAIM, INSTANCE
 from tests.compatibility.stored_fleet import FORMS as FLEET_FORMS
 from tests.compatibility.stored_forms import FOLDER, Form, as_text, with_store
@@ -67,15 +74,15 @@
         "task t": Task("t").key,
         "claim t": Task("t").claim,
         "budget": BUDGETS,
-        "count books": BOOKS,
-        "count book b1": book_key("b1"),
-        "count sum": SUM,
-        "count closed": CLOSED,
-        "count closed 7": closed_key(7),
+        "count books": LEDGER_PREFIX,
+        "count book b1": ledger_key("b1"),
+        "count sum": TOTALS_KEY,
+        "count closed": CLOSED_PREFIX,
+        "count closed 7": closed_period_key(7),
         "count task": COUNTING,
-        "count file": ENDING,
-        "count fresh file": FRESH,
-        "count file aside": ASIDE,
+        "count file": LEDGER_SUFFIX,
+        "count fresh file": TEMPORARY_SUFFIX,
+        "count file aside": QUARANTINE_SUFFIX,
         "fleet instances": fleet.INSTANCE_PREFIX,
         "fleet instance": INSTANCE.key,
         "fleet parts": fleet.DISRUPTION_CLAIM_PREFIX,
@@ -85,10 +92,10 @@
         "fleet halt": fleet.HALT_KEY,
         "fleet work": fleet.OPERATION_KEY,
         "fleet task": LEADERSHIP_NAME,
-        "probe reports": REPORTS,
-        "probe report": key_of("etna"),
-        "probe task": task_of("etna"),
-        "probe task, no zone": task_of(""),
+        "probe reports": REPORT_PREFIX,
+        "probe report": report_key("etna"),
+        "probe task": probe_task_name("etna"),
+        "probe task, no zone": probe_task_name(""),
         "fence: number": FencedTable.FENCE,
         "fence: step": FencedTable.STEP,
         "fence: row": FencedTable.ROW,
@@ -105,8 +112,8 @@
 WORDS |= {
     "urgency": {each.name.lower(): int(each) for each in Priority},  # the names stand in keys of budgets
     "paths": sorted(REQUEST_PATHS.values()), "streamed": sorted(STREAMED_PATHS),
-    "kinds of counts": list(KINDS),
-    "budget": TOTAL_UNITS, "book given up": GIVEN_UP,
+    "kinds of counts": list(KIND_NAMES),
+    "budget": TOTAL_UNITS, "book given up": ABANDONED_PAGE,
 }  # fmt: skip
 
 
