--- a/heronreel/cli/coordinate.py
+++ b/heronreel/cli/coordinate.py
@@ -53,7 +53,8 @@
 
     from heronreel.coordination.logs import log_to_stderr
     from heronreel.coordination.settings import load_file
-    from heronreel.coordinator.disk import MemberDisk, WrongMemberError
+    from heronreel.coordinator.disk import MemberDisk
+    from heronreel.coordinator.errors import WrongMemberError
     from heronreel.coordinator.server import run_server
     from heronreel.routes.reader import BadFile
     from heronreel.store import StoreError
@@ -72,11 +73,11 @@
     try:
         disk = MemberDisk(path, name)
     except (StoreError, WrongMemberError, OSError) as error:
-        log.error("does not serve", member=name, error=str(error))
+        log.error("start failed", member=name, error=str(error))
         sys.exit(NOT_SERVED)
 
     def ready(port: int) -> None:
-        log.info("listens", member=name, port=port, incarnation=disk.durable.incarnation)
+        log.info("listening", member=name, port=port, incarnation=disk.durable.incarnation)
 
     def reread() -> Any:
         """The file once more; a bad one is told, and the old one stays in force."""
@@ -94,10 +95,10 @@
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             code = runner.run(run_server(group, name, disk, listen, ready, reread))
     except OSError as error:
-        log.error("does not serve", member=name, error=str(error))
+        log.error("start failed", member=name, error=str(error))
         disk.close()
         code = NOT_SERVED
-    log.info("ended", member=name, code=code)
+    log.info("stopped", member=name, code=code)
     sys.exit(code)
 
 
--- a/heronreel/coordinator/disk.py
+++ b/heronreel/coordinator/disk.py
@@ -1,5 +1,7 @@
-"""What a member has on its disk, in a store: its names and promises in one record, the agreed map in
-others.
+"""The durable state of a member, kept in a store.
+
+One record holds the member's identity and its promises to other members; each key of the replicated map has a
+record of its own.
 """
 
 from __future__ import annotations
@@ -13,18 +15,18 @@
 
 from heronreel.coordination.consensus import NO_BALLOT, NO_VERSION, Ballot, DurableState, Persist, Version
 from heronreel.coordination.keyspace import Content, apply_writes
+from heronreel.coordinator.errors import WrongMemberError
 from heronreel.store import Limits, Store
 
-NAMES = b"M"  # the record of names and promises
-ROW = b"R"  # and the name of a record of the map
-LIMITS = Limits(memory=2 << 20, segment=2 << 20, log=8 << 20)
-
+MEMBER_KEY = b"M"  # the key of the MemberRecord
+CONTENT_PREFIX = b"R"  # before each key of the replicated map
+STORE_LIMITS = Limits(memory=2 << 20, segment=2 << 20, log=8 << 20)
+INCARNATION_BYTES = 8  # drawn at random
 
-class WrongMemberError(Exception):
-    """The folder is of a member of another name."""
 
+class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
+    """A member's identity, its promises, and the version of the map on its disk."""
 
-class _Names(msgspec.Struct, frozen=True, array_like=True):
     name: str
     incarnation: str
     group: str = ""
@@ -33,71 +35,105 @@
 
 
 class MemberDisk:
-    """One member's store.  `keep` may be called from a thread; one call at a time."""
+    """One member's store.
+
+    The methods that write may be called from a thread, one call at a time.
+
+    Attributes:
+        durable: What the disk holds; it changes only after a write has succeeded.
+    """
 
     def __init__(self, path: str | os.PathLike[str], name: str) -> None:
-        """Open it, or make it with a new incarnation.
+        """Open the store at `path`, or create it with a new incarnation.
 
-        Raises what `Store.open` raises, and OtherMember.
+        Raises:
+            WrongMemberError: The folder belongs to a member of another name.
+            StoreError: The store can't be opened.
+            OSError: As the system reports it.
         """
         self.name = name
-        self.store = Store.open(path, limits=LIMITS)
+        self.store = Store.open(path, limits=STORE_LIMITS)
         try:
-            data = self.store.get(NAMES)
-            if data is None:
-                self.durable = DurableState(secrets.token_hex(8))
-                names = _Names(name, self.durable.incarnation)
-                self.store.put(NAMES, msgspec.msgpack.encode(names))
-                return
-            names = msgspec.msgpack.decode(data, type=_Names)
-            if names.name != name:
-                raise WrongMemberError(f"the folder is of member {names.name!r}, and not of {name!r}")
-            content: Content = Map({key[len(ROW) :]: value for key, value in self.store.scan(ROW)})
-            self.durable = DurableState(
-                names.incarnation, names.group, names.promised, names.version, content
-            )
+            self.durable = self._load()
         except BaseException:
             self.store.close()
             raise
 
-    def keep(self, persists: Iterable[Persist]) -> None:
-        """Make them durable, in their order and as one.  Raises StoreError and OSError; nothing is kept
-        then.
+    def _load(self) -> DurableState:
+        data = self.store.get(MEMBER_KEY)
+        if data is None:
+            durable = _new_incarnation()
+            self.store.put(MEMBER_KEY, self._encode_record(durable))
+            return durable
+        record = msgspec.msgpack.decode(data, type=MemberRecord)
+        if record.name != self.name:
+            raise WrongMemberError(f"the folder is of member {record.name!r}, and not of {self.name!r}")
+        content: Content = Map(
+            {key[len(CONTENT_PREFIX) :]: value for key, value in self.store.scan(CONTENT_PREFIX)}
+        )
+        return DurableState(record.incarnation, record.group, record.promised, record.version, content)
+
+    def _encode_record(self, durable: DurableState) -> bytes:
+        record = MemberRecord(
+            self.name, durable.incarnation, durable.group, durable.promised, durable.version
+        )
+        return msgspec.msgpack.encode(record)
+
+    def persist(self, persists: Iterable[Persist]) -> None:
+        """Make all of `persists` durable, in order and atomically.
+
+        Raises:
+            StoreError: Nothing was written.
+            OSError: Nothing was written.
         """
         durable = self.durable
-        rows: dict[bytes, bytes | None] = {}
+        records: dict[bytes, bytes | None] = {}
         content = durable.content
         for persist in persists:
             if persist.whole:
-                rows.update((key, None) for key in content)
+                records.update((key, None) for key in content)
                 content = Map()
             content = apply_writes(content, persist.writes)
-            rows.update(persist.writes)
+            records.update(persist.writes)
             durable = DurableState(
                 durable.incarnation, persist.group, persist.promised, persist.version, content
             )
-        names = _Names(self.name, durable.incarnation, durable.group, durable.promised, durable.version)
         with self.store.batch() as batch:
-            for key, value in rows.items():
+            for key, value in records.items():
                 if value is not None:
-                    batch.put(ROW + key, value)
+                    batch.put(CONTENT_PREFIX + key, value)
                 elif key in self.durable.content:
-                    batch.delete(ROW + key)
-            batch.put(NAMES, msgspec.msgpack.encode(names))
+                    batch.delete(CONTENT_PREFIX + key)
+            batch.put(MEMBER_KEY, self._encode_record(durable))
         self.durable = durable
 
-    def wipe(self) -> None:
-        """Begin anew, as a disk that knows nothing."""
-        fresh = DurableState(secrets.token_hex(8))
+    def erase(self) -> None:
+        """Delete the map and every promise, and start a new incarnation.
+
+        Raises:
+            StoreError: Nothing was written.
+            OSError: Nothing was written.
+        """
+        durable = _new_incarnation()
         with self.store.batch() as batch:
             for key in self.durable.content:
-                batch.delete(ROW + key)
-            batch.put(NAMES, msgspec.msgpack.encode(_Names(self.name, fresh.incarnation)))
-        self.durable = fresh
+                batch.delete(CONTENT_PREFIX + key)
+            batch.put(MEMBER_KEY, self._encode_record(durable))
+        self.durable = durable
 
     def compact(self) -> None:
-        """Let go of what was written over; writes go on meanwhile.  Raises StoreError and OSError."""
+        """Reclaim the space of overwritten records, beside writes that go on.
+
+        Raises:
+            StoreError: As the store reports it.
+            OSError: As the system reports it.
+        """
         self.store.compact()
 
     def close(self) -> None:
+        """Close the store."""
         self.store.close()
+
+
+def _new_incarnation() -> DurableState:
+    return DurableState(secrets.token_hex(INCARNATION_BYTES))
--- /dev/null
+++ b/heronreel/coordinator/embedded.py
@@ -0,0 +1,65 @@
+"""A group of one member inside the processes of one machine."""
+
+from __future__ import annotations
+
+import asyncio
+
+import structlog
+
+from heronreel.coordination.settings import Group, GroupTable, MemberAddress, addresses_of
+from heronreel.coordinator.disk import MemberDisk
+from heronreel.coordinator.http_listener import HttpListener, bind_socket
+from heronreel.coordinator.node import MemberNode
+from heronreel.store import StoreError, StoreLocked
+
+MEMBER_NAME = "embedded"  # stored on its disk
+LOCK_RETRY_S = 0.3  # while another process has the disk
+FAILURE_RETRY_S = 3.0
+
+log = structlog.get_logger()
+
+
+class EmbeddedServer:
+    """One of several processes that may run the member.
+
+    Whichever process holds the lock of the disk serves the others; when it ends, another one takes over.
+    """
+
+    def __init__(self, address: str, folder: str) -> None:
+        """Create a server that `run` starts; the processes of one machine share `address` and `folder`."""
+        self.group = Group((MemberAddress(MEMBER_NAME, address, folder),), GroupTable())
+        self.folder = folder
+
+    async def run(self) -> None:
+        """Serve whenever the disk is free, until cancelled."""
+        while True:
+            try:
+                disk = await asyncio.to_thread(MemberDisk, self.folder, MEMBER_NAME)
+            except StoreLocked:
+                await asyncio.sleep(LOCK_RETRY_S)
+                continue
+            except (StoreError, OSError) as error:
+                log.error("start failed", member=MEMBER_NAME, error=str(error))
+                await asyncio.sleep(FAILURE_RETRY_S)
+                continue
+            await self._serve(disk)
+
+    async def _serve(self, disk: MemberDisk) -> None:
+        (address,) = addresses_of([self.group.members[0].address])
+        try:
+            bound = bind_socket(address)
+        except OSError as error:
+            log.error("start failed", member=MEMBER_NAME, error=str(error))
+            await asyncio.to_thread(disk.close)
+            await asyncio.sleep(FAILURE_RETRY_S)
+            return
+        node = MemberNode(self.group, MEMBER_NAME, disk)
+        listener = HttpListener(node)
+        await node.start()
+        await listener.listen(bound)
+        log.info("listening", member=MEMBER_NAME, port=bound.getsockname()[1])
+        try:
+            await node.exit_code  # only if the disk fails
+        finally:
+            await node.stop()
+            await listener.close()
--- /dev/null
+++ b/heronreel/coordinator/errors.py
@@ -0,0 +1,15 @@
+"""The errors of the server process."""
+
+from __future__ import annotations
+
+
+class CoordinatorError(Exception):
+    """The base of the errors that this package raises."""
+
+
+class WrongMemberError(CoordinatorError):
+    """The data folder belongs to a member of another name."""
+
+
+class UnknownMemberError(CoordinatorError, ValueError):
+    """The group's configuration names no such member."""
--- /dev/null
+++ b/heronreel/coordinator/forwarding.py
@@ -0,0 +1,66 @@
+"""Forwarding of clients' requests to the leader."""
+
+from __future__ import annotations
+
+import asyncio
+
+import aiohttp
+from aiohttp import web
+
+from heronreel.coordination import gateway
+from heronreel.coordination.model import RequestError, StatusCode
+from heronreel.coordinator.node import MemberNode
+
+FORWARDED_BY_HEADER = "X-Heronreel-Via"
+LEADER_GRACE_S = 0.5  # beyond the time that the leader gives a request
+
+_CONTENT_TYPE = "application/json"
+
+
+async def forward_to_leader(node: MemberNode, request: web.Request, body: bytes) -> web.StreamResponse:
+    """Have the leader respond.  A request is forwarded once: a member that is not the leader rejects it then.
+
+    Raises:
+        RequestError: There is no leader, or it can't be reached, or its response was lost.
+    """
+    leader = node.leader_connection()
+    if leader is None or FORWARDED_BY_HEADER in request.headers:
+        raise RequestError(StatusCode.UNAVAILABLE, "etcdserver: no leader")
+    forwarding = _Forwarding(node, request)
+    try:
+        async with node.transport.forwarding_session.post(
+            leader.base_url + request.path, data=body, headers={FORWARDED_BY_HEADER: node.name}
+        ) as response:
+            if request.path == gateway.WATCH:
+                return await forwarding.stream(response)
+            return await forwarding.relay(response)
+    except aiohttp.ClientConnectorError:
+        raise RequestError(StatusCode.UNAVAILABLE, "etcdserver: the leader is not reached") from None
+    except (aiohttp.ClientError, TimeoutError, OSError):
+        if forwarding.streamed is not None:
+            request.protocol.force_close()
+            return forwarding.streamed
+        raise RequestError(StatusCode.UNKNOWN, "etcdserver: the leader did not answer") from None
+
+
+class _Forwarding:
+    """One request's response from the leader on its way to the client."""
+
+    def __init__(self, node: MemberNode, request: web.Request) -> None:
+        self.timeout_s = node.group.table.request_ms / 1000 + LEADER_GRACE_S
+        self.request = request
+        self.streamed: web.StreamResponse | None = None  # the response to the client, once it has begun
+
+    async def relay(self, response: aiohttp.ClientResponse) -> web.Response:
+        """The complete response."""
+        async with asyncio.timeout(self.timeout_s):
+            body = await response.read()
+        return web.Response(body=body, status=response.status, content_type=_CONTENT_TYPE)
+
+    async def stream(self, response: aiohttp.ClientResponse) -> web.StreamResponse:
+        """A watch's response, which goes on until either side ends it."""
+        self.streamed = web.StreamResponse(status=response.status, headers={"Content-Type": _CONTENT_TYPE})
+        await self.streamed.prepare(self.request)
+        async for chunk in response.content.iter_any():
+            await self.streamed.write(chunk)
+        return self.streamed
--- /dev/null
+++ b/heronreel/coordinator/node.py
@@ -0,0 +1,227 @@
+"""A member at work: the core with its clock, its timer, its disk and the other members.
+
+The core (`KeyValueService` around `ConsensusMember`) decides everything and performs no I/O: `MemberNode`
+gives it events, one at a time, and carries out what it returns.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+import random
+import secrets
+import zlib
+from collections.abc import Callable
+
+import structlog
+
+from heronreel.coordination import gateway
+from heronreel.coordination.clock import CrashPoints, boot_clock
+from heronreel.coordination.consensus import (
+    AnyMessage,
+    ConsensusMember,
+    Deposed,
+    Elected,
+    EraseDisk,
+    Persist,
+    Send,
+)
+from heronreel.coordination.kv_service import (
+    KeyValueService,
+    LeaseExpired,
+    Output,
+    Outputs,
+    RequestCompleted,
+    WatchNotified,
+)
+from heronreel.coordination.model import Request, RequestError, Response, StatusCode, prefix_end
+from heronreel.coordination.settings import Group
+from heronreel.coordinator.claim_log import log_claim_changes
+from heronreel.coordinator.disk import MemberDisk
+from heronreel.coordinator.disk_writer import DiskWriter
+from heronreel.coordinator.pending_requests import PendingRequests
+from heronreel.coordinator.timers import EventTimer
+from heronreel.coordinator.transport import PeerConnection, Transport
+from heronreel.coordinator.watch_registry import WatchRegistry
+from heronreel.leases.lease import CLAIM_PREFIX
+
+EXIT_STOPPED = 0
+EXIT_DISK_FAILED = 74  # EX_IOERR
+
+log = structlog.get_logger()
+
+
+class MemberNode:
+    """One member of a group, without its HTTP interface.
+
+    Attributes:
+        service: The core; replaced when it restarts from the disk.
+        exit_code: Done once the process should end, with its exit code.
+    """
+
+    def __init__(self, group: Group, name: str, disk: MemberDisk) -> None:
+        """Create a member that `start` sets to work; needs a running event loop."""
+        self.group = group
+        self.name = name
+        self.disk = disk
+        self.clock = boot_clock()
+        self.points = CrashPoints()
+        self.random = random.Random(secrets.randbits(64))
+        self.transport = Transport(name, self.points)
+        self.tickets = itertools.count(1)  # of requests and watches
+        self.pending_requests = PendingRequests()
+        self.watches = WatchRegistry()
+        self.claim_watch = 0  # the ticket of the watch that is logged
+        self.disk_writer = DiskWriter(
+            disk,
+            self.points,
+            on_persisted=self._on_persisted,
+            on_reset=self._restart_core,
+            on_failed=lambda: self.request_exit(EXIT_DISK_FAILED),
+        )
+        self.timer = EventTimer(lambda: self.handle_event(self.service.tick))
+        self.exit_code: asyncio.Future[int] = asyncio.get_running_loop().create_future()
+        self.stopping = False
+        self.service = self._load_core()
+
+    def _load_core(self) -> KeyValueService:
+        member = ConsensusMember(
+            self.name,
+            (address.name for address in self.group.members),
+            self.disk.durable,
+            self.clock(),
+            timing=self.group.timing,
+            jitter=self.random.random,
+        )
+        return KeyValueService(member, drift=self.group.table.clock_drift)
+
+    # -- the life of the process
+
+    async def start(self) -> None:
+        """Connect to the other members and begin to take part."""
+        self.transport.update(self.group.members)
+        self.handle_event(self.service.tick)
+
+    def reload(self, group: Group) -> None:
+        """Use other addresses.  Membership itself is decided by the group, not by the file."""
+        self.group = group
+        self.transport.update(group.members)
+        names = [address.name for address in group.members]
+        self.service.member.relist(names)
+        log.info("configuration reloaded", member=self.name, listed=names)
+
+    def request_exit(self, code: int) -> None:
+        """Have the process end with this exit code; the first request counts."""
+        if not self.exit_code.done():
+            self.exit_code.set_result(code)
+
+    async def stop(self) -> None:
+        """Fail the requests and end the watches that are open, and close the disk."""
+        self.stopping = True
+        self.timer.cancel()
+        self.pending_requests.fail_all(RequestError(StatusCode.UNKNOWN, "etcdserver: server stopped"))
+        self.watches.end_all()
+        self.transport.cancel()
+        await self.disk_writer.wait_idle()
+        await self.transport.close()
+        await asyncio.to_thread(self.disk.close)
+
+    # -- events for the core, and its outputs
+
+    def handle_event(self, event: Callable[[float], Outputs]) -> None:
+        """Give the core one event, carry out its outputs, and set the timer for the next tick."""
+        if self.stopping:
+            return
+        self._carry_out(event(self.clock()))
+        self.timer.set(self.service.wake() - self.clock())
+
+    def receive(self, message: AnyMessage) -> None:
+        """Give the core a message of another member."""
+        self.points.reach("receive")
+
+        def received(now: float) -> Outputs:
+            return self.service.settle(now, self.service.member.receive(now, message))
+
+        self.handle_event(received)
+
+    def _on_persisted(self, persist: Persist) -> None:
+        for send in persist.then:
+            self.transport.send(send.to, send.message)
+
+        def persisted(now: float) -> Outputs:
+            return self.service.settle(now, self.service.member.persisted(now, persist.number))
+
+        self.handle_event(persisted)
+
+    def _restart_core(self) -> None:
+        """Start again from the disk, as after a crash: what is not durable is forgotten."""
+        outputs = self.service.end()
+        self.disk_writer.discard_pending()
+        self.service = self._load_core()
+        self._carry_out(outputs)
+
+    def _carry_out(self, outputs: Outputs) -> None:
+        for output in outputs:
+            self._carry_out_one(output)
+
+    def _carry_out_one(self, output: Output) -> None:
+        match output:
+            case Send(to=to, message=message):
+                self.transport.send(to, message)
+            case Persist():
+                self.disk_writer.persist(output)
+            case RequestCompleted():
+                self.pending_requests.complete(output)
+            case WatchNotified():
+                self._notify(output)
+            case Elected(ballot=ballot):
+                log.info("became leader", member=self.name, round=ballot.round)
+                self.points.reach("elected")
+                self._watch_claims()
+            case Deposed():
+                log.info("leadership lost", member=self.name)
+            case LeaseExpired(lease=lease):
+                log.info("lease expired", member=self.name, lease=str(lease))
+            case EraseDisk(why=reason):
+                log.warning("disk rollback detected", member=self.name, reason=reason)
+                self.disk_writer.erase()
+
+    def _notify(self, notification: WatchNotified) -> None:
+        if notification.watch == self.claim_watch:
+            log_claim_changes(self.name, notification)
+        elif not self.watches.publish(notification):
+            self.service.unwatch(notification.watch)
+
+    def _watch_claims(self) -> None:
+        self.claim_watch = next(self.tickets)
+        self._carry_out(self.service.watch(self.claim_watch, CLAIM_PREFIX, prefix_end(CLAIM_PREFIX), 0))
+
+    # -- clients
+
+    def response_header(self) -> gateway.Header:
+        """The header of every response of this member."""
+        member = self.service.member
+        return gateway.Header(_numeric_id(member.group), _numeric_id(self.name), member.ballot.round)
+
+    async def request(self, request: Request) -> Response:
+        """Have the group perform a client's request.
+
+        Raises:
+            RequestError: The request was not performed, or its outcome is unknown.
+        """
+        ticket = next(self.tickets)
+        timeout_s = self.group.table.request_ms / 1000
+        deadline = self.clock() + timeout_s
+        self.pending_requests.add(ticket)
+        self.handle_event(lambda now: self.service.ask(now, ticket, request, deadline))
+        return await self.pending_requests.wait(ticket, timeout_s)
+
+    def leader_connection(self) -> PeerConnection | None:
+        """The connection to the leader; None if there is no leader, or it is this member."""
+        name = self.service.member.leader
+        return self.transport.peers.get(name) if name is not None else None
+
+
+def _numeric_id(name: str) -> int:
+    """A number for a name, where etcd's interface has numbers."""
+    return zlib.crc32(name.encode())
--- /dev/null
+++ b/heronreel/coordinator/pending_requests.py
@@ -0,0 +1,48 @@
+"""Requests of clients that wait for the core."""
+
+from __future__ import annotations
+
+import asyncio
+
+from heronreel.coordination.kv_service import RequestCompleted
+from heronreel.coordination.model import RequestError, Response, ResponseOrError, StatusCode
+
+
+class PendingRequests:
+    """A future for each request that the core has not completed, by its ticket."""
+
+    def __init__(self) -> None:
+        self.futures: dict[int, asyncio.Future[ResponseOrError]] = {}
+
+    def add(self, ticket: int) -> None:
+        """Register a request before it is given to the core; `wait` has to follow."""
+        self.futures[ticket] = asyncio.get_running_loop().create_future()
+
+    async def wait(self, ticket: int, timeout_s: float) -> Response:
+        """Wait for the response to a registered request.
+
+        Raises:
+            RequestError: What the core completed it with, or DEADLINE_EXCEEDED after `timeout_s` seconds.
+        """
+        try:
+            async with asyncio.timeout(timeout_s):
+                result = await self.futures[ticket]
+        except TimeoutError:
+            raise RequestError(StatusCode.DEADLINE_EXCEEDED, "etcdserver: request timed out") from None
+        finally:
+            self.futures.pop(ticket, None)
+        if isinstance(result, RequestError):
+            raise result
+        return result
+
+    def complete(self, completed: RequestCompleted) -> None:
+        """Deliver a result, if the request is still waited for."""
+        future = self.futures.get(completed.ticket)
+        if future is not None and not future.done():
+            future.set_result(completed.answer)
+
+    def fail_all(self, error: RequestError) -> None:
+        """Complete every request with `error`."""
+        for future in self.futures.values():
+            if not future.done():
+                future.set_result(error)
--- /dev/null
+++ b/heronreel/coordinator/watch_registry.py
@@ -0,0 +1,47 @@
+"""The watches of clients: events of the core on their way to the responses that stream them."""
+
+from __future__ import annotations
+
+import asyncio
+
+from heronreel.coordination.kv_service import WatchNotified
+
+MAX_QUEUED_NOTIFICATIONS = 1000  # for one watch
+
+
+class WatchRegistry:
+    """A queue of notifications for each open watch, by its number."""
+
+    def __init__(self) -> None:
+        self.queues: dict[int, asyncio.Queue[WatchNotified]] = {}
+
+    def open(self, number: int) -> asyncio.Queue[WatchNotified]:
+        """Register a watch before the core creates it."""
+        queue: asyncio.Queue[WatchNotified] = asyncio.Queue()
+        self.queues[number] = queue
+        return queue
+
+    def close(self, number: int) -> None:
+        """Forget a watch; nothing happens if it was forgotten already."""
+        self.queues.pop(number, None)
+
+    def publish(self, notification: WatchNotified) -> bool:
+        """Queue a notification; False if the watch has ended because its client reads too slowly.
+
+        Such a client gets a last notification that it missed events, as if they had been compacted.
+        """
+        queue = self.queues.get(notification.watch)
+        if queue is None:
+            return True
+        if queue.qsize() >= MAX_QUEUED_NOTIFICATIONS:
+            self.close(notification.watch)
+            revision = notification.revision
+            queue.put_nowait(WatchNotified(notification.watch, revision, (), compacted=revision))
+            return False
+        queue.put_nowait(notification)
+        return True
+
+    def end_all(self) -> None:
+        """Notify every client that this member can't continue its watch."""
+        for number, queue in self.queues.items():
+            queue.put_nowait(WatchNotified(number, 0, (), ended=True))
--- a/heronreel/fault_injection/processes.py
+++ b/heronreel/fault_injection/processes.py
@@ -195,7 +195,7 @@
         env = self._env(name, env)
         process = await Process.start(name, (*words, "--folder", disk, "--listen", "127.0.0.1:0"), env)
         self.members[name] = process
-        line = await process.line('"listens"')
+        line = await process.line('"listening"')
         port = int(line.split('"port": ')[1].split(",")[0])
         for relay in (self.front[name], *(r for (_, to), r in self.between.items() if to == name)):
             relay.target = ("127.0.0.1", port)
--- a/tests/coordinator/test_processes.py
+++ b/tests/coordinator/test_processes.py
@@ -150,7 +150,7 @@
             shutil.rmtree(tmp_path / back)
             shutil.copytree(tmp_path / "yesterday", tmp_path / back)
             process = await harness.start(back)
-            await process.line("disk set back")
+            await process.line("disk rollback detected")
             await harness.whole()
             assert await value(client, b"k") == b"new"
 
@@ -332,7 +332,7 @@
             full = await harness.leader()
             harness.fill(full)
             await until_value(client, b"k", b"1")
-            await harness.members[full].line("disk refuses")
+            await harness.members[full].line("disk write failed")
             harness.fill(full, on=False)
             await harness.whole()
             name = other_than(await harness.leader())
@@ -347,13 +347,13 @@
             words = ("heronreel.cli", "coordinate", str(tmp_path / f"{name}.toml"), "--name", name)
             damaged = await harness.run("damaged", *words, "--folder", str(tmp_path / name))
             assert await damaged.ended() == 74
-            await damaged.line("does not serve")
+            await damaged.line("start failed")
             await until_value(client, b"k", b"2")
             wrong_name = await harness.run(
                 "other", *words[:4], "c" if name != "c" else "b", "--folder", str(tmp_path / "nothing"),
                 "--listen", "127.0.0.1:0",
             )  # fmt: skip
-            await wrong_name.line("listens")
+            await wrong_name.line("listening")
 
     asyncio.run(run())
 
@@ -767,7 +767,7 @@
 def test_the_upkeep_of_disks_is_done_by_one_member_at_a_time_through_kills(tmp_path: Path) -> None:
     def rows(process: Process) -> list[dict[str, Any]]:
         told = [json.loads(line) for line in process.lines if line.startswith("{")]
-        return [row for row in told if row["event"].startswith("upkeep")]
+        return [row for row in told if row["event"].startswith("compaction")]
 
     async def run() -> None:
         more = "upkeep_s = 0.3\nlease_s = 2\nmargin_s = 0.3\nanswer_s = 0.3"
@@ -792,17 +792,18 @@
             await harness.whole()
             await all_tend()
             seen += [row for process in harness.members.values() for row in rows(process) if row not in seen]
-            number = 0
+            token = 0
             under_way: dict[str, Any] | None = None
             for row in sorted(seen, key=lambda row: row["timestamp"]):
-                assert row["number"] >= number, (row, under_way)
-                number = row["number"]
-                if row["event"] == "upkeep begins":
+                assert row["fencing_token"] >= token, (row, under_way)
+                token = row["fencing_token"]
+                if row["event"] == "compaction started":
                     # one that began and was killed is followed under a greater number
-                    assert under_way is None or row["number"] > under_way["number"]
+                    assert under_way is None or row["fencing_token"] > under_way["fencing_token"]
                     under_way = row
                 elif under_way is not None:
-                    assert (row["member"], row["number"]) == (under_way["member"], under_way["number"])
+                    assert row["member"] == under_way["member"]
+                    assert row["fencing_token"] == under_way["fencing_token"]
                     under_way = None
             assert len({row["member"] for row in seen}) == 3
 
