--- a/heronreel/serve/fleet.py
+++ b/heronreel/serve/fleet.py
@@ -19,7 +19,7 @@
 import heronreel
 from heronreel.coordination.clock import CrashPoints, boot_clock
 from heronreel.coordination.logs import log_to_stderr
-from heronreel.coordinator.server import EmbeddedServer
+from heronreel.coordinator.embedded import EmbeddedServer
 from heronreel.leases.lease import ClaimAcquired, ClaimLost, LeaseTerms
 from heronreel.leases.rate_budget import RateLimits
 from heronreel.leases.session import LeaseSession
--- a/tests/compatibility/stored_control.py
+++ b/tests/compatibility/stored_control.py
@@ -21,8 +21,8 @@
 from heronreel.coordination.keyspace import HEAD, KEY, LEASE, lease_key
 from heronreel.coordination.kv_service import DESIRED_MEMBERS_KEY
 from heronreel.coordination.model import CompareOperator, CompareTarget
-from heronreel.coordinator.disk import NAMES, ROW
-from heronreel.coordinator.server import VIA
+from heronreel.coordinator.disk import CONTENT_PREFIX, MEMBER_KEY
+from heronreel.coordinator.forwarding import FORWARDED_BY_HEADER
 from heronreel.fleet.agent import Stage, Want
 from heronreel.fleet.controller import TASK as CONTROLLER
 from heronreel.fleet.model import HALT as FLEET_HALT
@@ -59,8 +59,8 @@
     {
         "member: group": MEMBERSHIP_KEY,
         "member: confirmed": CONFIRMED_VERSIONS_KEY,
-        "disk: names": NAMES,
-        "disk: row": ROW,
+        "disk: names": MEMBER_KEY,
+        "disk: row": CONTENT_PREFIX,
         "state: head": HEAD,
         "state: key": KEY,
         "state: lease 258": lease_key(258),
@@ -98,7 +98,7 @@
         "fence: step": FencedTable.STEP,
         "fence: row": FencedTable.ROW,
         "watch": WATCH,
-        "forwarded by": VIA,
+        "forwarded by": FORWARDED_BY_HEADER,
     }
 )
 ENUMS: dict[str, type[Enum]] = {
--- a/tests/compatibility/stored_forms.py
+++ b/tests/compatibility/stored_forms.py
@@ -25,7 +25,7 @@
 )
 from heronreel.coordination.keyspace import Content
 from heronreel.coordination.model import Request, Response
-from heronreel.coordinator.server import _encode, _messages
+from heronreel.coordinator.transport import decode_messages, encode_messages
 from heronreel.store import Store
 
 FOLDER = Path(__file__).parent / "stored" / "control"
@@ -59,7 +59,7 @@
 
 def as_message(message: Any) -> Form:
     """What one member posts to another: a list of messages."""
-    return Form([message], lambda: _encode([message]), _messages.decode)
+    return Form([message], lambda: encode_messages([message]), decode_messages)
 
 
 def as_call(request: Request) -> Form:
--- a/tests/compatibility/stored_group.py
+++ b/tests/compatibility/stored_group.py
@@ -60,8 +60,8 @@
     Txn,
     TxnResponse,
 )
-from heronreel.coordinator.disk import MemberDisk, _Names
-from heronreel.coordinator.server import _line
+from heronreel.coordinator.disk import MemberDisk, MemberRecord
+from heronreel.coordinator.watch_stream import encode_line
 from heronreel.leases.fencing import FencedTable
 from heronreel.leases.lease import CLAIM_PREFIX, LeaseClient, LeaseTerms, SendRequest
 from heronreel.leases.overview import resize
@@ -118,7 +118,7 @@
 def kept_disk(folder: Path) -> dict[bytes, bytes]:
     """What a member's store holds after `PERSISTS`."""
     disk = MemberDisk(folder / "member", "a")
-    disk.keep(PERSISTS)
+    disk.persist(PERSISTS)
     rows = dict(disk.store.scan())
     disk.close()
     return rows
@@ -128,7 +128,7 @@
     """What is left in a member's store once it was wiped."""
     kept_disk(folder)
     disk = MemberDisk(folder / "member", "a")
-    disk.wipe()
+    disk.erase()
     rows = dict(disk.store.scan())
     disk.close()
     return rows
@@ -390,13 +390,13 @@
     **{f"call-{name}.txt": as_call(request) for name, request in CALLS.items()},
     **{f"answer-{name}.json": as_answer(*pair) for name, pair in ANSWERS.items()},
     "watch-events.json": Form(
-        (11, EVENTS), lambda: _line(events_of(HEADER, 11, EVENTS, True)),
+        (11, EVENTS), lambda: encode_line(events_of(HEADER, 11, EVENTS, True)),
         lambda data: events_told(json.loads(data)["result"]),
     ),
     "refusals.json": Form(
         [*map(int, StatusCode), 3, 11, 11, 5, 3, 3, 9, 5], refusals, refused
     ),
-    "disk-names.msgpack": as_msgpack(_Names("a", DRAWN, "aa01", BALLOT, VERSION)),
+    "disk-names.msgpack": as_msgpack(MemberRecord("a", DRAWN, "aa01", BALLOT, VERSION)),
     "disk-rows.json": as_rows(DURABLE, lambda: with_store(kept_disk), durable_of),
     "disk-wiped.json": as_rows(DurableState(DRAWN), lambda: with_store(wiped_disk), durable_of),
     "group.json": as_rows(
--- a/tests/compatibility/test_stored_control.py
+++ b/tests/compatibility/test_stored_control.py
@@ -25,7 +25,8 @@
 )
 from heronreel.coordination.settings import Group, MemberAddress
 from heronreel.coordinator.disk import MemberDisk
-from heronreel.coordinator.server import HttpListener, MemberNode
+from heronreel.coordinator.http_listener import HttpListener
+from heronreel.coordinator.node import MemberNode
 from tests.compatibility.stored_control import FORMS, MEMBER
 from tests.compatibility.stored_forms import DRAWN, FOLDER, Server, drawn
 from tests.compatibility.stored_group import ANSWERS, DURABLE, EVENTS, opened_folder
--- a/tests/metering/test_metering_processes.py
+++ b/tests/metering/test_metering_processes.py
@@ -85,13 +85,13 @@
 
             try:
                 ports = [await start("one")]
-                await running["one"].line('"listens"')
+                await running["one"].line('"listening"')
                 ports.append(await start("two"))
                 await there(2)
                 for port in ports:
                     assert await clients.ask(port, "etna", 10)
                 await running["one"].kill()
-                await running["two"].line('"listens"')
+                await running["two"].line('"listening"')
                 await start("one")
                 await there(2)
                 async with asyncio.timeout(40):
