--- a/bench/lease_proof.py
+++ b/bench/lease_proof.py
@@ -1,9 +1,9 @@
-"""The proof of leases in its long form: whole small worlds, and many seeded schedules between processes.
+"""The evidence for leases in its long form: small worlds explored exhaustively, and many seeded trials.
 
-    python bench/lease_proof.py explore [STATES]      # every order of events, up to so many states a world
-    python bench/lease_proof.py schedules [SEEDS] [SIDE_BY_SIDE]    # 100 schedules, 2 at a time
+    python bench/lease_proof.py explore [STATES]                # every order of events, up to STATES per
+    world python bench/lease_proof.py schedules [SEEDS] [CONCURRENT]  # 100 trials with faults, 2 at a time
 
-A schedule that breaks a promise is shortened, and its faults are printed; the exit code is 1 then.
+A schedule that breaks a guarantee is shrunk, and its faults are printed; the exit code is 1 then.
 """
 
 from __future__ import annotations
@@ -23,12 +23,16 @@
 from heronreel.fault_injection.explore import Found, World, explore
 from heronreel.fault_injection.group_world import Budget, GroupWorld
 from heronreel.fault_injection.lease_world import Guarded, LeaseWorld, Limits
-from heronreel.fault_injection.schedule import Fault, drawn, shortened
-from heronreel.fault_injection.trial import Outcome, trial
+from heronreel.fault_injection.schedule import Fault, shrink
+from heronreel.fault_injection.trial import TrialResult, TrialSettings, run_trial
 
 NAMES = ("a", "b", "c")
-WORKERS = 8
-SECONDS = 10.0
+SETTINGS = TrialSettings(members=NAMES, workers=8, schedule_s=10.0, recovery_timeout_s=30.0)
+MAX_STATES = 1_000_000  # of each world
+SEEDS = 100
+CONCURRENT_TRIALS = 2
+SHRUNK_SCHEDULES = 3
+MAX_SHRINK_ATTEMPTS = 12
 NO_COPIES = Guards(rollback=False)  # fewer states: what members confirmed is not written down
 
 WORLDS: dict[str, World] = {
@@ -48,64 +52,79 @@
 }
 
 
-def world(name: str, most: int) -> tuple[str, Found, float]:
+def explore_world(name: str, max_states: int) -> tuple[str, Found, float]:
+    """Explore one world; returns its name, what was found, and the seconds it took."""
     began = time.perf_counter()
-    found = explore(WORLDS[name], most)
+    found = explore(WORLDS[name], max_states)
     return name, found, time.perf_counter() - began
 
 
-def explored(most: int) -> bool:
-    good = True
-    with ProcessPoolExecutor(7) as pool:
-        for name, found, seconds in pool.map(world, WORLDS, [most] * len(WORLDS)):
+def explore_all(max_states: int) -> bool:
+    """Explore all worlds, and print what was found; False if a guarantee was broken."""
+    succeeded = True
+    with ProcessPoolExecutor(len(WORLDS)) as pool:
+        for name, found, seconds in pool.map(explore_world, WORLDS, [max_states] * len(WORLDS)):
             print(f"{name}: {found} ({seconds:.0f} s)", flush=True)
-            good = good and found.broken is None
-    return good
+            succeeded = succeeded and found.broken is None
+    return succeeded
 
 
-async def one(seed: int, faults: Sequence[Fault] | None = None) -> Outcome:
+async def run_seed(seed: int, faults: Sequence[Fault] | None = None) -> TrialResult:
+    """One trial in a folder of its own."""
     with tempfile.TemporaryDirectory() as folder:
-        return await trial(
-            Path(folder), seed, members=NAMES, workers=WORKERS, seconds=SECONDS, faults=faults, within=30.0
-        )
+        return await run_trial(Path(folder), seed, SETTINGS, faults)
 
 
-async def schedules(seeds: int, beside: int) -> bool:
-    room = asyncio.Semaphore(beside)
-    outcomes: dict[int, Outcome] = {}
+async def run_seeds(seeds: int, concurrent: int) -> bool:
+    """Run trials, and print a summary; False if a guarantee was broken."""
+    slots = asyncio.Semaphore(concurrent)
+    results: dict[int, TrialResult] = {}
 
     async def run(seed: int) -> None:
-        async with room:
-            outcomes[seed] = await one(seed)
-            if outcomes[seed].problems:
-                print(f"seed {seed}: {outcomes[seed].problems}", flush=True)
+        async with slots:
+            results[seed] = await run_seed(seed)
+            if results[seed].problems:
+                print(f"seed {seed}: {results[seed].problems}", flush=True)
 
     await asyncio.gather(*(run(seed) for seed in range(1, seeds + 1)))
-    bad = [seed for seed, outcome in outcomes.items() if outcome.problems]
-    recovery = sorted(outcome.recovery_s for outcome in outcomes.values())
-    every = list(outcomes.values())
+    failed = [seed for seed, result in results.items() if result.problems]
+    print_summary(list(results.values()), len(failed))
+    for seed in failed[:SHRUNK_SCHEDULES]:
+        print(f"seed {seed}, shrunk:", *await shrink_schedule(seed), sep="\n  ")
+    return not failed
+
+
+def print_summary(results: Sequence[TrialResult], failed: int) -> None:
+    """Print the sums over all trials."""
+    recovery = sorted(result.recovery_s for result in results)
     print(
-        f"{seeds} schedules, {len(bad)} broke a promise: {sum(o.steps for o in every):,} steps by "
-        f"{sum(o.holders for o in every)} grants, {sum(o.refused for o in every)} refused, "
-        f"{sum(o.calls for o in every):,} calls judged; next step after the last fault: "
+        f"{len(results)} schedules, {failed} broke a guarantee: "
+        f"{sum(result.steps for result in results):,} steps by "
+        f"{sum(result.grants for result in results)} grants, "
+        f"{sum(result.rejected for result in results)} rejected, "
+        f"{sum(result.operations for result in results):,} operations checked; "
+        f"next step after the last fault: "
         f"median {statistics.median(recovery):.2f} s, worst {recovery[-1]:.2f} s"
     )
-    for seed in bad[:3]:
 
-        async def fails(faults: Sequence[Fault], seed: int = seed) -> bool:
-            return bool((await one(seed, faults)).problems)
 
-        plan = drawn(seed, NAMES, [f"w{number}" for number in range(WORKERS)], SECONDS)
-        print(f"seed {seed}, shortened:", *await shortened(plan, fails, 12), sep="\n  ")
-    return not bad
+async def shrink_schedule(seed: int) -> list[Fault]:
+    """The faults of a trial that failed, without those that do not matter."""
+
+    async def fails(faults: Sequence[Fault]) -> bool:
+        return bool((await run_seed(seed, faults)).problems)
+
+    return await shrink(SETTINGS.random_schedule(seed), fails, MAX_SHRINK_ATTEMPTS)
 
 
-def main(what: str = "explore", count: str = "", beside: str = "2") -> None:
-    if what == "explore":
-        good = explored(int(count or 1_000_000))
+def main(mode: str = "explore", count: str = "", concurrent: str = "") -> None:
+    """Run one of the two modes."""
+    if mode == "explore":
+        succeeded = explore_all(int(count or MAX_STATES))
     else:
-        good = asyncio.run(schedules(int(count or 100), int(beside)))
-    sys.exit(0 if good else 1)
+        trials = run_seeds(int(count or SEEDS), int(concurrent or CONCURRENT_TRIALS))
+        succeeded = asyncio.run(trials)
+    sys.exit(0 if succeeded else 1)
 
 
 if __name__ == "__main__":
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -1,10 +1,9 @@
-"""What a group costs and how fast it gives on: renewals and writes a second, time to take over, memory.
+"""The cost of a group: renewals and writes per second, time to fail over, memory, and bytes while idle.
 
     python bench/leases.py [HOLDERS...]
 
-At rest: bytes a second over all of the group's connections while the holders do nothing but renew.
-
-Times hold for this machine and this run; what compares is the ratio between rows.
+Idle means that the holders only renew their leases; bytes are counted over all of the group's connections.
+Times hold for one machine and one run: compare the rows with one another.
 """
 
 from __future__ import annotations
@@ -16,123 +15,133 @@
 import time
 from contextlib import AsyncExitStack
 from pathlib import Path
+from typing import NamedTuple
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.model import LeaseGrant, LeaseKeepAlive, LeaseResponse, Put, RequestError
-from heronreel.fault_injection.processes import Harness
+from heronreel.fault_injection.harness import Harness
 from heronreel.leases.lease import LeaseTerms
 from heronreel.leases.session import LeaseSession
 
-SECONDS = 3.0
-REST_S = 12.0
+DEFAULT_HOLDERS = 200
+GROUP_SIZES = (1, 3, 5)
+MEASURED_S = 3.0  # of renewals, and of writes
+IDLE_S = 12.0
+SETTLING_S = 2.0
+MAX_CALLERS = 64
+FAILOVERS = 7
+REQUEST_TIMEOUT_S = 10.0
+
+
+class TrafficRates(NamedTuple):
+    """Bytes per second."""
+
+    between_members: float
+    with_holders: float
+
+
+class Row(NamedTuple):
+    """What was measured with one size of a group."""
+
+    members: int
+    holders: int
+    renewals: float  # per second
+    writes: float  # per second
+    leader_mb: float
+    kill_failovers: list[float]  # seconds
+    partition_failovers: list[float]  # seconds
+    handover_s: float
+    idle: TrafficRates
+
+    def __str__(self) -> str:
+        return (
+            f"{self.members} members, {self.holders} leases: {self.renewals:6.0f} renewals/s, "
+            f"{self.writes:6.0f} writes/s, {self.leader_mb:.0f} MB; "
+            f"failover after a kill {_median_and_worst(self.kill_failovers)}, "
+            f"after a partition {_median_and_worst(self.partition_failovers)}; "
+            f"a released task is held again after {self.handover_s:.2f} s; "
+            f"idle {self.idle.between_members / 1000:.1f} kB/s between members, "
+            f"{self.idle.with_holders / 1000:.1f} kB/s with holders"
+        )
+
+
+def _median_and_worst(seconds: list[float]) -> str:
+    return f"{statistics.median(seconds):.2f} s (worst {max(seconds):.2f})"
 
 
-async def rate(client: Client, leases: list[int], writes: bool) -> float:
-    """Calls a second by as many callers as there are leases, up to 64."""
+async def grant_leases(client: Client, count: int) -> list[int]:
+    """The ids of new leases."""
+    leases = []
+    for _ in range(count):
+        granted = await client.call(LeaseGrant(600), REQUEST_TIMEOUT_S)
+        assert isinstance(granted, LeaseResponse)
+        leases.append(granted.id)
+    return leases
+
+
+async def request_rate(client: Client, leases: list[int], *, writes: bool) -> float:
+    """Requests per second by as many callers as there are leases, up to MAX_CALLERS."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + SECONDS
-    done = 0
+    deadline = loop.time() + MEASURED_S
+    completed = 0
 
     async def caller(number: int) -> None:
-        nonlocal done
-        while loop.time() < until:
+        nonlocal completed
+        while loop.time() < deadline:
             lease = leases[number % len(leases)]
             request = Put(b"k%d" % number, b"v" * 100) if writes else LeaseKeepAlive(lease)
-            await client.call(request, 10.0)
-            number += 64
-            done += 1
+            await client.call(request, REQUEST_TIMEOUT_S)
+            number += MAX_CALLERS
+            completed += 1
 
-    await asyncio.gather(*(caller(number) for number in range(min(64, len(leases)))))
-    return done / SECONDS
+    await asyncio.gather(*(caller(number) for number in range(min(MAX_CALLERS, len(leases)))))
+    return completed / MEASURED_S
 
 
-def resident(pid: int) -> float:
-    """Megabytes."""
+def resident_mb(pid: int) -> float:
+    """A process's resident memory in megabytes."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
     return 0.0
 
 
-async def take_over(harness: Harness, client: Client, cut: bool) -> float:
-    """Seconds from a leader's end until the next write is agreed on."""
-    await harness.whole()
-    leader = await harness.leader()
-    if cut:
-        harness.cut(leader)
-    else:
-        await harness.members[leader].kill()
-    away = [harness.front[name].address for name in harness.names if name != leader]
+async def kill_failover(harness: Harness) -> float:
+    """Seconds from a kill of the leader until the next write is committed."""
+    await harness.wait_until_healthy()
+    leader = await harness.wait_for_leader()
+    await harness.members[leader].kill()
+    seconds = await _seconds_until_write(harness, leader)
+    await harness.start_member(leader)
+    return seconds
+
+
+async def partition_failover(harness: Harness) -> float:
+    """Seconds from a partition of the leader until the next write is committed."""
+    await harness.wait_until_healthy()
+    leader = await harness.wait_for_leader()
+    harness.network.partition(leader)
+    seconds = await _seconds_until_write(harness, leader)
+    harness.network.heal(leader)
+    return seconds
+
+
+async def _seconds_until_write(harness: Harness, lost_leader: str) -> float:
+    others = [harness.address(name) for name in harness.names if name != lost_leader]
     began = time.perf_counter()
-    async with Client(away, answer_s=0.2) as rest:
+    async with Client(others, answer_s=0.2) as client:
         while True:
             try:
-                await rest.ask(Put(b"over", b""), 0.3)
-                break
+                await client.ask(Put(b"over", b""), 0.3)
+                return time.perf_counter() - began
             except RequestError:
                 continue
-    took = time.perf_counter() - began
-    if cut:
-        harness.cut(leader, on=False)
-    else:
-        await harness.start(leader)
-    return took
 
 
-async def at_rest(harness: Harness, holders: int) -> tuple[float, float]:
-    """Bytes a second between members, and between members and holders of one task each."""
-    async with AsyncExitStack() as stack:
-        for number in range(holders):
-            holding = await stack.enter_async_context(LeaseSession(harness.addresses, f"h{number}"))
-            await holding.held(holding.claim(f"rest{number}"))
-        await asyncio.sleep(2.0)
-        before = [sum(r.bytes for r in relays.values()) for relays in (harness.between, harness.front)]
-        await asyncio.sleep(REST_S)
-        after = [sum(r.bytes for r in relays.values()) for relays in (harness.between, harness.front)]
-    inner, outer = ((b - a) / REST_S for a, b in zip(before, after, strict=True))
-    return inner, outer
-
-
-async def main(*sizes: int) -> None:
-    for holders in sizes or (200,):
-        await measured(holders)
-
-
-async def measured(holders: int) -> None:
-    for count in (1, 3, 5):
-        names = "abcde"[:count]
-        with tempfile.TemporaryDirectory() as folder:
-            async with Harness(Path(folder), names, 1) as harness, Client(harness.addresses) as client:
-                await harness.serves()
-                leases = []
-                for _ in range(holders):
-                    granted = await client.call(LeaseGrant(600), 10.0)
-                    assert isinstance(granted, LeaseResponse)
-                    leases.append(granted.id)
-                renewals = await rate(client, leases, writes=False)
-                writes = await rate(client, leases, writes=True)
-                leader = harness.members[await harness.leader()]
-                memory = resident(leader.process.pid)
-                kills, cuts = [0.0], [0.0]
-                if count > 1:
-                    kills = [await take_over(harness, client, cut=False) for _ in range(7)]
-                    cuts = [await take_over(harness, client, cut=True) for _ in range(7)]
-                handed = await hand_over(harness)
-                inner, outer = await at_rest(harness, holders)
-        print(
-            f"{count} members, {holders} leases: {renewals:6.0f} renewals/s, {writes:6.0f} writes/s, "
-            f"{memory:.0f} MB; after a kill {statistics.median(kills):.2f} s (worst {max(kills):.2f}), "
-            f"after a cut {statistics.median(cuts):.2f} s (worst {max(cuts):.2f}); "
-            f"a task given back is held again after {handed:.2f} s; "
-            f"at rest {inner / 1000:.1f} kB/s between members, {outer / 1000:.1f} kB/s with holders",
-            flush=True,
-        )
-
-
-async def hand_over(harness: Harness) -> float:
-    """Seconds from an orderly end until the next holder has the task."""
+async def handover(harness: Harness) -> float:
+    """Seconds from the release of a task until the next holder has it."""
     terms = LeaseTerms(ttl=3, margin=0.4, answer=0.5)
     async with LeaseSession(harness.addresses, "two", terms) as second:
         async with LeaseSession(harness.addresses, "one", terms) as first:
@@ -143,5 +152,52 @@
         return time.perf_counter() - began
 
 
+async def idle_traffic(harness: Harness, holders: int) -> TrafficRates:
+    """The traffic of holders of one task each."""
+    async with AsyncExitStack() as stack:
+        for number in range(holders):
+            session = await stack.enter_async_context(LeaseSession(harness.addresses, f"h{number}"))
+            await session.held(session.claim(f"rest{number}"))
+        await asyncio.sleep(SETTLING_S)
+        before = relayed_bytes(harness)
+        await asyncio.sleep(IDLE_S)
+        after = relayed_bytes(harness)
+    return TrafficRates(*((b - a) / IDLE_S for a, b in zip(before, after, strict=True)))
+
+
+def relayed_bytes(harness: Harness) -> tuple[int, int]:
+    """Bytes so far between members, and between members and clients."""
+    peers = sum(relay.relayed_bytes for relay in harness.network.peer_relays.values())
+    clients = sum(relay.relayed_bytes for relay in harness.network.client_relays.values())
+    return peers, clients
+
+
+async def measure(members: int, holders: int) -> Row:
+    """Measure one size of a group."""
+    names = "abcde"[:members]
+    with tempfile.TemporaryDirectory() as folder:
+        async with Harness(Path(folder), names, 1) as harness, Client(harness.addresses) as client:
+            await harness.wait_until_available()
+            leases = await grant_leases(client, holders)
+            renewals = await request_rate(client, leases, writes=False)
+            writes = await request_rate(client, leases, writes=True)
+            leader = harness.members[await harness.wait_for_leader()]
+            leader_mb = resident_mb(leader.pid)
+            kills, partitions = [0.0], [0.0]
+            if members > 1:
+                kills = [await kill_failover(harness) for _ in range(FAILOVERS)]
+                partitions = [await partition_failover(harness) for _ in range(FAILOVERS)]
+            handover_s = await handover(harness)
+            idle = await idle_traffic(harness, holders)
+    return Row(members, holders, renewals, writes, leader_mb, kills, partitions, handover_s, idle)
+
+
+async def main(*sizes: int) -> None:
+    """Print a row for each size of a group and each number of holders."""
+    for holders in sizes or (DEFAULT_HOLDERS,):
+        for members in GROUP_SIZES:
+            print(await measure(members, holders), flush=True)
+
+
 if __name__ == "__main__":
     asyncio.run(main(*map(int, sys.argv[1:])))
--- a/heronreel/coordinator/node.py
+++ b/heronreel/coordinator/node.py
@@ -175,7 +175,7 @@
             case WatchNotified():
                 self._notify(output)
             case Elected(ballot=ballot):
-                log.info("became leader", member=self.name, round=ballot.round)
+                log.info("became leader", member=self.name, term=ballot.round)
                 self.points.reach("elected")
                 self._watch_claims()
             case Deposed():
--- /dev/null
+++ b/heronreel/fault_injection/harness.py
@@ -0,0 +1,250 @@
+"""A group of member processes behind relays, and other processes beside it."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import resource
+import signal
+import subprocess
+import sys
+from collections.abc import Mapping, Sequence
+from pathlib import Path
+from typing import Any
+
+import aiohttp
+
+from heronreel.coordination.client import Client
+from heronreel.coordination.clock import CLOCK_RATE_VARIABLE
+from heronreel.coordination.model import Range, RequestError
+from heronreel.fault_injection.errors import CommandFailedError, GroupUnhealthyError
+from heronreel.fault_injection.managed_process import ROOT, ManagedProcess
+from heronreel.fault_injection.relay_network import RelayNetwork
+
+TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.02
+HEALTH_TIMEOUT_S = 1.0
+HEALTH_POLL_INTERVAL_S = 0.05
+LEADER_TIMEOUT_S = 0.5  # of one health check, when only the leader is wanted
+GROUP_SETTINGS = "beat_ms = 50\npatience_ms = 300\nrequest_ms = 1500\neven = true"
+
+
+class Harness:
+    """Starts the members, and ends every process it started.
+
+    Attributes:
+        members: The process of each member, by name; a restarted member has another one.
+        network: The relays between members and in front of them.
+    """
+
+    def __init__(
+        self,
+        folder: Path,
+        names: Sequence[str],
+        seed: int,
+        *,
+        clock_rates: Mapping[str, float] | None = None,
+        extra_settings: str = "",
+    ) -> None:
+        """Create a harness whose members start when it is entered.
+
+        Args:
+            folder: For configurations, disks and logs.
+            names: The members.
+            seed: Determines the random faults of the network.
+            clock_rates: How fast the clocks of processes run, by name; 1 where it is left out.
+            extra_settings: Lines for the table [group] of each member's configuration.
+        """
+        self.folder = folder
+        self.names = list(names)
+        self.clock_rates = dict(clock_rates or {})
+        self.extra_settings = extra_settings
+        self.network = RelayNetwork(seed)
+        self.members: dict[str, ManagedProcess] = {}
+        self.others: list[ManagedProcess] = []
+
+    async def __aenter__(self) -> Harness:
+        for name in self.names:
+            await self.network.add_member(name)
+        await asyncio.gather(*(self.start_member(name) for name in self.names))
+        return self
+
+    async def __aexit__(self, *_: object) -> None:
+        for process in (*self.members.values(), *self.others):
+            if process.running:
+                await process.kill()
+            with (self.folder / f"{process.name}.log").open("a") as file:
+                file.writelines(f"{line}\n" for line in process.lines)
+        await self.network.stop()
+
+    # -- addresses
+
+    def address(self, name: str) -> str:
+        """Where clients reach a member, as "host:port"."""
+        return self.network.client_relays[name].address
+
+    @property
+    def addresses(self) -> list[str]:
+        """Where clients reach the members."""
+        return [self.address(name) for name in self.names]
+
+    # -- processes
+
+    async def start_member(self, name: str, **env: str) -> ManagedProcess:
+        """Start a member, or start it again; the relays find its new port."""
+        arguments = (
+            "heronreel.cli", "coordinate", str(self._write_configuration(name)), "--name", name,
+            "--folder", str(self.folder / name), "--listen", "127.0.0.1:0",
+        )  # fmt: skip
+        process = await ManagedProcess.start(name, arguments, self._environment(name, env))
+        self.members[name] = process
+        line = await process.wait_for_line('"listening"')
+        self.network.set_port(name, json.loads(line)["port"])
+        return process
+
+    async def start_process(self, name: str, *arguments: str, **env: str) -> ManagedProcess:
+        """Start another process beside the members: `python -m` with these arguments."""
+        process = await ManagedProcess.start(name, arguments, self._environment(name, env))
+        self.others.append(process)
+        return process
+
+    async def add_member(self, name: str) -> None:
+        """Start a new member, and have the others reload their configurations."""
+        await self.network.add_member(name)
+        self.names.append(name)
+        self._reload_configurations()
+        await self.start_member(name)
+
+    async def remove_member(self, name: str) -> None:
+        """Kill a member that has left the group, and have the others reload their configurations."""
+        await self.members.pop(name).kill()
+        self.names.remove(name)
+        self._reload_configurations()
+
+    def _reload_configurations(self) -> None:
+        for name, process in self.members.items():
+            self._write_configuration(name)
+            process.send_signal(signal.SIGHUP)
+
+    def _environment(self, name: str, env: dict[str, str]) -> dict[str, str]:
+        if name not in self.clock_rates:
+            return env
+        return {CLOCK_RATE_VARIABLE: f"{self.clock_rates[name]:g}", **env}
+
+    def _write_configuration(self, name: str) -> Path:
+        """A member's configuration, in which the others have the addresses of the relays towards them."""
+        lines = [f"[group]\n{GROUP_SETTINGS}\n{self.extra_settings}\n"]
+        for other in self.names:
+            address = self.address(name) if other == name else self.network.peer_relays[name, other].address
+            lines.append(f'[[members]]\nname = "{other}"\naddress = "{address}"\n')
+        file = self.folder / f"{name}.toml"
+        file.write_text("\n".join(lines))
+        return file
+
+    def run_command(self, *arguments: str, expected_code: int = 0) -> str:
+        """The output of a command of the program, given this group's addresses.
+
+        Raises:
+            CommandFailedError: It ended with another exit code.
+        """
+        members = ",".join(f"{name}={self.address(name)}" for name in self.names)
+        command = [sys.executable, "-m", "heronreel.cli", *arguments, "--members", members]
+        done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
+        if done.returncode != expected_code:
+            raise CommandFailedError(str(done))
+        return done.stdout + done.stderr
+
+    # -- faults of a single member
+
+    def fill_disk(self, name: str) -> None:
+        """Have every write of a member fail, as on a full disk: its files can't grow."""
+        self._limit_file_size(name, 0)
+
+    def free_disk(self, name: str) -> None:
+        """End `fill_disk`."""
+        _, hard_limit = resource.prlimit(self.members[name].pid, resource.RLIMIT_FSIZE)
+        self._limit_file_size(name, hard_limit)
+
+    def _limit_file_size(self, name: str, soft_limit: int) -> None:
+        pid = self.members[name].pid
+        _, hard_limit = resource.prlimit(pid, resource.RLIMIT_FSIZE)
+        resource.prlimit(pid, resource.RLIMIT_FSIZE, (soft_limit, hard_limit))
+
+    # -- the state of the group
+
+    async def wait_until_available(self, timeout_s: float = TIMEOUT_S) -> None:
+        """Wait until the group responds to a request.
+
+        Raises:
+            TimeoutError: It does not within `timeout_s` seconds.
+        """
+        async with Client(self.addresses, answer_s=0.5) as client:
+            async with asyncio.timeout(timeout_s):
+                while True:
+                    try:
+                        await client.call(Range(b"nothing"), 1.0)
+                        return
+                    except RequestError:
+                        await asyncio.sleep(POLL_INTERVAL_S)
+
+    async def health(self) -> list[str]:
+        """The response of each member's health check, or an error in words."""
+        async with _health_session(HEALTH_TIMEOUT_S) as session:
+            return [await self._health_text(session, name) for name in self.names]
+
+    async def _health_text(self, session: aiohttp.ClientSession, name: str) -> str:
+        try:
+            async with session.get(f"http://{self.address(name)}/health") as response:
+                return await response.text()
+        except (aiohttp.ClientError, TimeoutError, OSError) as error:
+            return f"{name}: {error!r}"
+
+    async def wait_for_leader(self, timeout_s: float = TIMEOUT_S) -> str:
+        """The name of a member that is the leader.
+
+        Raises:
+            TimeoutError: There is none within `timeout_s` seconds.
+        """
+        async with _health_session(LEADER_TIMEOUT_S) as session, asyncio.timeout(timeout_s):
+            while True:
+                for name in self.names:
+                    (row,) = _parsed([await self._health_text(session, name)]) or [{}]
+                    if row.get("role") == "leader":
+                        return name
+                await asyncio.sleep(POLL_INTERVAL_S)
+
+    async def wait_until_healthy(self, timeout_s: float = TIMEOUT_S) -> None:
+        """Wait until there is one leader, and every member follows it with a disk that is in the group.
+
+        Raises:
+            GroupUnhealthyError: That is not so within `timeout_s` seconds.
+        """
+        loop = asyncio.get_running_loop()
+        deadline = loop.time() + timeout_s
+        while True:
+            responses = await self.health()
+            if _is_healthy(_parsed(responses), len(self.names)):
+                return
+            if loop.time() >= deadline:
+                raise GroupUnhealthyError(f"not healthy within {timeout_s:g} s: {responses}")
+            await asyncio.sleep(HEALTH_POLL_INTERVAL_S)
+
+
+def _health_session(timeout_s: float) -> aiohttp.ClientSession:
+    return aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=timeout_s))
+
+
+def _parsed(responses: Sequence[str]) -> list[dict[str, Any]]:
+    """The rows of those members that responded."""
+    return [json.loads(response) for response in responses if response.startswith("{")]
+
+
+def _is_healthy(rows: Sequence[dict[str, Any]], size: int) -> bool:
+    leaders = [row for row in rows if row["role"] == "leader"]
+    if len(rows) != size or len(leaders) != 1:
+        return False
+    (leader,) = leaders
+    return all(
+        row["version"][:2] == leader["version"][:2] and leader["disks"].get(row["member"]) == row["disk"]
+        for row in rows
+    )
--- a/heronreel/fault_injection/histories.py
+++ b/heronreel/fault_injection/histories.py
@@ -1,7 +1,7 @@
-"""What processes saw, on the one clock of the machine: lines of JSON, one a file a process.
+"""Histories of what processes did and saw, on the one clock of the machine.
 
-A line is written when a call begins and another when it ends, so that a process that is ended in between
-leaves a call of which nobody knows whether it was done.
+Each process appends lines of JSON to a file of its own: one when an operation starts and one when it ends,
+so that a process that is killed in between leaves an operation whose outcome is unknown.
 """
 
 from __future__ import annotations
@@ -13,63 +13,81 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
+UNKNOWN_END = float("inf")
 
-class Call(NamedTuple):
-    """One call by one process: from `begin` until `end`, which is infinite where no answer came."""
 
-    by: str
-    what: str
-    given: Any
-    begin: float
-    end: float
-    result: Any  # None with an infinite end: nobody knows
+class Operation(NamedTuple):
+    """One operation by one process.
+
+    Times are seconds of the machine's monotonic clock.
+    """
+
+    process: str
+    kind: str
+    arguments: Any
+    start: float
+    end: float  # UNKNOWN_END if there was no response
+    result: Any  # None with UNKNOWN_END
 
     @property
-    def known(self) -> bool:
-        return self.end != float("inf")
+    def completed(self) -> bool:
+        """Whether the process got a response."""
+        return self.end != UNKNOWN_END
 
 
-class History:
-    """One process's own file."""
+class HistoryWriter:
+    """Writes the history of one process."""
 
-    def __init__(self, path: Path, by: str) -> None:
-        self.by = by
+    def __init__(self, path: Path, process: str) -> None:
+        """Append to the file at `path`, which is created if needed."""
+        self.process = process
         self.file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o600)
         self.count = 0
 
-    def begin(self, what: str, given: Any = None) -> str:
+    def start(self, kind: str, arguments: Any = None) -> str:
+        """Record the start of an operation; returns its id, for `end`."""
         self.count += 1
-        number = f"{os.getpid()}.{self.count}"  # a process begun anew goes on in the same file
-        self._write({"n": number, "what": what, "given": given})
-        return number
+        operation_id = f"{os.getpid()}.{self.count}"  # unique when a restarted process uses the same file
+        self._write({"id": operation_id, "kind": kind, "arguments": arguments})
+        return operation_id
 
-    def end(self, number: str, result: Any) -> None:
-        self._write({"n": number, "result": result})
+    def end(self, operation_id: str, result: Any) -> None:
+        """Record an operation's end."""
+        self._write({"id": operation_id, "result": result})
 
     def _write(self, row: dict[str, Any]) -> None:
-        row |= {"at": time.clock_gettime(time.CLOCK_MONOTONIC), "by": self.by}
+        row |= {"at": time.clock_gettime(time.CLOCK_MONOTONIC), "process": self.process}
         os.write(self.file, json.dumps(row).encode() + b"\n")
 
     def close(self) -> None:
+        """Close the file."""
         os.close(self.file)
 
 
-def read(paths: Iterable[Path]) -> list[Call]:
-    """All calls of these files, by the time they began.  A last line cut off by an end of its process is
-    none.
+def read_histories(paths: Iterable[Path]) -> list[Operation]:
+    """All operations in these files, by the time they started.
+
+    A last line that was cut off by the end of its process is ignored.
     """
-    calls: list[Call] = []
+    operations: list[Operation] = []
     for path in paths:
-        open_: dict[tuple[str, str], Call] = {}
-        for line in path.read_bytes().splitlines():
-            try:
-                row = json.loads(line)
-            except ValueError:
-                continue
-            mark = row["by"], row["n"]
-            if "what" in row:
-                open_[mark] = Call(row["by"], row["what"], row["given"], row["at"], float("inf"), None)
-            else:
-                calls.append(open_.pop(mark)._replace(end=row["at"], result=row["result"]))
-        calls += open_.values()
-    return sorted(calls, key=lambda call: call.begin)
+        operations += _read_history(path)
+    return sorted(operations, key=lambda operation: operation.start)
+
+
+def _read_history(path: Path) -> list[Operation]:
+    operations: list[Operation] = []
+    pending: dict[tuple[str, str], Operation] = {}
+    for line in path.read_bytes().splitlines():
+        try:
+            row = json.loads(line)
+        except ValueError:
+            continue
+        key = row["process"], row["id"]
+        if "kind" in row:
+            pending[key] = Operation(
+                row["process"], row["kind"], row["arguments"], row["at"], UNKNOWN_END, None
+            )
+        else:
+            operations.append(pending.pop(key)._replace(end=row["at"], result=row["result"]))
+    return [*operations, *pending.values()]
--- /dev/null
+++ b/heronreel/fault_injection/lease_terms.py
@@ -0,0 +1,13 @@
+"""The lease terms of the processes under test."""
+
+from __future__ import annotations
+
+from heronreel.leases.lease import LeaseTerms
+
+MARGIN_SHARE = 0.15  # of the time to live
+RESPONSE_SHARE = 0.15
+
+
+def lease_terms(ttl_s: int) -> LeaseTerms:
+    """Terms for a lease of `ttl_s` seconds, which may be shorter than the product's default."""
+    return LeaseTerms(ttl=ttl_s, margin=MARGIN_SHARE * ttl_s, answer=RESPONSE_SHARE * ttl_s)
--- /dev/null
+++ b/heronreel/fault_injection/managed_process.py
@@ -0,0 +1,121 @@
+"""A child process whose output is read while it runs."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import signal
+import sys
+from collections.abc import Mapping, Sequence
+from pathlib import Path
+
+from heronreel.fault_injection.errors import LogLineMissingError
+
+ROOT = Path(__file__).parents[2]  # of the repository
+LINE_TIMEOUT_S = 30.0
+EXIT_TIMEOUT_S = 20.0
+SHOWN_LINES = 5  # of the output, in an error
+
+
+class ManagedProcess:
+    """A process running a module of the program.
+
+    Attributes:
+        lines: What it printed so far, on standard output and standard error.
+    """
+
+    def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
+        """Read the output of `process`, whose streams are pipes."""
+        self.name = name
+        self.process = process
+        self.lines: list[str] = []
+        self.line_read = asyncio.Condition()
+        streams = (process.stdout, process.stderr)
+        self.readers = [asyncio.create_task(self._read(each)) for each in streams if each is not None]
+
+    @classmethod
+    async def start(
+        cls, name: str, arguments: Sequence[str], env: Mapping[str, str] | None = None
+    ) -> ManagedProcess:
+        """Run `python -m` with these arguments; `env` is added to the environment."""
+        process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            *arguments,
+            cwd=ROOT,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+            env={**os.environ, **(env or {})},
+        )
+        return cls(name, process)
+
+    async def _read(self, stream: asyncio.StreamReader) -> None:
+        while line := await stream.readline():
+            async with self.line_read:
+                self.lines.append(line.decode(errors="replace").rstrip())
+                self.line_read.notify_all()
+        async with self.line_read:
+            self.line_read.notify_all()
+
+    def _find_line(self, words: Sequence[str]) -> str | None:
+        return next((line for line in self.lines if all(word in line for word in words)), None)
+
+    async def wait_for_line(self, *words: str, timeout_s: float = LINE_TIMEOUT_S) -> str:
+        """The first line that contains all the words.
+
+        Raises:
+            LogLineMissingError: The process ended without it, or `timeout_s` seconds passed.
+        """
+        try:
+            async with asyncio.timeout(timeout_s), self.line_read:
+                await self.line_read.wait_for(
+                    lambda: self._find_line(words) or self.process.returncode is not None
+                )
+        except TimeoutError:
+            pass
+        line = self._find_line(words)
+        if line is None:
+            raise LogLineMissingError(f"{self.name}: no line with {words}: {self.lines[-SHOWN_LINES:]}")
+        return line
+
+    @property
+    def pid(self) -> int:
+        """The process's id."""
+        return self.process.pid
+
+    @property
+    def exit_code(self) -> int | None:
+        """Its exit code; negative for a signal, and None while it runs."""
+        return self.process.returncode
+
+    @property
+    def running(self) -> bool:
+        """Whether it has not ended."""
+        return self.exit_code is None
+
+    def send_signal(self, number: int) -> None:
+        """Send a signal, unless the process has ended."""
+        if self.running:
+            self.process.send_signal(number)
+
+    def pause(self) -> None:
+        """Stop it until `resume`."""
+        self.send_signal(signal.SIGSTOP)
+
+    def resume(self) -> None:
+        """Let it go on."""
+        self.send_signal(signal.SIGCONT)
+
+    async def kill(self) -> None:
+        """End it with SIGKILL, and wait for that."""
+        self.send_signal(signal.SIGKILL)
+        await self.wait_for_exit()
+
+    async def wait_for_exit(self, timeout_s: float = EXIT_TIMEOUT_S) -> int:
+        """The exit code.
+
+        Raises:
+            TimeoutError: It did not end within `timeout_s` seconds.
+        """
+        async with asyncio.timeout(timeout_s):
+            return await self.process.wait()
--- a/heronreel/fault_injection/relay.py
+++ b/heronreel/fault_injection/relay.py
@@ -1,7 +1,7 @@
-"""What lies between two processes: a TCP relay on loopback that can be told to do harm.
+"""A TCP relay on the loopback interface that injects network faults.
 
-Each direction has its own harm, so a cut may be of one way only.  Bytes that are held back by a cut are never
-given on later: the connection they belong to ends when the cut does.
+Each direction has faults of its own, so that a partition may be one-way.  Bytes that a partition swallows
+are never delivered later: when it heals, the connections they belong to are reset.
 """
 
 from __future__ import annotations
@@ -10,124 +10,144 @@
 from dataclasses import dataclass
 from random import Random
 
-PIECE = 64 << 10
+CHUNK_BYTES = 64 << 10
+TRICKLE_INTERVAL_S = 0.01
+MAX_DUPLICATE_DELAY_S = 0.2
+DUPLICATE_TIMEOUT_S = 1.0
 
 
 @dataclass
-class Harm:
-    """What happens to the bytes of one direction."""
+class LinkFaults:
+    """The faults of one direction.
 
-    cut: bool = False  # nothing goes through, and nobody is told
-    delay: float = 0.0  # seconds, at most, drawn for each piece: connections overtake one another
-    trickle: int = 0  # bytes a hundredth of a second; 0: as fast as they come
+    Attributes:
+        partitioned: Bytes are swallowed, and neither side is notified.
+        max_delay_s: The delay of each chunk is drawn below it, so that connections overtake one another.
+        trickle_bytes: How many bytes pass each TRICKLE_INTERVAL_S; 0 for no limit.
+    """
+
+    partitioned: bool = False
+    max_delay_s: float = 0.0
+    trickle_bytes: int = 0
 
 
 class Relay:
-    """One address before another: `out` is towards the target, `back` is its answers.
+    """One address in front of another.
 
-    A request of HTTP that goes through while `back` is cut is one whose answer is lost.  `twice` sends what
-    comes as the first piece of a new connection on a second connection as well, whose answers nobody sees.
+    Attributes: requests: The faults of the direction towards the target. responses: The faults of the
+        direction back. duplicate_probability: How often the first chunk of a connection is sent on a second
+        connection as well, whose response is dropped. relayed_bytes: Received so far, in both directions.
     """
 
     def __init__(self, target: tuple[str, int], random: Random) -> None:
+        """Create a relay that `start` opens; `random` draws delays and duplicates."""
         self.target = target
         self.random = random
-        self.out = Harm()
-        self.back = Harm()
-        self.twice = 0.0  # the share of connections whose first piece is doubled
-        self.refuse = False  # new connections end at once
+        self.requests = LinkFaults()
+        self.responses = LinkFaults()
+        self.duplicate_probability = 0.0
         self.port = 0
-        self.bytes = 0  # that came, in both directions
+        self.relayed_bytes = 0
         self.server: asyncio.Server | None = None
-        self.pairs: set[tuple[asyncio.StreamWriter, asyncio.StreamWriter]] = set()
+        self.connections: set[tuple[asyncio.StreamWriter, asyncio.StreamWriter]] = set()
         self.tasks: set[asyncio.Task[None]] = set()
 
     @property
     def address(self) -> str:
+        """Where the relay listens, as "host:port"."""
         return f"127.0.0.1:{self.port}"
 
     async def start(self) -> Relay:
+        """Listen on a free port."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     async def stop(self) -> None:
+        """Stop listening and reset all connections."""
         if self.server is not None:
             self.server.close()
-        self.reset()
+        self.reset_connections()
         for task in list(self.tasks):
             task.cancel()
 
-    def reset(self) -> None:
-        """End all connections with a reset."""
-        for near, far in list(self.pairs):
-            near.transport.abort()
-            far.transport.abort()
+    def reset_connections(self) -> None:
+        """Abort all connections on both sides."""
+        for client, target in list(self.connections):
+            client.transport.abort()
+            target.transport.abort()
 
     def heal(self) -> None:
-        """No more harm; what was cut is reset, so that both ends learn of it."""
-        harmed = self.out.cut or self.back.cut
-        self.out, self.back, self.twice, self.refuse = Harm(), Harm(), 0.0, False
-        if harmed:
-            self.reset()
+        """End all faults; connections that were partitioned are reset, so that both sides are notified."""
+        was_partitioned = self.requests.partitioned or self.responses.partitioned
+        self.requests, self.responses = LinkFaults(), LinkFaults()
+        self.duplicate_probability = 0.0
+        if was_partitioned:
+            self.reset_connections()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.refuse:
-            writer.transport.abort()
-            return
         try:
-            far_reader, far = await asyncio.open_connection(*self.target)
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
         except OSError:
             writer.transport.abort()
             return
-        pair = writer, far
-        self.pairs.add(pair)
-        ways = [
-            asyncio.ensure_future(self._pass(reader, far, out=True)),
-            asyncio.ensure_future(self._pass(far_reader, writer, out=False)),
+        connection = writer, target_writer
+        self.connections.add(connection)
+        directions = [
+            asyncio.create_task(self._pump(reader, target_writer, towards_target=True)),
+            asyncio.create_task(self._pump(target_reader, writer, towards_target=False)),
         ]
-        self.tasks.update(ways)
-        await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
-        for way in ways:
-            way.cancel()
-            self.tasks.discard(way)
-        self.pairs.discard(pair)
+        self.tasks.update(directions)
+        await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
+        for direction in directions:
+            direction.cancel()
+            self.tasks.discard(direction)
+        self.connections.discard(connection)
         writer.transport.abort()
-        far.transport.abort()
+        target_writer.transport.abort()
 
-    async def _pass(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, out: bool) -> None:
-        first = out
+    async def _pump(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, towards_target: bool
+    ) -> None:
+        may_duplicate = towards_target
         try:
-            while piece := await reader.read(PIECE):
-                self.bytes += len(piece)
-                harm = self.out if out else self.back
-                if harm.cut:
+            while chunk := await reader.read(CHUNK_BYTES):
+                self.relayed_bytes += len(chunk)
+                faults = self.requests if towards_target else self.responses
+                if faults.partitioned:
                     continue
-                if harm.delay:
-                    await asyncio.sleep(harm.delay * self.random.random())
-                if first and self.twice and self.random.random() < self.twice:
-                    double = asyncio.ensure_future(self._double(piece))
-                    self.tasks.add(double)
-                    double.add_done_callback(self.tasks.discard)
-                first = False
-                if harm.trickle:
-                    for place in range(0, len(piece), harm.trickle):
-                        writer.write(piece[place : place + harm.trickle])
-                        await asyncio.sleep(0.01)
-                else:
-                    writer.write(piece)
-                await writer.drain()
+                if faults.max_delay_s:
+                    await asyncio.sleep(faults.max_delay_s * self.random.random())
+                if may_duplicate:
+                    self._maybe_duplicate(chunk)
+                may_duplicate = False
+                await self._write(writer, chunk, faults)
         except (ConnectionError, OSError):
             return
 
-    async def _double(self, piece: bytes) -> None:
-        """The same bytes again, a little later, over a connection of their own."""
-        await asyncio.sleep(0.2 * self.random.random())
+    async def _write(self, writer: asyncio.StreamWriter, chunk: bytes, faults: LinkFaults) -> None:
+        if faults.trickle_bytes:
+            for offset in range(0, len(chunk), faults.trickle_bytes):
+                writer.write(chunk[offset : offset + faults.trickle_bytes])
+                await asyncio.sleep(TRICKLE_INTERVAL_S)
+        else:
+            writer.write(chunk)
+        await writer.drain()
+
+    def _maybe_duplicate(self, chunk: bytes) -> None:
+        if self.duplicate_probability and self.random.random() < self.duplicate_probability:
+            task = asyncio.create_task(self._send_duplicate(chunk))
+            self.tasks.add(task)
+            task.add_done_callback(self.tasks.discard)
+
+    async def _send_duplicate(self, chunk: bytes) -> None:
+        """Send the chunk a little later, on a connection of its own."""
+        await asyncio.sleep(MAX_DUPLICATE_DELAY_S * self.random.random())
         try:
             reader, writer = await asyncio.open_connection(*self.target)
-            writer.write(piece)
-            async with asyncio.timeout(1.0):
-                await reader.read(PIECE)
+            writer.write(chunk)
+            async with asyncio.timeout(DUPLICATE_TIMEOUT_S):
+                await reader.read(CHUNK_BYTES)
             writer.transport.abort()
         except (OSError, TimeoutError):
             return
--- a/heronreel/fault_injection/schedule.py
+++ b/heronreel/fault_injection/schedule.py
@@ -1,71 +1,135 @@
-"""Seeded faults between processes, and the fewest of them that still fail."""
+"""Seeded schedules of faults between processes, and shrinking of a schedule that fails."""
 
 from __future__ import annotations
 
+import enum
 import random
 from collections.abc import Awaitable, Callable, Sequence
 from typing import NamedTuple
 
-MEMBER_KINDS = ("kill", "stop", "cut", "one-way", "slow", "reset", "lose-disk")
-CLIENT_KINDS = ("lost-answers", "twice", "trickle", "reset-clients")
-WORKER_KINDS = ("stop-worker", "kill-worker")
-HOLDER = "holder"  # whoever holds the task when the fault begins
+MAX_SHRINK_ATTEMPTS = 40
+
+
+class FaultKind(enum.StrEnum):
+    """What happens to the target."""
+
+    KILL = "kill"
+    PAUSE = "pause"
+    PARTITION = "partition"  # from all other members
+    ONE_WAY_PARTITION = "one-way-partition"  # of the messages to one other member
+    DELAY = "delay"  # of the messages to one other member
+    RESET = "reset"  # of the connections to all other members
+    LOSE_DISK = "lose-disk"
+    LOSE_RESPONSES = "lose-responses"  # to clients
+    DUPLICATE_REQUESTS = "duplicate-requests"  # of clients
+    TRICKLE = "trickle"  # clients' requests arrive a few bytes at a time
+    RESET_CLIENTS = "reset-clients"
+    PAUSE_WORKER = "pause-worker"
+    KILL_WORKER = "kill-worker"
+
+
+MEMBER_FAULTS = (
+    FaultKind.KILL,
+    FaultKind.PAUSE,
+    FaultKind.PARTITION,
+    FaultKind.ONE_WAY_PARTITION,
+    FaultKind.DELAY,
+    FaultKind.RESET,
+    FaultKind.LOSE_DISK,
+)
+SINGLE_MEMBER_FAULTS = (FaultKind.KILL, FaultKind.PAUSE)  # of a group of one
+LINK_FAULTS = (FaultKind.ONE_WAY_PARTITION, FaultKind.DELAY)  # those that have a peer
+CLIENT_FAULTS = (
+    FaultKind.LOSE_RESPONSES,
+    FaultKind.DUPLICATE_REQUESTS,
+    FaultKind.TRICKLE,
+    FaultKind.RESET_CLIENTS,
+)
+WORKER_FAULTS = (FaultKind.PAUSE_WORKER, FaultKind.KILL_WORKER)
+HOLDER = "holder"  # a target: whichever worker holds the lease when the fault begins
 
 
 class Fault(NamedTuple):
-    """From `at` for `seconds`, both in seconds since the schedule began."""
+    """One fault, whose times are in seconds since the schedule began."""
 
-    at: float
-    seconds: float
-    kind: str
-    who: str
-    other: str = ""
+    start_s: float
+    duration_s: float
+    kind: FaultKind
+    target: str
+    peer: str = ""  # for LINK_FAULTS: the other member
 
     def __str__(self) -> str:
-        whom = f"{self.who} and {self.other}" if self.other else self.who
-        return f"{self.at:5.2f} s for {self.seconds:.2f} s: {self.kind} {whom}"
+        targets = f"{self.target} and {self.peer}" if self.peer else self.target
+        return f"{self.start_s:5.2f} s for {self.duration_s:.2f} s: {self.kind} {targets}"
 
 
-def drawn(seed: int, members: Sequence[str], workers: Sequence[str], seconds: float) -> list[Fault]:
-    """Faults that leave a majority of the members alone at any time: one member at a time is harmed, and
-    ways to clients and workers may be harmed beside it.
+def random_schedule(seed: int, members: Sequence[str], workers: Sequence[str], seconds: float) -> list[Fault]:
+    """A schedule that leaves a majority of the members alone at any time.
+
+    One member at a time has a fault; connections to clients and workers may have others beside it.
     """
     rng = random.Random(f"faults {seed}")
+    faults = _member_faults(rng, members, seconds)
+    faults += _client_faults(rng, members, seconds)
+    faults += _worker_faults(rng, workers, seconds)
+    return sorted(faults)
+
+
+def _member_faults(rng: random.Random, members: Sequence[str], seconds: float) -> list[Fault]:
+    faults: list[Fault] = []
+    start = rng.uniform(0.2, 0.8)
+    while start < seconds - 1.0:
+        target, peer = rng.sample(list(members), 2) if len(members) > 1 else (members[0], "")
+        kind = rng.choice(MEMBER_FAULTS if len(members) > 1 else SINGLE_MEMBER_FAULTS)
+        duration = rng.uniform(0.3, 2.5)
+        faults.append(Fault(start, duration, kind, target, peer if kind in LINK_FAULTS else ""))
+        start += duration + rng.uniform(0.8, 1.6)  # a member recovers before the next one has a fault
+    return faults
+
+
+def _client_faults(rng: random.Random, members: Sequence[str], seconds: float) -> list[Fault]:
     faults: list[Fault] = []
-    at = rng.uniform(0.2, 0.8)
-    while at < seconds - 1.0:
-        who, other = rng.sample(list(members), 2) if len(members) > 1 else (members[0], "")
-        kind = rng.choice(MEMBER_KINDS if len(members) > 1 else ("kill", "stop"))
-        length = rng.uniform(0.3, 2.5)
-        faults.append(Fault(at, length, kind, who, other if kind in ("one-way", "slow") else ""))
-        at += length + rng.uniform(0.8, 1.6)  # whoever was harmed is back before the next is
     for _ in range(rng.randrange(2, 5)):
-        at, length = rng.uniform(0.2, seconds - 1.0), rng.uniform(0.2, 1.5)
-        faults.append(Fault(at, length, rng.choice(CLIENT_KINDS), rng.choice(list(members))))
+        start, duration = rng.uniform(0.2, seconds - 1.0), rng.uniform(0.2, 1.5)
+        faults.append(Fault(start, duration, rng.choice(CLIENT_FAULTS), rng.choice(list(members))))
+    return faults
+
+
+def _worker_faults(rng: random.Random, workers: Sequence[str], seconds: float) -> list[Fault]:
+    faults: list[Fault] = []
     for _ in range(rng.randrange(2, 5)):
-        at, length = rng.uniform(0.5, seconds - 1.0), rng.uniform(0.5, 4.0)
-        who = HOLDER if rng.random() < 0.7 else rng.choice(list(workers))
-        faults.append(Fault(at, length, rng.choice(WORKER_KINDS), who))
-    return sorted(faults)
+        start, duration = rng.uniform(0.5, seconds - 1.0), rng.uniform(0.5, 4.0)
+        target = HOLDER if rng.random() < 0.7 else rng.choice(list(workers))
+        faults.append(Fault(start, duration, rng.choice(WORKER_FAULTS), target))
+    return faults
 
 
-async def shortened(
-    faults: Sequence[Fault], fails: Callable[[Sequence[Fault]], Awaitable[bool]], tries: int = 40
+async def shrink(
+    faults: Sequence[Fault],
+    fails: Callable[[Sequence[Fault]], Awaitable[bool]],
+    max_attempts: int = MAX_SHRINK_ATTEMPTS,
 ) -> list[Fault]:
-    """Fewest faults that still fail, by leaving out halves, then quarters, and so on, then single ones."""
-    left = list(faults)
-    size = max(1, len(left) // 2)
-    while tries > 0 and left:
-        for first in range(0, len(left), size):
-            fewer = left[:first] + left[first + size :]
-            tries -= 1
-            if await fails(fewer):
-                left = fewer
+    """A smaller schedule that still fails, found by leaving out halves, then quarters, down to single faults.
+
+    Args:
+        faults: A schedule that fails.
+        fails: Whether a schedule fails.
+        max_attempts: How often to call `fails` at most.
+    """
+    remaining = list(faults)
+    size = max(1, len(remaining) // 2)
+    attempts = 0
+    while attempts < max_attempts and remaining:
+        for first in range(0, len(remaining), size):
+            candidate = remaining[:first] + remaining[first + size :]
+            attempts += 1
+            if await fails(candidate):
+                remaining = candidate
                 break
-            if tries <= 0:
-                return left
+            if attempts >= max_attempts:
+                return remaining
         else:
             if size == 1:
-                return left
+                return remaining
             size //= 2
-    return left
+    return remaining
--- a/heronreel/fault_injection/trial.py
+++ b/heronreel/fault_injection/trial.py
@@ -1,203 +1,166 @@
-"""One trial of leases between processes: members, workers on one task, a guarded place, seeded faults,
-judges.
-
-`judged` looks only at what the place took and at when workers began: nothing that the group or a worker
-says of itself counts.
-"""
+"""One trial: a group, workers that compete for a task, a guarded resource, seeded faults, and checkers."""
 
 from __future__ import annotations
 
 import asyncio
-import random
 from collections.abc import Mapping, Sequence
 from pathlib import Path
-from typing import Any, NamedTuple
-
-from heronreel.coordination.client import Client
-from heronreel.coordination.model import (
-    Compare,
-    CompareOperator,
-    CompareTarget,
-    Put,
-    Range,
-    RangeResponse,
-    RequestError,
-    Txn,
-    TxnResponse,
-)
-from heronreel.fault_injection.histories import Call, History, read
-from heronreel.fault_injection.linear import CAS, READ, wrong
-from heronreel.fault_injection.processes import Harness, Process
-from heronreel.fault_injection.schedule import Fault, drawn
-
-KEYS = ("x", "y", "z")
-
-
-class Outcome(NamedTuple):
-    """What a trial came to; `problems` is empty where every promise was kept."""
-
-    problems: tuple[str, ...]
-    steps: int  # taken by the place
-    holders: int  # grants that acted
-    refused: int  # actions of holders that had been followed
-    calls: int  # in the history of compare-and-set
+from typing import NamedTuple
+
+from heronreel.fault_injection import fencing_check, linearizability
+from heronreel.fault_injection.errors import HarnessError
+from heronreel.fault_injection.fault_injector import FaultInjector
+from heronreel.fault_injection.harness import Harness
+from heronreel.fault_injection.histories import HistoryWriter, Operation, read_histories
+from heronreel.fault_injection.managed_process import ManagedProcess
+from heronreel.fault_injection.register_client import RegisterClient
+from heronreel.fault_injection.resource_client import ResourceEvent
+from heronreel.fault_injection.schedule import Fault, random_schedule
+
+REGISTER_CLIENTS = 4
+POLL_INTERVAL_S = 0.02
+
+
+class TrialSettings(NamedTuple):
+    """What takes part in a trial, and for how long."""
+
+    members: Sequence[str] = ("a", "b", "c")
+    workers: int = 8
+    schedule_s: float = 12.0
+    lease_ttl_s: int = 2
+    recovery_timeout_s: float = 15.0  # from the end of the faults to the next step
+    clock_rates: Mapping[str, float] | None = None  # of members and workers, by name
+
+    @property
+    def worker_names(self) -> list[str]:
+        """The names of the workers."""
+        return [f"w{number}" for number in range(self.workers)]
+
+    def random_schedule(self, seed: int) -> list[Fault]:
+        """The faults of the trial with this seed."""
+        return random_schedule(seed, self.members, self.worker_names, self.schedule_s)
+
+
+class TrialResult(NamedTuple):
+    """What a trial came to."""
+
+    problems: tuple[str, ...]  # empty if every guarantee was kept
+    steps: int  # accepted by the resource
+    grants: int  # fencing tokens under which steps were accepted
+    rejected: int  # writes of former holders
+    operations: int  # on registers
     recovery_s: float  # from the end of the faults to the next step
 
 
-async def trial(
-    folder: Path,
-    seed: int,
-    *,
-    members: Sequence[str] = ("a", "b", "c"),
-    workers: int = 8,
-    seconds: float = 12.0,
-    ttl: int = 2,
-    faults: Sequence[Fault] | None = None,
-    within: float = 15.0,
-    rates: Mapping[str, float] | None = None,
-) -> Outcome:
-    """Play the schedule of `seed`, or `faults`, and judge it.  After the faults a step has to come
-    `within`.  `rates` of the clocks as members and workers see them, by name.
+async def run_trial(
+    folder: Path, seed: int, settings: TrialSettings, schedule: Sequence[Fault] | None = None
+) -> TrialResult:
+    """Run a trial and check what came of it.
+
+    Args:
+        folder: For configurations, disks, logs and histories.
+        seed: Determines the schedule, the network's faults and the clients' operations.
+        settings: What takes part.
+        schedule: Faults to inject in place of those of `seed`.
     """
-    names = [f"w{number}" for number in range(workers)]
-    plan = drawn(seed, members, names, seconds) if faults is None else list(faults)
-    async with Harness(folder, members, seed, rates=rates) as harness:
-        place_history = folder / "place.history"
-        table = str(folder / "place")
-        place = await harness.run("place", "heronreel.fault_injection.place", table, str(place_history))
-        port = (await place.line("listens")).split()[1]
-        again = {
-            name: [
-                "heronreel.fault_injection.worker",
-                name,
-                str(folder / f"{name}.history"), f"127.0.0.1:{port}",
-                str(ttl), *harness.addresses,
-            ]
-            for name in names
-        }  # fmt: skip
-        await harness.serves()
-        running: dict[str, Process] = {name: await harness.run(name, *again[name]) for name in names}
-        stop = asyncio.Event()
-        clients = [
-            asyncio.ensure_future(_registers(harness, folder, seed, number, stop)) for number in range(4)
-        ]
-        await _step(place_history, 1, within)
+    faults = settings.random_schedule(seed) if schedule is None else schedule
+    async with Harness(folder, settings.members, seed, clock_rates=settings.clock_rates) as harness:
+        trial = _Trial(harness, seed, settings)
+        await trial.start()
+        problems, recovery_s = await trial.run(faults)
+        await trial.stop()
+    return trial.result(problems, recovery_s)
+
+
+class _Trial:
+    def __init__(self, harness: Harness, seed: int, settings: TrialSettings) -> None:
+        self.harness = harness
+        self.folder = harness.folder
+        self.seed = seed
+        self.settings = settings
+        self.resource_history = self.folder / "resource.history"
+        self.commands: dict[str, list[str]] = {}  # arguments of the workers
+        self.workers: dict[str, ManagedProcess] = {}
+        self.clients: list[asyncio.Task[None]] = []
+        self.stopping = asyncio.Event()
+
+    def _worker_history(self, name: str) -> Path:
+        return self.folder / f"{name}.history"
+
+    async def start(self) -> None:
+        """Start all processes and clients, and wait for the first step."""
+        port = await start_resource(self.harness, self.folder / "resource", self.resource_history)
+        for name in self.settings.worker_names:
+            self.commands[name] = [
+                "heronreel.fault_injection.worker", name, str(self._worker_history(name)),
+                f"127.0.0.1:{port}", str(self.settings.lease_ttl_s), *self.harness.addresses,
+            ]  # fmt: skip
+        await self.harness.wait_until_available()
+        for name, command in self.commands.items():
+            self.workers[name] = await self.harness.start_process(name, *command)
+        for number in range(REGISTER_CLIENTS):
+            history = HistoryWriter(self.folder / f"client{number}.history", f"c{number}")
+            client = RegisterClient(self.seed, number, history)
+            self.clients.append(asyncio.create_task(client.run(self.harness.addresses, self.stopping)))
+        await self._wait_for_events(1)
+
+    async def run(self, schedule: Sequence[Fault]) -> tuple[list[str], float]:
+        """Inject the faults; returns the problems, and the seconds until the next step after them."""
         loop = asyncio.get_running_loop()
         problems: list[str] = []
         try:
-            await harness.play(plan, running, again)
-        except AssertionError as error:
+            await FaultInjector(self.harness, self.workers, self.commands).run(schedule)
+        except HarnessError as error:
             problems.append(str(error))
         ended = loop.time()
         try:
-            await _step(place_history, len(read([place_history])) + 1, within)
+            await self._wait_for_events(len(read_histories([self.resource_history])) + 1)
         except TimeoutError:
-            problems.append(f"no step within {within:g} s of the last fault")
-            problems += await harness.health()
-        recovery = loop.time() - ended
-        stop.set()
-        await asyncio.gather(*clients)
-        for process in running.values():
-            process.stop()  # nothing more is written while the judges read
-    histories = [folder / f"{name}.history" for name in names]
-    placed = read([place_history])
-    acts = read(path for path in histories if path.exists())
-    registers = read(folder.glob("client*.history"))
-    problems += judged(placed, acts)
-    if why := wrong(registers):
-        problems.append(why)
-    taken = [call for call in placed if call.what == "taken"]
-    return Outcome(
-        tuple(problems), len(taken), len({call.given["number"] for call in taken}),
-        sum(call.what == "refused" for call in placed), len(registers), recovery,
-    )  # fmt: skip
-
-
-async def _step(history: Path, count: int, within: float) -> None:
-    """Wait until the place has that many lines."""
-    async with asyncio.timeout(within):
-        while not history.exists() or history.read_bytes().count(b"\n") < count:
-            await asyncio.sleep(0.02)
-
-
-def judged(placed: Sequence[Call], acts: Sequence[Call]) -> list[str]:
-    """What is wrong with the order in which the place took things; `acts` has when workers began."""
-    problems: list[str] = []
-    greatest = 0
-    step = 0
-    holder: dict[int, str] = {}  # by number
-    begun: dict[tuple[str, int, int], float] = {}  # an action's first begin
-    for call in acts:
-        number, wanted = call.given
-        begun.setdefault((call.by, number, wanted), call.begin)
-    last: tuple[float, str] = (0.0, "")  # when something was taken last, and of whom
-    for call in placed:
-        row: dict[str, Any] = call.given
-        number, by = row["number"], row["by"]
-        if call.what not in ("entered", "taken"):
-            continue
-        if number < greatest:
-            problems.append(f"number {number} of {by} is taken after {greatest}")
-        greatest = max(greatest, number)
-        if holder.setdefault(number, by) != by:
-            problems.append(f"number {number} is of {holder[number]} and of {by}")
-        if call.what == "entered":
-            continue
-        if row["step"] != step + 1:
-            problems.append(f"step {row['step']} is taken after step {step}")
-        step = row["step"]
-        start = begun.get((by, number, step))
-        if start is None:
-            problems.append(f"step {step} of {by} was never begun")
-        elif last[1] and last[1] != by and start < last[0]:
-            problems.append(f"step {step} of {by} began while {last[1]} acted")
-        last = call.begin, by
-    return problems
-
-
-async def _registers(harness: Harness, folder: Path, seed: int, number: int, stop: asyncio.Event) -> None:
-    """Read, write and compare-and-set a few keys, and keep what was seen."""
-    rng = random.Random(f"client {seed} {number}")
-    history = History(folder / f"client{number}.history", f"c{number}")
-    first = rng.randrange(len(harness.addresses))
-    addresses = harness.addresses[first:] + harness.addresses[:first]
-    count = 0
-    async with Client(addresses, answer_s=0.5) as client:
-        while not stop.is_set():
-            key = rng.choice(KEYS)
-            count += 1
-            fresh = f"{number}.{count}"
-            kind = rng.choice((READ, CAS, CAS))  # a plain write that is doubled may come back later
-            given: list[str | None] = [key]
-            seen: str | None = None
-            if kind == CAS:
-                try:
-                    seen = _value(await client.call(Range(key.encode()), 1.0))
-                except RequestError:
-                    continue
-                given = [key, seen, fresh]
-            mark = history.begin(kind, given)
-            try:
-                result = await _asked(client, key.encode(), kind, seen, fresh.encode())
-                history.end(mark, result)
-            except RequestError:
-                pass  # a call without an answer: nobody knows, or it was not done, which is one of the cases
-            await asyncio.sleep(rng.uniform(0.0, 0.03))
-    history.close()
-
-
-async def _asked(client: Client, key: bytes, kind: str, seen: str | None, fresh: bytes) -> Any:
-    if kind == READ:
-        return _value(await client.call(Range(key), 1.0))
-    if seen is None:
-        same = Compare(key, CompareTarget.CREATE, CompareOperator.EQUAL, 0)
-    else:
-        same = Compare(key, CompareTarget.VALUE, CompareOperator.EQUAL, seen.encode())
-    done = await client.call(Txn((same,), (Put(key, fresh),)), 1.0)
-    assert isinstance(done, TxnResponse)
-    return done.succeeded
-
-
-def _value(found: object) -> str | None:
-    assert isinstance(found, RangeResponse)
-    return found.records[0][1].value.decode() if found.records else None
+            problems.append(f"no step within {self.settings.recovery_timeout_s:g} s of the last fault")
+            problems += await self.harness.health()
+        return problems, loop.time() - ended
+
+    async def _wait_for_events(self, count: int) -> None:
+        """Wait until the resource has recorded that many events."""
+        path = self.resource_history
+        async with asyncio.timeout(self.settings.recovery_timeout_s):
+            while not path.exists() or path.read_bytes().count(b"\n") < count:
+                await asyncio.sleep(POLL_INTERVAL_S)
+
+    async def stop(self) -> None:
+        """Stop the clients, and pause the workers: nothing more is written while the checkers read."""
+        self.stopping.set()
+        await asyncio.gather(*self.clients)
+        for process in self.workers.values():
+            process.pause()
+
+    def result(self, problems: Sequence[str], recovery_s: float) -> TrialResult:
+        """Check the histories."""
+        resource = read_histories([self.resource_history])
+        histories = map(self._worker_history, self.settings.worker_names)
+        actions = read_histories(path for path in histories if path.exists())
+        registers = read_histories(self.folder.glob("client*.history"))
+        found = [*problems, *fencing_check.find_violations(resource, actions)]
+        if violation := linearizability.find_violation(registers):
+            found.append(violation)
+        written = _of_kind(resource, ResourceEvent.WRITTEN)
+        return TrialResult(
+            problems=tuple(found),
+            steps=len(written),
+            grants=len({fencing_check.request_of(each).fencing_token for each in written}),
+            rejected=len(_of_kind(resource, ResourceEvent.REJECTED)),
+            operations=len(registers),
+            recovery_s=recovery_s,
+        )
+
+
+def _of_kind(operations: Sequence[Operation], kind: ResourceEvent) -> list[Operation]:
+    return [operation for operation in operations if operation.kind == kind]
+
+
+async def start_resource(harness: Harness, folder: Path, history: Path) -> int:
+    """Start a guarded resource; returns its port."""
+    module = "heronreel.fault_injection.guarded_resource"
+    process = await harness.start_process("resource", module, str(folder), str(history))
+    line = await process.wait_for_line("listening")
+    return int(line.split()[1])
--- a/heronreel/fault_injection/worker.py
+++ b/heronreel/fault_injection/worker.py
@@ -1,7 +1,7 @@
-"""A process that wants a task, and does it step by step at a guarded place for as long as it holds it.
+"""A process that competes for a task, and writes its steps to the guarded resource while it holds the lease.
 
-`python -m heronreel.fault_injection.worker NAME HISTORY PLACE TTL ADDRESS...`.  Lines on standard output
-tell of what it holds; SIGTERM has it give back and end.
+`python -m heronreel.fault_injection.worker NAME HISTORY RESOURCE TTL ADDRESS...` prints a line when it
+acquires or loses the task; SIGTERM has it release the task and end.
 """
 
 from __future__ import annotations
@@ -9,80 +9,107 @@
 import asyncio
 import signal
 import sys
+from collections.abc import Iterable
 from pathlib import Path
-from typing import Any
 
 import aiohttp
-
-from heronreel.fault_injection.histories import History
-from heronreel.leases.lease import Claim, ClaimAcquired, ClaimLost, LeaseTerms
+import msgspec
+
+from heronreel.fault_injection.errors import ResourceUnavailableError
+from heronreel.fault_injection.histories import HistoryWriter
+from heronreel.fault_injection.lease_terms import lease_terms
+from heronreel.fault_injection.resource_client import (
+    ACTION,
+    ResourceClient,
+    ResourceRequest,
+    ResourceResponse,
+)
+from heronreel.leases.lease import Claim, ClaimAcquired, ClaimLost
 from heronreel.leases.session import LeaseSession
 
 TASK = "ledger"
+STEP_INTERVAL_S = 0.01
+ACQUIRED, LOST = "acquired", "lost"  # first words of the lines on standard output, before the fencing token
+
+
+def acquired_tokens(lines: Iterable[str]) -> list[int]:
+    """The fencing tokens that a worker acquired, by the lines it printed."""
+    return [int(line.split()[1]) for line in lines if line.startswith(f"{ACQUIRED} ")]
+
+
+def held_token(lines: Iterable[str]) -> int:
+    """The fencing token that a worker holds by the lines it printed; 0 if it holds none."""
+    changes = [line.split() for line in lines if line.startswith((f"{ACQUIRED} ", f"{LOST} "))]
+    return int(changes[-1][1]) if changes and changes[-1][0] == ACQUIRED else 0
 
 
 class Worker:
-    def __init__(self, name: str, history: History, place: str) -> None:
+    """One competitor for the task."""
+
+    def __init__(self, name: str, history: HistoryWriter, resource: ResourceClient) -> None:
         self.name = name
         self.history = history
-        self.place = place
+        self.resource = resource
         self.stop = asyncio.Event()
 
-    async def call(self, path: str, row: dict[str, Any]) -> dict[str, Any] | None:
-        """The place's answer, or None where nobody knows."""
+    async def run(self, session: LeaseSession) -> None:
+        """Perform steps whenever the task is held, until `stop` is set."""
+        claim = session.claim(TASK)
+        stopping = asyncio.create_task(self.stop.wait())
+        while not self.stop.is_set():
+            acting = asyncio.create_task(self._act(session, claim))
+            await asyncio.wait((acting, stopping), return_when=asyncio.FIRST_COMPLETED)
+            if not acting.done():
+                acting.cancel()
+            await asyncio.sleep(STEP_INTERVAL_S)
+
+    async def _act(self, session: LeaseSession, claim: Claim) -> None:
+        """Perform one step after the other while the fencing token is valid."""
+        token = await session.held(claim)
         try:
-            async with self.session.post(f"http://{self.place}{path}", json=row) as response:
-                if response.status == 200:
-                    answer: dict[str, Any] = await response.json()
-                    return answer
-                return None
-        except (aiohttp.ClientError, TimeoutError, OSError):
-            return None
-
-    async def act(self, holding: LeaseSession, claim: Claim) -> None:
-        """Steps, one after the other, while the number is good."""
-        number = await holding.held(claim)
-        entered = await self.call("/enter", {"task": TASK, "number": number, "by": self.name})
-        if entered is None or not entered["admitted"]:
+            entered = await self.resource.enter(ResourceRequest(TASK, token, 0, self.name))
+        except ResourceUnavailableError:
             return
-        step = entered["steps"]
-        while not self.stop.is_set() and claim.acts(holding.now()) == number:
-            mark = self.history.begin("act", [number, step + 1])
-            row = {"task": TASK, "number": number, "step": step + 1, "by": self.name}
-            answer = await self.call("/write", row)
-            self.history.end(mark, answer and answer["admitted"])
-            if answer is None:
-                return  # nobody knows: looked at anew from the place
-            if not answer["admitted"]:
-                print("refused", number, answer["greatest"], flush=True)
-                holding.look()
+        if not entered.admitted:
+            return
+        step = entered.steps
+        while not self.stop.is_set() and claim.acts(session.now()) == token:
+            response = await self._write(ResourceRequest(TASK, token, step + 1, self.name))
+            if response is None:
+                return  # the next attempt learns from the resource whether the step was written
+            if not response.admitted:
+                print("rejected", token, response.highest_token, flush=True)
+                session.look()
                 return
             step += 1
-            await asyncio.sleep(0.01)
+            await asyncio.sleep(STEP_INTERVAL_S)
 
-    async def run(self, addresses: list[str], ttl: int) -> None:
-        def told(what: ClaimAcquired | ClaimLost) -> None:
-            word = "held" if isinstance(what, ClaimAcquired) else "lost"
-            print(word, what.number, flush=True)
+    async def _write(self, request: ResourceRequest) -> ResourceResponse | None:
+        """Write a step, and record it; None if the outcome is unknown."""
+        operation = self.history.start(ACTION, msgspec.to_builtins(request))
+        try:
+            response = await self.resource.write(request)
+        except ResourceUnavailableError:
+            self.history.end(operation, None)
+            return None
+        self.history.end(operation, response.admitted)
+        return response
 
-        for number in (signal.SIGTERM, signal.SIGINT):
-            asyncio.get_running_loop().add_signal_handler(number, self.stop.set)
-        terms = LeaseTerms(ttl=ttl, margin=0.15 * ttl, answer=0.15 * ttl)
-        self.session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=terms.margin))
-        async with self.session, LeaseSession(addresses, self.name, terms, told=told) as holding:
-            claim = holding.claim(TASK)
-            stopping = asyncio.ensure_future(self.stop.wait())
-            while not self.stop.is_set():
-                acting = asyncio.ensure_future(self.act(holding, claim))
-                await asyncio.wait((acting, stopping), return_when=asyncio.FIRST_COMPLETED)
-                if not acting.done():
-                    acting.cancel()
-                await asyncio.sleep(0.01)
-
-
-async def main(name: str, history: str, place: str, ttl: str, *addresses: str) -> None:
+
+def _print_change(change: ClaimAcquired | ClaimLost) -> None:
+    print(ACQUIRED if isinstance(change, ClaimAcquired) else LOST, change.number, flush=True)
+
+
+async def main(name: str, history: str, resource: str, ttl: str, *addresses: str) -> None:
+    """Compete until SIGTERM or SIGINT."""
     print("started", name, flush=True)
-    await Worker(name, History(Path(history), name), place).run(list(addresses), int(ttl))
+    terms = lease_terms(int(ttl))
+    async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=terms.margin)) as http:
+        worker = Worker(name, HistoryWriter(Path(history), name), ResourceClient(resource, http))
+        for number in (signal.SIGTERM, signal.SIGINT):
+            asyncio.get_running_loop().add_signal_handler(number, worker.stop.set)
+        async with LeaseSession(addresses, name, terms, told=_print_change) as session:
+            await worker.run(session)
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/tests/coordinator/group_support.py
@@ -0,0 +1,35 @@
+"""What the tests of groups of processes share."""
+
+from __future__ import annotations
+
+import asyncio
+
+from heronreel.coordination.client import Client
+from heronreel.coordination.model import Put, Range, RangeResponse, RequestError
+from heronreel.leases.lease import LeaseTerms
+
+THREE = ("a", "b", "c")
+SHORT_TERMS = LeaseTerms(ttl=2, margin=0.3, answer=0.3)
+
+
+def other_than(leader: str) -> str:
+    """A member of THREE that is not the leader."""
+    return next(name for name in THREE if name != leader)
+
+
+async def put_until_done(client: Client, key: bytes, value: bytes) -> None:
+    """Write, whichever member leads by then; a write with an unknown outcome is repeated."""
+    async with asyncio.timeout(20):
+        while True:
+            try:
+                await client.call(Put(key, value), 1.0)
+                return
+            except RequestError:
+                await asyncio.sleep(0.02)
+
+
+async def value_of(client: Client, key: bytes) -> bytes | None:
+    """The value of a key; None if it does not exist."""
+    response = await client.call(Range(key), 10.0)
+    assert isinstance(response, RangeResponse)
+    return response.records[0][1].value if response.records else None
