--- a/bench/probing.py
+++ b/bench/probing.py
@@ -17,7 +17,7 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.model import Range, RangeResponse
-from heronreel.fault_injection.processes import Harness
+from heronreel.fault_injection.harness import Harness
 from heronreel.health.report import key_of
 
 EVERY_MS = 1000
@@ -56,15 +56,15 @@
         await site.start()
         ports.append(site._server.sockets[0].getsockname()[1])  # type: ignore[union-attr]
     async with Harness(folder, ("a",), 1) as harness, Client(harness.addresses) as client:
-        await harness.serves()
+        await harness.wait_until_available()
         group = harness.addresses if shared else []
         started = []
         for number in range(proxies):
             path = folder / f"x{number}.toml"
             path.write_text(routes(f"x{number}", f"z{number % 2}", ports, group))
-            started.append(await harness.run(f"x{number}", "heronreel.cli", "serve", str(path)))
+            started.append(await harness.start_process(f"x{number}", "heronreel.cli", "serve", str(path)))
         for process in started:
-            await process.line("listening on", seconds=120)
+            await process.wait_for_line("listening on", timeout_s=120)
         for zone in ("z0", "z1"):
             while shared:
                 found = await client.call(Range(key_of(zone)), 5.0)
--- a/heronreel/fault_injection/virtual.py
+++ b/heronreel/fault_injection/virtual.py
@@ -43,8 +43,8 @@
     Txn,
     TxnResponse,
 )
-from heronreel.fault_injection.histories import Call
-from heronreel.fault_injection.linear import CAS, PUT, READ, wrong
+from heronreel.fault_injection.histories import Operation
+from heronreel.fault_injection.linearizability import CAS, PUT, READ, find_violation
 from heronreel.leases.fencing import FencingGuard
 from heronreel.leases.lease import Actions, ClaimAcquired, LeaseClient, LeaseTerms, SendRequest
 
@@ -121,7 +121,7 @@
         self.fence = FencingGuard()
         self.taken: list[tuple[float, int, int]] = []  # when, by whom, under which number
         self.order: list[tuple[int, int]] = []  # grants in the order in which they were made: number, holder
-        self.calls: list[Call] = []
+        self.calls: list[Operation] = []
         self.tickets: dict[int, Callable[[ResponseOrError], None]] = {}
         self.ticket = 0
         self.healed = False
@@ -166,7 +166,7 @@
         if not self.problems:
             if not self.after:
                 self.problems.append("nothing was answered after the last fault")
-            if why := wrong(self.calls):
+            if why := find_violation(self.calls):
                 self.problems.append(why)
         return self.problems
 
@@ -293,7 +293,7 @@
         key = self.rng.choice(KEYS)
         kind = self.rng.choice((READ, PUT, CAS))
         fresh = f"{client}.{number}"
-        written_lately = [call.given[-1] for call in self.calls[-6:] if call.what != READ]
+        written_lately = [call.arguments[-1] for call in self.calls[-6:] if call.kind != READ]
         expected = self.rng.choice(written_lately or [None])
         request: Request
         given: list[str | None] = [key.decode()]
@@ -309,7 +309,7 @@
                 same = Compare(key, CompareTarget.VALUE, CompareOperator.EQUAL, expected.encode())
             request = Txn((same,), (Put(key, fresh.encode()),))
         place = len(self.calls)
-        self.calls.append(Call(f"c{client}", kind, given, self.now, float("inf"), None))
+        self.calls.append(Operation(f"c{client}", kind, given, self.now, float("inf"), None))
 
         def told(answer: ResponseOrError | None) -> None:
             result: object = None
--- a/tests/fleet/test_agent_processes.py
+++ b/tests/fleet/test_agent_processes.py
@@ -14,7 +14,8 @@
 import pytest
 
 from heronreel.coordination.client import Client
-from heronreel.fault_injection.processes import Harness, Process
+from heronreel.fault_injection.harness import Harness
+from heronreel.fault_injection.managed_process import ManagedProcess
 from heronreel.fleet.machine import load
 from heronreel.fleet.model import Condition
 from heronreel.fleet.operation import account
@@ -72,11 +73,11 @@
 """
         (folder / f"{agent}.toml").write_text(self.text)
 
-    async def agent(self, **env: str) -> Process:
-        process = await self.harness.run(
+    async def agent(self, **env: str) -> ManagedProcess:
+        process = await self.harness.start_process(
             self.name, "heronreel.cli", "agent", str(self.folder / f"{self.name}.toml"), **env
         )
-        await process.line('"listens"')
+        await process.wait_for_line('"listens"')
         return process
 
     async def call(self, path: str, body: dict[str, Any] | None = None) -> tuple[int, dict[str, Any]]:
@@ -133,7 +134,7 @@
     async def run() -> None:
         async with Harness(tmp_path, ("a",), 1) as harness, Client(harness.addresses) as client:
             async with Backend() as backend:
-                await harness.serves()
+                await harness.wait_until_available()
                 fleet = Fleet(harness, tmp_path, backend.address)
                 try:
                     agent = await fleet.agent()
@@ -166,7 +167,7 @@
                     async with asyncio.timeout(40):
                         while not await fleet.answers("p1"):
                             await asyncio.sleep(0.05)
-                    await harness.start("a")
+                    await harness.start_member("a")
                     async with asyncio.timeout(40):
                         while (await account(client)).instances["proxy/p1"].looked <= looked:
                             await asyncio.sleep(0.05)  # looks are counted on
@@ -194,7 +195,7 @@
                 taken = False
                 with suppress(aiohttp.ClientError, OSError):
                     taken = await fleet.order("p1", 3, 1, "running", "1") == 200
-                assert await doomed.ended(60) == -signal.SIGKILL
+                assert await doomed.wait_for_exit(60) == -signal.SIGKILL
                 await fleet.agent()
                 row = (await fleet.call("/status"))[1]["p1"]
                 assert not taken or (row["number"], row["want"]) == (3, "running")
--- a/tests/fleet/test_disruption_budget.py
+++ b/tests/fleet/test_disruption_budget.py
@@ -17,7 +17,7 @@
 from heronreel.coordination.model import RangeResponse, Record, TxnResponse
 from heronreel.fault_injection.account_world import AccountWorld, Budget
 from heronreel.fault_injection.explore import after, explore, walk
-from heronreel.fault_injection.processes import Harness
+from heronreel.fault_injection.harness import Harness
 from heronreel.fleet.account import Account, read
 from heronreel.fleet.model import REGISTER, Condition, Instance, Kind, Part, Rule, Scope
 from heronreel.fleet.operation import Operation, tell
@@ -205,8 +205,8 @@
         file = tmp_path / "allow.toml"
         file.write_text(FILE)
         async with Harness(tmp_path, ("a", "b", "c"), 21) as harness, Client(harness.addresses) as client:
-            await harness.whole()
-            await asyncio.to_thread(harness.said, "fleet", "allow", str(file))
+            await harness.wait_until_healthy()
+            await asyncio.to_thread(harness.run_command, "fleet", "allow", str(file))
             for number in range(12):
                 seen = instance(f"p{number}", f"z{number % 3}", looked=1)
                 await tell(client, seen)
@@ -215,12 +215,12 @@
             async def take(number: int) -> bool:
                 return isinstance(await operations[number].take((f"proxy/p{number}",)), Taken)
 
-            leader = await harness.leader()
+            leader = await harness.wait_for_leader()
             taking = [asyncio.ensure_future(take(number)) for number in range(12)]
             await harness.members[leader].kill()  # answers are lost: what was done is found in the records
             took = [number for number, done in enumerate(await asyncio.gather(*taking)) if done]
             assert sorted(number % 3 for number in took) == [0, 1, 2], took
-            rows = json.loads(await asyncio.to_thread(harness.said, "fleet", "status", "--json"))
+            rows = json.loads(await asyncio.to_thread(harness.run_command, "fleet", "status", "--json"))
             assert [row["out"] for row in rows["rules"] if row["rule"] == "one a zone"] == [
                 [f"proxy/p{number}"] for number in sorted(took, key=lambda number: number % 3)
             ]
@@ -237,7 +237,7 @@
             await tell(client, lost)
             refused = await operations[other].take((f"proxy/p{other}",))
             assert isinstance(refused, Refused) and refused.against  # planned work yields to a loss
-            told = await asyncio.to_thread(harness.said, "fleet", "status")
+            told = await asyncio.to_thread(harness.run_command, "fleet", "status")
             assert f"proxy/p{took[1]}" in told and "drain by me" in told
 
     asyncio.run(run())
--- a/tests/fleet/test_rolling_operations.py
+++ b/tests/fleet/test_rolling_operations.py
@@ -16,7 +16,8 @@
 from hypothesis import strategies as st
 
 from heronreel.coordination.client import Client
-from heronreel.fault_injection.processes import Harness, Process
+from heronreel.fault_injection.harness import Harness
+from heronreel.fault_injection.managed_process import ManagedProcess
 from heronreel.fleet.account import Account
 from heronreel.fleet.agent import Agent, Keep, Kept, Order, Stage, Start, Want
 from heronreel.fleet.agent import Answer as Answered
@@ -189,12 +190,12 @@
         ]
         self.most_out = 0
 
-    async def operator(self, *words: str, **env: str) -> Process:
+    async def operator(self, *words: str, **env: str) -> ManagedProcess:
         line = ("heronreel.cli", "fleet", *words, "--members", f"a={self.harness.addresses[0]}")
-        return await self.harness.run("operator", *line, **env)
+        return await self.harness.start_process("operator", *line, **env)
 
     async def says(self, *words: str, code: int = 0) -> str:
-        return await asyncio.to_thread(self.harness.said, "fleet", *words, code=code)
+        return await asyncio.to_thread(self.harness.run_command, "fleet", *words, expected_code=code)
 
     async def watch(self) -> None:
         """The judge: what the machines' own tables say, and not the account."""
@@ -220,7 +221,7 @@
         harness = await stack.enter_async_context(Harness(folder, ("a",), 1))
         client = await stack.enter_async_context(Client(harness.addresses))
         backend = await stack.enter_async_context(Backend())
-        await harness.serves()
+        await harness.wait_until_available()
         fleet = Two(harness, folder, backend.address, client)
         try:
             for agent in fleet.agents:
@@ -253,7 +254,7 @@
             before = await fleet.processes()
             judge = asyncio.ensure_future(fleet.watch())
             doomed = await fleet.operator("restart", "p*", "--at-once", "4", HERONREEL_END_AT=point)
-            assert await doomed.ended(90) == -9
+            assert await doomed.wait_for_exit(90) == -9
             told = await fleet.says("restart", "p1", "--by", "ada", "--wait", "20", code=3)
             assert "go on with it, or give it up" in told, told
             told = await fleet.says("go-on", "--by", "ada", "--wait", "20")
@@ -274,12 +275,12 @@
     async def run() -> None:
         async with two(tmp_path) as fleet:
             rolling = await fleet.operator("restart", "p*")
-            await rolling.line("running 1")
+            await rolling.wait_for_line("running 1")
             told = await fleet.says("restart", "p2", "--by", "ada", "--wait", "1", code=3)
             assert re.search(r"has the fleet, with restart \w+ by", told), told
             await fleet.says("halt", "--why", "smoke", "--by", "ada")
             halted_at = len((await account(fleet.client)).parts)
-            assert await rolling.ended(60) == 1 and halted_at <= 1
+            assert await rolling.wait_for_exit(60) == 1 and halted_at <= 1
             work = await work_of(fleet.client)
             assert work and work.left and not work.ended
             told = await fleet.says("status")
--- a/tests/health/test_health_checks.py
+++ b/tests/health/test_health_checks.py
@@ -14,7 +14,8 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.model import Put, Range, RangeResponse
-from heronreel.fault_injection.processes import Harness, Process
+from heronreel.fault_injection.harness import Harness
+from heronreel.fault_injection.managed_process import ManagedProcess
 from heronreel.health.checks import Health, Member, Rules, believed
 from heronreel.health.report import Heard, Report, decoded, key_of, task_of, telling
 from tests.support.loopback import Listener, ok, request_of
@@ -162,14 +163,14 @@
         async with Server() as one, Server() as two, Server() as three:
             servers = [one, two, three]
             async with Harness(tmp_path, ("a",), 1) as harness, Client(harness.addresses) as client:
-                await harness.serves()
-                proxies: dict[str, Process] = {}
+                await harness.wait_until_available()
+                proxies: dict[str, ManagedProcess] = {}
                 ports: dict[str, int] = {}
                 for name, zone in (("x1", "x"), ("x2", "x"), ("x3", "x"), ("y1", "y"), ("y2", "y")):
                     path = tmp_path / f"{name}.toml"
                     path.write_text(routes(name, zone, servers, harness.addresses))
-                    proxies[name] = await harness.run(name, "heronreel.cli", "serve", str(path))
-                    line = await proxies[name].line("listening on")
+                    proxies[name] = await harness.start_process(name, "heronreel.cli", "serve", str(path))
+                    line = await proxies[name].wait_for_line("listening on")
                     ports[name] = int(line.split("127.0.0.1:")[1].split()[0])
 
                 async def report(zone: str, beyond: int = 0) -> Report:
@@ -210,8 +211,8 @@
                 await harness.members["a"].kill()  # nobody tells any more: nobody is known to be down
                 await left_alone(two, list(ports.values()), alone=False)
                 for name in ports:
-                    proxies[name].signal(signal.SIGTERM)
-                    assert await proxies[name].ended() == 0
+                    proxies[name].send_signal(signal.SIGTERM)
+                    assert await proxies[name].wait_for_exit() == 0
 
     asyncio.run(run())
 
--- a/tests/metering/test_metering_processes.py
+++ b/tests/metering/test_metering_processes.py
@@ -17,7 +17,8 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.model import RequestError
-from heronreel.fault_injection.processes import ROOT, Harness, Process
+from heronreel.fault_injection.harness import Harness
+from heronreel.fault_injection.managed_process import ROOT, ManagedProcess
 from heronreel.leases.overview import lease_overview
 from heronreel.metering import overview
 from heronreel.serve.program import read_report
@@ -62,15 +63,15 @@
 
     async def run() -> None:
         address = f"127.0.0.1:{free_port()}"
-        running: dict[str, Process] = {}
+        running: dict[str, ManagedProcess] = {}
         clients = Clients()
         async with Backend() as backend, Client([address]) as client:
 
             async def start(name: str) -> int:
                 path = routes(tmp_path, name, backend.address, [address], str(tmp_path / "group"))
                 words = ("heronreel.cli", "serve", str(path))
-                running[name] = await Process.start(name, words)
-                line = await running[name].line("listening on")
+                running[name] = await ManagedProcess.start(name, words)
+                line = await running[name].wait_for_line("listening on")
                 return int(line.split("127.0.0.1:")[1].split()[0])
 
             async def there(count: int) -> None:
@@ -85,13 +86,13 @@
 
             try:
                 ports = [await start("one")]
-                await running["one"].line('"listening"')
+                await running["one"].wait_for_line('"listening"')
                 ports.append(await start("two"))
                 await there(2)
                 for port in ports:
                     assert await clients.ask(port, "etna", 10)
                 await running["one"].kill()
-                await running["two"].line('"listening"')
+                await running["two"].wait_for_line('"listening"')
                 await start("one")
                 await there(2)
                 async with asyncio.timeout(40):
@@ -103,11 +104,11 @@
                         await asyncio.sleep(0.05)
                 assert told <= 21 and clients.served["etna"] == 20
                 for process in running.values():
-                    process.signal(signal.SIGTERM)
-                    assert await process.ended() == 0
+                    process.send_signal(signal.SIGTERM)
+                    assert await process.wait_for_exit() == 0
             finally:
                 for process in running.values():
-                    if process.process.returncode is None:
+                    if process.running:
                         await process.kill()
 
     asyncio.run(run())
@@ -150,10 +151,10 @@
         self.backend = backend
         self.clients = Clients()
 
-    async def proxy(self, name: str, **env: str) -> tuple[Process, int]:
+    async def proxy(self, name: str, **env: str) -> tuple[ManagedProcess, int]:
         path = routes(self.folder, name, self.backend, self.harness.addresses)
-        process = await self.harness.run(name, "heronreel.cli", "serve", str(path), **env)
-        line = await process.line("listening on")
+        process = await self.harness.start_process(name, "heronreel.cli", "serve", str(path), **env)
+        line = await process.wait_for_line("listening on")
         return process, int(line.split("127.0.0.1:")[1].split()[0])
 
     async def counts(self, client: Client) -> dict[str, Any]:
@@ -237,23 +238,23 @@
     async def run() -> None:
         async with Harness(tmp_path, ("a",), 1) as harness, Client(harness.addresses) as client:
             async with Backend() as backend:
-                await harness.serves()
+                await harness.wait_until_available()
                 fleet = Fleet(harness, tmp_path, backend.address)
                 for end in ENDS[point]:
                     doomed, port = await fleet.proxy("one", HERONREEL_END_AT=end)
                     async with asyncio.timeout(60):
-                        while doomed.process.returncode is None:
+                        while doomed.running:
                             for tenant in TENANTS:
                                 if not await fleet.clients.ask(port, tenant, 3):
                                     break
                             await asyncio.sleep(0.01)
-                    assert doomed.process.returncode == -signal.SIGKILL
+                    assert doomed.exit_code == -signal.SIGKILL
                 last, port = await fleet.proxy("one")
                 await fleet.clients.ask(port, "etna", 5)
                 rows = await fleet.settled(client)
                 judged(rows, fleet.clients)
-                last.signal(signal.SIGTERM)
-                assert await last.ended() == 0
+                last.send_signal(signal.SIGTERM)
+                assert await last.wait_for_exit() == 0
                 rows = await fleet.counts(client)
                 judged(rows | {"periods": [], "closed": 97}, fleet.clients)
 
@@ -266,7 +267,7 @@
     async def run() -> None:
         async with Harness(tmp_path, ("a", "b", "c"), 2) as harness, Client(harness.addresses) as client:
             async with Backend() as backend:
-                await harness.whole()
+                await harness.wait_until_healthy()
                 fleet = Fleet(harness, tmp_path, backend.address)
                 names = ("p", "q", "r")
                 running = {name: await fleet.proxy(name) for name in names}
@@ -276,16 +277,16 @@
                     doomed = names[turn % 3]
                     await running[doomed][0].kill()
                     if turn == 1:
-                        leader = await harness.leader()
+                        leader = await harness.wait_for_leader()
                         await harness.members[leader].kill()
-                        await harness.start(leader)
+                        await harness.start_member(leader)
                     running[doomed] = await fleet.proxy(doomed)
                 for name in names[1:]:
-                    running[name][0].signal(signal.SIGTERM)
-                    assert await running[name][0].ended() == 0
+                    running[name][0].send_signal(signal.SIGTERM)
+                    assert await running[name][0].wait_for_exit() == 0
                 rows = await fleet.settled(client)
                 judged(rows, fleet.clients)
-                told = json.loads(await asyncio.to_thread(harness.said, "counts", "--json"))
+                told = json.loads(await asyncio.to_thread(harness.run_command, "counts", "--json"))
                 assert told["ever"] == rows["ever"] and len(told["periods"]) == 1
                 assert 240 <= sum(row["served"] + row["unknown"] for row in rows["ever"].values()) <= 244
 
