--- a/heronreel/cli/__main__.py
+++ b/heronreel/cli/__main__.py
@@ -7,16 +7,12 @@
 from heronreel import __version__
 from heronreel.cli.agent import agent_command
 from heronreel.cli.check import check_command
-from heronreel.cli.coordinate import (
-    coordinate_command,
-    leases_command,
-    members_command,
-    tasks_command,
-)
+from heronreel.cli.coordinate import coordinate_command
 from heronreel.cli.counts import counts_command
 from heronreel.cli.demo import demo_command
 from heronreel.cli.explain import explain_command
 from heronreel.cli.fleet import fleet_command
+from heronreel.cli.leases import leases_command, members_command, tasks_command
 from heronreel.cli.rehearse import rehearse_group
 from heronreel.cli.serve import serve_command
 from heronreel.cli.store import store_group
--- /dev/null
+++ b/heronreel/cli/group_client.py
@@ -0,0 +1,78 @@
+"""What the commands share that speak to a group: its addresses, one request, and exit codes."""
+
+from __future__ import annotations
+
+import asyncio
+import sys
+from collections.abc import Callable, Coroutine
+from typing import TYPE_CHECKING, Any, TypeVar
+
+import click
+
+if TYPE_CHECKING:  # commands import what they need when they run, so that others start quickly
+    from heronreel.coordination.client import Client
+    from heronreel.coordination.settings import Group
+    from heronreel.routes.reader import BadFile
+
+EXIT_NOT_FOUND = 1
+EXIT_NO_RESPONSE = 2
+EXIT_START_FAILED = 74  # EX_IOERR
+EXIT_BAD_CONFIGURATION = 78  # EX_CONFIG
+UNUSED_FOLDER = "-"  # a group that is only spoken to has no folder here
+
+T = TypeVar("T")
+Command = TypeVar("Command", bound=Callable[..., Any])
+
+
+def group_options(command: Command) -> Command:
+    """The argument and the option that say which group a command speaks to."""
+    members_help = "Without a FILE: a=ADDRESS,b=ADDRESS,c=ADDRESS."
+    with_members = click.option("--members", help=members_help)(command)
+    return click.argument("file", required=False)(with_members)
+
+
+def print_problems(name: str, error: BadFile) -> None:
+    """Print each problem of a configuration on a line of its own."""
+    for problem in error.problems:
+        click.echo(f"{name}: {problem}", err=True)
+
+
+def load_group(file: str | None, members: str | None, folder: str = UNUSED_FOLDER) -> Group:
+    """The group of a file or of `--members`; ends the process if it is invalid.
+
+    Args:
+        file: The configuration file.
+        members: The option `--members`.
+        folder: Where each member keeps its disk; used with `members`.
+
+    Raises:
+        click.UsageError: Not exactly one of `file` and `members` is given.
+    """
+    from heronreel.coordination.settings import group_of_addresses, load_file
+    from heronreel.routes.reader import BadFile
+
+    if (file is None) == (members is None):
+        raise click.UsageError("expected a FILE, or --members")
+    try:
+        return load_file(file) if file is not None else group_of_addresses(members or "", folder)
+    except BadFile as error:
+        print_problems(file or "--members", error)
+        sys.exit(EXIT_BAD_CONFIGURATION)
+
+
+def call_group(file: str | None, members: str | None, call: Callable[[Client], Coroutine[Any, Any, T]]) -> T:
+    """The result of a call to the group; ends the process if the group does not respond."""
+    from heronreel.coordination.client import Client
+    from heronreel.coordination.model import RequestError
+
+    group = load_group(file, members)
+
+    async def run() -> T:
+        async with Client(member.address for member in group.members) as client:
+            return await call(client)
+
+    try:
+        return asyncio.run(run())
+    except RequestError as error:
+        click.echo(f"heronreel leases: {error.what}", err=True)
+        sys.exit(EXIT_NO_RESPONSE)
