--- a/heronreel/cli/agent.py
+++ b/heronreel/cli/agent.py
@@ -7,7 +7,7 @@
 
 import click
 
-from heronreel.cli.coordinate import BAD_FILE, NOT_SERVED, tell
+from heronreel.cli.group_client import EXIT_BAD_CONFIGURATION, EXIT_START_FAILED, print_problems
 
 
 @click.command("agent")
@@ -28,10 +28,10 @@
     try:
         machine = load_file(file)
     except BadFile as bad:
-        tell(file, bad)
-        sys.exit(BAD_FILE)
+        print_problems(file, bad)
+        sys.exit(EXIT_BAD_CONFIGURATION)
     try:
         asyncio.run(serve(machine))
     except (StoreError, OSError) as error:
         click.echo(f"heronreel agent: {error}", err=True)
-        sys.exit(NOT_SERVED)
+        sys.exit(EXIT_START_FAILED)
--- a/heronreel/cli/counts.py
+++ b/heronreel/cli/counts.py
@@ -7,7 +7,7 @@
 
 import click
 
-from heronreel.cli.coordinate import NOT_FOUND, asked
+from heronreel.cli.group_client import EXIT_NOT_FOUND, call_group
 
 
 @click.command("counts")
@@ -26,11 +26,11 @@
     from heronreel.metering import overview
 
     if forget is not None:
-        done = asked(file, members, lambda client: overview.forget(client, forget))
+        done = call_group(file, members, lambda client: overview.forget(client, forget))
         told = "nothing of it is taken from now on" if done else "no such book"
         click.echo(json.dumps({"book": forget, "done": done}) if as_json else f"{forget}: {told}")
-        sys.exit(0 if done else NOT_FOUND)
-    rows = asked(file, members, lambda client: overview.counts(client, periods))
+        sys.exit(0 if done else EXIT_NOT_FOUND)
+    rows = call_group(file, members, lambda client: overview.counts(client, periods))
     if as_json:
         click.echo(json.dumps(rows, indent=2))
         return
--- a/heronreel/cli/fleet.py
+++ b/heronreel/cli/fleet.py
@@ -11,7 +11,13 @@
 
 import click
 
-from heronreel.cli.coordinate import BAD_FILE, NO_GROUP, asked, group_of, tell
+from heronreel.cli.group_client import (
+    EXIT_BAD_CONFIGURATION,
+    EXIT_NO_RESPONSE,
+    call_group,
+    load_group,
+    print_problems,
+)
 
 HALTED, REFUSED, LEFT = 1, 3, 4  # exit codes; 0 is done
 
@@ -45,9 +51,9 @@
     try:
         rules = load_file(allowances)
     except BadFile as bad:
-        tell(allowances, bad)
-        sys.exit(BAD_FILE)
-    asked(file, members, lambda client: operation.allow(client, rules))
+        print_problems(allowances, bad)
+        sys.exit(EXIT_BAD_CONFIGURATION)
+    call_group(file, members, lambda client: operation.allow(client, rules))
     click.echo(f"{len(rules)} allowances are in force")
 
 
@@ -65,7 +71,7 @@
         now = await operation.account(client)
         return operation.status_of(now) | controller.rows(await controller.work_of(client), now.halted)
 
-    rows = asked(file, members, both)
+    rows = call_group(file, members, both)
     if as_json:
         click.echo(json.dumps(rows, indent=2))
         return
@@ -101,7 +107,7 @@
     from heronreel.coordination.model import RequestError
     from heronreel.fleet import controller
 
-    group = group_of(file, members, "-")
+    group = load_group(file, members)
 
     def said(ident: str, words: str) -> None:
         click.echo(f"{ident:32} {words}")
@@ -119,7 +125,7 @@
         sys.exit(LEFT)
     except RequestError as refused:
         click.echo(f"heronreel fleet: {refused.what}", err=True)
-        sys.exit(NO_GROUP)
+        sys.exit(EXIT_NO_RESPONSE)
     good = sum(outcome.startswith(controller.GOOD) for outcome in work.outcomes.values())
     click.echo(f"{work.verb.value} {work.name}: {good} of {len(work.idents)}, {len(work.left)} not begun")
     if work.ended == "given up":
@@ -208,7 +214,7 @@
     """
     from heronreel.fleet import controller
 
-    asked(file, members, lambda client: controller.halt(client, by, why))
+    call_group(file, members, lambda client: controller.halt(client, by, why))
     click.echo("halted")
 
 
@@ -221,5 +227,5 @@
     """
     from heronreel.fleet import controller
 
-    asked(file, members, controller.resume)
+    call_group(file, members, controller.resume)
     click.echo("the halt is lifted")
