--- a/heronreel/coordinator/__init__.py
+++ b/heronreel/coordinator/__init__.py
@@ -7,6 +7,7 @@
 * `http_listener`, `watch_stream`, `forwarding`: the HTTP interface.
 * `request_body`, `connections`: the limits of the HTTP interface.
 * `pending_requests`, `watch_registry`: clients that wait for the core.
+* `health`: the response to a health check.
 * `claim_log`: log lines for changes of claims' holders.
 * `compaction`: compaction of the members' disks, one member at a time.
 * `errors`: what this package raises.
--- /dev/null
+++ b/heronreel/coordinator/health.py
@@ -0,0 +1,36 @@
+"""The body of the response to a health check."""
+
+from __future__ import annotations
+
+import msgspec
+
+from heronreel.coordination.consensus import Ballot, ConsensusMember, Version
+
+
+class HealthReport(msgspec.Struct, frozen=True, kw_only=True):
+    """A member's own view of itself and of its group."""
+
+    member: str
+    leader: str  # empty if none is known
+    role: str
+    incarnation: str = msgspec.field(name="disk")
+    version: Version
+    incarnations: dict[str, str] = msgspec.field(name="disks")  # of the group's members, by name
+    desired_members: list[str] | None = msgspec.field(name="wish")  # None: as they are
+    configured_members: list[str] = msgspec.field(name="listed")
+    promised: Ballot
+
+
+def health_report(name: str, member: ConsensusMember) -> HealthReport:
+    """The report of the member `name`."""
+    return HealthReport(
+        member=name,
+        leader=member.leader or "",
+        role=member.role.value,
+        incarnation=member.incarnation,
+        version=member.version,
+        incarnations=dict(member.members),
+        desired_members=None if member.wish is None else sorted(member.wish),
+        configured_members=list(member.listed),
+        promised=member.promised,
+    )
--- a/heronreel/coordinator/http_listener.py
+++ b/heronreel/coordinator/http_listener.py
@@ -18,6 +18,7 @@
 from heronreel.coordination.model import RequestError, StatusCode
 from heronreel.coordinator.connections import ConnectionTracker
 from heronreel.coordinator.forwarding import forward_to_leader
+from heronreel.coordinator.health import health_report
 from heronreel.coordinator.node import MemberNode
 from heronreel.coordinator.request_body import has_unread_body, read_body
 from heronreel.coordinator.transport import MESSAGES_PATH, decode_messages
@@ -115,17 +116,7 @@
     async def _handle_health(self, request: web.Request) -> web.Response:
         member = self.node.service.member
         has_leader = member.leads or self.node.leader_connection() is not None
-        body = {
-            "member": self.node.name,
-            "leader": member.leader or "",
-            "role": member.role.value,
-            "disk": member.incarnation,
-            "version": list(member.version),
-            "disks": dict(member.members),
-            "wish": None if member.wish is None else sorted(member.wish),
-            "listed": list(member.listed),
-            "promised": list(member.promised),
-        }
+        body = msgspec.to_builtins(health_report(self.node.name, member))
         return web.json_response(body, status=200 if has_leader else 503)
 
     async def _handle_request(self, request: web.Request) -> web.StreamResponse:
--- a/heronreel/coordinator/node.py
+++ b/heronreel/coordinator/node.py
@@ -42,7 +42,7 @@
 from heronreel.coordinator.pending_requests import PendingRequests
 from heronreel.coordinator.timers import EventTimer
 from heronreel.coordinator.transport import PeerConnection, Transport
-from heronreel.coordinator.watch_registry import WatchRegistry
+from heronreel.coordinator.watch_registry import WatchRegistry, WatchSubscription
 from heronreel.leases.lease import CLAIM_PREFIX
 
 EXIT_STOPPED = 0
@@ -216,6 +216,18 @@
         self.handle_event(lambda now: self.service.ask(now, ticket, request, deadline))
         return await self.pending_requests.wait(ticket, timeout_s)
 
+    def open_watch(self, wanted: gateway.WatchAsked) -> WatchSubscription:
+        """Have the core notify of events; the first notification says whether the watch was created."""
+        subscription = self.watches.open(next(self.tickets))
+        number = subscription.number
+        self.handle_event(lambda _: self.service.watch(number, wanted.key, wanted.end, wanted.start))
+        return subscription
+
+    def close_watch(self, subscription: WatchSubscription) -> None:
+        """End a watch."""
+        self.watches.close(subscription.number)
+        self.service.unwatch(subscription.number)
+
     def leader_connection(self) -> PeerConnection | None:
         """The connection to the leader; None if there is no leader, or it is this member."""
         name = self.service.member.leader
--- a/heronreel/coordinator/watch_registry.py
+++ b/heronreel/coordinator/watch_registry.py
@@ -3,23 +3,31 @@
 from __future__ import annotations
 
 import asyncio
+from typing import NamedTuple
 
 from heronreel.coordination.kv_service import WatchNotified
 
 MAX_QUEUED_NOTIFICATIONS = 1000  # for one watch
 
 
+class WatchSubscription(NamedTuple):
+    """An open watch: its number, and the notifications that its client has not read."""
+
+    number: int
+    notifications: asyncio.Queue[WatchNotified]
+
+
 class WatchRegistry:
     """A queue of notifications for each open watch, by its number."""
 
     def __init__(self) -> None:
         self.queues: dict[int, asyncio.Queue[WatchNotified]] = {}
 
-    def open(self, number: int) -> asyncio.Queue[WatchNotified]:
+    def open(self, number: int) -> WatchSubscription:
         """Register a watch before the core creates it."""
-        queue: asyncio.Queue[WatchNotified] = asyncio.Queue()
-        self.queues[number] = queue
-        return queue
+        subscription = WatchSubscription(number, asyncio.Queue())
+        self.queues[number] = subscription.notifications
+        return subscription
 
     def close(self, number: int) -> None:
         """Forget a watch; nothing happens if it was forgotten already."""
--- a/heronreel/coordinator/watch_stream.py
+++ b/heronreel/coordinator/watch_stream.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 import json
 
 from aiohttp import web
@@ -21,47 +20,39 @@
     Raises:
         RequestError: The watch was not created.
     """
-    number = next(node.tickets)
-    notifications = node.watches.open(number)
+    watch = node.open_watch(wanted)
     response = web.StreamResponse(headers={"Content-Type": "application/json"})
     try:
-        node.handle_event(lambda _: node.service.watch(number, wanted.key, wanted.end, wanted.start))
-        first = await notifications.get()
+        first = await watch.notifications.get()
         if first.ended:
             raise RequestError(StatusCode.UNAVAILABLE, "etcdserver: no leader, or too many watches")
         await response.prepare(request)
         created = {"header": node.response_header().at(first.revision), "created": True}
         await response.write(encode_line(created))
-        await _write_events(node, request, response, first, notifications, with_previous=wanted.previous)
+        notification = first
+        while not notification.ended:
+            if line := _next_line(node.response_header(), notification, wanted):
+                await response.write(encode_line(line))
+            if notification.compacted:
+                return response
+            notification = await watch.notifications.get()
+        request.protocol.force_close()
     except (ConnectionError, OSError):
         pass  # the client has gone
     finally:
-        node.watches.close(number)
-        node.service.unwatch(number)
+        node.close_watch(watch)
     return response
 
 
-async def _write_events(
-    node: MemberNode,
-    request: web.Request,
-    response: web.StreamResponse,
-    first: WatchNotified,
-    notifications: asyncio.Queue[WatchNotified],
-    *,
-    with_previous: bool,
-) -> None:
-    notification = first
-    while not notification.ended:
-        header = node.response_header()
-        revision = notification.revision
-        if notification.compacted:
-            await response.write(encode_line(_canceled(header, notification)))
-            return
-        if notification.events:
-            events = gateway.events_of(header, revision, notification.events, with_previous)
-            await response.write(encode_line(events))
-        notification = await notifications.get()
-    request.protocol.force_close()
+def _next_line(
+    header: gateway.Header, notification: WatchNotified, wanted: gateway.WatchAsked
+) -> gateway.Json | None:
+    """What the client is sent about a notification, if anything."""
+    if notification.compacted:
+        return _canceled(header, notification)
+    if notification.events:
+        return gateway.events_of(header, notification.revision, notification.events, wanted.previous)
+    return None
 
 
 def _canceled(header: gateway.Header, notification: WatchNotified) -> gateway.Json:
--- a/heronreel/fault_injection/harness.py
+++ b/heronreel/fault_injection/harness.py
@@ -10,13 +10,15 @@
 import sys
 from collections.abc import Mapping, Sequence
 from pathlib import Path
-from typing import Any
 
 import aiohttp
+import msgspec
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.clock import CLOCK_RATE_VARIABLE
+from heronreel.coordination.consensus import Role
 from heronreel.coordination.model import Range, RequestError
+from heronreel.coordinator.health import HealthReport
 from heronreel.fault_injection.errors import CommandFailedError, GroupUnhealthyError
 from heronreel.fault_injection.managed_process import ROOT, ManagedProcess
 from heronreel.fault_injection.relay_network import RelayNetwork
@@ -26,6 +28,7 @@
 HEALTH_TIMEOUT_S = 1.0
 HEALTH_POLL_INTERVAL_S = 0.05
 LEADER_TIMEOUT_S = 0.5  # of one health check, when only the leader is wanted
+LEADER_ROLE = Role.LEADER.value
 GROUP_SETTINGS = "beat_ms = 50\npatience_ms = 300\nrequest_ms = 1500\neven = true"
 
 
@@ -208,8 +211,8 @@
         async with _health_session(LEADER_TIMEOUT_S) as session, asyncio.timeout(timeout_s):
             while True:
                 for name in self.names:
-                    (row,) = _parsed([await self._health_text(session, name)]) or [{}]
-                    if row.get("role") == "leader":
+                    reports = _parsed([await self._health_text(session, name)])
+                    if any(report.role == LEADER_ROLE for report in reports):
                         return name
                 await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -234,17 +237,20 @@
     return aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=timeout_s))
 
 
-def _parsed(responses: Sequence[str]) -> list[dict[str, Any]]:
-    """The rows of those members that responded."""
-    return [json.loads(response) for response in responses if response.startswith("{")]
+def _parsed(responses: Sequence[str]) -> list[HealthReport]:
+    """The reports of those members that responded."""
+    return [
+        msgspec.json.decode(response, type=HealthReport) for response in responses if response.startswith("{")
+    ]
 
 
-def _is_healthy(rows: Sequence[dict[str, Any]], size: int) -> bool:
-    leaders = [row for row in rows if row["role"] == "leader"]
-    if len(rows) != size or len(leaders) != 1:
+def _is_healthy(reports: Sequence[HealthReport], size: int) -> bool:
+    leaders = [report for report in reports if report.role == LEADER_ROLE]
+    if len(reports) != size or len(leaders) != 1:
         return False
     (leader,) = leaders
     return all(
-        row["version"][:2] == leader["version"][:2] and leader["disks"].get(row["member"]) == row["disk"]
-        for row in rows
+        report.version[:2] == leader.version[:2]
+        and leader.incarnations.get(report.member) == report.incarnation
+        for report in reports
     )
