--- a/bench/leases.py
+++ b/bench/leases.py
@@ -134,7 +134,7 @@
     async with Client(others, answer_s=0.2) as client:
         while True:
             try:
-                await client.ask(Put(b"over", b""), 0.3)
+                await client.call(Put(b"over", b""), 0.3)
                 return time.perf_counter() - began
             except RequestError:
                 continue
