--- a/heronreel/coordinator/http_listener.py
+++ b/heronreel/coordinator/http_listener.py
@@ -124,10 +124,10 @@
         parsed = gateway.request_of(request.path, data)
         if not self.node.service.member.leads:
             return await forward_to_leader(self.node, request, data)
-        self.node.points.reach("asked")
+        self.node.points.reach("request")
         header = self.node.response_header()
         body = gateway.answer_of(header, await self.node.request(parsed))
-        self.node.points.reach("answer")
+        self.node.points.reach("response")
         if request.path in gateway.STREAMED:
             body = {"result": body}
         return web.json_response(body)
--- a/heronreel/coordinator/timers.py
+++ b/heronreel/coordinator/timers.py
@@ -1,4 +1,4 @@
-"""A timer that is set anew after each event."""
+"""A timer that is set again after each event."""
 
 from __future__ import annotations
 
