--- a/bench/probing.py
+++ b/bench/probing.py
@@ -19,7 +19,7 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.model import Range, RangeResponse
-from heronreel.fault_injection.processes import Harness
+from heronreel.fault_injection.harness import Harness
 from heronreel.health.report import report_key
 
 INTERVAL_MS = 1000
--- a/heronreel/cli/agent.py
+++ b/heronreel/cli/agent.py
@@ -7,7 +7,7 @@
 
 import click
 
-from heronreel.cli.coordinate import BAD_FILE, NOT_SERVED, tell
+from heronreel.cli.group_client import EXIT_BAD_CONFIGURATION, EXIT_START_FAILED, print_problems
 
 
 @click.command("agent")
@@ -27,10 +27,10 @@
     try:
         settings = load_file(file)
     except ConfigFileError as error:
-        tell(file, error)
-        sys.exit(BAD_FILE)
+        print_problems(file, error)
+        sys.exit(EXIT_BAD_CONFIGURATION)
     try:
         asyncio.run(serve(settings))
     except (StoreError, OSError) as error:
         click.echo(f"heronreel agent: {error}", err=True)
-        sys.exit(NOT_SERVED)
+        sys.exit(EXIT_START_FAILED)
--- a/heronreel/cli/counts.py
+++ b/heronreel/cli/counts.py
@@ -8,7 +8,7 @@
 
 import click
 
-from heronreel.cli.coordinate import NOT_FOUND, asked
+from heronreel.cli.group_client import EXIT_NOT_FOUND, call_group
 
 if TYPE_CHECKING:
     from heronreel.metering.overview import CountsByKind, UsageOverview
@@ -30,10 +30,10 @@
     from heronreel.metering import overview
 
     if forget is not None:
-        done = asked(file, members, lambda client: overview.abandon_ledger(client, forget))
+        done = call_group(file, members, lambda client: overview.abandon_ledger(client, forget))
         _print_abandoned(forget, done, as_json)
-        sys.exit(0 if done else NOT_FOUND)
-    usage = asked(file, members, lambda client: overview.usage_overview(client, periods))
+        sys.exit(0 if done else EXIT_NOT_FOUND)
+    usage = call_group(file, members, lambda client: overview.usage_overview(client, periods))
     if as_json:
         click.echo(json.dumps(usage, indent=2))
     else:
--- a/heronreel/cli/fleet.py
+++ b/heronreel/cli/fleet.py
@@ -11,7 +11,13 @@
 
 import click
 
-from heronreel.cli.coordinate import BAD_FILE, NO_GROUP, asked, group_of, tell
+from heronreel.cli.group_client import (
+    EXIT_BAD_CONFIGURATION,
+    EXIT_NO_RESPONSE,
+    call_group,
+    load_group,
+    print_problems,
+)
 
 # exit codes besides 0 for success and those of `heronreel.cli.coordinate`
 NOT_AS_WANTED = 1
@@ -69,9 +75,9 @@
     try:
         rules = load_file(allowances)
     except ConfigFileError as error:
-        tell(allowances, error)
-        sys.exit(BAD_FILE)
-    asked(file, members, lambda client: replace_rules(client, rules))
+        print_problems(allowances, error)
+        sys.exit(EXIT_BAD_CONFIGURATION)
+    call_group(file, members, lambda client: replace_rules(client, rules))
     click.echo(f"{len(rules)} allowances are in force")
 
 
@@ -83,7 +89,7 @@
 
     Exit codes: 0 success, 2 the group does not respond, 78 a bad file.
     """
-    status = asked(file, members, _read_status)
+    status = call_group(file, members, _read_status)
     if as_json:
         click.echo(json.dumps(status, indent=2))
         return
@@ -152,7 +158,7 @@
         StaleFencingTokenError,
     )
 
-    group = group_of(group_options.file, group_options.members, "-")
+    group = load_group(group_options.file, group_options.members, "-")
 
     def print_progress(instance_id: str, text: str) -> None:
         click.echo(f"{instance_id:32} {text}")
@@ -168,7 +174,7 @@
     except LeadershipLostError as error:
         _exit_with(UNKNOWN_STATE, f"{error}; another controller can resume the operation")
     except RequestError as error:
-        _exit_with(NO_GROUP, error.message)
+        _exit_with(EXIT_NO_RESPONSE, error.message)
     _exit_with_result(operation)
 
 
@@ -292,7 +298,7 @@
     """
     from heronreel.fleet.budget_client import halt_fleet
 
-    asked(file, members, lambda client: halt_fleet(client, by, why))
+    call_group(file, members, lambda client: halt_fleet(client, by, why))
     click.echo("halted")
 
 
@@ -305,5 +311,5 @@
     """
     from heronreel.fleet.budget_client import resume_fleet
 
-    asked(file, members, resume_fleet)
+    call_group(file, members, resume_fleet)
     click.echo("the halt is lifted")
--- /dev/null
+++ b/heronreel/coordinator/watch_registry.py
@@ -0,0 +1,55 @@
+"""The watches of clients: events of the core on their way to the responses that stream them."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import NamedTuple
+
+from heronreel.coordination.watches import WatchNotified
+
+MAX_QUEUED_NOTIFICATIONS = 1000  # for one watch
+
+
+class WatchSubscription(NamedTuple):
+    """An open watch: its number, and the notifications that its client has not read."""
+
+    number: int
+    notifications: asyncio.Queue[WatchNotified]
+
+
+class WatchRegistry:
+    """A queue of notifications for each open watch, by its number."""
+
+    def __init__(self) -> None:
+        self.queues: dict[int, asyncio.Queue[WatchNotified]] = {}
+
+    def open(self, number: int) -> WatchSubscription:
+        """Register a watch before the core creates it."""
+        subscription = WatchSubscription(number, asyncio.Queue())
+        self.queues[number] = subscription.notifications
+        return subscription
+
+    def close(self, number: int) -> None:
+        """Forget a watch; nothing happens if it was forgotten already."""
+        self.queues.pop(number, None)
+
+    def publish(self, notification: WatchNotified) -> bool:
+        """Queue a notification; False if the watch has ended because its client reads too slowly.
+
+        Such a client gets a last notification that it missed events, as if they had been compacted.
+        """
+        queue = self.queues.get(notification.watch_id)
+        if queue is None:
+            return True
+        if queue.qsize() >= MAX_QUEUED_NOTIFICATIONS:
+            self.close(notification.watch_id)
+            revision = notification.revision
+            queue.put_nowait(WatchNotified(notification.watch_id, revision, (), compact_revision=revision))
+            return False
+        queue.put_nowait(notification)
+        return True
+
+    def end_all(self) -> None:
+        """Notify every client that this member can't continue its watch."""
+        for number, queue in self.queues.items():
+            queue.put_nowait(WatchNotified(number, 0, (), ended=True))
--- /dev/null
+++ b/heronreel/coordinator/watch_stream.py
@@ -0,0 +1,70 @@
+"""The response to a watch: a line of JSON for each batch of events."""
+
+from __future__ import annotations
+
+import json
+
+from aiohttp import web
+
+from heronreel.coordination import gateway, gateway_server
+from heronreel.coordination.errors import RequestError, StatusCode
+from heronreel.coordination.watches import WatchNotified
+from heronreel.coordinator.node import MemberNode
+
+
+async def stream_watch(
+    node: MemberNode, request: web.Request, wanted: gateway_server.WatchRequest
+) -> web.StreamResponse:
+    """Stream a watch's events until the client or this member ends it.
+
+    Raises:
+        RequestError: The watch was not created.
+    """
+    watch = node.open_watch(wanted)
+    response = web.StreamResponse(headers={"Content-Type": "application/json"})
+    try:
+        first = await watch.notifications.get()
+        if first.ended:
+            raise RequestError(StatusCode.UNAVAILABLE, "etcdserver: no leader, or too many watches")
+        await response.prepare(request)
+        created = {"header": node.response_header().at_revision(first.revision), "created": True}
+        await response.write(encode_line(created))
+        notification = first
+        while not notification.ended:
+            if line := _next_line(node.response_header(), notification, wanted):
+                await response.write(encode_line(line))
+            if notification.compact_revision:
+                return response
+            notification = await watch.notifications.get()
+        request.protocol.force_close()
+    except (ConnectionError, OSError):
+        pass  # the client has gone
+    finally:
+        node.close_watch(watch)
+    return response
+
+
+def _next_line(
+    header: gateway_server.ResponseHeader, notification: WatchNotified, wanted: gateway_server.WatchRequest
+) -> gateway.Json | None:
+    """What the client is sent about a notification, if anything."""
+    if notification.compact_revision:
+        return _canceled(header, notification)
+    if notification.events:
+        return gateway_server.encode_events(
+            header, notification.revision, notification.events, with_previous=wanted.previous
+        )
+    return None
+
+
+def _canceled(header: gateway_server.ResponseHeader, notification: WatchNotified) -> gateway.Json:
+    return {
+        "header": header.at_revision(notification.revision),
+        "canceled": True,
+        "compact_revision": str(notification.compact_revision),
+    }
+
+
+def encode_line(result: gateway.Json) -> bytes:
+    """One line of a streamed response."""
+    return json.dumps({"result": result}, separators=(",", ":")).encode() + b"\n"
--- a/heronreel/fault_injection/virtual.py
+++ b/heronreel/fault_injection/virtual.py
@@ -38,8 +38,8 @@
     TxnResponse,
 )
 from heronreel.coordination.request_batch import RequestCompleted
-from heronreel.fault_injection.histories import Call
-from heronreel.fault_injection.linear import CAS, PUT, READ, wrong
+from heronreel.fault_injection.histories import Operation
+from heronreel.fault_injection.linearizability import CAS, PUT, READ, find_violation
 from heronreel.leases.fencing import FencingGuard
 from heronreel.leases.lease import Actions, ClaimAcquired, LeaseClient, LeaseTerms, SendRequest
 
@@ -167,7 +167,7 @@
         self.fencing = FencingGuard()
         self.accepted: list[AcceptedAction] = []
         self.grants: list[Grant] = []  # in the order made
-        self.calls: list[Call] = []
+        self.calls: list[Operation] = []
         self._responders: dict[int, Callable[[ResponseOrError], None]] = {}
         self._last_ticket = 0
         self.healed = False
@@ -215,7 +215,7 @@
         if not self.problems:
             if not self.responses_after_heal:
                 self.problems.append("nothing was answered after the last fault")
-            if why := wrong(self.calls):
+            if why := find_violation(self.calls):
                 self.problems.append(why)
         return self.problems
 
@@ -349,11 +349,11 @@
         key = self.rng.choice(KEYS)
         kind = self.rng.choice((READ, PUT, CAS))
         fresh = f"{client}.{number}"
-        written_lately = [call.given[-1] for call in self.calls[-6:] if call.what != READ]
+        written_lately = [call.arguments[-1] for call in self.calls[-6:] if call.kind != READ]
         expected = self.rng.choice(written_lately or [None])
         request, given = _client_request(kind, key, fresh, expected)
         index = len(self.calls)
-        self.calls.append(Call(f"c{client}", kind, given, self.now, float("inf"), None))
+        self.calls.append(Operation(f"c{client}", kind, given, self.now, float("inf"), None))
 
         def on_response(response: ResponseOrError | None) -> None:
             result: object = None
--- a/heronreel/serve/fleet.py
+++ b/heronreel/serve/fleet.py
@@ -20,7 +20,7 @@
 from heronreel.coordination.clock import boot_clock
 from heronreel.coordination.crash_points import CrashPoints
 from heronreel.coordination.logs import log_to_stderr
-from heronreel.coordinator.server import EmbeddedServer
+from heronreel.coordinator.embedded import EmbeddedServer
 from heronreel.leases.lease import ClaimAcquired, ClaimLost, LeaseTerms
 from heronreel.leases.rate_budget import RateLimits
 from heronreel.leases.session import LeaseSession
--- a/tests/compatibility/stored_control.py
+++ b/tests/compatibility/stored_control.py
@@ -22,8 +22,8 @@
 from heronreel.coordination.kv_service import DESIRED_MEMBERS_KEY
 from heronreel.coordination.member_state import Role
 from heronreel.coordination.model import CompareOperator, CompareTarget
-from heronreel.coordinator.disk import NAMES, ROW
-from heronreel.coordinator.server import VIA
+from heronreel.coordinator.disk import CONTENT_PREFIX, MEMBER_KEY
+from heronreel.coordinator.forwarding import FORWARDED_BY_HEADER
 from heronreel.fleet import model as fleet
 from heronreel.fleet.leadership import LEADERSHIP_NAME
 from heronreel.fleet.lifecycle_messages import DesiredState, ProcessStage
@@ -61,8 +61,8 @@
     {
         "member: group": MEMBERSHIP_KEY,
         "member: confirmed": CONFIRMED_VERSIONS_KEY,
-        "disk: names": NAMES,
-        "disk: row": ROW,
+        "disk: names": MEMBER_KEY,
+        "disk: row": CONTENT_PREFIX,
         "state: head": HEADER_KEY,
         "state: key": KEY_PREFIX,
         "state: lease 258": lease_key(258),
@@ -100,7 +100,7 @@
         "fence: step": FencedTable.STEP,
         "fence: row": FencedTable.ROW,
         "watch": WATCH_PATH,
-        "forwarded by": VIA,
+        "forwarded by": FORWARDED_BY_HEADER,
     }
 )
 ENUMS: dict[str, type[Enum]] = {
--- a/tests/compatibility/test_stored_control.py
+++ b/tests/compatibility/test_stored_control.py
@@ -19,7 +19,8 @@
 from heronreel.coordination.model import DeleteRange, LeaseGrant, LeaseTimeToLive, Put, Range
 from heronreel.coordination.settings import GroupConfig, MemberAddress
 from heronreel.coordinator.disk import MemberDisk
-from heronreel.coordinator.server import HttpListener, MemberNode
+from heronreel.coordinator.http_listener import HttpListener
+from heronreel.coordinator.node import MemberNode
 from tests.compatibility.stored_control import FORMS, MEMBER
 from tests.compatibility.stored_forms import DRAWN, FOLDER, Server, drawn
 from tests.compatibility.stored_group import ANSWERS, DURABLE, EVENTS, opened_folder
--- a/tests/fleet/agent_harness.py
+++ b/tests/fleet/agent_harness.py
@@ -12,7 +12,8 @@
 import aiohttp
 
 from heronreel.coordination.client import Client
-from heronreel.fault_injection.processes import Harness, Process
+from heronreel.fault_injection.harness import Harness
+from heronreel.fault_injection.managed_process import ManagedProcess
 from heronreel.fleet.budget_client import read_snapshot
 from heronreel.fleet.model import Condition, Instance
 from tests.support.loopback import free_port
@@ -79,10 +80,12 @@
 {instances}
 """
 
-    async def start(self, **env: str) -> Process:
+    async def start(self, **env: str) -> ManagedProcess:
         """Start the agent, and wait until it accepts commands."""
-        process = await self.harness.run(self.name, "heronreel.cli", "agent", str(self._agent_file()), **env)
-        await process.line('"listening"')
+        process = await self.harness.start_process(
+            self.name, "heronreel.cli", "agent", str(self._agent_file()), **env
+        )
+        await process.wait_for_line('"listening"')
         return process
 
     async def _request(self, path: str, body: dict[str, Any] | None = None) -> tuple[int, dict[str, Any]]:
--- a/tests/fleet/test_agent_processes.py
+++ b/tests/fleet/test_agent_processes.py
@@ -12,7 +12,7 @@
 import pytest
 
 from heronreel.coordination.client import Client
-from heronreel.fault_injection.processes import Harness
+from heronreel.fault_injection.harness import Harness
 from heronreel.fleet.agent_settings import load
 from heronreel.fleet.budget_client import read_snapshot
 from heronreel.routes.reader import ConfigFileError
@@ -26,7 +26,7 @@
     async def run() -> None:
         async with Harness(tmp_path, ("a",), 1) as harness, Client(harness.addresses) as client:
             async with Backend() as backend:
-                await harness.serves()
+                await harness.wait_until_available()
                 agent = AgentHarness(harness, tmp_path, backend.address)
                 try:
                     process = await agent.start()
@@ -55,7 +55,7 @@
                     async with asyncio.timeout(40):
                         while not await agent.responds("p1"):
                             await asyncio.sleep(0.05)
-                    await harness.start("a")
+                    await harness.start_member("a")
                     async with asyncio.timeout(40):
                         while True:  # observations keep growing over the agent's restart
                             instances = (await read_snapshot(client)).instances
@@ -87,7 +87,7 @@
                 accepted = False
                 with suppress(aiohttp.ClientError, OSError):
                     accepted = await agent.command("p1", 3, 1, "running", "1") == 200
-                assert await doomed.ended(60) == -signal.SIGKILL
+                assert await doomed.wait_for_exit(60) == -signal.SIGKILL
                 await agent.start()
                 status = (await agent.status())["p1"]
                 assert not accepted or (status["number"], status["want"]) == (3, "running")
--- a/tests/fleet/test_disruption_budget.py
+++ b/tests/fleet/test_disruption_budget.py
@@ -17,7 +17,7 @@
 from heronreel.coordination.model import RangeResponse, Record, TxnResponse
 from heronreel.fault_injection.budget_world import BudgetWorld, Limits
 from heronreel.fault_injection.explore import advance, explore, random_walk
-from heronreel.fault_injection.processes import Harness
+from heronreel.fault_injection.harness import Harness
 from heronreel.fleet.budget_client import ClaimClient, report_instance
 from heronreel.fleet.budget_settings import load
 from heronreel.fleet.budget_transactions import transfer_claim
@@ -249,8 +249,8 @@
         file = tmp_path / "allow.toml"
         file.write_text(FILE)
         async with Harness(tmp_path, ("a", "b", "c"), 21) as harness, Client(harness.addresses) as client:
-            await harness.whole()
-            await asyncio.to_thread(harness.said, "fleet", "allow", str(file))
+            await harness.wait_until_healthy()
+            await asyncio.to_thread(harness.run_command, "fleet", "allow", str(file))
             for number in range(12):
                 await report_instance(client, instance(f"p{number}", f"z{number % 3}", observation=1))
             operations = [ClaimClient(client, f"o{n}", "me", "drain", n + 1) for n in range(12)]
@@ -258,12 +258,12 @@
             async def acquire(number: int) -> bool:
                 return isinstance(await operations[number].acquire((f"proxy/p{number}",)), ClaimGranted)
 
-            leader = await harness.leader()
+            leader = await harness.wait_for_leader()
             acquiring = [asyncio.ensure_future(acquire(number)) for number in range(12)]
             await harness.members[leader].kill()  # responses are lost: the records show what was done
             granted = [number for number, done in enumerate(await asyncio.gather(*acquiring)) if done]
             assert sorted(number % 3 for number in granted) == [0, 1, 2], granted
-            status = json.loads(await asyncio.to_thread(harness.said, "fleet", "status", "--json"))
+            status = json.loads(await asyncio.to_thread(harness.run_command, "fleet", "status", "--json"))
             assert [row["out"] for row in status["rules"] if row["rule"] == "one a zone"] == [
                 [f"proxy/p{number}"] for number in sorted(granted, key=lambda number: number % 3)
             ]
@@ -282,7 +282,7 @@
             await report_instance(client, lost)
             denied = await operations[other].acquire((f"proxy/p{other}",))
             assert isinstance(denied, ClaimDenied) and denied.violations  # planned work yields to a loss
-            printed = await asyncio.to_thread(harness.said, "fleet", "status")
+            printed = await asyncio.to_thread(harness.run_command, "fleet", "status")
             assert f"proxy/p{granted[1]}" in printed and "drain by me" in printed
 
     asyncio.run(run())
--- a/tests/fleet/test_rolling_operations.py
+++ b/tests/fleet/test_rolling_operations.py
@@ -16,7 +16,8 @@
 from hypothesis import strategies as st
 
 from heronreel.coordination.client import Client
-from heronreel.fault_injection.processes import Harness, Process
+from heronreel.fault_injection.harness import Harness
+from heronreel.fault_injection.managed_process import ManagedProcess
 from heronreel.fleet.budget_client import read_snapshot
 from heronreel.fleet.claim_requester import ClaimDenied, ClaimGranted, ClaimReleased, ReleasePending
 from heronreel.fleet.errors import InvalidSelectorError
@@ -265,14 +266,14 @@
         ]
         self.max_unavailable = 0  # that was ever seen in one zone
 
-    async def start(self, *words: str, **env: str) -> Process:
+    async def start(self, *words: str, **env: str) -> ManagedProcess:
         """Start a command of an operator."""
         line = ("heronreel.cli", "fleet", *words, "--members", f"a={self.harness.addresses[0]}")
-        return await self.harness.run("operator", *line, **env)
+        return await self.harness.start_process("operator", *line, **env)
 
     async def output(self, *words: str, code: int = 0) -> str:
         """The output of a command of an operator, which has to exit with the code."""
-        return await asyncio.to_thread(self.harness.said, "fleet", *words, code=code)
+        return await asyncio.to_thread(self.harness.run_command, "fleet", *words, expected_code=code)
 
     async def watch(self) -> None:
         """Count unavailable instances by what the agents say, and not by the disruption budget."""
@@ -299,7 +300,7 @@
         harness = await stack.enter_async_context(Harness(folder, ("a",), 1))
         client = await stack.enter_async_context(Client(harness.addresses))
         backend = await stack.enter_async_context(Backend())
-        await harness.serves()
+        await harness.wait_until_available()
         fleet = TwoAgents(harness, folder, backend.address, client)
         try:
             for agent in fleet.agents:
@@ -327,7 +328,7 @@
             before = await fleet.pids()
             watching = asyncio.ensure_future(fleet.watch())
             doomed = await fleet.start("restart", "p*", "--at-once", "4", HERONREEL_END_AT=point)
-            assert await doomed.ended(90) == -9
+            assert await doomed.wait_for_exit(90) == -9
             printed = await fleet.output("restart", "p1", "--by", "ada", "--wait", "20", code=3)
             assert "resume it with go-on, or abandon it with give-up" in printed, printed
             printed = await fleet.output("go-on", "--by", "ada", "--wait", "20")
@@ -350,12 +351,12 @@
     async def run() -> None:
         async with two_agents(tmp_path) as fleet:
             rolling = await fleet.start("restart", "p*")
-            await rolling.line("running 1")
+            await rolling.wait_for_line("running 1")
             printed = await fleet.output("restart", "p2", "--by", "ada", "--wait", "1", code=3)
             assert re.search(r"leads the fleet, with restart \w+ by", printed), printed
             await fleet.output("halt", "--why", "smoke", "--by", "ada")
             claims_at_halt = len((await read_snapshot(fleet.client)).claims)
-            assert await rolling.ended(60) == 1 and claims_at_halt <= 1
+            assert await rolling.wait_for_exit(60) == 1 and claims_at_halt <= 1
             operation = await read_operation(fleet.client)
             assert operation and operation.pending and not operation.final_status
             printed = await fleet.output("status")
--- a/tests/health/test_health_checks.py
+++ b/tests/health/test_health_checks.py
@@ -14,7 +14,8 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.model import Put, Range, RangeResponse, TxnResponse
-from heronreel.fault_injection.processes import Harness, Process
+from heronreel.fault_injection.harness import Harness
+from heronreel.fault_injection.managed_process import ManagedProcess
 from heronreel.health.checks import HealthCheckConfig, HealthTracker, Member, apply_panic_threshold
 from heronreel.health.report import (
     HealthReport,
@@ -190,14 +191,14 @@
         self.client = client
         self.folder = folder
         self.servers = servers
-        self.proxies: dict[str, Process] = {}
+        self.proxies: dict[str, ManagedProcess] = {}
         self.ports: dict[str, int] = {}
 
     async def start(self, name: str, zone: str) -> None:
         path = self.folder / f"{name}.toml"
         path.write_text(routes(name, zone, self.servers, self.harness.addresses))
-        self.proxies[name] = await self.harness.run(name, "heronreel.cli", "serve", str(path))
-        line = await self.proxies[name].line("listening on")
+        self.proxies[name] = await self.harness.start_process(name, "heronreel.cli", "serve", str(path))
+        line = await self.proxies[name].wait_for_line("listening on")
         self.ports[name] = int(line.split("127.0.0.1:")[1].split()[0])
 
     async def report(self, zone: str, after_round: int = 0) -> HealthReport:
@@ -230,15 +231,15 @@
 
     async def end(self) -> None:
         for name in self.ports:
-            self.proxies[name].signal(signal.SIGTERM)
-            assert await self.proxies[name].ended() == 0
+            self.proxies[name].send_signal(signal.SIGTERM)
+            assert await self.proxies[name].wait_for_exit() == 0
 
 
 def test_one_proxy_probes_for_a_zone_and_another_replaces_it_when_it_is_killed(tmp_path: Path) -> None:
     async def run() -> None:
         async with Server() as one, Server() as two, Server() as three:
             async with Harness(tmp_path, ("a",), 1) as harness, Client(harness.addresses) as client:
-                await harness.serves()
+                await harness.wait_until_available()
                 zones = Zones(harness, client, tmp_path, [one, two, three])
                 for name, zone in (("x1", "x"), ("x2", "x"), ("x3", "x"), ("y1", "y"), ("y2", "y")):
                     await zones.start(name, zone)
--- a/tests/metering/test_metering_processes.py
+++ b/tests/metering/test_metering_processes.py
@@ -16,7 +16,8 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.errors import RequestError
-from heronreel.fault_injection.processes import ROOT, Harness, Process
+from heronreel.fault_injection.harness import Harness
+from heronreel.fault_injection.managed_process import ROOT, ManagedProcess
 from heronreel.leases.overview import lease_overview
 from heronreel.metering import overview
 from heronreel.metering.overview import UsageOverview
@@ -67,19 +68,19 @@
         self.folder = folder
         self.address = address
         self.backend = backend
-        self.running: dict[str, Process] = {}
+        self.running: dict[str, ManagedProcess] = {}
 
     async def start(self, name: str) -> int:
         """The port on which the proxy listens."""
         path = routes(self.folder, name, self.backend, [self.address], str(self.folder / "group"))
-        self.running[name] = await Process.start(name, ("heronreel.cli", "serve", str(path)))
-        line = await self.running[name].line("listening on")
+        self.running[name] = await ManagedProcess.start(name, ("heronreel.cli", "serve", str(path)))
+        line = await self.running[name].wait_for_line("listening on")
         return int(line.split("127.0.0.1:")[1].split()[0])
 
     async def end(self) -> None:
         for process in self.running.values():
-            process.signal(signal.SIGTERM)
-            assert await process.ended() == 0
+            process.send_signal(signal.SIGTERM)
+            assert await process.wait_for_exit() == 0
 
     async def kill(self) -> None:
         for process in self.running.values():
@@ -118,13 +119,13 @@
             machine = SingleMachine(tmp_path, address, backend.address)
             try:
                 ports = [await machine.start("one")]
-                await machine.running["one"].line('"listens"')
+                await machine.running["one"].wait_for_line('"listens"')
                 ports.append(await machine.start("two"))
                 await until_present(client, 2)
                 for port in ports:
                     assert await clients.send(port, "etna", 10)
                 await machine.running["one"].kill()
-                await machine.running["two"].line('"listens"')
+                await machine.running["two"].wait_for_line('"listens"')
                 await machine.start("one")
                 await until_present(client, 2)
                 assert await until_counted(client, "etna", 20) <= 21 and clients.served["etna"] == 20
@@ -172,10 +173,10 @@
         self.backend = backend
         self.clients = Clients()
 
-    async def proxy(self, name: str, **env: str) -> tuple[Process, int]:
+    async def proxy(self, name: str, **env: str) -> tuple[ManagedProcess, int]:
         path = routes(self.folder, name, self.backend, self.harness.addresses)
-        process = await self.harness.run(name, "heronreel.cli", "serve", str(path), **env)
-        line = await process.line("listening on")
+        process = await self.harness.start_process(name, "heronreel.cli", "serve", str(path), **env)
+        line = await process.wait_for_line("listening on")
         return process, int(line.split("127.0.0.1:")[1].split()[0])
 
     async def usage(self, client: Client) -> UsageOverview:
@@ -262,7 +263,7 @@
     async def run() -> None:
         async with Harness(tmp_path, ("a",), 1) as harness, Client(harness.addresses) as client:
             async with Backend() as backend:
-                await harness.serves()
+                await harness.wait_until_available()
                 fleet = Fleet(harness, tmp_path, backend.address)
                 for crash_at in CRASH_POINTS[point]:
                     doomed, port = await fleet.proxy("one", HERONREEL_END_AT=crash_at)
@@ -277,8 +278,8 @@
                 await fleet.clients.send(port, "etna", 5)
                 usage = await fleet.settled_usage(client)
                 check_usage(usage, fleet.clients)
-                last.signal(signal.SIGTERM)
-                assert await last.ended() == 0
+                last.send_signal(signal.SIGTERM)
+                assert await last.wait_for_exit() == 0
                 usage = await fleet.usage(client)
                 check_usage(usage, fleet.clients, all_in_periods=False)
 
@@ -291,7 +292,7 @@
     async def run() -> None:
         async with Harness(tmp_path, ("a", "b", "c"), 2) as harness, Client(harness.addresses) as client:
             async with Backend() as backend:
-                await harness.whole()
+                await harness.wait_until_healthy()
                 fleet = Fleet(harness, tmp_path, backend.address)
                 names = ("p", "q", "r")
                 running = {name: await fleet.proxy(name) for name in names}
@@ -301,16 +302,16 @@
                     doomed = names[turn % 3]
                     await running[doomed][0].kill()
                     if turn == 1:
-                        leader = await harness.leader()
+                        leader = await harness.wait_for_leader()
                         await harness.members[leader].kill()
-                        await harness.start(leader)
+                        await harness.start_member(leader)
                     running[doomed] = await fleet.proxy(doomed)
                 for name in names[1:]:
-                    running[name][0].signal(signal.SIGTERM)
-                    assert await running[name][0].ended() == 0
+                    running[name][0].send_signal(signal.SIGTERM)
+                    assert await running[name][0].wait_for_exit() == 0
                 usage = await fleet.settled_usage(client)
                 check_usage(usage, fleet.clients)
-                printed = json.loads(await asyncio.to_thread(harness.said, "counts", "--json"))
+                printed = json.loads(await asyncio.to_thread(harness.run_command, "counts", "--json"))
                 assert printed["ever"] == usage["ever"] and len(printed["periods"]) == 1
                 assert 240 <= sum(row["served"] + row["unknown"] for row in usage["ever"].values()) <= 244
 
