--- a/heronreel/fault_injection/lease_world.py
+++ b/heronreel/fault_injection/lease_world.py
@@ -1,13 +1,15 @@
-"""Two holders of one task, a group and a guarded place, around the real `LeaseClient`, `Claim`,
-`KeyValueService` and `FencingGuard`.
+"""The explorer's world of leases: two holders that compete for one task, the service, and a fenced resource.
 
-The group answers as one (that it does is `group_world`'s to show); a step may also make it change its
-leader. Questions and answers may be late, doubled or lost.  Time goes on in steps of a second, seen by the
-holders' clocks slower and by the group's faster by `drift`.  A holder looks whether it may act, and its
-action reaches the place at any later time, or within the margin where nothing holds it up.
+All of them are the real ones: `LeaseClient`, `Claim`, `KeyValueService` and `FencingGuard`.
 
-The judge looks from outside: never may two act; nothing of a holder may be taken after something of a later
-one; and an action that was not held up is over before the next holder acts.
+The service is one member (that a group behaves as one is `group_world`'s to show); a step may also make it
+change its leader. Requests and responses may be delayed, duplicated or lost. Time passes in steps of a
+second, which the holders' clocks measure as shorter and the service's as longer by `drift`. A holder checks
+its claim, and its action reaches the resource at any later time, or within the safety margin where nothing
+delays it.
+
+The checks look from outside: never may two holders act; nothing of a holder may be admitted after something
+of a later one; and an action that was not delayed is over before the next holder acts.
 """
 
 from __future__ import annotations
@@ -24,311 +26,369 @@
 from heronreel.coordination.kv_service import KeyValueService, Outputs, RequestCompleted
 from heronreel.coordination.model import LeaseKeepAlive, Request, ResponseOrError
 from heronreel.fault_injection.explore import Broken
+from heronreel.leases.claim import Actions, Claim, ClaimAcquired, ClaimLost
 from heronreel.leases.fencing import FencingGuard
-from heronreel.leases.lease import (
-    Actions,
-    Claim,
-    ClaimAcquired,
-    ClaimLost,
-    LeaseClient,
-    LeaseTerms,
-    SendRequest,
-)
+from heronreel.leases.keys import claim_key
+from heronreel.leases.lease import LeaseClient, LeaseTerms
+from heronreel.leases.requests import SendRequest
 
-KEY = b"held/task"
-NAME = b"task"
-SECONDS_MOST = 1e9
+TASK = "task"
+HOLDERS = (0, 1)
+TTL_S = 4
+SAFETY_MARGIN_S = 1.0
+RESPONSE_TIMEOUT_S = 1.0
+REQUEST_TIMEOUT_S = 1e9  # of the service: longer than any search
+LEASE_IDS_PER_HOLDER = 100
 
 
-class Guarded(NamedTuple):
-    """What keeps the promises; taken out one by one."""
+class LeaseGuards(NamedTuple):
+    """What keeps the guarantees; tests take them out one by one, and have to fail then."""
 
-    fence: bool = True
-    enter: bool = True  # a new holder enters the place before it acts
-    margin: bool = True
-    drift: bool = True  # the group allows for clocks that differ
-    grows: bool = True  # numbers grow
+    fencing: bool = True
+    registration: bool = True  # a new holder registers at the resource before it acts
+    safety_margin: bool = True
+    drift_margin: bool = True  # the service allows for clocks that differ
+    increasing_tokens: bool = True
 
 
 class Limits(NamedTuple):
+    """What may still happen in a world."""
+
     seconds: int = 7  # of true time
-    questions: tuple[int, int] = (1, 6)  # that each holder puts
+    requests: tuple[int, int] = (1, 6)  # of each holder
     actions: int = 2
-    changes: int = 1  # of the leader
+    leader_changes: int = 1
 
 
-class Flying(NamedTuple):
-    """An action on its way to the place."""
+class DelayedAction(NamedTuple):
+    """An action on its way to the resource."""
 
     holder: int
-    number: int
-    begun: int  # true seconds
+    fencing_token: int
+    started_at: int  # true seconds
     turn: int
 
 
-class Question(NamedTuple):
+class RequestMessage(NamedTuple):
+    """A request on its way to the service."""
+
     holder: int
-    number: int
+    request_id: int
     request: Request
 
 
-class Reply(NamedTuple):
+class ResponseMessage(NamedTuple):
+    """A response on its way to a holder."""
+
     holder: int
-    number: int
-    answer: ResponseOrError
+    request_id: int
+    response: ResponseOrError
 
 
 class LeaseWorld:
     """One state of the world."""
 
     def __init__(
-        self, limits: Limits, guarded: Guarded, *, drift: float = 0.1, true_drift: float | None = None
+        self, limits: Limits, guards: LeaseGuards, *, drift: float = 0.1, true_drift: float | None = None
     ) -> None:
-        """`drift` is what the group allows for; clocks are off by `true_drift`, which may be more."""
+        """`drift` is what the service allows for; clocks are off by `true_drift`, which may be more."""
         self.limits = limits
-        self.guarded = guarded
+        self.guards = guards
         self.drift = drift
-        self.off = drift if true_drift is None else true_drift
+        self.true_drift = drift if true_drift is None else true_drift
         self.time = 0
-        terms = LeaseTerms(ttl=4, margin=1.0, answer=1.0, guarded=guarded.margin)
-        self.sessions: tuple[LeaseClient, ...] = ()
-        for holder in range(2):
-            session = LeaseClient(terms, 0.0, _Lease(holder))
-            session.claim(KEY, b"%d" % holder)
-            self.sessions = (*self.sessions, session)
-        self.entered: tuple[int, int] = (0, 0)  # the number that each holder has entered the place with
-        self.group = self._group(DurableState("a1"))
-        self.sent: frozenset[Question | Reply] = frozenset()
-        self.flying: frozenset[Flying] = frozenset()
-        self.fence: Map[bytes, int] = Map()
-        self.turns: tuple[int, int] = (0, 0)  # the judge's: whose turn it is, counted over all grants
-        self.acted = 0  # the latest turn of which something was taken
+        self.leases = tuple(self._lease(holder) for holder in HOLDERS)
+        self.registered: tuple[int, int] = (0, 0)  # the token that each holder has registered with
+        self.service = self._service(DurableState("a1"))
+        self.messages: frozenset[RequestMessage | ResponseMessage] = frozenset()
+        self.delayed: frozenset[DelayedAction] = frozenset()
+        self.highest_tokens: Map[bytes, int] = Map()  # at the resource
+        self.turns: tuple[int, int] = (0, 0)  # for the checks: the holders' grants, counted over both
+        self.latest_turn = 0  # of which the resource has admitted something
         self._prepare()
 
+    def _lease(self, holder: int) -> LeaseClient:
+        terms = LeaseTerms(TTL_S, SAFETY_MARGIN_S, RESPONSE_TIMEOUT_S, self.guards.safety_margin)
+        lease = LeaseClient(terms, 0.0, _LeaseIds(holder))
+        lease.claim(claim_key(TASK), b"%d" % holder)
+        return lease
+
     def _prepare(self) -> None:
-        """Begin where the first holds the task and has entered the place, and the second wants it: all orders
-        from there on are looked at.
+        """Start where the first holder has the task and has registered, and the second one requests it.
+
+        All orders of events are explored from there on.
         """
-        for holder, session in enumerate(self.sessions):
-            actions = session.tick(0.0)
+        for holder, lease in enumerate(self.leases):
+            actions = lease.tick(0.0)
             while actions:
-                asks = [action for action in actions if isinstance(action, SendRequest)]
+                requests = [action for action in actions if isinstance(action, SendRequest)]
                 actions = []
-                for ask in asks:
-                    outputs = self.group.ask(0.0, 1, ask.request, SECONDS_MOST)
-                    for answered in self._settle(self.group, outputs):
-                        actions += session.answered(0.0, ask.number, answered.answer)
-                self._hold(holder, [action for action in actions if not isinstance(action, SendRequest)])
-        number = self.sessions[0].claims[0].acts(0.0)
-        assert number
-        self.fence = Map({NAME: number})
-        self.entered = (number, 0)
-
-    def _group(self, disk: DurableState) -> KeyValueService:
+                for sent in requests:
+                    outputs = self.service.ask(0.0, 1, sent.request, REQUEST_TIMEOUT_S)
+                    for completed in self._run_service(self.service, outputs):
+                        actions += lease.on_response(0.0, sent.request_id, completed.answer)
+                self._carry_out(holder, [action for action in actions if not isinstance(action, SendRequest)])
+        token = self.leases[0].claims[0].fencing_token(0.0)
+        assert token
+        self.highest_tokens = Map({TASK.encode(): token})
+        self.registered = (token, 0)
+
+    def _service(self, disk: DurableState) -> KeyValueService:
         member = ConsensusMember("a", ("a",), disk, 0.0, timing=Timing(0.0, 0.0, 0.0, 1e9))
-        service = KeyValueService(member, drift=self.drift if self.guarded.drift else 0.0)
-        self._settle(service, service.tick(self.group_time()))
+        service = KeyValueService(member, drift=self.drift if self.guards.drift_margin else 0.0)
+        self._run_service(service, service.tick(self.service_time()))
         return service
 
-    def group_time(self) -> float:
-        return self.time * (1 + self.off)
+    def service_time(self) -> float:
+        """What the service's clock shows."""
+        return self.time * (1 + self.true_drift)
 
-    def holder_time(self, holder: int) -> float:
-        return self.time * (1 - self.off)
+    def holder_time(self) -> float:
+        """What the holders' clocks show."""
+        return self.time * (1 - self.true_drift)
 
-    def _settle(self, service: KeyValueService, outputs: Outputs) -> list[RequestCompleted]:
-        """Let the group do all at once: its disk is durable where it writes."""
-        answered: list[RequestCompleted] = []
+    def _run_service(self, service: KeyValueService, outputs: Outputs) -> list[RequestCompleted]:
+        """Let the service do everything at once: its disk is durable as soon as it writes."""
+        completed: list[RequestCompleted] = []
         queue = list(outputs)
         while queue:
             output = queue.pop(0)
             if isinstance(output, Persist):
-                actions: MemberActions = service.member.persisted(self.group_time(), output.number)
-                queue += service.settle(self.group_time(), actions)
+                actions: MemberActions = service.member.persisted(self.service_time(), output.number)
+                queue += service.settle(self.service_time(), actions)
             elif isinstance(output, RequestCompleted):
-                answered.append(output)
-        return answered
+                completed.append(output)
+        return completed
 
     def fork(self) -> LeaseWorld:
+        """A copy, whose cores change without changing this world's."""
         world = object.__new__(LeaseWorld)
         world.__dict__.update(self.__dict__)
-        world.sessions = tuple(_forked(session) for session in self.sessions)
-        group = copy.copy(self.group)
-        group.member = self.group.member.fork()
-        group.waiting = self.group.waiting.copy()
-        group.events = self.group.events.copy()
-        world.group = group
+        world.leases = tuple(_forked(lease) for lease in self.leases)
+        service = copy.copy(self.service)
+        service.member = self.service.member.fork()
+        service.waiting = self.service.waiting.copy()
+        service.events = self.service.events.copy()
+        world.service = service
         return world
 
     def key(self) -> Hashable:
-        rows = []
-        for session in self.sessions:
-            (claim,) = session.claims
-            rows.append((
-                session.lease, session.granted, session.until, session.due, session.number, session.asked,
-                session.pause.failures, claim.number, claim.due, claim.asked, claim.pause.failures,
-            ))  # fmt: skip
-        group = self.group
+        """Equal for worlds that have the same future."""
+        service = self.service
         return (
-            tuple(rows), self.entered, self.time, self.limits, self.sent, self.flying, self.fence, self.acted,
+            tuple(_lease_key(lease) for lease in self.leases),
+            self.registered,
+            self.time,
+            self.limits,
+            self.messages,
+            self.delayed,
+            self.highest_tokens,
+            self.latest_turn,
             self.turns,
-            group.state.keys, group.state.leases, group.deadlines, group.state.revision,
-        )  # fmt: skip
+            service.state.keys,
+            service.state.leases,
+            service.deadlines,
+            service.state.revision,
+        )
 
     # -- steps
 
     def steps(self) -> Iterator[tuple[str, LeaseWorld]]:
-        limits = self.limits
-        if limits.seconds:
-            yield self._checked("a second goes by", self._second())
-        for message in self.sent:
-            if isinstance(message, Question):
-                words = f"the group is asked by {message.holder}: {type(message.request).__name__}"
-                yield self._checked(words, self._asked(message))
+        """All that can happen next.  Raises Broken where a guarantee does not hold."""
+        if self.limits.seconds:
+            yield self._checked("a second passes", self._after_second())
+        for message in self.messages:
+            if isinstance(message, RequestMessage):
+                words = f"the service gets from {message.holder}: {type(message.request).__name__}"
+                yield self._checked(words, self._after_request(message))
             else:
-                words = f"{message.holder} is answered: {_told(message.answer)}"
-                yield self._checked(words, self._answered(message))
-        for holder, session in enumerate(self.sessions):
-            (claim,) = session.claims
-            number = claim.acts(self.holder_time(holder))
-            if number and number != self.entered[holder] and self.guarded.enter:
-                yield self._checked(f"{holder} enters the place with {number}", self._enter(holder, number))
-            elif number and limits.actions and not any(each.holder == holder for each in self.flying):
-                yield self._checked(f"{holder} looks, and begins an action", self._look(holder, number))
-        for action in self.flying:
-            yield self._checked(f"the action of {action.holder} reaches the place", self._reach(action))
-        if limits.changes:
-            world = self.fork()
-            world.limits = limits._replace(changes=limits.changes - 1)
-            member = self.group.member
-            disk = DurableState("a1", member.group, member.promised, member.version, member.content)
-            world.group = world._group(disk)
-            yield self._checked("the group's leader changes", world)
-
-    def _checked(self, words: str, world: LeaseWorld | str) -> tuple[str, LeaseWorld]:
-        if isinstance(world, str):
-            raise Broken(world, words)
-        world.sent = frozenset(message for message in world.sent if world._matters(message))
-        acting = [
-            holder for holder, session in enumerate(world.sessions)
-            if session.claims[0].acts(world.holder_time(holder))
-        ]  # fmt: skip
-        if len(acting) > 1:
+                words = f"{message.holder} gets the response: {_described(message.response)}"
+                yield self._checked(words, self._after_response(message))
+        for holder in HOLDERS:
+            yield from self._holder_steps(holder)
+        for action in self.delayed:
+            words = f"the action of {action.holder} reaches the resource"
+            yield self._checked(words, self._after_action(action))
+        if self.limits.leader_changes:
+            yield self._checked("the leader changes", self._after_leader_change())
+
+    def _holder_steps(self, holder: int) -> Iterator[tuple[str, LeaseWorld]]:
+        """What a holder does that may act at this moment."""
+        token = self._fencing_token(holder)
+        if not token:
+            return
+        if token != self.registered[holder] and self.guards.registration:
+            words = f"{holder} registers at the resource with {token}"
+            yield self._checked(words, self._after_registration(holder, token))
+        elif self.limits.actions and not any(action.holder == holder for action in self.delayed):
+            words = f"{holder} checks its claim, and begins an action"
+            yield self._checked(words, self._after_check(holder, token))
+
+    def _fencing_token(self, holder: int) -> int:
+        return self.leases[holder].claims[0].fencing_token(self.holder_time())
+
+    def _checked(self, words: str, world: LeaseWorld) -> tuple[str, LeaseWorld]:
+        world.messages = frozenset(message for message in world.messages if world._has_effect(message))
+        if all(world._fencing_token(holder) for holder in HOLDERS):
             raise Broken("two act at once", words)
         return words, world
 
-    def _matters(self, message: Question | Reply) -> bool:
-        """An answer nobody waits for does nothing; a question may, however late it comes."""
-        session = self.sessions[message.holder]
-        waited = [claim.asked[0] for claim in session.claims if claim.asked is not None]
-        if session.asked is not None:
-            waited.append(session.asked[0])
-        return (isinstance(message, Question) and not isinstance(message.request, LeaseKeepAlive)) or (
-            message.number in waited
-        )
-
-    def _second(self) -> LeaseWorld:
+    def _has_effect(self, message: RequestMessage | ResponseMessage) -> bool:
+        """A response that nobody awaits does nothing; a request may do something, however late it comes."""
+        if isinstance(message, RequestMessage) and not isinstance(message.request, LeaseKeepAlive):
+            return True
+        lease = self.leases[message.holder]
+        awaited = [claim.in_flight.request_id for claim in lease.claims if claim.in_flight is not None]
+        if lease.in_flight is not None:
+            awaited.append(lease.in_flight.request_id)
+        return message.request_id in awaited
+
+    def _after_second(self) -> LeaseWorld:
         world = self.fork()
         world.time += 1
         world.limits = self.limits._replace(seconds=self.limits.seconds - 1)
-        world._settle(world.group, world.group.tick(world.group_time()))
-        for holder in range(2):
-            world._hold(holder, world.sessions[holder].tick(world.holder_time(holder)))
+        world._run_service(world.service, world.service.tick(world.service_time()))
+        for holder in HOLDERS:
+            world._carry_out(holder, world.leases[holder].tick(world.holder_time()))
         return world
 
-    def _hold(self, holder: int, actions: Actions) -> None:
-        """What a holder does."""
+    def _carry_out(self, holder: int, actions: Actions) -> None:
+        """What a holder's core asks for."""
         for action in actions:
-            if isinstance(action, SendRequest) and self.limits.questions[holder]:
-                first, second = self.limits.questions
-                left = (first - 1, second) if holder == 0 else (first, second - 1)
-                self.limits = self.limits._replace(questions=left)
-                self.sent |= {Question(holder, action.number, action.request)}
+            if isinstance(action, SendRequest):
+                self._send(holder, action)
             elif isinstance(action, ClaimAcquired):
-                turn = max(self.turns)
-                if self.turns[holder] < turn or not turn:  # not the same grant, seen again
-                    turn += 1
-                self.turns = (turn, self.turns[1]) if holder == 0 else (self.turns[0], turn)
-                if not self.guarded.grows:
-                    self.sessions[holder].claims[0].number = 1
+                self._on_acquired(holder)
             elif isinstance(action, ClaimLost):
-                self.entered = (0, self.entered[1]) if holder == 0 else (self.entered[0], 0)
-
-    def _asked(self, question: Question) -> LeaseWorld:
+                self.registered = _replaced(self.registered, holder, 0)
+
+    def _send(self, holder: int, action: SendRequest) -> None:
+        left = self.limits.requests[holder]
+        if left:
+            self.limits = self.limits._replace(requests=_replaced(self.limits.requests, holder, left - 1))
+            self.messages |= {RequestMessage(holder, action.request_id, action.request)}
+
+    def _on_acquired(self, holder: int) -> None:
+        turn = max(self.turns)
+        seen_again = turn and self.turns[holder] == turn  # not another grant
+        if not seen_again:
+            turn += 1
+        self.turns = _replaced(self.turns, holder, turn)
+        if not self.guards.increasing_tokens:
+            self.leases[holder].claims[0].granted_token = 1
+
+    def _after_request(self, message: RequestMessage) -> LeaseWorld:
         world = self.fork()
-        now = world.group_time()
-        outputs = world.group.ask(now, 1, question.request, now + SECONDS_MOST)
-        for answered in world._settle(world.group, outputs):
-            world.sent |= {Reply(question.holder, question.number, answered.answer)}
+        now = world.service_time()
+        outputs = world.service.ask(now, 1, message.request, now + REQUEST_TIMEOUT_S)
+        for completed in world._run_service(world.service, outputs):
+            world.messages |= {ResponseMessage(message.holder, message.request_id, completed.answer)}
         return world
 
-    def _answered(self, reply: Reply) -> LeaseWorld:
+    def _after_response(self, message: ResponseMessage) -> LeaseWorld:
         world = self.fork()
-        now = world.holder_time(reply.holder)
-        session = world.sessions[reply.holder]
-        actions = session.answered(now, reply.number, reply.answer)
-        world._hold(reply.holder, actions + session.tick(now))
+        now = world.holder_time()
+        lease = world.leases[message.holder]
+        actions = lease.on_response(now, message.request_id, message.response)
+        world._carry_out(message.holder, actions + lease.tick(now))
         return world
 
-    def _enter(self, holder: int, number: int) -> LeaseWorld:
+    def _after_registration(self, holder: int, token: int) -> LeaseWorld:
         world = self.fork()
-        fence = FencingGuard(self.fence.items())
-        verdict = fence.admit(NAME, number)
-        if verdict.admitted:
-            world.fence = Map(fence.greatest)
-            world.entered = (number, self.entered[1]) if holder == 0 else (self.entered[0], number)
+        guard = FencingGuard(self.highest_tokens.items())
+        if guard.admit(TASK.encode(), token).admitted:
+            world.highest_tokens = Map(guard.highest_tokens)
+            world.registered = _replaced(self.registered, holder, token)
         return world
 
-    def _look(self, holder: int, number: int) -> LeaseWorld:
+    def _after_check(self, holder: int, token: int) -> LeaseWorld:
         world = self.fork()
         world.limits = self.limits._replace(actions=self.limits.actions - 1)
-        world.flying = self.flying | {Flying(holder, number, self.time, self.turns[holder])}
+        world.delayed = self.delayed | {DelayedAction(holder, token, self.time, self.turns[holder])}
         return world
 
-    def _reach(self, action: Flying) -> LeaseWorld | str:
+    def _after_action(self, action: DelayedAction) -> LeaseWorld:
+        """The resource gets an action; raises Broken where it admits one that it must not."""
         world = self.fork()
-        world.flying = self.flying - {action}
-        fence = FencingGuard(self.fence.items())
-        if self.guarded.fence and not fence.admit(NAME, action.number).admitted:
-            return world
-        world.fence = Map(fence.greatest) if self.guarded.fence else self.fence
+        world.delayed = self.delayed - {action}
+        if self.guards.fencing:
+            guard = FencingGuard(self.highest_tokens.items())
+            if not guard.admit(TASK.encode(), action.fencing_token).admitted:
+                return world
+            world.highest_tokens = Map(guard.highest_tokens)
+        self._check_admitted(action)
+        world.latest_turn = action.turn
+        return world
+
+    def _check_admitted(self, action: DelayedAction) -> None:
+        words = f"the action of {action.holder} reaches the resource"
         other = 1 - action.holder
-        if action.turn < self.acted:
-            return f"an action of {action.holder} is taken after {other} has acted"
-        held = self.sessions[other].claims[0].acts(self.holder_time(other))
-        quick = self.time == action.begun or (self.time - action.begun) * (1 - self.off) <= 1.0
-        if held and quick and (self.entered[other] == held or not self.guarded.enter):
-            return f"an action of {action.holder}, not held up, ends while {other} acts"
-        world.acted = action.turn
+        if action.turn < self.latest_turn:
+            raise Broken(f"an action of {action.holder} is taken after {other} has acted", words)
+        other_token = self._fencing_token(other)
+        other_acts = other_token and (self.registered[other] == other_token or not self.guards.registration)
+        elapsed_s = (self.time - action.started_at) * (1 - self.true_drift)
+        if other_acts and elapsed_s <= SAFETY_MARGIN_S:
+            raise Broken(f"an action of {action.holder}, not held up, ends while {other} acts", words)
+
+    def _after_leader_change(self) -> LeaseWorld:
+        world = self.fork()
+        world.limits = self.limits._replace(leader_changes=self.limits.leader_changes - 1)
+        member = self.service.member
+        disk = DurableState("a1", member.group, member.promised, member.version, member.content)
+        world.service = world._service(disk)
         return world
 
 
-class _Lease:
-    """Numbers of leases: another for each holder and time."""
+class _LeaseIds:
+    """Draws ids of leases, never the same one twice."""
 
     def __init__(self, holder: int) -> None:
-        self.next = 100 * (holder + 1)
+        self.latest = LEASE_IDS_PER_HOLDER * (holder + 1)
 
     def __call__(self) -> int:
-        self.next += 1
-        return self.next
-
-
-def _forked(session: LeaseClient) -> LeaseClient:
-    fresh = copy.copy(session)
-    fresh.pause = copy.copy(session.pause)
-    fresh.draw = copy.copy(session.draw)
-    fresh.claims = []
-    for claim in session.claims:
-        again: Claim = copy.copy(claim)
-        again.session = fresh
-        again.pause = copy.copy(claim.pause)
-        fresh.claims.append(again)
-    return fresh
-
-
-def _told(answer: ResponseOrError) -> str:
-    kind = type(answer).__name__
-    if isinstance(answer, msgspec.Struct):
+        self.latest += 1
+        return self.latest
+
+
+def _replaced(pair: tuple[int, int], holder: int, value: int) -> tuple[int, int]:
+    """A pair of values of the two holders, with another one for this holder."""
+    return (value, pair[1]) if holder == 0 else (pair[0], value)
+
+
+def _forked(lease: LeaseClient) -> LeaseClient:
+    fork = copy.copy(lease)
+    fork.backoff = copy.copy(lease.backoff)
+    fork.draw_lease_id = copy.copy(lease.draw_lease_id)
+    fork.claims = []
+    for claim in lease.claims:
+        claim_fork: Claim = copy.copy(claim)
+        claim_fork.lease = fork
+        claim_fork.backoff = copy.copy(claim.backoff)
+        fork.claims.append(claim_fork)
+    return fork
+
+
+def _lease_key(lease: LeaseClient) -> Hashable:
+    """What of a lease and its claim has a part in the world's future."""
+    (claim,) = lease.claims
+    return (
+        lease.lease_id,
+        lease.granted,
+        lease.valid_until,
+        lease.next_request_at,
+        lease.last_request_id,
+        lease.in_flight,
+        lease.backoff.failures,
+        claim.granted_token,
+        claim.next_request_at,
+        claim.in_flight,
+        claim.backoff.failures,
+    )
+
+
+def _described(response: ResponseOrError) -> str:
+    kind = type(response).__name__
+    if isinstance(response, msgspec.Struct):
         return kind
-    return f"{kind}{tuple(answer)[:3]}" if isinstance(answer, tuple) else f"{kind}: {answer}"
+    return f"{kind}{tuple(response)[:3]}" if isinstance(response, tuple) else f"{kind}: {response}"
--- a/heronreel/leases/fencing.py
+++ b/heronreel/leases/fencing.py
@@ -1,9 +1,9 @@
-"""The guard at the place where a holder acts.
+"""Fencing at the resource where a holder acts.
 
-A lease cannot stop a process that slept between looking at its clock and acting.  So each action carries
-the number of the grant it rests on, the place keeps the greatest it has seen for each task, and refuses
-less.  A new holder *enters* every place before it acts anywhere: from then on nothing of the one before it
-is taken there, however late it comes.
+A lease can't stop a process that slept between checking its clock and acting.  So each action carries the
+fencing token of the grant that it rests on, and the resource keeps the highest token it has seen for each
+task and rejects lower ones.  A new holder registers at every resource before it acts anywhere: from then on
+the resource rejects everything of the previous holder, however late it arrives.
 """
 
 from __future__ import annotations
@@ -13,49 +13,69 @@
 
 import msgspec
 
+from heronreel.leases.errors import FencedTaskLimitError, InvalidFencingTokenError, StepOutOfOrderError
 from heronreel.store import Store
 
-NAME_MOST = 256  # bytes of a task's name
-NAMES_MOST = 4096  # tasks that one place knows
+MAX_TASK_NAME_BYTES = 256
+MAX_TASKS = 4096  # that one resource knows
+STEP_KEY_BYTES = 8
 
 
-class Verdict(NamedTuple):
-    """Whether an action may be done; `greatest` is the number to be told either way."""
+class FencingVerdict(NamedTuple):
+    """Whether an action may be done, and the highest fencing token known, for the caller in either case."""
 
     admitted: bool
-    greatest: int
+    highest_token: int
 
 
 class FencingGuard:
-    """The greatest number seen of each task.  Pure: `raised` says what has to be kept before acting."""
+    """The highest fencing token seen of each task.  Pure: storing the tokens is the caller's."""
 
-    def __init__(self, greatest: Iterable[tuple[bytes, int]] = ()) -> None:
-        self.greatest = dict(greatest)
+    def __init__(self, highest_tokens: Iterable[tuple[bytes, int]] = ()) -> None:
+        self.highest_tokens = dict(highest_tokens)
 
-    def admit(self, name: bytes, number: int) -> Verdict:
-        """Look, and raise the number if it is greater; equal numbers are of the same holder.
+    def admit(self, task: bytes, token: int) -> FencingVerdict:
+        """Check a token, and record it if it is higher; equal tokens are of the same holder.
 
-        Raises ValueError for a name or number that none can be, and where too many tasks are known: they are
-        never forgotten, since a forgotten number would admit an old holder.
+        Raises:
+            InvalidFencingTokenError: the name or the token is outside its limits.
+            FencedTaskLimitError: too many tasks are known.
         """
-        if not 0 < len(name) <= NAME_MOST or number < 1:
-            raise ValueError(f"expected a name of 1 to {NAME_MOST} bytes and a number from 1")
-        known = self.greatest.get(name, 0)
-        if number < known:
-            return Verdict(False, known)
-        if number > known:
-            if not known and len(self.greatest) >= NAMES_MOST:
-                raise ValueError(f"{NAMES_MOST} tasks are known already")
-            self.greatest[name] = number
-        return Verdict(True, number)
+        if not 0 < len(task) <= MAX_TASK_NAME_BYTES or token < 1:
+            raise InvalidFencingTokenError(
+                f"expected a name of 1 to {MAX_TASK_NAME_BYTES} bytes and a number from 1"
+            )
+        highest = self.highest_tokens.get(task, 0)
+        if token < highest:
+            return FencingVerdict(False, highest)
+        if token > highest:
+            if not highest and len(self.highest_tokens) >= MAX_TASKS:
+                raise FencedTaskLimitError(MAX_TASKS)
+            self.highest_tokens[task] = token
+        return FencingVerdict(True, token)
+
+
+class FencedEntry(NamedTuple):
+    """An entry of a task, as stored, with the fencing token it was written under."""
+
+    token: int
+    value: bytes
+
+
+class FencedWrite(NamedTuple):
+    """The outcome of a write; `written` is False also for a step that had been written before."""
+
+    verdict: FencingVerdict
+    written: bool
 
 
 class FencedTable:
-    """A store's table whose writes carry a number: the number and the write are one batch, so that a crash
-    leaves both or neither.
+    """A table in a store whose writes carry a fencing token.
+
+    The token and the write are one batch, so that a crash leaves both or neither.
 
-    A writer that has to know whether an unanswered write was done repeats it: an entry's place in the task's
-    order (`step`) is kept, and one that is there already is told as done and not done again.
+    A writer that does not know whether an earlier write was done repeats it: each entry is a step of its
+    task, steps are counted, and a step that was written before is admitted and not written again.
     """
 
     FENCE = b"fence/"
@@ -65,61 +85,71 @@
     def __init__(self, store: Store) -> None:
         self.store = store
         rows = store.scan(self.FENCE)
-        self.fence = FencingGuard((name[len(self.FENCE) :], _number(data)) for name, data in rows)
-
-    def enter(self, name: bytes, number: int) -> Verdict:
-        """A holder begins: nothing of an earlier one is taken from now on."""
-        before = self.fence.greatest.get(name, 0)
-        verdict = self.fence.admit(name, number)
-        if verdict.admitted and number > before:
-            self._keep(name, before, [(self.FENCE + name, _data(number))])
+        self.guard = FencingGuard((key[len(self.FENCE) :], _decode_int(data)) for key, data in rows)
+
+    def register_holder(self, task: bytes, token: int) -> FencingVerdict:
+        """A holder begins: from now on nothing of a previous one is admitted.
+
+        Raises:
+            InvalidFencingTokenError, FencedTaskLimitError: as `FencingGuard.admit`.
+        """
+        previous = self.guard.highest_tokens.get(task, 0)
+        verdict = self.guard.admit(task, token)
+        if verdict.admitted and token > previous:
+            self._store(task, previous, [(self.FENCE + task, _encode(token))])
         return verdict
 
-    def write(self, name: bytes, number: int, step: int, value: bytes) -> tuple[Verdict, bool]:
-        """The entry `step` (from 1) of a task; and whether it was done by this call.
+    def write(self, task: bytes, token: int, step: int, value: bytes) -> FencedWrite:
+        """Write the entry of a step, which count from 1.
 
-        Raises ValueError for a step that is not the next one or an earlier one.
+        Raises:
+            StepOutOfOrderError: the step is neither the next one nor an earlier one.
+            InvalidFencingTokenError, FencedTaskLimitError: as `FencingGuard.admit`.
         """
-        before = self.fence.greatest.get(name, 0)
-        verdict = self.fence.admit(name, number)
+        previous = self.guard.highest_tokens.get(task, 0)
+        verdict = self.guard.admit(task, token)
         if not verdict.admitted:
-            return verdict, False
-        done = self.steps(name)
-        if step > done + 1 or step < 1:
-            self.fence.greatest[name] = before
-            raise ValueError(f"step {step}, and the next one is {done + 1}")
-        batch: list[tuple[bytes, bytes]] = []
-        if number > before:
-            batch.append((self.FENCE + name, _data(number)))
-        if step == done + 1:
-            batch.append((self.STEP + name, _data(step)))
-            batch.append((self.ROW + name + b"/" + step.to_bytes(8, "big"), _data((number, value))))
-        self._keep(name, before, batch)
-        return verdict, step == done + 1
-
-    def _keep(self, name: bytes, before: int, rows: list[tuple[bytes, bytes]]) -> None:
+            return FencedWrite(verdict, False)
+        next_step = self.step_count(task) + 1
+        if not 1 <= step <= next_step:
+            self.guard.highest_tokens[task] = previous
+            raise StepOutOfOrderError(step, next_step)
+        rows: list[tuple[bytes, bytes]] = []
+        if token > previous:
+            rows.append((self.FENCE + task, _encode(token)))
+        if step == next_step:
+            rows.append((self.STEP + task, _encode(step)))
+            rows.append((self._row_key(task, step), _encode(FencedEntry(token, value))))
+        self._store(task, previous, rows)
+        return FencedWrite(verdict, step == next_step)
+
+    def _row_key(self, task: bytes, step: int) -> bytes:
+        return self.ROW + task + b"/" + step.to_bytes(STEP_KEY_BYTES, "big")
+
+    def _store(self, task: bytes, previous: int, rows: list[tuple[bytes, bytes]]) -> None:
         try:
             with self.store.batch() as batch:
                 for key, data in rows:
                     batch.put(key, data)
         except BaseException:
-            self.fence.greatest[name] = before  # as on the disk: the write may still be found after a crash
+            # as on the disk: the write may still be found after a crash
+            self.guard.highest_tokens[task] = previous
             raise
 
-    def steps(self, name: bytes) -> int:
+    def step_count(self, task: bytes) -> int:
         """How many entries the task has."""
-        data = self.store.get(self.STEP + name)
-        return 0 if data is None else _number(data)
+        data = self.store.get(self.STEP + task)
+        return 0 if data is None else _decode_int(data)
 
-    def rows(self, name: bytes) -> list[tuple[int, bytes]]:
-        """The task's entries in order, each with the number it was written under."""
-        rows = self.store.scan(self.ROW + name + b"/")
-        return [msgspec.msgpack.decode(data, type=tuple[int, bytes]) for _, data in rows]
+    def entries(self, task: bytes) -> list[FencedEntry]:
+        """The task's entries, in the order of their steps."""
+        rows = self.store.scan(self.ROW + task + b"/")
+        return [msgspec.msgpack.decode(data, type=FencedEntry) for _, data in rows]
 
 
-def _data(value: object) -> bytes:
+def _encode(value: object) -> bytes:
     return msgspec.msgpack.encode(value)
 
 
-def _number(data: bytes) -> int:
+def _decode_int(data: bytes) -> int:
     return msgspec.msgpack.decode(data, type=int)
--- a/heronreel/leases/lease.py
+++ b/heronreel/leases/lease.py
@@ -1,406 +1,248 @@
-"""A process's own lease, and what it holds by it.  Pure: events and time in, actions out.
+"""The lease of one process.  No I/O: events and the time are passed in, actions are returned.
 
-`LeaseClient` is the lease: the process counts its time from before it asked, on its own clock, and stops a
-margin before its end.  `Claim` is one thing held by it (a fleet-wide task, a place in the list of who is
-present): a key that is made only where there is none, and whose revision is the grant's number.  An answer
-that does not come is taken for neither yes nor no: the question is put again in a form that is right either
-way.
+The process counts the lease's time from before it sent a request, on its own clock, and stops a safety margin
+before the expiry.  Everything that belongs to the process hangs on its lease: claims, and attachments such as
+its share of a budget.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import NamedTuple, Protocol
+from typing import Protocol
 
 import msgspec
 
 from heronreel.coordination.model import (
-    Compare,
-    CompareOperator,
-    CompareTarget,
-    DeleteRange,
     LeaseGrant,
     LeaseKeepAlive,
     LeaseResponse,
     LeaseRevoke,
-    Put,
-    Range,
-    RangeResponse,
     Request,
     RequestError,
     ResponseOrError,
     StatusCode,
-    Txn,
-    TxnResponse,
 )
+from heronreel.leases.backoff import JitteredBackoff
+from heronreel.leases.claim import Actions, Claim
+from heronreel.leases.errors import InvalidLeaseTermsError
+from heronreel.leases.requests import InFlightRequest, SendRequest
 
-CLAIM_PREFIX = b"held/"  # keys of claims
-PRESENCE_PREFIX = b"present/"  # keys of who is there
-MIN_BACKOFF_S = 0.05  # seconds before a question is put again
-MAX_BACKOFF_S = 2.0
+RENEWAL_JITTER = 0.25  # part of the renewal interval by which a renewal may come early
 
 
-def present_names(found: RangeResponse) -> list[str]:
-    """Names of those present, of a range over `PRESENCE_PREFIX`."""
-    return [key[len(PRESENCE_PREFIX) :].decode(errors="replace") for key, _ in found.records]
-
-
-class SendRequest(NamedTuple):
-    """Put a question to the group, and tell `answered` with its number, or without an answer by `until`."""
-
-    number: int
-    request: Request
-    until: float
-
-
-class SingleRequestSender:
-    """Whoever puts one question at a time, and takes a late answer for none."""
-
-    def __init__(self, answer_s: float) -> None:
-        """`answer_s`: seconds that one answer may take."""
-        self.answer_s = answer_s
-        self.asked: tuple[int, float] | None = None  # the question under way, and when it was put
-        self.count = 0
-
-    def _ask(self, now: float, request: Request) -> SendRequest:
-        self.count += 1
-        self.asked = self.count, now
-        return SendRequest(self.count, request, now + self.answer_s)
-
-    def _late(self, now: float) -> bool:
-        """The answer would have to be here by now."""
-        return self.asked is not None and now >= self.asked[1] + self.answer_s
-
-    def _expects(self, number: int) -> bool:
-        return self.asked is not None and self.asked[0] == number
-
-
-class ClaimAcquired(NamedTuple):
-    """The claim is held: act under `number` while `Claim.acts` says so."""
-
-    key: bytes
-    number: int
-
-
-class ClaimLost(NamedTuple):
-    """The claim is no longer held; what is under way ends now."""
-
-    key: bytes
-    number: int
-    why: str
+class LeaseTerms(msgspec.Struct, frozen=True):
+    """Durations of a lease, in seconds.
 
+    `safety_margin_s` is for what is in progress when the lease ends: an action is begun only before it.
+    """
 
-Action = SendRequest | ClaimAcquired | ClaimLost
-Actions = list[Action]
+    ttl_s: int = 6
+    safety_margin_s: float = 1.0
+    response_timeout_s: float = 1.0
+    stops_before_expiry: bool = True  # a guard: a test takes it out, and has to fail then
 
+    def validate(self) -> None:
+        """Check that a renewal and one retry fit in before the margin.
 
-class LeaseTerms(msgspec.Struct, frozen=True):
-    """Seconds.  `margin` is for what is under way when the lease ends: an action is begun only before it."""
-
-    ttl: int = 6
-    margin: float = 1.0
-    answer: float = 1.0  # that one answer may take
-    guarded: bool = True  # stop before the end; taken out by a test that has to fail then
-
-    def problem(self) -> str | None:
-        """What is wrong with them, if anything is: a renewal and one repeat of it fit before the margin."""
-        least = 2 * self.ttl / 3 + self.answer + self.margin
-        if least > self.ttl:
-            return (
-                f"ttl of {self.ttl} s: a renewal at two thirds, an answer within {self.answer} s and a "
-                f"margin of {self.margin} s need {3 * (self.answer + self.margin):g} s"
+        Raises:
+            InvalidLeaseTermsError: they do not.
+        """
+        required = 2 * self.ttl_s / 3 + self.response_timeout_s + self.safety_margin_s
+        if required > self.ttl_s:
+            raise InvalidLeaseTermsError(
+                f"ttl of {self.ttl_s} s: a renewal at two thirds, an answer within "
+                f"{self.response_timeout_s} s and a margin of {self.safety_margin_s} s need "
+                f"{3 * (self.response_timeout_s + self.safety_margin_s):g} s"
             )
-        return None
-
 
-class JitteredBackoff:
-    """Growing pauses with a drawn part, so that many who lose the group do not come back as one."""
 
-    def __init__(self, jitter: Callable[[], float]) -> None:
-        self.jitter = jitter
-        self.failures = 0
-
-    def next(self) -> float:
-        most: float = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2.0**self.failures)
-        self.failures = min(self.failures + 1, 10)
-        return most * (0.5 + self.jitter())
+class LeaseAttachment(Protocol):
+    """Something that belongs to the process for as long as its lease lasts, and sends requests of its own."""
 
-    def reset(self) -> None:
-        self.failures = 0
+    def tick(self, now: float) -> list[SendRequest]:
+        """Time has passed."""
 
+    def on_response(self, now: float, response: ResponseOrError) -> list[SendRequest]:
+        """The response to the request that it awaits."""
 
-class LeaseAttachment(Protocol):
-    """Something else that is the process's own for as long as its lease lasts."""
+    def awaits(self, request_id: int) -> bool:
+        """Whether this request is its own and in flight."""
 
-    def tick(self, now: float) -> list[SendRequest]: ...
-    def answered(self, now: float, answer: ResponseOrError) -> list[SendRequest]: ...
-    def waits_for(self, number: int) -> bool: ...
-    def wake(self) -> float: ...
+    def next_wakeup(self) -> float:
+        """When `tick` has something to do, at the latest."""
 
 
 class LeaseClient:
-    """The lease of one process."""
+    """The lease of one process: granted, renewed, and revoked at the end."""
 
     def __init__(
         self,
         terms: LeaseTerms,
         now: float,
-        draw: Callable[[], int],
+        draw_lease_id: Callable[[], int],
         jitter: Callable[[], float] = lambda: 0.5,
     ) -> None:
-        """`draw` gives the number of a new lease: from 1 to 2**63 - 1, never twice."""
+        """`draw_lease_id` returns the id of a new lease: from 1 to 2**63 - 1, never the same one twice."""
         self.terms = terms
-        self.draw = draw
+        self.draw_lease_id = draw_lease_id
         self.jitter = jitter
-        self.lease = draw()
+        self.lease_id = draw_lease_id()
         self.granted = False
-        self.until = now  # of acting
-        self.due = now  # of the next question
-        self.pause = JitteredBackoff(jitter)
-        self.number = 0
-        self.asked: tuple[int, float] | None = None  # the question under way, and when it was put
+        self.valid_until = now
+        self.next_request_at = now
+        self.backoff = JitteredBackoff(jitter)
+        self.last_request_id = 0  # of the lease, its claims and its attachments
+        self.in_flight: InFlightRequest | None = None
         self.claims: list[Claim] = []
-        self.attached: tuple[LeaseAttachment, ...] = ()
-        self.ending = False
+        self.attachments: tuple[LeaseAttachment, ...] = ()
+        self.revoking = False
 
     def valid(self, now: float) -> bool:
-        return self.granted and now < self.until
+        """Whether the process may act under the lease at this moment."""
+        return self.granted and now < self.valid_until
 
     def claim(self, key: bytes, value: bytes) -> Claim:
+        """Request a claim, until it is released."""
         claim = Claim(self, key, value, self.jitter)
         self.claims.append(claim)
         return claim
 
-    def forget(self, claim: Claim) -> None:
-        if claim in self.claims:
-            self.claims.remove(claim)
-
-    def wake(self) -> float:
-        times = [self.asked[1] + self.terms.answer if self.asked else self.due]
-        times += [claim.wake() for claim in self.claims] + [each.wake() for each in self.attached]
-        if self.granted and any(claim.number for claim in self.claims):
-            times.append(self.until)
+    def attach(self, attachment: LeaseAttachment) -> None:
+        """Have something else driven along with the lease."""
+        self.attachments += (attachment,)
+
+    def new_request_id(self) -> int:
+        """The id for a request of the lease, of a claim or of an attachment."""
+        self.last_request_id += 1
+        return self.last_request_id
+
+    def next_wakeup(self) -> float:
+        """When `tick` has something to do, at the latest."""
+        times = [self._own_wakeup()]
+        times += [claim.next_wakeup() for claim in self.claims]
+        times += [attachment.next_wakeup() for attachment in self.attachments]
+        if self.granted and any(claim.granted_token for claim in self.claims):
+            times.append(self.valid_until)
         return min(times)
 
+    def _own_wakeup(self) -> float:
+        if self.in_flight is None:
+            return self.next_request_at
+        return self.in_flight.sent_at + self.terms.response_timeout_s
+
     def tick(self, now: float) -> Actions:
         """Time has passed."""
         self.claims = [claim for claim in self.claims if claim.wanted or not claim.released]
-        actions = self._lapsed(now)
-        if self.asked is not None and now >= self.asked[1] + self.terms.answer:
-            self._again(now)
-        if self.asked is None and now >= self.due:
-            actions += self._ask(now)
+        actions = self._expire_claims(now)
+        if self.in_flight is not None and now >= self.in_flight.sent_at + self.terms.response_timeout_s:
+            self.in_flight = None
+            self._retry_later(now)
+        if self.in_flight is None and now >= self.next_request_at:
+            actions.append(self._send(now))
         for claim in self.claims:
             actions += claim.tick(now)
-        for each in self.attached:
-            actions += each.tick(now)
+        for attachment in self.attachments:
+            actions += attachment.tick(now)
         return actions
 
-    def _lapsed(self, now: float) -> Actions:
-        """Said also where the renewal comes at last, before any tick saw the end: whoever acted has
-        stopped.
-        """
-        if not self.granted or now < self.until:
+    def _expire_claims(self, now: float) -> Actions:
+        """Report an expiry, also where a late renewal comes before a tick saw it: nothing acts any more."""
+        if not self.granted or now < self.valid_until:
             return []
-        return self._stop(f"not renewed for {self.terms.ttl - self.terms.margin:.1f} s")
-
-    def _ask(self, now: float) -> Actions:
-        request: Request = (
-            LeaseKeepAlive(self.lease) if self.granted else LeaseGrant(self.terms.ttl, self.lease)
-        )
-        if self.ending:
-            request = LeaseRevoke(self.lease)
-        self.number += 1
-        self.asked = self.number, now
-        return [SendRequest(self.number, request, now + self.terms.answer)]
-
-    def _again(self, now: float) -> None:
-        self.asked = None
-        self.due = now + self.pause.next()
-
-    def answered(self, now: float, number: int, answer: ResponseOrError) -> Actions:
-        """The answer to a question of this session or of one of its claims."""
+        return self._lose_claims(f"not renewed for {self.terms.ttl_s - self.terms.safety_margin_s:.1f} s")
+
+    def _send(self, now: float) -> SendRequest:
+        request_id = self.new_request_id()
+        self.in_flight = InFlightRequest(request_id, now)
+        return SendRequest(request_id, self._request(), now + self.terms.response_timeout_s)
+
+    def _request(self) -> Request:
+        if self.revoking:
+            return LeaseRevoke(self.lease_id)
+        if self.granted:
+            return LeaseKeepAlive(self.lease_id)
+        return LeaseGrant(self.terms.ttl_s, self.lease_id)
+
+    def _retry_later(self, now: float) -> None:
+        self.next_request_at = now + self.backoff.next_delay()
+
+    def on_response(self, now: float, request_id: int, response: ResponseOrError) -> Actions:
+        """The response to a request of this lease, of a claim or of an attachment."""
         for claim in self.claims:
-            if claim.asked is not None and claim.asked[0] == number:
-                return claim.answered(now, answer)
-        for each in self.attached:
-            if each.waits_for(number):
-                return [*each.answered(now, answer)]
-        if self.asked is None or self.asked[0] != number:
-            return []  # given up on; a lease counts from the question that was answered in time
-        sent = self.asked[1]
-        self.asked = None
-        if self.ending:
-            gone = isinstance(answer, LeaseResponse) or (
-                isinstance(answer, RequestError) and answer.code is StatusCode.NOT_FOUND
-            )
-            self.due = float("inf") if gone else now + self.pause.next()
-            self.granted = self.granted and not gone
-            return []
-        if isinstance(answer, LeaseResponse) and answer.ttl > 0:
-            return self._lapsed(now) + self._renewed(now, sent, answer.ttl)
-        if isinstance(answer, LeaseResponse) or (
-            isinstance(answer, RequestError) and answer.code is StatusCode.NOT_FOUND
-        ):
-            return self._gone(now)
-        if (
-            isinstance(answer, RequestError)
-            and answer.code is StatusCode.FAILED_PRECONDITION
-            and not self.granted
-        ):
-            # an earlier question was answered, and its answer lost: from now on it is renewed
+            if claim.in_flight is not None and claim.in_flight.request_id == request_id:
+                return claim.on_response(now, response)
+        for attachment in self.attachments:
+            if attachment.awaits(request_id):
+                return [*attachment.on_response(now, response)]
+        if self.in_flight is None or self.in_flight.request_id != request_id:
+            return []  # timed out; the lease counts from a request whose response came in time
+        sent_at = self.in_flight.sent_at
+        self.in_flight = None
+        if self.revoking:
+            return self._on_revoke_response(now, response)
+        return self._on_lease_response(now, sent_at, response)
+
+    def _on_revoke_response(self, now: float, response: ResponseOrError) -> Actions:
+        if isinstance(response, LeaseResponse) or _has_code(response, StatusCode.NOT_FOUND):
+            self.next_request_at = float("inf")
+            self.granted = False
+        else:
+            self._retry_later(now)
+        return []
+
+    def _on_lease_response(self, now: float, sent_at: float, response: ResponseOrError) -> Actions:
+        if isinstance(response, LeaseResponse) and response.ttl > 0:
+            return self._expire_claims(now) + self._on_renewed(now, sent_at, response.ttl)
+        if isinstance(response, LeaseResponse) or _has_code(response, StatusCode.NOT_FOUND):
+            return self._on_not_found(now)
+        if _has_code(response, StatusCode.FAILED_PRECONDITION) and not self.granted:
+            # an earlier grant succeeded, and its response was lost: from now on the lease is renewed
             self.granted = True
-            self.until = now
-            self.due = now
+            self.valid_until = now
+            self.next_request_at = now
             return []
-        self.due = now + self.pause.next()
+        self._retry_later(now)
         return []
 
-    def _renewed(self, now: float, sent: float, ttl: int) -> Actions:
+    def _on_renewed(self, now: float, sent_at: float, ttl_s: int) -> Actions:
         self.granted = True
-        self.pause.reset()
-        self.until = sent + ttl - (self.terms.margin if self.terms.guarded else 0.0)
-        # at a third at the latest: those who began together do not go on asking together
-        self.due = sent + ttl / 3 * (1.0 - 0.25 * self.jitter())
+        self.backoff.reset()
+        margin_s = self.terms.safety_margin_s if self.terms.stops_before_expiry else 0.0
+        self.valid_until = sent_at + ttl_s - margin_s
+        # at a third at the latest: leases granted together must not be renewed together for ever
+        self.next_request_at = sent_at + ttl_s / 3 * (1.0 - RENEWAL_JITTER * self.jitter())
         actions: Actions = []
         for claim in self.claims:
             actions += claim.tick(now)
         return actions
 
-    def _gone(self, now: float) -> Actions:
-        """The lease has ended at the group; the next one is another."""
-        actions = self._stop("the lease has ended")
-        self.lease = self.draw()
+    def _on_not_found(self, now: float) -> Actions:
+        """The lease has expired in the service; request another."""
+        actions = self._lose_claims("lease expired")
+        self.lease_id = self.draw_lease_id()
         self.granted = False
-        self.due = now + self.pause.next()
+        self._retry_later(now)
         return actions
 
-    def _stop(self, why: str) -> Actions:
+    def _lose_claims(self, reason: str) -> Actions:
         actions: Actions = []
         for claim in self.claims:
-            actions += claim.stop(why)
+            actions += claim.mark_lost(reason)
         return actions
 
-    def end(self, now: float) -> Actions:
-        """Give everything back; done when `ended`."""
-        actions = self._stop("given back")
+    def revoke(self, now: float) -> Actions:
+        """Give up the lease and everything under it; done once `revoked`."""
+        actions = self._lose_claims("released")
         self.claims.clear()
-        self.attached = ()
-        self.ending = True
-        self.asked = None
-        return actions + self._ask(now)
+        self.attachments = ()
+        self.revoking = True
+        return [*actions, self._send(now)]
 
     @property
-    def ended(self) -> bool:
-        return self.ending and self.asked is None and self.due == float("inf")
-
-
-class Claim:
-    """One key under the session's lease."""
-
-    def __init__(self, session: LeaseClient, key: bytes, value: bytes, jitter: Callable[[], float]) -> None:
-        self.session = session
-        self.key = key
-        self.value = value
-        self.number = 0  # of the grant; 0: not held
-        self.holder: tuple[bytes, int] | None = None  # who has it, as far as was seen: value and number
-        self.due = 0.0
-        self.pause = JitteredBackoff(jitter)
-        self.asked: tuple[int, float, int] | None = None  # the question, when, and under which lease
-        self.wanted = True
-        self.released = False  # given back, as the group has told
-
-    def acts(self, now: float) -> int:
-        """The number to act under at this moment, or 0.  Look again before each action."""
-        return self.number if self.wanted and self.session.valid(now) else 0
-
-    def wake(self) -> float:
-        if self.asked is not None:
-            return self.asked[1] + self.session.terms.answer
-        return self.due if self.session.granted else float("inf")
-
-    def tick(self, now: float) -> Actions:
-        if self.asked is not None and now >= self.asked[1] + self.session.terms.answer:
-            self.asked = None
-            self.due = now + self.pause.next()
-        if self.asked is not None or now < self.due or not self.session.valid(now):
-            return []
-        if self.released:
-            return []
-        session = self.session
-        session.number += 1
-        self.asked = session.number, now, session.lease
-        until = now + session.terms.answer
-        return [SendRequest(session.number, self._request(), until)]
+    def revoked(self) -> bool:
+        """Whether the service has confirmed `revoke`."""
+        return self.revoking and self.in_flight is None and self.next_request_at == float("inf")
 
-    def _request(self) -> Request:
-        if not self.wanted:
-            # whatever its number: a question of ours may have made it whose answer was lost
-            mine = Compare(self.key, CompareTarget.LEASE, CompareOperator.EQUAL, self.session.lease)
-            same = Compare(self.key, CompareTarget.VALUE, CompareOperator.EQUAL, self.value)
-            return Txn((mine, same), (DeleteRange(self.key),))
-        ours = Compare(self.key, CompareTarget.CREATE, CompareOperator.EQUAL, self.number)
-        # what is held is looked at again as well: it may have been taken away by hand
-        put = Put(self.key, self.value, self.session.lease)
-        return Txn((ours,), (Range(self.key),) if self.number else (put,), (Range(self.key),))
-
-    def answered(self, now: float, answer: ResponseOrError) -> Actions:
-        assert self.asked is not None
-        _, _, lease = self.asked
-        self.asked = None
-        session = self.session
-        if not isinstance(answer, TxnResponse) or lease != session.lease:
-            self.due = now + self.pause.next()
-            return []
-        self.pause.reset()
-        if not self.wanted:
-            return self._let_go(now)
-        self.due = now + session.terms.ttl / 3 * (0.75 + 0.5 * self.pause.jitter())
-        if answer.succeeded:
-            if self.number:
-                return []
-            return self._hold(now, answer.revision)
-        (found,) = answer.results
-        assert isinstance(found, RangeResponse)
-        if not found.records:
-            return self.stop("taken away") if self.number else self._soon(now)
-        record = found.records[0][1]
-        self.holder = record.value, record.create
-        if record.value == self.value and record.lease == session.lease:
-            if self.number and self.number != record.create:
-                return [*self.stop("taken away"), *self._hold(now, record.create)]
-            return [] if self.number else self._hold(now, record.create)
-        return self.stop("another holds it") if self.number else []
-
-    def _soon(self, now: float) -> Actions:
-        self.due = now + self.pause.next()
-        return []
 
-    def _hold(self, now: float, number: int) -> Actions:
-        if not self.session.valid(now):
-            return []  # looked at again once the lease is renewed
-        self.number = number
-        self.holder = self.value, number
-        return [ClaimAcquired(self.key, number)]
-
-    def _let_go(self, now: float) -> Actions:
-        number, self.number = self.number, 0
-        self.due = float("inf")
-        self.released = True
-        return [ClaimLost(self.key, number, "given back")] if number else []
-
-    def stop(self, why: str) -> Actions:
-        """Held no more, as far as this process may say."""
-        number, self.number = self.number, 0
-        self.due = 0.0
-        return [ClaimLost(self.key, number, why)] if number else []
-
-    def nudge(self, now: float) -> None:
-        """Somebody saw the key change: ask soon."""
-        if not self.number and self.asked is None:
-            self.due = min(self.due, now + self.pause.jitter() * MIN_BACKOFF_S)
-
-    def release(self, now: float) -> None:
-        """Give it back while the session goes on: no action is begun from now on."""
-        self.wanted = False
-        self.due = now
+def _has_code(response: ResponseOrError, code: StatusCode) -> bool:
+    return isinstance(response, RequestError) and response.code is code
--- a/heronreel/leases/overview.py
+++ b/heronreel/leases/overview.py
@@ -1,47 +1,42 @@
-"""What operators see and do: who holds what, who is present, and taking a task away."""
+"""What operators see: who holds what, who is present, and how far each task has come.
+
+The functions return the rows of `--json` outputs, whose keys are fixed.
+"""
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Iterable
-from typing import Any
+from typing import Any, NamedTuple
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.kv_service import DESIRED_MEMBERS_KEY
-from heronreel.coordination.model import (
-    Compare,
-    CompareOperator,
-    CompareTarget,
-    DeleteRange,
-    LeaseResponse,
-    LeaseTimeToLive,
-    Put,
-    Range,
-    RangeResponse,
-    RequestError,
-    StatusCode,
-    Txn,
-    TxnResponse,
-    prefix_end,
-)
-from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX
-from heronreel.leases.tasks import CURSOR_PREFIX, decode_cursor, encode_cursor, restart_suspended
-
-
-async def lease_overview(client: Client) -> dict[str, list[dict[str, Any]]]:
-    """Rows for people and programs.  Raises Refused."""
-    held = await _rows(client, CLAIM_PREFIX)
-    present = await _rows(client, PRESENCE_PREFIX)
-    left: dict[int, int | None] = {}
-    silent: dict[int, int | None] = {}  # seconds since the last renewal, where one is overdue
-    for _, record in (*held.records, *present.records):
-        if record.lease and record.lease not in left:
-            told = await client.call(LeaseTimeToLive(record.lease))
-            assert isinstance(told, LeaseResponse)
-            left[record.lease] = told.ttl if told.ttl >= 0 else None
-            since = told.granted - max(0, told.ttl)
-            # renewed at a third; the group tells whole seconds, rounded down
-            silent[record.lease] = since if since > told.granted / 3 + 1 else None
+from heronreel.coordination.model import LeaseResponse, LeaseTimeToLive, Range, RangeResponse, prefix_end
+from heronreel.leases.keys import CLAIM_PREFIX, CURSOR_PREFIX, PRESENCE_PREFIX
+from heronreel.leases.tasks import decode_cursor
+
+Row = dict[str, Any]
+
+
+class _LeaseAge(NamedTuple):
+    """Of one lease, in seconds."""
+
+    time_to_live_s: int | None  # None: it has expired
+    overdue_s: int | None  # since its last renewal, where the next one is overdue
+
+
+_UNKNOWN_AGE = _LeaseAge(None, None)
+
+
+async def lease_overview(client: Client) -> dict[str, list[Row]]:
+    """Claims, and processes present, with what is left of their leases.
+
+    Raises:
+        RequestError: the service did not respond.
+    """
+    claims = await _range(client, CLAIM_PREFIX)
+    presences = await _range(client, PRESENCE_PREFIX)
+    ages: dict[int, _LeaseAge] = {}
+    for _, record in (*claims.records, *presences.records):
+        if record.lease and record.lease not in ages:
+            ages[record.lease] = await _lease_age(client, record.lease)
     return {
         "held": [
             {
@@ -49,9 +44,9 @@
                 "by": _text(record.value),
                 "number": record.create,
                 "lease": str(record.lease),
-                "left_s": left.get(record.lease),
+                "left_s": ages.get(record.lease, _UNKNOWN_AGE).time_to_live_s,
             }
-            for key, record in held.records
+            for key, record in claims.records
         ],
         "present": [
             {
@@ -59,102 +54,59 @@
                 "what": _text(record.value),
                 "since": record.create,
                 "lease": str(record.lease),
-                "left_s": left.get(record.lease),
-                "unknown_since_s": silent.get(record.lease),
+                "left_s": ages.get(record.lease, _UNKNOWN_AGE).time_to_live_s,
+                "unknown_since_s": ages.get(record.lease, _UNKNOWN_AGE).overdue_s,
             }
-            for key, record in present.records
+            for key, record in presences.records
         ],
     }
 
 
-async def tasks(client: Client) -> list[dict[str, Any]]:
-    """Where each task is, and who has it.  Raises Refused."""
-    found = await _rows(client, CURSOR_PREFIX)
-    held = {key[len(CLAIM_PREFIX) :]: record for key, record in (await _rows(client, CLAIM_PREFIX)).records}
+async def _lease_age(client: Client, lease_id: int) -> _LeaseAge:
+    response = await client.call(LeaseTimeToLive(lease_id))
+    assert isinstance(response, LeaseResponse)
+    since_renewal_s = response.granted - max(0, response.ttl)
+    # renewed at a third; the service rounds down to whole seconds
+    is_overdue = since_renewal_s > response.granted / 3 + 1
+    return _LeaseAge(
+        time_to_live_s=response.ttl if response.ttl >= 0 else None,
+        overdue_s=since_renewal_s if is_overdue else None,
+    )
+
+
+async def task_overview(client: Client) -> list[Row]:
+    """How far each task has come, and who holds it.
+
+    Raises:
+        RequestError: the service did not respond.
+    """
+    cursors = await _range(client, CURSOR_PREFIX)
+    claims = await _range(client, CLAIM_PREFIX)
+    holders = {key[len(CLAIM_PREFIX) :]: record.value for key, record in claims.records}
     rows = []
-    for key, record in found.records:
+    for key, record in cursors.records:
         name = key[len(CURSOR_PREFIX) :]
         cursor = decode_cursor(record.value)
-        holder = held.get(name)
-        rows.append({
-            "task": _text(name), "confirmed": cursor.step, "begun": cursor.begun or None,
-            "tries": cursor.tries,
-            "set_aside": cursor.aside, "late": cursor.late,
-            "last_by": cursor.by, "last_number": cursor.number,
-            "held_by": _text(holder.value) if holder else None,
-        })  # fmt: skip
+        row = {
+            "task": _text(name),
+            "confirmed": cursor.confirmed_step,
+            "begun": cursor.started_step or None,
+            "tries": cursor.attempts,
+            "set_aside": cursor.suspended,
+            "late": cursor.late_steps,
+            "last_by": cursor.holder,
+            "last_number": cursor.fencing_token,
+            "held_by": _text(holders[name]) if name in holders else None,
+        }
+        rows.append(row)
     return rows
 
 
-async def restart_task(client: Client, task: str) -> bool:
-    """Have a task that was set aside tried anew; False if it is not set aside.  Raises Refused."""
-    key = CURSOR_PREFIX + task.encode()
-    for _ in range(5):
-        found = await client.call(Range(key))
-        assert isinstance(found, RangeResponse)
-        if not found.records or not (cursor := decode_cursor(found.records[0][1].value)).aside:
-            return False
-        same = Compare(key, CompareTarget.MOD, CompareOperator.EQUAL, found.records[0][1].mod)
-        done = await client.call(Txn((same,), (Put(key, encode_cursor(restart_suspended(cursor))),)))
-        assert isinstance(done, TxnResponse)
-        if done.succeeded:
-            return True
-    return False
-
-
-async def _rows(client: Client, prefix: bytes) -> RangeResponse:
-    found = await client.call(Range(prefix, prefix_end(prefix)))
-    assert isinstance(found, RangeResponse)
-    return found
+async def _range(client: Client, prefix: bytes) -> RangeResponse:
+    response = await client.call(Range(prefix, prefix_end(prefix)))
+    assert isinstance(response, RangeResponse)
+    return response
 
 
 def _text(data: bytes) -> str:
     return data.decode(errors="replace")
-
-
-async def revoke_claim(client: Client, task: str) -> int | None:
-    """End a holder's claim; the number that is refused from now on, or None if nobody held it.
-
-    The next grant has a greater number, and whoever takes it enters the places before acting: the old holder
-    may go on until it looks again, or until then.  Raises Refused.
-    """
-    key = CLAIM_PREFIX + task.encode()
-    for _ in range(5):
-        found = await client.call(Range(key))
-        assert isinstance(found, RangeResponse)
-        if not found.records:
-            return None
-        number = found.records[0][1].create
-        same = Compare(key, CompareTarget.CREATE, CompareOperator.EQUAL, number)
-        done = await client.call(Txn((same,), (DeleteRange(key),)))
-        assert isinstance(done, TxnResponse)
-        if done.succeeded:
-            return number
-    return None
-
-
-async def resize(client: Client, names: Iterable[str]) -> None:
-    """Have the group become these: whoever is new is taken up once it has been started with an empty folder,
-    then whoever is not among them is let go, one at a time.  Raises Refused.
-    """
-    await client.call(Put(DESIRED_MEMBERS_KEY, " ".join(sorted(names)).encode()))
-
-
-async def members(client: Client) -> dict[str, Any]:
-    """What each address says of itself, and who is in the group by the leader's word.  Raises Refused."""
-    told = await asyncio.gather(*(client.health(address) for address in client.addresses))
-    leads = [row for row in told if row.get("role") == "leader"]
-    if not leads:
-        raise RequestError(StatusCode.UNAVAILABLE, "nobody says that it leads")
-    disks = max(leads, key=lambda row: row["version"])["disks"]
-    return {
-        "members": [
-            {
-                "address": address, "member": row.get("member", ""), "role": row.get("role", "no answer"),
-                "in": "disk" in row and disks.get(row["member"]) == row["disk"],
-            }
-            for address, row in zip(client.addresses, told, strict=True)
-        ],
-        "disks": disks,
-        "wish": max(leads, key=lambda row: row["version"])["wish"],
-    }  # fmt: skip
--- a/heronreel/leases/rate_budget.py
+++ b/heronreel/leases/rate_budget.py
@@ -1,10 +1,10 @@
-"""What fleet-wide tasks may use, by class and over the whole fleet.  Pure, as the cores beside it.
+"""A process's share of a budget that fleet-wide tasks have over the whole fleet.  No I/O; time is passed in.
 
-A class has a budget for the fleet: calls a second, bytes a second, a share of processors.  A process that
-holds tasks of the class takes a part of it, by a key under its own lease, and the parts never come to more
-than the whole: each is written by a transaction on the class's register, and what a lease holds is free
-again only after its holder has stopped.  Within its part a process pays before it acts (`TokenBucket`), so
-neither a busy task nor many of them use more.
+Each class of tasks has a budget.  A process that holds tasks of the class takes a share of it, as a key
+under its own lease, in whole quota units.  The shares never add up to more than the budget: each is written
+by a transaction on the class's register, and what a lease holds is free again only after its holder has
+stopped. Within its share a process takes tokens before it acts (`rate_limits`), so neither a busy task nor
+many of them use more.
 """
 
 from __future__ import annotations
@@ -27,220 +27,191 @@
     TxnResponse,
     prefix_end,
 )
-from heronreel.leases.lease import JitteredBackoff, LeaseClient, SendRequest
+from heronreel.leases.backoff import JitteredBackoff
+from heronreel.leases.keys import BUDGET_PREFIX
+from heronreel.leases.lease import LeaseClient
+from heronreel.leases.rate_limits import TOTAL_UNITS
+from heronreel.leases.requests import SendRequest
 
-BUDGET_PREFIX = b"budget/"
-TOTAL_UNITS = 960  # parts of a budget: whole numbers, so that no rounding makes more than all of it
-SHARES = 4  # processes that have a quarter each before parts get smaller
-MIN_UNITS = TOTAL_UNITS // 64  # a process that finds less waits
-BURST_S = 2.0  # that may be saved up
-LOOK_S = 5.0  # between two looks at whether others want a part
+MIN_DIVISOR = 4  # no process gets more than a quarter of a budget
+MIN_UNITS = TOTAL_UNITS // 64  # a process that finds fewer waits
+REBALANCE_INTERVAL_S = 5.0  # at most, between two checks whether others need a share
 
 
-class RateLimits(msgspec.Struct, frozen=True):
-    """Of a class over the whole fleet, or of one process's part; 0: nothing is allowed, None: no limit."""
+class BudgetPart(msgspec.Struct, frozen=True):
+    """A process's share, as stored."""
 
-    calls: float | None = None  # a second
-    bytes: float | None = None  # a second
-    cpu: float | None = None  # seconds of processor time a second
+    units: int = msgspec.field(name="share")
 
-    def part(self, share: int) -> RateLimits:
-        """`share` of `TOTAL_UNITS`."""
-        rates = (self.calls, self.bytes, self.cpu)
-        return RateLimits(*(None if rate is None else rate * share / TOTAL_UNITS for rate in rates))
 
+class _InFlightShareRequest(NamedTuple):
+    sent: SendRequest
+    units: int  # that are ours if it succeeds
 
-class TokenBucket:
-    """Pays out a rate.  What is spent may be known only afterwards: debts are waited for."""
 
-    def __init__(self, rate: float | None, now: float) -> None:
-        self.rate = rate
-        self.level = 0.0 if rate is None else rate * BURST_S
-        self.now = now
+class _Usage(NamedTuple):
+    """Who has what of a budget, as read from its keys."""
 
-    def _fill(self, now: float) -> None:
-        if self.rate is not None:
-            self.level = min(self.rate * BURST_S, self.level + (now - self.now) * self.rate)
-        self.now = now
-
-    def change(self, rate: float | None, now: float) -> None:
-        """Another part of the budget: what was saved up shrinks with it, debts stay."""
-        self._fill(now)
-        self.rate = rate
-        self.level = 0.0 if rate is None else min(self.level, rate * BURST_S)
-
-    def spend(self, now: float, amount: float) -> float:
-        """Pay; the seconds to wait before acting, infinite where the part is nothing."""
-        if self.rate is None:
-            return 0.0
-        self._fill(now)
-        self.level -= amount
-        if self.level >= 0.0:
-            return 0.0
-        return -self.level / self.rate if self.rate > 0.0 else float("inf")
-
-
-class TokenBuckets:
-    """One process's part of a class's budget."""
-
-    def __init__(self, rates: RateLimits, now: float) -> None:
-        self.calls = TokenBucket(rates.calls, now)
-        self.bytes = TokenBucket(rates.bytes, now)
-        self.cpu = TokenBucket(rates.cpu, now)
-
-    def change(self, rates: RateLimits, now: float) -> None:
-        self.calls.change(rates.calls, now)
-        self.bytes.change(rates.bytes, now)
-        self.cpu.change(rates.cpu, now)
-
-    def spend(self, now: float, calls: float = 0.0, bytes_: float = 0.0, cpu: float = 0.0) -> float:
-        """Pay for all of it; the longest wait."""
-        waits = (self.calls.spend(now, calls), self.bytes.spend(now, bytes_), self.cpu.spend(now, cpu))
-        return max(waits)
-
-
-class Part(msgspec.Struct, frozen=True):
-    """A process's part as the group keeps it."""
-
-    share: int
-
-
-class _Asked(NamedTuple):
-    ask: SendRequest
-    share: int  # that is ours if it is done
+    register_revision: int
+    own_units: int
+    other_units: int  # of other leases
+    holders: int  # processes, this one included
+    waiting: int  # other processes that found too little
+    waits: bool  # this one has a key that says so
 
 
 class BudgetShare:
-    """One process's part of one class, from when it is wanted until it is given back.
+    """One process's share of one budget, from when it is acquired until it is released.
 
-    A process that finds too little says so by a key of its own; whoever has more than its fair part gives
-    what is over back at its next look.
+    A process that finds too little says so by a key of its own; whoever has more than its fair share gives
+    the rest back at its next check.
     """
 
     def __init__(
-        self, session: LeaseClient, name: str, who: str, jitter: Callable[[], float], *, guarded: bool = True
+        self,
+        lease: LeaseClient,
+        budget: str,
+        process: str,
+        jitter: Callable[[], float],
+        *,
+        guarded: bool = True,
     ) -> None:
-        """`name` is the class's, `who` the process's; `guarded` is taken out by a test that has to fail
-        then.
-        """
-        self.session = session
-        self.prefix = BUDGET_PREFIX + name.encode() + b"/"
-        # written with each part, so that two never take what is left at once
-        self.register = self.prefix + b"register"
-        self.part = self.prefix + b"part/" + who.encode()
-        self.wish = self.prefix + b"wish/" + who.encode()
-        self.share = 0
-        self.lease = 0  # under which the share is ours
-        self.due = 0.0
-        self.pause = JitteredBackoff(jitter)
-        self.asked: _Asked | None = None
+        """`budget`: stored name of a class.  `guarded`: a test that takes it out has to fail."""
+        self.lease = lease
+        self.prefix = BUDGET_PREFIX + budget.encode() + b"/"
+        self.part_prefix = self.prefix + b"part/"
+        # written with each part, so that two processes never take the same remainder
+        self.register_key = self.prefix + b"register"
+        self.part_key = self.part_prefix + process.encode()
+        self.waiting_key = self.prefix + b"wish/" + process.encode()
+        self.units = 0
+        self.units_lease_id = 0  # the lease under which the units are ours
+        self.next_request_at = 0.0
+        self.backoff = JitteredBackoff(jitter)
+        self.in_flight: _InFlightShareRequest | None = None
         self.wanted = False
         self.guarded = guarded
 
-    def acts(self, now: float) -> int:
-        """The part that may be used at this moment, of `TOTAL_UNITS`."""
-        ours = self.wanted and self.lease == self.session.lease and self.session.valid(now)
-        return self.share if ours else 0
+    def usable_units(self, now: float) -> int:
+        """The units that may be used at this moment, of `TOTAL_UNITS`."""
+        own_lease = self.units_lease_id == self.lease.lease_id
+        return self.units if self.wanted and own_lease and self.lease.valid(now) else 0
 
-    def want(self, now: float) -> None:
+    def acquire(self, now: float) -> None:
+        """Request a share, until it is released."""
         if not self.wanted:
             self.wanted = True
-            self.due = now
+            self.next_request_at = now
 
     def release(self, now: float) -> None:
-        """Nothing is used from now on."""
+        """Give the share back: nothing is used from now on."""
         self.wanted = False
-        self.due = now
+        self.next_request_at = now
 
-    def waits_for(self, number: int) -> bool:
-        return self.asked is not None and self.asked.ask.number == number
+    def awaits(self, request_id: int) -> bool:
+        """Whether this request is its own and in flight."""
+        return self.in_flight is not None and self.in_flight.sent.request_id == request_id
 
-    def wake(self) -> float:
-        if self.asked is not None:
-            return self.asked.ask.until
-        return self.due if self.session.granted else float("inf")
+    def next_wakeup(self) -> float:
+        """When `tick` has something to do, at the latest."""
+        if self.in_flight is not None:
+            return self.in_flight.sent.deadline
+        return self.next_request_at if self.lease.granted else float("inf")
 
     def tick(self, now: float) -> list[SendRequest]:
-        if self.lease != self.session.lease and self.share:
-            self.share = 0  # the lease that had it has ended
-            self.due = now
-        if self.asked is not None and now >= self.asked.ask.until:
-            self._again(now)
-        idle = not self.wanted and not self.share
-        if self.asked is not None or now < self.due or idle or not self.session.valid(now):
+        """Time has passed."""
+        if self.units_lease_id != self.lease.lease_id and self.units:
+            self.units = 0  # the lease that had them has expired
+            self.next_request_at = now
+        if self.in_flight is not None and now >= self.in_flight.sent.deadline:
+            self._retry_later(now)
+        idle = not self.wanted and not self.units
+        if self.in_flight is not None or now < self.next_request_at or idle or not self.lease.valid(now):
             return []
-        return self._ask(now, Range(self.prefix, prefix_end(self.prefix)), 0)
-
-    def _again(self, now: float) -> None:
-        self.asked = None
-        self.due = now + self.pause.next()
-
-    def _ask(self, now: float, request: Range | Txn, share: int) -> list[SendRequest]:
-        self.session.number += 1
-        ask = SendRequest(self.session.number, request, now + self.session.terms.answer)
-        self.asked = _Asked(ask, share)
-        return [ask]
-
-    def answered(self, now: float, answer: ResponseOrError) -> list[SendRequest]:
-        assert self.asked is not None
-        share = self.asked.share
-        self._again(now)
-        if isinstance(answer, RangeResponse):
-            return self._read(now, answer)
-        if isinstance(answer, TxnResponse) and answer.succeeded:
-            self._has(now, share)
-        elif isinstance(answer, TxnResponse):
-            self.due = now  # another was faster
+        return self._send(now, Range(self.prefix, prefix_end(self.prefix)), 0)
+
+    def _retry_later(self, now: float) -> None:
+        self.in_flight = None
+        self.next_request_at = now + self.backoff.next_delay()
+
+    def _send(self, now: float, request: Range | Txn, units: int) -> list[SendRequest]:
+        deadline = now + self.lease.terms.response_timeout_s
+        sent = SendRequest(self.lease.new_request_id(), request, deadline)
+        self.in_flight = _InFlightShareRequest(sent, units)
+        return [sent]
+
+    def on_response(self, now: float, response: ResponseOrError) -> list[SendRequest]:
+        """The response to the request in flight."""
+        assert self.in_flight is not None
+        units = self.in_flight.units
+        self._retry_later(now)
+        if isinstance(response, RangeResponse):
+            return self._rebalance(now, self._usage(response))
+        if isinstance(response, TxnResponse) and response.succeeded:
+            self._settle(now, units)
+        elif isinstance(response, TxnResponse):
+            self.next_request_at = now  # another process was faster
         return []
 
-    def _has(self, now: float, share: int) -> None:
-        self.pause.reset()
-        self.share, self.lease = share, self.session.lease
-        self.due = now + LOOK_S * (0.5 + self.pause.jitter() / 2)
+    def _settle(self, now: float, units: int) -> None:
+        self.backoff.reset()
+        self.units, self.units_lease_id = units, self.lease.lease_id
+        self.next_request_at = now + REBALANCE_INTERVAL_S * (0.5 + self.backoff.jitter() / 2)
 
-    def _read(self, now: float, found: RangeResponse) -> list[SendRequest]:
-        seen = mine = others = waiting = 0
+    def _usage(self, response: RangeResponse) -> _Usage:
+        register_revision = own_units = other_units = waiting = 0
         holders = 1
-        wished = False
-        for key, record in found.records:
-            if key == self.register:
-                seen = record.mod
-            elif key == self.part:
-                # of an earlier lease of ours it is free only when that has ended, as anybody's
-                share = msgspec.json.decode(record.value, type=Part).share
-                if record.lease == self.session.lease:
-                    mine = share
-                else:
-                    others += share
-            elif key == self.wish:
-                wished = True
-            elif key.startswith(self.prefix + b"part/"):
-                others += msgspec.json.decode(record.value, type=Part).share
-                holders += 1
-            else:
+        waits = False
+        for key, record in response.records:
+            if key == self.register_key:
+                register_revision = record.mod
+            elif key == self.waiting_key:
+                waits = True
+            elif not key.startswith(self.part_prefix):
                 waiting += 1
+            else:
+                units = msgspec.json.decode(record.value, type=BudgetPart).units
+                if key != self.part_key:
+                    holders += 1
+                # a part under an earlier lease of ours is free only when that has expired, as anybody's
+                if key == self.part_key and record.lease == self.lease.lease_id:
+                    own_units = units
+                else:
+                    other_units += units
+        return _Usage(register_revision, own_units, other_units, holders, waiting, waits)
+
+    def _rebalance(self, now: float, usage: _Usage) -> list[SendRequest]:
         if not self.wanted:
-            if mine or wished:
-                return self._write(now, seen, 0, False)
-            self._has(now, 0)
+            if usage.own_units or usage.waits:
+                return self._write(now, usage, 0, waits=False)
+            self._settle(now, 0)
             return []
-        fair = TOTAL_UNITS // max(SHARES, holders + waiting)
-        share = min(mine, fair) if waiting else mine
-        share = max(share, min(fair, TOTAL_UNITS - others))
-        if share < MIN_UNITS:
-            # those who have more than their part see the wish at their next look
-            return self._write(now, seen, 0, True)
-        if share == mine and not wished:
-            self._has(now, mine)
+        units = _fair_units(usage)
+        if units < MIN_UNITS:
+            # processes that have more than their fair share see the waiting key at their next check
+            return self._write(now, usage, 0, waits=True)
+        if units == usage.own_units and not usage.waits:
+            self._settle(now, units)
             return []
-        return self._write(now, seen, share, False)
-
-    def _write(self, now: float, seen: int, share: int, wishes: bool) -> list[SendRequest]:
-        lease = self.session.lease
-        same = Compare(self.register, CompareTarget.MOD, CompareOperator.EQUAL, seen)
-        wish = Put(self.wish, b"", lease) if wishes else DeleteRange(self.wish)
-        part = Put(self.part, msgspec.json.encode(Part(share)), lease) if share else DeleteRange(self.part)
-        # less than before is used at once, more only when it is known to be ours
-        self.share = min(self.share, share)
-        compares = (same,) if self.guarded else ()
-        return self._ask(now, Txn(compares, (part, wish, Put(self.register, b""))), share)
+        return self._write(now, usage, units, waits=False)
+
+    def _write(self, now: float, usage: _Usage, units: int, *, waits: bool) -> list[SendRequest]:
+        lease_id = self.lease.lease_id
+        unchanged = Compare(
+            self.register_key, CompareTarget.MOD, CompareOperator.EQUAL, usage.register_revision
+        )
+        waiting = Put(self.waiting_key, b"", lease_id) if waits else DeleteRange(self.waiting_key)
+        part: Put | DeleteRange = DeleteRange(self.part_key)
+        if units:
+            part = Put(self.part_key, msgspec.json.encode(BudgetPart(units)), lease_id)
+        # fewer units than before are used at once, more only when they are known to be ours
+        self.units = min(self.units, units)
+        compares = (unchanged,) if self.guarded else ()
+        return self._send(now, Txn(compares, (part, waiting, Put(self.register_key, b""))), units)
+
+
+def _fair_units(usage: _Usage) -> int:
+    """The units to have: no more than a fair share where others wait, and no more than what is free."""
+    fair = TOTAL_UNITS // max(MIN_DIVISOR, usage.holders + usage.waiting)
+    kept = min(usage.own_units, fair) if usage.waiting else usage.own_units
+    return max(kept, min(fair, TOTAL_UNITS - usage.other_units))
--- a/heronreel/leases/session.py
+++ b/heronreel/leases/session.py
@@ -1,31 +1,36 @@
-"""A lease and its claims in a process: `LeaseClient` with a clock, a client and tasks around it."""
+"""The lease of a process and the claims under it: `LeaseClient` with a clock and a client."""
 
 from __future__ import annotations
 
 import asyncio
 import random
 import secrets
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Coroutine, Iterable
 from types import TracebackType
+from typing import Any
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.clock import boot_clock
 from heronreel.coordination.model import RequestError, ResponseOrError, StatusCode
-from heronreel.leases.lease import (
-    CLAIM_PREFIX,
-    PRESENCE_PREFIX,
-    Actions,
-    Claim,
-    ClaimAcquired,
-    ClaimLost,
-    LeaseClient,
-    LeaseTerms,
-    SendRequest,
-)
+from heronreel.leases.claim import Actions, Claim, ClaimAcquired, ClaimLost
+from heronreel.leases.keys import claim_key, presence_key
+from heronreel.leases.lease import LeaseClient, LeaseTerms
+from heronreel.leases.requests import SendRequest
+
+LEASE_ID_LIMIT = 1 << 63
+MIN_TIMER_S = 0.002
+MAX_TIMER_S = 1.0
+MIN_RESPONSE_TIMEOUT_S = 0.01
+REVOKE_TIMEOUT_S = 2.0
+
+ClaimChange = ClaimAcquired | ClaimLost
 
 
 class LeaseSession:
-    """One process's lease.  `claim` names a task; `Claim.acts(holding.now())` is asked before each action."""
+    """The lease of one process, kept alive while the context is entered.
+
+    `claim` requests a task; `Claim.fencing_token(session.now())` is to be called before each action.
+    """
 
     def __init__(
         self,
@@ -33,109 +38,125 @@
         identity: str,
         terms: LeaseTerms | None = None,
         *,
-        told: Callable[[ClaimAcquired | ClaimLost], None] = lambda what: None,
+        on_claim_change: Callable[[ClaimChange], None] = lambda change: None,
     ) -> None:
-        """`identity` is shown to operators as the holder's name; `told` hears of each change, at once."""
+        """Make a session; entering its context starts it.
+
+        Args:
+            addresses: the members of the coordination service.
+            identity: the holder's name, as shown to operators.
+            terms: durations of the lease.
+            on_claim_change: called at once for every claim that is acquired or lost.
+
+        Raises:
+            InvalidLeaseTermsError: the terms leave no time for a renewal and a retry.
+        """
         self.terms = terms or LeaseTerms()
-        if problem := self.terms.problem():
-            raise ValueError(problem)
-        self.client = Client(addresses, answer_s=self.terms.answer)
+        self.terms.validate()
+        self.client = Client(addresses, answer_s=self.terms.response_timeout_s)
         self.identity = identity
         self.now = boot_clock()
-        self.told = told
-        drawn = random.Random(secrets.randbits(64))
-        self.session = LeaseClient(self.terms, self.now(), lambda: drawn.randrange(1, 1 << 63), drawn.random)
-        self.asking: set[asyncio.Task[None]] = set()
-        self.timer: asyncio.TimerHandle | None = None
-        self.changed = asyncio.Condition()
-        self.closed = False
+        self.on_claim_change = on_claim_change
+        rng = random.Random(secrets.randbits(64))
+        self.lease = LeaseClient(self.terms, self.now(), lambda: rng.randrange(1, LEASE_ID_LIMIT), rng.random)
+        self._background: set[asyncio.Task[None]] = set()
+        self._timer: asyncio.TimerHandle | None = None
+        self._changed = asyncio.Condition()
+        self._closed = False
 
     async def __aenter__(self) -> LeaseSession:
-        self._event(self.session.tick)
+        """Request the lease; it need not be granted yet on return."""
+        self._handle(self.lease.tick)
         return self
 
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
+        """Close the session."""
         await self.close()
 
-    async def close(self, seconds: float = 2.0) -> None:
-        """Give everything back, if the group answers within `seconds`; else the lease ends by its time."""
-        self._event(self.session.end)
+    async def close(self, timeout_s: float = REVOKE_TIMEOUT_S) -> None:
+        """Revoke the lease, if the service responds within `timeout_s`; else it expires by itself."""
+        self._handle(self.lease.revoke)
         try:
-            async with asyncio.timeout(seconds):
-                async with self.changed:
-                    await self.changed.wait_for(lambda: self.session.ended)
+            async with asyncio.timeout(timeout_s), self._changed:
+                await self._changed.wait_for(lambda: self.lease.revoked)
         except TimeoutError:
             pass
-        self.closed = True
-        if self.timer is not None:
-            self.timer.cancel()
-        for task in self.asking:
+        self._closed = True
+        if self._timer is not None:
+            self._timer.cancel()
+        for task in self._background:
             task.cancel()
         await self.client.close()
 
     def claim(self, task: str) -> Claim:
-        """Want to be the one that does `task`."""
-        claim = self.session.claim(CLAIM_PREFIX + task.encode(), self.identity.encode())
-        self._event(self.session.tick)
-        return claim
+        """Request the claim on `task`, until it is released."""
+        return self._claim(claim_key(task), self.identity.encode())
 
-    def present(self, name: str, value: bytes) -> Claim:
-        """Be there as `name` for as long as the lease lasts; `value` says what."""
-        claim = self.session.claim(PRESENCE_PREFIX + name.encode(), value)
-        self._event(self.session.tick)
-        return claim
+    def announce_presence(self, name: str, value: bytes) -> Claim:
+        """Be present as `name` for as long as the lease lasts; `value` is shown to other processes."""
+        return self._claim(presence_key(name), value)
 
-    async def held(self, claim: Claim) -> int:
-        """Wait until the claim is held; its number."""
-        async with self.changed:
-            await self.changed.wait_for(lambda: bool(claim.acts(self.now())))
-        return claim.number
+    def _claim(self, key: bytes, value: bytes) -> Claim:
+        claim = self.lease.claim(key, value)
+        self._handle(self.lease.tick)
+        return claim
 
-    def look(self) -> None:
-        """Ask again soon for whatever is wanted and not held: somebody saw it change."""
+    async def wait_acquired(self, claim: Claim) -> int:
+        """Wait until the claim is held; its fencing token."""
+        async with self._changed:
+            await self._changed.wait_for(lambda: bool(claim.fencing_token(self.now())))
+        return claim.granted_token
 
-        def nudge(now: float) -> Actions:
-            for claim in self.session.claims:
-                claim.nudge(now)
-            return self.session.tick(now)
+    def refresh(self) -> None:
+        """Request again soon whatever is wanted and not held: a change of it was seen."""
 
-        self._event(nudge)
+        def retry_claims(now: float) -> Actions:
+            for claim in self.lease.claims:
+                claim.retry_soon(now)
+            return self.lease.tick(now)
 
-    # -- the core's events and actions
+        self._handle(retry_claims)
 
-    def _event(self, call: Callable[[float], Actions]) -> None:
-        if self.closed:
+    def _handle(self, event: Callable[[float], Actions]) -> None:
+        """Pass an event to the core, carry out its actions, and set the timer for its next wakeup."""
+        if self._closed:
             return
-        actions = call(self.now())
-        actions += self.session.tick(self.now())
+        actions = event(self.now())
+        actions += self.lease.tick(self.now())
         for action in actions:
             if isinstance(action, SendRequest):
-                task = asyncio.ensure_future(self._ask(action))
-                self.asking.add(task)
-                task.add_done_callback(self.asking.discard)
+                self._run_in_background(self._send(action))
             else:
-                self.told(action)
-        if actions or self.session.ending:
-            waking = asyncio.ensure_future(self._wake_all())
-            self.asking.add(waking)
-            waking.add_done_callback(self.asking.discard)
-        if self.timer is not None:
-            self.timer.cancel()
-        delay = max(0.002, self.session.wake() - self.now())
-        self.timer = asyncio.get_running_loop().call_later(min(delay, 1.0), self._event, self.session.tick)
-
-    async def _wake_all(self) -> None:
-        async with self.changed:
-            self.changed.notify_all()
-
-    async def _ask(self, ask: SendRequest) -> None:
-        answer: ResponseOrError
+                self.on_claim_change(action)
+        if actions or self.lease.revoking:
+            self._run_in_background(self._notify_changed())
+        self._set_timer()
+
+    def _set_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+        delay_s = max(MIN_TIMER_S, self.lease.next_wakeup() - self.now())
+        loop = asyncio.get_running_loop()
+        self._timer = loop.call_later(min(delay_s, MAX_TIMER_S), self._handle, self.lease.tick)
+
+    def _run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.ensure_future(coroutine)
+        self._background.add(task)
+        task.add_done_callback(self._background.discard)
+
+    async def _notify_changed(self) -> None:
+        async with self._changed:
+            self._changed.notify_all()
+
+    async def _send(self, action: SendRequest) -> None:
+        response: ResponseOrError
         try:
-            answer = await self.client.call(ask.request, max(0.01, ask.until - self.now()))
-        except RequestError as refused:
-            answer = refused
-        except Exception as error:  # whatever went wrong, nobody knows what became of it
-            answer = RequestError(StatusCode.UNKNOWN, repr(error))
-        self._event(lambda now: self.session.answered(now, ask.number, answer))
+            timeout_s = max(MIN_RESPONSE_TIMEOUT_S, action.deadline - self.now())
+            response = await self.client.call(action.request, timeout_s)
+        except RequestError as error:
+            response = error
+        except Exception as error:  # the outcome is unknown, whatever went wrong
+            response = RequestError(StatusCode.UNKNOWN, repr(error))
+        self._handle(lambda now: self.lease.on_response(now, action.request_id, response))
--- a/heronreel/leases/task_runner.py
+++ b/heronreel/leases/task_runner.py
@@ -1,293 +1,252 @@
-"""Fleet-wide tasks in a process: `TaskProgress` with a clock, a client, the process's lease and what a step
-does.
-"""
+"""Runs fleet-wide tasks in a process: `TaskProgress` with a clock, a client and the process's lease."""
 
 from __future__ import annotations
 
 import asyncio
-import time
 from collections import Counter
-from collections.abc import Callable, Coroutine, Generator, Mapping
-from contextlib import suppress
+from collections.abc import Callable, Coroutine, Mapping
 from typing import Any
 
 import msgspec
 import structlog
 
 from heronreel.coordination.client import Client
-from heronreel.coordination.model import Range, RangeResponse, RequestError, ResponseOrError, prefix_end
-from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX, Claim, SendRequest
-from heronreel.leases.rate_budget import BudgetShare, RateLimits, TokenBuckets
+from heronreel.coordination.model import Range, RangeResponse, RequestError, prefix_end
+from heronreel.leases.claim import Claim
+from heronreel.leases.keys import PRESENCE_PREFIX, present_names
+from heronreel.leases.rate_budget import BudgetShare
+from heronreel.leases.rate_limiter import CpuMeteredStep, RateLimiter
+from heronreel.leases.rate_limits import RateLimits
+from heronreel.leases.requests import SendRequest
+from heronreel.leases.scheduling import standby_delay
 from heronreel.leases.session import LeaseSession
-from heronreel.leases.tasks import (
-    Priority,
+from heronreel.leases.step_queue import StepQueue
+from heronreel.leases.task_progress import (
+    Actions,
     RunStep,
     StepConfirmed,
-    Task,
     TaskProgress,
     TaskReleased,
     TaskSuspended,
-    next_task,
-    standby_delay,
 )
+from heronreel.leases.tasks import Priority, Task
 
-ASIDE_S = 30.0  # between two looks at a task that was set aside
-LOOK_S = 0.5
-PAY_S = 0.1  # at most between two looks at whether the part has changed
+SUSPENDED_POLL_S = 30.0  # between two checks of a suspended task
+CLAIM_POLL_S = 0.5  # between two checks of a task that another process holds
+MIN_SLEEP_S = 0.002
+MAX_SLEEP_S = 0.2
 
 log = structlog.get_logger()
 
 
-class BudgetSpender:
-    """This process's part of a class's budget, and what its steps use of it."""
-
-    def __init__(self, rates: RateLimits, share: BudgetShare, now: Callable[[], float]) -> None:
-        self.rates = rates
-        self.share = share
-        self.now = now
-        self.acted = 0
-        self.buckets = TokenBuckets(rates.part(0), now())
-
-    async def pay(self, calls: float = 0.0, bytes_: float = 0.0, cpu: float = 0.0) -> None:
-        """Pay, and wait until what was paid is this process's to use."""
-        wait = self._spend(calls, bytes_, cpu)
-        while wait > 0.0:
-            await asyncio.sleep(min(wait, PAY_S))
-            wait = self._spend(0.0, 0.0, 0.0)
-
-    def _spend(self, calls: float, bytes_: float, cpu: float) -> float:
-        now = self.now()
-        acts = self.share.acts(now)
-        if acts != self.acted:
-            self.acted = acts
-            self.buckets.change(self.rates.part(acts), now)
-        return self.buckets.spend(now, calls, bytes_, cpu)
-
-
 class StepContext:
-    """One step that is to be done."""
+    """What the function of a step gets to know, and its way to the budget."""
 
-    def __init__(self, step: int, number: int, spent: BudgetSpender | None = None) -> None:
+    def __init__(self, step: int, fencing_token: int, limiter: RateLimiter | None = None) -> None:
+        """`fencing_token` goes with every action on a resource."""
         self.step = step
-        self.number = number  # the grant's, for every place that is acted on
-        self.spent = spent
+        self.fencing_token = fencing_token
+        self.limiter = limiter
 
-    async def pay(self, calls: float = 0.0, bytes_: float = 0.0) -> None:
-        """To be awaited before a call is made or bytes are moved: it waits for the class's budget.  What the
-        step uses of the processor is paid without being asked for.
-        """
-        if self.spent is not None:
-            await self.spent.pay(calls, bytes_)
-
-
-class _CpuMeteredStep:
-    """A step whose time on the processor is paid between its turns."""
-
-    def __init__(self, step: Coroutine[Any, Any, None], spent: BudgetSpender) -> None:
-        self.step = step
-        self.spent = spent
+    async def acquire(self, calls: float = 0.0, bytes_: float = 0.0) -> None:
+        """Wait for the budget of the class; to be awaited before a call is made or bytes are moved.
 
-    def __await__(self) -> Generator[Any, Any, None]:
-        error: BaseException | None = None
-        while True:
-            began = time.thread_time()
-            try:
-                waiting = self.step.send(None) if error is None else self.step.throw(error)
-            except StopIteration:
-                return
-            used = time.thread_time() - began
-            error = None
-            try:
-                yield waiting
-                yield from self.spent.pay(cpu=used).__await__()
-            except BaseException as raised:  # also a cancellation: the step decides what it means
-                error = raised
+        Processor time that the step uses is accounted for without a call.
+        """
+        if self.limiter is not None:
+            await self.limiter.acquire(calls, bytes_)
 
 
 StepFunction = Callable[[StepContext], Coroutine[Any, Any, None]]
 
 
 class TaskRunner:
-    """Wants its tasks, and does the steps of those it holds, one at a time in the order of their urgency."""
+    """Competes for its tasks, and runs the steps of those it holds, one at a time and by priority."""
 
     def __init__(
         self,
-        holding: LeaseSession,
+        session: LeaseSession,
         name: str,
         tasks: Mapping[Task, StepFunction],
         *,
-        what: bytes | None = b"",
+        presence: bytes | None = b"",
         budgets: Mapping[Priority, RateLimits] | None = None,
     ) -> None:
-        """`name` is this process's in the list of who is present, and `what` says what it is; with None it
-        is not in that list.  `budgets` are the fleet's, by class, the same in all its processes.
+        """Make a runner; `run` starts it.
+
+        Args:
+            session: the lease of this process.
+            name: this process's name among those present.
+            tasks: the tasks, each with the function of its steps.
+            presence: the value to announce the process's presence with; None: it is not announced.
+            budgets: limits for the whole fleet, by class, the same in all its processes.
         """
-        self.holding = holding
+        self.session = session
         self.name = name
         self.tasks = dict(tasks)
-        self.what = what
-        self.due: dict[Task, tuple[float, asyncio.Future[None]]] = {}  # steps that wait for their turn
-        self.busy = False
-        self.held: Counter[Priority] = Counter()  # tasks, by class
-        self.spent: dict[Priority, BudgetSpender] = {}
-        for urgency, rates in (budgets or {}).items():
-            share = BudgetShare(holding.session, urgency.name.lower(), name, holding.session.jitter)
-            holding.session.attached += (share,)
-            self.spent[urgency] = BudgetSpender(rates, share, holding.now)
+        self.presence = presence
+        self._queue = StepQueue(session.now)
+        self._held_tasks: Counter[Priority] = Counter()
+        self._limiters = {
+            priority: self._limiter(priority, limits) for priority, limits in (budgets or {}).items()
+        }
+
+    def _limiter(self, priority: Priority, limits: RateLimits) -> RateLimiter:
+        lease = self.session.lease
+        share = BudgetShare(lease, priority.stored_name, self.name, lease.jitter)
+        lease.attach(share)
+        return RateLimiter(limits, share, self.session.now)
 
     async def run(self) -> None:
-        """Until it is cancelled; the lease is the caller's to give back."""
-        if self.what is not None:
-            self.holding.present(self.name, self.what)
+        """Run until cancelled; releasing the lease is left to the caller."""
+        if self.presence is not None:
+            self.session.announce_presence(self.name, self.presence)
         async with asyncio.TaskGroup() as group:
             for task in self.tasks:
-                group.create_task(self._duty(task))
+                group.create_task(self._compete_for(task))
 
     @property
     def client(self) -> Client:
-        return self.holding.client
+        """The session's client."""
+        return self.session.client
 
     async def present(self, zone: str = "") -> list[str]:
-        """Who is there, in this zone, as far as the group tells; nobody where it does not."""
+        """The processes present in a zone ("": in all); none if the service does not respond."""
         try:
-            found = await self.client.call(
+            response = await self.client.call(
                 Range(PRESENCE_PREFIX, prefix_end(PRESENCE_PREFIX), keys_only=not zone)
             )
         except RequestError:
             return []
-        assert isinstance(found, RangeResponse)
-        return [
-            key[len(PRESENCE_PREFIX) :].decode(errors="replace")
-            for key, record in found.records
-            if not zone or _zone_of(record.value) == zone
-        ]
+        assert isinstance(response, RangeResponse)
+        names = present_names(response)
+        if not zone:
+            return names
+        zones = [_zone_of(record.value) for _, record in response.records]
+        return [name for name, its_zone in zip(names, zones, strict=True) if its_zone == zone]
 
     async def _held_by_another(self, task: Task) -> bool:
-        """One of ours is wanted again: a late question may have made it after it was given back."""
+        """Whether another lease has the claim; one under our own lease is requested again.
+
+        A request that came late may have created it after it was released.
+        """
         try:
-            found = await self.client.call(Range(CLAIM_PREFIX + task.name.encode()))
+            response = await self.client.call(Range(task.claim_key))
         except RequestError:
-            return True  # nobody knows: asked again soon
-        assert isinstance(found, RangeResponse)
-        return any(record.lease != self.holding.session.lease for _, record in found.records)
+            return True  # unknown: asked again soon
+        assert isinstance(response, RangeResponse)
+        return any(record.lease != self.session.lease.lease_id for _, record in response.records)
 
-    async def _duty(self, task: Task) -> None:
+    async def _compete_for(self, task: Task) -> None:
         while True:
-            # whoever comes first by rendezvous gets the task; the others stand by in their order
+            # the first process in rendezvous order gets the task; the others stand by in their order
             await asyncio.sleep(standby_delay(task.name, self.name, await self.present(task.zone)))
             if await self._held_by_another(task):
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(CLAIM_POLL_S)
                 continue
-            claim = self.holding.claim(task.name)
-            pause = 0.0
+            await asyncio.sleep(await self._hold_once(task))
+
+    async def _hold_once(self, task: Task) -> float:
+        """Acquire the claim and run steps until it ends; the seconds to leave the task to others."""
+        claim = self.session.claim(task.name)
+        try:
+            async with asyncio.timeout(self.session.terms.ttl_s):
+                fencing_token = await self.session.wait_acquired(claim)
+            self._count_held(task, 1)
             try:
-                async with asyncio.timeout(self.holding.terms.ttl):
-                    number = await self.holding.held(claim)
-                self._uses(task, 1)
-                try:
-                    pause = await self._drive(task, claim, number)
-                finally:
-                    self._uses(task, -1)
-            except TimeoutError:
-                pause = LOOK_S  # another was faster
+                return await self._run_while_held(task, claim, fencing_token)
             finally:
-                self._give_back(claim)
-            await asyncio.sleep(pause)
-
-    def _uses(self, task: Task, change: int) -> None:
-        """A part of the budget is held for as long as a task of the class is."""
-        self.held[task.urgency] += change
-        spent = self.spent.get(task.urgency)
-        if spent is not None:
-            change_it = spent.share.want if self.held[task.urgency] else spent.share.release
-            change_it(self.holding.now())
-            self.holding.look()
-
-    def _give_back(self, claim: Claim) -> None:
-        claim.release(self.holding.now())
-        self.holding.look()
-
-    async def _drive(self, task: Task, claim: Claim, number: int) -> float:
-        """Do steps for as long as the number is good; seconds to leave the task to others."""
-        steps = TaskProgress(task, number, self.name, self.holding.now(), answer_s=self.holding.terms.answer)
-        while claim.acts(self.holding.now()) == number:
-            actions = steps.tick(self.holding.now())
+                self._count_held(task, -1)
+        except TimeoutError:
+            return CLAIM_POLL_S  # another process was faster
+        finally:
+            claim.release(self.session.now())
+            self.session.refresh()
+
+    def _count_held(self, task: Task, change: int) -> None:
+        """A share of the budget is held for as long as a task of the class is."""
+        self._held_tasks[task.priority] += change
+        limiter = self._limiters.get(task.priority)
+        if limiter is None:
+            return
+        if self._held_tasks[task.priority]:
+            limiter.share.acquire(self.session.now())
+        else:
+            limiter.share.release(self.session.now())
+        self.session.refresh()
+
+    async def _run_while_held(self, task: Task, claim: Claim, fencing_token: int) -> float:
+        """Run steps for as long as the token is valid; the seconds to leave the task to others."""
+        now = self.session.now
+        progress = TaskProgress(
+            task, fencing_token, self.name, now(), response_timeout_s=self.session.terms.response_timeout_s
+        )
+        while claim.fencing_token(now()) == fencing_token:
+            actions = progress.tick(now())
             while actions:
                 action = actions.pop(0)
                 if isinstance(action, SendRequest):
-                    answer = await self._ask(action)
-                    actions += steps.answered(self.holding.now(), action.number, answer)
+                    actions += await self._send(progress, action)
                 elif isinstance(action, RunStep):
-                    done = await self._do(task, action, claim)
-                    now = self.holding.now()
-                    actions += steps.done(now, action.step) if done else steps.failed(now, action.step)
+                    actions += await self._run_step(progress, action, claim)
                 elif isinstance(action, StepConfirmed):
-                    log.info("step confirmed", task=task.name, step=action.step, number=number)
-                    if action.late_s:
-                        log.warning("step late", task=task.name, step=action.step, late_s=action.late_s)
-                    if task.turns:
+                    _log_confirmed(action, fencing_token)
+                    if task.rotates:
                         return task.period_s
                 elif isinstance(action, TaskSuspended):
-                    log.error("task set aside", task=task.name, step=action.step, tries=action.tries)
-                    return ASIDE_S
+                    log.error("task suspended", task=task.name, step=action.step, attempts=action.attempts)
+                    return SUSPENDED_POLL_S
                 elif isinstance(action, TaskReleased):
-                    return LOOK_S
-            await asyncio.sleep(min(max(0.002, steps.wake() - self.holding.now()), 0.2))
-        return LOOK_S
-
-    async def _ask(self, ask: SendRequest) -> ResponseOrError:
-        return await self.client.call_or_error(ask.request, ask.until - self.holding.now())
-
-    async def _do(self, task: Task, do: RunStep, claim: Claim) -> bool:
-        """One step, in its turn; whether it was done.  The number is looked at again once its turn has
-        come.
-        """
-        await self._turn(task)
-        try:
-            if claim.acts(self.holding.now()) != do.number:
+                    return CLAIM_POLL_S
+            await asyncio.sleep(min(max(MIN_SLEEP_S, progress.next_wakeup() - now()), MAX_SLEEP_S))
+        return CLAIM_POLL_S
+
+    async def _send(self, progress: TaskProgress, action: SendRequest) -> Actions:
+        timeout_s = action.deadline - self.session.now()
+        response = await self.client.call_or_error(action.request, timeout_s)
+        return progress.on_response(self.session.now(), action.request_id, response)
+
+    async def _run_step(self, progress: TaskProgress, action: RunStep, claim: Claim) -> Actions:
+        succeeded = await self._step_succeeds(progress.task, action, claim)
+        now = self.session.now()
+        if succeeded:
+            return progress.step_succeeded(now, action.step)
+        return progress.step_failed(now, action.step)
+
+    async def _step_succeeds(self, task: Task, action: RunStep, claim: Claim) -> bool:
+        async with self._queue.turn(task):
+            # the token is checked again, since waiting for the turn may have taken long
+            if claim.fencing_token(self.session.now()) != action.fencing_token:
+                return False
+            try:
+                await self._call_step(task, action)
+            except Exception as error:  # whatever a step raises concerns its own task alone
+                log.warning("step failed", task=task.name, step=action.step, error=repr(error))
                 return False
-            spent = self.spent.get(task.urgency)
-            step = self.tasks[task](StepContext(do.step, do.number, spent))
-            async with asyncio.timeout(task.step_s):
-                await (step if spent is None else _CpuMeteredStep(step, spent))
             return True
-        except Exception as error:  # whatever a step raises, it is this task's alone
-            log.warning("step failed", task=task.name, step=do.step, error=repr(error))
-            return False
-        finally:
-            self.busy = False
-            self._next()
 
-    async def _turn(self, task: Task) -> None:
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.due[task] = self.holding.now(), turn
-        self._next()
-        try:
-            await turn
-        except asyncio.CancelledError:
-            with suppress(KeyError):
-                del self.due[task]
-            if turn.done() and not turn.cancelled():
-                self.busy = False
-                self._next()
-            raise
-
-    def _next(self) -> None:
-        if self.busy:
-            return
-        task = next_task(((task, since) for task, (since, _) in self.due.items()), self.holding.now())
-        if task is not None:
-            self.busy = True
-            self.due.pop(task)[1].set_result(None)
+    async def _call_step(self, task: Task, action: RunStep) -> None:
+        limiter = self._limiters.get(task.priority)
+        step = self.tasks[task](StepContext(action.step, action.fencing_token, limiter))
+        async with asyncio.timeout(task.step_timeout_s):
+            await (step if limiter is None else CpuMeteredStep(step, limiter))
 
 
-def _zone_of(what: bytes) -> str:
-    """The zone that somebody present says it is in."""
-    try:
-        return msgspec.json.decode(what, type=_Placed).zone
-    except msgspec.DecodeError:
-        return ""
+def _log_confirmed(action: StepConfirmed, fencing_token: int) -> None:
+    log.info("step confirmed", task=action.task, step=action.step, fencing_token=fencing_token)
+    if action.late_s:
+        log.warning("step late", task=action.task, step=action.step, late_s=action.late_s)
 
 
-class _Placed(msgspec.Struct):
+class _PresenceValue(msgspec.Struct):
+    """What is read of a value that a process announces its presence with."""
+
     zone: str = ""
+
+
+def _zone_of(presence: bytes) -> str:
+    """The zone that a process says it is in; "" where it does not."""
+    try:
+        return msgspec.json.decode(presence, type=_PresenceValue).zone
+    except msgspec.DecodeError:
+        return ""
--- a/tests/leases/test_rate_budget.py
+++ b/tests/leases/test_rate_budget.py
@@ -1,4 +1,4 @@
-"""Budgets of tasks: parts never come to more than the whole, whoever comes, goes, or is cut off."""
+"""Budgets of fleet-wide tasks: shares never exceed the budget, whoever comes, goes, or is cut off."""
 
 from __future__ import annotations
 
@@ -11,174 +11,179 @@
 from hypothesis import strategies as st
 
 from heronreel.coordination.keyspace import EMPTY_CONTENT, Keyspace
-from heronreel.coordination.model import LeaseGrant, LeaseRevoke, RequestError, StatusCode
-from heronreel.leases.lease import LeaseClient, LeaseTerms, SendRequest
-from heronreel.leases.rate_budget import MIN_UNITS, TOTAL_UNITS, BudgetShare, RateLimits, TokenBucket
-from heronreel.leases.task_runner import BudgetSpender, StepContext, _CpuMeteredStep
-from heronreel.leases.tasks import Priority, Task, next_task
+from heronreel.coordination.model import LeaseGrant, LeaseRevoke, RequestError, ResponseOrError, StatusCode
+from heronreel.leases.lease import LeaseClient, LeaseTerms
+from heronreel.leases.rate_budget import MIN_UNITS, BudgetShare
+from heronreel.leases.rate_limiter import CpuMeteredStep, RateLimiter
+from heronreel.leases.rate_limits import TOTAL_UNITS, RateLimits, TokenBucket
+from heronreel.leases.requests import SendRequest
+from heronreel.leases.task_runner import StepContext
 
-TERMS = LeaseTerms(ttl=6, margin=1.0, answer=1.0)
+TERMS = LeaseTerms(ttl_s=6, safety_margin_s=1.0, response_timeout_s=1.0)
+STEP_INTERVALS_S = (0.01, 0.3, 1.0, 6.0)
 
 
 class Fleet:
-    """Processes that want a part, on a state that answers as one; what is under way may be lost or late."""
+    """Processes that need a share, on a state that responds as one; requests may be lost or late."""
 
     def __init__(self, seed: int, count: int, loss: float, guarded: bool = True) -> None:
         self.rng = random.Random(seed)
         self.loss = loss
-        self.guarded = guarded
         self.state = Keyspace.of(EMPTY_CONTENT)
         self.now = 0.0
-        self.leases = 0
-        self.late: list[SendRequest] = []
+        self.last_lease_id = 0
+        self.late_requests: list[SendRequest] = []
         self.shares: list[BudgetShare] = []
         for number in range(count):
-            session = LeaseClient(TERMS, 0.0, self.draw, self.rng.random)
-            self.shares.append(BudgetShare(session, "usual", f"p{number}", self.rng.random, guarded=guarded))
-            self.begin(self.shares[-1])
-
-    def draw(self) -> int:
-        self.leases += 1
-        return self.leases
-
-    def begin(self, share: BudgetShare) -> None:
-        """A lease that does not end by itself: the test ends it."""
-        session = share.session
-        session.lease, session.granted, session.until = self.draw(), True, float("inf")
-        self.state = self.state.apply(LeaseGrant(6, session.lease)).state
-        share.want(self.now)
-
-    def end(self, share: BudgetShare) -> None:
-        """The holder has stopped, and later its lease ends at the group."""
-        lease = share.session.lease
-        share.session.granted = False
-        if self.rng.random() < 0.5:  # its questions may come all the same
-            self.turn()
-        self.state = self.state.apply(LeaseRevoke(lease)).state
-        self.begin(share)
-
-    def apply(self, ask: SendRequest) -> object:
+            lease = LeaseClient(TERMS, 0.0, self.draw_lease_id, self.rng.random)
+            self.shares.append(BudgetShare(lease, "usual", f"p{number}", self.rng.random, guarded=guarded))
+            self.start(self.shares[-1])
+
+    def draw_lease_id(self) -> int:
+        self.last_lease_id += 1
+        return self.last_lease_id
+
+    def start(self, share: BudgetShare) -> None:
+        """Under a lease that does not expire by itself: the test ends it."""
+        lease = share.lease
+        lease.lease_id, lease.granted, lease.valid_until = self.draw_lease_id(), True, float("inf")
+        self.state = self.state.apply(LeaseGrant(6, lease.lease_id)).state
+        share.acquire(self.now)
+
+    def restart(self, share: BudgetShare) -> None:
+        """The holder stops, later its lease expires in the service, and it starts again."""
+        lease_id = share.lease.lease_id
+        share.lease.granted = False
+        if self.rng.random() < 0.5:  # its requests may arrive all the same
+            self.step()
+        self.state = self.state.apply(LeaseRevoke(lease_id)).state
+        self.start(share)
+
+    def apply(self, action: SendRequest) -> ResponseOrError:
         try:
-            done = self.state.apply(ask.request)  # type: ignore[arg-type]
-            self.state = done.state
-            return done.result
-        except RequestError as refused:
-            return refused
-
-    def turn(self) -> None:
-        self.now += self.rng.choice((0.01, 0.3, 1.0, 6.0))
-        if self.late and self.rng.random() < 0.3:
-            self.apply(self.late.pop(self.rng.randrange(len(self.late))))
-        asked: list[tuple[BudgetShare, SendRequest]] = []
+            applied = self.state.apply(action.request)  # type: ignore[arg-type]
+        except RequestError as error:
+            return error
+        self.state = applied.state
+        return applied.result
+
+    def step(self) -> None:
+        self.now += self.rng.choice(STEP_INTERVALS_S)
+        if self.late_requests and self.rng.random() < 0.3:
+            self.apply(self.late_requests.pop(self.rng.randrange(len(self.late_requests))))
+        in_flight: list[tuple[BudgetShare, SendRequest]] = []
         for share in self.shares:
-            asked += [(share, ask) for ask in share.tick(self.now)]
-        while asked:
-            share, ask = asked.pop(self.rng.randrange(len(asked)))
-            if self.rng.random() < self.loss:
-                self.late.append(ask)
-                continue
-            answer = self.apply(ask)
-            if self.rng.random() < self.loss:
-                answer = RequestError(StatusCode.UNKNOWN, "")
-            if share.waits_for(ask.number):
-                asked += [(share, more) for more in share.answered(self.now, answer)]  # type: ignore[arg-type]
-            assert self.used() <= TOTAL_UNITS, [each.acts(self.now) for each in self.shares]
-
-    def used(self) -> int:
-        return sum(share.acts(self.now) for share in self.shares)
+            in_flight += [(share, action) for action in share.tick(self.now)]
+        while in_flight:
+            share, action = in_flight.pop(self.rng.randrange(len(in_flight)))
+            in_flight += [(share, further) for further in self.exchange(share, action)]
+
+    def exchange(self, share: BudgetShare, action: SendRequest) -> list[SendRequest]:
+        """Apply a request and deliver its response, if neither is lost; the requests that follow."""
+        if self.rng.random() < self.loss:
+            self.late_requests.append(action)
+            return []
+        response = self.apply(action)
+        if self.rng.random() < self.loss:
+            response = RequestError(StatusCode.UNKNOWN, "")
+        awaited = share.awaits(action.request_id)
+        further = share.on_response(self.now, response) if awaited else []
+        assert self.used_units() <= TOTAL_UNITS, [each.usable_units(self.now) for each in self.shares]
+        return further
+
+    def used_units(self) -> int:
+        return sum(share.usable_units(self.now) for share in self.shares)
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 1 << 30), st.integers(1, 9), st.sampled_from([0.0, 0.1, 0.4]))
-def test_parts_never_come_to_more_than_the_whole(seed: int, count: int, loss: float) -> None:
+def test_shares_never_exceed_the_budget(seed: int, count: int, loss: float) -> None:
     fleet = Fleet(seed, count, loss)
     for _ in range(60):
-        fleet.turn()
+        fleet.step()
         share = fleet.rng.choice(fleet.shares)
         if fleet.rng.random() < 0.1:
-            fleet.end(share)
+            fleet.restart(share)
         elif fleet.rng.random() < 0.1:
-            (share.release if share.wanted else share.want)(fleet.now)
+            (share.release if share.wanted else share.acquire)(fleet.now)
     fleet.loss = 0.0
     for share in fleet.shares:
-        share.want(fleet.now)
+        share.acquire(fleet.now)
     for _ in range(40):
-        fleet.turn()
-    shares = sorted(share.acts(fleet.now) for share in fleet.shares)
-    assert shares[0] >= MIN_UNITS and shares[-1] <= TOTAL_UNITS // 4, shares
-    assert sum(shares) >= TOTAL_UNITS * min(count, 4) // 4 * 0.6, shares
+        fleet.step()
+    units = sorted(share.usable_units(fleet.now) for share in fleet.shares)
+    assert units[0] >= MIN_UNITS and units[-1] <= TOTAL_UNITS // 4, units
+    assert sum(units) >= TOTAL_UNITS * min(count, 4) // 4 * 0.6, units
 
 
-def test_without_the_register_parts_come_to_more_than_the_whole() -> None:
+def test_without_the_register_shares_exceed_the_budget() -> None:
     for seed in range(200):
         fleet = Fleet(seed, 9, 0.2, guarded=False)
         try:
             for _ in range(60):
-                fleet.turn()
+                fleet.step()
         except AssertionError:
-            print(seed)
             return
-    raise AssertionError("nothing broke")
+    raise AssertionError("no seed exceeded the budget")
 
 
-def test_a_bucket_pays_out_its_rate_and_waits_for_debts() -> None:
+def test_a_token_bucket_grants_its_rate_and_waits_for_debts() -> None:
     bucket = TokenBucket(10.0, 0.0)
-    assert bucket.spend(0.0, 20.0) == 0.0 and bucket.spend(0.0, 5.0) == 0.5
-    assert bucket.spend(0.5, 0.0) == 0.0 and bucket.spend(100.0, 21.0) == pytest.approx(0.1)
-    bucket.change(0.0, 100.0)
-    assert bucket.spend(200.0, 0.0) == float("inf") and TokenBucket(None, 0.0).spend(0.0, 1e9) == 0.0
+    assert bucket.consume(0.0, 20.0) == 0.0 and bucket.consume(0.0, 5.0) == 0.5
+    assert bucket.consume(0.5, 0.0) == 0.0 and bucket.consume(100.0, 21.0) == pytest.approx(0.1)
+    bucket.set_rate(0.0, 100.0)
+    assert bucket.consume(200.0, 0.0) == float("inf")
+    assert TokenBucket(None, 0.0).consume(0.0, 1e9) == 0.0
 
 
-class Held:
-    """A share that is as a test says."""
+class FixedShare:
+    """A share of as many units as a test says."""
 
-    def __init__(self, share: int) -> None:
-        self.share = share
+    def __init__(self, units: int) -> None:
+        self.units = units
 
-    def acts(self, now: float) -> int:
-        return self.share
+    def usable_units(self, now: float) -> int:
+        return self.units
 
 
-def test_a_step_pays_for_its_time_on_the_processor_and_is_held_up_without_a_part() -> None:
+def use_processor(seconds: float) -> None:
+    started_at = time.thread_time()
+    while time.thread_time() < started_at + seconds:
+        pass
+
+
+def test_a_step_takes_tokens_for_its_processor_time_and_waits_without_a_share() -> None:
     async def run() -> None:
         now = [0.0]
-        share = Held(TOTAL_UNITS // 2)
-        spent = BudgetSpender(RateLimits(calls=20.0, cpu=0.1), share, lambda: now[0])  # type: ignore[arg-type]
-        done: list[str] = []
-
-        async def step(work: StepContext) -> None:
-            began = time.thread_time()
-            while time.thread_time() < began + 0.2:
-                pass
+        share = FixedShare(TOTAL_UNITS // 2)
+        limits = RateLimits(calls=20.0, cpu=0.1)
+        limiter = RateLimiter(limits, share, lambda: now[0])  # type: ignore[arg-type]
+        events: list[str] = []
+
+        async def step(context: StepContext) -> None:
+            use_processor(0.2)
             await asyncio.sleep(0)
-            done.append("paid")
+            events.append("resumed")
             try:
-                await work.pay(calls=1e6)
+                await context.acquire(calls=1e6)
             except asyncio.CancelledError:
-                done.append("cancelled")
+                events.append("cancelled")
                 raise
 
-        task = asyncio.ensure_future(_wrapped(_CpuMeteredStep(step(StepContext(1, 1, spent)), spent)))
+        async def metered() -> None:
+            await CpuMeteredStep(step(StepContext(1, 1, limiter)), limiter)
+
+        task = asyncio.ensure_future(metered())
         for _ in range(20):
             await asyncio.sleep(0)
-        assert not done  # 0.2 s are two seconds' worth of its part and more
+        assert not events  # 0.2 s are two seconds' worth of its share and more
         now[0] = 100.0
-        while not done:
+        while not events:
             await asyncio.sleep(0.01)
-        assert spent.buckets.cpu.level <= 0.1 and not task.done()
-        share.share = 0
+        assert limiter.buckets.cpu.tokens <= 0.1 and not task.done()
+        share.units = 0
         task.cancel()
         await asyncio.wait((task,))
-        assert done == ["paid", "cancelled"] and task.cancelled()
+        assert events == ["resumed", "cancelled"] and task.cancelled()
 
     asyncio.run(run())
-
-
-async def _wrapped(metered: _CpuMeteredStep) -> None:
-    await metered
-
-
-def test_a_task_half_on_the_way_to_its_deadline_goes_before_others_of_its_class() -> None:
-    early, late = Task("early"), Task("late", urgency=Priority.IDLE, deadline_s=10.0)
-    assert next_task([(early, 0.0), (late, 1.0)], 4.0) is early
-    assert next_task([(early, 0.0), (late, 1.0)], 6.0) is late
--- a/tests/leases/test_tasks.py
+++ b/tests/leases/test_tasks.py
@@ -1,4 +1,4 @@
-"""Steps of fleet-wide tasks: where a successor goes on, whatever is lost, and who does what."""
+"""Fleet-wide tasks: where the next holder continues, whatever is lost, and who runs what."""
 
 from __future__ import annotations
 
@@ -10,28 +10,27 @@
 
 from heronreel.coordination.keyspace import EMPTY_CONTENT, Keyspace
 from heronreel.coordination.model import DeleteRange, Put, RequestError, ResponseOrError, StatusCode
-from heronreel.leases.lease import SendRequest
-from heronreel.leases.tasks import (
-    Priority,
+from heronreel.leases.requests import SendRequest
+from heronreel.leases.scheduling import DueTask, next_task, rendezvous_order, standby_delay
+from heronreel.leases.task_progress import (
+    Action,
+    Actions,
     RunStep,
     StepConfirmed,
-    Task,
     TaskProgress,
     TaskReleased,
     TaskSuspended,
-    decode_cursor,
-    encode_cursor,
-    next_task,
-    rendezvous_order,
-    restart_suspended,
-    standby_delay,
 )
+from heronreel.leases.tasks import Priority, Task, decode_cursor, encode_cursor, restart_suspended
 
 TASK = Task("upkeep", period_s=5.0)
+STEP_INTERVALS_S = (0.1, 1.1, 6.0)
+BEFORE_STEP = "before"  # where a holder dies
+AFTER_STEP = "after"
 
 
-class Play:
-    """One holder after the other on a state that answers as one; answers and holders get lost by a seed."""
+class Simulation:
+    """Successive holders of a task, on a state that responds as one; a seed decides what is lost."""
 
     def __init__(self, seed: int, loss: float, fenced: bool = True) -> None:
         self.rng = random.Random(seed)
@@ -39,148 +38,176 @@
         self.fenced = fenced
         self.state = Keyspace.of(EMPTY_CONTENT)
         self.now = 0.0
-        self.done: list[tuple[int, int]] = []  # step and number, in the order in which they were done
-        self.told: list[object] = []
+        self.steps_run: list[int] = []
+        self.actions: list[Action] = []
         self.problems: list[str] = []
 
-    def holder(self) -> TaskProgress:
-        """The claim is taken by the next one; whoever had it does not know."""
-        self.state = self.state.apply(DeleteRange(TASK.claim)).state
-        self.state = self.state.apply(Put(TASK.claim, b"x")).state
-        number = self.state.keys[TASK.claim].create
-        return TaskProgress(TASK, number, f"h{number}", self.now, fenced=self.fenced)
+    def new_holder(self) -> TaskProgress:
+        """The next one acquires the claim; the previous one does not know."""
+        self.state = self.state.apply(DeleteRange(TASK.claim_key)).state
+        self.state = self.state.apply(Put(TASK.claim_key, b"x")).state
+        token = self.state.keys[TASK.claim_key].create
+        return TaskProgress(TASK, token, f"h{token}", self.now, fenced=self.fenced)
 
-    def confirmed(self) -> int:
-        record = self.state.keys.get(TASK.key)
-        return decode_cursor(record.value).step if record else 0
+    def confirmed_step(self) -> int:
+        record = self.state.keys.get(TASK.cursor_key)
+        return decode_cursor(record.value).confirmed_step if record else 0
 
-    def turn(self, steps: TaskProgress, die_at: str = "") -> bool:
-        """What the holder does next; False where it died or has nothing to do."""
-        actions = steps.tick(self.now)
+    def last_action(self) -> Action:
+        return self.actions[-1]
+
+    def tick(self, progress: TaskProgress, dies: str = "") -> None:
+        """What the holder does next; `dies`: before or after a step."""
+        actions = progress.tick(self.now)
         while actions:
             action = actions.pop(0)
-            self.told.append(action)
+            self.actions.append(action)
             if isinstance(action, SendRequest):
                 if self.rng.random() < self.loss:
-                    return True  # the question is lost
-                answer: ResponseOrError
-                before = self.confirmed()
-                try:
-                    done = self.state.apply(action.request)  # type: ignore[arg-type]
-                    self.state, answer = done.state, done.result
-                except RequestError as refused:
-                    answer = refused
-                if self.confirmed() not in (before, before + 1):
-                    self.problems.append(f"confirmed {self.confirmed()} after {before}")
-                if self.rng.random() < self.loss:
-                    if self.rng.random() < 0.5:
-                        lost = RequestError(StatusCode.UNKNOWN, "")
-                        actions += steps.answered(self.now, action.number, lost)
-                    continue
-                actions += steps.answered(self.now, action.number, answer)
+                    return  # the request is lost
+                actions += self.respond(progress, action)
             elif isinstance(action, RunStep):
-                if action.step <= self.confirmed():
-                    self.problems.append(f"step {action.step} is done again after it was confirmed")
-                if die_at == "before":
-                    return False
-                self.done.append((action.step, action.number))
-                if die_at == "behind":
-                    return False
-                actions += steps.done(self.now, action.step)
-        return True
+                if action.step <= self.confirmed_step():
+                    self.problems.append(f"step {action.step} is run again after it was confirmed")
+                if dies == BEFORE_STEP:
+                    return
+                self.steps_run.append(action.step)
+                if dies == AFTER_STEP:
+                    return
+                actions += progress.step_succeeded(self.now, action.step)
+
+    def respond(self, progress: TaskProgress, action: SendRequest) -> Actions:
+        """Apply a request; its response may be lost."""
+        response = self.apply(action)
+        if self.rng.random() >= self.loss:
+            return progress.on_response(self.now, action.request_id, response)
+        if self.rng.random() < 0.5:
+            unknown = RequestError(StatusCode.UNKNOWN, "")
+            return progress.on_response(self.now, action.request_id, unknown)
+        return []
+
+    def apply(self, action: SendRequest) -> ResponseOrError:
+        before = self.confirmed_step()
+        response: ResponseOrError
+        try:
+            applied = self.state.apply(action.request)  # type: ignore[arg-type]
+            self.state, response = applied.state, applied.result
+        except RequestError as error:
+            response = error
+        if self.confirmed_step() not in (before, before + 1):
+            self.problems.append(f"confirmed {self.confirmed_step()} after {before}")
+        return response
+
+    def run(self, rounds: int, previous_holders: int) -> None:
+        """Let holders follow one another; so many previous ones go on beside the latest."""
+        holders = [self.new_holder()]
+        for _ in range(rounds):
+            self.now += self.rng.choice(STEP_INTERVALS_S)
+            if self.rng.random() < 0.1:
+                holders = [*holders[-previous_holders:], self.new_holder()]
+            for progress in holders:
+                self.tick(progress)
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 1 << 30), st.floats(0.0, 0.4), st.integers(1, 4))
-def test_confirmed_steps_are_never_done_again_and_none_is_left_out(seed: int, loss: float, many: int) -> None:
-    play = Play(seed, loss)
-    holders = [play.holder()]
-    for _ in range(120):
-        play.now += play.rng.choice((0.1, 1.1, 6.0))
-        if play.rng.random() < 0.1:
-            holders = [*holders[-many:], play.holder()]  # those before are late, and not gone
-        for steps in holders:
-            play.turn(steps)
-    assert play.problems == []
-    assert {step for step, _ in play.done} >= set(range(1, play.confirmed() + 1))
-    # where three holders were followed before they confirmed the first step, it is set aside
-    assert play.confirmed() > 0 or any(isinstance(each, TaskSuspended) for each in play.told)
-
-
-def test_without_the_number_an_old_holder_takes_the_cursor_back() -> None:
-    broken = 0
+def test_confirmed_steps_are_never_run_again_and_none_is_skipped(
+    seed: int, loss: float, previous_holders: int
+) -> None:
+    simulation = Simulation(seed, loss)
+    simulation.run(120, previous_holders)
+    assert simulation.problems == []
+    assert set(simulation.steps_run) >= set(range(1, simulation.confirmed_step() + 1))
+    # where three holders were followed before they confirmed the first step, the task is suspended
+    suspended = any(isinstance(action, TaskSuspended) for action in simulation.actions)
+    assert simulation.confirmed_step() > 0 or suspended
+
+
+def test_without_the_fencing_token_a_previous_holder_sets_the_cursor_back() -> None:
+    failed = 0
     for seed in range(30):
-        play = Play(seed, 0.2, fenced=False)
-        holders = [play.holder()]
-        for _ in range(120):
-            play.now += play.rng.choice((0.1, 1.1, 6.0))
-            if play.rng.random() < 0.1:
-                holders = [*holders[-3:], play.holder()]
-            for steps in holders:
-                play.turn(steps)
-        broken += bool(play.problems)
-    assert broken
-
-
-@pytest.mark.parametrize("die_at", ["before", "behind"])
-def test_a_step_that_three_holders_die_at_sets_the_task_aside(die_at: str) -> None:
-    play = Play(1, 0.0)
-    first = play.holder()
-    assert play.turn(first) and play.turn(first) and play.confirmed() == 1
-    for count in range(3):
-        play.now += 10.0
-        steps = play.holder()
-        play.turn(steps)
-        play.now += 10.0
-        play.turn(steps, die_at)
-        assert [each for each in play.told if isinstance(each, RunStep)][-1].step == 2, count
-    play.now += 10.0
-    fourth = play.holder()
-    play.turn(fourth)
-    play.turn(fourth)
-    assert play.told[-1] == TaskSuspended("upkeep", 2, 3)
-    play.now += 10.0
-    play.turn(play.holder())
-    assert play.told[-1] == TaskSuspended("upkeep", 2, 3)  # whoever comes is told
-    record = play.state.keys[TASK.key]
-    play.state = play.state.apply(
-        Put(TASK.key, encode_cursor(restart_suspended(decode_cursor(record.value))))
-    ).state
-    fifth = play.holder()
-    play.turn(fifth)
-    play.turn(fifth)
-    assert play.told[-1:] == [StepConfirmed("upkeep", 2)]
-
-
-def test_one_whose_claim_was_taken_leaves_and_a_slow_step_is_not_waited_for() -> None:
-    play = Play(2, 0.0)
-    old = play.holder()
-    assert play.turn(old) and play.turn(old)
-    new = play.holder()
-    play.now += 6.0
-    play.turn(old)
-    assert isinstance(play.told[-1], TaskReleased) and old.wake() == float("inf")
-    play.turn(new)
-    play.now += 6.0
-    play.turn(new, "behind")
-    play.now += TASK.step_s
-    assert new.tick(play.now) == [TaskReleased("upkeep", new.number)] and new.done(play.now, 2) == []
-
-
-def test_tasks_spread_over_those_present_and_move_little() -> None:
+        simulation = Simulation(seed, 0.2, fenced=False)
+        simulation.run(120, 3)
+        failed += bool(simulation.problems)
+    assert failed
+
+
+@pytest.mark.parametrize("dies", [BEFORE_STEP, AFTER_STEP])
+def test_a_step_that_three_holders_die_at_suspends_the_task(dies: str) -> None:
+    simulation = Simulation(1, 0.0)
+    first = simulation.new_holder()
+    simulation.tick(first)
+    simulation.tick(first)
+    assert simulation.confirmed_step() == 1
+    for attempt in range(3):
+        simulation.now += 10.0
+        progress = simulation.new_holder()
+        simulation.tick(progress)
+        simulation.now += 10.0
+        simulation.tick(progress, dies)
+        run_steps = [action for action in simulation.actions if isinstance(action, RunStep)]
+        assert run_steps[-1].step == 2, attempt
+    simulation.now += 10.0
+    fourth = simulation.new_holder()
+    simulation.tick(fourth)
+    simulation.tick(fourth)
+    assert simulation.last_action() == TaskSuspended("upkeep", 2, 3)
+    simulation.now += 10.0
+    simulation.tick(simulation.new_holder())
+    assert simulation.last_action() == TaskSuspended("upkeep", 2, 3)  # every later holder finds it suspended
+    cursor = decode_cursor(simulation.state.keys[TASK.cursor_key].value)
+    restart = Put(TASK.cursor_key, encode_cursor(restart_suspended(cursor)))
+    simulation.state = simulation.state.apply(restart).state
+    fifth = simulation.new_holder()
+    simulation.tick(fifth)
+    simulation.tick(fifth)
+    assert simulation.last_action() == StepConfirmed("upkeep", 2)
+
+
+def test_a_holder_whose_claim_was_taken_stops_and_a_slow_step_is_not_awaited() -> None:
+    simulation = Simulation(2, 0.0)
+    previous = simulation.new_holder()
+    simulation.tick(previous)
+    simulation.tick(previous)
+    latest = simulation.new_holder()
+    simulation.now += 6.0
+    simulation.tick(previous)
+    assert isinstance(simulation.last_action(), TaskReleased) and previous.next_wakeup() == float("inf")
+    simulation.tick(latest)
+    simulation.now += 6.0
+    simulation.tick(latest, AFTER_STEP)
+    simulation.now += TASK.step_timeout_s
+    assert latest.tick(simulation.now) == [TaskReleased("upkeep", latest.fencing_token)]
+    assert latest.step_succeeded(simulation.now, 2) == []
+
+
+def test_tasks_spread_over_the_processes_present_and_few_move() -> None:
     names = [f"p{number}" for number in range(20)]
     tasks = [f"t{number}" for number in range(400)]
     first = {task: rendezvous_order(task, names)[0] for task in tasks}
-    shares = [list(first.values()).count(name) for name in names]
-    assert min(shares) >= 6 and max(shares) <= 40
-    left = names[:-1]
-    moved = [task for task in tasks if rendezvous_order(task, left)[0] != first[task]]
+    counts = [list(first.values()).count(name) for name in names]
+    assert min(counts) >= 6 and max(counts) <= 40
+    remaining = names[:-1]
+    moved = [task for task in tasks if rendezvous_order(task, remaining)[0] != first[task]]
     assert all(first[task] == names[-1] for task in moved)
     assert standby_delay("t1", first["t1"], names) == 0.0 and standby_delay("t1", "new", []) == 0.0
 
 
-def test_urgent_work_goes_first_and_nothing_starves() -> None:
-    urgent, idle = Task("u", urgency=Priority.URGENT), Task("i", urgency=Priority.IDLE)
-    assert next_task([(idle, 0.0), (urgent, 10.0)], 10.0) == urgent
-    assert next_task([(idle, 0.0), (urgent, 99.0)], 100.0) == idle  # it waited for over two classes
+def test_urgent_tasks_go_first_and_nothing_starves() -> None:
+    urgent, idle = Task("u", priority=Priority.URGENT), Task("i", priority=Priority.IDLE)
+    assert next_task([DueTask(idle, 0.0), DueTask(urgent, 10.0)], 10.0) == urgent
+    waited_for_over_two_classes = DueTask(idle, 0.0)
+    assert next_task([waited_for_over_two_classes, DueTask(urgent, 99.0)], 100.0) == idle
     assert next_task([], 1.0) is None
+
+
+def test_a_task_halfway_to_its_deadline_goes_before_others_of_its_class() -> None:
+    early, late = Task("early"), Task("late", priority=Priority.IDLE, deadline_s=10.0)
+    assert next_task([DueTask(early, 0.0), DueTask(late, 1.0)], 4.0) is early
+    assert next_task([DueTask(early, 0.0), DueTask(late, 1.0)], 6.0) is late
+
+
+def test_every_priority_has_a_stored_name_that_leads_back_to_it() -> None:
+    assert [Priority.from_stored_name(priority.stored_name) for priority in Priority] == list(Priority)
+    with pytest.raises(KeyError):
+        Priority.from_stored_name("normal")  # settings know it as "usual"
