--- a/bench/lease_proof.py
+++ b/bench/lease_proof.py
@@ -22,7 +22,7 @@
 from heronreel.coordination.consensus import Guards
 from heronreel.fault_injection.explore import Found, World, explore
 from heronreel.fault_injection.group_world import Budget, GroupWorld
-from heronreel.fault_injection.lease_world import Guarded, LeaseWorld, Limits
+from heronreel.fault_injection.lease_world import LeaseGuards, LeaseWorld, Limits
 from heronreel.fault_injection.schedule import Fault, drawn, shortened
 from heronreel.fault_injection.trial import Outcome, trial
 
@@ -40,10 +40,10 @@
     "two leaders, a write, a lost disk": GroupWorld(NAMES, Budget(tries="ab", writes=1, lost="c"), NO_COPIES),
     "two leaders, a write, an old copy": GroupWorld(NAMES, Budget(tries="ab", writes=1, restored="c")),
     "two holders, leader changes": LeaseWorld(
-        Limits(seconds=7, questions=(0, 5), actions=2, changes=1), Guarded()
+        Limits(seconds=7, requests=(0, 5), actions=2, leader_changes=1), LeaseGuards()
     ),
     "two holders, one renews": LeaseWorld(
-        Limits(seconds=6, questions=(1, 4), actions=1, changes=0), Guarded()
+        Limits(seconds=6, requests=(1, 4), actions=1, leader_changes=0), LeaseGuards()
     ),
 }
 
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -86,7 +86,7 @@
     async with AsyncExitStack() as stack:
         for number in range(holders):
             holding = await stack.enter_async_context(LeaseSession(harness.addresses, f"h{number}"))
-            await holding.held(holding.claim(f"rest{number}"))
+            await holding.wait_acquired(holding.claim(f"rest{number}"))
         await asyncio.sleep(2.0)
         before = [sum(r.bytes for r in relays.values()) for relays in (harness.between, harness.front)]
         await asyncio.sleep(REST_S)
@@ -133,13 +133,13 @@
 
 async def hand_over(harness: Harness) -> float:
     """Seconds from an orderly end until the next holder has the task."""
-    terms = LeaseTerms(ttl=3, margin=0.4, answer=0.5)
+    terms = LeaseTerms(ttl_s=3, safety_margin_s=0.4, response_timeout_s=0.5)
     async with LeaseSession(harness.addresses, "two", terms) as second:
         async with LeaseSession(harness.addresses, "one", terms) as first:
-            await first.held(first.claim("task"))
+            await first.wait_acquired(first.claim("task"))
             claim = second.claim("task")
         began = time.perf_counter()
-        await second.held(claim)
+        await second.wait_acquired(claim)
         return time.perf_counter() - began
 
 
--- a/heronreel/cli/coordinate.py
+++ b/heronreel/cli/coordinate.py
@@ -129,7 +129,8 @@
     Exit codes: 0 told or done, 1 nobody holds what is to be taken, 2 the group does not answer, 78 a bad
     file.
     """
-    from heronreel.leases.overview import lease_overview, revoke_claim
+    from heronreel.leases.administration import revoke_claim
+    from heronreel.leases.overview import lease_overview
 
     if take is not None:
         number = asked(file, members, lambda client: revoke_claim(client, take))
@@ -165,14 +166,15 @@
 
     Exit codes: 0 told or done, 1 the task is not set aside, 2 the group does not answer, 78 a bad file.
     """
-    from heronreel.leases import overview
+    from heronreel.leases.administration import restart_task
+    from heronreel.leases.overview import task_overview
 
     if again is not None:
-        done = asked(file, members, lambda client: overview.restart_task(client, again))
+        done = asked(file, members, lambda client: restart_task(client, again))
         told = "tried anew" if done else "not set aside"
         click.echo(json.dumps({"task": again, "done": done}) if as_json else f"{again}: {told}")
         sys.exit(0 if done else NOT_FOUND)
-    rows = asked(file, members, overview.tasks)
+    rows = asked(file, members, task_overview)
     if as_json:
         click.echo(json.dumps(rows, indent=2))
         return
@@ -197,7 +199,7 @@
 
     Exit codes: 0 told or done, 2 the group does not answer, 78 a bad file or bad names.
     """
-    from heronreel.leases import overview
+    from heronreel.leases.administration import group_overview, resize_group
 
     if wish is not None:
         names = sorted(set(wish.replace(",", " ").split()))
@@ -209,10 +211,10 @@
             click.echo(f"--set: {each}", err=True)
         if wrong:
             sys.exit(BAD_FILE)
-        asked(file, members, lambda client: overview.resize(client, names))
+        asked(file, members, lambda client: resize_group(client, names))
         click.echo(json.dumps({"wish": names}) if as_json else f"the group is to be {', '.join(names)}")
         return
-    rows = asked(file, members, overview.members)
+    rows = asked(file, members, group_overview)
     if as_json:
         click.echo(json.dumps(rows, indent=2))
         return
--- a/heronreel/coordinator/server.py
+++ b/heronreel/coordinator/server.py
@@ -52,7 +52,8 @@
 )
 from heronreel.coordination.settings import Group, GroupTable, MemberAddress, addresses_of
 from heronreel.coordinator.disk import MemberDisk
-from heronreel.leases.lease import CLAIM_PREFIX, LeaseTerms
+from heronreel.leases.keys import CLAIM_PREFIX
+from heronreel.leases.lease import LeaseTerms
 from heronreel.leases.session import LeaseSession
 from heronreel.leases.task_runner import StepContext, TaskRunner
 from heronreel.leases.tasks import Priority, Task
@@ -273,20 +274,20 @@
 
     async def upkeep(self, work: StepContext) -> None:
         """The disk's upkeep, beside its writes, as a step of the task that one member does at a time."""
-        log.info("upkeep begins", member=self.name, step=work.step, number=work.number)
+        log.info("upkeep begins", member=self.name, step=work.step, number=work.fencing_token)
         self.points.reach("compact")
         await asyncio.to_thread(self.disk.compact)
         self.points.reach("compacted")
-        log.info("upkeep ends", member=self.name, step=work.step, number=work.number)
+        log.info("upkeep ends", member=self.name, step=work.step, number=work.fencing_token)
 
     async def tend(self) -> None:
         """Have the upkeep done once a period, by one member of the group at a time."""
         table = self.group.table
-        task = Task("upkeep", table.upkeep_s, Priority.IDLE, step_s=UPKEEP_S, turns=True)
+        task = Task("upkeep", table.upkeep_s, Priority.IDLE, step_timeout_s=UPKEEP_S, rotates=True)
         terms = LeaseTerms(table.lease_s, table.margin_s, table.answer_s)
         addresses = [row.address for row in self.group.members]
         async with LeaseSession(addresses, self.name, terms) as holding:
-            await TaskRunner(holding, self.name, {task: self.upkeep}, what=None).run()
+            await TaskRunner(holding, self.name, {task: self.upkeep}, presence=None).run()
 
     def _persisted(self, number: int, now: float) -> Outputs:
         return self.service.settle(now, self.service.member.persisted(now, number))
--- a/heronreel/fault_injection/account_world.py
+++ b/heronreel/fault_injection/account_world.py
@@ -31,7 +31,7 @@
     rules_encoded,
 )
 from heronreel.fleet.taking import Actions, Back, Guards, Taken, Taking, halting, take_over, told
-from heronreel.leases.lease import SendRequest
+from heronreel.leases.requests import SendRequest
 
 RULE = Rule("one", Kind.PROXY, most_out=1)
 IDENTS = ("proxy/x", "proxy/y")
@@ -116,7 +116,7 @@
     def key(self) -> Hashable:
         rows = [
             (each.stage, each.beyond, each.taking.number, each.taking.phase.value, each.taking.wish.value,
-             each.taking.asked is not None)
+             each.taking.in_flight is not None)
             for each in self.operations
         ]  # fmt: skip
         return tuple(rows), self.owners, self.sent, self.state.keys, self.budget, self.loss_told, self.halted
@@ -156,20 +156,20 @@
             world.sent = self.sent | {Command(number, ident, out)}
             world._put(place, operation._replace(stage="out" if out else "back"))
             yield f"{number} orders {ident} {'out' if out else 'back'}", world
-        if operation.stage == "back" and taking.asked is None and self.budget.asks:
+        if operation.stage == "back" and taking.in_flight is None and self.budget.asks:
             world = self.fork()
             again = copy.copy(taking)
             actions = again.give(again.due, ident, operation.beyond)
             world._carry_out(place, operation._replace(taking=again), actions)
             yield f"{number} gives {ident} back", world
-        if taking.asked is not None and self.budget.asks:
+        if taking.in_flight is not None and self.budget.asks:
             world = self.fork()
             world._forget(number)
             again = copy.copy(taking)
             actions = again.tick(again.wake())
             world._carry_out(place, operation._replace(taking=again), actions)
             yield f"{number} gets no answer", world
-        elif taking.wish.value != "nothing" and taking.asked is None and self.budget.asks:
+        elif taking.wish.value != "nothing" and taking.in_flight is None and self.budget.asks:
             world = self.fork()
             again = copy.copy(taking)
             world._carry_out(place, operation._replace(taking=again), again.tick(again.due))
@@ -288,9 +288,9 @@
         world.sent = self.sent - {reply}
         for place, operation in enumerate(self.operations):
             taking = operation.taking
-            if taking.number == reply.by and taking.asked is not None:
+            if taking.number == reply.by and taking.in_flight is not None:
                 again = copy.copy(taking)
-                actions = again.answered(taking.asked[1], taking.asked[0], reply.answer)
+                actions = again.answered(taking.in_flight.sent_at, taking.in_flight.request_id, reply.answer)
                 world._carry_out(place, operation._replace(taking=again), actions)
         return world
 
--- a/heronreel/fault_injection/count_world.py
+++ b/heronreel/fault_injection/count_world.py
@@ -26,7 +26,8 @@
     Txn,
 )
 from heronreel.fault_injection.explore import Broken
-from heronreel.leases.lease import CLAIM_PREFIX, SendRequest
+from heronreel.leases.keys import CLAIM_PREFIX
+from heronreel.leases.requests import SendRequest
 from heronreel.metering.book import OTHERS, SERVED, UNKNOWN, Book, Head, blank, head_of
 from heronreel.metering.closing import Closing, Outcome
 from heronreel.metering.posting import Actions, Confirm, Over, Posting, Registered, Seal, SetBack
@@ -136,7 +137,7 @@
             posting = process.posting
             told = None if posting is None else [
                 posting.page, posting.confirmed, posting.phase, posting.seen, posting.record,
-                posting.asked is not None,
+                posting.in_flight is not None,
                 posting.registered, posting.last, posting.final, posting.due - process.now,
                 posting.next_seal <= process.now,
             ]  # fmt: skip
@@ -323,9 +324,9 @@
             world._closed(number, self.closers[number], reply.answer)
             return world
         process = self.processes[number]
-        assert process.posting is not None and process.posting.asked is not None
+        assert process.posting is not None and process.posting.in_flight is not None
         again = copy.copy(process.posting)
-        actions = again.answered(process.now, process.posting.asked[0], reply.answer)
+        actions = again.answered(process.now, process.posting.in_flight.request_id, reply.answer)
         world.processes = self._with(number, process._replace(posting=again))
         world._carry_out(number, actions)
         return world
--- a/heronreel/fault_injection/duty.py
+++ b/heronreel/fault_injection/duty.py
@@ -15,19 +15,19 @@
 
 from heronreel.coordination.clock import CrashPoints
 from heronreel.leases.lease import LeaseTerms
-from heronreel.leases.rate_budget import RateLimits
+from heronreel.leases.rate_limits import RateLimits
 from heronreel.leases.session import LeaseSession
 from heronreel.leases.task_runner import StepContext, TaskRunner
 from heronreel.leases.tasks import Task
 
 NAME, _, CALLS = os.environ.get("DUTY", "ledger").partition(":")
-TASK = Task(NAME, period_s=0.01 if CALLS else 0.05, step_s=5.0)
-BUDGETS = {TASK.urgency: RateLimits(calls=float(CALLS))} if CALLS else {}
+TASK = Task(NAME, period_s=0.01 if CALLS else 0.05, step_timeout_s=5.0)
+BUDGETS = {TASK.priority: RateLimits(calls=float(CALLS))} if CALLS else {}
 
 
 async def main(name: str, place: str, ttl: str, *addresses: str) -> None:
     points = CrashPoints()
-    terms = LeaseTerms(ttl=int(ttl), margin=0.15 * int(ttl), answer=0.15 * int(ttl))
+    terms = LeaseTerms(ttl_s=int(ttl), safety_margin_s=0.15 * int(ttl), response_timeout_s=0.15 * int(ttl))
     session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=1.0))
 
     async def call(path: str, step: int, number: int) -> None:
@@ -39,14 +39,14 @@
 
     async def step(work: StepContext) -> None:
         points.reach("step")
-        await work.pay(calls=1)
-        await call("/enter", work.step, work.number)
-        await call("/write", work.step, work.number)
+        await work.acquire(calls=1)
+        await call("/enter", work.step, work.fencing_token)
+        await call("/write", work.step, work.fencing_token)
         points.reach("stepped")
 
     print("started", name, flush=True)
     async with session, LeaseSession(addresses, name, terms) as holding:
-        await TaskRunner(holding, name, {TASK: step}, what=b"zone=test", budgets=BUDGETS).run()
+        await TaskRunner(holding, name, {TASK: step}, presence=b"zone=test", budgets=BUDGETS).run()
 
 
 if __name__ == "__main__":
--- a/heronreel/fault_injection/place.py
+++ b/heronreel/fault_injection/place.py
@@ -23,11 +23,13 @@
 
     async def enter(request: web.Request) -> web.Response:
         row: dict[str, Any] = await request.json()
-        verdict = table.enter(row["task"].encode(), row["number"])
+        verdict = table.register_holder(row["task"].encode(), row["number"])
         if verdict.admitted:
             history.begin("entered", row)
-        steps = table.steps(row["task"].encode())
-        return web.json_response({"admitted": verdict.admitted, "greatest": verdict.greatest, "steps": steps})
+        steps = table.step_count(row["task"].encode())
+        return web.json_response(
+            {"admitted": verdict.admitted, "greatest": verdict.highest_token, "steps": steps}
+        )
 
     async def write(request: web.Request) -> web.Response:
         row: dict[str, Any] = await request.json()
@@ -37,7 +39,7 @@
         except ValueError as error:
             return web.json_response({"error": str(error)}, status=400)
         history.begin("taken" if done else "again" if verdict.admitted else "refused", row)
-        return web.json_response({"admitted": verdict.admitted, "greatest": verdict.greatest})
+        return web.json_response({"admitted": verdict.admitted, "greatest": verdict.highest_token})
 
     async def listening(app: web.Application) -> None:
         print("listens", port_of(app), flush=True)
--- a/heronreel/fault_injection/virtual.py
+++ b/heronreel/fault_injection/virtual.py
@@ -45,8 +45,10 @@
 )
 from heronreel.fault_injection.histories import Call
 from heronreel.fault_injection.linear import CAS, PUT, READ, wrong
+from heronreel.leases.claim import Actions, ClaimAcquired
 from heronreel.leases.fencing import FencingGuard
-from heronreel.leases.lease import Actions, ClaimAcquired, LeaseClient, LeaseTerms, SendRequest
+from heronreel.leases.lease import LeaseClient, LeaseTerms
+from heronreel.leases.requests import SendRequest
 
 TASK = b"held/task"
 KEYS = (b"x", b"y")
@@ -110,7 +112,7 @@
         for name in self.names:
             disk = DurableState(f"{name}-1")
             self.nodes[name] = Node(name, disk, self._rate(), self._service(name, disk, 0.0))
-        terms = LeaseTerms(ttl=3, margin=0.5, answer=0.4, guarded=margin)
+        terms = LeaseTerms(ttl_s=3, safety_margin_s=0.5, response_timeout_s=0.4, stops_before_expiry=margin)
         self.players: list[Player] = []
         for number in range(holders):
             rate = self._rate()
@@ -335,7 +337,7 @@
             return
         self._player_actions(player, player.session.tick(self._player_time(player)))
         self._act(player)
-        due = player.session.wake() / player.rate
+        due = player.session.next_wakeup() / player.rate
         self.at(min(max(due, self.now + 0.01), self.now + 0.2), lambda: self._tick_player(player))
 
     def _player_actions(self, player: Player, actions: Actions) -> None:
@@ -352,14 +354,14 @@
                 return
             now = self._player_time(player)
             known = RequestError(StatusCode.DEADLINE_EXCEEDED, "") if answer is None else answer
-            self._player_actions(player, player.session.answered(now, ask.number, known))
+            self._player_actions(player, player.session.on_response(now, ask.request_id, known))
             self._player_actions(player, player.session.tick(now))
 
-        self._ask(ask.request, player.session.terms.answer, told)
+        self._ask(ask.request, player.session.terms.response_timeout_s, told)
 
     def _act(self, player: Player) -> None:
         """Look, and act: what is done reaches the place a little later, or after a sleep."""
-        number = player.session.claims[0].acts(self._player_time(player))
+        number = player.session.claims[0].fencing_token(self._player_time(player))
         if not number:
             return
         if player.entered != number:
@@ -390,7 +392,7 @@
         kind = rng.choice(("crash", "sleep", "cut", "one-way", "loss", "holder", "holder"))
         length = rng.uniform(0.3, 4.0)
         if kind == "holder":
-            awake = [p for p in self.players if p.session.claims[0].number] or self.players
+            awake = [p for p in self.players if p.session.claims[0].granted_token] or self.players
             rng.choice(awake).asleep = self.now + length
         elif kind == "loss":
             self.loss = rng.choice((0.02, 0.2, 0.4))
@@ -420,7 +422,7 @@
     def _judge(self) -> None:
         acting = [
             player.number for player in self.players
-            if self.now >= player.asleep and player.session.claims[0].acts(self._player_time(player))
+            if self.now >= player.asleep and player.session.claims[0].fencing_token(self._player_time(player))
         ]  # fmt: skip
         if len(acting) > 1:
             self.problems.append(f"{self.now:.2f} s: {acting} act at once")
--- a/heronreel/fault_injection/worker.py
+++ b/heronreel/fault_injection/worker.py
@@ -15,7 +15,8 @@
 import aiohttp
 
 from heronreel.fault_injection.histories import History
-from heronreel.leases.lease import Claim, ClaimAcquired, ClaimLost, LeaseTerms
+from heronreel.leases.claim import Claim, ClaimAcquired, ClaimLost
+from heronreel.leases.lease import LeaseTerms
 from heronreel.leases.session import LeaseSession
 
 TASK = "ledger"
@@ -41,12 +42,12 @@
 
     async def act(self, holding: LeaseSession, claim: Claim) -> None:
         """Steps, one after the other, while the number is good."""
-        number = await holding.held(claim)
+        number = await holding.wait_acquired(claim)
         entered = await self.call("/enter", {"task": TASK, "number": number, "by": self.name})
         if entered is None or not entered["admitted"]:
             return
         step = entered["steps"]
-        while not self.stop.is_set() and claim.acts(holding.now()) == number:
+        while not self.stop.is_set() and claim.fencing_token(holding.now()) == number:
             mark = self.history.begin("act", [number, step + 1])
             row = {"task": TASK, "number": number, "step": step + 1, "by": self.name}
             answer = await self.call("/write", row)
@@ -55,7 +56,7 @@
                 return  # nobody knows: looked at anew from the place
             if not answer["admitted"]:
                 print("refused", number, answer["greatest"], flush=True)
-                holding.look()
+                holding.refresh()
                 return
             step += 1
             await asyncio.sleep(0.01)
@@ -63,13 +64,13 @@
     async def run(self, addresses: list[str], ttl: int) -> None:
         def told(what: ClaimAcquired | ClaimLost) -> None:
             word = "held" if isinstance(what, ClaimAcquired) else "lost"
-            print(word, what.number, flush=True)
+            print(word, what.fencing_token, flush=True)
 
         for number in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(number, self.stop.set)
-        terms = LeaseTerms(ttl=ttl, margin=0.15 * ttl, answer=0.15 * ttl)
-        self.session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=terms.margin))
-        async with self.session, LeaseSession(addresses, self.name, terms, told=told) as holding:
+        terms = LeaseTerms(ttl_s=ttl, safety_margin_s=0.15 * ttl, response_timeout_s=0.15 * ttl)
+        self.session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=terms.safety_margin_s))
+        async with self.session, LeaseSession(addresses, self.name, terms, on_claim_change=told) as holding:
             claim = holding.claim(TASK)
             stopping = asyncio.ensure_future(self.stop.wait())
             while not self.stop.is_set():
--- a/heronreel/fleet/account.py
+++ b/heronreel/fleet/account.py
@@ -25,7 +25,7 @@
     Part,
     Rule,
 )
-from heronreel.leases.lease import PRESENCE_PREFIX, present_names
+from heronreel.leases.keys import PRESENCE_PREFIX, present_names
 
 READ = Txn(
     (),
--- a/heronreel/fleet/controller.py
+++ b/heronreel/fleet/controller.py
@@ -36,7 +36,8 @@
 from heronreel.fleet.operation import Operation, account
 from heronreel.fleet.step import Action, Adopt, End, Give, Limits, Said, Step, Take, Tell
 from heronreel.fleet.taking import Back, Fenced, Refused, Taken, Waiting, changing, halting, take_over
-from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX, Claim
+from heronreel.leases.claim import Claim
+from heronreel.leases.keys import CLAIM_PREFIX, PRESENCE_PREFIX
 from heronreel.leases.session import LeaseSession
 
 TASK = "fleet"  # whoever holds it is the controller
@@ -164,7 +165,7 @@
         self.claim = self.holding.claim(TASK)
         try:
             async with asyncio.timeout(wait_s):
-                await self.holding.held(self.claim)
+                await self.holding.wait_acquired(self.claim)
         except TimeoutError:
             holder = self.claim.holder
             who = holder[0].decode(errors="replace") if holder else "nobody"
@@ -173,7 +174,7 @@
             raise Busy(f"{who} has the fleet{what}") from None
 
     def _number(self) -> int:
-        number = self.claim.acts(self.holding.now())
+        number = self.claim.fencing_token(self.holding.now())
         if not number:
             raise Lost("the claim on the fleet is no longer held")
         return number
--- a/heronreel/fleet/operation.py
+++ b/heronreel/fleet/operation.py
@@ -13,7 +13,7 @@
 from heronreel.fleet.account import READ, Account, read
 from heronreel.fleet.model import RULES, Instance, Rule, rules_encoded
 from heronreel.fleet.taking import Actions, Back, Fenced, Refused, Taken, Taking, Waiting, changing, told
-from heronreel.leases.lease import SendRequest
+from heronreel.leases.requests import SendRequest
 
 Outcome = Taken | Refused | Back | Waiting | Fenced
 
@@ -46,8 +46,8 @@
             for action in actions:
                 if not isinstance(action, SendRequest):
                     return action
-                answer = await self.client.call_or_error(action.request, action.until - self.now())
-                actions = taking.answered(self.now(), action.number, answer)
+                answer = await self.client.call_or_error(action.request, action.deadline - self.now())
+                actions = taking.answered(self.now(), action.request_id, answer)
                 break
             else:
                 await asyncio.sleep(min(max(0.002, taking.wake() - self.now()), 1.0))
--- a/heronreel/fleet/serving.py
+++ b/heronreel/fleet/serving.py
@@ -92,7 +92,7 @@
         terms = LeaseTerms(agent.lease_s, agent.margin_s, agent.answer_s)
         async with LeaseSession(agent.group, agent.name, terms) as holding:
             what = {"kind": "agent", "version": heronreel.__version__, "address": agent.address}
-            holding.present(agent.name, msgspec.json.encode(what))
+            holding.announce_presence(agent.name, msgspec.json.encode(what))
             running = [asyncio.ensure_future(owner.run()) for owner in self.owners.values()]
             running += [asyncio.ensure_future(self._tell(holding, owner)) for owner in self.owners.values()]
             await stop.wait()
--- a/heronreel/fleet/taking.py
+++ b/heronreel/fleet/taking.py
@@ -27,7 +27,8 @@
 )
 from heronreel.fleet.account import READ, Account, Standing, read
 from heronreel.fleet.model import HALT, REGISTER, Condition, Halt, Instance, Part, encoded
-from heronreel.leases.lease import JitteredBackoff, SendRequest, SingleRequestSender
+from heronreel.leases.backoff import JitteredBackoff
+from heronreel.leases.requests import SendRequest, SingleRequestSender
 
 
 class Guards(NamedTuple):
@@ -131,8 +132,8 @@
         self.due = 0.0
 
     def wake(self) -> float:
-        if self.asked is not None:
-            return self.asked[1] + self.answer_s
+        if self.in_flight is not None:
+            return self.in_flight.sent_at + self.response_timeout_s
         return float("inf") if self.wish is Wish.NOTHING else self.due
 
     def take(self, now: float) -> Actions:
@@ -149,23 +150,23 @@
         return self.tick(now)
 
     def tick(self, now: float) -> Actions:
-        if self._late(now):
+        if self._timed_out(now):
             self._again(now)
-        if self.asked is not None:
+        if self.in_flight is not None:
             return []
         if self.wish is Wish.NOTHING or now < self.due:
             return []
         self.phase = Phase.READING
-        return [self._ask(now, READ)]
+        return [self._send(now, READ)]
 
     def _again(self, now: float) -> None:
         """Whatever became of the question, the records say."""
-        self.asked = None
+        self.in_flight = None
         self.phase = Phase.IDLE
-        self.due = now + self.pause.next()
+        self.due = now + self.pause.next_delay()
 
     def answered(self, now: float, number: int, answer: ResponseOrError) -> Actions:
-        if not self._expects(number):
+        if not self._is_in_flight(number):
             return []
         reading = self.phase is Phase.READING
         self._again(now)
@@ -215,7 +216,7 @@
     def _write(self, now: float, account: Account, operations: list[Operation]) -> Actions:
         self.phase = Phase.WRITING
         register = account.register if self.guards.register else None
-        return [self._ask(now, changing(register, self.operation.encode(), *operations))]
+        return [self._send(now, changing(register, self.operation.encode(), *operations))]
 
     def _give(self, now: float, account: Account) -> Actions:
         part = account.parts.get(self.giving)
--- a/heronreel/health/report.py
+++ b/heronreel/health/report.py
@@ -14,7 +14,7 @@
 
 from heronreel.coordination.model import Compare, CompareOperator, CompareTarget, Put, Range, Txn
 from heronreel.health.checks import MEMBERS_MOST, Member
-from heronreel.leases.lease import CLAIM_PREFIX
+from heronreel.leases.keys import CLAIM_PREFIX
 
 REPORTS = b"probe/"
 DOWN_MOST = 2000  # members told as down: more do not fit a value of the group's
--- a/heronreel/metering/closing.py
+++ b/heronreel/metering/closing.py
@@ -28,7 +28,7 @@
     TxnResponse,
     prefix_end,
 )
-from heronreel.leases.lease import CLAIM_PREFIX
+from heronreel.leases.keys import CLAIM_PREFIX
 from heronreel.metering.book import added
 from heronreel.metering.records import (
     BOOKS,
--- a/heronreel/metering/counter.py
+++ b/heronreel/metering/counter.py
@@ -13,7 +13,8 @@
 from heronreel.coordination.client import Client
 from heronreel.coordination.clock import CrashPoints
 from heronreel.coordination.model import Range, RangeResponse, RequestError, ResponseOrError, prefix_end
-from heronreel.leases.lease import PRESENCE_PREFIX, SendRequest, present_names
+from heronreel.leases.keys import PRESENCE_PREFIX, present_names
+from heronreel.leases.requests import SendRequest
 from heronreel.metering.book import FAILED, REFUSED, SERVED
 from heronreel.metering.closing import Closing, Outcome
 from heronreel.metering.files import OpenBook, Shelf
@@ -223,7 +224,7 @@
                 self.points.reach("ask")
                 answer = await self._ask(action)
                 self.points.reach("told")
-                more += posting.answered(self.now(), action.number, answer)
+                more += posting.answered(self.now(), action.request_id, answer)
         return more
 
     async def _seal(self, open_book: OpenBook, posting: Posting, last: bool) -> Actions:
@@ -248,7 +249,7 @@
 
     async def _ask(self, ask: SendRequest) -> ResponseOrError:
         assert self.client is not None
-        return await self.client.call_or_error(ask.request, ask.until - self.now())
+        return await self.client.call_or_error(ask.request, ask.deadline - self.now())
 
 
 async def close(client: Client, step: int, number: int, by: str, points: CrashPoints) -> None:
--- a/heronreel/metering/overview.py
+++ b/heronreel/metering/overview.py
@@ -18,7 +18,7 @@
     TxnResponse,
     prefix_end,
 )
-from heronreel.leases.lease import PRESENCE_PREFIX, present_names
+from heronreel.leases.keys import PRESENCE_PREFIX, present_names
 from heronreel.metering.book import KINDS, Counts, added
 from heronreel.metering.records import BOOKS, CLOSED, GIVEN_UP, SUM, Closed, Posted, Sum, book_key
 
--- a/heronreel/metering/posting.py
+++ b/heronreel/metering/posting.py
@@ -26,7 +26,7 @@
     Txn,
     TxnResponse,
 )
-from heronreel.leases.lease import SendRequest, SingleRequestSender
+from heronreel.leases.requests import SendRequest, SingleRequestSender
 from heronreel.metering.book import Counts, Head, Page, added
 from heronreel.metering.records import SUM, Posted, book_key
 
@@ -121,22 +121,22 @@
     def wake(self) -> float:
         if self.phase is Phase.OVER:
             return float("inf")
-        if self.asked is not None:
-            return self.asked[1] + self.answer_s
+        if self.in_flight is not None:
+            return self.in_flight.sent_at + self.response_timeout_s
         return float("inf") if self.phase is Phase.SEALING else self.due
 
     def finish(self, now: float) -> None:
         """Nothing is counted any more: the open page is sealed as the last one, as soon as may be."""
         self.final = True
         self.next_seal = now
-        if self.asked is None and self.phase is Phase.COUNTING:
+        if self.in_flight is None and self.phase is Phase.COUNTING:
             self.due = now
 
     def tick(self, now: float, counted: bool) -> Actions:
         """Time has passed; `counted`: there is something in the open page."""
-        if self._late(now):
+        if self._timed_out(now):
             self._again(now)
-        if self.asked is not None:
+        if self.in_flight is not None:
             return []
         if self.phase in (Phase.OVER, Phase.SEALING) or now < self.due:
             return []
@@ -147,7 +147,7 @@
                 return []
             self.phase = Phase.SEALING
             return [Seal(self.final)]
-        return [self._ask(now, Txn((), (Range(self.key), Range(SUM))))]
+        return [self._send(now, Txn((), (Range(self.key), Range(SUM))))]
 
     def sealed(self, now: float, page: Page, last: bool) -> Actions:
         """The book has sealed a page, durably."""
@@ -158,7 +158,7 @@
         return []
 
     def _again(self, now: float) -> None:
-        self.asked = None
+        self.in_flight = None
         self.phase = Phase.READING
         self.due = now + PAUSE_S * (0.5 + self.jitter())
 
@@ -170,7 +170,7 @@
             # a late one could make the record anew behind its end: an end changes the sum
             compares.append(Compare(SUM, CompareTarget.MOD, CompareOperator.EQUAL, self.sum_seen))
         self.phase = Phase.POSTING
-        return [self._ask(now, Txn(tuple(compares), (Put(self.key, msgspec.json.encode(record)),)))]
+        return [self._send(now, Txn(tuple(compares), (Put(self.key, msgspec.json.encode(record)),)))]
 
     def _post(self, now: float) -> Actions:
         assert self.page is not None
@@ -181,10 +181,10 @@
         return Posted(self.head.proxy, self.head.zone, page, taken, last, counts, self.record.step)
 
     def answered(self, now: float, number: int, answer: ResponseOrError) -> Actions:
-        if not self._expects(number):
+        if not self._is_in_flight(number):
             return []
         if isinstance(answer, TxnResponse) and self.phase is not Phase.POSTING:
-            self.asked = None
+            self.in_flight = None
             found, total = answer.results
             assert isinstance(found, RangeResponse) and isinstance(total, RangeResponse)
             self.sum_seen = total.records[0][1].mod if total.records else 0
--- a/heronreel/serve/fleet.py
+++ b/heronreel/serve/fleet.py
@@ -20,8 +20,9 @@
 from heronreel.coordination.clock import CrashPoints, boot_clock
 from heronreel.coordination.logs import log_to_stderr
 from heronreel.coordinator.server import EmbeddedServer
-from heronreel.leases.lease import ClaimAcquired, ClaimLost, LeaseTerms
-from heronreel.leases.rate_budget import RateLimits
+from heronreel.leases.claim import ClaimAcquired, ClaimLost
+from heronreel.leases.lease import LeaseTerms
+from heronreel.leases.rate_limits import RateLimits
 from heronreel.leases.session import LeaseSession
 from heronreel.leases.task_runner import StepContext, StepFunction, TaskRunner
 from heronreel.leases.tasks import Priority, Task
@@ -100,7 +101,9 @@
     async def _run(self, address: str, probes: Probes | None) -> None:
         terms = LeaseTerms(self.fleet.lease_s, self.fleet.margin_s, self.fleet.answer_s)
         what = Presence("proxy", self.zone, address, heronreel.__version__, self.start, os.getpid())
-        async with LeaseSession(self.fleet.group, self.name, terms, told=self._told) as self.holding:
+        async with LeaseSession(
+            self.fleet.group, self.name, terms, on_claim_change=self._told
+        ) as self.holding:
             steps: dict[Task, StepFunction] = {}
             if self.counter is not None:
                 steps[Task(records.TASK, self.fleet.count_s)] = self._close_period
@@ -110,9 +113,11 @@
                 steps[probes.task] = functools.partial(probes.step, self.holding.client, self.name)
                 listening = self._again("probes", probes.listen, self.holding.client)
                 self.running.append(asyncio.ensure_future(listening))
-            budgets = {Priority[name.upper()]: RateLimits(*rates) for name, *rates in self.fleet.budgets}
+            budgets = {
+                Priority.from_stored_name(name): RateLimits(*rates) for name, *rates in self.fleet.budgets
+            }
             about = msgspec.json.encode(what)
-            duties = TaskRunner(self.holding, self.name, steps, what=about, budgets=budgets)
+            duties = TaskRunner(self.holding, self.name, steps, presence=about, budgets=budgets)
             await self._again("tasks", duties.run)
             await asyncio.Event().wait()  # without tasks it is there all the same
 
@@ -127,12 +132,14 @@
 
     def _told(self, what: ClaimAcquired | ClaimLost) -> None:
         event = "claim acquired" if isinstance(what, ClaimAcquired) else "claim lost"
-        why = what.why if isinstance(what, ClaimLost) else None
-        log.info(event, key=what.key.decode(errors="replace"), number=what.number, why=why)
+        reason = what.reason if isinstance(what, ClaimLost) else None
+        log.info(
+            event, key=what.key.decode(errors="replace"), fencing_token=what.fencing_token, reason=reason
+        )
 
     async def _close_period(self, work: StepContext) -> None:
         assert self.holding is not None
-        await close(self.holding.client, work.step, work.number, self.name, self.points)
+        await close(self.holding.client, work.step, work.fencing_token, self.name, self.points)
 
     def reload(self, file: RoutesFile) -> None:
         """Another file is in force.  Raises OSError where its tenants can't be counted."""
--- a/heronreel/serve/probes.py
+++ b/heronreel/serve/probes.py
@@ -89,23 +89,23 @@
     @property
     def task(self) -> Task:
         step_s = self.rules.every_s + 5.0
-        return Task(task_of(self.zone), self.rules.every_s, step_s=step_s, zone=self.zone)
+        return Task(task_of(self.zone), self.rules.every_s, step_timeout_s=step_s, zone=self.zone)
 
     async def step(self, client: Client, name: str, work: StepContext) -> None:
         """One round as the zone's prober; the report where it is due.  Raises Refused and PermissionError."""
-        if self.number != work.number:
+        if self.number != work.fencing_token:
             before = await _report(client, self.zone)
             self.health = Health(self.rules, before.members if before else ())
             self.round = before.round if before else 0
-            self.number = work.number
+            self.number = work.fencing_token
             self.shown = 0.0
         members = members_of(self.file)
-        changed = await self.prober.round(members, self.health, lambda: work.pay(calls=1))
+        changed = await self.prober.round(members, self.health, lambda: work.acquire(calls=1))
         self.round += 1
         if not changed and self.now() < self.shown + self.shown_s:
             return
         down = tuple(sorted((member.pool, member.name) for member in self.health.fallen))
-        report = Report(self.round, name, work.number, len(members), down)
+        report = Report(self.round, name, work.fencing_token, len(members), down)
         self.shown = 0.0  # told again if nobody knows whether it was
         done = await client.call(telling(self.zone, report), 2.0)
         assert isinstance(done, TxnResponse)
--- a/tests/compatibility/stored_control.py
+++ b/tests/compatibility/stored_control.py
@@ -34,10 +34,10 @@
 from heronreel.fleet.model import Condition, Kind, Scope, Verb
 from heronreel.health.report import REPORTS, key_of, task_of
 from heronreel.leases.fencing import FencedTable
-from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX
-from heronreel.leases.rate_budget import BUDGET_PREFIX as BUDGETS
-from heronreel.leases.rate_budget import TOTAL_UNITS
-from heronreel.leases.tasks import CURSOR_PREFIX, Priority, Task
+from heronreel.leases.keys import BUDGET_PREFIX as BUDGETS
+from heronreel.leases.keys import CLAIM_PREFIX, CURSOR_PREFIX, PRESENCE_PREFIX
+from heronreel.leases.rate_limits import TOTAL_UNITS
+from heronreel.leases.tasks import Priority, Task
 from heronreel.metering.book import KINDS
 from heronreel.metering.files import ASIDE, ENDING, FRESH
 from heronreel.metering.records import BOOKS, CLOSED, GIVEN_UP, SUM, book_key, closed_key
@@ -69,8 +69,8 @@
         "held": CLAIM_PREFIX,
         "present": PRESENCE_PREFIX,
         "task": CURSOR_PREFIX,
-        "task t": Task("t").key,
-        "claim t": Task("t").claim,
+        "task t": Task("t").cursor_key,
+        "claim t": Task("t").claim_key,
         "budget": BUDGETS,
         "count books": BOOKS,
         "count book b1": book_key("b1"),
@@ -107,7 +107,7 @@
 }  # fmt: skip
 WORDS: dict[str, Any] = {name: [each.value for each in kind] for name, kind in ENUMS.items()}
 WORDS |= {
-    "urgency": {each.name.lower(): int(each) for each in Priority},  # the names stand in keys of budgets
+    "urgency": {each.stored_name: int(each) for each in Priority},  # the names stand in keys of budgets
     "paths": sorted(PATHS), "streamed": sorted(STREAMED), "kinds of counts": list(KINDS),
     "budget": TOTAL_UNITS, "book given up": GIVEN_UP,
 }  # fmt: skip
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -35,8 +35,8 @@
 from heronreel.experiments.table import Table, read
 from heronreel.fleet import model as fleet
 from heronreel.fleet.model import Condition, Instance, Rule, Scope, Verb
-from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX
-from heronreel.leases.tasks import CURSOR_PREFIX, Cursor, encode_cursor
+from heronreel.leases.keys import CLAIM_PREFIX, CURSOR_PREFIX, PRESENCE_PREFIX
+from heronreel.leases.tasks import Cursor, encode_cursor
 from heronreel.metering.records import SUM, Closed, Posted, Sum, book_key, closed_key
 from heronreel.proxy.operators import Caller, Operators
 from heronreel.proxy.shared import Hold, Shared
--- a/tests/compatibility/stored_fleet.py
+++ b/tests/compatibility/stored_fleet.py
@@ -41,7 +41,7 @@
 from heronreel.fleet.taking import Taking, changing, halting, told
 from heronreel.health.report import Report, telling
 from heronreel.health.report import decoded as report_of
-from heronreel.leases.lease import PRESENCE_PREFIX
+from heronreel.leases.keys import PRESENCE_PREFIX
 from heronreel.metering.book import Head as BookHead
 from heronreel.metering.book import Page
 from heronreel.metering.closing import Closing
--- a/tests/compatibility/stored_group.py
+++ b/tests/compatibility/stored_group.py
@@ -62,21 +62,16 @@
 )
 from heronreel.coordinator.disk import MemberDisk, _Names
 from heronreel.coordinator.server import _line
+from heronreel.leases.administration import resize_group
 from heronreel.leases.fencing import FencedTable
-from heronreel.leases.lease import CLAIM_PREFIX, LeaseClient, LeaseTerms, SendRequest
-from heronreel.leases.overview import resize
-from heronreel.leases.rate_budget import BUDGET_PREFIX as BUDGETS
-from heronreel.leases.rate_budget import TOTAL_UNITS, BudgetShare
-from heronreel.leases.rate_budget import Part as BudgetPart
-from heronreel.leases.tasks import (
-    CURSOR_PREFIX,
-    Cursor,
-    Priority,
-    Task,
-    TaskProgress,
-    decode_cursor,
-    encode_cursor,
-)
+from heronreel.leases.keys import BUDGET_PREFIX as BUDGETS
+from heronreel.leases.keys import CLAIM_PREFIX, CURSOR_PREFIX
+from heronreel.leases.lease import LeaseClient, LeaseTerms
+from heronreel.leases.rate_budget import BudgetPart, BudgetShare
+from heronreel.leases.rate_limits import TOTAL_UNITS
+from heronreel.leases.requests import SendRequest
+from heronreel.leases.task_progress import TaskProgress
+from heronreel.leases.tasks import Cursor, Priority, Task, decode_cursor, encode_cursor
 from heronreel.store import Store
 from tests.compatibility.stored_forms import (
     DRAWN,
@@ -213,7 +208,7 @@
     """The records of a place whose writes carry a number."""
     with Store.open(folder / "place") as store:
         table = FencedTable(store)
-        table.enter(b"t", 5)
+        table.register_holder(b"t", 5)
         table.write(b"t", 9, 1, b"one")
         return dict(store.scan())
 
@@ -224,7 +219,7 @@
     def work(folder: Path) -> tuple[object, ...]:
         with stored(folder / "place", rows) as store:
             table = FencedTable(store)
-            return table.fence.greatest, table.steps(b"t"), table.rows(b"t")
+            return table.guard.highest_tokens, table.step_count(b"t"), table.entries(b"t")
 
     return with_store(work)
 
@@ -242,7 +237,7 @@
     """A process's lease, granted."""
     made = LeaseClient(LeaseTerms(), 0.0, lambda: 77)
     made.tick(0.0)
-    made.answered(0.1, 1, LeaseResponse(1, 77, 6, 6))
+    made.on_response(0.1, 1, LeaseResponse(1, 77, 6, 6))
     return made
 
 
@@ -251,9 +246,9 @@
     held = session()
     claim = held.claim(CLAIM_PREFIX + b"t", b"m1")
     wanted = asked(claim.tick(0.2))
-    claim.answered(0.3, TxnResponse(5, True, (PutResponse(5, None),)))
+    claim.on_response(0.3, TxnResponse(5, True, (PutResponse(5, None),)))
     look = asked(claim.tick(4.0))
-    claim.answered(4.1, TxnResponse(5, True, (RangeResponse(5, (), 0, False),)))
+    claim.on_response(4.1, TxnResponse(5, True, (RangeResponse(5, (), 0, False),)))
     claim.release(4.2)
     return {"claim-take": wanted, "claim-look": look, "claim-release": asked(claim.tick(4.2))}
 
@@ -262,12 +257,12 @@
     """What a process asks for its part of a budget: all there is, and a wish where there is nothing left."""
     calls: dict[str, Request] = {}
     for name, others in (("budget-take", 0), ("budget-wish", TOTAL_UNITS)):
-        share = BudgetShare(session(), Priority.IDLE.name.lower(), "m1", lambda: 0.5)
-        share.want(0.2)
+        share = BudgetShare(session(), Priority.IDLE.stored_name, "m1", lambda: 0.5)
+        share.acquire(0.2)
         calls["budget-read"] = asked(share.tick(0.2))
         part = Record(msgspec.json.encode(BudgetPart(others)), 3, 3, 1, 9)
         rows = ((BUDGETS + b"idle/part/m2", part), (BUDGETS + b"idle/register", Record(b"", 2, 4, 2, 0)))
-        calls[name] = asked(share.answered(0.3, RangeResponse(4, rows, 2, False)))
+        calls[name] = asked(share.on_response(0.3, RangeResponse(4, rows, 2, False)))
     return calls
 
 
@@ -276,10 +271,10 @@
     task = TaskProgress(Task("t", 5.0), 9, "m1", 0.0)
     read = asked(task.tick(0.0))
     cursor = Record(encode_cursor(Cursor(4, 0, 0, 8, "m2", False, 1)), 3, 6, 4, 0)
-    task.answered(0.1, 1, RangeResponse(6, ((CURSOR_PREFIX + b"t", cursor),), 1, False))
+    task.on_response(0.1, 1, RangeResponse(6, ((CURSOR_PREFIX + b"t", cursor),), 1, False))
     begin = asked(task.tick(5.1))
-    task.answered(5.2, 2, TxnResponse(7, True, (PutResponse(7, None),)))
-    return {"task-read": read, "task-begin": begin, "task-confirm": asked(task.done(5.3, 5))}
+    task.on_response(5.2, 2, TxnResponse(7, True, (PutResponse(7, None),)))
+    return {"task-read": read, "task-begin": begin, "task-confirm": asked(task.step_succeeded(5.3, 5))}
 
 
 COMPARES = (
@@ -380,7 +375,7 @@
 def resized(names: str) -> bytes:
     """The record of who should be in the group, as an operator's command writes it."""
     recorder: Any = Recorder()
-    asyncio.run(resize(recorder, names))
+    asyncio.run(resize_group(recorder, names))
     assert recorder.request.key == DESIRED_MEMBERS_KEY
     return bytes(recorder.request.value)
 
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -25,7 +25,8 @@
 from heronreel.experiments.scripts import of_incident
 from heronreel.experiments.table import read
 from heronreel.fleet import model as fleet
-from heronreel.leases.tasks import CURSOR_PREFIX, decode_cursor
+from heronreel.leases.keys import CURSOR_PREFIX
+from heronreel.leases.tasks import decode_cursor
 from heronreel.metering.records import SUM, Closed, Posted, Sum, book_key, closed_key
 from heronreel.proxy.__main__ import _inherited, _shared
 from heronreel.proxy.config import load as config_of
--- a/tests/coordination/test_exhaustive.py
+++ b/tests/coordination/test_exhaustive.py
@@ -11,7 +11,7 @@
 from heronreel.coordination.consensus import Guards
 from heronreel.fault_injection.explore import after, explore, walk
 from heronreel.fault_injection.group_world import Budget, GroupWorld
-from heronreel.fault_injection.lease_world import Guarded, LeaseWorld, Limits
+from heronreel.fault_injection.lease_world import LeaseGuards, LeaseWorld, Limits
 
 NAMES = ("a", "b", "c")
 LEADS = (  # a leads with c's help, and c has not heard of anything else
@@ -105,26 +105,26 @@
     assert walk(resized(budget, how), random.Random(seed), 300) == []
 
 
-LEASE_LIMITS = Limits(seconds=7, questions=(0, 6), actions=2, changes=0)
+LEASE_LIMITS = Limits(seconds=7, requests=(0, 6), actions=2, leader_changes=0)
 LEASE_GUARDS: list[tuple[str, dict[str, bool], str]] = [
-    ("fence", {}, "is taken after"),
-    ("grows", {}, "is taken after"),
-    ("drift", {"margin": False}, "two act at once"),
-    ("margin", {"fence": False}, "ends while"),
+    ("fencing", {}, "is taken after"),
+    ("increasing_tokens", {}, "is taken after"),
+    ("drift_margin", {"safety_margin": False}, "two act at once"),
+    ("safety_margin", {"fencing": False}, "ends while"),
 ]
 
 
 def with_lease_guards() -> tuple[LeaseWorld, int]:
-    return LeaseWorld(LEASE_LIMITS._replace(questions=(0, 5), changes=1), Guarded()), 12_000
+    return LeaseWorld(LEASE_LIMITS._replace(requests=(0, 5), leader_changes=1), LeaseGuards()), 12_000
 
 
 def without_lease_guard(guard: str, others: dict[str, bool]) -> tuple[LeaseWorld, int]:
-    guarded = Guarded()._replace(**{**others, guard: False})
+    guarded = LeaseGuards()._replace(**{**others, guard: False})
     return LeaseWorld(LEASE_LIMITS, guarded), 150_000
 
 
 def clocks_apart() -> tuple[LeaseWorld, int]:
-    return LeaseWorld(LEASE_LIMITS, Guarded(), drift=0.01, true_drift=0.3), 100_000
+    return LeaseWorld(LEASE_LIMITS, LeaseGuards(), drift=0.01, true_drift=0.3), 100_000
 
 
 def test_at_most_one_acts_in_every_order() -> None:
--- a/tests/coordination/test_keyspace.py
+++ b/tests/coordination/test_keyspace.py
@@ -34,8 +34,11 @@
     TxnResponse,
 )
 from heronreel.coordination.settings import load
+from heronreel.leases.claim import ClaimAcquired, ClaimLost
+from heronreel.leases.errors import InvalidLeaseTermsError
 from heronreel.leases.fencing import FencedTable, FencingGuard
-from heronreel.leases.lease import ClaimAcquired, ClaimLost, LeaseClient, LeaseTerms, SendRequest
+from heronreel.leases.lease import LeaseClient, LeaseTerms
+from heronreel.leases.requests import SendRequest
 from heronreel.routes.reader import BadFile
 from heronreel.store import Store
 from heronreel.store.simulated import SimulatedDisk
@@ -192,7 +195,9 @@
 def test_an_even_group_with_a_yes_is_taken() -> None:
     text = "[group]\neven = true\n" + MEMBER.format("a", 1) + MEMBER.format("b", 2)
     assert [row.name for row in load(text.encode()).members] == ["a", "b"]
-    assert LeaseTerms(ttl=3, margin=1.0, answer=1.0).problem() and not LeaseTerms().problem()
+    LeaseTerms().validate()
+    with pytest.raises(InvalidLeaseTermsError, match="need 6 s"):
+        LeaseTerms(ttl_s=3, safety_margin_s=1.0, response_timeout_s=1.0).validate()
 
 
 def test_a_renewal_that_comes_after_the_end_is_told_as_a_loss_and_a_new_hold() -> None:
@@ -200,7 +205,7 @@
     others.
     """
     state = Keyspace.of(EMPTY_CONTENT)
-    session = LeaseClient(LeaseTerms(ttl=3, margin=0.5, answer=0.5), 0.0, lambda: 7)
+    session = LeaseClient(LeaseTerms(ttl_s=3, safety_margin_s=0.5, response_timeout_s=0.5), 0.0, lambda: 7)
     claim = session.claim(b"held/t", b"me")
     told: list[object] = []
 
@@ -216,32 +221,36 @@
             else:
                 done = state.apply(action.request)  # type: ignore[arg-type]
                 state = done.state
-                actions += session.answered(now, action.number, done.result)
+                actions += session.on_response(now, action.request_id, done.result)
         return kept
 
     carry(session.tick(0.0), 0.0)
-    assert told == [ClaimAcquired(b"held/t", claim.number)] and claim.acts(2.4) and not claim.acts(2.5)
+    assert (
+        told == [ClaimAcquired(b"held/t", claim.granted_token)]
+        and claim.fencing_token(2.4)
+        and not claim.fencing_token(2.5)
+    )
     (renewal,) = carry(session.tick(2.2), 2.2)
     late = LeaseResponse(2, 7, 3, 3)
-    carry(session.answered(2.6, renewal.number, late), 2.6)  # no tick came between
+    carry(session.on_response(2.6, renewal.request_id, late), 2.6)  # no tick came between
     assert (
         isinstance(told[1], ClaimLost)
-        and told[2] == ClaimAcquired(b"held/t", claim.number)
-        and claim.acts(2.6)
+        and told[2] == ClaimAcquired(b"held/t", claim.granted_token)
+        and claim.fencing_token(2.6)
     )
 
 
 def test_a_fenced_table_refuses_an_old_holder_also_after_a_crash() -> None:
     disk = SimulatedDisk()
     table = FencedTable(Store.open(disk))
-    assert table.enter(b"t", 5).admitted
+    assert table.register_holder(b"t", 5).admitted
     assert table.write(b"t", 5, 1, b"one") == ((True, 5), True)
     assert table.write(b"t", 5, 1, b"one") == ((True, 5), False)  # said again: done once
-    assert table.enter(b"t", 9).admitted
+    assert table.register_holder(b"t", 9).admitted
     disk = disk.image(random.Random(1))  # what a crash leaves
     table = FencedTable(Store.open(disk))
     assert table.write(b"t", 5, 2, b"late") == ((False, 9), False)
     with pytest.raises(ValueError, match="the next one is 2"):
         table.write(b"t", 9, 3, b"gap")
-    assert table.write(b"t", 9, 2, b"two")[1] and table.rows(b"t") == [(5, b"one"), (9, b"two")]
+    assert table.write(b"t", 9, 2, b"two")[1] and table.entries(b"t") == [(5, b"one"), (9, b"two")]
     assert FencingGuard([(b"t", 3)]).admit(b"t", 2) == (False, 3)
--- a/tests/coordinator/test_processes.py
+++ b/tests/coordinator/test_processes.py
@@ -34,13 +34,13 @@
 from heronreel.fault_injection.processes import ROOT, Harness, Process
 from heronreel.fault_injection.schedule import Fault, shortened
 from heronreel.fault_injection.trial import judged, trial
-from heronreel.leases import overview
+from heronreel.leases import administration, overview
 from heronreel.leases.lease import LeaseTerms
-from heronreel.leases.rate_budget import BURST_S
+from heronreel.leases.rate_limits import BURST_S
 from heronreel.leases.session import LeaseSession
 
 THREE = ("a", "b", "c")
-QUICK = LeaseTerms(ttl=2, margin=0.3, answer=0.3)
+QUICK = LeaseTerms(ttl_s=2, safety_margin_s=0.3, response_timeout_s=0.3)
 
 
 def other_than(leader: str) -> str:
@@ -241,24 +241,27 @@
                 LeaseSession(harness.addresses, "two", QUICK) as two,
             ):
                 claim, other = one.claim("task"), two.claim("task")
-                number = await one.held(claim) if await first_of(one, claim, two, other) else 0
-                number = number or await two.held(other)
+                number = await one.wait_acquired(claim) if await first_of(one, claim, two, other) else 0
+                number = number or await two.wait_acquired(other)
                 await harness.members[await harness.leader()].kill()
                 async with Client(harness.addresses) as client:
                     await until_value(client, b"k", b"1")
-                    holder, mine = (one, claim) if claim.number else (two, other)
-                    await holder.held(mine)
-                    assert mine.number == number  # the new leader counts its time anew
-                    left = await client.call(LeaseTimeToLive(holder.session.lease, True), 5.0)
+                    holder, mine = (one, claim) if claim.granted_token else (two, other)
+                    await holder.wait_acquired(mine)
+                    assert mine.granted_token == number  # the new leader counts its time anew
+                    left = await client.call(LeaseTimeToLive(holder.lease.lease_id, True), 5.0)
                     assert isinstance(left, LeaseResponse) and left.keys == (b"held/task",) and left.ttl >= 0
-                    assert not (claim.acts(one.now()) and other.acts(two.now()))
+                    assert not (claim.fencing_token(one.now()) and other.fencing_token(two.now()))
 
     async def first_of(one: LeaseSession, claim: Any, two: LeaseSession, other: Any) -> bool:
-        waits = [asyncio.ensure_future(one.held(claim)), asyncio.ensure_future(two.held(other))]
+        waits = [
+            asyncio.ensure_future(one.wait_acquired(claim)),
+            asyncio.ensure_future(two.wait_acquired(other)),
+        ]
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
-        return bool(claim.number)
+        return bool(claim.granted_token)
 
     asyncio.run(run())
 
@@ -373,9 +376,9 @@
             members = f"a={harness.front['a'].address}"
             async with LeaseSession(harness.addresses, "roller", LeaseTerms()) as holding:
                 claim = holding.claim("release")
-                number = await holding.held(claim)
-                present = holding.present("p1", b"zone=etna")
-                await holding.held(present)
+                number = await holding.wait_acquired(claim)
+                present = holding.announce_presence("p1", b"zone=etna")
+                await holding.wait_acquired(present)
                 code, out = await command("leases", "--members", members, "--json")
                 rows = json.loads(out)
                 assert code == 0 and rows["present"][0]["name"] == "p1"
@@ -386,9 +389,9 @@
                 assert code == 0 and str(number) in out
                 assert (await command("leases", "--members", members, "--take", "nothing"))[0] == 1
                 async with asyncio.timeout(20):  # the holder looks, and takes it anew with a greater number
-                    while claim.number in (0, number):
+                    while claim.granted_token in (0, number):
                         await asyncio.sleep(0.02)
-                assert claim.number > number
+                assert claim.granted_token > number
             harness.members["a"].signal(signal.SIGTERM)
             assert await harness.members["a"].ended() == 0
             assert (await command("leases", "--members", members))[0] == 2
@@ -448,17 +451,17 @@
             relay = harness.front["a"]
             async with LeaseSession(harness.addresses, "one", QUICK) as holding:
                 claim = holding.claim("t")
-                number = await holding.held(claim)
+                number = await holding.wait_acquired(claim)
                 relay.back.cut = True  # renewals go through, their answers do not
                 async with asyncio.timeout(20):
-                    while claim.acts(holding.now()):
+                    while claim.fencing_token(holding.now()):
                         await asyncio.sleep(0.01)
                 relay.heal()
-                assert await holding.held(claim) >= number
-                again = await client.call(LeaseKeepAlive(holding.session.lease), 5.0)
+                assert await holding.wait_acquired(claim) >= number
+                again = await client.call(LeaseKeepAlive(holding.lease.lease_id), 5.0)
                 assert isinstance(again, LeaseResponse) and again.ttl == 2
                 with pytest.raises(RequestError, match="exists"):
-                    await client.call(LeaseGrant(2, holding.session.lease), 5.0)
+                    await client.call(LeaseGrant(2, holding.lease.lease_id), 5.0)
 
     asyncio.run(run())
 
@@ -478,7 +481,7 @@
 
             async def steps() -> int:
                 try:
-                    rows = await overview.tasks(client)
+                    rows = await overview.task_overview(client)
                 except RequestError:
                     return 0
                 return int(rows[0]["confirmed"]) if rows else 0
@@ -556,8 +559,8 @@
     async with asyncio.timeout(60):
         while True:
             try:
-                await overview.resize(client, names)
-                if sorted((await overview.members(client))["disks"]) == sorted(names):
+                await administration.resize_group(client, names)
+                if sorted((await administration.group_overview(client))["disks"]) == sorted(names):
                     return
             except RequestError:
                 pass
@@ -582,17 +585,17 @@
 
             await until_value(first, b"begin", b"1")
             writing = asyncio.ensure_future(write())
-            terms = LeaseTerms(ttl=6, margin=0.5, answer=0.5)
+            terms = LeaseTerms(ttl_s=6, safety_margin_s=0.5, response_timeout_s=0.5)
             async with LeaseSession([harness.front["a"].address], "one", terms) as holding:
                 claim = holding.claim("t")
-                number = await holding.held(claim)
+                number = await holding.wait_acquired(claim)
                 for name in ("b", "c"):
                     await harness.add(name)
                 holding.client.addresses = harness.addresses
                 await becomes(first, THREE)
                 first.addresses = harness.addresses
                 await harness.whole()
-                assert claim.acts(holding.now()) == number
+                assert claim.fencing_token(holding.now()) == number
                 await harness.members["a"].kill()  # three bear the loss of one
                 count = len(written)
                 async with asyncio.timeout(30):
@@ -607,7 +610,7 @@
                         await harness.remove(name)
                 first.addresses = holding.client.addresses = harness.addresses
                 await harness.whole()
-                assert claim.acts(holding.now()) == number
+                assert claim.fencing_token(holding.now()) == number
                 count = len(written)
                 async with asyncio.timeout(30):
                     while len(written) < count + 20:
@@ -650,17 +653,17 @@
             front = [harness.front[alone].address]
             async with LeaseSession(front, "one", QUICK) as holding, Client(front) as there:
                 claim = holding.claim("t")
-                number = await holding.held(claim)
+                number = await holding.wait_acquired(claim)
                 harness.cut(alone)
                 with pytest.raises(RequestError):
                     await there.call(Put(b"k", b"minority"), 2.0)
                 async with asyncio.timeout(20):
-                    while claim.acts(holding.now()):
+                    while claim.fencing_token(holding.now()):
                         await asyncio.sleep(0.01)
                     others = [address for address in harness.addresses if address not in front]
                     async with LeaseSession(others, "two", QUICK) as second:
-                        assert await second.held(second.claim("t")) > number  # the majority goes on
-                        assert not claim.acts(holding.now())
+                        assert await second.wait_acquired(second.claim("t")) > number  # the majority goes on
+                        assert not claim.fencing_token(holding.now())
                 harness.cut(alone, on=False)
                 await harness.whole()
                 assert await value(client, b"k") is None  # a write that was refused is nowhere
@@ -708,12 +711,12 @@
             await harness.serves()
             async with LeaseSession(harness.addresses, "one", QUICK) as holding:
                 claim = holding.claim("t")
-                number = await holding.held(claim)
+                number = await holding.wait_acquired(claim)
                 real = time.time
                 for jump in (3600.0, -3600.0, 7200.0):
                     monkeypatch.setattr(time, "time", lambda jump=jump: real() + jump)
                     await asyncio.sleep(1.2)
-                    assert claim.acts(holding.now()) == number
+                    assert claim.fencing_token(holding.now()) == number
                 monkeypatch.undo()
 
     asyncio.run(run())
@@ -725,7 +728,7 @@
     async def run() -> None:
         async with Harness(tmp_path, ("a",), 18) as harness:
             await harness.serves()
-            terms = LeaseTerms(ttl=6, margin=0.8, answer=0.8)
+            terms = LeaseTerms(ttl_s=6, safety_margin_s=0.8, response_timeout_s=0.8)
             async with AsyncExitStack() as stack:
                 claims = []
                 for number in range(holders):
@@ -734,7 +737,7 @@
                     )
                     claims.append((holding, holding.claim(f"t{number}")))
                 for holding, claim in claims:
-                    await holding.held(claim)
+                    await holding.wait_acquired(claim)
                 await harness.members["a"].kill()
                 asked: list[float] = []
                 loop = asyncio.get_running_loop()
@@ -747,14 +750,14 @@
 
                     monkey.setattr(holding.client, "call", counted)
                 async with asyncio.timeout(60):
-                    while any(claim.acts(holding.now()) for holding, claim in claims):
+                    while any(claim.fencing_token(holding.now()) for holding, claim in claims):
                         await asyncio.sleep(0.02)
                 await harness.start("a")
                 back = loop.time()
                 del asked[:]
                 async with asyncio.timeout(60):
                     for holding, claim in claims:
-                        await holding.held(claim)
+                        await holding.wait_acquired(claim)
                 worst = max(Counter(int(at / 0.1) for at in asked).values())
                 told = f"{len(asked)} questions, at most {worst} in 0.1 s"
                 print(f"{told}, all hold again after {loop.time() - back:.2f} s")
--- a/tests/fleet/test_disruption_budget.py
+++ b/tests/fleet/test_disruption_budget.py
@@ -23,7 +23,7 @@
 from heronreel.fleet.operation import Operation, tell
 from heronreel.fleet.settings import load
 from heronreel.fleet.taking import Back, Guards, Refused, Taken, Waiting, take_over
-from heronreel.leases.lease import PRESENCE_PREFIX
+from heronreel.leases.keys import PRESENCE_PREFIX
 from heronreel.routes.reader import BadFile
 
 TOOK = (
