--- a/heronreel/leases/__init__.py
+++ b/heronreel/leases/__init__.py
@@ -11,7 +11,7 @@
 Around them, with a clock and a client:
 
 * `session`: the lease of a process; `task_runner`: its tasks, with `step_queue` and `rate_limiter`.
-* `overview`, `administration`: what operators see, and what they do.
+* `overview`, `administration`: what operators see of leases and tasks, and what they do.
 
 `keys` has the prefixes of stored keys, `errors` the errors.
 """
--- a/heronreel/leases/administration.py
+++ b/heronreel/leases/administration.py
@@ -1,4 +1,4 @@
-"""What operators do: revoke a claim, restart a suspended task, and change who is in the group."""
+"""Administration by operators: claims, suspended tasks, and the members of the group."""
 
 from __future__ import annotations
 
