--- a/heronreel/cli/leases.py
+++ b/heronreel/cli/leases.py
@@ -42,7 +42,7 @@
 
 
 def _revoke(file: str | None, members: str | None, task: str, as_json: bool) -> None:
-    from heronreel.leases.overview import revoke_claim
+    from heronreel.leases.administration import revoke_claim
 
     number = call_group(file, members, lambda client: revoke_claim(client, task))
     if number is None:
@@ -78,7 +78,7 @@
 
     if again is not None:
         _restart(file, members, again, as_json)
-    rows = call_group(file, members, overview.tasks)
+    rows = call_group(file, members, overview.task_overview)
     if as_json:
         click.echo(json.dumps(rows, indent=2))
     else:
@@ -86,9 +86,9 @@
 
 
 def _restart(file: str | None, members: str | None, task: str, as_json: bool) -> None:
-    from heronreel.leases import overview
+    from heronreel.leases import administration
 
-    done = call_group(file, members, lambda client: overview.restart_task(client, task))
+    done = call_group(file, members, lambda client: administration.restart_task(client, task))
     text = "retried" if done else "not suspended"
     click.echo(json.dumps({"task": task, "done": done}) if as_json else f"{task}: {text}")
     sys.exit(0 if done else EXIT_NOT_FOUND)
@@ -115,12 +115,12 @@
 
     Exit codes: 0 done, 2 the group does not respond, 78 a bad file or bad names.
     """
-    from heronreel.leases import overview
+    from heronreel.leases import administration
 
     if wanted is not None:
         _resize(file, members, wanted, even, as_json)
         return
-    state = call_group(file, members, overview.members)
+    state = call_group(file, members, administration.group_overview)
     if as_json:
         click.echo(json.dumps(state, indent=2))
     else:
@@ -128,7 +128,7 @@
 
 
 def _resize(file: str | None, members: str | None, wanted: str, even: bool, as_json: bool) -> None:
-    from heronreel.leases import overview
+    from heronreel.leases import administration
 
     names = sorted(set(wanted.replace(",", " ").split()))
     known = sorted(member.name for member in load_group(file, members).members)
@@ -139,7 +139,7 @@
         click.echo(f"--set: {problem}", err=True)
     if problems:
         sys.exit(EXIT_BAD_CONFIGURATION)
-    call_group(file, members, lambda client: overview.resize(client, names))
+    call_group(file, members, lambda client: administration.resize_group(client, names))
     click.echo(json.dumps({"wish": names}) if as_json else f"the group is to be {', '.join(names)}")
 
 
--- a/heronreel/coordinator/claim_log.py
+++ b/heronreel/coordinator/claim_log.py
@@ -6,7 +6,7 @@
 
 from heronreel.coordination.model import Event
 from heronreel.coordination.watches import WatchNotified
-from heronreel.leases.lease import CLAIM_PREFIX
+from heronreel.leases.keys import CLAIM_PREFIX
 
 MAX_HOLDER_CHARACTERS = 200  # a value may be of any size
 
--- a/heronreel/coordinator/compaction.py
+++ b/heronreel/coordinator/compaction.py
@@ -33,15 +33,15 @@
     async def run(self) -> None:
         """Take part until cancelled: once a period one of the group's members compacts its disk."""
         table = self.group.settings
-        task = Task(TASK_NAME, table.upkeep_s, Priority.IDLE, step_s=MAX_COMPACTION_S, turns=True)
+        task = Task(TASK_NAME, table.upkeep_s, Priority.IDLE, step_timeout_s=MAX_COMPACTION_S, rotates=True)
         terms = LeaseTerms(table.lease_s, table.margin_s, table.answer_s)
         addresses = [member.address for member in self.group.members]
         async with LeaseSession(addresses, self.name, terms) as session:
-            await TaskRunner(session, self.name, {task: self._compact}, what=None).run()
+            await TaskRunner(session, self.name, {task: self._compact}, presence=None).run()
 
     async def _compact(self, work: StepContext) -> None:
-        log.info("compaction started", member=self.name, step=work.step, fencing_token=work.number)
+        log.info("compaction started", member=self.name, step=work.step, fencing_token=work.fencing_token)
         self.points.reach("compact")
         await asyncio.to_thread(self.disk.compact)
         self.points.reach("compacted")
-        log.info("compaction finished", member=self.name, step=work.step, fencing_token=work.number)
+        log.info("compaction finished", member=self.name, step=work.step, fencing_token=work.fencing_token)
--- a/heronreel/coordinator/node.py
+++ b/heronreel/coordinator/node.py
@@ -34,7 +34,7 @@
 from heronreel.coordinator.timers import EventTimer
 from heronreel.coordinator.transport import PeerConnection, Transport
 from heronreel.coordinator.watch_registry import WatchRegistry, WatchSubscription
-from heronreel.leases.lease import CLAIM_PREFIX
+from heronreel.leases.keys import CLAIM_PREFIX
 
 EXIT_STOPPED = 0
 EXIT_DISK_FAILED = 74  # EX_IOERR
--- a/heronreel/fault_injection/budget_world.py
+++ b/heronreel/fault_injection/budget_world.py
@@ -48,7 +48,7 @@
     encode_record,
     encode_rules,
 )
-from heronreel.leases.lease import SendRequest
+from heronreel.leases.requests import SendRequest
 
 MAX_UNAVAILABLE = 1
 RULE = BudgetRule("one", InstanceKind.PROXY, max_unavailable=MAX_UNAVAILABLE)
@@ -176,7 +176,7 @@
                 each.fencing_token,
                 each.requester.phase.value,
                 each.requester.intent.value,
-                each.requester.asked is not None,
+                each.requester.in_flight is not None,
             )
             for each in self.operations
         )
@@ -220,7 +220,7 @@
     # -- operations
 
     def _operation_steps(self, index: int, operation: Operation) -> Iterator[Step]:
-        waiting = operation.requester.asked is not None
+        waiting = operation.requester.in_flight is not None
         if operation.stage == OperationStage.NEW and str(index) in self.limits.requests:
             yield self._acquire(index, operation)
         if operation.stage in (OperationStage.CLAIMED, OperationStage.DISRUPTED):
@@ -388,7 +388,7 @@
         world = self.fork()
         world.messages = self.messages - {message}
         for index, operation in enumerate(self.operations):
-            asked = operation.requester.asked
+            asked = operation.requester.in_flight
             if operation.fencing_token == message.fencing_token and asked is not None:
                 number, sent_at = asked
                 requester = copy.copy(operation.requester)
--- a/heronreel/fault_injection/count_world.py
+++ b/heronreel/fault_injection/count_world.py
@@ -20,7 +20,7 @@
 from heronreel.coordination.keyspace import EMPTY_CONTENT, Keyspace
 from heronreel.coordination.model import DeleteRange, Put, Range, ResponseOrError, Txn
 from heronreel.fault_injection.explore import InvariantViolationError
-from heronreel.leases.lease import SendRequest
+from heronreel.leases.requests import SendRequest
 from heronreel.metering.counts import NO_TENANT, Counts, ResponseKind
 from heronreel.metering.ledger import Ledger
 from heronreel.metering.ledger_format import WORD_BYTES, LedgerHeader, decode_header, encode_new_ledger
@@ -365,9 +365,9 @@
             world._respond_to_holder(number, message.response)
             return world
         process = self.processes[number]
-        assert process.upload is not None and process.upload.asked is not None
+        assert process.upload is not None and process.upload.in_flight is not None
         upload = copy.copy(process.upload)
-        actions = upload.on_response(process.now, process.upload.asked[0], message.response)
+        actions = upload.on_response(process.now, process.upload.in_flight[0], message.response)
         world._set_process(number, process._replace(upload=upload))
         world._carry_out(number, actions)
         return world
@@ -457,7 +457,7 @@
         upload.phase,
         upload.record_revision,
         upload.record,
-        upload.asked is not None,
+        upload.in_flight is not None,
         upload.registered,
         upload.pending_is_last,
         upload.finishing,
--- a/heronreel/fault_injection/guarded_resource.py
+++ b/heronreel/fault_injection/guarded_resource.py
@@ -36,10 +36,10 @@
         """Raise a task's fencing token."""
         wanted = await _decode(request)
         task = wanted.task.encode()
-        verdict = self.table.enter(task, wanted.fencing_token)
+        verdict = self.table.register_holder(task, wanted.fencing_token)
         if verdict.admitted:
             self._record(ResourceEvent.ENTERED, wanted)
-        return _encode(ResourceResponse(verdict.admitted, verdict.greatest, self.table.steps(task)))
+        return _encode(ResourceResponse(verdict.admitted, verdict.highest_token, self.table.step_count(task)))
 
     async def write(self, request: web.Request) -> web.Response:
         """Write one step of a task."""
@@ -55,7 +55,7 @@
         else:
             event = ResourceEvent.REPEATED if verdict.admitted else ResourceEvent.REJECTED
         self._record(event, wanted)
-        return _encode(ResourceResponse(verdict.admitted, verdict.greatest))
+        return _encode(ResourceResponse(verdict.admitted, verdict.highest_token))
 
     def _record(self, event: ResourceEvent, wanted: ResourceRequest) -> None:
         self.history.start(event, msgspec.to_builtins(wanted))
--- a/heronreel/fault_injection/lease_terms.py
+++ b/heronreel/fault_injection/lease_terms.py
@@ -10,4 +10,6 @@
 
 def lease_terms(ttl_s: int) -> LeaseTerms:
     """Terms for a lease of `ttl_s` seconds, which may be shorter than the product's default."""
-    return LeaseTerms(ttl=ttl_s, margin=MARGIN_SHARE * ttl_s, answer=RESPONSE_SHARE * ttl_s)
+    return LeaseTerms(
+        ttl_s=ttl_s, safety_margin_s=MARGIN_SHARE * ttl_s, response_timeout_s=RESPONSE_SHARE * ttl_s
+    )
--- a/heronreel/fault_injection/task_process.py
+++ b/heronreel/fault_injection/task_process.py
@@ -17,7 +17,7 @@
 from heronreel.fault_injection.errors import RejectedByResourceError
 from heronreel.fault_injection.lease_terms import lease_terms
 from heronreel.fault_injection.resource_client import ResourceClient, ResourceRequest, ResourceResponse
-from heronreel.leases.rate_budget import RateLimits
+from heronreel.leases.rate_limits import RateLimits
 from heronreel.leases.session import LeaseSession
 from heronreel.leases.task_runner import StepContext, TaskRunner
 from heronreel.leases.tasks import Task
@@ -47,8 +47,8 @@
             ResourceUnavailableError: Whether the step was written is unknown.
         """
         self.points.reach("step")
-        await work.pay(calls=1)
-        request = ResourceRequest(self.task.name, work.number, work.step, self.name)
+        await work.acquire(calls=1)
+        request = ResourceRequest(self.task.name, work.fencing_token, work.step, self.name)
         _check(await self.resource.enter(request))
         _check(await self.resource.write(request))
         self.points.reach("stepped")
@@ -62,13 +62,13 @@
 async def main(name: str, resource: str, ttl: str, *addresses: str) -> None:
     """Take part until the process is ended."""
     task_name, _, calls = os.environ.get(TASK_VARIABLE, DEFAULT_TASK).partition(":")
-    task = Task(task_name, period_s=BUDGETED_PERIOD_S if calls else PERIOD_S, step_s=MAX_STEP_S)
-    budgets = {task.urgency: RateLimits(calls=float(calls))} if calls else {}
+    task = Task(task_name, period_s=BUDGETED_PERIOD_S if calls else PERIOD_S, step_timeout_s=MAX_STEP_S)
+    budgets = {task.priority: RateLimits(calls=float(calls))} if calls else {}
     http = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=RESOURCE_TIMEOUT_S))
     writer = StepWriter(name, task, ResourceClient(resource, http))
     print("started", name, flush=True)
     async with http, LeaseSession(addresses, name, lease_terms(int(ttl))) as session:
-        await TaskRunner(session, name, {task: writer.step}, what=b"zone=test", budgets=budgets).run()
+        await TaskRunner(session, name, {task: writer.step}, presence=b"zone=test", budgets=budgets).run()
 
 
 if __name__ == "__main__":
--- a/heronreel/fault_injection/virtual.py
+++ b/heronreel/fault_injection/virtual.py
@@ -40,8 +40,10 @@
 from heronreel.coordination.request_batch import RequestCompleted
 from heronreel.fault_injection.histories import Operation
 from heronreel.fault_injection.linearizability import CAS, PUT, READ, find_violation
+from heronreel.leases.claim import Actions, ClaimAcquired
 from heronreel.leases.fencing import FencingGuard
-from heronreel.leases.lease import Actions, ClaimAcquired, LeaseClient, LeaseTerms, SendRequest
+from heronreel.leases.lease import LeaseClient, LeaseTerms
+from heronreel.leases.requests import SendRequest
 
 TASK = b"held/task"
 KEYS = (b"x", b"y")
@@ -156,7 +158,7 @@
         for name in self.names:
             disk = DurableState(f"{name}-1")
             self.nodes[name] = Node(name, disk, self._rate(), self._service(name, disk, 0.0))
-        terms = LeaseTerms(ttl=3, margin=0.5, answer=0.4, guarded=margin)
+        terms = LeaseTerms(ttl_s=3, safety_margin_s=0.5, response_timeout_s=0.4, stops_before_expiry=margin)
         self.holders: list[Holder] = []
         for number in range(holders):
             rate = self._rate()
@@ -379,7 +381,7 @@
             return
         self._holder_actions(holder, holder.session.tick(self._holder_time(holder)))
         self._act(holder)
-        due = holder.session.wake() / holder.rate
+        due = holder.session.next_wakeup() / holder.rate
         self.schedule(min(max(due, self.now + 0.01), self.now + 0.2), lambda: self._tick_holder(holder))
 
     def _holder_actions(self, holder: Holder, actions: Actions) -> None:
@@ -396,14 +398,14 @@
                 return
             now = self._holder_time(holder)
             known = RequestError(StatusCode.DEADLINE_EXCEEDED, "") if response is None else response
-            self._holder_actions(holder, holder.session.answered(now, action.number, known))
+            self._holder_actions(holder, holder.session.on_response(now, action.request_id, known))
             self._holder_actions(holder, holder.session.tick(now))
 
-        self._send_request(action.request, holder.session.terms.answer, on_response)
+        self._send_request(action.request, holder.session.terms.response_timeout_s, on_response)
 
     def _act(self, holder: Holder) -> None:
         """Check for the lease, and act: the action reaches the resource a little later, or after a pause."""
-        number = holder.session.claims[0].acts(self._holder_time(holder))
+        number = holder.session.claims[0].fencing_token(self._holder_time(holder))
         if not number:
             return
         if holder.entered != number:
@@ -447,7 +449,7 @@
 
     def _pause_holder(self, length: float) -> None:
         """Pause a holder, one that has the lease if there is any."""
-        holding = [holder for holder in self.holders if holder.session.claims[0].number]
+        holding = [holder for holder in self.holders if holder.session.claims[0].granted_token]
         self.rng.choice(holding or self.holders).paused_until = self.now + length
 
     def _partition(self, node: Node, length: float, *, both_ways: bool) -> None:
@@ -483,9 +485,11 @@
 
     def _check_invariants(self) -> None:
         acting = [
-            holder.number for holder in self.holders
-            if self.now >= holder.paused_until and holder.session.claims[0].acts(self._holder_time(holder))
-        ]  # fmt: skip
+            holder.number
+            for holder in self.holders
+            if self.now >= holder.paused_until
+            and holder.session.claims[0].fencing_token(self._holder_time(holder))
+        ]
         if len(acting) > 1:
             self.problems.append(f"{self.now:.2f} s: {acting} act at once")
 
--- a/heronreel/fault_injection/worker.py
+++ b/heronreel/fault_injection/worker.py
@@ -24,7 +24,7 @@
     ResourceRequest,
     ResourceResponse,
 )
-from heronreel.leases.lease import Claim, ClaimAcquired, ClaimLost
+from heronreel.leases.claim import Claim, ClaimAcquired, ClaimLost
 from heronreel.leases.session import LeaseSession
 
 TASK = "ledger"
@@ -65,7 +65,7 @@
 
     async def _act(self, session: LeaseSession, claim: Claim) -> None:
         """Perform one step after the other while the fencing token is valid."""
-        token = await session.held(claim)
+        token = await session.wait_acquired(claim)
         try:
             entered = await self.resource.enter(ResourceRequest(TASK, token, 0, self.name))
         except ResourceUnavailableError:
@@ -73,13 +73,13 @@
         if not entered.admitted:
             return
         step = entered.steps
-        while not self.stop.is_set() and claim.acts(session.now()) == token:
+        while not self.stop.is_set() and claim.fencing_token(session.now()) == token:
             response = await self._write(ResourceRequest(TASK, token, step + 1, self.name))
             if response is None:
                 return  # the next attempt learns from the resource whether the step was written
             if not response.admitted:
                 print("rejected", token, response.highest_token, flush=True)
-                session.look()
+                session.refresh()
                 return
             step += 1
             await asyncio.sleep(STEP_INTERVAL_S)
@@ -97,18 +97,18 @@
 
 
 def _print_change(change: ClaimAcquired | ClaimLost) -> None:
-    print(ACQUIRED if isinstance(change, ClaimAcquired) else LOST, change.number, flush=True)
+    print(ACQUIRED if isinstance(change, ClaimAcquired) else LOST, change.fencing_token, flush=True)
 
 
 async def main(name: str, history: str, resource: str, ttl: str, *addresses: str) -> None:
     """Compete until SIGTERM or SIGINT."""
     print("started", name, flush=True)
     terms = lease_terms(int(ttl))
-    async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=terms.margin)) as http:
+    async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=terms.safety_margin_s)) as http:
         worker = Worker(name, HistoryWriter(Path(history), name), ResourceClient(resource, http))
         for number in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(number, worker.stop.set)
-        async with LeaseSession(addresses, name, terms, told=_print_change) as session:
+        async with LeaseSession(addresses, name, terms, on_claim_change=_print_change) as session:
             await worker.run(session)
 
 
--- a/heronreel/fleet/agent_client.py
+++ b/heronreel/fleet/agent_client.py
@@ -18,7 +18,7 @@
 from heronreel.fleet.errors import AgentUnavailableError, CommandFailedError
 from heronreel.fleet.lifecycle_messages import Command, CommandResult
 from heronreel.fleet.model import Instance
-from heronreel.leases.lease import PRESENCE_PREFIX
+from heronreel.leases.keys import PRESENCE_PREFIX
 
 DECIDED_STATUSES = (200, 409)  # accepted, or an older command than one that was accepted
 
--- a/heronreel/fleet/agent_server.py
+++ b/heronreel/fleet/agent_server.py
@@ -76,7 +76,7 @@
         terms = LeaseTerms(agent.lease_s, agent.margin_s, agent.answer_s)
         async with LeaseSession(agent.group, agent.name, terms) as session:
             presence = AgentPresence(AGENT_KIND, heronreel.__version__, agent.address)
-            session.present(agent.name, msgspec.json.encode(presence))
+            session.announce_presence(agent.name, msgspec.json.encode(presence))
             supervisors = self.supervisors.values()
             tasks = [asyncio.ensure_future(supervisor.run()) for supervisor in supervisors]
             tasks += [asyncio.ensure_future(self._report(session, supervisor)) for supervisor in supervisors]
--- a/heronreel/fleet/budget_client.py
+++ b/heronreel/fleet/budget_client.py
@@ -14,7 +14,7 @@
 from heronreel.fleet.claim_requester import Actions, ClaimOutcome, ClaimRequester
 from heronreel.fleet.disruption_budget import READ_SNAPSHOT, BudgetSnapshot, parse_snapshot
 from heronreel.fleet.model import BudgetRule, Halt, Instance
-from heronreel.leases.lease import SendRequest
+from heronreel.leases.requests import SendRequest
 
 MIN_SLEEP_S = 0.002  # between two ticks of a requester that waits
 MAX_SLEEP_S = 1.0
@@ -69,8 +69,8 @@
             (action,) = actions
             if not isinstance(action, SendRequest):
                 return action
-            response = await self.client.call_or_error(action.request, action.until - self.now())
-            actions = requester.response_received(self.now(), action.number, response)
+            response = await self.client.call_or_error(action.request, action.deadline - self.now())
+            actions = requester.response_received(self.now(), action.request_id, response)
 
 
 async def read_snapshot(client: Client) -> BudgetSnapshot:
--- a/heronreel/fleet/claim_requester.py
+++ b/heronreel/fleet/claim_requester.py
@@ -21,7 +21,8 @@
 from heronreel.fleet.budget_transactions import update_transaction
 from heronreel.fleet.disruption_budget import READ_SNAPSHOT, BudgetSnapshot, RuleStatus, parse_snapshot
 from heronreel.fleet.model import Condition, DisruptionClaim, Halt, Instance, encode_record
-from heronreel.leases.lease import JitteredBackoff, SendRequest, SingleRequestSender
+from heronreel.leases.backoff import JitteredBackoff
+from heronreel.leases.requests import SendRequest, SingleRequestSender
 
 DEFAULT_RESPONSE_TIMEOUT_S = 1.0
 
@@ -137,8 +138,8 @@
 
     def wake(self) -> float:
         """When `tick` has to be called next."""
-        if self.asked is not None:
-            return self.asked[1] + self.answer_s
+        if self.in_flight is not None:
+            return self.in_flight.sent_at + self.response_timeout_s
         return float("inf") if self.intent is ClaimIntent.NONE else self.due
 
     def acquire(self, now: float) -> Actions:
@@ -161,24 +162,24 @@
 
     def tick(self, now: float) -> Actions:
         """Time has passed."""
-        if self._late(now):
+        if self._timed_out(now):
             self._schedule_retry(now)
-        if self.asked is not None:
+        if self.in_flight is not None:
             return []
         if self.intent is ClaimIntent.NONE or now < self.due:
             return []
         self.phase = RequestPhase.READING
-        return [self._ask(now, READ_SNAPSHOT)]
+        return [self._send(now, READ_SNAPSHOT)]
 
     def _schedule_retry(self, now: float) -> None:
         """Start again with a read: the records show whether a lost request was carried out."""
-        self.asked = None
+        self.in_flight = None
         self.phase = RequestPhase.IDLE
-        self.due = now + self.backoff.next()
+        self.due = now + self.backoff.next_delay()
 
     def response_received(self, now: float, number: int, response: ResponseOrError) -> Actions:
         """The response to the request with this number; a late one is ignored."""
-        if not self._expects(number):
+        if not self._is_in_flight(number):
             return []
         was_read = self.phase is RequestPhase.READING
         self._schedule_retry(now)
@@ -246,7 +247,7 @@
     def _write(self, now: float, snapshot: BudgetSnapshot, operations: list[Operation]) -> Actions:
         self.phase = RequestPhase.WRITING
         revision = snapshot.revision if self.guards.revision_checked else None
-        return [self._ask(now, update_transaction(revision, self.operation_id.encode(), *operations))]
+        return [self._send(now, update_transaction(revision, self.operation_id.encode(), *operations))]
 
     def _release(self, now: float, snapshot: BudgetSnapshot) -> Actions:
         claim = snapshot.claims.get(self.releasing)
--- a/heronreel/fleet/disruption_budget.py
+++ b/heronreel/fleet/disruption_budget.py
@@ -28,7 +28,7 @@
     Halt,
     Instance,
 )
-from heronreel.leases.lease import PRESENCE_PREFIX, present_names
+from heronreel.leases.keys import PRESENCE_PREFIX, present_names
 
 ROUNDING_TOLERANCE = 1e-9  # relative, for sums of capacities; far below any single instance
 
--- a/heronreel/fleet/leadership.py
+++ b/heronreel/fleet/leadership.py
@@ -25,7 +25,8 @@
 )
 from heronreel.fleet.errors import FleetBusyError, LeadershipLostError
 from heronreel.fleet.model import OPERATION_KEY, FleetOperation, encode_record
-from heronreel.leases.lease import CLAIM_PREFIX, Claim
+from heronreel.leases.claim import Claim
+from heronreel.leases.keys import CLAIM_PREFIX
 from heronreel.leases.session import LeaseSession
 
 LEADERSHIP_NAME = "fleet"  # of the claim that the controller holds
@@ -93,7 +94,7 @@
         self.claim = self.session.claim(LEADERSHIP_NAME)
         try:
             async with asyncio.timeout(wait_s):
-                await self.session.held(self.claim)
+                await self.session.wait_acquired(self.claim)
         except TimeoutError:
             raise FleetBusyError(await self._describe_holder()) from None
 
@@ -111,7 +112,7 @@
         Raises:
             LeadershipLostError: This process is not the leader any more.
         """
-        token = self.claim.acts(self.session.now())
+        token = self.claim.fencing_token(self.session.now())
         if not token:
             raise LeadershipLostError("the leadership of the fleet is lost")
         return token
--- a/heronreel/health/report.py
+++ b/heronreel/health/report.py
@@ -15,7 +15,7 @@
 
 from heronreel.coordination.model import Compare, CompareOperator, CompareTarget, Put, Range, Txn
 from heronreel.health.checks import MAX_MEMBERS, Member
-from heronreel.leases.lease import CLAIM_PREFIX
+from heronreel.leases.keys import CLAIM_PREFIX
 
 REPORT_PREFIX = b"probe/"
 MAX_REPORTED_DOWN = 2000  # members: more do not fit a stored value
--- a/heronreel/metering/overview.py
+++ b/heronreel/metering/overview.py
@@ -19,7 +19,7 @@
     TxnResponse,
     prefix_end,
 )
-from heronreel.leases.lease import PRESENCE_PREFIX, present_names
+from heronreel.leases.keys import PRESENCE_PREFIX, present_names
 from heronreel.metering.counts import KIND_NAMES, Counts, merge_counts
 from heronreel.metering.records import (
     ABANDONED_PAGE,
--- a/heronreel/metering/period_closing.py
+++ b/heronreel/metering/period_closing.py
@@ -29,7 +29,7 @@
     TxnResponse,
     prefix_end,
 )
-from heronreel.leases.lease import CLAIM_PREFIX
+from heronreel.leases.keys import CLAIM_PREFIX
 from heronreel.metering.counts import merge_counts
 from heronreel.metering.records import (
     ABANDONED_PAGE,
--- a/heronreel/metering/period_task.py
+++ b/heronreel/metering/period_task.py
@@ -8,7 +8,7 @@
 from heronreel.coordination.crash_points import CrashPoints
 from heronreel.coordination.errors import RequestError
 from heronreel.coordination.model import Range, RangeResponse, prefix_end
-from heronreel.leases.lease import PRESENCE_PREFIX, present_names
+from heronreel.leases.keys import PRESENCE_PREFIX, present_names
 from heronreel.metering.errors import PeriodTaskLostError
 from heronreel.metering.period_closing import ClosingOutcome, PeriodClosing
 
--- a/heronreel/metering/upload.py
+++ b/heronreel/metering/upload.py
@@ -26,7 +26,7 @@
     Txn,
     TxnResponse,
 )
-from heronreel.leases.lease import SendRequest, SingleRequestSender
+from heronreel.leases.requests import SendRequest, SingleRequestSender
 from heronreel.metering.counts import Counts, merge_counts
 from heronreel.metering.ledger import Page
 from heronreel.metering.ledger_format import LedgerHeader
@@ -129,28 +129,28 @@
         """When `tick` has something to do, at the latest."""
         if self.phase is UploadPhase.DONE:
             return float("inf")
-        if self.asked is not None:
-            return self.asked[1] + self.answer_s
+        if self.in_flight is not None:
+            return self.in_flight.sent_at + self.response_timeout_s
         return float("inf") if self.phase is UploadPhase.SEALING else self.next_action_at
 
     def finish(self, now: float) -> None:
         """Nothing is counted any more: the open page is sealed as the last one, as soon as possible."""
         self.finishing = True
         self.next_seal_at = now
-        if self.asked is None and self.phase is UploadPhase.COUNTING:
+        if self.in_flight is None and self.phase is UploadPhase.COUNTING:
             self.next_action_at = now
 
     def tick(self, now: float, has_counts: bool) -> Actions:
         """Time has passed; `has_counts`: there is something in the open page."""
-        if self._late(now):
+        if self._timed_out(now):
             self._read_again(now)
-        if self.asked is not None:
+        if self.in_flight is not None:
             return []
         if self.phase in (UploadPhase.DONE, UploadPhase.SEALING) or now < self.next_action_at:
             return []
         if self.phase is UploadPhase.COUNTING:
             return self._seal_if_due(now, has_counts)
-        return [self._ask(now, Txn((), (Range(self.key), Range(TOTALS_KEY))))]
+        return [self._send(now, Txn((), (Range(self.key), Range(TOTALS_KEY))))]
 
     def _seal_if_due(self, now: float, has_counts: bool) -> Actions:
         if now >= self.next_seal_at and (has_counts or self.finishing):
@@ -169,10 +169,10 @@
 
     def on_response(self, now: float, request_id: int, response: ResponseOrError) -> Actions:
         """The response to a request, or its error; ignored unless the request is in flight."""
-        if not self._expects(request_id):
+        if not self._is_in_flight(request_id):
             return []
         if isinstance(response, TxnResponse) and self.phase is not UploadPhase.WRITING:
-            self.asked = None
+            self.in_flight = None
             record, totals = response.responses
             assert isinstance(record, RangeResponse) and isinstance(totals, RangeResponse)
             self.totals_revision = totals.records[0][1].mod_revision if totals.records else 0
@@ -183,7 +183,7 @@
         return []
 
     def _read_again(self, now: float) -> None:
-        self.asked = None
+        self.in_flight = None
         self.phase = UploadPhase.READING
         self.next_action_at = now + RETRY_BACKOFF_S * (0.5 + self.jitter())
 
@@ -235,7 +235,7 @@
                 Compare(TOTALS_KEY, CompareTarget.MOD, CompareOperator.EQUAL, self.totals_revision)
             )
         self.phase = UploadPhase.WRITING
-        return self._ask(now, Txn(tuple(compares), (Put(self.key, msgspec.json.encode(record)),)))
+        return self._send(now, Txn(tuple(compares), (Put(self.key, msgspec.json.encode(record)),)))
 
     def _sealed_page(self) -> int:
         return self.pending_page.number if self.pending_page else self.confirmed_page
--- a/heronreel/metering/uploader.py
+++ b/heronreel/metering/uploader.py
@@ -11,7 +11,7 @@
 
 from heronreel.coordination.client import Client
 from heronreel.coordination.model import ResponseOrError
-from heronreel.leases.lease import SendRequest
+from heronreel.leases.requests import SendRequest
 from heronreel.metering.ledger_files import LedgerFile
 from heronreel.metering.meter import UsageMeter
 from heronreel.metering.upload import (
@@ -157,9 +157,11 @@
     async def _send(self, upload: LedgerUpload, send: SendRequest) -> Actions:
         assert self._client is not None
         self.points.reach("request")
-        response: ResponseOrError = await self._client.call_or_error(send.request, send.until - self.clock())
+        response: ResponseOrError = await self._client.call_or_error(
+            send.request, send.deadline - self.clock()
+        )
         self.points.reach("response")
-        return upload.on_response(self.clock(), send.number, response)
+        return upload.on_response(self.clock(), send.request_id, response)
 
     async def _seal_page(self, ledger_file: LedgerFile, upload: LedgerUpload, last: bool) -> None:
         self.points.reach("seal")
--- a/heronreel/serve/fleet.py
+++ b/heronreel/serve/fleet.py
@@ -21,8 +21,9 @@
 from heronreel.coordination.crash_points import CrashPoints
 from heronreel.coordination.logs import log_to_stderr
 from heronreel.coordinator.embedded import EmbeddedServer
-from heronreel.leases.lease import ClaimAcquired, ClaimLost, LeaseTerms
-from heronreel.leases.rate_budget import RateLimits
+from heronreel.leases.claim import ClaimAcquired, ClaimLost
+from heronreel.leases.lease import LeaseTerms
+from heronreel.leases.rate_limits import RateLimits
 from heronreel.leases.session import LeaseSession
 from heronreel.leases.task_runner import StepContext, StepFunction, TaskRunner
 from heronreel.leases.tasks import Priority, Task
@@ -121,12 +122,14 @@
     async def _run(self, address: str) -> None:
         terms = LeaseTerms(self.fleet.lease_s, self.fleet.margin_s, self.fleet.answer_s)
         async with LeaseSession(
-            self.fleet.group, self.name, terms, told=self._on_claim_change
+            self.fleet.group, self.name, terms, on_claim_change=self._on_claim_change
         ) as self.session:
             steps = {**self._metering_steps(self.session), **self._health_steps(self.session)}
-            budgets = {Priority[name.upper()]: RateLimits(*rates) for name, *rates in self.fleet.budgets}
+            budgets = {
+                Priority.from_stored_name(name): RateLimits(*rates) for name, *rates in self.fleet.budgets
+            }
             presence = msgspec.json.encode(self._presence(address))
-            runner = TaskRunner(self.session, self.name, steps, what=presence, budgets=budgets)
+            runner = TaskRunner(self.session, self.name, steps, presence=presence, budgets=budgets)
             await self._run_again("tasks", runner.run)
             await asyncio.Event().wait()  # without tasks it is present all the same
 
@@ -161,12 +164,13 @@
 
     def _on_claim_change(self, change: ClaimAcquired | ClaimLost) -> None:
         event = "claim acquired" if isinstance(change, ClaimAcquired) else "claim lost"
-        why = change.why if isinstance(change, ClaimLost) else None
-        log.info(event, key=change.key.decode(errors="replace"), number=change.number, why=why)
+        reason = change.reason if isinstance(change, ClaimLost) else None
+        key = change.key.decode(errors="replace")
+        log.info(event, key=key, fencing_token=change.fencing_token, reason=reason)
 
     async def _close_period(self, context: StepContext) -> None:
         assert self.session is not None
-        await close_period(self.session.client, context.step, context.number, self.name, self.points)
+        await close_period(self.session.client, context.step, context.fencing_token, self.name, self.points)
 
 
 def tenants_of(file: RoutesFile) -> tuple[str, ...]:
--- a/heronreel/serve/zone_health.py
+++ b/heronreel/serve/zone_health.py
@@ -54,7 +54,7 @@
         """The task, of which a step is one round of probes."""
         interval_s = self.checks.config.interval_s
         zone = self.checks.zone
-        return Task(probe_task_name(zone), interval_s, step_s=interval_s + STEP_MARGIN_S, zone=zone)
+        return Task(probe_task_name(zone), interval_s, step_timeout_s=interval_s + STEP_MARGIN_S, zone=zone)
 
     async def run_step(self, client: Client, context: StepContext) -> None:
         """One round, and the report if one is due.
@@ -63,10 +63,10 @@
             RequestError: the coordination service did not respond.
             ProberReplacedError: another process probes the zone by now.
         """
-        if self._fencing_token != context.number:
-            await self._take_over(client, context.number)
+        if self._fencing_token != context.fencing_token:
+            await self._take_over(client, context.fencing_token)
         members = self.checks.members
-        changed = await self.checks.prober.probe_all(members, self._tracker, lambda: context.pay(calls=1))
+        changed = await self.checks.prober.probe_all(members, self._tracker, lambda: context.acquire(calls=1))
         self._round += 1
         due = self.checks.clock() >= self._published_at + _report_interval_s(self.checks)
         if changed or due:
--- a/tests/compatibility/stored_control.py
+++ b/tests/compatibility/stored_control.py
@@ -29,10 +29,10 @@
 from heronreel.fleet.lifecycle_messages import DesiredState, ProcessStage
 from heronreel.health.report import REPORT_PREFIX, probe_task_name, report_key
 from heronreel.leases.fencing import FencedTable
-from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX
-from heronreel.leases.rate_budget import BUDGET_PREFIX as BUDGETS
-from heronreel.leases.rate_budget import TOTAL_UNITS
-from heronreel.leases.tasks import CURSOR_PREFIX, Priority, Task
+from heronreel.leases.keys import BUDGET_PREFIX as BUDGETS
+from heronreel.leases.keys import CLAIM_PREFIX, CURSOR_PREFIX, PRESENCE_PREFIX
+from heronreel.leases.rate_limits import TOTAL_UNITS
+from heronreel.leases.tasks import Priority, Task
 from heronreel.metering.counts import KIND_NAMES
 from heronreel.metering.ledger_files import LEDGER_SUFFIX, QUARANTINE_SUFFIX, TEMPORARY_SUFFIX
 from heronreel.metering.records import (
@@ -71,8 +71,8 @@
         "held": CLAIM_PREFIX,
         "present": PRESENCE_PREFIX,
         "task": CURSOR_PREFIX,
-        "task t": Task("t").key,
-        "claim t": Task("t").claim,
+        "task t": Task("t").cursor_key,
+        "claim t": Task("t").claim_key,
         "budget": BUDGETS,
         "count books": LEDGER_PREFIX,
         "count book b1": ledger_key("b1"),
@@ -110,7 +110,7 @@
 }  # fmt: skip
 WORDS: dict[str, Any] = {name: [each.value for each in kind] for name, kind in ENUMS.items()}
 WORDS |= {
-    "urgency": {each.name.lower(): int(each) for each in Priority},  # the names stand in keys of budgets
+    "urgency": {each.stored_name: int(each) for each in Priority},  # the names stand in keys of budgets
     "paths": sorted(REQUEST_PATHS.values()), "streamed": sorted(STREAMED_PATHS),
     "kinds of counts": list(KIND_NAMES),
     "budget": TOTAL_UNITS, "book given up": ABANDONED_PAGE,
--- a/tests/compatibility/stored_fleet.py
+++ b/tests/compatibility/stored_fleet.py
@@ -48,7 +48,7 @@
 )
 from heronreel.health.report import HealthReport, publish_request
 from heronreel.health.report import decode_report as report_of
-from heronreel.leases.lease import PRESENCE_PREFIX
+from heronreel.leases.keys import PRESENCE_PREFIX
 from heronreel.metering.ledger import Page
 from heronreel.metering.ledger_files import LEDGER_SUFFIX, LedgerDirectory
 from heronreel.metering.ledger_format import LedgerHeader
--- a/tests/coordination/test_settings.py
+++ b/tests/coordination/test_settings.py
@@ -5,6 +5,7 @@
 import pytest
 
 from heronreel.coordination.settings import parse_group
+from heronreel.leases.errors import InvalidLeaseTermsError
 from heronreel.leases.lease import LeaseTerms
 from heronreel.routes.reader import ConfigFileError
 
@@ -37,4 +38,6 @@
 def test_an_even_group_is_accepted_if_the_file_says_so() -> None:
     text = "[group]\neven = true\n" + MEMBER.format("a", 1) + MEMBER.format("b", 2)
     assert [row.name for row in parse_group(text.encode()).members] == ["a", "b"]
-    assert LeaseTerms(ttl=3, margin=1.0, answer=1.0).problem() and not LeaseTerms().problem()
+    LeaseTerms().validate()
+    with pytest.raises(InvalidLeaseTermsError, match="need 6 s"):
+        LeaseTerms(ttl_s=3, safety_margin_s=1.0, response_timeout_s=1.0).validate()
--- a/tests/coordinator/test_commands.py
+++ b/tests/coordinator/test_commands.py
@@ -29,9 +29,9 @@
             members = f"a={harness.address('a')}"
             async with LeaseSession(harness.addresses, "roller", LeaseTerms()) as session:
                 claim = session.claim("release")
-                token = await session.held(claim)
-                present = session.present("p1", b"zone=etna")
-                await session.held(present)
+                token = await session.wait_acquired(claim)
+                present = session.announce_presence("p1", b"zone=etna")
+                await session.wait_acquired(present)
                 code, out = await command("leases", "--members", members, "--json")
                 rows = json.loads(out)
                 assert code == 0 and rows["present"][0]["name"] == "p1"
@@ -43,9 +43,9 @@
                 assert (await command("leases", "--members", members, "--take", "nothing"))[0] == 1
                 # the holder notices, and acquires it again with a greater fencing token
                 async with asyncio.timeout(20):
-                    while claim.number in (0, token):
+                    while claim.granted_token in (0, token):
                         await asyncio.sleep(0.02)
-                assert claim.number > token
+                assert claim.granted_token > token
             harness.members["a"].send_signal(signal.SIGTERM)
             assert await harness.members["a"].wait_for_exit() == 0
             assert (await command("leases", "--members", members))[0] == 2
--- a/tests/coordinator/test_fleet_tasks.py
+++ b/tests/coordinator/test_fleet_tasks.py
@@ -18,7 +18,7 @@
 from heronreel.fault_injection.task_process import TASK_VARIABLE
 from heronreel.fault_injection.trial import start_resource
 from heronreel.leases import overview
-from heronreel.leases.rate_budget import BURST_S
+from heronreel.leases.rate_limits import BURST_S
 from tests.coordinator.group_support import THREE, other_than, put_until_done
 
 TASK_PROCESS = "heronreel.fault_injection.task_process"
@@ -65,7 +65,7 @@
 
             async def confirmed_steps() -> int:
                 try:
-                    rows = await overview.tasks(client)
+                    rows = await overview.task_overview(client)
                 except RequestError:
                     return 0
                 return int(rows[0]["confirmed"]) if rows else 0
--- a/tests/coordinator/test_leases.py
+++ b/tests/coordinator/test_leases.py
@@ -74,20 +74,20 @@
                 LeaseSession(harness.addresses, "two", SHORT_TERMS) as two,
             ):
                 claim, other = one.claim("task"), two.claim("task")
-                number = await one.held(claim) if await is_first(one, claim, two, other) else 0
-                number = number or await two.held(other)
+                number = await one.wait_acquired(claim) if await is_first(one, claim, two, other) else 0
+                number = number or await two.wait_acquired(other)
                 await harness.members[await harness.wait_for_leader()].kill()
                 async with Client(harness.addresses) as client:
                     await put_until_done(client, b"k", b"1")
-                    holder, mine = (one, claim) if claim.number else (two, other)
-                    await holder.held(mine)
-                    assert mine.number == number  # the new leader counts its time anew
-                    left = await client.call(LeaseTimeToLive(holder.session.lease, True), 5.0)
+                    holder, mine = (one, claim) if claim.granted_token else (two, other)
+                    await holder.wait_acquired(mine)
+                    assert mine.granted_token == number  # the new leader counts its time anew
+                    left = await client.call(LeaseTimeToLive(holder.lease.lease_id, True), 5.0)
                     assert isinstance(left, LeaseResponse) and left.keys == (b"held/task",) and left.ttl >= 0
-                    assert not (claim.acts(one.now()) and other.acts(two.now()))
+                    assert not (claim.fencing_token(one.now()) and other.fencing_token(two.now()))
 
     async def is_first(one: LeaseSession, claim: Any, two: LeaseSession, other: Any) -> bool:
-        waits = [asyncio.create_task(one.held(claim)), asyncio.create_task(two.held(other))]
+        waits = [asyncio.create_task(one.wait_acquired(claim)), asyncio.create_task(two.wait_acquired(other))]
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
@@ -103,17 +103,17 @@
             relay = harness.network.client_relays["a"]
             async with LeaseSession(harness.addresses, "one", SHORT_TERMS) as holder:
                 claim = holder.claim("t")
-                number = await holder.held(claim)
+                number = await holder.wait_acquired(claim)
                 relay.responses.partitioned = True  # renewals go through, their responses do not
                 async with asyncio.timeout(20):
-                    while claim.acts(holder.now()):
+                    while claim.fencing_token(holder.now()):
                         await asyncio.sleep(0.01)
                 relay.heal()
-                assert await holder.held(claim) >= number
-                again = await client.call(LeaseKeepAlive(holder.session.lease), 5.0)
+                assert await holder.wait_acquired(claim) >= number
+                again = await client.call(LeaseKeepAlive(holder.lease.lease_id), 5.0)
                 assert isinstance(again, LeaseResponse) and again.ttl == 2
                 with pytest.raises(RequestError, match="exists"):
-                    await client.call(LeaseGrant(2, holder.session.lease), 5.0)
+                    await client.call(LeaseGrant(2, holder.lease.lease_id), 5.0)
 
     asyncio.run(run())
 
@@ -126,17 +126,19 @@
             minority = [harness.address(alone)]
             async with LeaseSession(minority, "one", SHORT_TERMS) as holder, Client(minority) as isolated:
                 claim = holder.claim("t")
-                number = await holder.held(claim)
+                number = await holder.wait_acquired(claim)
                 harness.network.partition(alone)
                 with pytest.raises(RequestError):
                     await isolated.call(Put(b"k", b"minority"), 2.0)
                 async with asyncio.timeout(20):
-                    while claim.acts(holder.now()):
+                    while claim.fencing_token(holder.now()):
                         await asyncio.sleep(0.01)
                     others = [address for address in harness.addresses if address not in minority]
                     async with LeaseSession(others, "two", SHORT_TERMS) as second:
-                        assert await second.held(second.claim("t")) > number  # the majority continues
-                        assert not claim.acts(holder.now())
+                        assert (
+                            await second.wait_acquired(second.claim("t")) > number
+                        )  # the majority continues
+                        assert not claim.fencing_token(holder.now())
                 harness.network.heal(alone)
                 await harness.wait_until_healthy()
                 assert await value_of(client, b"k") is None  # a rejected write has no effect
@@ -161,12 +163,12 @@
             await harness.wait_until_available()
             async with LeaseSession(harness.addresses, "one", SHORT_TERMS) as holder:
                 claim = holder.claim("t")
-                number = await holder.held(claim)
+                number = await holder.wait_acquired(claim)
                 real = time.time
                 for jump in (3600.0, -3600.0, 7200.0):
                     monkeypatch.setattr(time, "time", lambda jump=jump: real() + jump)
                     await asyncio.sleep(1.2)
-                    assert claim.acts(holder.now()) == number
+                    assert claim.fencing_token(holder.now()) == number
                 monkeypatch.undo()
 
     asyncio.run(run())
@@ -178,7 +180,7 @@
     async def run() -> None:
         async with Harness(tmp_path, ("a",), 18) as harness:
             await harness.wait_until_available()
-            terms = LeaseTerms(ttl=6, margin=0.8, answer=0.8)
+            terms = LeaseTerms(ttl_s=6, safety_margin_s=0.8, response_timeout_s=0.8)
             async with AsyncExitStack() as stack:
                 claims = []
                 for number in range(holders):
@@ -187,7 +189,7 @@
                     )
                     claims.append((holder, holder.claim(f"t{number}")))
                 for holder, claim in claims:
-                    await holder.held(claim)
+                    await holder.wait_acquired(claim)
                 await harness.members["a"].kill()
                 request_times: list[float] = []
                 loop = asyncio.get_running_loop()
@@ -200,14 +202,14 @@
 
                     monkey.setattr(holder.client, "call", counted)
                 async with asyncio.timeout(60):
-                    while any(claim.acts(holder.now()) for holder, claim in claims):
+                    while any(claim.fencing_token(holder.now()) for holder, claim in claims):
                         await asyncio.sleep(0.02)
                 await harness.start_member("a")
                 restarted = loop.time()
                 request_times.clear()
                 async with asyncio.timeout(60):
                     for holder, claim in claims:
-                        await holder.held(claim)
+                        await holder.wait_acquired(claim)
                 worst = max(Counter(int(at / 0.1) for at in request_times).values())
                 load = f"{len(request_times)} requests, at most {worst} in 0.1 s"
                 print(f"{load}, all hold their leases again after {loop.time() - restarted:.2f} s")
--- a/tests/coordinator/test_membership.py
+++ b/tests/coordinator/test_membership.py
@@ -10,7 +10,7 @@
 from heronreel.coordination.client import Client
 from heronreel.coordination.errors import RequestError
 from heronreel.fault_injection.harness import Harness
-from heronreel.leases import overview
+from heronreel.leases import administration
 from heronreel.leases.lease import LeaseTerms
 from heronreel.leases.session import LeaseSession
 from tests.coordinator.group_support import THREE, other_than, put_until_done, value_of
@@ -21,8 +21,8 @@
     async with asyncio.timeout(60):
         while True:
             try:
-                await overview.resize(client, names)
-                if sorted((await overview.members(client))["disks"]) == sorted(names):
+                await administration.resize_group(client, names)
+                if sorted((await administration.group_overview(client))["disks"]) == sorted(names):
                     return
             except RequestError:
                 pass
@@ -47,17 +47,17 @@
 
             await put_until_done(first, b"begin", b"1")
             writing = asyncio.create_task(write())
-            terms = LeaseTerms(ttl=6, margin=0.5, answer=0.5)
+            terms = LeaseTerms(ttl_s=6, safety_margin_s=0.5, response_timeout_s=0.5)
             async with LeaseSession([harness.address("a")], "one", terms) as session:
                 claim = session.claim("t")
-                number = await session.held(claim)
+                number = await session.wait_acquired(claim)
                 for name in ("b", "c"):
                     await harness.add_member(name)
                 session.client.addresses = harness.addresses
                 await change_membership(first, THREE)
                 first.addresses = harness.addresses
                 await harness.wait_until_healthy()
-                assert claim.acts(session.now()) == number
+                assert claim.fencing_token(session.now()) == number
                 await harness.members["a"].kill()  # three members tolerate the loss of one
                 count = len(written)
                 async with asyncio.timeout(30):
@@ -72,7 +72,7 @@
                         await harness.remove_member(name)
                 first.addresses = session.client.addresses = harness.addresses
                 await harness.wait_until_healthy()
-                assert claim.acts(session.now()) == number
+                assert claim.fencing_token(session.now()) == number
                 count = len(written)
                 async with asyncio.timeout(30):
                     while len(written) < count + 20:
--- a/tests/fleet/test_agent_client.py
+++ b/tests/fleet/test_agent_client.py
@@ -19,7 +19,7 @@
 from heronreel.fleet.errors import AgentUnavailableError, CommandFailedError
 from heronreel.fleet.lifecycle_messages import Command, CommandResult, DesiredState
 from heronreel.fleet.model import Instance, InstanceKind
-from heronreel.leases.lease import PRESENCE_PREFIX
+from heronreel.leases.keys import PRESENCE_PREFIX
 
 INSTANCE = Instance(InstanceKind.PROXY, "p1", owner="m1")
 COMMAND = Command(7, 2, DesiredState.STOPPED, "2")
--- a/tests/fleet/test_disruption_budget.py
+++ b/tests/fleet/test_disruption_budget.py
@@ -39,7 +39,7 @@
     InstanceKind,
     Scope,
 )
-from heronreel.leases.lease import PRESENCE_PREFIX
+from heronreel.leases.keys import PRESENCE_PREFIX
 from heronreel.routes.reader import ConfigFileError
 
 CLAIM_GRANTED = (
