--- a/heronreel/cli/store.py
+++ b/heronreel/cli/store.py
@@ -27,14 +27,14 @@
 @contextmanager
 def _told(as_json: bool) -> Iterator[None]:
     """Errors of the store as one line, or as JSON, with the right exit code."""
-    from heronreel.store import Damaged, StoreError
+    from heronreel.store import CorruptionError, StoreError
 
     try:
         yield
-    except Damaged as damaged:
+    except CorruptionError as damaged:
         if as_json:
             lost = [dataclasses.asdict(each) for each in damaged.lost]
-            click.echo(json.dumps({"error": "Damaged", "lost": lost}))
+            click.echo(json.dumps({"error": damaged.code, "lost": lost}))
         else:
             for each in damaged.lost:
                 click.echo(f"lost: {each}", err=True)
@@ -42,7 +42,8 @@
         sys.exit(1)
     except (StoreError, OSError) as error:
         if as_json:
-            click.echo(json.dumps({"error": type(error).__name__, "what": str(error)}))
+            code = error.code if isinstance(error, StoreError) else type(error).__name__
+            click.echo(json.dumps({"error": code, "what": str(error)}))
         else:
             click.echo(f"heronreel store: {error}", err=True)
         sys.exit(2)
@@ -73,7 +74,7 @@
 @_json_option
 def verify_command(path: str, as_json: bool) -> None:
     """Read every byte and check it; for a store that nobody writes to. Changes nothing."""
-    from heronreel.store.check import verify
+    from heronreel.store.verify import verify
 
     with _told(as_json), _progress("verify") as progress:
         found = verify(path, progress)
@@ -151,7 +152,7 @@
 def compact_command(path: str, as_json: bool) -> None:
     """Rewrite the store without what is out of date. Needs the room of a second one meanwhile."""
     from heronreel.store import Store
-    from heronreel.store.check import folder_of
+    from heronreel.store.verify import folder_of
 
     with _told(as_json), Store.open(folder_of(path)) as store, _progress("compact") as progress:
         before = store.stat()["run_bytes"]
@@ -170,7 +171,7 @@
 
     Exit 1 if anything was lost: what, and which keys may show an older value, is listed.
     """
-    from heronreel.store.check import folder_of, repair
+    from heronreel.store.verify import folder_of, repair
 
     with _told(as_json), _progress("repair") as progress:
         found = repair(folder_of(path), target, progress)
--- a/heronreel/coordinator/server.py
+++ b/heronreel/coordinator/server.py
@@ -56,7 +56,7 @@
 from heronreel.leases.session import LeaseSession
 from heronreel.leases.task_runner import StepContext, TaskRunner
 from heronreel.leases.tasks import Priority, Task
-from heronreel.store import StoreError, StoreLocked, WriteFailed
+from heronreel.store import StoreError, StoreLockedError, WriteFailedError
 
 CALL_MOST = 1 << 20  # bytes of a client's call
 MEMBER_MOST = 24 << 20  # bytes of one call between members: a whole state and what goes with it
@@ -254,7 +254,7 @@
                     await asyncio.to_thread(self.disk.keep, persists)
             except (StoreError, OSError) as error:
                 log.error("disk refuses", member=self.name, error=str(error))
-                if not isinstance(error, WriteFailed) or error.final:
+                if not isinstance(error, WriteFailedError) or error.final:
                     self._over(74)
                     return
                 await asyncio.sleep(0.1)
@@ -588,7 +588,7 @@
         while True:
             try:
                 disk = await asyncio.to_thread(MemberDisk, self.folder, EMBEDDED)
-            except StoreLocked:
+            except StoreLockedError:
                 await asyncio.sleep(LOOK_S)  # another process of this machine serves
                 continue
             except (StoreError, OSError) as error:
--- a/heronreel/store/__init__.py
+++ b/heronreel/store/__init__.py
@@ -9,23 +9,37 @@
 * `check`: reading every byte, and salvaging what is left of a damaged store.
 """
 
-from heronreel.store.aio import AsyncStore
+from heronreel.store.async_store import AsyncStore
 from heronreel.store.errors import (
-    Damaged,
-    InvalidArgument,
+    CorruptionError,
+    InvalidArgumentError,
     Lost,
-    ReadOnly,
-    StoreClosed,
+    ReadOnlyError,
+    StoreClosedError,
     StoreError,
-    StoreLocked,
-    UnknownFormat,
-    WriteFailed,
+    StoreLockedError,
+    UnknownFormatError,
+    WriteFailedError,
 )
-from heronreel.store.store import BATCH_MOST, Batch, Limits, Store
-from heronreel.store.views import KEY_MOST, VALUE_MOST, Snapshot
+from heronreel.store.snapshot import MAX_KEY_BYTES, MAX_VALUE_BYTES, Snapshot
+from heronreel.store.store import MAX_BATCH_BYTES, Batch, Limits, Store
 
 __all__ = [
-    "BATCH_MOST", "KEY_MOST", "VALUE_MOST", "AsyncStore", "Batch", "Damaged", "InvalidArgument", "Limits",
-    "Lost", "ReadOnly", "Snapshot", "Store", "StoreClosed", "StoreError", "StoreLocked", "UnknownFormat",
-    "WriteFailed",
-]  # fmt: skip
+    "MAX_BATCH_BYTES",
+    "MAX_KEY_BYTES",
+    "MAX_VALUE_BYTES",
+    "AsyncStore",
+    "Batch",
+    "CorruptionError",
+    "InvalidArgumentError",
+    "Limits",
+    "Lost",
+    "ReadOnlyError",
+    "Snapshot",
+    "Store",
+    "StoreClosedError",
+    "StoreError",
+    "StoreLockedError",
+    "UnknownFormatError",
+    "WriteFailedError",
+]
--- a/heronreel/store/aio.py
+++ b/heronreel/store/async_store.py
@@ -18,10 +18,10 @@
 from typing import TypeVar
 
 from heronreel.store.disk import Disk
-from heronreel.store.errors import StoreClosed
-from heronreel.store.frames import OPERATION_BYTES, Operation
+from heronreel.store.errors import StoreClosedError
+from heronreel.store.log_format import OPERATION_BYTES, Operation
+from heronreel.store.snapshot import Snapshot, validated_key, validated_value
 from heronreel.store.store import Batch, Limits, Store
-from heronreel.store.views import Snapshot, checked_key, checked_value
 
 T = TypeVar("T")
 WAITING_MOST = 8 << 20  # bytes of writes that wait for the disk; one more may lie over it
@@ -97,7 +97,7 @@
             self._queue.put(None)
         for future in self._room:
             if not future.done():
-                future.set_exception(StoreClosed("the store is closed"))
+                future.set_exception(StoreClosedError("the store is closed"))
         await asyncio.to_thread(self._writer.join)
         await asyncio.to_thread(self.store.close)
         self._readers.shutdown(wait=False)
@@ -129,11 +129,11 @@
 
     async def put(self, key: bytes, value: bytes) -> None:
         """As `Store.put`."""
-        await self.write([(checked_key(key), checked_value(value))])
+        await self.write([(validated_key(key), validated_value(value))])
 
     async def delete(self, key: bytes) -> None:
         """As `Store.delete`."""
-        await self.write([(checked_key(key), None)])
+        await self.write([(validated_key(key), None)])
 
     def batch(self) -> AsyncBatch:
         """As `Store.batch`: `async with store.batch() as batch: ...`"""
@@ -157,7 +157,7 @@
             await room
         write = _Write(operations, size, self._loop.create_future())
         if self._ending:
-            raise StoreClosed("the store is closed")
+            raise StoreClosedError("the store is closed")
         self._waiting += size
         self._queue.put(write)
         await write.future
--- a/heronreel/store/levels.py
+++ b/heronreel/store/compaction_policy.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Weight:
+class RunWeight:
     """Of one run."""
 
     size: int  # bytes
@@ -23,7 +23,7 @@
     deletions: int  # among the entries
 
 
-def first_to_merge(runs: Sequence[Weight], small: int) -> int | None:
+def oldest_run_to_compact(runs: Sequence[RunWeight], small: int) -> int | None:
     """The place of the oldest run to merge with all newer ones, or None if nothing is due.
 
     `runs` goes from the oldest to the newest.  Runs below `small` bytes wait until there are four: merging
--- a/heronreel/store/disk.py
+++ b/heronreel/store/disk.py
@@ -1,8 +1,8 @@
 """The narrow seam between the store and a disk, and the real one.
 
 Whatever the store does to files goes through `Disk` and `DiskFile`: two implementations exist, `RealDisk`
-here and `heronreel.store.simulated.SimulatedDisk`, which leaves open what POSIX leaves open.  The store
-leans on no more than this:
+here and `heronreel.store.fault_injecting_disk.FaultInjectingDisk`, which leaves open what POSIX leaves
+open.  The store leans on no more than this:
 
 * `write` appends and may write less than it was given;
 * written bytes are on the disk once `sync` has returned, and not before; after a failed `sync` they may or
--- a/heronreel/store/simulated.py
+++ b/heronreel/store/fault_injecting_disk.py
@@ -86,8 +86,8 @@
         return made
 
 
-class SimulatedFile:
-    def __init__(self, disk: SimulatedDisk, name: str, content: _Content) -> None:
+class FaultInjectingFile:
+    def __init__(self, disk: FaultInjectingDisk, name: str, content: _Content) -> None:
         self._disk = disk
         self._name = name
         self._content = content
@@ -137,7 +137,7 @@
 class _Call:
     """One call to the disk, told to whoever watches."""
 
-    def __init__(self, disk: SimulatedDisk, call: str, name: str, changes: bool) -> None:
+    def __init__(self, disk: FaultInjectingDisk, call: str, name: str, changes: bool) -> None:
         self._disk = disk
         self._told = call, name
         self._changes = changes
@@ -162,8 +162,8 @@
             self._disk.watch(moment, *self._told)
 
 
-class SimulatedLock:
-    def __init__(self, disk: SimulatedDisk) -> None:
+class FaultInjectingLock:
+    def __init__(self, disk: FaultInjectingDisk) -> None:
         self._disk = disk
 
     def tell(self, note: bytes) -> None:
@@ -174,7 +174,7 @@
         self._disk._note = None
 
 
-class SimulatedDisk:
+class FaultInjectingDisk:
     """One folder on a disk of `capacity` bytes."""
 
     def __init__(self, capacity: int = 1 << 40) -> None:
@@ -192,9 +192,9 @@
 
     # -- what a test does
 
-    def image(self, rng: random.Random) -> SimulatedDisk:
+    def image(self, rng: random.Random) -> FaultInjectingDisk:
         """One of the disks that a loss of power could leave at this moment; this one is left as it is."""
-        made = SimulatedDisk(self.capacity)
+        made = FaultInjectingDisk(self.capacity)
         made._made = self._made
         names = dict(self._kept)
         keep_all, keep_none = rng.random() < 0.25, rng.random() < 0.25
@@ -212,9 +212,9 @@
         made._stale = list(self._stale)
         return made
 
-    def copy(self) -> SimulatedDisk:
+    def copy(self) -> FaultInjectingDisk:
         """The same files, all of them durable, and nobody at work."""
-        made = SimulatedDisk(self.capacity)
+        made = FaultInjectingDisk(self.capacity)
         made._made = self._made
         for name, content in self._names.items():
             kept = _Content(bytearray(content.seen), bytearray(content.seen))
@@ -278,7 +278,7 @@
         self._alive()
         return sorted(self._names) + ([LOCK] if self._made else [])
 
-    def create(self, name: str) -> SimulatedFile:
+    def create(self, name: str) -> FaultInjectingFile:
         with self._call("create", name) as call:
             if call.fault:
                 raise call.fault.raised(name)
@@ -286,15 +286,15 @@
                 self._forget(former)
             content = self._names[name] = _Content()
             self._changes.append((None, name, content))
-        return SimulatedFile(self, name, content)
+        return FaultInjectingFile(self, name, content)
 
-    def open(self, name: str) -> SimulatedFile:
+    def open(self, name: str) -> FaultInjectingFile:
         with self._call("open", name, changes=False) as call:
             if call.fault:
                 raise call.fault.raised(name)
             if name not in self._names:
                 raise Fault(errno.ENOENT).raised(name)
-        return SimulatedFile(self, name, self._names[name])
+        return FaultInjectingFile(self, name, self._names[name])
 
     def rename(self, old: str, new: str) -> None:
         with self._call("rename", new) as call:
@@ -330,12 +330,12 @@
             self._kept = dict(self._names)
             self._changes.clear()
 
-    def lock(self) -> SimulatedLock | None:
+    def lock(self) -> FaultInjectingLock | None:
         self._alive()
         if self._note is not None:
             return None
         self._note = bytes(64)
-        return SimulatedLock(self)
+        return FaultInjectingLock(self)
 
     def note(self) -> bytes | None:
         self._alive()
--- a/heronreel/store/frames.py
+++ b/heronreel/store/log_format.py
@@ -1,7 +1,7 @@
 """The log's bytes: segments, frames and the operations in them.  No I/O; `docs/store-format.md` has the
 layout.
 
-A segment is a header and frames.  One frame carries one group of operations, or a fragment of a group too
+A segment is a header and log_format.  One frame carries one group of operations, or a fragment of a group too
 large for a frame; fragments of one group may lie in several segments.  Two numbers make damage told from a
 torn end:
 
@@ -20,15 +20,22 @@
 
 import xxhash
 
+from heronreel.store.checksum import (
+    CHECKSUM_BYTES,
+    FORMAT_VERSION,
+    append_checksum,
+    check_format_version,
+    checksum_bytes,
+    verified_body,
+)
 from heronreel.store.errors import Lost
-from heronreel.store.seal import FORMAT, SEAL_BYTES, digest, know_format, sealed, unsealed
 
 MAGIC = b"HRNLOG\r\n"
 _HEADER = struct.Struct("<8sII16sQQQQ")
-HEADER_BYTES = _HEADER.size + SEAL_BYTES
+HEADER_BYTES = _HEADER.size + CHECKSUM_BYTES
 _FRAME = struct.Struct("<QIB3xQQ")
 FRAME_BYTES = _FRAME.size
-FRAGMENT_MOST = 1 << 20
+MAX_FRAGMENT_BYTES = 1 << 20
 _OPERATION = struct.Struct("<HI")
 OPERATION_BYTES = _OPERATION.size
 _DELETED = 0xFFFFFFFF
@@ -38,7 +45,7 @@
 """A key and its new value, or None where it is deleted."""
 
 
-class Kind(enum.IntEnum):
+class FrameKind(enum.IntEnum):
     """What a frame is of its group."""
 
     WHOLE = 1
@@ -59,16 +66,18 @@
 
     def encode(self) -> bytes:
         fields = (self.fresh, self.store, self.number, self.first_sequence, self.former_end, self.salt)
-        return sealed(_HEADER.pack(MAGIC, FORMAT, *fields))
+        return append_checksum(_HEADER.pack(MAGIC, FORMAT_VERSION, *fields))
 
     @classmethod
     def decode(cls, data: bytes, file: str) -> SegmentHeader | None:
-        """The header at the begin of `data`, None where it is no whole one; UnknownFormat for a newer one."""
-        body = unsealed(data, _HEADER.size)
+        """The header at the begin of `data`, None where it is no whole one; UnknownFormatError for a newer
+        one.
+        """
+        body = verified_body(data, _HEADER.size)
         if body is None or not body.startswith(MAGIC):
             return None
         _, version, fresh, store, number, first, former_end, salt = _HEADER.unpack(body)
-        know_format(version, file)
+        check_format_version(version, file)
         return cls(store, number, first, former_end, salt, bool(fresh))
 
 
@@ -76,7 +85,7 @@
 class Frame:
     offset: int
     end: int  # of the frame with its padding
-    kind: Kind
+    kind: FrameKind
     sequence: int
     durable: int
     payload: bytes
@@ -118,10 +127,12 @@
     return operations
 
 
-def encode_frame(salt: int, kind: Kind, sequence: int, durable: int, payload: bytes | memoryview) -> bytes:
+def encode_frame(
+    salt: int, kind: FrameKind, sequence: int, durable: int, payload: bytes | memoryview
+) -> bytes:
     rest = _FRAME.pack(0, len(payload), kind, sequence, durable)[8:] + payload
     padding = b"\0" * (-len(payload) % _ALIGN)
-    return digest(rest, salt) + rest + padding
+    return checksum_bytes(rest, salt) + rest + padding
 
 
 def decode_frame(data: bytes, offset: int, end: int, salt: int) -> Frame | None:
@@ -130,14 +141,16 @@
         return None
     checksum, length, kind, sequence, durable = _FRAME.unpack_from(data, offset)
     last = offset + FRAME_BYTES + length
-    if length > FRAGMENT_MOST or last > end or not 1 <= kind <= 5:
+    if length > MAX_FRAGMENT_BYTES or last > end or not 1 <= kind <= 5:
         return None
     if xxhash.xxh3_64_intdigest(memoryview(data)[offset + 8 : last], salt) != checksum:
         return None
-    return Frame(offset, last + -length % _ALIGN, Kind(kind), sequence, durable, data[last - length : last])
+    return Frame(
+        offset, last + -length % _ALIGN, FrameKind(kind), sequence, durable, data[last - length : last]
+    )
 
 
-def frames_behind(data: bytes, offset: int, end: int, salt: int) -> Iterator[Frame]:
+def scan_frames(data: bytes, offset: int, end: int, salt: int) -> Iterator[Frame]:
     """Every valid frame from `offset` on, wherever it begins: for what lies behind a frame that can't be
     read.
     """
@@ -152,7 +165,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dropped:
+class DroppedTail:
     """The end of a log that was never acknowledged and is not in the store."""
 
     file: str
@@ -172,15 +185,15 @@
     groups: int = 0
     bytes: int = 0
     last_number: int = 0
-    dropped: list[Dropped] = field(default_factory=list)
+    dropped: list[DroppedTail] = field(default_factory=list)
     lost: list[Lost] = field(default_factory=list)
 
 
-def file_name(number: int) -> str:
+def segment_name(number: int) -> str:
     return f"{number:08}.log"
 
 
-def numbers_of(names: list[str], kind: str) -> list[int]:
+def file_numbers(names: list[str], kind: str) -> list[int]:
     """The numbers of the files of a kind ("log", "table", "index"), in their order."""
     split = [name.partition(".") for name in names]
     return sorted(int(stem) for stem, _, ending in split if ending == kind and stem.isdigit())
@@ -243,13 +256,15 @@
             self._segment(number, data, header, end, sealed=place + 1 < len(headers))
         if self._parts:
             why = "a group begun and not ended"
-            state.dropped.append(Dropped(file_name(self._begun), self._begun_at, 0, why))
+            state.dropped.append(DroppedTail(segment_name(self._begun), self._begun_at, 0, why))
             self._parts.clear()
         return state
 
     def _headers(self, numbers: list[int]) -> list[tuple[int, SegmentHeader | None]]:
         begins = {number: self._read(number, HEADER_BYTES + 1) for number in numbers}
-        headers = [(number, SegmentHeader.decode(data, file_name(number))) for number, data in begins.items()]
+        headers = [
+            (number, SegmentHeader.decode(data, segment_name(number))) for number, data in begins.items()
+        ]
         # A segment's header is durable before its first frame is written, and before a manifest names it.
         # So a last segment without frames whose header is torn, or bytes that another file left there, is a
         # creation cut off. One that an opening made counts from the manifest on that begins the log with
@@ -262,7 +277,7 @@
                 break
             headers.pop()
             why = "an opening was cut off" if header and header.fresh else "its creation was cut off"
-            self.state.dropped.append(Dropped(file_name(number), 0, length, why))
+            self.state.dropped.append(DroppedTail(segment_name(number), 0, length, why))
         return headers
 
     def _segment(
@@ -279,13 +294,15 @@
         while at < end:
             frame = decode_frame(data, at, end, header.salt)
             if frame is None:
-                behind = list(frames_behind(data, at + _ALIGN, end, header.salt))
+                behind = list(scan_frames(data, at + _ALIGN, end, header.salt))
                 known = max((found.durable for found in behind), default=0)
                 if declared is None and not sealed and known <= at:
                     kept = f", {len(behind)} whole frames among them" if behind else ""
                     if data.count(0, at) < len(data) - at:
                         state.dropped.append(
-                            Dropped(file_name(number), at, end - at, f"a torn end, never acknowledged{kept}")
+                            DroppedTail(
+                                segment_name(number), at, end - at, f"a torn end, never acknowledged{kept}"
+                            )
                         )
                     break
                 # only what is behind an acknowledged frame and acknowledged itself is taken up again
@@ -301,8 +318,8 @@
                 self._lose(number, at, until - at, "the checksum does not hold", words)
                 self._parts.clear()
                 at = until
-                if behind and behind[0].kind in (Kind.MIDDLE, Kind.LAST):
-                    state.next_sequence = behind[0].sequence + (behind[0].kind is Kind.LAST)
+                if behind and behind[0].kind in (FrameKind.MIDDLE, FrameKind.LAST):
+                    state.next_sequence = behind[0].sequence + (behind[0].kind is FrameKind.LAST)
                     at = behind[0].end
                 elif behind:
                     state.next_sequence = behind[0].sequence
@@ -312,7 +329,7 @@
 
     def _frame(self, number: int, frame: Frame) -> None:
         state = self.state
-        if frame.kind is Kind.MARK:
+        if frame.kind is FrameKind.MARK:
             return
         if frame.sequence != state.next_sequence:
             if frame.sequence < state.next_sequence:
@@ -323,10 +340,12 @@
                 f"groups {state.next_sequence} to {frame.sequence - 1}",
             )  # fmt: skip
             state.next_sequence = frame.sequence
-        if frame.kind in (Kind.WHOLE, Kind.FIRST):
+        if frame.kind in (FrameKind.WHOLE, FrameKind.FIRST):
             if self._parts:  # its write failed half-way, and what came next took its number
                 state.dropped.append(
-                    Dropped(file_name(self._begun), self._begun_at, 0, "a group whose write failed half-way")
+                    DroppedTail(
+                        segment_name(self._begun), self._begun_at, 0, "a group whose write failed half-way"
+                    )
                 )
             self._parts = [frame.payload]
             self._begun, self._begun_at = number, frame.offset
@@ -334,12 +353,12 @@
             if not self.state.lost:
                 words = f"group {frame.sequence}"
                 self._lose(number, frame.offset, frame.end - frame.offset, "its group has no begin", words)
-            if frame.kind is Kind.LAST:
+            if frame.kind is FrameKind.LAST:
                 state.next_sequence += 1
             return
         else:
             self._parts.append(frame.payload)
-        if frame.kind in (Kind.WHOLE, Kind.LAST):
+        if frame.kind in (FrameKind.WHOLE, FrameKind.LAST):
             operations = decode_operations(b"".join(self._parts))
             self._parts = []
             state.next_sequence += 1
@@ -347,4 +366,4 @@
             self._apply(frame.sequence, operations)
 
     def _lose(self, number: int, offset: int, length: int, why: str, records: str) -> None:
-        self.state.lost.append(Lost(file_name(number), offset, length, records, why))
+        self.state.lost.append(Lost(segment_name(number), offset, length, records, why))
--- a/heronreel/store/manifest.py
+++ b/heronreel/store/manifest.py
@@ -11,9 +11,9 @@
 import msgspec
 import xxhash
 
+from heronreel.store.checksum import FORMAT_VERSION, check_format_version
 from heronreel.store.errors import Lost
-from heronreel.store.seal import FORMAT, know_format
-from heronreel.store.tables import RunInfo, TableInfo
+from heronreel.store.sstable import RunInfo, TableInfo
 
 MANIFEST = "MANIFEST"
 MANIFEST_NEW = "MANIFEST.new"
@@ -92,18 +92,20 @@
 
 def encode_manifest(manifest: Manifest) -> bytes:
     body = msgspec.json.format(msgspec.json.encode(manifest), indent=1) + b"\n"
-    return b"heronreel-store %d %d %016x\n" % (FORMAT, len(body), xxhash.xxh3_64_intdigest(body)) + body
+    return (
+        b"heronreel-store %d %d %016x\n" % (FORMAT_VERSION, len(body), xxhash.xxh3_64_intdigest(body)) + body
+    )
 
 
 def decode_manifest(data: bytes) -> Manifest | None:
-    """None where it is no whole manifest; UnknownFormat for one of a newer format."""
+    """None where it is no whole manifest; UnknownFormatError for one of a newer format."""
     line = _LINE.match(data)
     if not line:
         # the line of any later format begins alike, whatever may follow
         if later := re.match(rb"heronreel-store (\d{1,9}) ", data):
-            know_format(int(later[1]), MANIFEST)
+            check_format_version(int(later[1]), MANIFEST)
         return None
-    know_format(int(line[1]), MANIFEST)
+    check_format_version(int(line[1]), MANIFEST)
     body = data[line.end() :]
     if len(body) != int(line[2]) or xxhash.xxh3_64_intdigest(body) != int(line[3], 16):
         return None
--- a/heronreel/store/opening.py
+++ b/heronreel/store/recovery.py
@@ -6,46 +6,47 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from heronreel.store import frames
+from heronreel.store import log_format
 from heronreel.store.disk import LOCK, Disk, read_whole
-from heronreel.store.errors import Damaged, Lost, UnknownFormat
-from heronreel.store.frames import LogReader, LogState, Operation
+from heronreel.store.errors import CorruptionError, Lost, UnknownFormatError
+from heronreel.store.log_format import LogReader, LogState, Operation
 from heronreel.store.manifest import MANIFEST, MANIFEST_NEW, Manifest, decode_manifest
-from heronreel.store.tables import Run, RunInfo, Table
+from heronreel.store.sstable import RunInfo, SortedRun, SSTable
 
-NOTE = struct.Struct("<8sQQ")
-NOTE_MAGIC = b"HRNNOTE\n"
+DURABLE_NOTE = struct.Struct("<8sQQ")
+DURABLE_NOTE_MAGIC = b"HRNNOTE\n"
 
 
 def read_manifest(disk: Disk) -> Manifest | None:
     """The manifest in force, None where there is no store yet.
 
-    UnknownFormat for a newer one and for a folder of other things, Damaged where it is gone or can't be read.
+    UnknownFormatError for a newer one and for a folder of other things, CorruptionError where it is gone or
+    can't be read.
     """
     names = disk.names()
     if MANIFEST in names:
         manifest = decode_manifest(read_whole(disk, MANIFEST))
         if manifest is None:
-            raise Damaged((Lost(MANIFEST, 0, 0, "the names of all files", "it can't be read"),))
+            raise CorruptionError((Lost(MANIFEST, 0, 0, "the names of all files", "it can't be read"),))
         return manifest
-    ours = {LOCK, MANIFEST_NEW, frames.file_name(1)}
+    ours = {LOCK, MANIFEST_NEW, log_format.segment_name(1)}
     if set(names) <= ours:
         # the first segment is made before the first manifest and holds no frame until that is durable
-        if frames.file_name(1) in names:
-            file = disk.open(frames.file_name(1))
+        if log_format.segment_name(1) in names:
+            file = disk.open(log_format.segment_name(1))
             try:
                 size = file.size()
             finally:
                 file.close()
-            if size > frames.HEADER_BYTES:
-                raise Damaged((Lost(MANIFEST, 0, 0, "the names of all files", "it is missing"),))
+            if size > log_format.HEADER_BYTES:
+                raise CorruptionError((Lost(MANIFEST, 0, 0, "the names of all files", "it is missing"),))
         return None
     if any(name.endswith((".log", ".table")) for name in names):
-        raise Damaged((Lost(MANIFEST, 0, 0, "the names of all files", "it is missing"),))
-    raise UnknownFormat(f"the folder holds {sorted(set(names) - ours)[0]!r} and no store")
+        raise CorruptionError((Lost(MANIFEST, 0, 0, "the names of all files", "it is missing"),))
+    raise UnknownFormatError(f"the folder holds {sorted(set(names) - ours)[0]!r} and no store")
 
 
-def open_runs(disk: Disk, manifest: Manifest) -> tuple[list[Run], list[Lost]]:
+def open_runs(disk: Disk, manifest: Manifest) -> tuple[list[SortedRun], list[Lost]]:
     """The runs, and what is lost with tables that are gone or don't fit.  A run without them is still a
     run.
     """
@@ -55,19 +56,19 @@
         tables, parts = [], []
         for part in info.parts:
             try:
-                tables.append(Table.open(disk, part, store, info))
+                tables.append(SSTable.open(disk, part, store, info))
                 parts.append(part)
             except FileNotFoundError:
                 words = f"records of keys {part.first!r} to {part.last!r}"
                 lost.append(Lost(part.file, 0, part.size, words, "the file is missing"))
-            except Damaged as damaged:
+            except CorruptionError as damaged:
                 lost += damaged.lost
-        runs.append(Run(RunInfo(info.low, info.high, tuple(parts)), tables))
+        runs.append(SortedRun(RunInfo(info.low, info.high, tuple(parts)), tables))
     return runs, lost
 
 
-def log_numbers(disk: Disk, manifest: Manifest) -> list[int]:
-    return [number for number in frames.numbers_of(disk.names(), "log") if number >= manifest.log_from]
+def segment_numbers(disk: Disk, manifest: Manifest) -> list[int]:
+    return [number for number in log_format.file_numbers(disk.names(), "log") if number >= manifest.log_from]
 
 
 def read_log(
@@ -80,20 +81,20 @@
 
     def read(number: int, most: int | None) -> bytes:
         with suppress(FileNotFoundError):
-            return read_whole(disk, frames.file_name(number), most)
+            return read_whole(disk, log_format.segment_name(number), most)
         return b""
 
     reader = LogReader(
         read, bytes.fromhex(manifest.store), manifest.log_from, manifest.next_sequence, apply, durable
     )
-    return memory, reader.run(log_numbers(disk, manifest))
+    return memory, reader.run(segment_numbers(disk, manifest))
 
 
 @dataclass(frozen=True, slots=True)
 class Contents:
     """What a manifest's files hold, and what of them is lost."""
 
-    runs: list[Run]
+    runs: list[SortedRun]
     memory: dict[bytes, bytes | None]
     log: LogState
     lost: list[Lost]
@@ -107,18 +108,18 @@
     return Contents(runs, memory, log, [*lost, *log.lost, *remembered])
 
 
-def durable_of(note: bytes | None) -> tuple[int, int] | None:
+def decode_durable_position(note: bytes | None) -> tuple[int, int] | None:
     """What a live writer has told: segment and bytes of it that are durable."""
-    if note is None or len(note) < NOTE.size:
+    if note is None or len(note) < DURABLE_NOTE.size:
         return None
-    magic, number, durable = NOTE.unpack_from(note)
-    return (number, durable) if magic == NOTE_MAGIC else None
+    magic, number, durable = DURABLE_NOTE.unpack_from(note)
+    return (number, durable) if magic == DURABLE_NOTE_MAGIC else None
 
 
 def sync_log(disk: Disk, manifest: Manifest) -> None:
-    for number in log_numbers(disk, manifest):
+    for number in segment_numbers(disk, manifest):
         try:
-            file = disk.open(frames.file_name(number))
+            file = disk.open(log_format.segment_name(number))
             try:
                 file.sync()
             finally:
--- a/heronreel/store/tables.py
+++ b/heronreel/store/sstable.py
@@ -14,18 +14,25 @@
 
 import xxhash
 
+from heronreel.store.checksum import (
+    CHECKSUM_BYTES,
+    FORMAT_VERSION,
+    append_checksum,
+    check_format_version,
+    checksum_bytes,
+    verified_body,
+)
 from heronreel.store.disk import Disk, DiskFile, read_whole, write_whole
-from heronreel.store.errors import Damaged, Lost
-from heronreel.store.frames import Operation, decode_operations, encode_operation
-from heronreel.store.seal import FORMAT, SEAL_BYTES, digest, know_format, sealed, unsealed
+from heronreel.store.errors import CorruptionError, Lost
+from heronreel.store.log_format import Operation, decode_operations, encode_operation
 
 MAGIC = b"HRNTBL\r\n"
 END_MAGIC = b"HRNTEND\n"
 INDEX_MAGIC = b"HRNIDX\r\n"
 _HEADER = struct.Struct("<8sII16sQQQIIQ")
-HEADER_BYTES = _HEADER.size + SEAL_BYTES
+HEADER_BYTES = _HEADER.size + CHECKSUM_BYTES
 _FOOTER = struct.Struct("<8sIIQQQ")
-FOOTER_BYTES = _FOOTER.size + SEAL_BYTES
+FOOTER_BYTES = _FOOTER.size + CHECKSUM_BYTES
 BLOCK = struct.Struct("<QII")
 BLOCK_BYTES = BLOCK.size
 _ENTRY = struct.Struct("<HI")
@@ -50,19 +57,28 @@
     salt: int
 
     def encode(self) -> bytes:
-        return sealed(
+        return append_checksum(
             _HEADER.pack(
-                MAGIC, FORMAT, 0, self.store, self.number, self.low, self.high, self.part, 0, self.salt
+                MAGIC,
+                FORMAT_VERSION,
+                0,
+                self.store,
+                self.number,
+                self.low,
+                self.high,
+                self.part,
+                0,
+                self.salt,
             )
         )
 
     @classmethod
     def decode(cls, data: bytes, file: str) -> TableHeader | None:
-        body = unsealed(data, _HEADER.size)
+        body = verified_body(data, _HEADER.size)
         if body is None or not body.startswith(MAGIC):
             return None
         _, version, _, store, number, low, high, part, _, salt = _HEADER.unpack(body)
-        know_format(version, file)
+        check_format_version(version, file)
         return cls(store, number, low, high, part, salt)
 
 
@@ -76,11 +92,11 @@
 
     def encode(self, salt: int) -> bytes:
         body = _FOOTER.pack(END_MAGIC, self.blocks, self.last_part, self.entries, self.deletions, self.end)
-        return sealed(body, salt)
+        return append_checksum(body, salt)
 
     @classmethod
     def decode(cls, data: bytes, salt: int) -> Footer | None:
-        body = unsealed(data, _FOOTER.size, salt)
+        body = verified_body(data, _FOOTER.size, salt)
         if body is None:
             return None
         _, blocks, last, entries, deletions, end = _FOOTER.unpack(body)
@@ -143,7 +159,7 @@
         at += len(parts[-1])
     body = struct.pack(f"<{len(offsets)}I", *offsets) + b"".join(parts)
     rest = struct.pack("<II", len(body), len(offsets)) + body
-    return digest(rest, (salt + offset) & MASK) + rest
+    return checksum_bytes(rest, (salt + offset) & MASK) + rest
 
 
 def decode_block(data: bytes) -> list[Record]:
@@ -174,7 +190,7 @@
     return False, None
 
 
-class Filter:
+class BloomFilter:
     """A Bloom filter: says of a key that the table has not got that it may have it once in about eighty
     times.
     """
@@ -186,7 +202,7 @@
         self._bits = len(data) * 8
 
     @classmethod
-    def of(cls, hashes: list[int]) -> Filter:
+    def of(cls, hashes: list[int]) -> BloomFilter:
         made = cls(bytearray(max(8, (len(hashes) * FILTER_BITS + 7) // 8)))
         made.add(hashes)
         return made
@@ -225,27 +241,30 @@
 
     offsets: list[int]
     firsts: list[bytes]
-    filter: Filter
+    filter: BloomFilter
 
     def encode(self, number: int, salt: int) -> bytes:
         filter_data = self.filter.data
         keys = b"".join(self.firsts)
         count = len(self.offsets)
         body: bytes = (
-            _INDEX.pack(INDEX_MAGIC, FORMAT, 0, number, salt, count, len(filter_data), len(keys))
+            _INDEX.pack(INDEX_MAGIC, FORMAT_VERSION, 0, number, salt, count, len(filter_data), len(keys))
             + struct.pack(f"<{count}Q{count}H", *self.offsets, *map(len, self.firsts))
             + filter_data
             + keys
         )
-        return sealed(body, salt)
+        return append_checksum(body, salt)
 
     @classmethod
     def decode(cls, data: bytes, number: int, salt: int) -> Index | None:
         """None for what is no whole index of just that table."""
-        if len(data) < _INDEX.size + SEAL_BYTES or unsealed(data, len(data) - SEAL_BYTES, salt) is None:
+        if (
+            len(data) < _INDEX.size + CHECKSUM_BYTES
+            or verified_body(data, len(data) - CHECKSUM_BYTES, salt) is None
+        ):
             return None
         magic, version, _, of_number, of_salt, count, filter_length, _ = _INDEX.unpack_from(data)
-        if (magic, version, of_number, of_salt) != (INDEX_MAGIC, FORMAT, number, salt):
+        if (magic, version, of_number, of_salt) != (INDEX_MAGIC, FORMAT_VERSION, number, salt):
             return None
         at = _INDEX.size
         offsets = list(struct.unpack_from(f"<{count}Q", data, at))
@@ -258,7 +277,7 @@
         for length in lengths:
             firsts.append(data[at : at + length])
             at += length
-        return cls(offsets, firsts, Filter(filter_data))
+        return cls(offsets, firsts, BloomFilter(filter_data))
 
 
 @dataclass(slots=True, eq=False)
@@ -280,7 +299,7 @@
     _firsts: list[bytes] = field(init=False, default_factory=list)
     _hashes: list[int] = field(init=False, default_factory=list)
     _last: bytes = field(init=False, default=b"")
-    _filter: Filter | None = field(init=False, default=None)
+    _filter: BloomFilter | None = field(init=False, default=None)
 
     def __post_init__(self) -> None:
         self._file = self.disk.create(table_name(self.header.number))
@@ -303,7 +322,7 @@
     def filter_steps(self) -> Iterator[int]:
         """Make the filter some thousand keys at a time, once all records are there; yields after each."""
         if self._filter is None:
-            self._filter = Filter(bytearray(max(8, (len(self._hashes) * FILTER_BITS + 7) // 8)))
+            self._filter = BloomFilter(bytearray(max(8, (len(self._hashes) * FILTER_BITS + 7) // 8)))
             for begin in range(0, len(self._hashes), FILTER_STEP):
                 self._filter.add(self._hashes[begin : begin + FILTER_STEP])
                 yield 1  # no bytes to speak of, and a step all the same
@@ -356,7 +375,7 @@
             self._buffered = 0
 
 
-class Table:
+class SSTable:
     """A table opened for reading.  Its index is read with the first question, or made anew from its
     blocks.
     """
@@ -383,12 +402,14 @@
     @classmethod
     def open(
         cls, disk: Disk, info: TableInfo, store: bytes, run: RunInfo | None = None, index: Index | None = None
-    ) -> Table:
-        """Checks size, header and footer.  FileNotFoundError if there is none, Damaged if they don't fit."""
+    ) -> SSTable:
+        """Checks size, header and footer.  FileNotFoundError if there is none, CorruptionError if they
+        don't fit.
+        """
         file = disk.open(info.file)
         size = file.size()
         if size != info.size:
-            raise Damaged((Lost(
+            raise CorruptionError((Lost(
                 info.file, min(size, info.size), abs(info.size - size),
                 f"keys up to {info.last!r}", f"it has {size} bytes and should have {info.size}",
             ),))  # fmt: skip
@@ -396,10 +417,10 @@
         if header is None or header.store != store or header.number != info.number or (
             run is not None and (header.low, header.high) != (run.low, run.high)
         ):  # fmt: skip
-            raise Damaged((Lost(info.file, 0, HEADER_BYTES, "all of it", "its header does not fit"),))
+            raise CorruptionError((Lost(info.file, 0, HEADER_BYTES, "all of it", "its header does not fit"),))
         footer = Footer.decode(file.read(size - FOOTER_BYTES, FOOTER_BYTES), header.salt)
         if footer is None or footer.end != size - FOOTER_BYTES or footer.entries != info.entries:
-            raise Damaged((Lost(
+            raise CorruptionError((Lost(
                 info.file, size - FOOTER_BYTES, FOOTER_BYTES, "none by itself", "its footer does not fit",
             ),))  # fmt: skip
         return cls(disk, file, info, header, footer, index)
@@ -425,7 +446,7 @@
         return len(self._index.filter.data) + sum(73 + len(first) for first in self._index.firsts)
 
     def make_index(self) -> Index:
-        """The index from the blocks alone; Damaged where one can't be read."""
+        """The index from the blocks alone; CorruptionError where one can't be read."""
         offsets, firsts, hashes = [], [], []
         for offset, block in self.blocks_in_file():
             offsets.append(offset)
@@ -433,7 +454,7 @@
                 if not place:
                     firsts.append(key)
                 hashes.append(xxhash.xxh3_64_intdigest(key))
-        return Index(offsets, firsts, Filter.of(hashes))
+        return Index(offsets, firsts, BloomFilter.of(hashes))
 
     def blocks_in_file(self) -> Iterator[tuple[int, bytes]]:
         """Offset and bytes of each block, found without the index."""
@@ -442,19 +463,19 @@
             head = self._file.read(offset, BLOCK_BYTES)
             length = BLOCK_BYTES + BLOCK.unpack(head)[1] if len(head) == BLOCK_BYTES else BLOCK_BYTES
             if offset + length > self.footer.end:
-                raise Damaged((self.lost_at(offset, self.footer.end - offset),))
+                raise CorruptionError((self.lost_at(offset, self.footer.end - offset),))
             yield offset, self.block(offset, length)
             offset += length
 
     def block(self, offset: int, length: int) -> bytes:
-        """A block's bytes, checked; Damaged names the keys that are lost with it."""
+        """A block's bytes, checked; CorruptionError names the keys that are lost with it."""
         data = self._file.read(offset, length)
         if (
             len(data) != length
             or length < BLOCK_BYTES
-            or digest(memoryview(data)[8:], (self.header.salt + offset) & MASK) != data[:8]
+            or checksum_bytes(memoryview(data)[8:], (self.header.salt + offset) & MASK) != data[:8]
         ):
-            raise Damaged((self.lost_at(offset, length),))
+            raise CorruptionError((self.lost_at(offset, length),))
         return data
 
     def lost_at(self, offset: int, length: int) -> Lost:
@@ -492,12 +513,12 @@
                     yield record
 
 
-class Run:
+class SortedRun:
     """A run opened for reading."""
 
     __slots__ = ("_lasts", "info", "tables")
 
-    def __init__(self, info: RunInfo, tables: list[Table]) -> None:
+    def __init__(self, info: RunInfo, tables: list[SSTable]) -> None:
         self.info = info
         self.tables = tables
         self._lasts = [part.last for part in info.parts]
--- a/heronreel/store/store.py
+++ b/heronreel/store/store.py
@@ -22,19 +22,19 @@
 
 from msgspec.structs import replace
 
-from heronreel.store import frames, levels
+from heronreel.store import compaction_policy, log_format
 from heronreel.store.disk import Disk, DiskFile, LockFile, RealDisk, write_whole
 from heronreel.store.errors import (
-    Damaged,
-    InvalidArgument,
+    CorruptionError,
+    InvalidArgumentError,
     Lost,
-    ReadOnly,
-    StoreClosed,
+    ReadOnlyError,
+    StoreClosedError,
     StoreError,
-    StoreLocked,
-    WriteFailed,
+    StoreLockedError,
+    WriteFailedError,
 )
-from heronreel.store.frames import Dropped, Kind, LogState, Operation, SegmentHeader
+from heronreel.store.log_format import DroppedTail, FrameKind, LogState, Operation, SegmentHeader
 from heronreel.store.manifest import (
     MANIFEST,
     MANIFEST_NEW,
@@ -43,36 +43,36 @@
     encode_manifest,
     run_entry,
 )
-from heronreel.store.opening import (
-    NOTE,
-    NOTE_MAGIC,
+from heronreel.store.recovery import (
+    DURABLE_NOTE,
+    DURABLE_NOTE_MAGIC,
     Contents,
-    durable_of,
+    decode_durable_position,
     read_contents,
     read_manifest,
     sync_log,
 )
-from heronreel.store.tables import (
+from heronreel.store.snapshot import (
+    ReadView,
+    Snapshot,
+    look_up,
+    merge_records,
+    validated_key,
+    validated_value,
+)
+from heronreel.store.sstable import (
     Index,
     Record,
-    Run,
     RunInfo,
-    Table,
+    SortedRun,
+    SSTable,
     TableHeader,
     TableInfo,
     TableWriter,
     index_name,
 )
-from heronreel.store.views import (
-    Snapshot,
-    View,
-    checked_key,
-    checked_value,
-    in_one_order,
-    look_up,
-)
 
-BATCH_MOST = 64 << 20  # bytes of keys and values with 6 for each operation
+MAX_BATCH_BYTES = 64 << 20  # bytes of keys and values with 6 for each operation
 ENTRY_COST = 200  # bytes of memory that a record takes beside its key and value
 
 
@@ -83,7 +83,7 @@
     memory: int = 4 << 20  # of the table in memory; a second one may be on its way to the disk
     segment: int = 4 << 20  # of a segment of the log; one more frame may lie over it
     fragment: int = (
-        frames.FRAGMENT_MOST
+        log_format.MAX_FRAGMENT_BYTES
     )  # of a frame's payload; a larger group has several, in several segments
     log: int = 16 << 20  # of the log behind the runs: a key written over and over fills no memory
     block: int = (
@@ -96,13 +96,13 @@
     group: int = 1 << 20  # of the writes that share an fsync
 
     def __post_init__(self) -> None:
-        if self.fragment > frames.FRAGMENT_MOST:
-            raise InvalidArgument(
-                f"fragment: {self.fragment}, and it should be at most {frames.FRAGMENT_MOST}"
+        if self.fragment > log_format.MAX_FRAGMENT_BYTES:
+            raise InvalidArgumentError(
+                f"fragment: {self.fragment}, and it should be at most {log_format.MAX_FRAGMENT_BYTES}"
             )
         for name in self.__slots__:
             if getattr(self, name) < 1:
-                raise InvalidArgument(f"{name}: {getattr(self, name)}, and it should be at least 1")
+                raise InvalidArgumentError(f"{name}: {getattr(self, name)}, and it should be at least 1")
 
 
 @dataclass(slots=True)
@@ -144,16 +144,18 @@
         self._size = 0
 
     def put(self, key: bytes, value: bytes) -> None:
-        """InvalidArgument if key, value or the whole batch is over its limit; the batch stays as it was."""
-        self._add(checked_key(key), checked_value(value))
+        """InvalidArgumentError if key, value or the whole batch is over its limit; the batch stays as it
+        was.
+        """
+        self._add(validated_key(key), validated_value(value))
 
     def delete(self, key: bytes) -> None:
-        self._add(checked_key(key), None)
+        self._add(validated_key(key), None)
 
     def _add(self, key: bytes, value: bytes | None) -> None:
-        size = self._size + frames.OPERATION_BYTES + len(key) + len(value or b"")
-        if size > BATCH_MOST:
-            raise InvalidArgument(f"batch: {size} bytes, and it should be at most {BATCH_MOST}")
+        size = self._size + log_format.OPERATION_BYTES + len(key) + len(value or b"")
+        if size > MAX_BATCH_BYTES:
+            raise InvalidArgumentError(f"batch: {size} bytes, and it should be at most {MAX_BATCH_BYTES}")
         self._size = size
         self._operations[key] = value
 
@@ -181,7 +183,7 @@
     """An embedded store of bytes by bytes.
 
     One process writes, any number read; within a process it may be used from many threads, whose writes
-    share fsyncs. A write is durable when its call has returned.  One that raised `WriteFailed` is not in
+    share fsyncs. A write is durable when its call has returned.  One that raised `WriteFailedError` is not in
     the store, but for this: if the process then ends before another write succeeds, what recovery finds may
     have it, whole.
     """
@@ -194,7 +196,7 @@
         self.counters = Counters()
         self.lost: tuple[Lost, ...] = ()
         """What can't be read, as far as it is known.  A store with any takes no writes."""
-        self.dropped: tuple[Dropped, ...] = ()
+        self.dropped: tuple[DroppedTail, ...] = ()
         """What the last opening left out: ends of the log that were never acknowledged."""
         self.failure: str | None = None
         """Why writes are refused until the store is opened anew, if they are."""
@@ -204,7 +206,7 @@
         self._closed = False
         self._lock: LockFile | None = None
         self._state = threading.Lock()  # of the view and of `_shared`
-        self._view = View({}, {}, ())
+        self._view = ReadView({}, {}, ())
         self._shared = False  # a snapshot holds the memory table
         self._memory_size = 0
         self._gate = threading.Lock()  # of the queue
@@ -238,10 +240,11 @@
     ) -> Store:
         """Open the store in the folder `path`, or make one there.
 
-        Raises StoreLocked while another writer lives, UnknownFormat for a newer format or a folder of other
-        things (both leave it untouched), OSError where the disk fails, and Damaged where acknowledged
-        records are lost: such a store opens with `read_only`, and `lost` says what is missing then; what is
-        older may show in its place. FileNotFoundError if there is no store and `read_only` is set.
+        Raises StoreLockedError while another writer lives, UnknownFormatError for a newer format or a
+        folder of other things (both leave it untouched), OSError where the disk fails, and CorruptionError
+        where acknowledged records are lost: such a store opens with `read_only`, and `lost` says what is
+        missing then; what is older may show in its place. FileNotFoundError if there is no store and
+        `read_only` is set.
         """
         disk: Disk = RealDisk(path) if isinstance(path, (str, os.PathLike)) else path
         store = cls(disk, read_only, limits or Limits())
@@ -264,7 +267,7 @@
             if lock := disk.lock():
                 break
         if lock is None:
-            raise StoreLocked("another writer has the store")
+            raise StoreLockedError("another writer has the store")
         self._lock = lock
         try:
             lock.tell(b"")
@@ -283,12 +286,12 @@
         else:
             found = read_contents(disk, manifest)
             if found.lost:
-                raise Damaged(tuple(found.lost))
+                raise CorruptionError(tuple(found.lost))
         log = found.log
         self.dropped = tuple(log.dropped)
         self._manifest = manifest
         self._next_sequence = log.next_sequence
-        self._view = View({}, found.memory, tuple(found.runs))
+        self._view = ReadView({}, found.memory, tuple(found.runs))
         # What the log holds is written anew and synced, and a new segment begun, before anything is
         # answered: the pages that were just read may be in memory only (a crash could still take them, and
         # an fsync that has failed once says nothing about them later), and nothing is ever written behind a
@@ -312,26 +315,26 @@
             manifest = read_manifest(disk)
             if manifest is None:
                 raise FileNotFoundError(errno.ENOENT, "no store", str(getattr(disk, "path", "")))
-            found = read_contents(disk, manifest, durable_of(note))
+            found = read_contents(disk, manifest, decode_durable_position(note))
             # the writer may have removed what was about to be opened: then there is a newer manifest
             if not found.lost or attempt == 19 or read_manifest(disk) == manifest:
                 break
         assert manifest
-        if durable_of(note) is None:
+        if decode_durable_position(note) is None:
             sync_log(disk, manifest)  # what is shown must not be taken back by a loss of power
         self._manifest = manifest
         self.lost = tuple(found.lost)
         self.dropped = tuple(found.log.dropped)
         self._next_sequence = found.log.next_sequence
         with self._state:
-            self._view = View(found.memory, {}, tuple(found.runs))
+            self._view = ReadView(found.memory, {}, tuple(found.runs))
             self._shared = True
 
     def refresh(self) -> None:
         """Of a store opened for reading: look at what the writer has made durable since."""
         self._check_open()
         if not self.read_only:
-            raise ReadOnly("refresh: only a store opened for reading has to")
+            raise ReadOnlyError("refresh: only a store opened for reading has to")
         self._load_for_reading()
 
     def _clean(self) -> None:
@@ -342,7 +345,7 @@
         named = {part.number for run in self._manifest.runs for part in run.parts}
         names = self._disk.names()
         for kind in ("table", "index"):
-            for number in frames.numbers_of(names, kind):
+            for number in log_format.file_numbers(names, kind):
                 if number not in named:
                     _remove(self._disk, f"{number:08}.{kind}")
         if MANIFEST_NEW in names:
@@ -387,16 +390,16 @@
 
     def _check_open(self) -> None:
         if self._closed:
-            raise StoreClosed("the store is closed")
+            raise StoreClosedError("the store is closed")
         if os.getpid() != self._process:
-            raise StoreClosed("the store was opened by another process, before a fork")
+            raise StoreClosedError("the store was opened by another process, before a fork")
 
     # -- reading
 
     def get(self, key: bytes) -> bytes | None:
-        """The value of `key`, or None.  Damaged if the block that should have it can't be read."""
+        """The value of `key`, or None.  CorruptionError if the block that should have it can't be read."""
         self._check_open()
-        return look_up(self._view, checked_key(key), self._met)
+        return look_up(self._view, validated_key(key), self._met)
 
     def snapshot(self) -> Snapshot:
         """The store as it is now, whatever is written later."""
@@ -409,7 +412,7 @@
         """Keys that begin with `prefix` and their values in the order of keys, as of this call."""
         return self.snapshot().scan(prefix)
 
-    def _met(self, damaged: Damaged) -> None:
+    def _met(self, damaged: CorruptionError) -> None:
         """Damage was met while reading: writes end, and the manifest remembers it for the next opening."""
         fresh = tuple(lost for lost in damaged.lost if lost not in self.lost)
         if not fresh:
@@ -440,14 +443,14 @@
     def put(self, key: bytes, value: bytes) -> None:
         """Set `key` (1 to 4,096 bytes) to `value` (up to 16 MiB), durably.
 
-        Raises InvalidArgument for a key or value outside its limits, WriteFailed where the disk refuses,
-        Damaged once damage was found, ReadOnly and StoreClosed.
+        Raises InvalidArgumentError for a key or value outside its limits, WriteFailedError where the disk
+        refuses, CorruptionError once damage was found, ReadOnlyError and StoreClosedError.
         """
-        self.write([[(checked_key(key), checked_value(value))]])
+        self.write([[(validated_key(key), validated_value(value))]])
 
     def delete(self, key: bytes) -> None:
         """Forget `key`, durably; raises as `put` does.  A key that is not there is no error."""
-        self.write([[(checked_key(key), None)]])
+        self.write([[(validated_key(key), None)]])
 
     def batch(self) -> Batch:
         """Up to 64 MiB of writes that are all in the store or none of them: `with store.batch() as batch:
@@ -462,7 +465,7 @@
         """
         self._check_writable()
         operations = [operation for batch in batches for operation in batch]
-        ticket = _Ticket(frames.encode_operations(operations), operations)
+        ticket = _Ticket(log_format.encode_operations(operations), operations)
         self._queue_up(ticket)
         if ticket.lead:
             self._lead()
@@ -474,14 +477,14 @@
     def _check_writable(self) -> None:
         self._check_open()
         if self.read_only:
-            raise ReadOnly("the store was opened for reading")
+            raise ReadOnlyError("the store was opened for reading")
         self._check_sound()
 
     def _check_sound(self) -> None:
         if self.failure is not None:
-            raise WriteFailed(self.failure, final=True)
+            raise WriteFailedError(self.failure, final=True)
         if self.lost:
-            raise Damaged(self.lost)
+            raise CorruptionError(self.lost)
 
     def _lead(self) -> None:
         """Write the queue's first groups, the caller's own among them, and hand the lead on."""
@@ -522,7 +525,7 @@
         ticket.turn.acquire()
         with self._gate:
             if self._closed and not ticket.hold:
-                raise StoreClosed("the store is closed")
+                raise StoreClosedError("the store is closed")
             self._queue.append(ticket)
             if not self._leading:
                 self._leading = ticket.lead = True
@@ -546,7 +549,7 @@
         try:
             self._append(payload)
             self._apply(group)
-        except WriteFailed:
+        except WriteFailedError:
             raise
         except BaseException as error:  # an interrupt: nobody can say how far the write came
             self._fail(f"a write was interrupted: {error!r}")
@@ -561,7 +564,7 @@
             view = self._view
             if self._shared:
                 # somebody holds the table: it is theirs now
-                self._view = view = View(dict(view.memory), view.frozen, view.runs)
+                self._view = view = ReadView(dict(view.memory), view.frozen, view.runs)
                 self._shared = False
             memory, grown = view.memory, 0
             for ticket in group:
@@ -574,8 +577,8 @@
             self._memory_size += grown
 
     def _append(self, payload: bytes) -> None:
-        """Write one group to the log and sync it, or raise WriteFailed and leave the log as if it had not
-        been.
+        """Write one group to the log and sync it, or raise WriteFailedError and leave the log as if it had
+        not been.
         """
         sequence, view, most = self._next_sequence, memoryview(payload), self.limits.fragment
         try:
@@ -589,21 +592,25 @@
                     self._sync_segment()
                     self._new_segment()
                 last = begin + most >= len(payload)
-                kind = (Kind.FIRST, Kind.WHOLE)[last] if not begin else (Kind.MIDDLE, Kind.LAST)[last]
+                kind = (
+                    (FrameKind.FIRST, FrameKind.WHOLE)[last]
+                    if not begin
+                    else (FrameKind.MIDDLE, FrameKind.LAST)[last]
+                )
                 self._write_frame(kind, sequence, view[begin : begin + most])
         except OSError as error:
             # whatever of the group got into this segment is left out by the next one's header
             self._segment_failed = True
-            raise WriteFailed(f"the log: {error}", final=self.failure is not None) from error
+            raise WriteFailedError(f"the log: {error}", final=self.failure is not None) from error
         try:
             self._sync_segment()
         except OSError as error:
-            raise WriteFailed(f"the log: {error}", final=True) from error
+            raise WriteFailedError(f"the log: {error}", final=True) from error
         self._next_sequence += 1
 
-    def _write_frame(self, kind: Kind, sequence: int, payload: bytes | memoryview) -> None:
+    def _write_frame(self, kind: FrameKind, sequence: int, payload: bytes | memoryview) -> None:
         assert self._segment
-        frame = frames.encode_frame(self._header.salt, kind, sequence, self._durable, payload)
+        frame = log_format.encode_frame(self._header.salt, kind, sequence, self._durable, payload)
         write_whole(self._segment, frame)
         self._offset += len(frame)
         self._log_bytes += len(frame)
@@ -623,7 +630,7 @@
     def _tell(self) -> None:
         """Readers in other processes look no further than what is durable."""
         if self._lock:
-            self._lock.tell(NOTE.pack(NOTE_MAGIC, self._header.number, self._durable))
+            self._lock.tell(DURABLE_NOTE.pack(DURABLE_NOTE_MAGIC, self._header.number, self._durable))
 
     def _fail(self, what: str) -> None:
         self.failure = f"{what}; writes are refused until the store is opened anew"
@@ -658,7 +665,7 @@
             secrets.randbits(64),
             fresh,
         )
-        file = self._disk.create(frames.file_name(header.number))
+        file = self._disk.create(log_format.segment_name(header.number))
         data = header.encode()
         write_whole(file, data)
         try:
@@ -678,7 +685,8 @@
     def _freeze(self) -> None:
         """Put the full table aside to be flushed; the log goes on in a new segment.
 
-        Raises WriteFailed if the one before it can't be flushed: memory is bounded, whatever the disk does.
+        Raises WriteFailedError if the one before it can't be flushed: memory is bounded, whatever the disk
+        does.
         """
         if self._view.frozen:
             self.counters.stalls += 1
@@ -686,12 +694,12 @@
                 self._finish_flush()
                 if self._view.frozen:
                     why = f"no room in memory, and flushing failed: {self.maintenance_error}"
-                    raise WriteFailed(why, final=False)
+                    raise WriteFailedError(why, final=False)
         self._check_sound()
         try:
             self._new_segment()
         except OSError as error:
-            raise WriteFailed(f"the log: {error}", final=self.failure is not None) from error
+            raise WriteFailedError(f"the log: {error}", final=self.failure is not None) from error
         with self._maintenance:
             self._put_aside()
 
@@ -701,7 +709,7 @@
         """
         with self._state:
             view = self._view
-            self._view = View({}, view.memory, view.runs)
+            self._view = ReadView({}, view.memory, view.runs)
             self._shared = False
             self._memory_size = 0
         self._log_bytes = self._offset
@@ -724,7 +732,7 @@
                 self._write_mark()
             except OSError as error:
                 self._segment_failed = True
-                raise WriteFailed(f"the log: {error}", final=self.failure is not None) from error
+                raise WriteFailedError(f"the log: {error}", final=self.failure is not None) from error
         finally:
             self._let_writes_go()
 
@@ -733,7 +741,7 @@
             self._name_log()
         elif self._segment_failed:
             self._new_segment()
-        self._write_frame(Kind.MARK, self._next_sequence, b"")
+        self._write_frame(FrameKind.MARK, self._next_sequence, b"")
         self._sync_segment()
 
     # -- flushing and merging
@@ -800,7 +808,7 @@
             self.maintenance_error = error
             self._abandon()
             return 0
-        except Damaged as damaged:
+        except CorruptionError as damaged:
             self._abandon()
             self.lost += tuple(lost for lost in damaged.lost if lost not in self.lost)
             self._remember_damage()
@@ -817,8 +825,10 @@
 
     def _begin_merge(self) -> bool:
         runs = self._view.runs
-        weights = [levels.Weight(run.info.size, run.info.entries, run.info.deletions) for run in runs]
-        first = levels.first_to_merge(weights, 4 * self.limits.memory)
+        weights = [
+            compaction_policy.RunWeight(run.info.size, run.info.entries, run.info.deletions) for run in runs
+        ]
+        first = compaction_policy.oldest_run_to_compact(weights, 4 * self.limits.memory)
         if first is None:
             return False
         self._merge = self._merging(runs[first:], oldest=first == 0)
@@ -839,7 +849,7 @@
 
     def _writing(
         self, records: Iterator[Record], low: int, high: int, keep_deletions: bool, count: str
-    ) -> Iterator[int | Run]:
+    ) -> Iterator[int | SortedRun]:
         """Write a run: yields the bytes done now and then, and the run itself at the end unless it is
         empty.
         """
@@ -886,19 +896,19 @@
         if finished:
             info = RunInfo(low, high, tuple(info for info, _ in finished))
             store = bytes.fromhex(self._manifest.store)
-            tables = [Table.open(self._disk, part, store, info, index) for part, index in finished]
-            yield Run(info, tables)
+            tables = [SSTable.open(self._disk, part, store, info, index) for part, index in finished]
+            yield SortedRun(info, tables)
 
     def _flushing(
         self, frozen: dict[bytes, bytes | None], low: int, high: int, log_from: int
     ) -> Iterator[int]:
         """Write the frozen table as the newest run; then the log before `log_from` is no more needed."""
-        run: Run | None = None
+        run: SortedRun | None = None
         if frozen:
             keep = bool(self._view.runs)
             records = ((key, frozen[key]) for key in sorted(frozen))
             for step in self._writing(records, low, high, keep, "flushed"):
-                if isinstance(step, Run):
+                if isinstance(step, SortedRun):
                     run = step
                 else:
                     yield step
@@ -909,21 +919,21 @@
             self._forget_made(run)
         with self._state:
             view = self._view
-            self._view = View(view.memory, {}, (*view.runs, run) if run else view.runs)
+            self._view = ReadView(view.memory, {}, (*view.runs, run) if run else view.runs)
         self._remove_segments(log_from)
 
     def _remove_segments(self, before: int) -> None:
         """Of the log, by a manifest that begins it with `before`."""
-        for number in frames.numbers_of(self._disk.names(), "log"):
+        for number in log_format.file_numbers(self._disk.names(), "log"):
             if number < before:
-                _remove(self._disk, frames.file_name(number))
+                _remove(self._disk, log_format.segment_name(number))
 
-    def _merging(self, runs: tuple[Run, ...], oldest: bool) -> Iterator[int]:
+    def _merging(self, runs: tuple[SortedRun, ...], oldest: bool) -> Iterator[int]:
         """Write neighbouring runs as one; then their files are no more needed."""
-        merged: Run | None = None
-        records = in_one_order([run.records() for run in reversed(runs)])
+        merged: SortedRun | None = None
+        records = merge_records([run.records() for run in reversed(runs)])
         for step in self._writing(records, runs[0].info.low, runs[-1].info.high, not oldest, "merged"):
-            if isinstance(step, Run):
+            if isinstance(step, SortedRun):
                 merged = step
             else:
                 yield step
@@ -938,14 +948,14 @@
             self._forget_made(merged)
         with self._state:
             view = self._view
-            self._view = View(view.memory, view.frozen, now)
+            self._view = ReadView(view.memory, view.frozen, now)
         self.counters.merges += 1
         for run in runs:
             for part in run.info.parts:
                 _remove(self._disk, part.file)
                 _remove(self._disk, index_name(part.number))
 
-    def _forget_made(self, run: Run) -> None:
+    def _forget_made(self, run: SortedRun) -> None:
         numbers = {part.number for part in run.info.parts}
         self._made = [info for info in self._made if info.number not in numbers]
 
@@ -989,12 +999,12 @@
     def _raise_maintenance(self) -> NoReturn:
         self._check_sound()
         error = self.maintenance_error
-        raise WriteFailed(f"flushing failed: {error}", final=False) from error
+        raise WriteFailedError(f"flushing failed: {error}", final=False) from error
 
     def compact(self, progress: Callable[[int, int], None] | None = None) -> None:
         """Rewrite the store as one run without what is out of date; writes by other threads go on meanwhile.
 
-        `progress` is told bytes done and bytes to do.  WriteFailed where the disk fails; the store is as
+        `progress` is told bytes done and bytes to do.  WriteFailedError where the disk fails; the store is as
         before then.
         """
         self._check_writable()
--- a/heronreel/store/check.py
+++ b/heronreel/store/verify.py
@@ -12,14 +12,14 @@
 
 import xxhash
 
-from heronreel.store import frames
+from heronreel.store import log_format
 from heronreel.store.disk import Disk, RealDisk, read_whole
-from heronreel.store.errors import Damaged, InvalidArgument, Lost
-from heronreel.store.frames import Dropped, Operation, SegmentHeader
+from heronreel.store.errors import CorruptionError, InvalidArgumentError, Lost
+from heronreel.store.log_format import DroppedTail, Operation, SegmentHeader
 from heronreel.store.manifest import MANIFEST, Manifest, decode_manifest, run_entry
-from heronreel.store.opening import log_numbers, read_contents, read_log
-from heronreel.store.store import Store
-from heronreel.store.tables import (
+from heronreel.store.recovery import read_contents, read_log, segment_numbers
+from heronreel.store.snapshot import merge_records
+from heronreel.store.sstable import (
     BLOCK,
     BLOCK_BYTES,
     FOOTER_BYTES,
@@ -29,27 +29,27 @@
     Index,
     Record,
     RunInfo,
-    Table,
+    SSTable,
     TableHeader,
     TableInfo,
     decode_block,
     index_name,
 )
-from heronreel.store.views import in_one_order
+from heronreel.store.store import Store
 
 Progress = Callable[[int, int], None]
 SALVAGED_AT_ONCE = 1 << 20  # bytes of one batch that repair writes
 
 
 @dataclass(slots=True)
-class Verified:
+class VerifyReport:
     """What `verify` found; `sound` if nothing acknowledged is missing."""
 
     files: int = 0
     bytes: int = 0
     records: int = 0  # in runs and log, those out of date among them
     lost: list[Lost] = field(default_factory=list)
-    dropped: list[Dropped] = field(default_factory=list)
+    dropped: list[DroppedTail] = field(default_factory=list)
     notes: list[str] = field(default_factory=list)  # harmless: an index to be made anew, a file nobody names
 
     @property
@@ -57,14 +57,14 @@
         return not self.lost
 
 
-def verify(path: str | os.PathLike[str] | Disk, progress: Progress | None = None) -> Verified:
+def verify(path: str | os.PathLike[str] | Disk, progress: Progress | None = None) -> VerifyReport:
     """Read every byte of the store and check it against every other.
 
     Beside a live writer it may see files go; it is meant for a store at rest.  Raises FileNotFoundError
-    where there is none and UnknownFormat.
+    where there is none and UnknownFormatError.
     """
     disk: Disk = RealDisk(path) if isinstance(path, (str, os.PathLike)) else path
-    found = Verified()
+    found = VerifyReport()
     names = set(disk.names())
     if MANIFEST not in names:
         if any(name.endswith((".log", ".table")) for name in names):
@@ -104,17 +104,17 @@
                 progress(done, whole)
     found.dropped += contents.log.dropped
     found.records += len(contents.memory)
-    numbers = log_numbers(disk, manifest)
+    numbers = segment_numbers(disk, manifest)
     found.files += len(numbers)
     found.bytes += contents.log.bytes
-    named |= {frames.file_name(number) for number in numbers}
+    named |= {log_format.segment_name(number) for number in numbers}
     found.notes += [
         f"{name}: no manifest names it; the next opening removes it" for name in sorted(names - named)
     ]
     return found
 
 
-def _verify_table(disk: Disk, table: Table, found: Verified) -> None:
+def _verify_table(disk: Disk, table: SSTable, found: VerifyReport) -> None:
     found.files += 1
     found.bytes += table.info.size
     salt = table.header.salt
@@ -160,18 +160,18 @@
     places are tried: a block's checksum depends on where it stands.
     """
     file = disk.open(info.file)
-    table = Table(disk, file, info, header, Footer(0, True, 0, 0, end), index)
+    table = SSTable(disk, file, info, header, Footer(0, True, 0, 0, end), index)
     places = index.offsets if index else None
     offset = HEADER_BYTES
     while offset < end:
         length = BLOCK_BYTES + int.from_bytes(file.read(offset + 8, 4), "little")
         try:
             if offset + length > end:
-                raise Damaged(())
+                raise CorruptionError(())
             yield offset, table.block(offset, length), None
             offset += length
             continue
-        except Damaged:
+        except CorruptionError:
             pass
         if places is not None:
             following = next((place for place in places if place > offset), end)
@@ -200,21 +200,21 @@
 
 
 @dataclass(slots=True)
-class Repaired:
+class RepairReport:
     """What `repair` saved and what it could not save."""
 
     records: int = 0
     bytes: int = 0
     lost: list[Lost] = field(default_factory=list)
     doubts: list[str] = field(default_factory=list)  # what may be older than what was acknowledged
-    dropped: list[Dropped] = field(default_factory=list)
+    dropped: list[DroppedTail] = field(default_factory=list)
 
 
 def repair(
     source: str | os.PathLike[str] | Disk,
     target: str | os.PathLike[str] | Disk,
     progress: Progress | None = None,
-) -> Repaired:
+) -> RepairReport:
     """Salvage what can be read of the store `source` into a new store `target`, a folder not there yet or
     empty.
 
@@ -224,10 +224,10 @@
     read: Disk = RealDisk(source) if isinstance(source, (str, os.PathLike)) else source
     write: Disk = RealDisk(target) if isinstance(target, (str, os.PathLike)) else target
     if write.exists() and set(write.names()) - {"LOCK"}:
-        raise InvalidArgument("target: it should be a folder that is empty or not there yet")
+        raise InvalidArgumentError("target: it should be a folder that is empty or not there yet")
     if read.note() is not None:
-        raise InvalidArgument("source: a writer has it open")
-    found = Repaired()
+        raise InvalidArgumentError("source: a writer has it open")
+    found = RepairReport()
     manifest = _manifest_left(read, found)
     memory, log = read_log(read, manifest, None)
     found.lost += log.lost
@@ -243,11 +243,11 @@
     batch: list[Operation] = []
     size = done = 0
     with Store.open(write) as store:
-        for key, value in in_one_order(sources):
+        for key, value in merge_records(sources):
             if value is None:
                 continue
             batch.append((key, value))
-            size += len(key) + len(value) + frames.OPERATION_BYTES
+            size += len(key) + len(value) + log_format.OPERATION_BYTES
             found.records += 1
             found.bytes += len(value)
             if size >= SALVAGED_AT_ONCE:
@@ -261,7 +261,7 @@
     return found
 
 
-def _run_left(disk: Disk, run: RunInfo, store: str, found: Repaired, has_older: bool) -> Iterator[Record]:
+def _run_left(disk: Disk, run: RunInfo, store: str, found: RepairReport, has_older: bool) -> Iterator[Record]:
     for part in run.parts:
         try:
             file = disk.open(part.file)
@@ -303,7 +303,7 @@
                 found.doubts.append(f"{lost.records}: they may show an older value")
 
 
-def _manifest_left(disk: Disk, found: Repaired) -> Manifest:
+def _manifest_left(disk: Disk, found: RepairReport) -> Manifest:
     """The manifest, or one made from what the files say of themselves."""
     names = disk.names()
     if MANIFEST in names:
@@ -340,9 +340,9 @@
             continue
         chosen.append((reach, parts))
     segments: list[SegmentHeader] = []
-    for number in frames.numbers_of(names, "log"):
-        name = frames.file_name(number)
-        head = SegmentHeader.decode(read_whole(disk, name, frames.HEADER_BYTES), name)
+    for number in log_format.file_numbers(names, "log"):
+        name = log_format.segment_name(number)
+        head = SegmentHeader.decode(read_whole(disk, name, log_format.HEADER_BYTES), name)
         if head is not None:
             store = store or head.store.hex()
             segments.append(head)
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -41,11 +41,11 @@
 from heronreel.proxy.operators import Caller, Operators
 from heronreel.proxy.shared import Hold, Shared
 from heronreel.store import Limits, Store
-from heronreel.store.frames import Kind, SegmentHeader, encode_frame, encode_operations
+from heronreel.store.checksum import append_checksum
+from heronreel.store.log_format import FrameKind, SegmentHeader, encode_frame, encode_operations
 from heronreel.store.manifest import DamageEntry, Manifest, RunEntry, TableEntry, encode_manifest
-from heronreel.store.opening import NOTE, NOTE_MAGIC
-from heronreel.store.seal import sealed
-from heronreel.store.tables import Filter, Footer, Index, TableHeader, encode_block
+from heronreel.store.recovery import DURABLE_NOTE, DURABLE_NOTE_MAGIC
+from heronreel.store.sstable import BloomFilter, Footer, Index, TableHeader, encode_block
 
 DATA = Path(__file__).parent / "stored" / "data"
 
@@ -56,16 +56,16 @@
 OPERATIONS: list[tuple[bytes, bytes | None]] = [(b"a", b"one"), (b"b", None), (b"\xff\x00", b"")]
 SEGMENT = SegmentHeader(STORE_ID, 7, 40, 1234, SALT, True)
 FRAMES = [
-    (Kind.WHOLE, 40, 72, encode_operations(OPERATIONS)),
-    (Kind.FIRST, 41, 136, b"\x01\x00\x02\x00"),
-    (Kind.MIDDLE, 41, 136, b"\x00\x00k"),
-    (Kind.LAST, 41, 136, b"vw"),
-    (Kind.MARK, 42, 256, b""),
+    (FrameKind.WHOLE, 40, 72, encode_operations(OPERATIONS)),
+    (FrameKind.FIRST, 41, 136, b"\x01\x00\x02\x00"),
+    (FrameKind.MIDDLE, 41, 136, b"\x00\x00k"),
+    (FrameKind.LAST, 41, 136, b"vw"),
+    (FrameKind.MARK, 42, 256, b""),
 ]
 TABLE = TableHeader(STORE_ID, 3, 1, 39, 2, SALT)
 FOOTER = Footer(1, True, 3, 1, 143)
 HASHES = [1, 2**40 + 77, 2**64 - 1]
-INDEX = Index([80, 2**33], [b"a", b"\xff\x00"], Filter.of(HASHES))
+INDEX = Index([80, 2**33], [b"a", b"\xff\x00"], BloomFilter.of(HASHES))
 MANIFEST = Manifest(
     STORE_ID.hex(), 5, 4, 7, 40, [RunEntry(1, 39, [TableEntry(3, 191, "61", "ff00", 3, 1)])],
     [DamageEntry("00000002.table", 80, 63, "keys from a on", "the block's checksum does not hold")],
@@ -83,8 +83,8 @@
         "footer.table": FOOTER.encode(SALT),
         "table.index": INDEX.encode(3, SALT),
         "MANIFEST": encode_manifest(MANIFEST),
-        "sealed": sealed(b"a body", 5),
-        "note": NOTE.pack(NOTE_MAGIC, 7, 4096),
+        "sealed": append_checksum(b"a body", 5),
+        "note": DURABLE_NOTE.pack(DURABLE_NOTE_MAGIC, 7, 4096),
     }
 
 
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -31,19 +31,19 @@
 from heronreel.proxy.config import load as config_of
 from heronreel.proxy.shared import Shared
 from heronreel.store import Store
-from heronreel.store.frames import (
+from heronreel.store.checksum import verified_body
+from heronreel.store.log_format import (
     HEADER_BYTES,
     SegmentHeader,
     decode_frame,
     decode_operations,
 )
 from heronreel.store.manifest import decode_manifest
-from heronreel.store.opening import durable_of
-from heronreel.store.seal import unsealed
-from heronreel.store.tables import (
+from heronreel.store.recovery import decode_durable_position
+from heronreel.store.sstable import (
     HEADER_BYTES as TABLE_HEADER_BYTES,
 )
-from heronreel.store.tables import (
+from heronreel.store.sstable import (
     Footer,
     Index,
     TableHeader,
@@ -104,8 +104,8 @@
         at = frame.end
     assert at == len(data)
     assert decode_operations(stored_data.FRAMES[0][3]) == stored_data.OPERATIONS
-    assert durable_of((ENCODERS / "note").read_bytes()) == (7, 4096)
-    assert unsealed((ENCODERS / "sealed").read_bytes(), 6, 5) == b"a body"
+    assert decode_durable_position((ENCODERS / "note").read_bytes()) == (7, 4096)
+    assert verified_body((ENCODERS / "sealed").read_bytes(), 6, 5) == b"a body"
 
 
 def test_the_tables_bytes_are_read() -> None:
--- a/tests/coordination/test_keyspace.py
+++ b/tests/coordination/test_keyspace.py
@@ -38,7 +38,7 @@
 from heronreel.leases.lease import ClaimAcquired, ClaimLost, LeaseClient, LeaseTerms, SendRequest
 from heronreel.routes.reader import BadFile
 from heronreel.store import Store
-from heronreel.store.simulated import SimulatedDisk
+from heronreel.store.fault_injecting_disk import FaultInjectingDisk
 
 keys = st.sampled_from([b"a", b"b", b"ba", b"c", b"\xff"])
 ends = st.sampled_from([b"", b"\0", b"b", b"c", b"\xff\xff"])
@@ -232,7 +232,7 @@
 
 
 def test_a_fenced_table_refuses_an_old_holder_also_after_a_crash() -> None:
-    disk = SimulatedDisk()
+    disk = FaultInjectingDisk()
     table = FencedTable(Store.open(disk))
     assert table.enter(b"t", 5).admitted
     assert table.write(b"t", 5, 1, b"one") == ((True, 5), True)
--- a/tests/store/recovery_checks.py
+++ b/tests/store/recovery_checks.py
@@ -7,7 +7,7 @@
 
 from heronreel.store import Limits, Store
 from heronreel.store.disk import Disk
-from heronreel.store.simulated import SimulatedDisk
+from heronreel.store.fault_injecting_disk import FaultInjectingDisk
 
 Model = dict[bytes, bytes]
 Step = Callable[[Store], None]
@@ -51,7 +51,7 @@
     def allows(self, found: Model) -> bool:
         return found == self.acknowledged or found == self.begun
 
-    def check(self, disk: SimulatedDisk, words: str) -> None:
+    def check(self, disk: FaultInjectingDisk, words: str) -> None:
         """The store on `disk` opens, and holds all that was acknowledged and nothing but that and what was
         begun.
         """
--- a/tests/store/test_crashes.py
+++ b/tests/store/test_crashes.py
@@ -15,9 +15,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from heronreel.store import Damaged, Limits, Lost, Store, UnknownFormat, WriteFailed
-from heronreel.store.check import repair, verify
-from heronreel.store.simulated import Crash, Fault, SimulatedDisk
+from heronreel.store import CorruptionError, Limits, Lost, Store, UnknownFormatError, WriteFailedError
+from heronreel.store.fault_injecting_disk import Crash, Fault, FaultInjectingDisk
+from heronreel.store.verify import repair, verify
 from tests.store.recovery_checks import TINY, Judge, content, play, script
 
 
@@ -26,7 +26,7 @@
     seed: int, capsys: pytest.CaptureFixture[str]
 ) -> None:
     """Before, during and after every call that changes something, with drawn fates of what was not synced."""
-    disk, judge, rng = SimulatedDisk(), Judge(), random.Random(seed * 7919)
+    disk, judge, rng = FaultInjectingDisk(), Judge(), random.Random(seed * 7919)
     seen: dict[str, int] = {}
 
     def watch(moment: str, call: str, name: str) -> None:
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_a_crash_during_the_recovery_of_a_crash_five_deep(seed: int) -> None:
     rng = random.Random(seed)
-    disk, judge = SimulatedDisk(), Judge()
+    disk, judge = FaultInjectingDisk(), Judge()
     with pytest.raises(Crash):
         crash_at(disk, rng.randrange(100, 400))
         play(judge, disk, seed, 60)
@@ -63,7 +63,7 @@
         judge.check(image, f"seed {seed}: {depth} crashes deep")
 
 
-def crash_at(disk: SimulatedDisk, calls: int) -> None:
+def crash_at(disk: FaultInjectingDisk, calls: int) -> None:
     """The power goes before, during or after the call of that number."""
     left = [calls]
 
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_two_compactions_interrupted_at_different_steps(seed: int) -> None:
     rng = random.Random(seed)
-    disk = SimulatedDisk()
+    disk = FaultInjectingDisk()
     expected = whole_groups(disk)[-1]
     disk = disk.copy()
     for _ in range(2):
@@ -93,7 +93,7 @@
 
 def test_stale_bytes_of_an_earlier_log_are_nobodys_records() -> None:
     """Whole frames of a former segment lie behind the end of this one, at a frame's place and in sequence."""
-    disk, states = SimulatedDisk(), []
+    disk, states = FaultInjectingDisk(), []
     for value in (b"former", b"latter"):
         with Store.open(disk) as store:
             for number in range(4):
@@ -116,12 +116,12 @@
     rng = random.Random(1)
     for name in ("time", "monotonic", "perf_counter"):
         monkeypatch.setattr(f"time.{name}", lambda: 1e9 - rng.random() * 1e8)
-    disk, judge = SimulatedDisk(), Judge()
+    disk, judge = FaultInjectingDisk(), Judge()
     play(judge, disk, 4, 60)
     assert content(Store.open(disk)) == judge.acknowledged
 
 
-def whole_groups(disk: SimulatedDisk) -> list[dict[bytes, bytes]]:
+def whole_groups(disk: FaultInjectingDisk) -> list[dict[bytes, bytes]]:
     """A store with runs and a log, its lock let go as by a death; the states after each of its writes."""
     states: list[dict[bytes, bytes]] = [{}]
     judge = Judge()
@@ -136,7 +136,7 @@
     """A cut of the log's end leaves the writes before it.  Any other cut is told, and nothing older passes
     for new.
     """
-    disk = SimulatedDisk()
+    disk = FaultInjectingDisk()
     states = whole_groups(disk)
     files = [name for name in disk.names() if name != "LOCK"]
     unnamed = {note.partition(":")[0] for note in verify(disk).notes}  # of a merge under way
@@ -155,7 +155,7 @@
                 continue
             try:
                 found = content(Store.open(image, limits=TINY))
-            except Damaged as damaged:
+            except CorruptionError as damaged:
                 assert damaged.lost[0].file == name, words
                 assert name != last or length < 80, words
                 assert length % 3 or read_only_is_honest(image, states), words
@@ -166,15 +166,15 @@
         print(f"\n{count} cuts of {len(files)} files")
 
 
-def read_only_is_honest(disk: SimulatedDisk, states: list[dict[bytes, bytes]]) -> bool:
+def read_only_is_honest(disk: FaultInjectingDisk, states: list[dict[bytes, bytes]]) -> bool:
     """Opened for reading it says what is lost, or can't be opened; values are ones that were once written."""
     try:
         store = Store.open(disk, read_only=True)
-    except Damaged:
+    except CorruptionError:
         return True
     try:
         found = content(store)
-    except Damaged:
+    except CorruptionError:
         found = {}
     written = {item for state in states for item in state.items()}
     return bool(store.lost) and set(found.items()) <= written
@@ -182,11 +182,11 @@
 
 def test_cuts_at_each_step_of_a_compaction_hurt_nothing_named(capsys: pytest.CaptureFixture[str]) -> None:
     """At each write of a merge, the file that is being written is cut at every byte."""
-    disk, count = SimulatedDisk(), 0
+    disk, count = FaultInjectingDisk(), 0
     states = whole_groups(disk)
     store = Store.open(disk.copy(), limits=TINY)
     disk = store._disk  # type: ignore[assignment]
-    assert isinstance(disk, SimulatedDisk)
+    assert isinstance(disk, FaultInjectingDisk)
 
     def watch(moment: str, call: str, name: str) -> None:
         nonlocal count
@@ -208,7 +208,7 @@
 
 def test_every_flipped_bit_is_told_or_harmless(capsys: pytest.CaptureFixture[str]) -> None:
     """No flip of any byte makes the store return what was never written, or lose it without a word."""
-    disk = SimulatedDisk()
+    disk = FaultInjectingDisk()
     states = whole_groups(disk)
     with_mark = disk.copy()
     store = Store.open(with_mark, limits=TINY)
@@ -234,7 +234,7 @@
                 reading = Store.open(image, read_only=True)
                 assert set(content(reading).items()) <= written, words
                 assert reading.lost, words
-            except (Damaged, UnknownFormat):
+            except (CorruptionError, UnknownFormatError):
                 pass
             told += 1
     with capsys.disabled():
@@ -244,7 +244,7 @@
 
 
 def test_damage_met_while_reading_ends_writing_and_is_remembered() -> None:
-    disk = SimulatedDisk()
+    disk = FaultInjectingDisk()
     with Store.open(disk, limits=TINY) as store:
         for number in range(60):
             store.put(b"%03d" % number, bytes(40))
@@ -253,12 +253,12 @@
     disk.flip(table, 200)
     with Store.open(disk, limits=TINY) as store:
         assert not store.lost  # opening reads no values
-        with pytest.raises(Damaged, match=f"{table}: bytes .*records of keys from"):
+        with pytest.raises(CorruptionError, match=f"{table}: bytes .*records of keys from"):
             content(store)
-        with pytest.raises(Damaged):
+        with pytest.raises(CorruptionError):
             store.put(b"x", b"y")
         assert store.get(b"059") == bytes(40)
-    with pytest.raises(Damaged):
+    with pytest.raises(CorruptionError):
         Store.open(disk, limits=TINY)
     assert Store.open(disk, read_only=True).lost
     assert not verify(disk).sound
@@ -267,7 +267,7 @@
 @pytest.mark.parametrize("steps", range(12, 26))
 def test_a_merge_under_way_at_the_first_write_keeps_its_files(steps: int) -> None:
     """The first write after an opening begins the log and tidies up: not what no manifest names yet."""
-    disk = SimulatedDisk()
+    disk = FaultInjectingDisk()
     with Store.open(disk, limits=TINY) as store:
         for number in range(40):
             store.put(b"%02d" % number, bytes(60))
@@ -284,13 +284,13 @@
 
 
 def test_damage_met_by_a_reader_ends_a_flush_that_writers_wait_for() -> None:
-    disk = SimulatedDisk()
+    disk = FaultInjectingDisk()
     store = Store.open(disk, limits=TINY)
     store.put(b"a", bytes(40))
 
     def watch(moment: str, call: str, name: str) -> None:
         if name.endswith(".table"):
-            store._met(Damaged((Lost("00000001.table", 0, 1, "all", "a reader met it"),)))
+            store._met(CorruptionError((Lost("00000001.table", 0, 1, "all", "a reader met it"),)))
 
     disk.watch = watch
     raised: list[BaseException] = []
@@ -298,7 +298,7 @@
     def compact() -> None:
         try:
             store.compact()
-        except Damaged as damaged:
+        except CorruptionError as damaged:
             raised.append(damaged)
 
     thread = threading.Thread(target=compact, daemon=True)
@@ -309,7 +309,7 @@
 
 def test_large_writes_do_not_outrun_the_merges() -> None:
     limits = Limits(memory=1 << 16, segment=1 << 16, log=1 << 18, part=1 << 18, step=1024, sync_every=1 << 14)
-    disk = SimulatedDisk()
+    disk = FaultInjectingDisk()
     store = Store.open(disk, limits=limits)
     most = used = 0
     for number in range(400):
@@ -324,41 +324,41 @@
     """Ways to spoil a store whose log and runs hold something, and what repair is to save."""
 
     @staticmethod
-    def middle_of_the_log(disk: SimulatedDisk) -> None:
+    def middle_of_the_log(disk: FaultInjectingDisk) -> None:
         log = min(name for name in disk.names() if name.endswith(".log"))
         disk.flip(log, 120)
 
     @staticmethod
-    def block_of_a_table(disk: SimulatedDisk) -> None:
+    def block_of_a_table(disk: FaultInjectingDisk) -> None:
         disk.flip(min(name for name in disk.names() if name.endswith(".table")), 130)
 
     @staticmethod
-    def header_of_a_table(disk: SimulatedDisk) -> None:
+    def header_of_a_table(disk: FaultInjectingDisk) -> None:
         disk.flip(min(name for name in disk.names() if name.endswith(".table")), 40)
 
     @staticmethod
-    def manifest(disk: SimulatedDisk) -> None:
+    def manifest(disk: FaultInjectingDisk) -> None:
         disk.flip("MANIFEST", 70)
 
     @staticmethod
-    def manifest_gone(disk: SimulatedDisk) -> None:
+    def manifest_gone(disk: FaultInjectingDisk) -> None:
         disk.remove("MANIFEST")
 
     @staticmethod
-    def table_gone(disk: SimulatedDisk) -> None:
+    def table_gone(disk: FaultInjectingDisk) -> None:
         disk.remove(min(name for name in disk.names() if name.endswith(".table")))
 
 
 @pytest.mark.parametrize("how", [name for name in vars(DamagedStores) if not name.startswith("_")])
 def test_repair_salvages_and_lists_what_it_could_not_save(how: str) -> None:
-    disk = SimulatedDisk()
+    disk = FaultInjectingDisk()
     states = whole_groups(disk)
     written = {item for state in states for item in state.items()}
-    spoilt, target = disk.copy(), SimulatedDisk()
-    spoil: Callable[[SimulatedDisk], None] = getattr(DamagedStores, how)
+    spoilt, target = disk.copy(), FaultInjectingDisk()
+    spoil: Callable[[FaultInjectingDisk], None] = getattr(DamagedStores, how)
     spoil(spoilt)
     if how != "block_of_a_table":  # that one is met where it is read
-        with pytest.raises(Damaged):
+        with pytest.raises(CorruptionError):
             Store.open(spoilt, limits=TINY)
     before = {name: spoilt.bytes_of(name) for name in spoilt.names() if name != "LOCK"}
     found = repair(spoilt, target)
@@ -380,15 +380,15 @@
     """The write fails, so do all later ones, reads go on; after a reopening and a crash nothing of it is
     there.
     """
-    disk, judge, rng = SimulatedDisk(), Judge(), random.Random(3)
+    disk, judge, rng = FaultInjectingDisk(), Judge(), random.Random(3)
     store = Store.open(disk)
     judge.write(store, {b"before": b"1"})
     disk.fault = lambda call, name: Fault(5) if call == "sync" else None
-    with pytest.raises(WriteFailed) as failed:
+    with pytest.raises(WriteFailedError) as failed:
         judge.write(store, {b"during": b"2"})
     assert failed.value.final and failed.value.__cause__
     disk.fault = None
-    with pytest.raises(WriteFailed, match="fsync"):
+    with pytest.raises(WriteFailedError, match="fsync"):
         store.put(b"after", b"3")
     assert content(store) == {b"before": b"1"}
     store.close()
@@ -403,7 +403,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_a_full_disk_fails_writes_cleanly_and_room_makes_them_work_again(seed: int) -> None:
     rng = random.Random(seed)
-    disk, judge = SimulatedDisk(capacity=6000), Judge()
+    disk, judge = FaultInjectingDisk(capacity=6000), Judge()
     store = Store.open(disk, limits=TINY)
     failed = worked = 0
     for round_of in range(6):
@@ -411,7 +411,7 @@
             try:
                 judge.write(store, change)
                 worked += 1
-            except WriteFailed as error:
+            except WriteFailedError as error:
                 assert not error.final
                 judge.begun = None
                 failed += 1
@@ -430,7 +430,7 @@
 def test_errors_and_short_writes_at_any_call(seed: int) -> None:
     """Whatever fails whenever: reads show what was acknowledged, and so does every opening after it."""
     rng = random.Random(seed)
-    disk, judge = SimulatedDisk(), Judge()
+    disk, judge = FaultInjectingDisk(), Judge()
 
     def fault(call: str, name: str) -> Fault | None:
         if rng.random() > 0.03:
@@ -443,12 +443,12 @@
         try:
             store = store or Store.open(disk, limits=TINY)
             judge.write(store, change)
-        except (OSError, WriteFailed, Damaged) as error:
+        except (OSError, WriteFailedError, CorruptionError) as error:
             disk.fault = None
             if store is None:
                 assert isinstance(error, OSError) or error.lost[0].why == "the file is missing"  # type: ignore
                 continue
-            assert isinstance(error, WriteFailed)
+            assert isinstance(error, WriteFailedError)
             assert content(store) == judge.acknowledged
             if error.final:
                 image = disk.image(rng)
@@ -460,20 +460,20 @@
 
 
 def test_a_newer_format_is_left_untouched() -> None:
-    disk = SimulatedDisk()
+    disk = FaultInjectingDisk()
     Store.open(disk).close()
     newer = disk.bytes_of("MANIFEST").replace(b"heronreel-store 1 ", b"heronreel-store 2 ", 1)
     for data in (newer, b"heronreel-store 17 in words of its own\n"):
         disk.replace("MANIFEST", data)
         before = {name: disk.bytes_of(name) for name in disk.names() if name != "LOCK"}
         for read_only in (True, False):
-            with pytest.raises(UnknownFormat, match=r"format (2|17), and this program knows 1"):
+            with pytest.raises(UnknownFormatError, match=r"format (2|17), and this program knows 1"):
                 Store.open(disk, read_only=read_only)
         assert before == {name: disk.bytes_of(name) for name in disk.names() if name != "LOCK"}
-    other = SimulatedDisk()
+    other = FaultInjectingDisk()
     other.make()
     other.replace("letter.txt", b"dear all")
-    with pytest.raises(UnknownFormat, match=r"letter\.txt"):
+    with pytest.raises(UnknownFormatError, match=r"letter\.txt"):
         Store.open(other)
 
 
@@ -487,7 +487,7 @@
     @initialize(seed=st.integers(0, 1 << 16))
     def begin(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.disk = SimulatedDisk()
+        self.disk = FaultInjectingDisk()
         self.judge = Judge()
         self.store = Store.open(self.disk, limits=TINY)
         self.held: list[tuple[Any, dict[bytes, bytes]]] = []
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -18,21 +18,21 @@
 
 from heronreel.cli.__main__ import main
 from heronreel.store import (
-    BATCH_MOST,
-    KEY_MOST,
-    VALUE_MOST,
+    MAX_BATCH_BYTES,
+    MAX_KEY_BYTES,
+    MAX_VALUE_BYTES,
     AsyncStore,
-    InvalidArgument,
+    InvalidArgumentError,
     Limits,
-    ReadOnly,
+    ReadOnlyError,
     Store,
-    StoreClosed,
-    StoreLocked,
-    WriteFailed,
-    levels,
+    StoreClosedError,
+    StoreLockedError,
+    WriteFailedError,
+    compaction_policy,
 )
 from heronreel.store.disk import RealDisk
-from heronreel.store.simulated import Fault, SimulatedDisk
+from heronreel.store.fault_injecting_disk import Fault, FaultInjectingDisk
 from tests.store.recovery_checks import TINY, content
 
 ROOT = Path(__file__).parents[2]
@@ -57,11 +57,11 @@
         store.sync()
     store.close()
     for use in (lambda: store.get(b"a"), lambda: store.put(b"a", b""), store.snapshot, store.batch):
-        with pytest.raises(StoreClosed):
+        with pytest.raises(StoreClosedError):
             use()
     with Store.open(path, read_only=True) as reader:
         assert reader.get(b"c") == b"3"
-        with pytest.raises(ReadOnly):
+        with pytest.raises(ReadOnlyError):
             reader.put(b"a", b"")
     with pytest.raises(FileNotFoundError):
         Store.open(tmp_path / "none", read_only=True)
@@ -69,42 +69,45 @@
 
 
 def test_limits_are_told_and_nothing_is_written() -> None:
-    store = Store.open(SimulatedDisk())
+    store = Store.open(FaultInjectingDisk())
     bad: list[tuple[object, object, str]] = [
-        (b"", b"", "key: 0 bytes"), (b"k" * (KEY_MOST + 1), b"", "key: 4097 bytes"), ("k", b"", "key: str"),
-        (b"k", bytes(VALUE_MOST + 1), "value: 16777217 bytes"), (b"k", None, "value: NoneType"),
-    ]  # fmt: skip
+        (b"", b"", "key: 0 bytes"),
+        (b"k" * (MAX_KEY_BYTES + 1), b"", "key: 4097 bytes"),
+        ("k", b"", "key: str"),
+        (b"k", bytes(MAX_VALUE_BYTES + 1), "value: 16777217 bytes"),
+        (b"k", None, "value: NoneType"),
+    ]
     for key, value, words in bad:
-        with pytest.raises(InvalidArgument, match=words):
+        with pytest.raises(InvalidArgumentError, match=words):
             store.put(key, value)  # type: ignore[arg-type]
     batch = store.batch()
-    with pytest.raises(InvalidArgument, match=f"at most {BATCH_MOST}"):
+    with pytest.raises(InvalidArgumentError, match=f"at most {MAX_BATCH_BYTES}"):
         for number in range(5):
-            batch.put(b"%d" % number, bytes(VALUE_MOST))
+            batch.put(b"%d" % number, bytes(MAX_VALUE_BYTES))
     batch.commit()
     assert len(content(store)) == 3
-    with pytest.raises(InvalidArgument, match="step: 0"):
+    with pytest.raises(InvalidArgumentError, match="step: 0"):
         Limits(step=0)
 
 
 def test_the_largest_and_the_smallest_and_a_batch_over_many_segments(tmp_path: Path) -> None:
-    largest = os.urandom(VALUE_MOST)
+    largest = os.urandom(MAX_VALUE_BYTES)
     with Store.open(tmp_path) as store:
         with store.batch() as batch:
-            batch.put(b"k" * KEY_MOST, largest)
+            batch.put(b"k" * MAX_KEY_BYTES, largest)
             batch.put(b"small", b"")
         assert store.stat()["log_bytes"] > 3 * store.limits.segment
         assert len([n for n in os.listdir(tmp_path) if n.endswith(".log")]) > 3
         beside = Store.open(tmp_path, read_only=True)
-        assert beside.get(b"k" * KEY_MOST) == largest
+        assert beside.get(b"k" * MAX_KEY_BYTES) == largest
         store.put(b"x", b"y")
         store.maintain()
     with Store.open(tmp_path) as store:
-        assert store.get(b"k" * KEY_MOST) == largest and store.get(b"small") == b""
+        assert store.get(b"k" * MAX_KEY_BYTES) == largest and store.get(b"small") == b""
 
 
 def test_a_key_written_a_million_times_fills_neither_memory_nor_disk() -> None:
-    store, value = Store.open(SimulatedDisk(), limits=Limits(log=1 << 20, memory=1 << 20)), bytes(16)
+    store, value = Store.open(FaultInjectingDisk(), limits=Limits(log=1 << 20, memory=1 << 20)), bytes(16)
     most = 0
     for number in range(100):
         store.write([[(b"key", b"%d" % at + value) for at in range(number * 10000, (number + 1) * 10000)]])
@@ -197,11 +200,11 @@
             doomed = asyncio.ensure_future(store.put(b"late", b"1"))
             await asyncio.sleep(0)
             doomed.cancel()
-            with pytest.raises(InvalidArgument):
+            with pytest.raises(InvalidArgumentError):
                 await store.put(b"", b"")
             # more waits than has room: all of it is written in the end
             await asyncio.gather(*(store.put(b"big%d" % n, bytes(1 << 20)) for n in range(24)))
-        with pytest.raises(StoreClosed):
+        with pytest.raises(StoreClosedError):
             await store.put(b"a", b"b")
 
     asyncio.run(play())
@@ -210,11 +213,11 @@
 
 def test_asyncio_writers_hear_of_a_failed_flush() -> None:
     async def play() -> None:
-        disk = SimulatedDisk()
+        disk = FaultInjectingDisk()
         store = await AsyncStore.open(disk)
         disk.fault = lambda call, name: Fault(5) if call == "sync" else None
         results = await asyncio.gather(*(store.put(b"%d" % n, b"") for n in range(9)), return_exceptions=True)
-        assert all(isinstance(result, WriteFailed) and result.final for result in results)
+        assert all(isinstance(result, WriteFailedError) and result.final for result in results)
         assert await store.get(b"1") is None
         await store.close()
 
@@ -229,7 +232,7 @@
     child = subprocess.Popen([sys.executable, "-c", hold, str(tmp_path)], stdout=subprocess.PIPE, cwd=ROOT)
     assert child.stdout and child.stdout.readline() == b"held\n"
     try:
-        with pytest.raises(StoreLocked):
+        with pytest.raises(StoreLockedError):
             Store.open(tmp_path)
         readers = [Store.open(tmp_path, read_only=True) for _ in range(3)]
         assert all(reader.get(b"by") == b"child" for reader in readers)
@@ -239,13 +242,13 @@
         child.stdout.close()
     with Store.open(tmp_path) as store:
         assert store.get(b"by") == b"child"
-        with pytest.raises(StoreLocked):  # in one process too
+        with pytest.raises(StoreLockedError):  # in one process too
             Store.open(tmp_path)
         child_sees = os.fork()
         if not child_sees:
             try:
                 store.put(b"from", b"fork")
-            except StoreClosed:
+            except StoreClosedError:
                 os._exit(7)
             os._exit(0)
         assert os.waitstatus_to_exitcode(os.waitpid(child_sees, 0)[1]) == 7
@@ -253,7 +256,7 @@
 
 
 def test_a_reader_beside_a_writer_sees_only_what_is_durable() -> None:
-    disk = SimulatedDisk()
+    disk = FaultInjectingDisk()
     store = Store.open(disk)
     store.put(b"a", b"1")
     seen: list[dict[bytes, bytes]] = []
@@ -272,22 +275,27 @@
     """Bytes written by merges over bytes flushed, and the share of newer runs, over drawn sizes."""
     for seed in range(40):
         rng = random.Random(seed)
-        runs: list[levels.Weight] = []
+        runs: list[compaction_policy.RunWeight] = []
         flushed = rewritten = 0
         for _ in range(600):
             size = rng.choice((1, 1, 1, rng.randint(1, 4)))
-            runs.append(levels.Weight(size, size, 0))
+            runs.append(compaction_policy.RunWeight(size, size, 0))
             flushed += size
-            while (first := levels.first_to_merge(runs, 4)) is not None:
+            while (first := compaction_policy.oldest_run_to_compact(runs, 4)) is not None:
                 whole = sum(run.size for run in runs[first:])
-                runs[first:] = [levels.Weight(whole, whole, 0)]
+                runs[first:] = [compaction_policy.RunWeight(whole, whole, 0)]
                 rewritten += whole
             assert len(runs) <= 12
             if runs[0].size >= 4:
                 assert sum(run.size for run in runs[1:]) < max(runs[0].size, 13), f"seed {seed}: {runs}"
         assert rewritten / flushed < 10, f"seed {seed}"
-    assert levels.first_to_merge([levels.Weight(1000, 10, 0), levels.Weight(10, 5, 5)], 4) == 0
-    assert levels.first_to_merge([levels.Weight(1000, 10, 2)], 4) == 0
+    assert (
+        compaction_policy.oldest_run_to_compact(
+            [compaction_policy.RunWeight(1000, 10, 0), compaction_policy.RunWeight(10, 5, 5)], 4
+        )
+        == 0
+    )
+    assert compaction_policy.oldest_run_to_compact([compaction_policy.RunWeight(1000, 10, 2)], 4) == 0
 
 
 KILLED = """
