--- a/heronreel/coordinator/disk.py
+++ b/heronreel/coordinator/disk.py
@@ -17,7 +17,7 @@
 
 NAMES = b"M"  # the record of names and promises
 ROW = b"R"  # and the name of a record of the map
-LIMITS = Limits(memory=2 << 20, segment=2 << 20, log=8 << 20)
+LIMITS = Limits(memtable_bytes=2 << 20, segment_bytes=2 << 20, log_bytes=8 << 20)
 
 
 class WrongMemberError(Exception):
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -41,11 +41,14 @@
 from heronreel.proxy.operators import Caller, Operators
 from heronreel.proxy.shared import Hold, Shared
 from heronreel.store import Limits, Store
+from heronreel.store.bloom_filter import BloomFilter
 from heronreel.store.checksum import append_checksum
-from heronreel.store.log_format import FrameKind, SegmentHeader, encode_frame, encode_operations
+from heronreel.store.durable_note import encode_durable_note
+from heronreel.store.log_format import FrameKind, SegmentHeader, encode_frame
+from heronreel.store.log_reader import LogPosition
 from heronreel.store.manifest import DamageEntry, Manifest, RunEntry, TableEntry, encode_manifest
-from heronreel.store.recovery import DURABLE_NOTE, DURABLE_NOTE_MAGIC
-from heronreel.store.sstable import BloomFilter, Footer, Index, TableHeader, encode_block
+from heronreel.store.operations import encode_operations
+from heronreel.store.sstable_format import Footer, Index, TableHeader, encode_block
 
 DATA = Path(__file__).parent / "stored" / "data"
 
@@ -56,7 +59,7 @@
 OPERATIONS: list[tuple[bytes, bytes | None]] = [(b"a", b"one"), (b"b", None), (b"\xff\x00", b"")]
 SEGMENT = SegmentHeader(STORE_ID, 7, 40, 1234, SALT, True)
 FRAMES = [
-    (FrameKind.WHOLE, 40, 72, encode_operations(OPERATIONS)),
+    (FrameKind.FULL, 40, 72, encode_operations(OPERATIONS)),
     (FrameKind.FIRST, 41, 136, b"\x01\x00\x02\x00"),
     (FrameKind.MIDDLE, 41, 136, b"\x00\x00k"),
     (FrameKind.LAST, 41, 136, b"vw"),
@@ -71,8 +74,9 @@
     [DamageEntry("00000002.table", 80, 63, "keys from a on", "the block's checksum does not hold")],
 )  # fmt: skip
 LIMITS = Limits(
-    memory=1400, segment=400, fragment=100, log=1200, block=120, part=200, step=128, sync_every=256
-)
+    memtable_bytes=1400, segment_bytes=400, fragment_bytes=100, log_bytes=1200, block_bytes=120,
+    table_bytes=200, step_bytes=128, sync_interval_bytes=256,
+)  # fmt: skip
 
 
 def encoders() -> dict[str, bytes]:
@@ -84,7 +88,7 @@
         "table.index": INDEX.encode(3, SALT),
         "MANIFEST": encode_manifest(MANIFEST),
         "sealed": append_checksum(b"a body", 5),
-        "note": DURABLE_NOTE.pack(DURABLE_NOTE_MAGIC, 7, 4096),
+        "note": encode_durable_note(LogPosition(7, 4096)),
     }
 
 
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -32,18 +32,18 @@
 from heronreel.proxy.shared import Shared
 from heronreel.store import Store
 from heronreel.store.checksum import verified_body
+from heronreel.store.durable_note import decode_durable_note
 from heronreel.store.log_format import (
     HEADER_BYTES,
     SegmentHeader,
     decode_frame,
-    decode_operations,
 )
 from heronreel.store.manifest import decode_manifest
-from heronreel.store.recovery import decode_durable_position
-from heronreel.store.sstable import (
+from heronreel.store.operations import decode_operations
+from heronreel.store.sstable_format import (
     HEADER_BYTES as TABLE_HEADER_BYTES,
 )
-from heronreel.store.sstable import (
+from heronreel.store.sstable_format import (
     Footer,
     Index,
     TableHeader,
@@ -104,7 +104,7 @@
         at = frame.end
     assert at == len(data)
     assert decode_operations(stored_data.FRAMES[0][3]) == stored_data.OPERATIONS
-    assert decode_durable_position((ENCODERS / "note").read_bytes()) == (7, 4096)
+    assert decode_durable_note((ENCODERS / "note").read_bytes()) == (7, 4096)
     assert verified_body((ENCODERS / "sealed").read_bytes(), 6, 5) == b"a body"
 
 
@@ -120,9 +120,9 @@
     assert Footer.decode((ENCODERS / "footer.table").read_bytes(), SALT) == stored_data.FOOTER
     index = Index.decode((ENCODERS / "table.index").read_bytes(), 3, SALT)
     assert index is not None and index.encode(3, SALT) == (ENCODERS / "table.index").read_bytes()
-    assert (index.offsets, index.firsts) == (stored_data.INDEX.offsets, stored_data.INDEX.firsts)
-    assert all(index.filter.may_have(hashed) for hashed in stored_data.HASHES)
-    assert not any(index.filter.may_have(hashed) for hashed in (2, 3, 4))
+    assert (index.offsets, index.first_keys) == (stored_data.INDEX.offsets, stored_data.INDEX.first_keys)
+    assert all(index.bloom_filter.may_contain(hashed) for hashed in stored_data.HASHES)
+    assert not any(index.bloom_filter.may_contain(hashed) for hashed in (2, 3, 4))
     assert decode_manifest((ENCODERS / "MANIFEST").read_bytes()) == stored_data.MANIFEST
 
 
--- a/tests/coordination/test_keyspace.py
+++ b/tests/coordination/test_keyspace.py
@@ -238,7 +238,7 @@
     assert table.write(b"t", 5, 1, b"one") == ((True, 5), True)
     assert table.write(b"t", 5, 1, b"one") == ((True, 5), False)  # said again: done once
     assert table.enter(b"t", 9).admitted
-    disk = disk.image(random.Random(1))  # what a crash leaves
+    disk = disk.crash_image(random.Random(1))  # what a crash leaves
     table = FencedTable(Store.open(disk))
     assert table.write(b"t", 5, 2, b"late") == ((False, 9), False)
     with pytest.raises(ValueError, match="the next one is 2"):
