--- a/bench/store_mutations.py
+++ b/bench/store_mutations.py
@@ -14,65 +14,89 @@
 import tempfile
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
+from typing import NamedTuple
 
 ROOT = Path(__file__).parent.parent
-STORE = "store.py"
-MUTATIONS = [
-    ("no fsync of the log", STORE, "            self._segment.sync()\n", "            pass\n"),
-    ("no fsync of a new segment", STORE, "            file.sync()\n            self._disk.sync_folder()\n",
-     "            self._disk.sync_folder()\n"),
-    ("no folder sync after a new segment", STORE, "            file.sync()\n            self._disk.sync_folder()\n",
+MAINTENANCE, MANIFEST, LOG, READER, WRITER = (
+    "maintenance.py", "manifest_file.py", "write_ahead_log.py", "log_reader.py", "writer.py",
+)  # fmt: skip
+
+
+class Mutation(NamedTuple):
+    """A change of one file of the store: `old` stands in it exactly once."""
+
+    name: str
+    file: str
+    old: str
+    new: str
+
+
+MUTATIONS = [Mutation(*mutation) for mutation in [
+    ("no fsync of the log", LOG, "            self._segment.sync()\n", "            pass\n"),
+    ("no fsync of a new segment", LOG, "            file.sync()\n            self._disk.sync_directory()\n",
+     "            self._disk.sync_directory()\n"),
+    ("no directory sync after a new segment", LOG, "            file.sync()\n            self._disk.sync_directory()\n",
      "            file.sync()\n"),
-    ("no fsync of the manifest", STORE, "            write_whole(file, encode_manifest(manifest))\n            file.sync()\n",
-     "            write_whole(file, encode_manifest(manifest))\n"),
-    ("no folder sync before the rename", STORE,
-     "        disk.sync_folder()  # the names of the tables that it speaks of\n", ""),
-    ("no folder sync after the rename", STORE,
-     "            disk.rename(MANIFEST_NEW, MANIFEST)\n            disk.sync_folder()\n",
-     "            disk.rename(MANIFEST_NEW, MANIFEST)\n"),
-    ("no fsync of a table", "sstable.py", "        self._flush()\n        self._file.sync()\n        self._file.close()\n",
-     "        self._flush()\n        self._file.close()\n"),
+    ("no fsync of the manifest", MANIFEST, "            write_all(file, encode_manifest(manifest))\n            file.sync()\n",
+     "            write_all(file, encode_manifest(manifest))\n"),
+    ("no directory sync before the rename", MANIFEST,
+     "        disk.sync_directory()  # the names of the tables that it refers to\n", ""),
+    ("no directory sync after the rename", MANIFEST,
+     "            disk.rename(NEW_MANIFEST_NAME, MANIFEST_NAME)\n            disk.sync_directory()\n",
+     "            disk.rename(NEW_MANIFEST_NAME, MANIFEST_NAME)\n"),
+    ("no fsync of a table", "sstable_writer.py", "        self._flush_buffer()\n        self._file.sync()\n        self._file.close()\n",
+     "        self._flush_buffer()\n        self._file.close()\n"),
     ("a frame's checksum not checked", "log_format.py",
-     "    if xxhash.xxh3_64_intdigest(memoryview(data)[offset + 8 : last], salt) != checksum:\n        return None\n",
-     "    del checksum, salt\n"),
+     "    if xxhash.xxh3_64_intdigest(covered, salt) != checksum:\n        return None\n",
+     "    del checksum, salt, covered\n"),
     ("a block's checksum not checked", "sstable.py",
-     "            or digest(memoryview(data)[8:], (self.header.salt + offset) & MASK) != data[:8]\n", ""),
-    ("old tables removed before the manifest", STORE,
-     "        self._install(runs=[run_entry(run.info) for run in now])\n",
-     "        for run in runs:\n            for part in run.info.parts:\n                _remove(self._disk, part.file)\n"
-     "        self._install(runs=[run_entry(run.info) for run in now])\n"),
-    ("old segments removed before the manifest", STORE,
-     "        yield 1\n        runs = [*self._manifest.runs",
-     "        yield 1\n        for number in range(log_from):\n            _remove(self._disk, log_format.file_name(number))\n"
-     "        runs = [*self._manifest.runs"),
-    ("an opening's segment counts like any other", "log_format.py", "and not header.fresh):\n", "):\n"),
-    ("one salt for all segments", STORE, "            secrets.randbits(64),\n            fresh,\n", "            7,\n            fresh,\n"),
-    ("a torn end is damage", "log_format.py", "and known <= at:\n", "and known < 0:\n"),
-    ("damage is a torn end", "log_format.py",
-     "                if declared is None and not sealed and known <= at:\n", "                if True:\n"),
-    ("a former segment not synced before the next", STORE,
-     "                    self._sync_segment()\n                    self._new_segment()\n", "                    self._new_segment()\n"),
-    ("a group cut off is taken", "log_format.py",
-     "        if self._parts:\n            why = \"a group begun and not ended\"\n",
-     "        if self._parts:\n            with suppress(ValueError):\n                self._apply(0, decode_operations(b\"\".join(self._parts)))\n"
-     "            why = \"a group begun and not ended\"\n"),
-    ("writes go on after a failed fsync", STORE, "        self.failure = f\"{what}; writes are refused until the store is opened anew\"\n",
-     "        self._segment_failed = True\n"),
-    ("a failed write leaves its segment in use", STORE, "            self._segment_failed = True\n            raise WriteFailedError(f\"the log: {error}\", final=self.failure is not None) from error\n        try:\n            self._sync",
-     "            raise WriteFailedError(f\"the log: {error}\", final=self.failure is not None) from error\n        try:\n            self._sync"),
-    ("deletions dropped while older runs are there", STORE, "not oldest, \"merged\")", "False, \"merged\")"),
-    ("writes are seen before they are durable", STORE, "            self._append(payload)\n            self._apply(group)\n",
+     "        if not complete or not block_is_valid(data, self.header.salt, offset):\n", "        if not complete:\n"),
+    ("old tables removed before the manifest", MAINTENANCE,
+     "        self.manifests.install(replace(self.manifests.current, runs=[RunEntry.of(run.info) for run in runs]))\n",
+     "        for run in merged:\n            for part in run.info.parts:\n                remove_table(self._disk, part.number)\n"
+     "        self.manifests.install(replace(self.manifests.current, runs=[RunEntry.of(run.info) for run in runs]))\n"),
+    ("old segments removed before the manifest", MAINTENANCE,
+     "        yield 1\n        manifest = self.manifests.current\n",
+     "        yield 1\n        self.remove_segments(end.next_segment)\n        manifest = self.manifests.current\n"),
+    ("a recovery segment counts like any other", READER, "and not header.recovery):\n", "):\n"),
+    ("one salt for all segments", LOG, "            secrets.randbits(64),\n            recovery,\n", "            7,\n            recovery,\n"),
+    ("a torn write is damage", READER, "and tail.durable <= offset:\n", "and tail.durable < 0:\n"),
+    ("damage is a torn write", READER,
+     "            if not segment.end_known and not segment.has_successor and tail.durable <= offset:\n", "            if True:\n"),
+    ("a former segment not synced before the next", LOG,
+     "                self.sync()\n                self.start_segment()\n", "                self.start_segment()\n"),
+    ("a group cut off is taken", READER,
+     "        if self._fragments:\n            self._drop_group(\"a group begun and not ended\")\n",
+     "        if self._fragments:\n            with suppress(ValueError):\n                self._apply(decode_operations(b\"\".join(self._fragments)))\n"
+     "            self._drop_group(\"a group begun and not ended\")\n"),
+    ("writes go on after a failed fsync", LOG,
+     "            self._health.fail(f\"an fsync of the log failed: {error}\")\n", "            self._segment_failed = True\n"),
+    ("a failed write leaves its segment in use", WRITER,
+     "            self._log.append_group(payload)\n        except OSError as error:\n            self._log.fail_segment()\n",
+     "            self._log.append_group(payload)\n        except OSError as error:\n"),
+    ("deletions dropped while older runs are there", MAINTENANCE, "keep_deletions=not oldest)", "keep_deletions=False)"),
+    ("writes are seen before they are durable", WRITER, "            self._append(payload)\n            self._apply(group)\n",
      "            self._apply(group)\n            self._append(payload)\n"),
-    ("damage met is not remembered", STORE, "                self._install(damage=[*self._manifest.damage, *fresh])\n",
-     "                pass\n"),
-    ("a reader beside a writer reads on", "recovery.py", "    return (number, durable) if magic == NOTE_MAGIC else None\n", "    return None\n"),
-    ("a first write tidies up tables too", STORE, "            self._remove_segments(self._header.number)\n",
-     "            self._clean()\n"),
-    ("a write pays for four steps at most", STORE, "max(earned, 4 * limits.step)", "4 * limits.step"),
-]  # fmt: skip
+    ("damage met is not remembered", MANIFEST,
+     "            self.install(replace(self.current, damage=[*self.current.damage, *unknown]))\n", "            pass\n"),
+    ("a reader beside a writer reads on", "durable_note.py", "    return LogPosition(segment, offset) if magic == _MAGIC else None\n",
+     "    return None\n"),
+    ("a first write tidies up tables too", WRITER, "            self._maintenance.remove_segments(first_segment)\n",
+     "            self._remove_unnamed_files()\n"),
+    ("a write pays for four steps at most", MAINTENANCE, "max(earned, SAVED_STEPS * step_bytes)", "SAVED_STEPS * step_bytes"),
+]]  # fmt: skip
+
+
+class Outcome(NamedTuple):
+    """Whether the tests caught a mutation, and by which, or why it could not be tried."""
+
+    name: str
+    caught: bool
+    how: str
 
 
-def tried(mutation: tuple[str, str, str, str]) -> tuple[str, bool, str]:
+def tested(mutation: Mutation) -> Outcome:
+    """Run the store's tests on a copy of the code with one mutation."""
     name, file, old, new = mutation
     with tempfile.TemporaryDirectory(prefix="mutation-") as folder:
         for part in ("heronreel", "tests"):
@@ -80,34 +104,35 @@
         path = Path(folder) / "heronreel/store" / file
         text = path.read_text()
         if text.count(old) != 1:
-            return name, False, f"its text is {text.count(old)} times in {file}"
+            return Outcome(name, False, f"its text is {text.count(old)} times in {file}")
+        mutated = text.replace(old, new)
         if "suppress" in new and "import suppress" not in text:
-            new_text = text.replace("import enum\n", "import enum\nfrom contextlib import suppress\n", 1)
-        else:
-            new_text = text
-        path.write_text(new_text.replace(old, new))
-        words = [sys.executable, "-m", "pytest", "-q", "-x", "--no-header", "-p", "no:cacheprovider"]
-        done = subprocess.run(
-            [*words, "tests/store/test_crashes.py", "tests/store/test_store.py"],
+            first_import = "from __future__ import annotations\n"
+            mutated = mutated.replace(first_import, f"{first_import}\nfrom contextlib import suppress\n", 1)
+        path.write_text(mutated)
+        command = [sys.executable, "-m", "pytest", "-q", "-x", "--no-header", "-p", "no:cacheprovider"]
+        run = subprocess.run(
+            [*command, "tests/store/test_crashes.py", "tests/store/test_store.py"],
             cwd=folder, capture_output=True, text=True, timeout=600,
         )  # fmt: skip
-        failed = [line for line in done.stdout.splitlines() if line.startswith("FAILED")]
-        short = failed[0].split("::")[1].split(" - ")[0] if failed else ""
-        return name, bool(failed), short or "all tests pass"
+        failed = [line for line in run.stdout.splitlines() if line.startswith("FAILED")]
+        test = failed[0].split("::")[1].split(" - ")[0] if failed else "all tests pass"
+        return Outcome(name, bool(failed), test)
 
 
 def main() -> None:
-    words = argparse.ArgumentParser()
-    words.add_argument("--workers", type=int, default=6)
-    words.add_argument("--only", default="", help="part of a name")
-    told = words.parse_args()
-    chosen = [mutation for mutation in MUTATIONS if told.only in mutation[0]]
-    good = True
-    with ThreadPoolExecutor(told.workers) as pool:
-        for name, caught, how in pool.map(tried, chosen):
-            good = good and caught
+    """Test all mutations, or those whose names have a part."""
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--workers", type=int, default=6)
+    parser.add_argument("--only", default="", help="part of a name")
+    options = parser.parse_args()
+    chosen = [mutation for mutation in MUTATIONS if options.only in mutation.name]
+    all_caught = True
+    with ThreadPoolExecutor(options.workers) as pool:
+        for name, caught, how in pool.map(tested, chosen):
+            all_caught = all_caught and caught
             print(f"{'caught' if caught else 'MISSED'}  {name:48} {how}", flush=True)
-    sys.exit(0 if good else 1)
+    sys.exit(0 if all_caught else 1)
 
 
 if __name__ == "__main__":
