--- a/bench/store_mutations.py
+++ b/bench/store_mutations.py
@@ -21,6 +21,12 @@
     "maintenance.py", "manifest_file.py", "write_ahead_log.py", "log_reader.py", "writer.py",
 )  # fmt: skip
 
+TESTS = [
+    f"tests/store/test_{name}.py"
+    for name in ("crash_recovery", "corruption", "maintenance", "repair", "disk_faults", "model", "store",
+                 "async_store", "processes", "store_command")
+]  # fmt: skip
+
 
 class Mutation(NamedTuple):
     """A change of one file of the store: `old` stands in it exactly once."""
@@ -112,7 +118,7 @@
         path.write_text(mutated)
         command = [sys.executable, "-m", "pytest", "-q", "-x", "--no-header", "-p", "no:cacheprovider"]
         run = subprocess.run(
-            [*command, "tests/store/test_crashes.py", "tests/store/test_store.py"],
+            [*command, *TESTS],
             cwd=folder, capture_output=True, text=True, timeout=600,
         )  # fmt: skip
         failed = [line for line in run.stdout.splitlines() if line.startswith("FAILED")]
--- a/heronreel/store/async_store.py
+++ b/heronreel/store/async_store.py
@@ -22,8 +22,8 @@
 from heronreel.store.disk import Disk
 from heronreel.store.errors import StoreClosedError
 from heronreel.store.limits import Limits, validated_key, validated_value
-from heronreel.store.maintenance import Progress
 from heronreel.store.operations import Operation, operation_size
+from heronreel.store.progress import Progress
 from heronreel.store.snapshot import Snapshot
 from heronreel.store.store import Store
 
--- a/heronreel/store/maintenance.py
+++ b/heronreel/store/maintenance.py
@@ -11,16 +11,18 @@
 from msgspec.structs import replace
 
 from heronreel.store.compaction_policy import RunWeight, oldest_run_to_compact
+from heronreel.store.counters import Counters
 from heronreel.store.current_view import CurrentView
 from heronreel.store.disk import Disk
 from heronreel.store.errors import CorruptionError, StoreError, WriteFailedError
-from heronreel.store.health import Counters, Health
+from heronreel.store.health import Health
 from heronreel.store.limits import Limits
 from heronreel.store.log_format import SEGMENT_SUFFIX, file_numbers, segment_name
 from heronreel.store.manifest import RunEntry
 from heronreel.store.manifest_file import ManifestFile
 from heronreel.store.merge import merge_records
 from heronreel.store.operations import Memtable
+from heronreel.store.progress import Progress
 from heronreel.store.run_writer import RunWriter, UnreferencedTables, remove_file, remove_table
 from heronreel.store.sstable import SortedRun
 
@@ -28,9 +30,6 @@
 SMALL_RUN_MEMTABLES = 4  # runs below so many memtables wait for others before they are merged
 SAVED_STEPS = 4  # of maintenance, that small writes save up at most
 
-Progress = Callable[[int, int], None]
-"""Called with the bytes done and the bytes to do."""
-
 
 class FrozenEnd(NamedTuple):
     """Where the log of the frozen memtable ends."""
--- a/heronreel/store/manifest_file.py
+++ b/heronreel/store/manifest_file.py
@@ -4,9 +4,10 @@
 
 from msgspec.structs import replace
 
+from heronreel.store.counters import Counters
 from heronreel.store.disk import Disk, write_all
 from heronreel.store.errors import Lost
-from heronreel.store.health import Counters, Health
+from heronreel.store.health import Health
 from heronreel.store.manifest import (
     MANIFEST_NAME,
     NEW_MANIFEST_NAME,
--- a/heronreel/store/repair.py
+++ b/heronreel/store/repair.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import os
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from dataclasses import dataclass, field
 
 from heronreel.store.block_scan import scan_blocks
@@ -14,6 +14,7 @@
 from heronreel.store.manifest_rebuild import rebuild_manifest
 from heronreel.store.merge import merge_records
 from heronreel.store.operations import Operation, operation_size
+from heronreel.store.progress import Progress
 from heronreel.store.reader import no_store
 from heronreel.store.recovery import read_log
 from heronreel.store.sstable_format import (
@@ -30,9 +31,6 @@
 )
 from heronreel.store.store import Store
 
-Progress = Callable[[int, int], None]
-"""Called with the bytes done and the bytes to do."""
-
 _BATCH_BYTES = 1 << 20  # of one batch that repair writes
 
 
--- a/heronreel/store/store.py
+++ b/heronreel/store/store.py
@@ -8,14 +8,15 @@
 from typing import Any
 
 from heronreel.store.batch import Batch
+from heronreel.store.counters import Counters
 from heronreel.store.current_view import CurrentView
 from heronreel.store.disk import Disk, as_disk
 from heronreel.store.errors import CorruptionError, Lost, ReadOnlyError, StoreClosedError
-from heronreel.store.health import Counters, Health
+from heronreel.store.health import Health
 from heronreel.store.limits import Limits, validated_key, validated_value
 from heronreel.store.log_reader import DroppedTail
-from heronreel.store.maintenance import Progress
 from heronreel.store.operations import Operation
+from heronreel.store.progress import Progress
 from heronreel.store.reader import StoreReader
 from heronreel.store.snapshot import Snapshot
 from heronreel.store.sstable import SortedRun
--- a/heronreel/store/verify.py
+++ b/heronreel/store/verify.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import os
-from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from heronreel.store.block_scan import read_index, scan_blocks
@@ -12,6 +11,7 @@
 from heronreel.store.log_format import segment_name
 from heronreel.store.log_reader import DroppedTail
 from heronreel.store.manifest import MANIFEST_NAME, Manifest, decode_manifest
+from heronreel.store.progress import Progress
 from heronreel.store.reader import no_store
 from heronreel.store.recovery import (
     Contents,
@@ -23,9 +23,6 @@
 from heronreel.store.sstable import SSTable
 from heronreel.store.sstable_format import RunInfo, decode_block, index_name
 
-Progress = Callable[[int, int], None]
-"""Called with the bytes done and the bytes to do."""
-
 
 @dataclass(slots=True)
 class VerifyReport:
--- a/heronreel/store/write_ahead_log.py
+++ b/heronreel/store/write_ahead_log.py
@@ -4,9 +4,10 @@
 
 import secrets
 
+from heronreel.store.counters import Counters
 from heronreel.store.disk import Disk, DiskFile, LockFile, write_all
 from heronreel.store.durable_note import encode_durable_note
-from heronreel.store.health import Counters, Health
+from heronreel.store.health import Health
 from heronreel.store.limits import Limits
 from heronreel.store.log_format import FrameKind, SegmentHeader, encode_frame, segment_name
 from heronreel.store.log_reader import LogPosition
--- a/heronreel/store/writer.py
+++ b/heronreel/store/writer.py
@@ -7,18 +7,20 @@
 
 from msgspec.structs import replace
 
+from heronreel.store.counters import Counters
 from heronreel.store.current_view import CurrentView
 from heronreel.store.disk import Disk, LockFile
 from heronreel.store.errors import CorruptionError, StoreError, StoreLockedError, WriteFailedError
 from heronreel.store.group_commit import CommitQueue, PendingWrite
-from heronreel.store.health import Counters, Health
+from heronreel.store.health import Health
 from heronreel.store.limits import Limits
 from heronreel.store.log_format import file_numbers
 from heronreel.store.log_reader import DroppedTail, LogState
-from heronreel.store.maintenance import FrozenEnd, Maintenance, Progress
+from heronreel.store.maintenance import FrozenEnd, Maintenance
 from heronreel.store.manifest import NEW_MANIFEST_NAME, Manifest
 from heronreel.store.manifest_file import ManifestFile
 from heronreel.store.operations import Operation, encode_operations
+from heronreel.store.progress import Progress
 from heronreel.store.recovery import Contents, read_contents, read_manifest
 from heronreel.store.run_writer import remove_file
 from heronreel.store.snapshot import ReadView
