--- a/heronreel/store/__init__.py
+++ b/heronreel/store/__init__.py
@@ -11,7 +11,8 @@
 * `recovery`, `log_reader`: reading what a directory holds; `manifest_file`: replacing the manifest.
 * `log_format`, `operations`, `sstable_format`, `bloom_filter`, `manifest`, `checksum`, `durable_note`: bytes.
 * `sstable`, `sstable_writer`, `block_scan`: SSTables.
-* `disk`: the interface to files; `fault_injecting_disk`: one that does all that POSIX permits, for tests; `page_cache`.
+* `disk`: the interface to files; `fault_injecting_disk`, `page_cache`: one for tests that does all that POSIX
+  permits.
 * `verify`, `repair`, `manifest_rebuild`: checking every byte, and salvaging a damaged store.
 """
 
