--- a/bench/store.py
+++ b/bench/store.py
@@ -2,8 +2,8 @@
 
     PYTHONPATH=. .venv-cli/bin/python bench/store.py [--folder FOLDER] [--keys 1000000] [--seconds 2]
 
-Durable writes a second for 1, 8 and 64 writers (threads; and coroutines of the asyncio face), point reads,
-the time to open at a million keys, bytes on disk over bytes of live data, resident memory, write
+Durable writes a second for 1, 8 and 64 writers (threads; and coroutines of the asyncio interface), point
+reads, the time to open at a million keys, bytes on disk over bytes of live data, resident memory, write
 amplification, longest pause.
 """
 
@@ -118,11 +118,13 @@
         for start in range(0, keys, 100):
             store.write([[(key_of(number), VALUE) for number in range(start, min(start + 100, keys))]])
         steps = store.counters.longest_step_ms
-        told = store.counters
-        amplification = (told.logged + told.flushed + told.merged) / told.asked
+        counters = store.counters
+        amplification = (
+            counters.log_bytes + counters.flushed_bytes + counters.compacted_bytes
+        ) / counters.payload_bytes
     return {
         "seconds": time.perf_counter() - began, "write_amplification": amplification,
-        "longest_step_ms": steps, "stalls": told.stalls,
+        "longest_step_ms": steps, "stalls": counters.stalls,
     }  # fmt: skip
 
 
@@ -157,27 +159,27 @@
 assert get(key_of(7)) is not None
 first = time.perf_counter()
 rng = random.Random(4)
-asked = [key_of(rng.randrange(keys)) for _ in range(20000)]
+present = [key_of(rng.randrange(keys)) for _ in range(20000)]
 missing = [b'none/%d' % n for n in range(20000)]
-for key in asked: get(key)
+for key in present: get(key)
 at = time.perf_counter()
-for key in asked: assert get(key)
+for key in present: assert get(key)
 hit = time.perf_counter() - at
 at = time.perf_counter()
 for key in missing: assert get(key) is None
 miss = time.perf_counter() - at
 print(json.dumps(dict(open_ms=(opened - began) * 1000, first_read_ms=(first - opened) * 1000,
-    reads=len(asked) / hit, misses=len(missing) / miss, memory_mb=rss() - before)))
+    reads=len(present) / hit, misses=len(missing) / miss, memory_mb=rss() - before)))
 """
 
 
 def measured(which: str, folder: Path, keys: int) -> dict[str, float]:
     """In processes of their own, in turns with the other: medians of five."""
     root = str(Path(__file__).parent.parent)
-    words = [sys.executable, "-c", CHILD.format(root=root), which, str(folder), str(keys)]
+    command = [sys.executable, "-c", CHILD.format(root=root), which, str(folder), str(keys)]
     rounds = []
     for _ in range(5):
-        rounds.append(json.loads(subprocess.run(words, capture_output=True, check=True, text=True).stdout))
+        rounds.append(json.loads(subprocess.run(command, capture_output=True, check=True, text=True).stdout))
     return {name: statistics.median(each[name] for each in rounds) for name in rounds[0]}
 
 
@@ -186,15 +188,15 @@
 
 
 def main() -> None:
-    words = argparse.ArgumentParser()
-    words.add_argument(
+    parser = argparse.ArgumentParser()
+    parser.add_argument(
         "--folder", default=None, help="on the disk to measure; a new one in the current folder"
     )
-    words.add_argument("--keys", type=int, default=1_000_000)
-    words.add_argument("--seconds", type=float, default=2.0)
-    words.add_argument("--rounds", type=int, default=3)
-    told = words.parse_args()
-    base = Path(tempfile.mkdtemp(dir=told.folder or ".", prefix="bench-store-"))
+    parser.add_argument("--keys", type=int, default=1_000_000)
+    parser.add_argument("--seconds", type=float, default=2.0)
+    parser.add_argument("--rounds", type=int, default=3)
+    options = parser.parse_args()
+    base = Path(tempfile.mkdtemp(dir=options.folder or ".", prefix="bench-store-"))
     try:
         ways = {
             "ours, threads": ours,
@@ -205,11 +207,11 @@
         print("durable writes a second (longest write), median of rounds in turns")
         for writers in (1, 8, 64):
             seen: dict[str, list[tuple[float, float]]] = {name: [] for name in ways}
-            for turn in range(told.rounds):
+            for turn in range(options.rounds):
                 for name, way in ways.items():
                     folder = base / f"{name}-{writers}-{turn}"
                     folder.mkdir()
-                    seen[name].append(way(folder, writers, told.seconds))
+                    seen[name].append(way(folder, writers, options.seconds))
                     shutil.rmtree(folder)
             rates = {name: statistics.median(rate for rate, _ in values) for name, values in seen.items()}
             best = max(rate for name, rate in rates.items() if "sqlite3" in name)
@@ -221,23 +223,23 @@
         for folder in stores.values():
             folder.mkdir()
         filled = {
-            "ours": fill_ours(stores["ours"], told.keys),
-            "sqlite3": fill_theirs(stores["sqlite3"], told.keys),
+            "ours": fill_ours(stores["ours"], options.keys),
+            "sqlite3": fill_theirs(stores["sqlite3"], options.keys),
         }
-        live = sum(len(key_of(number)) for number in range(told.keys)) + len(VALUE) * told.keys
-        print(f"{told.keys:,} keys of 13 bytes, values of {len(VALUE)}, in batches of 100")
+        live = sum(len(key_of(number)) for number in range(options.keys)) + len(VALUE) * options.keys
+        print(f"{options.keys:,} keys of 13 bytes, values of {len(VALUE)}, in batches of 100")
         for name, folder in stores.items():
-            words_of = ", ".join(f"{what} {value:.2f}" for what, value in filled[name].items())
-            print(f"  {name:8} filled: {words_of}")
+            text = ", ".join(f"{what} {value:.2f}" for what, value in filled[name].items())
+            print(f"  {name:8} filled: {text}")
             print(f"  {name:8} disk over live data: {size(folder) / live:.2f}")
-            for what, value in measured(name, folder, told.keys).items():
+            for what, value in measured(name, folder, options.keys).items():
                 print(f"  {name:8} {what:14} {value:12,.2f}")
         with Store.open(stores["ours"]) as store:
-            told_of = store.stat()
-            for key in (key_of(random.randrange(told.keys)) for _ in range(1000)):
+            stat = store.stat()
+            for key in (key_of(random.randrange(options.keys)) for _ in range(1000)):
                 store.get(key)
-            told_of = store.stat()
-            per_key, runs = told_of["index_bytes"] / told.keys, len(told_of["runs"])
+            stat = store.stat()
+            per_key, runs = stat["index_bytes"] / options.keys, len(stat["runs"])
             print(f"  ours     index bytes a key: {per_key:.2f}, runs {runs}")
             began = time.perf_counter()
             store.compact()
@@ -253,7 +255,7 @@
             f"import sys, os; sys.path.insert(0, {str(Path(__file__).parent.parent)!r})\n"
             "from bench.store import key_of, VALUE\nfrom heronreel.store import Store\n"
             "s = Store.open(sys.argv[1])\nn = 0\n"
-            "while s._memory_size < 4000000:\n"
+            "while s.stat()['memory_bytes'] < 4000000:\n"
             "    s.write([[(key_of(n + i), VALUE) for i in range(50)]]); n += 50\n"
             "os._exit(0)"
         )
