--- a/heronreel/cli/store.py
+++ b/heronreel/cli/store.py
@@ -108,8 +108,8 @@
     from heronreel.store import Store
 
     with _exit_on_error(as_json), Store.open(path, read_only=True) as store:
-        stat = store.stat()
-    del stat["since_opening"]  # of this reading
+        # without the counters, which are of this opening alone
+        stat = {name: value for name, value in store.stat().items() if name != "since_opening"}
     if as_json:
         click.echo(json.dumps(stat, indent=2))
     else:
--- a/heronreel/store/__init__.py
+++ b/heronreel/store/__init__.py
@@ -6,7 +6,7 @@
 * `store`: the public interface; `async_store`: the same for asyncio; `batch`, `limits`, `errors`.
 * `writer`: recovery, commits and closing; `group_commit`: one fsync for many writers; `write_ahead_log`.
 * `maintenance`: flushes and compactions in steps; `run_writer`; `compaction_policy`: which runs are merged.
-* `health`, `counters`, `progress`: what the parts of an open store share.
+* `health`, `counters`, `progress`, `stat`: what the parts of an open store share.
 * `reader`: a store opened for reading; `snapshot`, `current_view`, `merge`: what reads see.
 * `recovery`, `log_reader`: reading what a directory holds; `manifest_file`: replacing the manifest.
 * `log_format`, `operations`, `sstable_format`, `bloom_filter`, `manifest`, `checksum`, `durable_note`: bytes.
--- a/heronreel/store/maintenance.py
+++ b/heronreel/store/maintenance.py
@@ -41,7 +41,7 @@
 class Maintenance:
     """The flush and the compaction under way.
 
-    `lock` guards them and the manifest; methods that begin with "while locked" need it held.
+    `lock` guards them and the manifest; a method whose description begins with "while locked" needs it held.
     """
 
     def __init__(
--- a/heronreel/store/manifest_file.py
+++ b/heronreel/store/manifest_file.py
@@ -8,13 +8,7 @@
 from heronreel.store.disk import Disk, write_all
 from heronreel.store.errors import Lost
 from heronreel.store.health import Health
-from heronreel.store.manifest import (
-    MANIFEST_NAME,
-    NEW_MANIFEST_NAME,
-    DamageEntry,
-    Manifest,
-    encode_manifest,
-)
+from heronreel.store.manifest import MANIFEST_NAME, NEW_MANIFEST_NAME, DamageEntry, Manifest, encode_manifest
 
 _SYNCS = 3  # that an installation takes
 
--- a/heronreel/store/manifest_rebuild.py
+++ b/heronreel/store/manifest_rebuild.py
@@ -8,15 +8,8 @@
 from heronreel.store.block_scan import scan_blocks
 from heronreel.store.disk import Disk, read_all
 from heronreel.store.errors import Lost
-from heronreel.store.log_format import (
-    HEADER_BYTES as SEGMENT_HEADER_BYTES,
-)
-from heronreel.store.log_format import (
-    SEGMENT_SUFFIX,
-    SegmentHeader,
-    file_numbers,
-    segment_name,
-)
+from heronreel.store.log_format import HEADER_BYTES as SEGMENT_HEADER_BYTES
+from heronreel.store.log_format import SEGMENT_SUFFIX, SegmentHeader, file_numbers, segment_name
 from heronreel.store.manifest import Manifest, RunEntry
 from heronreel.store.sstable_format import (
     FOOTER_BYTES,
--- a/heronreel/store/sstable_format.py
+++ b/heronreel/store/sstable_format.py
@@ -19,12 +19,7 @@
     checksum_bytes,
     verified_body,
 )
-from heronreel.store.operations import (
-    Operation,
-    decode_operations,
-    encode_operation,
-    match_operation,
-)
+from heronreel.store.operations import Operation, decode_operations, encode_operation, match_operation
 
 TABLE_SUFFIX = "table"
 INDEX_SUFFIX = "index"
--- a/heronreel/store/store.py
+++ b/heronreel/store/store.py
@@ -5,7 +5,6 @@
 import os
 from collections.abc import Iterator
 from types import TracebackType
-from typing import Any
 
 from heronreel.store.batch import Batch
 from heronreel.store.counters import Counters
@@ -20,6 +19,7 @@
 from heronreel.store.reader import StoreReader
 from heronreel.store.snapshot import Snapshot
 from heronreel.store.sstable import SortedRun
+from heronreel.store.stat import RunStat, StoreStat
 from heronreel.store.writer import StoreWriter
 
 _UNLIMITED = 1 << 62
@@ -245,7 +245,7 @@
         """
         self._writable().compact(progress)
 
-    def stat(self) -> dict[str, Any]:
+    def stat(self) -> StoreStat:
         """Sizes and counts, all in bytes or numbers; `heronreel store stat --json` prints it."""
         self._check_open()
         view, side = self._current.view, self._side
@@ -296,7 +296,7 @@
             self._writer.record_damage()
 
 
-def _run_stat(run: SortedRun) -> dict[str, Any]:
+def _run_stat(run: SortedRun) -> RunStat:
     return {
         "groups": [run.info.first_sequence, run.info.last_sequence],
         "parts": len(run.info.parts),
--- a/heronreel/store/verify.py
+++ b/heronreel/store/verify.py
@@ -13,13 +13,7 @@
 from heronreel.store.manifest import MANIFEST_NAME, Manifest, decode_manifest
 from heronreel.store.progress import Progress
 from heronreel.store.reader import no_store
-from heronreel.store.recovery import (
-    Contents,
-    has_data_files,
-    lost_manifest,
-    read_contents,
-    segment_numbers,
-)
+from heronreel.store.recovery import Contents, has_data_files, lost_manifest, read_contents, segment_numbers
 from heronreel.store.sstable import SSTable
 from heronreel.store.sstable_format import RunInfo, decode_block, index_name
 
--- a/tests/store/test_async_store.py
+++ b/tests/store/test_async_store.py
@@ -7,13 +7,7 @@
 
 import pytest
 
-from heronreel.store import (
-    AsyncStore,
-    InvalidArgumentError,
-    Store,
-    StoreClosedError,
-    WriteFailedError,
-)
+from heronreel.store import AsyncStore, InvalidArgumentError, Store, StoreClosedError, WriteFailedError
 from heronreel.store.fault_injecting_disk import Fault, FaultInjectingDisk
 
 
--- a/tests/store/test_corruption.py
+++ b/tests/store/test_corruption.py
@@ -7,18 +7,10 @@
 
 import pytest
 
-from heronreel.store import (
-    CorruptionError,
-    Store,
-    UnknownFormatError,
-)
+from heronreel.store import CorruptionError, Store, UnknownFormatError
 from heronreel.store.fault_injecting_disk import FaultInjectingDisk
 from heronreel.store.verify import verify
-from tests.store.durability import (
-    SMALL_LIMITS,
-    content,
-    populate_store,
-)
+from tests.store.durability import SMALL_LIMITS, content, populate_store
 
 
 def test_every_file_truncated_at_every_byte(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/store/test_crash_recovery.py
+++ b/tests/store/test_crash_recovery.py
@@ -7,9 +7,7 @@
 
 import pytest
 
-from heronreel.store import (
-    Store,
-)
+from heronreel.store import Store
 from heronreel.store.fault_injecting_disk import FaultInjectingDisk, PowerLoss
 from tests.store.durability import (
     SMALL_LIMITS,
--- a/tests/store/test_disk_faults.py
+++ b/tests/store/test_disk_faults.py
@@ -6,18 +6,9 @@
 
 import pytest
 
-from heronreel.store import (
-    CorruptionError,
-    Store,
-    WriteFailedError,
-)
+from heronreel.store import CorruptionError, Store, WriteFailedError
 from heronreel.store.fault_injecting_disk import Fault, FaultInjectingDisk
-from tests.store.durability import (
-    SMALL_LIMITS,
-    DurabilityModel,
-    content,
-    random_changes,
-)
+from tests.store.durability import SMALL_LIMITS, DurabilityModel, content, random_changes
 
 
 def test_a_failed_fsync_ends_writes() -> None:
--- a/tests/store/test_maintenance.py
+++ b/tests/store/test_maintenance.py
@@ -7,16 +7,9 @@
 
 import pytest
 
-from heronreel.store import (
-    Limits,
-    Store,
-    compaction_policy,
-)
+from heronreel.store import Limits, Store, compaction_policy
 from heronreel.store.fault_injecting_disk import FaultInjectingDisk
-from tests.store.durability import (
-    SMALL_LIMITS,
-    content,
-)
+from tests.store.durability import SMALL_LIMITS, content
 
 COMPACTION_STEPS = 18  # that the compaction of the next test takes
 
--- a/tests/store/test_model.py
+++ b/tests/store/test_model.py
@@ -9,16 +9,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from heronreel.store import (
-    Store,
-)
+from heronreel.store import Store
 from heronreel.store.fault_injecting_disk import FaultInjectingDisk, PowerLoss
-from tests.store.durability import (
-    SMALL_LIMITS,
-    DurabilityModel,
-    content,
-    lose_power_at,
-)
+from tests.store.durability import SMALL_LIMITS, DurabilityModel, content, lose_power_at
 
 KEYS = st.sampled_from([b"a", b"ab", b"b", b"c", b"\xff", b"\xff\xff", b"z" * 40])
 
--- a/tests/store/test_processes.py
+++ b/tests/store/test_processes.py
@@ -12,15 +12,9 @@
 
 import pytest
 
-from heronreel.store import (
-    Store,
-    StoreClosedError,
-    StoreLockedError,
-)
+from heronreel.store import Store, StoreClosedError, StoreLockedError
 from heronreel.store.fault_injecting_disk import FaultInjectingDisk
-from tests.store.durability import (
-    content,
-)
+from tests.store.durability import content
 
 ROOT = Path(__file__).parents[2]
 
--- a/tests/store/test_repair.py
+++ b/tests/store/test_repair.py
@@ -6,17 +6,10 @@
 
 import pytest
 
-from heronreel.store import (
-    CorruptionError,
-    Store,
-)
+from heronreel.store import CorruptionError, Store
 from heronreel.store.fault_injecting_disk import FaultInjectingDisk
 from heronreel.store.repair import repair
-from tests.store.durability import (
-    SMALL_LIMITS,
-    content,
-    populate_store,
-)
+from tests.store.durability import SMALL_LIMITS, content, populate_store
 
 
 class Damage:
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -20,10 +20,7 @@
 )
 from heronreel.store.disk import RealDisk
 from heronreel.store.fault_injecting_disk import FaultInjectingDisk
-from tests.store.durability import (
-    SMALL_LIMITS,
-    content,
-)
+from tests.store.durability import SMALL_LIMITS, content
 
 
 def test_public_interface(tmp_path: Path) -> None:
--- a/tests/store/test_store_command.py
+++ b/tests/store/test_store_command.py
@@ -8,12 +8,8 @@
 from click.testing import CliRunner, Result
 
 from heronreel.cli.__main__ import main
-from heronreel.store import (
-    Store,
-)
-from tests.store.durability import (
-    SMALL_LIMITS,
-)
+from heronreel.store import Store, StoreError
+from tests.store.durability import SMALL_LIMITS
 
 
 def run_command(*arguments: str) -> Result:
@@ -49,3 +45,38 @@
     for command in ("verify", "stat", "compact", "dump"):
         gone = run_command(command, str(tmp_path / "none"))
         assert gone.exit_code == 2 and "none" in gone.output and not (tmp_path / "none").exists()
+
+
+def test_error_codes_of_json(tmp_path: Path) -> None:
+    """The names that --json prints for errors, which programs match on."""
+
+    def code(*arguments: str) -> object:
+        return json.loads(run_command(*arguments).output)["error"]
+
+    path, missing, other = str(tmp_path / "store"), str(tmp_path / "none"), tmp_path / "other"
+    with Store.open(path) as store:
+        store.put(b"key", b"value")
+        assert code("compact", "--json", path) == "StoreLocked"
+    other.mkdir()
+    (other / "letter.txt").write_bytes(b"dear all")
+    assert code("stat", "--json", str(other)) == "UnknownFormat"
+    assert code("verify", "--json", missing) == "FileNotFoundError"
+    assert code("repair", "--json", path, str(other)) == "InvalidArgument"
+    (tmp_path / "store" / "MANIFEST").write_bytes(b"torn")
+    corrupt = json.loads(run_command("stat", "--json", path).output)
+    assert corrupt["error"] == "Damaged"
+    assert set(corrupt["lost"][0]) == {"file", "offset", "length", "records", "why"}
+
+
+def test_error_codes_stay_as_they_are() -> None:
+    codes = {error.__name__: error.code for error in StoreError.__subclasses__()}
+    assert codes == {
+        "InvalidArgumentError": "InvalidArgument",
+        "MalformedOperationsError": "MalformedOperations",
+        "UnknownFormatError": "UnknownFormat",
+        "StoreLockedError": "StoreLocked",
+        "StoreClosedError": "StoreClosed",
+        "ReadOnlyError": "ReadOnly",
+        "WriteFailedError": "WriteFailed",
+        "CorruptionError": "Damaged",
+    }
