--- a/heronreel/coordinator/disk.py
+++ b/heronreel/coordinator/disk.py
@@ -22,7 +22,7 @@
 
 MEMBER_KEY = b"M"  # the key of the MemberRecord
 CONTENT_PREFIX = b"R"  # before each key of the replicated map
-STORE_LIMITS = Limits(memory=2 << 20, segment=2 << 20, log=8 << 20)
+STORE_LIMITS = Limits(memtable_bytes=2 << 20, segment_bytes=2 << 20, log_bytes=8 << 20)
 INCARNATION_BYTES = 8  # drawn at random
 
 
--- a/heronreel/coordinator/disk_writer.py
+++ b/heronreel/coordinator/disk_writer.py
@@ -14,7 +14,7 @@
 from heronreel.coordination.actions import Persist
 from heronreel.coordination.crash_points import CrashPoints
 from heronreel.coordinator.disk import MemberDisk
-from heronreel.store import StoreError, WriteFailed
+from heronreel.store import StoreError, WriteFailedError
 
 RETRY_DELAY_S = 0.1  # after a write that failed and may succeed later
 
@@ -84,7 +84,7 @@
                 await self._write(persists)
             except (StoreError, OSError) as error:
                 log.error("disk write failed", member=self.disk.name, error=str(error))
-                if not isinstance(error, WriteFailed) or error.final:
+                if not isinstance(error, WriteFailedError) or error.final:
                     self.on_failed()
                     return
                 await asyncio.sleep(RETRY_DELAY_S)
--- a/heronreel/coordinator/embedded.py
+++ b/heronreel/coordinator/embedded.py
@@ -10,7 +10,7 @@
 from heronreel.coordinator.disk import MemberDisk
 from heronreel.coordinator.http_listener import HttpListener, bind_socket
 from heronreel.coordinator.node import MemberNode
-from heronreel.store import StoreError, StoreLocked
+from heronreel.store import StoreError, StoreLockedError
 
 MEMBER_NAME = "embedded"  # stored on its disk
 LOCK_RETRY_S = 0.3  # while another process has the disk
@@ -35,7 +35,7 @@
         while True:
             try:
                 disk = await asyncio.to_thread(MemberDisk, self.folder, MEMBER_NAME)
-            except StoreLocked:
+            except StoreLockedError:
                 await asyncio.sleep(LOCK_RETRY_S)
                 continue
             except (StoreError, OSError) as error:
--- a/tests/coordination/test_keyspace.py
+++ b/tests/coordination/test_keyspace.py
@@ -38,7 +38,7 @@
 from heronreel.leases.lease import LeaseClient, LeaseTerms
 from heronreel.leases.requests import SendRequest
 from heronreel.store import Store
-from heronreel.store.simulated import SimulatedDisk
+from heronreel.store.fault_injecting_disk import FaultInjectingDisk
 
 keys = st.sampled_from([b"a", b"b", b"ba", b"c", b"\xff"])
 ends = st.sampled_from([b"", b"\0", b"b", b"c", b"\xff\xff"])
@@ -169,13 +169,13 @@
 
 
 def test_a_fenced_table_rejects_an_earlier_holder_after_a_crash() -> None:
-    disk = SimulatedDisk()
+    disk = FaultInjectingDisk()
     table = FencedTable(Store.open(disk))
     assert table.register_holder(b"t", 5).admitted
     assert table.write(b"t", 5, 1, b"one") == ((True, 5), True)
     assert table.write(b"t", 5, 1, b"one") == ((True, 5), False)  # said again: done once
     assert table.register_holder(b"t", 9).admitted
-    disk = disk.image(random.Random(1))  # what a crash leaves
+    disk = disk.crash_image(random.Random(1))  # what a crash leaves
     table = FencedTable(Store.open(disk))
     assert table.write(b"t", 5, 2, b"late") == ((False, 9), False)
     with pytest.raises(ValueError, match="the next one is 2"):
--- a/tests/coordinator/test_components.py
+++ b/tests/coordinator/test_components.py
@@ -26,7 +26,7 @@
 from heronreel.coordinator.server import run_server
 from heronreel.coordinator.transport import Transport
 from heronreel.coordinator.watch_registry import WatchRegistry
-from heronreel.store import WriteFailed
+from heronreel.store import WriteFailedError
 
 
 def test_a_watch_whose_client_reads_too_slowly_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -180,8 +180,8 @@
 @pytest.mark.parametrize(
     ("error", "calls"),
     [
-        (WriteFailed("no space", final=False), ["reset", "persisted 2"]),
-        (WriteFailed("fsync", final=True), ["failed"]),
+        (WriteFailedError("no space", final=False), ["reset", "persisted 2"]),
+        (WriteFailedError("fsync", final=True), ["failed"]),
         (OSError("gone"), ["failed"]),
     ],
 )
