--- a/heronreel/balancer/adapter.py
+++ b/heronreel/balancer/adapter.py
@@ -1,4 +1,4 @@
-"""Speaks the operators' wire on standard input and output; hosts many isolated balancers, decides nothing."""
+"""The operators' wire on standard input and output: hosts many isolated balancers and decides nothing."""
 
 from __future__ import annotations
 
@@ -7,16 +7,18 @@
 from typing import TextIO
 
 from heronreel.balancer.choice import Balancer
-from heronreel.balancer.wire import EVENTS, WireError, fields_of, render, settings_of
+from heronreel.balancer.errors import WireError
+from heronreel.balancer.wire import EVENTS, fields_of, render, settings_of
 
 
 class Adapter:
-    """Turns one batch of lines into one reply."""
+    """The balancers of one simulator, by their number on the wire."""
 
     def __init__(self) -> None:
         self.hosted: dict[int, Balancer] = {}
 
     def replies(self, lines: Iterable[str]) -> Iterator[str]:
+        """One reply for each batch of lines.  Raises WireError."""
         rows = enumerate(lines, 1)
         for number, line in rows:
             head, _, rest = line.rstrip("\n").partition(" ")
@@ -57,6 +59,7 @@
 
 
 def run(source: TextIO, sink: TextIO) -> int:
+    """Reply until the input ends; returns the exit status, 2 after malformed input."""
     try:
         for reply in Adapter().replies(source):
             sink.write(reply)
--- a/heronreel/balancer/board.py
+++ b/heronreel/balancer/board.py
@@ -1,7 +1,5 @@
 """The design's circular board of work booked for one backend.  Part of the decisions."""
 
-from __future__ import annotations
-
 from dataclasses import dataclass, field
 
 SLOT_MS = 200.0  # one slot holds this much work (ours: one slot a period keeps booking cheap)
@@ -32,8 +30,7 @@
 
     def _book(self, cost: float) -> None:
         last = self.head + SLOTS - 1
-        slot = int(self.cursor // SLOT_MS)
-        left = cost
+        slot, left = int(self.cursor // SLOT_MS), cost
         self.cursor = min(self.cursor + cost, (last + 1) * SLOT_MS)
         if slot < self.head:  # what would have been worked off before the present is not booked
             left = max(0.0, min(cost, self.cursor - self.head * SLOT_MS))
--- a/heronreel/balancer/interface.py
+++ b/heronreel/balancer/interface.py
@@ -1,15 +1,15 @@
 """The whole public interface of heronreel.balancer: settings, events in, actions out.
 
-A host makes one `Balancer(settings, seed)` (see `heronreel.balancer.choice`) for each proxy and calls
+A host makes one `heronreel.balancer.Balancer(settings, seed)` for each proxy and calls
 `handle(now_ms, event)` from one thread, with a clock that never goes back and events in the order they
 happened.  It carries out the returned actions in order and owes the balancer:
 
 * exactly one `AttemptEnded` for every `StartAttempt`, also after the request is over;
 * a `TimerFired` for every `SetTimer`, at or after its time;
 * a `BackendList` first of all (kind CACHED), before any other event;
-* `ClientGone` when a client leaves or its request is answered behind the balancer's back.
+* `ClientGone` when a client leaves or its request gets a final response without the balancer.
 
-A request is over after `Refuse`, `Fail`, `ClientGone` or an `AttemptEnded` with `finished` set.
+A request is over after `Reject`, `Fail`, `ClientGone` or an `AttemptEnded` with `finished` set.
 """
 
 from __future__ import annotations
@@ -19,11 +19,13 @@
 from enum import Enum
 from typing import Protocol
 
+from heronreel.balancer.errors import InvalidSettingsError
+
 
 class Effect(Enum):
     """What a second run of the same request would do."""
 
-    IDEMPOTENT = "idempotent"  # no harm: repeat and refuse freely
+    IDEMPOTENT = "idempotent"  # no harm: retry and reject freely
     KEYED = "keyed"  # its dedup group drops repeats for a while
     UNSAFE = "unsafe"  # must never run twice
 
@@ -40,12 +42,12 @@
     """How one attempt ended."""
 
     SERVED = "served"
-    ERROR = "error"  # the backend answered with an error; it may have run
+    ERROR = "error"  # the backend responded with an error; it may have run
     REJECTED = "rejected"  # queue full or draining: never ran
-    TIMEOUT = "timeout"  # no answer in time; it may have run, or still run
+    TIMEOUT = "timeout"  # no response in time; it may have run, or still run
     UNREACHABLE = "unreachable"  # no connection: never ran
     RESET = "reset"  # the connection broke; it may have run
-    CANCELLED = "cancelled"  # called off by us; it may have run
+    CANCELLED = "cancelled"  # cancelled by us; it may have run
     NOT_SENT = "not_sent"  # the host never sent it: never ran
 
 
@@ -55,8 +57,8 @@
 class ListKind(Enum):
     """What a `BackendList` holds."""
 
-    CACHED = "cached"  # the whole list as this proxy last had it, possibly stale
-    FULL = "full"  # the whole list: a backend missing from it is gone
+    CACHED = "cached"  # the full list as this proxy last had it, possibly stale
+    FULL = "full"  # the full list: a backend missing from it is gone
     CHANGES = "changes"  # only what changed
     FAILED = "failed"  # a call failed or the watch was lost; the old list stays in force
 
@@ -64,10 +66,10 @@
 class Lost(Enum):
     """Why a list call or watch failed."""
 
-    ENDED = "ended"  # not to be had, broken off or unreadable
-    LATE = "late"  # silent for longer than a healthy one: what it misses soon counts as told
+    ENDED = "ended"  # unavailable, broken off or unreadable
+    LATE = "late"  # silent for longer than a healthy one: what it misses soon counts as received
     BUSY = "busy"  # the service refused it: it has too many calls
-    MOVED = "moved"  # another service is to be asked from now on: what was known of the old one is no guide
+    MOVED = "moved"  # another service is called from now on: what was known of the old one is no guide
 
 
 class State(Enum):
@@ -80,80 +82,95 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
+    """What requests of one class have in common.  Raises InvalidSettingsError."""
+
     name: str
-    aim_ms: float = 1000.0  # full worth when answered within
+    latency_objective_ms: float = 1000.0  # full weight when served within
     deadline_ms: float = 5000.0
-    worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth after the aim
+    priority_weight: float = 1.0
+    late_weight: float = 0.0  # share of the weight after the latency objective
     effect: Effect = Effect.UNSAFE
-    scope: DedupScope = DedupScope.ALL
+    dedup_scope: DedupScope = DedupScope.ALL
     repeat_window_ms: float = 0.0
 
     def __post_init__(self) -> None:
-        _at_least(0.0, aim_ms=self.aim_ms, deadline_ms=self.deadline_ms, worth=self.worth)
-        _at_least(0.0, repeat_window_ms=self.repeat_window_ms)
-        _share(late_worth=self.late_worth)
+        _at_least(0.0, latency_objective_ms=self.latency_objective_ms, deadline_ms=self.deadline_ms)
+        _at_least(0.0, priority_weight=self.priority_weight, repeat_window_ms=self.repeat_window_ms)
+        _share(late_weight=self.late_weight)
         if not isinstance(self.effect, Effect):
-            raise ValueError(f"effect: unknown effect {self.effect!r}")
+            raise InvalidSettingsError(f"effect: unknown effect {self.effect!r}")
 
 
-def pause_before(attempt: int, first_ms: float, most_ms: float) -> float:
-    """The pause before attempt 1, 2, ..., doubled each time; the first, 0, never waits."""
+def exponential_backoff(attempt: int, first_ms: float, max_ms: float) -> float:
+    """The backoff before attempt 1, 2, ..., ms, doubled each time; the first, 0, never waits."""
     if attempt < 1 or not first_ms:
         return 0.0
-    return min(first_ms * 2.0 ** min(attempt - 1, 60), max(most_ms, first_ms))
+    return min(first_ms * 2.0 ** min(attempt - 1, 60), max(max_ms, first_ms))
 
 
 @dataclass(slots=True, frozen=True)
 class RoutePolicy:
-    """What a request's route allows.  The request keeps it to its end, also when its route is gone."""
+    """What a request's route allows.  The request keeps it to its end, also when its route is gone.
+
+    Raises InvalidSettingsError.
+    """
 
     route: str
-    klass: RequestClass
-    max_attempts: int = 1  # second copies count
+    request_class: RequestClass
+    max_attempts: int = 1  # hedged requests count
     attempt_timeout_ms: float = 0.0  # 0: until the deadline
     backoff_ms: float = 0.0  # before the second attempt; doubled before each further one
-    backoff_most_ms: float = 1000.0
+    max_backoff_ms: float = 1000.0
     retry_on: frozenset[Outcome] = frozenset(NEVER_RAN)
-    retry_share: float = 0.2  # attempts after one that may have run, and copies, per first try
+    retry_budget_ratio: float = 0.2  # attempts after one that may have run, and hedged ones, per request
     retry_in_group: bool = True  # of the first that may have run; a keyed request never leaves it
-    spills: bool = False  # what one pool refuses goes to the next of the split
-    copy_after_ms: float = 0.0
-    copy_percentile: float = 0.0  # of the route's served latency; 0: none
-    copy_in_group: bool = True
-    refuse_exhausted: bool = False  # refuse, not fail, when an attempt may have run
+    spills_over: bool = False  # what one pool rejects goes to the next of the split
+    hedge_after_ms: float = 0.0
+    hedge_percentile: float = 0.0  # of the route's served latency; 0: none
+    hedge_in_group: bool = True
+    reject_when_exhausted: bool = False  # reject, not fail, when an attempt may have run
     requests_per_s: float = 0.0  # 0: no limit
     concurrency: int = 0  # 0: no limit
-    margin_ms: float = 0.0  # of the repeat window that is left unused
+    window_margin_ms: float = 0.0  # of the repeat window that is left unused
     split: tuple[tuple[str, float], ...] = ()  # pools and their weights
 
     def __post_init__(self) -> None:
         _at_least(0.0, attempt_timeout_ms=self.attempt_timeout_ms, backoff_ms=self.backoff_ms)
-        _at_least(0.0, backoff_most_ms=self.backoff_most_ms, retry_share=self.retry_share)
-        _at_least(0.0, copy_after_ms=self.copy_after_ms, copy_percentile=self.copy_percentile)
+        _at_least(0.0, max_backoff_ms=self.max_backoff_ms, retry_budget_ratio=self.retry_budget_ratio)
+        _at_least(0.0, hedge_after_ms=self.hedge_after_ms, hedge_percentile=self.hedge_percentile)
         _at_least(0.0, requests_per_s=self.requests_per_s, concurrency=self.concurrency)
-        _at_least(0.0, margin_ms=self.margin_ms)
+        _at_least(0.0, window_margin_ms=self.window_margin_ms)
         if self.max_attempts < 1:
-            raise ValueError("max_attempts: at least one attempt is needed")
+            raise InvalidSettingsError("max_attempts: at least one attempt is needed")
+
+    def backoff_before(self, attempt: int) -> float:
+        """The backoff before attempt 1, 2, ..., ms; 0 before the first."""
+        return exponential_backoff(attempt, self.backoff_ms, self.max_backoff_ms)
+
 
-    def pause_before(self, attempt: int) -> float:
-        return pause_before(attempt, self.backoff_ms, self.backoff_most_ms)
+class RouteLimits(Protocol):
+    """What a balancer needs of the limits of routes (`heronreel.balancer.routes`)."""
 
+    def may_retry(self, policy: RoutePolicy) -> bool:
+        """Whether the retry budget has an attempt after one that may have run."""
 
-class Books(Protocol):
-    """What a balancer asks of the books of routes (`heronreel.balancer.routes`)."""
+    def spend(self, policy: RoutePolicy) -> None:
+        """Take such an attempt off the budget."""
 
-    def may_repeat(self, policy: RoutePolicy) -> bool: ...
-    def spend(self, policy: RoutePolicy) -> None: ...
-    def served(self, policy: RoutePolicy, latency_ms: float) -> None: ...
-    def copy_delay(self, policy: RoutePolicy) -> float | None: ...
+    def served(self, policy: RoutePolicy, latency_ms: float) -> None:
+        """Count the latency of a served request."""
+
+    def hedge_delay(self, policy: RoutePolicy) -> float | None:
+        """When a hedged request is due after the first attempt, ms; None: none."""
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
+    """Who sends requests, and the tenant's quota.  Raises InvalidSettingsError."""
+
     name: str
     share: float = 1.0
-    quota_per_s: float = 0.0  # requests a second over all proxies that stay within the share
+    quota_per_s: float = 0.0  # requests a second over all proxies that stay within the quota
 
     def __post_init__(self) -> None:
         _share(share=self.share)
@@ -162,30 +179,33 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a proxy is told at start.  Prices are points of service for each unit, 0 where nothing is due."""
+    """What a proxy gets at start.  Prices are points of service for each unit, 0 where nothing is due.
+
+    Raises InvalidSettingsError.
+    """
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
     zone: str = ""
     zones: tuple[str, ...] = ()
     proxies: int = 1  # how many proxies share the fleet
-    slot: int | None = None  # this one's number among them, 0 and up; None: not told
-    watch_list: bool = False  # True: the list must be asked for
-    ask_within_ms: float = 10000.0
+    proxy_index: int | None = None  # this one's number among them, 0 and up; None: unknown
+    watch_list: bool = False  # True: the list must be watched by a call
+    watch_within_ms: float = 10000.0  # the time within which that call must be made
     max_attempts: int = 1
-    second_copies: bool = False
+    hedging: bool = False
     cancel: bool = False
     probing: bool = False
-    max_retry_after_ms: float = 0.0  # the longest advised wait that clients follow; 0: none is passed on
+    max_retry_after_ms: float = 0.0  # the longest Retry-After that clients follow; 0: none is passed on
     connect_timeout_ms: float = 250.0
-    warm_keys: bool = False  # a backend that met a key lately needs less work for it
+    key_affinity: bool = False  # a backend that met a key lately needs less work for it
     live_weights: bool = False  # a listed weight falls with the load of its backend
-    sized_weights: bool = False  # a listed weight tells the size of its backend
-    cold_from: float = 1.0  # share of its capacity a started backend has at least
-    cold_ms: float = 0.0  # and it is warm after this long
+    sized_weights: bool = False  # a listed weight is the size of its backend
+    slow_start_from: float = 1.0  # share of its capacity a started backend has at least
+    slow_start_ms: float = 0.0  # and it is warm after this long
     overload_factor: float = 2.0  # slow start: more than this times its capacity ...
-    fall_ms: float = 1000.0  # ... for this long pushes a cold backend over
-    over_share_worth: float = 1.0
+    overload_window_ms: float = 1000.0  # ... for this long pushes a cold backend over
+    over_quota_weight: float = 1.0
     price_cross_zone: float = 0.0
     price_late_failure: float = 0.0
     price_connection: float = 0.0
@@ -194,27 +214,27 @@
 
     def __post_init__(self) -> None:
         if not self.classes:
-            raise ValueError("classes: at least one request class is needed")
+            raise InvalidSettingsError("classes: at least one request class is needed")
         if self.max_attempts < 1:
-            raise ValueError("max_attempts: at least one attempt is needed")
+            raise InvalidSettingsError("max_attempts: at least one attempt is needed")
         if self.proxies < 1:
-            raise ValueError("proxies: at least one proxy is needed")
-        _at_least(0.0, ask_within_ms=self.ask_within_ms, cold_ms=self.cold_ms, fall_ms=self.fall_ms)
+            raise InvalidSettingsError("proxies: at least one proxy is needed")
+        _at_least(0.0, watch_within_ms=self.watch_within_ms, slow_start_ms=self.slow_start_ms)
+        _at_least(0.0, overload_window_ms=self.overload_window_ms, overload_factor=self.overload_factor)
         _at_least(0.0, connect_timeout_ms=self.connect_timeout_ms, max_retry_after_ms=self.max_retry_after_ms)
-        _at_least(0.0, overload_factor=self.overload_factor)
-        _share(cold_from=self.cold_from, over_share_worth=self.over_share_worth)
+        _share(slow_start_from=self.slow_start_from, over_quota_weight=self.over_quota_weight)
 
 
 def _at_least(low: float, **values: float) -> None:
     for name, value in values.items():
         if not value >= low:
-            raise ValueError(f"{name}: {value!r} is below {low}")
+            raise InvalidSettingsError(f"{name}: {value!r} is below {low}")
 
 
 def _share(**values: float) -> None:
     for name, value in values.items():
         if not 0.0 <= value <= 1.0:
-            raise ValueError(f"{name}: {value!r} is not within 0 and 1")
+            raise InvalidSettingsError(f"{name}: {value!r} is not within 0 and 1")
 
 
 @dataclass(slots=True, frozen=True)
@@ -233,6 +253,8 @@
 
 @dataclass(slots=True)
 class BackendList:
+    """What a call of the list service returned, or that it failed."""
+
     kind: ListKind
     backends: list[BackendInfo] = field(default_factory=list)
     lost: Lost = Lost.ENDED  # of FAILED
@@ -247,23 +269,23 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """A client's request; the balancer owes it one final answer.  Its id never comes twice."""
+    """A client's request; the balancer owes it one final response.  Its id never comes twice."""
 
     request: int
-    klass: str
+    request_class: str
     time_left_ms: float
     tenant: str = ""
-    key: int | None = None
-    hint_ms: float = 0.0  # expected work; 0: none given
+    key: int | None = None  # of affinity
+    hint_ms: float = 0.0  # expected work; 0: unknown
     is_retry: bool = False
     is_write: bool = False
     policy: RoutePolicy | None = None  # takes the class's place where the host has routes
-    repeat_key: int | None = None  # the same for the client's own repeats
+    idempotency_key: int | None = None  # the same for the client's own retries
 
 
 @dataclass(slots=True)
 class StreamStarted:
-    """A streamed answer began: the attempt is the client's now, its deadline is lifted."""
+    """A streamed response began: the attempt is the client's now, its deadline is lifted."""
 
     request: int
     attempt: int
@@ -286,16 +308,22 @@
 
 @dataclass(slots=True)
 class ClientGone:
+    """A client left, or its request got a final response without the balancer."""
+
     request: int
 
 
 @dataclass(slots=True)
 class TimerFired:
+    """A timer of the balancer's is due."""
+
     token: int
 
 
 @dataclass(slots=True)
 class ProbeEnded:
+    """A health check's end."""
+
     backend: int
     outcome: Outcome
     latency_ms: float = 0.0
@@ -303,30 +331,40 @@
 
 
 @dataclass(slots=True)
-class HoldBackend:
-    """An operator takes a backend out of service: nothing new goes to it until it is released."""
+class BeginMaintenance:
+    """An operator takes a backend out of service: nothing new goes to it until the maintenance ends."""
 
     backend: int
     since_ms: float  # when the operator said so
 
 
 @dataclass(slots=True)
-class ReleaseBackend:
+class EndMaintenance:
     """An operator gives a backend back, restarted in between as far as anybody knows."""
 
     backend: int
-    held_ms: float  # when it was held
-    at_ms: float  # when it was released
+    began_ms: float  # when the maintenance began
+    at_ms: float  # when it ended
 
 
 Event = (
-    BackendList | NewSettings | Arrival | StreamStarted | AttemptEnded | ClientGone | TimerFired | ProbeEnded
-    | HoldBackend | ReleaseBackend
-)  # fmt: skip
+    BackendList
+    | NewSettings
+    | Arrival
+    | StreamStarted
+    | AttemptEnded
+    | ClientGone
+    | TimerFired
+    | ProbeEnded
+    | BeginMaintenance
+    | EndMaintenance
+)
 
 
 @dataclass(slots=True)
 class StartAttempt:
+    """Send the request to a backend."""
+
     request: int
     backend: int
     timeout_ms: float = 0.0  # 0: until the client gives up
@@ -335,13 +373,15 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
+    """Give an attempt up."""
+
     request: int
     attempt: int
 
 
 @dataclass(slots=True)
-class Refuse:
-    """Final answer: turned away, trying again does no harm."""
+class Reject:
+    """Final response: rejected, a retry does no harm."""
 
     request: int
     retry_after_ms: float = 0.0
@@ -349,35 +389,41 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed; nothing is promised about the effect."""
+    """Final response: failed; nothing is promised about the effect."""
 
     request: int
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Return `TimerFired` with the token after a delay."""
+
     token: int
     delay_ms: float
 
 
 @dataclass(slots=True)
 class WatchList:
-    """Ask for the list's changes from now on."""
+    """Watch the list: call for its changes from now on."""
 
 
 @dataclass(slots=True)
 class FetchList:
-    """Ask once for the whole list."""
+    """Call once for the full list."""
 
 
 @dataclass(slots=True)
 class Probe:
+    """Check the health of a backend."""
+
     backend: int
 
 
 @dataclass(slots=True)
 class CloseIdle:
+    """Close the idle connections to a backend."""
+
     backend: int
 
 
-Action = StartAttempt | CancelAttempt | Refuse | Fail | SetTimer | WatchList | FetchList | Probe | CloseIdle
+Action = StartAttempt | CancelAttempt | Reject | Fail | SetTimer | WatchList | FetchList | Probe | CloseIdle
--- a/heronreel/balancer/subset.py
+++ b/heronreel/balancer/subset.py
@@ -1,47 +1,40 @@
-"""Which backends a proxy of a large fleet keeps to.  Part of the decisions.
+"""Which backends are in the subset of one proxy of a large fleet.  Part of the decisions.
 
-A connection from every proxy to every backend is harmless at each proxy, and together they fill the backends'
-tables, which takes of their capacity, while none is used often enough to be worth its handshake.  So each
-backend is kept to by a bounded number of proxies, however many there are, and each proxy keeps to as many
-backends as follow from that.
-
-All proxies rank themselves for a backend by the same hash, so every backend has just as many of them
-(rendezvous, with the roles turned round); a change of the list moves no other backend's.  What a proxy does
-not keep to it still uses where a key's homes are shared by all, or when nothing else is left.
+Each backend is in the subsets of a bounded number of proxies, as connections from all would fill its table.
+All proxies rank for it by the same hash, so a change of the list moves no other backend's.
 """
 
-from __future__ import annotations
-
-KEPT_BY = 13  # proxies that keep to a backend (ours)
-LEAST = 8  # backends of a zone that a proxy keeps to on average, so that there is a choice (ours)
-MIX = (0x9E3779B97F4A7C15, 0xBF58476D1CE4E5B9)  # odd multipliers of the hash (common ones)
-WORD = 2**64
+PROXIES_PER_BACKEND = 13  # that have it in their subset (ours)
+MIN_SUBSET = 8  # backends of a zone in a proxy's subset on average, so that there is a choice (ours)
+HASH_MULTIPLIERS = (0x9E3779B97F4A7C15, 0xBF58476D1CE4E5B9)  # odd (common ones)
+HASH_RANGE = 2**64
 
 
 def rendezvous(one: int, other: int) -> int:
     """A number for a pair that all proxies draw alike."""
-    return (one ^ other * MIX[0]) * MIX[1] % WORD
+    return (one ^ other * HASH_MULTIPLIERS[0]) * HASH_MULTIPLIERS[1] % HASH_RANGE
 
 
-def _mixed(backend: int, slot: int) -> int:
-    mixed = rendezvous(backend, slot)  # mixed on, as slots are small numbers in a row
-    return (mixed ^ mixed >> 29) * MIX[0] % WORD
+def proxy_hash(backend: int, index: int) -> int:
+    """The hash by which a proxy ranks for a backend, mixed on as indexes are small numbers in a row."""
+    mixed = rendezvous(backend, index)
+    return (mixed ^ mixed >> 29) * HASH_MULTIPLIERS[0] % HASH_RANGE
 
 
 class Subset:
-    """One proxy's place among all for each backend.  Without a number of its own it keeps to all."""
+    """One proxy's rank among all for each backend.  Without an index of its own it has all in its subset."""
 
-    def __init__(self, slot: int | None, proxies: int) -> None:
-        self.slot = slot or 0
-        self.proxies = 1 if slot is None else proxies
+    def __init__(self, index: int | None, proxies: int) -> None:
+        self.index = index or 0
+        self.proxies = 1 if index is None else proxies
 
     def rank(self, backend: int) -> int:
         """How many other proxies come before this one: 0 to proxies - 1, each value at one of them."""
-        if self.proxies <= KEPT_BY:
+        if self.proxies <= PROXIES_PER_BACKEND:
             return 0
-        own = (_mixed(backend, self.slot), self.slot)
-        return sum((_mixed(backend, other), other) < own for other in range(self.proxies))
+        own = (proxy_hash(backend, self.index), self.index)
+        return sum((proxy_hash(backend, other), other) < own for other in range(self.proxies))
 
-    def kept_by(self, backends: int) -> int:
-        """How many proxies keep to each of so many backends of a zone."""
-        return min(self.proxies, max(KEPT_BY, -(-LEAST * self.proxies // max(1, backends))))
+    def proxies_per_backend(self, backends: int) -> int:
+        """How many proxies have each of so many backends of a zone in their subset."""
+        return min(self.proxies, max(PROXIES_PER_BACKEND, -(-MIN_SUBSET * self.proxies // max(1, backends))))
--- /dev/null
+++ b/heronreel/balancer/watch_schedule.py
@@ -0,0 +1,87 @@
+"""When to call the list service, and when to call it again.  Part of the decisions.
+
+All proxies share the list service, so calls must become fewer until it has caught up.  But a change counts
+as received 6 s after the service had it and could be reached: for a call just before its return, too, the
+rest of that call, the backoff and the next call stay within 6 s.
+"""
+
+import random
+
+from heronreel.balancer.interface import Lost, exponential_backoff
+
+FIRST_CALL_SHARE = 1.0 / 8.0  # of the time within which a proxy must call: first calls spread over it (ours)
+FIRST_BACKOFF_MS = 1000.0  # after a first failure; doubled with each further one (ours)
+MOVED_SPREAD_MS, LATE_SPREAD_MS = 500.0, 2000.0  # of calls to another service; for late watches (ours)
+MAX_BACKOFF_MS, MAX_BACKOFF_SHARE = 2600.0, 1.0 / 3.0  # unless refused; of the time for calls (ours)
+FAST_REFUSAL_MS = 500.0  # a refusal before that costs the service nothing, and is like a broken call (ours)
+LONG_FROM, MIN_LONG_SHARE = 3, 0.9  # failures from which backoffs are drawn from this share on (ours)
+# the longest backoff after a refusal, growing by a factor, while the service may be down for so long (ours)
+DOWN_BACKOFF_MS, DOWN_GROWTH, MAX_DOWN_MS = 1500.0, 1.25, 14_000.0
+MIN_DOWN_SHARE, MIN_FULL_SHARE = 0.4, 0.1  # of the longest; of the time for calls, where it is full (ours)
+
+
+class WatchSchedule:
+    """One proxy's watch.  One timer for any number of failures, or their calls would add up."""
+
+    def __init__(self, within_ms: float) -> None:
+        self.within_ms = within_ms
+        self.failures = self.refusals = 0  # the latter since the last list
+        self.refused_at = 0.0  # the first of them
+        self.full = False  # it is not down but has too many calls, as far as can be known
+        self.scheduled = self.ever_received = False  # a timer is set; any call got a response
+        self.called_at = -1.0  # before 0: never
+        self.received_at = -2.0  # last; before `called_at`: the call got no response
+
+    def first_delay(self, draw: random.Random) -> float:
+        """How long to wait before the first call, ms."""
+        self.scheduled = True
+        return self.within_ms * FIRST_CALL_SHARE * draw.random()
+
+    def call_started(self, now: float) -> None:
+        """Note that the timer has fired, and the call goes out."""
+        self.scheduled, self.called_at = False, now
+
+    def call_failed(self, now: float, draw: random.Random, lost: Lost = Lost.ENDED) -> float | None:
+        """How long to wait before the next call, ms; None if one is scheduled already."""
+        if lost is Lost.MOVED:
+            self.failures = self.refusals = 0
+            self.full, self.scheduled = False, True
+            return min(MOVED_SPREAD_MS, self._max_backoff()) * draw.random()
+        if self.scheduled:
+            return None
+        self.scheduled = True
+        since, longest = now - self.called_at, self._max_backoff()
+        if lost is Lost.BUSY and (self.refusals or since >= FAST_REFUSAL_MS):
+            self.full |= since < FAST_REFUSAL_MS  # down, it says so always alike
+            self.refused_at = self.refused_at if self.refusals else now
+            self.refusals += 1
+            return self._refused_backoff(now, draw)
+        self.full = lost is Lost.LATE
+        if self.received_at >= self.called_at and (since >= longest or lost is Lost.LATE):
+            self.failures = 0  # by a watch that lasted: one that breaks off at once is no better than none
+        self.failures += 1
+        drawn = draw.uniform(0.5 if self.failures < LONG_FROM else MIN_LONG_SHARE, 1.0)
+        backoff = exponential_backoff(self.failures, min(FIRST_BACKOFF_MS, longest), longest) * drawn
+        if lost is Lost.LATE:  # what it misses soon counts as received
+            return max(backoff - since, min(LATE_SPREAD_MS, longest) * draw.random())
+        return backoff
+
+    def _refused_backoff(self, now: float, draw: random.Random) -> float:
+        """The delay after a refusal: down or full, the service says the same, 503 after some seconds.
+
+        Down, calls cost nothing until it is back, and then all need its list soon.  Full, nobody gets a
+        response while all call faster than it works, abandoned calls too.  To a proxy without any response
+        yet it is full, as it is far more often after a mass restart.
+        """
+        if self.full or not self.ever_received or now - self.refused_at > MAX_DOWN_MS:
+            return self.within_ms * draw.uniform(MIN_FULL_SHARE, 1.0)
+        longest = min(DOWN_BACKOFF_MS * DOWN_GROWTH ** (self.refusals - 1), self.within_ms)
+        return longest * draw.uniform(MIN_DOWN_SHARE, 1.0)
+
+    def list_received(self, now: float) -> None:
+        """Note that a list came, so the call got its response."""
+        self.received_at, self.ever_received = now, self.called_at >= 0.0
+        self.refusals, self.full = 0, False
+
+    def _max_backoff(self) -> float:
+        return min(MAX_BACKOFF_MS, self.within_ms * MAX_BACKOFF_SHARE)
--- a/heronreel/balancer/wire.py
+++ b/heronreel/balancer/wire.py
@@ -1,4 +1,4 @@
-"""The words of the wire: lines to events and settings, actions to lines."""
+"""The simulator's wire: lines to events and settings, actions to lines.  Malformed input raises WireError."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from enum import Enum
 from typing import TypeVar
 
+from heronreel.balancer.errors import WireError
 from heronreel.balancer.interface import (
     Action,
     Arrival,
@@ -24,7 +25,7 @@
     Outcome,
     Probe,
     ProbeEnded,
-    Refuse,
+    Reject,
     RequestClass,
     SetTimer,
     Settings,
@@ -55,13 +56,6 @@
 STATES = {"in_service": State.UP, "terminating": State.DRAINING, "terminated": State.GONE}
 
 
-class WireError(Exception):
-    """Malformed input."""
-
-    def __init__(self, line: int | None, what: str) -> None:
-        super().__init__(f"line {line}: {what}" if line else what)
-
-
 class Fields:
     """The name=value pairs of one line."""
 
@@ -72,9 +66,11 @@
         self.values = values
 
     def text(self, name: str, default: str = "") -> str:
+        """A value as it stands."""
         return self.values.get(name, default)
 
     def number(self, name: str, default: float | None = None) -> float:
+        """A finite number; without a default it must be there."""
         text = self.values.get(name)
         if text is None:
             if default is None:
@@ -89,6 +85,7 @@
         return value
 
     def integer(self, name: str, default: int | None = None) -> int:
+        """A whole number; without a default it must be there."""
         text = self.values.get(name)
         if text is None:
             if default is None:
@@ -100,6 +97,7 @@
             raise WireError(self.line, f"{name}: not a whole number: {text[:40]!r}") from None
 
     def flag(self, name: str, default: bool = False) -> bool:
+        """1 or true, 0 or false."""
         text = self.values.get(name)
         if text is None:
             return default
@@ -110,6 +108,7 @@
         raise WireError(self.line, f"{name}: neither 1 nor 0: {text[:40]!r}")
 
     def word(self, name: str, words: dict[str, Word], default: str = "") -> Word:
+        """One of the known words, as what it stands for."""
         text = self.values.get(name, default)
         if text not in words:
             raise WireError(self.line, f"{name}: {'missing' if not text else f'unknown word {text[:40]!r}'}")
@@ -117,6 +116,7 @@
 
 
 def fields_of(line: int, rest: str) -> Fields:
+    """The fields of a line after its first word."""
     values: dict[str, str] = {}
     for pair in rest.split(" "):
         name, equals, value = pair.partition("=")
@@ -134,12 +134,12 @@
             classes=tuple(
                 RequestClass(
                     name=fields.text(f"{at}Name"),
-                    aim_ms=fields.number(f"{at}OnTimeMs", 1000.0),
+                    latency_objective_ms=fields.number(f"{at}OnTimeMs", 1000.0),
                     deadline_ms=fields.number(f"{at}HardLimitMs", 5000.0),
-                    worth=fields.number(f"{at}Worth", 1.0),
-                    late_worth=fields.number(f"{at}LateWorth", 0.0),
+                    priority_weight=fields.number(f"{at}Worth", 1.0),
+                    late_weight=fields.number(f"{at}LateWorth", 0.0),
                     effect=fields.word(f"{at}Effect", EFFECTS, "at_most_once"),
-                    scope=fields.word(f"{at}DedupScope", SCOPES, "cell"),
+                    dedup_scope=fields.word(f"{at}DedupScope", SCOPES, "cell"),
                     repeat_window_ms=fields.number(f"{at}RepeatWindowMs", 0.0),
                 )
                 for at in (f"Categories.{i}." for i in range(fields.integer("Categories.count")))
@@ -155,25 +155,25 @@
             zone=fields.text("Zone"),
             zones=tuple(zone for zone in fields.text("FailureDomains").split(",") if zone),
             proxies=fields.integer("Balancers", 1),
-            slot=slot if (slot := fields.integer("SlotNo", -1)) >= 0 else None,
+            proxy_index=index if (index := fields.integer("SlotNo", -1)) >= 0 else None,
             watch_list=fields.text("Discovery") == "ask",
-            ask_within_ms=fields.number("Rules.MustAskInMs", 10000.0),
+            watch_within_ms=fields.number("Rules.MustAskInMs", 10000.0),
             max_attempts=fields.integer("Limits.MostTries", 1),
-            second_copies=fields.flag("Limits.SecondCopies"),
+            hedging=fields.flag("Limits.SecondCopies"),
             cancel=fields.flag("Limits.Cancel"),
             probing=fields.flag("Limits.Probing"),
             max_retry_after_ms=(
                 fields.number("Limits.MaxRetryAfterMs", 0.0) if fields.flag("Limits.RetryAfter") else 0.0
             ),
             connect_timeout_ms=fields.number("Limits.ConnectTimeoutMs", 250.0),
-            warm_keys=fields.flag("FamilyInfo.WarmKeys"),
+            key_affinity=fields.flag("FamilyInfo.WarmKeys"),
             live_weights=fields.text("WeightSource") == "live",
             sized_weights=fields.text("WeightSource") in ("nominal", "rough"),
-            cold_from=fields.number("Rules.ColdFrom", 1.0),
-            cold_ms=fields.number("Rules.ColdMs", 0.0),
+            slow_start_from=fields.number("Rules.ColdFrom", 1.0),
+            slow_start_ms=fields.number("Rules.ColdMs", 0.0),
             overload_factor=fields.number("Rules.OverloadFactor", 2.0),
-            fall_ms=fields.number("Rules.FallMs", 1000.0),
-            over_share_worth=fields.number("OverShareWorth", 1.0),
+            overload_window_ms=fields.number("Rules.FallMs", 1000.0),
+            over_quota_weight=fields.number("OverShareWorth", 1.0),
             price_cross_zone=fields.number("Deductions.CrossZone", 0.0),
             price_late_failure=fields.number("Deductions.LateFail", 0.0),
             price_connection=fields.number("Deductions.Connection", 0.0),
@@ -210,7 +210,7 @@
 def _arrival(fields: Fields, rows: Rows) -> Arrival:
     return Arrival(
         request=fields.integer("Call"),
-        klass=fields.text("Lane"),
+        request_class=fields.text("Lane"),
         time_left_ms=fields.number("TimeLeftMs"),
         tenant=fields.text("Billing"),
         key=fields.integer("Affinity") if "Affinity" in fields.values else None,
@@ -269,13 +269,14 @@
 
 
 def render(who: int, action: Action) -> str:
+    """The line of an action of one balancer."""
     match action:
         case StartAttempt(request, backend, timeout):
             limit = f" TryForMs={timeout:.3f}" if timeout else ""
             return f"deliver Who={who} Call={request} Backend={backend}{limit}"
         case CancelAttempt(request, attempt):
             return f"recall Who={who} Call={request} Leg={attempt}"
-        case Refuse(request, wait):
+        case Reject(request, wait):
             advice = f" NotBeforeForMs={wait:.3f}" if wait else ""
             return f"turn_away Who={who} Call={request}{advice}"
         case Fail(request):
--- a/tests/balancer/strict_host.py
+++ b/tests/balancer/strict_host.py
@@ -24,7 +24,7 @@
     Fail,
     ListKind,
     Outcome,
-    Refuse,
+    Reject,
     RequestClass,
     SetTimer,
     Settings,
@@ -81,15 +81,15 @@
     def _check(self, action: Action) -> None:
         if isinstance(action, StartAttempt):
             self._check_send(action)
-        elif isinstance(action, Refuse | Fail):
+        elif isinstance(action, Reject | Fail):
             owed = self.owed[action.request]
             if owed.over:
                 raise RuleBroken("rule 1: a second final answer")
             if self.now > owed.deadline + 20.0:
                 raise RuleBroken("rule 1: final answer too late")
-            if isinstance(action, Refuse) and any(a.maybe for a in owed.attempts):
-                klass = self.classes[owed.arrival.klass]
-                shared = klass.effect is Effect.KEYED and klass.scope is DedupScope.ALL
+            if isinstance(action, Reject) and any(a.maybe for a in owed.attempts):
+                klass = self.classes[owed.arrival.request_class]
+                shared = klass.effect is Effect.KEYED and klass.dedup_scope is DedupScope.ALL
                 if klass.effect is not Effect.IDEMPOTENT and not shared:
                     raise RuleBroken("rule 2: refused though it may have run")
             owed.over = True
@@ -106,10 +106,10 @@
             raise RuleBroken("rule 1: sent after the end")
         if action.backend not in self.usable:
             raise RuleBroken("rule 3: sent to a backend that drains or is gone")
-        klass = self.classes[owed.arrival.klass]
+        klass = self.classes[owed.arrival.request_class]
         if len(owed.attempts) >= self.settings.max_attempts:
             raise RuleBroken("more attempts than allowed")
-        if not self.settings.second_copies and any(a.out for a in owed.attempts):
+        if not self.settings.hedging and any(a.out for a in owed.attempts):
             raise RuleBroken("rule 2: two attempts out")
         maybe = [a for a in owed.attempts if a.maybe]
         if maybe and klass.effect is Effect.UNSAFE:
@@ -120,7 +120,7 @@
                 DedupScope.ALL: True,
                 DedupScope.ZONE: here.zone == there.zone,
                 DedupScope.CELL: here.cell == there.cell,
-            }[klass.scope]
+            }[klass.dedup_scope]
             if not same:
                 raise RuleBroken("rule 2: a repeat outside its group")
             if self.now > maybe[0].at + klass.repeat_window_ms:
@@ -213,6 +213,11 @@
     """What a proxy of a large fleet is told, and what a test changes of it."""
     klass = RequestClass("read", 400.0, 2000.0, effect=Effect.IDEMPOTENT)
     base = Settings(
-        (klass,), max_attempts=4, cold_from=0.2, cold_ms=20_000.0, fall_ms=2000.0, overload_factor=4.0
+        (klass,),
+        max_attempts=4,
+        slow_start_from=0.2,
+        slow_start_ms=20_000.0,
+        overload_window_ms=2000.0,
+        overload_factor=4.0,
     )
     return replace(base, **changes)
--- a/tests/balancer/test_endpoint_list_changes.py
+++ b/tests/balancer/test_endpoint_list_changes.py
@@ -8,22 +8,24 @@
 from heronreel.balancer.interface import BackendInfo, ListKind, Outcome, State
 from tests.balancer.strict_host import Host, large
 
-SETTINGS = large(proxies=40, slot=7, warm_keys=True, cold_ms=5_000.0)
+SETTINGS = large(proxies=40, proxy_index=7, key_affinity=True, slow_start_ms=5_000.0)
 
 
 def line(number: int, started: float = 0.0, state: State = State.UP) -> BackendInfo:
     return BackendInfo(7919 * number + 1, state, kind="abc"[number % 3], cell=number // 5, started_ms=started)
 
 
-def sizes(balancer: Any) -> dict[str, int]:
-    """Of everything a balancer keeps that has a length, two levels deep."""
+def sizes(owner: Any, prefix: str = "") -> dict[str, int]:
+    """Of everything a balancer and its parts keep that has a length."""
     found: dict[str, int] = {}
-    for name, value in vars(balancer).items():
+    for name, value in vars(owner).items():
         if hasattr(value, "__len__"):
-            found[name] = sum(map(len, value)) if isinstance(value, tuple) else len(value)
-        for inner, more in getattr(value, "__dict__", {}).items():
-            if hasattr(more, "__len__"):
-                found[f"{name}.{inner}"] = len(more)
+            parts = (
+                [part for part in value if hasattr(part, "__len__")] if isinstance(value, tuple) else [value]
+            )
+            found[prefix + name] = sum(len(part) for part in parts if hasattr(part, "__len__"))
+        elif name != "endpoints" or not prefix:  # parts refer to the endpoints, which are counted once
+            found |= sizes(value, f"{prefix}{name}.") if hasattr(value, "__dict__") else {}
     return found
 
 
@@ -50,7 +52,7 @@
         if number == 1_030:
             early = sizes(host.balancer)
     late = sizes(host.balancer)
-    assert len(host.balancer.backends) == 30
+    assert len(host.balancer.endpoints.backends) == 30
     grown = {name: (early[name], size) for name, size in late.items() if size > early.get(name, 0) + 150}
     assert not grown, (grown, "seed", seed)
 
@@ -63,7 +65,7 @@
         for key in range(200):
             host.end(host.arrive(key=key), 0, Outcome.SERVED, 30.0)
             host.run_to(host.now + 50.0)
-        return {key: list(host.balancer.homes[key]) for key in range(200)}
+        return {key: list(host.balancer.turns.key_owners[key]) for key in range(200)}
 
     before = homes()
     host.listed(ListKind.CHANGES, line(3, state=State.GONE), line(40))
--- a/tests/balancer/test_limits.py
+++ b/tests/balancer/test_limits.py
@@ -1,4 +1,4 @@
-"""The module's limits, the settings' checks and the README's example."""
+"""Limits of the decision modules' size, the settings' checks and the README's example."""
 
 import re
 import tomllib
@@ -11,33 +11,42 @@
 from heronreel.balancer.interface import Effect, RequestClass, Settings, Tenant
 
 ROOT = Path(__file__).parents[2]
-LINES = (ROOT / "heronreel/balancer/choice.py").read_text().splitlines()
+PACKAGE = ROOT / "heronreel/balancer"
 POLICY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
+INTERFACE = {"__init__.py", "adapter.py", "errors.py", "interface.py", "wire.py"}
+MAX_POLICY_LINES, MAX_FILE_LINES, MAX_COLUMNS = 1200, 600, 110
 WORK = RequestClass("work")
 
 
-def test_the_decision_module_keeps_its_size() -> None:
-    assert len([line for line in LINES if line.strip()]) <= 600  # with a reload, overloads and routes
-    texts = [(ROOT / name).read_text().splitlines() for name in POLICY]
-    assert sum(bool(line.strip()) for lines in texts for line in lines) <= 1200
-    assert max(len(line) for line in LINES) <= 110
-    assert "heronreel/balancer/interface.py" in LINES[0]
+def test_the_decision_modules_keep_their_size() -> None:
+    files = {name: (ROOT / name).read_text().splitlines() for name in POLICY}
+    sizes = {name: sum(bool(line.strip()) for line in lines) for name, lines in files.items()}
+    assert sum(sizes.values()) <= MAX_POLICY_LINES, sizes
+    assert max(sizes.values()) <= MAX_FILE_LINES, sizes
+    assert max(len(line) for lines in files.values() for line in lines) <= MAX_COLUMNS
+    assert "heronreel/balancer/interface.py" in files["heronreel/balancer/choice.py"][0]
+
+
+def test_every_module_that_decides_is_counted() -> None:
+    deciding = {path.name for path in PACKAGE.glob("*.py")} - INTERFACE
+    assert set(POLICY) == {f"heronreel/balancer/{name}" for name in deciding}
+    assert len(POLICY) == len(deciding)
 
 
 @pytest.mark.parametrize(
     ("names", "build"),
     [
         ("deadline_ms", lambda: RequestClass("x", deadline_ms=-1.0)),
-        ("late_worth", lambda: RequestClass("x", late_worth=1.5)),
+        ("late_weight", lambda: RequestClass("x", late_weight=1.5)),
         ("effect", lambda: RequestClass("x", effect=cast(Effect, "odd"))),
         ("share", lambda: Tenant("x", share=2.0)),
         ("quota_per_s", lambda: Tenant("x", quota_per_s=-1.0)),
         ("classes", lambda: Settings(())),
         ("max_attempts", lambda: Settings((WORK,), max_attempts=0)),
         ("proxies", lambda: Settings((WORK,), proxies=0)),
-        ("fall_ms", lambda: Settings((WORK,), fall_ms=-1.0)),
-        ("cold_from", lambda: Settings((WORK,), cold_from=-0.1)),
-        ("cold_ms", lambda: Settings((WORK,), cold_ms=float("nan"))),
+        ("overload_window_ms", lambda: Settings((WORK,), overload_window_ms=-1.0)),
+        ("slow_start_from", lambda: Settings((WORK,), slow_start_from=-0.1)),
+        ("slow_start_ms", lambda: Settings((WORK,), slow_start_ms=float("nan"))),
     ],
 )
 def test_impossible_settings_name_the_field(names: str, build: Callable[[], object]) -> None:
@@ -51,5 +60,5 @@
 
 def test_the_readme_example_runs() -> None:
     (code,) = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.DOTALL)
-    assert "Refuse" in code and "StartAttempt" in code
+    assert "Reject" in code and "StartAttempt" in code
     exec(compile(code, "README.md", "exec"), {})
--- a/tests/balancer/test_maintenance.py
+++ b/tests/balancer/test_maintenance.py
@@ -4,11 +4,11 @@
 
 from heronreel.balancer.interface import (
     BackendInfo,
+    BeginMaintenance,
     Effect,
-    HoldBackend,
+    EndMaintenance,
     ListKind,
     Outcome,
-    ReleaseBackend,
     State,
 )
 from tests.balancer.strict_host import Host, fleet
@@ -20,7 +20,7 @@
 def held_host(now: float = 1e6) -> Host:
     host = host_of(Effect.IDEMPOTENT)
     host.run_to(now)
-    host.balancer.handle(host.now, HoldBackend(HELD, host.now))
+    host.balancer.handle(host.now, BeginMaintenance(HELD, host.now))
     return host
 
 
@@ -59,9 +59,9 @@
     host.listed(ListKind.CHANGES, line)
     released = host.now + 3000.0
     host.run_to(released)
-    host.balancer.handle(host.now, ReleaseBackend(HELD, 1e6, released))
+    host.balancer.handle(host.now, EndMaintenance(HELD, 1e6, released))
     for _ in range(2):
-        counted = host.balancer.backends[HELD].info.started_ms
+        counted = host.balancer.endpoints.backends[HELD].info.started_ms
         assert counted == (released if counts_as == "release" else listed)
         host.listed(ListKind.CHANGES, line)  # said again
 
@@ -69,17 +69,17 @@
 def test_a_release_of_another_process_counts_too() -> None:
     """A successor that never saw the hold, only files of it, and the old list."""
     host = host_of(Effect.IDEMPOTENT)
-    host.balancer.handle(host.now, ReleaseBackend(HELD, host.now - 5000.0, host.now - 1000.0))
+    host.balancer.handle(host.now, EndMaintenance(HELD, host.now - 5000.0, host.now - 1000.0))
     host.listed(ListKind.CHANGES, BackendInfo(HELD))
-    assert host.balancer.backends[HELD].info.started_ms == host.now - 1000.0
+    assert host.balancer.endpoints.backends[HELD].info.started_ms == host.now - 1000.0
 
 
 def test_nothing_is_kept_of_backends_that_are_gone() -> None:
     host = held_host()
     host.listed(ListKind.FULL, *[info for info in fleet(8) if info.backend != HELD])
-    books = host.balancer.maintenance
+    books = host.balancer.endpoints.maintenance
     assert not books.lines
-    host.balancer.handle(host.now, ReleaseBackend(HELD, 1e6, host.now))
-    assert HELD not in host.balancer.backends  # the list has it no more
+    host.balancer.handle(host.now, EndMaintenance(HELD, 1e6, host.now))
+    assert HELD not in host.balancer.endpoints.backends  # the list has it no more
     host.listed(ListKind.FULL, *[info for info in fleet(8) if info.backend != HELD])
-    assert not books.released and not books.held
+    assert not books.ended and not books.began
--- a/tests/balancer/test_regressions.py
+++ b/tests/balancer/test_regressions.py
@@ -7,7 +7,7 @@
     Effect,
     ListKind,
     Outcome,
-    Refuse,
+    Reject,
     RequestClass,
     Settings,
     Tenant,
@@ -102,24 +102,24 @@
 
 
 def test_keys_that_are_ever_new_leave_nothing_behind() -> None:
-    host = Host(Settings((READ,), warm_keys=True))
+    host = Host(Settings((READ,), key_affinity=True))
     host.listed(ListKind.CACHED, *fleet(3))
     for key in range(6000):
         host.end(host.arrive(key=key), 0, Outcome.SERVED, 60.0)
         host.now += 5.0
-    assert len(host.balancer.homes) <= 4096
+    assert len(host.balancer.turns.key_owners) <= 4096
 
 
 def test_an_overload_is_refused_early_and_ends_with_it() -> None:
     host = host_of(2)
     drive(host, 3000.0, 20.0)
-    assert not [a for a in host.log if isinstance(a, Refuse)]
+    assert not [a for a in host.log if isinstance(a, Reject)]
     drive(host, 3000.0, 20.0, took=900.0)  # everything takes far longer than the aim
-    assert len([a for a in host.log if isinstance(a, Refuse)]) > 20
+    assert len([a for a in host.log if isinstance(a, Reject)]) > 20
     drive(host, 6000.0, 20.0)
     mark = len(host.log)
     drive(host, 1000.0, 20.0)
-    assert not [a for a in host.log[mark:] if isinstance(a, Refuse)]
+    assert not [a for a in host.log[mark:] if isinstance(a, Reject)]
 
 
 def test_traffic_beyond_a_share_goes_first() -> None:
@@ -129,7 +129,7 @@
         drive(host, 40.0, 20.0, tenant=tenant)
     for tenant in ("small", "large") * 80:
         drive(host, 40.0, 20.0, took=350.0, tenant=tenant)
-    refused = {a.request for a in host.log if isinstance(a, Refuse)}
+    refused = {a.request for a in host.log if isinstance(a, Reject)}
     by = Counter(host.owed[ident].arrival.tenant for ident in refused)
     assert by["small"] > 3 * by["large"]
 
@@ -144,7 +144,7 @@
         for _ in range(200):
             host.arrive(tenant="one", retry=retry)
         ident = host.arrive(tenant="one")
-        assert any(isinstance(a, Refuse) and a.request == ident for a in host.log) is not retry
+        assert any(isinstance(a, Reject) and a.request == ident for a in host.log) is not retry
 
 
 def test_a_proxy_that_gets_all_takes_no_tenant_for_greedy_but_one_that_asks_far_more() -> None:
@@ -156,7 +156,7 @@
             for _ in range(60):
                 for tenant in ("one", "two", *["two"] * more):
                     drive(host, 50.0, 50.0, took=took, tenant=tenant)
-        by = Counter(host.owed[a.request].arrival.tenant for a in host.log if isinstance(a, Refuse))
+        by = Counter(host.owed[a.request].arrival.tenant for a in host.log if isinstance(a, Reject))
         assert not by["one"]
         assert (by["two"] > 0) is bool(more)
 
@@ -176,7 +176,7 @@
 def test_a_key_goes_home_alike_at_every_proxy_but_a_hot_one_spreads() -> None:
     homes = []
     for seed in range(4):
-        host = Host(Settings((READ,), warm_keys=True), seed)
+        host = Host(Settings((READ,), key_affinity=True), seed)
         host.listed(ListKind.CACHED, *fleet(12))
         drive(host, 1500.0, 20.0)
         picks = []
--- a/tests/balancer/test_rejection_rate.py
+++ b/tests/balancer/test_rejection_rate.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from heronreel.balancer.interface import ListKind, Outcome, Refuse, RequestClass, Settings
-from heronreel.balancer.overload import FEW_TURNED_AWAY, MOST_TURNED_AWAY, TRIES, TurnedAway
+from heronreel.balancer.interface import ListKind, Outcome, Reject, RequestClass, Settings
+from heronreel.balancer.rates import HIGH_REJECTION, LOW_REJECTION, MAX_ATTEMPTS, RejectionRate
 from tests.balancer.strict_host import Host, fleet
 
 
@@ -27,7 +27,7 @@
         tries.append(attempts_of(host, Outcome.REJECTED))
         host.run_to(host.now + 20.0)
     assert tries[-1] == 1  # and never fewer, or nobody would learn of room
-    refused = [action for action in host.log if isinstance(action, Refuse)]
+    refused = [action for action in host.log if isinstance(action, Reject)]
     assert len(refused) == 61  # each of them at once, in the event that turned its last attempt away
     calm_after = 0
     while attempts_of(host, Outcome.REJECTED) < 6:
@@ -48,26 +48,24 @@
             number = len(host.owed[ident].attempts) - 1
             rejected = host.owed[ident].attempts[number].backend == full
             host.end(ident, number, Outcome.REJECTED if rejected else Outcome.SERVED, 10.0)
-        assert not any(isinstance(action, Refuse) for action in host.log)
+        assert not any(isinstance(action, Reject) for action in host.log)
 
 
 def test_a_burst_shorter_than_a_period_is_no_shortage_and_a_mixed_second_allows_two() -> None:
-    seen = TurnedAway()
+    seen = RejectionRate()
 
     def period(sent: int, rejected: int) -> None:
-        for number in range(sent):
-            seen.saw(False)
-            if number < rejected:
-                seen.saw(True)
+        seen.sent += sent
+        seen.rejected += rejected
 
     period(50, 40)
-    assert seen.may_try(5)  # until the period is over
+    assert seen.allows(5)  # until the period is over
     seen.roll()
-    assert seen.share == 0.8 and seen.may_try(0) and not seen.may_try(1)
+    assert seen.share == 0.8 and seen.allows(0) and not seen.allows(1)
     period(60, 0)
     seen.roll()
-    assert seen.share < FEW_TURNED_AWAY and seen.may_try(5)
+    assert seen.share < LOW_REJECTION and seen.allows(5)
     period(40, 30)
     seen.roll()
-    assert FEW_TURNED_AWAY <= seen.share < MOST_TURNED_AWAY
-    assert seen.may_try(TRIES - 1) and not seen.may_try(TRIES)
+    assert LOW_REJECTION <= seen.share < HIGH_REJECTION
+    assert seen.allows(MAX_ATTEMPTS - 1) and not seen.allows(MAX_ATTEMPTS)
--- a/tests/balancer/test_request_lifecycle.py
+++ b/tests/balancer/test_request_lifecycle.py
@@ -12,7 +12,7 @@
     ListKind,
     NewSettings,
     Outcome,
-    Refuse,
+    Reject,
     RequestClass,
     SetTimer,
     Settings,
@@ -28,7 +28,7 @@
 
 
 def host_of(effect: Effect, scope: DedupScope = DedupScope.ALL, attempts: int = 3, backends: int = 8) -> Host:
-    klass = RequestClass("work", 500.0, 2000.0, effect=effect, scope=scope, repeat_window_ms=1500.0)
+    klass = RequestClass("work", 500.0, 2000.0, effect=effect, dedup_scope=scope, repeat_window_ms=1500.0)
     host = Host(Settings((klass,), max_attempts=attempts))
     host.listed(ListKind.CACHED, *fleet(backends))
     return host
@@ -62,7 +62,7 @@
         or effect is Effect.IDEMPOTENT
         or (effect is Effect.KEYED and scope is DedupScope.ALL)
     )
-    assert after == (Refuse(ident) if harmless else Fail(ident))
+    assert after == (Reject(ident) if harmless else Fail(ident))
 
 
 @pytest.mark.parametrize("scope", [DedupScope.ZONE, DedupScope.CELL])
@@ -112,13 +112,13 @@
     host.listed(ListKind.CACHED)
     ident = host.arrive()
     refused = host.log[-1]
-    assert isinstance(refused, Refuse)
+    assert isinstance(refused, Reject)
     assert refused.request == ident
     assert 0.0 < refused.retry_after_ms <= 300.0
 
 
 def test_a_list_that_must_be_asked_is_watched_and_asked_again_after_a_failure() -> None:
-    host = Host(Settings((RequestClass("work"),), watch_list=True, ask_within_ms=10000.0))
+    host = Host(Settings((RequestClass("work"),), watch_list=True, watch_within_ms=10000.0))
     host.listed(ListKind.CACHED, *fleet(2))
     host.run_to(host.now + 3000.0)
     assert host.log.count(WatchList()) == 1
@@ -131,10 +131,10 @@
 
 
 def test_a_reload_that_shortens_the_time_to_ask_within_counts_for_the_next_call() -> None:
-    host = Host(Settings((RequestClass("work"),), watch_list=True, ask_within_ms=10000.0))
+    host = Host(Settings((RequestClass("work"),), watch_list=True, watch_within_ms=10000.0))
     host.listed(ListKind.CACHED, *fleet(2))
     host.run_to(host.now + 3000.0)
-    host.balancer.handle(host.now, NewSettings(replace(host.settings, ask_within_ms=600.0)))
+    host.balancer.handle(host.now, NewSettings(replace(host.settings, watch_within_ms=600.0)))
     (again,) = host.listed(ListKind.FAILED)
     assert isinstance(again, SetTimer) and again.delay_ms <= 200.0
 
--- a/tests/balancer/test_route_policies.py
+++ b/tests/balancer/test_route_policies.py
@@ -8,10 +8,10 @@
 
 from heronreel.balancer import interface as api
 from heronreel.balancer.pools import Pools
-from heronreel.balancer.routes import SAMPLES_LEAST, Latencies, RouteBooks
+from heronreel.balancer.routes import MIN_SAMPLES, LatencyHistogram, RouteLimiter
 
 KEYED = api.RequestClass(
-    "save", 500.0, 2500.0, effect=api.Effect.KEYED, scope=api.DedupScope.CELL, repeat_window_ms=5000.0
+    "save", 500.0, 2500.0, effect=api.Effect.KEYED, dedup_scope=api.DedupScope.CELL, repeat_window_ms=5000.0
 )
 SAFE = api.RequestClass("read", 500.0, 2500.0, effect=api.Effect.IDEMPOTENT)
 UNSAFE = api.RequestClass("pay", 500.0, 2500.0)
@@ -19,13 +19,13 @@
 SETTINGS = api.Settings(
     (KEYED, SAFE, UNSAFE),
     max_attempts=4,
-    second_copies=True,
+    hedging=True,
     connect_timeout_ms=100.0,
     max_retry_after_ms=1000.0,
 )
 SAVE = api.RoutePolicy("save", KEYED, 3, retry_on=ANY, split=(("a", 1.0),))
 READ = api.RoutePolicy(
-    "read", SAFE, 3, retry_on=ANY, retry_in_group=False, copy_in_group=False, split=(("a", 1.0),)
+    "read", SAFE, 3, retry_on=ANY, retry_in_group=False, hedge_in_group=False, split=(("a", 1.0),)
 )
 PAY = api.RoutePolicy("pay", UNSAFE, 3, split=(("a", 1.0),))
 
@@ -49,7 +49,7 @@
                 self.sent.setdefault(action.request, []).append(action)
             elif isinstance(action, api.SetTimer):
                 self.timers.append((self.now + action.delay_ms, action.token))
-            elif isinstance(action, api.Refuse | api.Fail):
+            elif isinstance(action, api.Reject | api.Fail):
                 assert action.request not in self.finals, "two final answers"
                 self.finals[action.request] = action
         return actions
@@ -57,7 +57,9 @@
     def ask(self, policy: api.RoutePolicy, left: float = 2500.0, key: int | None = None) -> int:
         self.idents += 1
         self.sent[self.idents] = []
-        self.tell(api.Arrival(self.idents, policy.klass.name, left, policy=policy, repeat_key=key))
+        self.tell(
+            api.Arrival(self.idents, policy.request_class.name, left, policy=policy, idempotency_key=key)
+        )
         return self.idents
 
     def end(
@@ -108,7 +110,7 @@
     assert len(host.sent[ident]) == 2 and isinstance(host.finals[ident], api.Fail)
     never_ran = host.ask(policy)
     host.end(never_ran, api.Outcome.REJECTED)
-    assert isinstance(host.finals[never_ran], api.Refuse)
+    assert isinstance(host.finals[never_ran], api.Reject)
 
 
 def test_an_unsafe_request_is_tried_again_only_while_nothing_ran() -> None:
@@ -125,7 +127,7 @@
 
 def test_a_pause_doubles_and_delays_only_what_goes_on() -> None:
     host = Driver(*backends(6))
-    ident = host.ask(replace(READ, max_attempts=4, backoff_ms=100.0, backoff_most_ms=150.0))
+    ident = host.ask(replace(READ, max_attempts=4, backoff_ms=100.0, max_backoff_ms=150.0))
     for pause in (100.0, 150.0, 150.0):
         count = len(host.sent[ident])
         host.end(ident, api.Outcome.ERROR)
@@ -141,9 +143,9 @@
     ("policy", "left"),
     [
         (replace(READ, backoff_ms=100.0), 90.0),  # past the deadline
-        (replace(SAVE, backoff_ms=4950.0, backoff_most_ms=4950.0), 9000.0),  # past the window
+        (replace(SAVE, backoff_ms=4950.0, max_backoff_ms=4950.0), 9000.0),  # past the window
         (replace(READ, backoff_ms=100.0, max_attempts=1), 2500.0),  # no attempt left
-        (replace(READ, backoff_ms=100.0, retry_share=0.0), 2500.0),  # no budget
+        (replace(READ, backoff_ms=100.0, retry_budget_ratio=0.0), 2500.0),  # no budget
         (replace(PAY, backoff_ms=100.0, retry_on=ANY), 2500.0),  # unsafe
     ],
 )
@@ -170,10 +172,10 @@
     host.end(ident, api.Outcome.ERROR)
     host.tell(api.ClientGone(ident))
     host.wait(500.0)
-    assert len(host.sent[ident]) == 1 and not host.finals and not host.pools.lives
+    assert len(host.sent[ident]) == 1 and not host.finals and not host.pools.requests
 
 
-COPY = replace(SAVE, copy_after_ms=50.0)
+COPY = replace(SAVE, hedge_after_ms=50.0)
 
 
 def test_a_second_copy_stays_in_its_group_and_off_its_backend() -> None:
@@ -193,7 +195,7 @@
         host.wait(51.0)
         host.end(ident, api.Outcome.SERVED, winner)
         host.end(ident, api.Outcome.SERVED, loser)  # its answer is thrown away by the host
-        assert not host.finals and not host.pools.lives and len(host.sent[ident]) == 2
+        assert not host.finals and not host.pools.requests and len(host.sent[ident]) == 2
 
 
 def test_while_a_copy_is_out_a_failure_decides_nothing() -> None:
@@ -222,7 +224,7 @@
             host.end(ident, api.Outcome.SERVED, 0)
             host.end(ident, api.Outcome.SERVED, 1)
         assert len(host.sent[ident]) == (1 if answer_first else 2)
-        assert not host.finals and not host.pools.lives
+        assert not host.finals and not host.pools.requests
 
 
 def test_a_drain_stops_the_copy() -> None:
@@ -244,13 +246,13 @@
     assert len(host.sent[retried]) == 2  # the retry
     for policy in (
         replace(COPY, max_attempts=1),
-        replace(COPY, retry_share=0.0),
-        replace(PAY, copy_after_ms=50.0),
+        replace(COPY, retry_budget_ratio=0.0),
+        replace(PAY, hedge_after_ms=50.0),
     ):
         ident = host.ask(policy)
         host.wait(100.0)
         assert len(host.sent[ident]) == 1
-    host = Driver(*backends(6), settings=replace(SETTINGS, second_copies=False))
+    host = Driver(*backends(6), settings=replace(SETTINGS, hedging=False))
     ident = host.ask(COPY)
     host.wait(100.0)
     assert len(host.sent[ident]) == 1
@@ -258,8 +260,8 @@
 
 def test_a_percentile_without_samples_sends_no_copy() -> None:
     host = Driver(*backends(6))
-    policy = replace(READ, copy_percentile=90.0)
-    for _ in range(SAMPLES_LEAST):
+    policy = replace(READ, hedge_percentile=90.0)
+    for _ in range(MIN_SAMPLES):
         assert [at for at, _ in host.timers if at > host.now + 300.0] == []
         ident = host.ask(policy)
         host.wait(5.0)
@@ -271,7 +273,7 @@
 
 
 def test_percentiles_are_right_within_a_bucket_and_forget() -> None:
-    seen = Latencies()
+    seen = LatencyHistogram()
     for value in range(1, 1001):
         seen.add(float(value))
     for percent in (50.0, 90.0, 99.0):
@@ -287,7 +289,7 @@
 def test_copies_and_retries_share_one_budget() -> None:
     host = Driver(*backends(8))
     for _ in range(200):
-        ident = host.ask(replace(READ, retry_share=0.1))
+        ident = host.ask(replace(READ, retry_budget_ratio=0.1))
         while ident not in host.finals:
             host.end(ident, api.Outcome.ERROR)
     repeats = sum(len(sent) - 1 for sent in host.sent.values())
@@ -298,7 +300,7 @@
     host = Driver(*backends(4))
     policy = replace(READ, concurrency=2)
     one, two, three = (host.ask(policy) for _ in range(3))
-    assert isinstance(host.finals[three], api.Refuse) and not host.sent[three]
+    assert isinstance(host.finals[three], api.Reject) and not host.sent[three]
     host.end(one, api.Outcome.SERVED)
     assert host.sent[host.ask(policy)]
     host.tell(api.ClientGone(two))  # what is out still runs, but the request is over
@@ -309,7 +311,7 @@
     idents = [host.ask(policy) for _ in range(11)]
     assert [ident in host.finals for ident in idents] == [False] * 10 + [True]
     refusal = host.finals[idents[-1]]
-    assert isinstance(refusal, api.Refuse) and refusal.retry_after_ms == pytest.approx(100.0)
+    assert isinstance(refusal, api.Reject) and refusal.retry_after_ms == pytest.approx(100.0)
     host.wait(101.0)
     assert host.sent[host.ask(policy)]
 
@@ -350,31 +352,31 @@
 def test_what_a_pool_refuses_goes_to_the_next_where_the_route_allows() -> None:
     split = (("a", 1.0), ("b", 1.0))
     host = Driver(*backends(1), *backends(1, "b", first=10))
-    ident = host.ask(replace(READ, spills=True, split=split))
+    ident = host.ask(replace(READ, spills_over=True, split=split))
     host.end(ident, api.Outcome.REJECTED)  # the only one of its pool
     host.end(ident, api.Outcome.REJECTED)
-    assert sorted(host.to(ident)) == [0, 10] and isinstance(host.finals[ident], api.Refuse)
-    assert not host.pools.lives
+    assert sorted(host.to(ident)) == [0, 10] and isinstance(host.finals[ident], api.Reject)
+    assert not host.pools.requests
     stays = host.ask(replace(READ, split=split))
     host.end(stays, api.Outcome.REJECTED)
-    assert len(host.to(stays)) == 1 and isinstance(host.finals[stays], api.Refuse)
+    assert len(host.to(stays)) == 1 and isinstance(host.finals[stays], api.Reject)
 
 
 def test_what_may_have_run_goes_to_no_other_pool_though_a_refusal_is_due() -> None:
     host = Driver(*backends(1), *backends(1, "b", first=10))
-    klass = replace(KEYED, scope=api.DedupScope.ALL)
+    klass = replace(KEYED, dedup_scope=api.DedupScope.ALL)
     never = frozenset(api.NEVER_RAN)
-    policy = replace(SAVE, klass=klass, retry_on=never, spills=True, refuse_exhausted=True)
+    policy = replace(SAVE, request_class=klass, retry_on=never, spills_over=True, reject_when_exhausted=True)
     ident = host.ask(replace(policy, split=(("a", 1.0), ("b", 1.0))))
     host.end(ident, api.Outcome.RESET)
-    assert len(host.to(ident)) == 1 and isinstance(host.finals[ident], api.Refuse)
+    assert len(host.to(ident)) == 1 and isinstance(host.finals[ident], api.Reject)
 
 
 def test_attempts_are_counted_over_all_pools() -> None:
     split = (("a", 1.0), ("b", 1.0), ("c", 1.0))
     infos = [info for n, pool in enumerate("abc") for info in backends(3, pool, first=10 * n)]
     host = Driver(*infos)
-    ident = host.ask(replace(READ, max_attempts=4, spills=True, split=split))
+    ident = host.ask(replace(READ, max_attempts=4, spills_over=True, split=split))
     while ident not in host.finals:
         host.end(ident, api.Outcome.REJECTED)
     assert len(host.to(ident)) == 4
@@ -384,10 +386,10 @@
     host = Driver(*backends(2))
     for split in ((("none", 1.0),), (("a", 0.0),)):
         ident = host.ask(replace(READ, split=split))
-        assert isinstance(host.finals[ident], api.Refuse)
+        assert isinstance(host.finals[ident], api.Reject)
     host.tell(api.BackendList(api.ListKind.FULL, []))
     ident = host.ask(READ)
-    assert isinstance(host.finals[ident], api.Refuse) and not host.pools.lives
+    assert isinstance(host.finals[ident], api.Reject) and not host.pools.requests
 
 
 def test_one_pools_jam_refuses_nothing_of_anothers() -> None:
@@ -404,14 +406,14 @@
         host.end(ident, api.Outcome.SERVED)
 
 
-def test_books_end_with_their_routes() -> None:
-    books = RouteBooks()
+def test_limits_end_with_their_routes() -> None:
+    limiter = RouteLimiter()
     for number in range(50):
-        assert books.admit(0.0, replace(READ, route=f"r{number}")) is None
+        assert limiter.admit(0.0, replace(READ, route=f"r{number}")) is None
     for number in range(49):
-        books.over(replace(READ, route=f"r{number}"))
-    books.keep(["r0"])
-    assert set(books.books) == {"r0", "r49"}  # the one still has a request under way
+        limiter.finished(replace(READ, route=f"r{number}"))
+    limiter.keep(["r0"])
+    assert set(limiter.routes) == {"r0", "r49"}  # the one still has a request under way
 
 
 def test_time_outs_of_a_routes_own_tell_of_a_backend() -> None:
@@ -436,7 +438,7 @@
     for _ in range(2):
         host = Driver(*backends(4), *backends(4, "b", first=10), seed=7)
         for n in range(60):
-            ident = host.ask(replace(READ, copy_after_ms=15.0, split=(("a", 1.0), ("b", 2.0))))
+            ident = host.ask(replace(READ, hedge_after_ms=15.0, split=(("a", 1.0), ("b", 2.0))))
             host.wait(20.0)
             host.end(ident, api.Outcome.SERVED if n % 3 else api.Outcome.ERROR, 0, over=True)
         logs.append(host.sent)
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heronreel.balancer.choice import Balancer
+from heronreel.balancer import slow_start
 from heronreel.balancer.interface import (
     BackendInfo,
     DedupScope,
@@ -40,14 +40,14 @@
         proxies=draw.choice((1, 3, 40)),
         watch_list=draw.random() < 0.5,
         max_attempts=draw.choice((1, 3, 6)),
-        second_copies=draw.random() < 0.5,
+        hedging=draw.random() < 0.5,
         cancel=draw.random() < 0.7,
         probing=draw.random() < 0.5,
         max_retry_after_ms=1000.0,
-        warm_keys=draw.random() < 0.5,
-        cold_from=0.15,
-        cold_ms=8000.0,
-        over_share_worth=0.1,
+        key_affinity=draw.random() < 0.5,
+        slow_start_from=0.15,
+        slow_start_ms=8000.0,
+        over_quota_weight=0.1,
         price_cross_zone=draw.choice((0.0, 0.1)),
     )
 
@@ -101,20 +101,22 @@
     for ident, attempt in host.out():
         host.end(ident, attempt, Outcome.TIMEOUT)
     assert not host.balancer.requests
-    assert not host.balancer.backends
-    assert not host.balancer.busy
+    assert not host.balancer.endpoints.backends
+    assert not host.balancer.endpoints.booked
 
 
 def test_memory_stays_bounded_over_a_long_run() -> None:
     host = play(5, 6000)
-    assert len(host.balancer.turns) < 500
+    assert sum(map(len, host.balancer.turns.queues)) < 500
     host.run_to(host.now + 10000.0)
     assert not host.balancer.requests
 
 
 def cold_host(seed: int, proxies: int = 10) -> Host:
     klass = RequestClass("work", 500.0, 2000.0, effect=Effect.IDEMPOTENT)
-    limits = Settings((klass,), proxies=proxies, cold_from=0.13, cold_ms=20000.0, fall_ms=2000.0)
+    limits = Settings(
+        (klass,), proxies=proxies, slow_start_from=0.13, slow_start_ms=20000.0, overload_window_ms=2000.0
+    )
     host = Host(limits, seed)
     host.listed(ListKind.CACHED, *fleet(20))
     return host
@@ -157,16 +159,16 @@
 
 
 def test_without_slow_start_a_cold_backend_would_be_pushed_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "_ramp", lambda self, backend, now: 1.0)
+    monkeypatch.setattr(slow_start, "capacity_share", lambda settings, now, info: 1.0)
     assert cold_pressure(5.0) > 1.0
 
 
 def test_a_restarted_backend_counts_as_new() -> None:
     host = cold_host(1)
     drive(host, 4000.0, 10.0)
-    before = host.balancer.backends[103]
+    before = host.balancer.endpoints.backends[103]
     host.listed(ListKind.CHANGES, BackendInfo(103, zone="z1", cell=0, started_ms=host.now - 100.0))
-    assert host.balancer.backends[103] is not before
+    assert host.balancer.endpoints.backends[103] is not before
 
 
 def test_the_checker_itself_sees_each_rule_broken() -> None:
--- a/tests/balancer/test_speed.py
+++ b/tests/balancer/test_speed.py
@@ -4,7 +4,7 @@
 
 from heronreel.balancer.choice import Balancer
 from heronreel.balancer.interface import BackendInfo, ListKind, Outcome
-from heronreel.balancer.speed import OWN_AFTER, Speed, Speeds
+from heronreel.balancer.speed import KIND_RESPONSES, BackendSpeed, LearnedSpeeds
 from tests.balancer.strict_host import Host, large
 
 COST = 60.0  # ms: the fixed part and a hint of 50
@@ -42,22 +42,22 @@
 
 
 def test_a_backend_nobody_has_heard_of_is_as_fast_as_its_kind() -> None:
-    speeds = Speeds()
+    speeds = LearnedSpeeds()
     for _ in range(200):
-        speeds.learn("slow", Speed(), 3.0)
-    assert speeds.factor("slow", Speed()) == pytest.approx(3.0, rel=0.02)
-    assert speeds.factor("new", Speed()) == 1.0
+        speeds.learn("slow", BackendSpeed(), 3.0)
+    assert speeds.factor("slow", BackendSpeed()) == pytest.approx(3.0, rel=0.02)
+    assert speeds.factor("new", BackendSpeed()) == 1.0
 
 
 def test_its_own_answers_take_the_place_of_its_kind_by_their_number() -> None:
-    speeds, odd = Speeds(), Speed()
+    speeds, odd = LearnedSpeeds(), BackendSpeed()
     for _ in range(200):
-        speeds.learn("kind", Speed(), 1.0)
+        speeds.learn("kind", BackendSpeed(), 1.0)
     seen = []
-    for _ in range(int(8 * OWN_AFTER)):
+    for _ in range(int(8 * KIND_RESPONSES)):
         speeds.learn("kind", odd, 4.0)
         seen.append(speeds.factor("kind", odd))
-        speeds.learn("kind", Speed(), 1.0)  # the others of its kind go on as they were
+        speeds.learn("kind", BackendSpeed(), 1.0)  # the others of its kind go on as they were
     assert seen[0] < 1.1 and seen == sorted(seen)
     assert seen[-1] > 2.5
 
@@ -71,8 +71,8 @@
         ident = host.arrive()
         backend = host.owed[ident].attempts[0].backend
         host.end(ident, 0, Outcome.SERVED, 10.0 if backend == 0 else COST)
-    assert host.balancer.backends[0].factor < 0.8  # of itself it does
-    assert host.balancer.speeds.of_kind("fast") == pytest.approx(1.0, rel=0.02)
+    assert host.balancer.endpoints.backends[0].cost_factor < 0.8  # of itself it does
+    assert host.balancer.endpoints.speeds.of_kind("fast") == pytest.approx(1.0, rel=0.02)
 
 
 def test_kinds_that_the_list_no_longer_names_are_forgotten() -> None:
@@ -81,7 +81,7 @@
         host.listed(ListKind.FULL, BackendInfo(number, kind=f"k{number}"), line(10_000))
         ident = host.arrive()
         host.end(ident, 0, Outcome.SERVED, 50.0)
-    assert len(host.balancer.speeds.kinds) <= 2
+    assert len(host.balancer.endpoints.speeds.kinds) <= 2
 
 
 def test_a_cold_backend_is_sent_work_by_the_speed_of_its_kind() -> None:
@@ -98,7 +98,7 @@
 @pytest.mark.parametrize("proxies", [5, 40])
 def test_all_proxies_together_stay_under_the_rule_and_use_a_good_part_of_it(proxies: int, seed: int) -> None:
     """Half the fleet comes back cold: rule 4 counts the work of all proxies in every window of 2 s."""
-    hosts = [Host(large(proxies=proxies, slot=n), seed * 1000 + n) for n in range(proxies)]
+    hosts = [Host(large(proxies=proxies, proxy_index=n), seed * 1000 + n) for n in range(proxies)]
     capacity = 2.0  # cores of the fast kind's speed, of which six tenths are asked for
     speed = {"fast": 3.0, "slow": 0.5}
     total = capacity * sum(speed[line(n).kind] for n in range(BACKENDS))
@@ -131,7 +131,9 @@
 ) -> None:
     """The letter's figure: beyond N calls of mean work in the rule's time, 2 roots of N + 2 are chance."""
     seed = 11
-    hosts = [Host(large(proxies=proxies, slot=n, overload_factor=factor), seed + n) for n in range(proxies)]
+    hosts = [
+        Host(large(proxies=proxies, proxy_index=n, overload_factor=factor), seed + n) for n in range(proxies)
+    ]
     capacity, speed = 2.0, {"fast": 3.0, "slow": 0.5}
     every = COST * proxies / (0.95 * capacity * sum(speed[line(n).kind] for n in range(BACKENDS)))
     for n, host in enumerate(hosts):
@@ -153,5 +155,5 @@
 
 def test_speeds_end_with_their_proxy() -> None:
     one, other = (Balancer(large(), seed=1) for _ in range(2))
-    one.speeds.learn("fast", Speed(), 5.0)
-    assert other.speeds.of_kind("fast") == 1.0
+    one.endpoints.speeds.learn("fast", BackendSpeed(), 5.0)
+    assert other.endpoints.speeds.of_kind("fast") == 1.0
--- a/tests/balancer/test_subset.py
+++ b/tests/balancer/test_subset.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from heronreel.balancer.choice import REST
+from heronreel.balancer.endpoints import FALLBACK
 from heronreel.balancer.interface import (
     BackendInfo,
     ListKind,
@@ -13,12 +13,12 @@
     Outcome,
     Settings,
 )
-from heronreel.balancer.subset import KEPT_BY, LEAST, Subset
+from heronreel.balancer.subset import MIN_SUBSET, PROXIES_PER_BACKEND, Subset
 from tests.balancer.strict_host import Host, large
 
 
 def settings(slot: int | None, proxies: int, zone: str = "z0") -> Settings:
-    return large(slot=slot, proxies=proxies, zone=zone, zones=("z0", "z1"), price_cross_zone=0.03)
+    return large(proxy_index=slot, proxies=proxies, zone=zone, zones=("z0", "z1"), price_cross_zone=0.03)
 
 
 def lines(count: int) -> list[BackendInfo]:
@@ -33,11 +33,11 @@
 
 
 def test_a_proxy_keeps_to_a_good_number_whatever_the_sizes() -> None:
-    for proxies in (1, 5, KEPT_BY, 40, 60, 1000):
-        for backends in (1, LEAST, 30, 150):
-            kept_by = Subset(0, proxies).kept_by(backends)
-            assert min(proxies, KEPT_BY) <= kept_by <= proxies
-            assert kept_by * backends >= min(LEAST, backends) * proxies
+    for proxies in (1, 5, PROXIES_PER_BACKEND, 40, 60, 1000):
+        for backends in (1, MIN_SUBSET, 30, 150):
+            kept_by = Subset(0, proxies).proxies_per_backend(backends)
+            assert min(proxies, PROXIES_PER_BACKEND) <= kept_by <= proxies
+            assert kept_by * backends >= min(MIN_SUBSET, backends) * proxies
 
 
 def used(slots: list[int | None], proxies: int, seed: int) -> Counter[int]:
@@ -64,7 +64,7 @@
 def test_a_large_fleet_opens_few_connections_to_each_backend(seed: int) -> None:
     pairs = used(list(range(40)), 40, seed)
     assert len(pairs) == 60, f"seed {seed}"  # none is left out
-    assert max(pairs.values()) <= KEPT_BY, f"seed {seed}"
+    assert max(pairs.values()) <= PROXIES_PER_BACKEND, f"seed {seed}"
 
 
 def test_a_proxy_that_does_not_know_its_number_keeps_to_all() -> None:
@@ -76,16 +76,16 @@
     host.listed(ListKind.CACHED, *lines(60))
     host.balancer.handle(host.now, NewSettings(settings(5, 60)))
     balancer, subset = host.balancer, Subset(5, 60)
-    for ident, backend in balancer.backends.items():
-        assert backend.rank == subset.rank(ident)
-        assert (backend.heap == REST) == (backend.rank >= subset.kept_by(30))
-    assert 0 < sum(backend.heap != REST for backend in balancer.backends.values()) < 40
+    for ident, backend in balancer.endpoints.backends.items():
+        assert backend.subset_rank == subset.rank(ident)
+        assert (backend.tier == FALLBACK) == (backend.subset_rank >= subset.proxies_per_backend(30))
+    assert 0 < sum(backend.tier != FALLBACK for backend in balancer.endpoints.backends.values()) < 40
 
 
 def test_what_it_does_not_keep_to_is_used_when_nothing_else_is_left() -> None:
     host, subset = Host(settings(3, 40)), Subset(3, 40)
     foreign = [info for info in lines(400) if info.zone == "z0" and subset.rank(info.backend) >= 27][:12]
-    assert subset.kept_by(len(foreign)) == 27
+    assert subset.proxies_per_backend(len(foreign)) == 27
     host.listed(ListKind.CACHED, *lines(60))
     host.listed(ListKind.FULL, *foreign)
     assert host.owed[host.arrive()].attempts[0].backend in {info.backend for info in foreign}
--- a/tests/balancer/test_watch_schedule.py
+++ b/tests/balancer/test_watch_schedule.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from heronreel.balancer.asking import Asking
 from heronreel.balancer.interface import Lost
+from heronreel.balancer.watch_schedule import WatchSchedule
 
 WITHIN_MS = 10_000.0
 TIMEOUT_MS = 3_000.0  # a call that would wait longer is refused
@@ -38,28 +38,28 @@
 def play(proxies: int, seed: int, service: Service, until: float) -> list[float]:
     """All start at 0; when each had a list that lasted, or infinity."""
     draw = random.Random(seed)
-    askers = [Asking(WITHIN_MS) for _ in range(proxies)]
+    schedules = [WatchSchedule(WITHIN_MS) for _ in range(proxies)]
     listed = [float("inf")] * proxies
-    due = [(asking.begin(draw), n, "ask") for n, asking in enumerate(askers)]
+    due = [(schedule.first_delay(draw), n, "call") for n, schedule in enumerate(schedules)]
     heapq.heapify(due)
     while due:
         now, n, what = heapq.heappop(due)
         if now >= until:
             break
-        asking, wait = askers[n], None
-        if what == "ask":
-            asking.asks(now)
+        schedule, wait = schedules[n], None
+        if what == "call":
+            schedule.call_started(now)
             at, told = service.call(now)
-            heapq.heappush(due, (at, n, "told" if told else "failed"))
+            heapq.heappush(due, (at, n, "listed" if told else "failed"))
             continue
-        if what == "told":
-            asking.told(now)
+        if what == "listed":
+            schedule.list_received(now)
             if now >= service.breaks_until:
                 listed[n] = min(listed[n], now)
                 continue
-        wait = asking.failed(now, draw)
+        wait = schedule.call_failed(now, draw)
         assert wait is not None
-        heapq.heappush(due, (now + wait, n, "ask"))
+        heapq.heappush(due, (now + wait, n, "call"))
     return listed
 
 
@@ -91,26 +91,26 @@
 
 
 def test_a_service_that_refuses_for_hours_ends_no_watch() -> None:
-    asking, draw = Asking(WITHIN_MS), random.Random(1)
-    asking.begin(draw)
+    schedule, draw = WatchSchedule(WITHIN_MS), random.Random(1)
+    schedule.first_delay(draw)
     for number in range(3_000):
         now = number * 3_000.0
-        asking.asks(now)
-        wait = asking.failed(now, draw)
+        schedule.call_started(now)
+        wait = schedule.call_failed(now, draw)
         assert wait is not None and 0.0 < wait <= WITHIN_MS / 3.0
 
 
 def test_a_watch_that_lasted_begins_the_back_off_anew() -> None:
-    asking, draw = Asking(WITHIN_MS), random.Random(1)
+    schedule, draw = WatchSchedule(WITHIN_MS), random.Random(1)
     for _ in range(4):
-        asking.asks(0.0)
-        long = asking.failed(0.0, draw)
-    asking.asks(0.0)
-    asking.told(100.0)  # and never again: nothing changed while it lasted
-    ended = asking.failed(5_000.0, draw)
-    assert asking.failed(5_000.0, draw) is None  # a timer is set
-    asking.asks(6_000.0)
-    short = asking.failed(6_000.0, draw)
+        schedule.call_started(0.0)
+        long = schedule.call_failed(0.0, draw)
+    schedule.call_started(0.0)
+    schedule.list_received(100.0)  # and never again: nothing changed while it lasted
+    ended = schedule.call_failed(5_000.0, draw)
+    assert schedule.call_failed(5_000.0, draw) is None  # a timer is set
+    schedule.call_started(6_000.0)
+    short = schedule.call_failed(6_000.0, draw)
     assert long is not None and ended is not None and short is not None
     assert 500.0 <= ended <= 1000.0 and short <= 2000.0 < long
 
@@ -122,29 +122,29 @@
     """
     soonest = WITHIN_MS
     for seed in range(100):
-        asking, draw = Asking(WITHIN_MS), random.Random(seed)
-        asking.begin(draw)
-        asking.asks(0.0)
-        asking.told(20.0)
+        schedule, draw = WatchSchedule(WITHIN_MS), random.Random(seed)
+        schedule.first_delay(draw)
+        schedule.call_started(0.0)
+        schedule.list_received(20.0)
         for number in range(4):  # down for some 12 s, and every wait fits
-            asking.asks(number * 4_000.0)
-            wait = asking.failed(number * 4_000.0 + 3_000.0, draw, Lost.BUSY)
+            schedule.call_started(number * 4_000.0)
+            wait = schedule.call_failed(number * 4_000.0 + 3_000.0, draw, Lost.BUSY)
             assert wait is not None and 150.0 <= wait <= 6_000.0 - 3_000.0, seed
-        asking.asks(16_000.0)
-        asking.told(16_020.0)
-        asking.asks(20_000.0)
-        asking.told(20_020.0)
-        wait = asking.failed(22_520.0, draw, Lost.LATE)
+        schedule.call_started(16_000.0)
+        schedule.list_received(16_020.0)
+        schedule.call_started(20_000.0)
+        schedule.list_received(20_020.0)
+        wait = schedule.call_failed(22_520.0, draw, Lost.LATE)
         assert wait is not None and 0.0 <= wait <= 2_000.0, seed
         soonest = min(soonest, wait)
-        asking.asks(23_000.0)
-        wait = asking.failed(26_000.0, draw, Lost.BUSY)  # it has too many calls
+        schedule.call_started(23_000.0)
+        wait = schedule.call_failed(26_000.0, draw, Lost.BUSY)  # it has too many calls
         assert wait is not None and WITHIN_MS / 10 <= wait <= WITHIN_MS, seed
     assert soonest < 100.0  # what has passed since the call is taken off
-    asking = Asking(60_000.0)
-    for number in range(6):  # a service that swallows all of them; however long the time for asking is
-        asking.asks(number * 3_100.0)
-        wait = asking.failed((number + 1) * 3_100.0, draw, Lost.LATE)
+    schedule = WatchSchedule(60_000.0)
+    for number in range(6):  # a service that swallows all of them; however long the time for schedule is
+        schedule.call_started(number * 3_100.0)
+        wait = schedule.call_failed((number + 1) * 3_100.0, draw, Lost.LATE)
         assert wait is not None and wait <= 2_000.0
 
 
@@ -163,22 +163,22 @@
 
     def play(self, seed: int, until: float) -> None:
         draw = random.Random(seed)
-        askers = [Asking(WITHIN_MS) for _ in range(self.proxies)]
-        for asking in askers if self.down_ms else ():
-            asking.asks(0.0)
-            asking.told(0.0)  # they had their watches before it went down
+        schedules = [WatchSchedule(WITHIN_MS) for _ in range(self.proxies)]
+        for schedule in schedules if self.down_ms else ():
+            schedule.call_started(0.0)
+            schedule.list_received(0.0)  # they had their watches before it went down
         free_at = 0.0
-        due = [(asking.begin(draw), n, "ask") for n, asking in enumerate(askers)]
+        due = [(schedule.first_delay(draw), n, "call") for n, schedule in enumerate(schedules)]
         heapq.heapify(due)
         while due and len(self.listed) < self.proxies:
             now, n, what = heapq.heappop(due)
             assert now < until, (len(self.listed), "seed", seed)
-            if what == "told":
-                askers[n].told(now)
+            if what == "listed":
+                schedules[n].list_received(now)
                 self.listed.append(now)
-            elif what == "ask":
+            elif what == "call":
                 self.calls += 1
-                askers[n].asks(now)
+                schedules[n].call_started(now)
                 if now < self.down_ms:
                     heapq.heappush(due, (now + self.timeout_ms, n, "busy"))
                     continue
@@ -187,11 +187,11 @@
                     continue
                 free_at = max(free_at, now) + self.call_ms
                 ends_at = min(free_at, now + self.timeout_ms)
-                heapq.heappush(due, (ends_at, n, "told" if free_at <= ends_at else "busy"))
+                heapq.heappush(due, (ends_at, n, "listed" if free_at <= ends_at else "busy"))
             else:
-                wait = askers[n].failed(now, draw, Lost.BUSY)
+                wait = schedules[n].call_failed(now, draw, Lost.BUSY)
                 assert wait is not None
-                heapq.heappush(due, (now + wait, n, "ask"))
+                heapq.heappush(due, (now + wait, n, "call"))
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
--- a/tests/balancer/test_weighted_turns.py
+++ b/tests/balancer/test_weighted_turns.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from heronreel.balancer.choice import PERIOD_MS, Balancer
+from heronreel.balancer import Balancer
 from heronreel.balancer.interface import (
     Arrival,
     BackendList,
@@ -13,6 +13,7 @@
     Settings,
     StartAttempt,
 )
+from heronreel.balancer.rates import PERIOD_MS
 from tests.balancer.strict_host import Host, fleet
 
 WORK = RequestClass("work", 500.0, 20000.0, effect=Effect.IDEMPOTENT)
@@ -69,12 +70,12 @@
 
 def test_errors_and_time_outs_teach_no_speed() -> None:
     host = host_of(2)
-    before = [b.factor for b in host.balancer.backends.values()]
+    before = [b.cost_factor for b in host.balancer.endpoints.backends.values()]
     for outcome in (Outcome.ERROR, Outcome.TIMEOUT, Outcome.REJECTED, Outcome.RESET):
         ident = host.arrive()
         host.now += 900.0
         host.end(ident, 0, outcome)
-    assert [b.factor for b in host.balancer.backends.values()] == before
+    assert [b.cost_factor for b in host.balancer.endpoints.backends.values()] == before
 
 
 def test_the_same_events_give_the_same_actions() -> None:
@@ -92,7 +93,7 @@
 
 
 def weights(host: Host) -> list[float]:
-    return sorted(backend.weight for backend in host.balancer.backends.values())
+    return sorted(backend.weight for backend in host.balancer.endpoints.backends.values())
 
 
 def loaded(bookings: list[float], sends: float) -> Host:
@@ -100,11 +101,11 @@
     host = host_of(len(bookings))
     balancer = host.balancer
     host.run_to(host.now + 250.0)
-    balancer.sends.raw, balancer.sends.seen = sends, 1.0
-    balancer.service.raw, balancer.service.seen = sends * 100.0, 1.0
-    for backend, cost in zip(balancer.backends.values(), bookings, strict=True):
+    balancer.turns.sends.biased_mean, balancer.turns.sends.correction = sends, 1.0
+    balancer.turns.booked_work.biased_mean, balancer.turns.booked_work.correction = sends * 100.0, 1.0
+    for backend, cost in zip(balancer.endpoints.backends.values(), bookings, strict=True):
         backend.board.queue.append((host.now + PERIOD_MS, cost))
-        balancer.busy[backend.info.backend] = None
+        balancer.endpoints.booked[backend.info.backend] = None
     return host
 
 
@@ -113,14 +114,14 @@
     host.run_to(host.now + PERIOD_MS)
     lowered = weights(host)
     assert max(lowered) == 0.0
-    loads = sorted(-backend.load for backend in host.balancer.backends.values())
+    loads = sorted(-backend.load for backend in host.balancer.endpoints.backends.values())
     assert lowered == [load - max(loads) for load in loads]
 
 
 def test_a_spread_beyond_tdiff_is_compressed_to_it_in_proportion() -> None:
     host = loaded([0.0, 4000.0, 8000.0], sends=3.0)
     host.run_to(host.now + PERIOD_MS)
-    tdiff = host.balancer.sends.mean / 3
+    tdiff = host.balancer.turns.sends.mean / 3
     lowest, middle, highest = weights(host)
     assert highest == 0.0
     assert abs(lowest + tdiff) < 1e-9
