--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -16,25 +16,35 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
+from heronreel.balancer import Balancer
 from heronreel.balancer import interface as api
-from heronreel.balancer.choice import Balancer
 
 SIZES = (30, 60, 150)
 TURNS = 5
 
 
 def settings(proxies: int) -> api.Settings:
-    klass = api.RequestClass("save", 340.0, 1700.0, 1.0, 0.5, api.Effect.KEYED, api.DedupScope.CELL, 5000.0)
+    save = api.RequestClass("save", 340.0, 1700.0, 1.0, 0.5, api.Effect.KEYED, api.DedupScope.CELL, 5000.0)
     return api.Settings(
-        (klass,), zone="z0", zones=("z0", "z1"), proxies=proxies, slot=0, max_attempts=4, warm_keys=True,
-        cold_from=0.13, cold_ms=23_000.0, fall_ms=2000.0, price_cross_zone=0.03,
-    )  # fmt: skip
+        (save,),
+        zone="z0",
+        zones=("z0", "z1"),
+        proxies=proxies,
+        proxy_index=0,
+        max_attempts=4,
+        key_affinity=True,
+        slow_start_from=0.13,
+        slow_start_ms=23_000.0,
+        overload_window_ms=2000.0,
+        price_cross_zone=0.03,
+    )
 
 
 def play(backends: int, proxies: int, requests: int) -> float:
     """Processor microseconds a request."""
     draw = random.Random(backends)
-    balancer, now, due = Balancer(settings(proxies), seed=1), 0.0, []
+    balancer, now = Balancer(settings(proxies), seed=1), 0.0
+    due: list[tuple[float, int]] = []
     lines = [
         api.BackendInfo(draw.getrandbits(53), zone=f"z{n % 2}", kind="abc"[n % 3], cell=n // 5)
         for n in range(backends)
@@ -64,13 +74,13 @@
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
     parser.add_argument("--requests", type=int, default=4000)
     parser.add_argument("--proxies", type=int, default=40)
-    told = parser.parse_args()
-    least = {size: float("inf") for size in SIZES}
+    options = parser.parse_args()
+    lowest = {size: float("inf") for size in SIZES}
     for _ in range(TURNS):
         for size in SIZES:
-            least[size] = min(least[size], play(size, told.proxies, told.requests))
+            lowest[size] = min(lowest[size], play(size, options.proxies, options.requests))
     for size in SIZES:
-        print(f"{size:4d} backends  {least[size] / least[SIZES[0]]:.2f} of {SIZES[0]} backends' cost")
+        print(f"{size:4d} backends  {lowest[size] / lowest[SIZES[0]]:.2f} of {SIZES[0]} backends' cost")
 
 
 if __name__ == "__main__":
--- a/bench/truths.py
+++ b/bench/truths.py
@@ -23,7 +23,9 @@
 from emulator import KINDS
 
 from heronreel.balancer import interface as api
-from heronreel.balancer.choice import COLD_SHARE, PERIOD_MS
+from heronreel.balancer.endpoints import FALLBACK, Endpoints
+from heronreel.balancer.rates import PERIOD_MS
+from heronreel.balancer.slow_start import CREDIT_SHARE, capacity_share
 from heronreel.emulator.model import Class, Fleet, Prices, Proxies, Rehearsal, Tenant, Traffic, Trouble
 from heronreel.emulator.policies import Decider, Hosted
 from heronreel.emulator.world import World
@@ -65,23 +67,31 @@
     return msgspec.structs.replace(base, traffic=Traffic(requests_per_s=rate), tenants=quotas)
 
 
+def grant_alike(endpoints: Endpoints, now: float, periods: float, served_work: float) -> None:
+    """Credit of slow start as it was: every cold node the same part of what is served, whatever its kind."""
+    settings, backends = endpoints.settings, endpoints.backends.values()
+    cold = [(b, share) for b in backends if (share := capacity_share(settings, now, b.info)) < 1.0]
+    strength = max(1.0, len(backends) - sum(1.0 - share for _, share in cold))
+    allowed = CREDIT_SHARE * settings.overload_factor * served_work * periods / strength
+    for backend, share in cold:
+        if backend.tier != FALLBACK:
+            proxies_per_backend = endpoints.proxies_per_backend[backend.tier]
+            earned = allowed * share * endpoints.subset.proxies / proxies_per_backend
+            most = earned * settings.overload_window_ms / PERIOD_MS
+            backend.credit_ms = min(backend.credit_ms + earned, most)
+
+
 class AlikeCold(Hosted):
-    """Cold credit as it was: every cold node the same part of what is served, whatever its kind."""
+    """A balancer whose slow start knows no kinds."""
 
-    def _grant_credit(self, now: float, periods: float) -> None:
-        cold = [(b, ramp) for b in self.backends.values() if (ramp := self._ramp(b, now)) < 1.0]
-        strength = max(1.0, len(self.backends) - sum(1.0 - ramp for _, ramp in cold))
-        share = COLD_SHARE * self.settings.overload_factor * self.served.mean * periods / strength
-        for backend, ramp in cold:
-            if backend.heap != 2:
-                earned = share * ramp * self.subset.proxies / self.kept_by[backend.heap]
-                most = earned * self.settings.fall_ms / PERIOD_MS
-                backend.credit = min(backend.credit + earned, most)
+    grant_credit = staticmethod(grant_alike)
 
 
 @dataclass(frozen=True)
 class Change:
-    words: str
+    """A change of the past, and what it did."""
+
+    title: str
     days: tuple[str, ...]
     before: tuple[tuple[str, object], ...]
     after: tuple[tuple[str, object], ...]
@@ -89,17 +99,17 @@
 
 
 NONE = 1_000_000
-KEPT_BY = "heronreel.balancer.subset.KEPT_BY"
+PROXIES_PER_BACKEND = "heronreel.balancer.subset.PROXIES_PER_BACKEND"
 CHANGES = {
     "idle": Change("connections kept for 9 s, then 1 s", ("calm", "herd"),
                    (("proxies.idle_ms", 9000),),
                    (("proxies.idle_ms", 1000),), "better"),
     "subset": Change("each node kept to by all proxies, then by 13", ("calm", "herd", "join"),
-                     ((KEPT_BY, NONE),), ((KEPT_BY, 13),), "better"),
+                     ((PROXIES_PER_BACKEND, NONE),), ((PROXIES_PER_BACKEND, 13),), "better"),
     "cold": Change("cold credit alike for all kinds, then by kind", ("join", "zone"),
                    (("alike", 1),), (), "better"),
     "attempts": Change("any number of tries in a shortage, then few", ("shortage",),
-                       (("heronreel.balancer.overload.FEW_TURNED_AWAY", NONE),), (), "better"),
+                       (("heronreel.balancer.rates.LOW_REJECTION", NONE),), (), "better"),
 }  # fmt: skip
 
 
@@ -107,10 +117,10 @@
     return AlikeCold(settings, seed)
 
 
-def one(name: str, seed: int, told: tuple[tuple[str, object], ...], scarce: bool) -> dict[str, Any]:
-    settings = tuple(Setting(key, value) for key, value in told if key != "alike")
+def one(name: str, seed: int, changes: tuple[tuple[str, object], ...], scarce: bool) -> dict[str, Any]:
+    settings = tuple(Setting(key, value) for key, value in changes if key != "alike")
     with constants(settings):
-        made = alike if ("alike", 1) in told else None
+        made = alike if ("alike", 1) in changes else None
         result = World(changed(day(name, scarce), settings), seed, deciders=made).run()
     return {"script": name, **result.row()}
 
@@ -126,21 +136,21 @@
     parser.add_argument("--workers", type=int, default=len(os.sched_getaffinity(0)))
     parser.add_argument("--only", choices=list(CHANGES))
     parser.add_argument("--scarce", action="store_true", help="120 proxies, 52 connections a node")
-    told = parser.parse_args()
-    seeds = range(1, told.seeds + 1)
-    with ProcessPoolExecutor(told.workers, mp_context=multiprocessing.get_context("spawn")) as pool:
+    options = parser.parse_args()
+    seeds = range(1, options.seeds + 1)
+    with ProcessPoolExecutor(options.workers, mp_context=multiprocessing.get_context("spawn")) as pool:
         plays = {
-            (name, place, side): [pool.submit(one, place, seed, settings, told.scarce) for seed in seeds]
-            for name, change in CHANGES.items() if not told.only or name == told.only
+            (name, place, side): [pool.submit(one, place, seed, settings, options.scarce) for seed in seeds]
+            for name, change in CHANGES.items() if not options.only or name == options.only
             for place in change.days
             for side, settings in (("before", change.before), ("after", change.after))
         }  # fmt: skip
         for name, change in CHANGES.items():
-            for place in change.days if not told.only or name == told.only else ():
+            for place in change.days if not options.only or name == options.only else ():
                 sides = [plays[name, place, side] for side in ("before", "after")]
                 before, after = ([play.result() for play in side] for side in sides)
                 kept = [sum(bool(row["kept"]) for row in rows) for rows in (before, after)]
-                print(f"{change.words}; day {place}; measured: {change.measured}; rules kept in {kept[0]}, "
+                print(f"{change.title}; day {place}; measured: {change.measured}; rules kept in {kept[0]}, "
                       f"{kept[1]} of {len(seeds)}")  # fmt: skip
                 net = [[row | {"net": net_of(row)} for row in rows] for rows in (before, after)]
                 for it in compared(*net, metrics=("net", "service", "attempts_each", "handshakes_each")):
--- a/heronreel/emulator/policies.py
+++ b/heronreel/emulator/policies.py
@@ -15,11 +15,13 @@
 from heapq import nlargest
 from typing import ClassVar, Protocol
 
-from heronreel.balancer import choice, subset
 from heronreel.balancer import interface as api
-from heronreel.balancer.asking import Asking
+from heronreel.balancer import subset, turns
 from heronreel.balancer.choice import Balancer
+from heronreel.balancer.endpoints import Endpoints
 from heronreel.balancer.subset import Subset, rendezvous
+from heronreel.balancer.turns import TurnQueue
+from heronreel.balancer.watch_schedule import WatchSchedule
 
 WATCH = 1
 ADVICE = 0.5  # of the aim: what plain policies tell the refused to wait
@@ -58,7 +60,7 @@
         self.settings, self.truth = settings, truth
         self.tries = min(tries, settings.max_attempts)
         self.random = random.Random(seed)
-        self.asking = Asking(settings.ask_within_ms)
+        self.watch = WatchSchedule(settings.watch_within_ms)
         self.classes = {klass.name: klass for klass in settings.classes}
         self.infos: dict[int, api.BackendInfo] = {}
         self.order: list[int] = []
@@ -72,7 +74,7 @@
         self.actions = []
         match event:
             case api.Arrival():
-                klass = self.classes[event.klass]
+                klass = self.classes[event.request_class]
                 pending = Pending(event, klass, now_ms + event.time_left_ms)
                 self.pending[event.request] = pending
                 self._go_on(now_ms, pending)
@@ -83,7 +85,7 @@
             case api.BackendList():
                 self._list(now_ms, event)
             case api.TimerFired(token) if token == WATCH:
-                self.asking.asks(now_ms)
+                self.watch.call_started(now_ms)
                 self.actions.append(api.WatchList())
             case api.NewSettings():
                 self.settings = event.settings
@@ -93,13 +95,13 @@
         if not self.started:
             self.started = True
             if self.settings.watch_list:
-                self.actions.append(api.SetTimer(WATCH, self.asking.begin(self.random)))
+                self.actions.append(api.SetTimer(WATCH, self.watch.first_delay(self.random)))
         if news.kind is api.ListKind.FAILED:
-            wait = self.asking.failed(now, self.random, news.lost)
+            wait = self.watch.call_failed(now, self.random, news.lost)
             if wait is not None:
                 self.actions.append(api.SetTimer(WATCH, wait))
             return
-        self.asking.told(now)
+        self.watch.list_received(now)
         if news.kind is not api.ListKind.CHANGES:
             self.infos.clear()
         for info in news.backends:
@@ -159,10 +161,10 @@
     def give_up(self, now: float, pending: Pending) -> None:
         ident, klass = pending.arrival.request, pending.klass
         del self.pending[ident]
-        everywhere = klass.effect is api.Effect.KEYED and klass.scope is api.DedupScope.ALL
+        everywhere = klass.effect is api.Effect.KEYED and klass.dedup_scope is api.DedupScope.ALL
         if pending.first_maybe is None or everywhere or klass.effect is api.Effect.IDEMPOTENT:
-            advice = klass.aim_ms * ADVICE * self.random.uniform(0.5, 1.5)
-            self.actions.append(api.Refuse(ident, min(advice, self.settings.max_retry_after_ms)))
+            advice = klass.latency_objective_ms * ADVICE * self.random.uniform(0.5, 1.5)
+            self.actions.append(api.Reject(ident, min(advice, self.settings.max_retry_after_ms)))
         else:
             self.actions.append(api.Fail(ident))
 
@@ -247,7 +249,7 @@
     """Times out at the aim and tries again anywhere, as often as it may, without a budget."""
 
     def timeout(self, pending: Pending) -> float:
-        return pending.klass.aim_ms
+        return pending.klass.latency_objective_ms
 
     def may_repeat(self, now: float, pending: Pending) -> bool:
         return pending.klass.effect is api.Effect.IDEMPOTENT
@@ -264,7 +266,7 @@
     """Tries again whatever may have happened, wherever."""
 
     def timeout(self, pending: Pending) -> float:
-        return pending.klass.aim_ms
+        return pending.klass.latency_objective_ms
 
     def may_repeat(self, now: float, pending: Pending) -> bool:
         return True
@@ -297,18 +299,18 @@
     tables: ClassVar[dict[tuple[int, int], list[int]]] = {}
 
     def rank(self, backend: int) -> int:
-        if self.proxies <= subset.KEPT_BY:
+        if self.proxies <= subset.PROXIES_PER_BACKEND:
             return 0
         table = self.tables.get((backend, self.proxies))
         if table is None:
             if len(self.tables) >= RANKS_MOST:
                 self.tables.clear()
-            order = sorted((subset._mixed(backend, slot), slot) for slot in range(self.proxies))
+            order = sorted((subset.proxy_hash(backend, slot), slot) for slot in range(self.proxies))
             table = [0] * self.proxies
             for rank, (_, slot) in enumerate(order):
                 table[slot] = rank
             self.tables[backend, self.proxies] = table
-        return table[self.slot]
+        return table[self.index]
 
 
 class SharedHomes(dict[int, list[int]]):
@@ -335,7 +337,7 @@
         found = self.tables.get((self.place, key))  # type: ignore[arg-type]
         if found is None:
             return False
-        if len(self) >= choice.HOMES_MOST:
+        if len(self) >= turns.MAX_KEYS:
             del self[next(iter(self))]
         super().__setitem__(key, found)  # type: ignore[index]
         return True
@@ -347,21 +349,32 @@
         self.tables[self.place, key] = homes
 
 
-class Hosted(Balancer):
-    """The real module, with what is alike for all proxies found once."""
+class SharedEndpoints(Endpoints):
+    """Endpoints whose ranks are found once for all proxies."""
+
+    subset_type = SharedRanks
+
+
+class SharedTurns(TurnQueue):
+    """Turns whose owners of keys are found once for all proxies."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
-        super().__init__(settings, seed)
-        self.homes: dict[int, list[int]] = SharedHomes()
+    def __init__(self, endpoints: Endpoints) -> None:
+        super().__init__(endpoints)
+        self.shared = SharedHomes()
+        self.key_owners = self.shared
 
-    def _listed_anew(self) -> None:
-        super()._listed_anew()
-        near = (ident for ident, b in self.backends.items() if not self.near or self._is_near(b.info))
-        self.homes.among(frozenset(near))  # type: ignore[attr-defined]
+    def rebuild(self) -> None:
+        super().rebuild()
+        endpoints = self.endpoints
+        near = (i for i, b in endpoints.backends.items() if not endpoints.near or endpoints.is_near(b.info))
+        self.shared.among(frozenset(near))
+
+
+class Hosted(Balancer):
+    """The real module, with what is alike for all proxies found once."""
 
-    def _settle(self, settings: api.Settings) -> None:
-        super()._settle(settings)
-        self.subset = SharedRanks(settings.slot, settings.proxies)
+    endpoints_type = SharedEndpoints
+    turns_type = SharedTurns
 
 
 def _ours(settings: api.Settings, seed: int, truth: Truth | None) -> Decider:
--- a/heronreel/emulator/proxies.py
+++ b/heronreel/emulator/proxies.py
@@ -192,7 +192,7 @@
                 self._attempt(now, action)
             elif isinstance(action, api.SetTimer):
                 self.world.events.at(now + action.delay_ms, self._timer, self.process, action.token)
-            elif isinstance(action, api.Refuse):
+            elif isinstance(action, api.Reject):
                 self._answer(action.request, "refused", action.retry_after_ms)
             elif isinstance(action, api.Fail):
                 self._answer(action.request, "failed", 0.0)
@@ -228,7 +228,7 @@
         )  # fmt: skip
         if world.routed is not None:
             arrival.policy = world.routed(klass)
-            arrival.repeat_key = line.ident
+            arrival.idempotency_key = line.ident
         if world.tracer is not None:
             world.tracer.arrived(now, ask)
         self.tell(arrival)
--- a/heronreel/emulator/trace.py
+++ b/heronreel/emulator/trace.py
@@ -6,6 +6,7 @@
 
 from heronreel.balancer import interface as api
 from heronreel.balancer.choice import Balancer
+from heronreel.balancer.endpoints import NEAR
 from heronreel.emulator.node import Node
 from heronreel.emulator.policies import Plain
 
@@ -110,15 +111,16 @@
 def believes(decider: object, now: float, ident: int) -> dict[str, Any]:
     """What a decider holds of a node: read, never changed."""
     if isinstance(decider, Balancer):
-        backend = decider.backends.get(ident)
+        backend = decider.endpoints.backends.get(ident)
         if backend is None:
             return {"listed": False}
         return {
             "weight": round(backend.weight, 3), "load": round(backend.load, 3),
-            "held": round(backend.held, 3),
-            "factor": round(backend.factor, 3), "strikes": backend.strikes,
-            "rests_ms": round(max(0.0, backend.rests_until - now), 1), "credit_ms": round(backend.credit, 1),
-            "near": backend.heap == 1,
+            "held": round(backend.in_flight_cost, 3),
+            "factor": round(backend.cost_factor, 3), "strikes": backend.failure_score,
+            "rests_ms": round(max(0.0, backend.ejected_until - now), 1),
+            "credit_ms": round(backend.credit_ms, 1),
+            "near": backend.tier == NEAR,
         }  # fmt: skip
     if isinstance(decider, Plain):
         return {"listed": ident in decider.infos, "own_out": decider.load.get(ident, 0)}
--- a/heronreel/proxy/clients.py
+++ b/heronreel/proxy/clients.py
@@ -448,7 +448,7 @@
             policy = self.ask.policy = proxy.router.find(host_of(fields), path, method, fields)
             if policy:
                 left = self.ask.time_left_ms
-                most = policy.klass.deadline_ms
+                most = policy.request_class.deadline_ms
                 self.ask.time_left_ms = most if left is None else min(left, most)
 
     def _read_routed(
@@ -468,10 +468,10 @@
             added = b"x-request-id: %b\r\n" % os.urandom(8).hex().encode()
         hint = figure(fields.get(b"x-cost-hint", b""), HINT_MOST_US)
         lines = end_to_end(self.headers, READ_HERE)
-        most = policy.klass.deadline_ms
+        most = policy.request_class.deadline_ms
         self.ask = Ask(
             b"%b %b HTTP/1.1\r\n%b%b%b" % (method, self.url, lines, added, VIA[version]),
-            klass=policy.klass.name,
+            klass=policy.request_class.name,
             tenant=fields.get(b"x-tenant", b"").decode("latin-1"),
             key=path.rpartition(b"/")[2],
             time_left_ms=min(float(deadline), most) if deadline else most,
--- a/heronreel/proxy/config.py
+++ b/heronreel/proxy/config.py
@@ -14,8 +14,9 @@
 from pathlib import Path
 from typing import Any
 
+from heronreel.balancer.errors import WireError
 from heronreel.balancer.interface import Settings
-from heronreel.balancer.wire import Fields, WireError, settings_of
+from heronreel.balancer.wire import Fields, settings_of
 from heronreel.proxy.discovery import BadList, Members, members_of
 
 MB = 1 << 20
--- a/heronreel/proxy/operators.py
+++ b/heronreel/proxy/operators.py
@@ -95,7 +95,7 @@
         else:
             self.shared.put(hold)
             self.look()
-            self.shared.forget_before(hold.since_ms - self.proxy.settings.cold_ms)
+            self.shared.forget_before(hold.since_ms - self.proxy.settings.slow_start_ms)
         return True
 
 
--- a/heronreel/proxy/proxy.py
+++ b/heronreel/proxy/proxy.py
@@ -194,7 +194,7 @@
         match action:
             case api.StartAttempt():
                 self._start(action)
-            case api.Refuse(ident, retry_after_ms):
+            case api.Reject(ident, retry_after_ms):
                 self._finish(ident, 503, retry_after_ms)
             case api.Fail(ident):
                 self._finish(ident, 502, 0.0)
@@ -226,7 +226,7 @@
         now = time.monotonic()
         left_ms = ask.time_left_ms
         if left_ms is None:
-            klass = ask.policy.klass if ask.policy else self.classes.get(ask.klass)
+            klass = ask.policy.request_class if ask.policy else self.classes.get(ask.klass)
             left_ms = klass.deadline_ms if klass else self.deadline_most_ms
         if upload:  # its time begins with its last byte; how fast it comes is its connection's to judge
             upload.left_ms, left_ms = left_ms, left_ms + UPLOAD_MOST_S * 1000.0
@@ -425,9 +425,9 @@
                 node.held = held
                 self.pool.close_idle(node)  # held, or restarted since
             if held:
-                self.tell(api.HoldBackend(number, hold.since_ms))
+                self.tell(api.BeginMaintenance(number, hold.since_ms))
             else:
-                self.tell(api.ReleaseBackend(number, hold.since_ms, hold.released_ms))
+                self.tell(api.EndMaintenance(number, hold.since_ms, hold.released_ms))
                 if node:
                     self._forget(node)
         for name in [name for name, hold in self.holds.items() if hold.released_ms and name not in holds]:
--- a/heronreel/realtime/proxies.py
+++ b/heronreel/realtime/proxies.py
@@ -224,10 +224,10 @@
                 },
                 "Rules": {
                     "MustAskInMs": rules.ask_within_ms * scale, "DrainGraceMs": rules.drain_grace_ms * scale,
-                    "ColdFrom": told.cold_from, "ColdMs": told.cold_ms * scale,
+                    "ColdFrom": told.slow_start_from, "ColdMs": told.slow_start_ms * scale,
                     "OverloadFactor": rules.overload_factor, "FallMs": rules.fall_ms * scale,
                 },
-                "FamilyInfo": {"WarmKeys": told.warm_keys},
+                "FamilyInfo": {"WarmKeys": told.key_affinity},
                 "OverShareWorth": rehearsal.score.over_share_worth,
                 "Deductions": {
                     "CrossZone": prices.cross_zone, "LateFail": prices.late_failure, "Waste": prices.waste,
--- a/heronreel/routes/model.py
+++ b/heronreel/routes/model.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from heronreel.balancer.interface import NEVER_RAN, DedupScope, Effect, Outcome, pause_before
+from heronreel.balancer.interface import NEVER_RAN, DedupScope, Effect, Outcome, exponential_backoff
 
 Path = tuple[str | int, ...]  # of a value in the file: ("routes", 3, "attempts")
 
@@ -155,7 +155,7 @@
 
     def backoff_before(self, attempt: int) -> float:
         """The longest pause before attempt 1, 2, ... (0 is the first and never waits), ms."""
-        return pause_before(attempt, self.backoff_ms, self.backoff_most_ms)
+        return exponential_backoff(attempt, self.backoff_ms, self.backoff_most_ms)
 
 
 @dataclass(slots=True, frozen=True, eq=False)
--- a/heronreel/routes/proof.py
+++ b/heronreel/routes/proof.py
@@ -84,12 +84,12 @@
     """What a platform's settings allow."""
     return Limits(
         settings.max_attempts,
-        settings.second_copies,
+        settings.hedging,
         settings.connect_timeout_ms,
         max(klass.deadline_ms for klass in settings.classes),
         clock_margin_ms,
         settings.max_retry_after_ms,
-        {k.name: (k.effect, k.scope, k.repeat_window_ms, k.deadline_ms) for k in settings.classes},
+        {k.name: (k.effect, k.dedup_scope, k.repeat_window_ms, k.deadline_ms) for k in settings.classes},
     )
 
 
--- a/heronreel/serve/policies.py
+++ b/heronreel/serve/policies.py
@@ -34,22 +34,22 @@
     policy = route.policy
     return api.RoutePolicy(
         route=route.name,
-        klass=class_of(route),
+        request_class=class_of(route),
         max_attempts=policy.attempts,
         attempt_timeout_ms=policy.attempt_timeout_ms,
         backoff_ms=policy.backoff_ms,
-        backoff_most_ms=policy.backoff_most_ms,
+        max_backoff_ms=policy.backoff_most_ms,
         retry_on=frozenset(outcome for word in policy.retry_on for outcome in OUTCOMES[word]),
-        retry_share=policy.retry_budget,
+        retry_budget_ratio=policy.retry_budget,
         retry_in_group=policy.retry_to is Reach.GROUP,
-        spills=policy.retry_to is Reach.SPLIT,
-        copy_after_ms=policy.second_copy_after_ms,
-        copy_percentile=policy.second_copy_percentile,
-        copy_in_group=policy.second_copy_to is Reach.GROUP,
-        refuse_exhausted=policy.when_exhausted is Exhausted.REFUSE,
+        spills_over=policy.retry_to is Reach.SPLIT,
+        hedge_after_ms=policy.second_copy_after_ms,
+        hedge_percentile=policy.second_copy_percentile,
+        hedge_in_group=policy.second_copy_to is Reach.GROUP,
+        reject_when_exhausted=policy.when_exhausted is Exhausted.REFUSE,
         requests_per_s=policy.requests_per_s,
         concurrency=policy.concurrency,
-        margin_ms=margin_ms,
+        window_margin_ms=margin_ms,
         split=tuple((share.pool, share.weight) for share in route.split),
     )
 
@@ -58,11 +58,11 @@
     """The same for a request without Idempotency-Key: nobody can drop its repeats, so it is unsafe."""
     return replace(
         policy,
-        klass=replace(policy.klass, effect=api.Effect.UNSAFE, repeat_window_ms=0.0),
+        request_class=replace(policy.request_class, effect=api.Effect.UNSAFE, repeat_window_ms=0.0),
         retry_on=policy.retry_on & frozenset(api.NEVER_RAN),
-        copy_after_ms=0.0,
-        copy_percentile=0.0,
-        refuse_exhausted=False,
+        hedge_after_ms=0.0,
+        hedge_percentile=0.0,
+        reject_when_exhausted=False,
     )
 
 
@@ -101,15 +101,15 @@
         zones=tuple(sorted({m.zone for pool in file.pools.values() for m in pool.members if m.zone})),
         proxies=process.proxies,
         watch_list=discovered_pool(file) != "",
-        ask_within_ms=ASK_WITHIN_MS,
+        watch_within_ms=ASK_WITHIN_MS,
         max_attempts=limits.max_attempts,
-        second_copies=limits.second_copies,
+        hedging=limits.second_copies,
         max_retry_after_ms=limits.max_retry_after_ms,
         connect_timeout_ms=limits.connect_timeout_ms,
-        cold_from=process.cold_from,
-        cold_ms=process.cold_ms,
+        slow_start_from=process.cold_from,
+        slow_start_ms=process.cold_ms,
         overload_factor=process.overload_factor,
-        fall_ms=process.fall_ms,
+        overload_window_ms=process.fall_ms,
     )
 
 
--- a/heronreel/serve/program.py
+++ b/heronreel/serve/program.py
@@ -141,7 +141,7 @@
         self.proxy.reload(config)
         self.clients.reload(config)
         self.proxy.router = router
-        self.pools.books.keep(route.name for route in file.routes)
+        self.pools.route_limits.keep(route.name for route in file.routes)
         self.file, self.config = file, config
         if self.probes is not None and file.probe is not None:
             self.probes.reload(file)
--- a/tests/emulator/test_fleet.py
+++ b/tests/emulator/test_fleet.py
@@ -10,7 +10,7 @@
 
 from heronreel.balancer import interface as api
 from heronreel.balancer.choice import Balancer
-from heronreel.balancer.subset import KEPT_BY, Subset
+from heronreel.balancer.subset import PROXIES_PER_BACKEND, Subset
 from heronreel.emulator.model import Class, List, Proxies, Rehearsal, Trouble
 from heronreel.emulator.policies import Hosted, SharedRanks
 from heronreel.emulator.world import World, play
@@ -105,7 +105,7 @@
 
 def test_a_service_that_refuses_for_ever_is_asked_ever_more_seldom() -> None:
     """Beyond 1,024 tries of one proxy: the module alone, an hour and a half of refusals."""
-    balancer = Balancer(api.Settings((api.RequestClass("r"),), watch_list=True, ask_within_ms=10_000.0), 7)
+    balancer = Balancer(api.Settings((api.RequestClass("r"),), watch_list=True, watch_within_ms=10_000.0), 7)
     actions, now = balancer.handle(0.0, api.BackendList(api.ListKind.CACHED, [])), 0.0
     due: list[tuple[float, int]] = []
     asked: list[float] = []
@@ -192,7 +192,7 @@
 
 
 def test_ranks_found_once_for_the_fleet_are_those_that_each_proxy_finds() -> None:
-    for proxies in (5, KEPT_BY + 1, 40, 200):
+    for proxies in (5, PROXIES_PER_BACKEND + 1, 40, 200):
         for backend in (1, 77, 2**40 - 3):
             for slot in range(0, proxies, 7):
                 assert SharedRanks(slot, proxies).rank(backend) == Subset(slot, proxies).rank(backend)
@@ -207,14 +207,14 @@
 
 def test_a_change_of_the_list_moves_only_the_keys_of_what_changed() -> None:
     lines = [api.BackendInfo(1000 + n, zone="a", cell=n // 6) for n in range(30)]
-    settings = api.Settings((api.RequestClass("r"),), warm_keys=True, zone="a", zones=("a",))
+    settings = api.Settings((api.RequestClass("r"),), key_affinity=True, zone="a", zones=("a",))
     homes = []
     for listed in (lines, lines[:-1]):
         balancer = Balancer(settings, 3)
         balancer.handle(0.0, api.BackendList(api.ListKind.CACHED, listed))
         for key in range(300):
             balancer.handle(1.0, api.Arrival(key, "r", 1000.0, key=key, hint_ms=10.0))
-        homes.append(dict(balancer.homes))
+        homes.append(dict(balancer.turns.key_owners))
     gone = lines[-1].backend
     moved = [key for key in homes[0] if set(homes[0][key]) != set(homes[1][key])]
     assert moved and all(gone in homes[0][key] for key in moved)
@@ -222,7 +222,7 @@
 
 def test_no_table_grows_as_ten_thousand_nodes_come_and_go() -> None:
     settings = api.Settings(
-        (api.RequestClass("r"),), warm_keys=True, proxies=40, slot=3, zone="a", zones=("a", "b")
+        (api.RequestClass("r"),), key_affinity=True, proxies=40, proxy_index=3, zone="a", zones=("a", "b")
     )
     balancer = Balancer(settings, 4)
     balancer.handle(
@@ -231,10 +231,13 @@
 
     def sizes() -> dict[str, int]:
         found = {name: len(value) for name, value in vars(balancer).items() if isinstance(value, dict | list)}
-        found["turns"] = sum(map(len, balancer.turns))
-        upkeep = balancer.maintenance
-        held = len(upkeep.held) + len(upkeep.lines) + len(upkeep.released)
-        return found | {"held": held, "kinds": len(balancer.speeds.kinds)}
+        found["turns"] = sum(map(len, balancer.turns.queues))
+        for part in (balancer.endpoints, balancer.turns, balancer.quotas, balancer.admission):
+            inner = {name: len(value) for name, value in vars(part).items() if isinstance(value, dict | list)}
+            found |= {f"{type(part).__name__}.{name}": size for name, size in inner.items()}
+        upkeep = balancer.endpoints.maintenance
+        held = len(upkeep.began) + len(upkeep.lines) + len(upkeep.ended)
+        return found | {"held": held, "kinds": len(balancer.endpoints.speeds.kinds)}
 
     def life(first: int, last: int) -> dict[str, int]:
         for number in range(first, last):
--- a/tests/emulator/test_rules.py
+++ b/tests/emulator/test_rules.py
@@ -124,7 +124,7 @@
     script = rehearsal(troubles=burst, load=0.55, kind=msgspec.structs.replace(COLD, queue=8))
 
     def never_cold(settings: Settings, seed: int) -> Balancer:
-        return Balancer(replace(settings, cold_from=1.0, cold_ms=0.0), seed)
+        return Balancer(replace(settings, slow_start_from=1.0, slow_start_ms=0.0), seed)
 
     with_it, without = play(script, 5), World(script, 5, deciders=never_cold).run()
     assert with_it.rules["cold"] == 0 and without.rules["cold"] > 0, (with_it.rules, without.rules)
--- a/tests/emulator/test_scripts.py
+++ b/tests/emulator/test_scripts.py
@@ -262,7 +262,7 @@
     work = [sum(node.worked for node in group) / seconds / 12_000.0 for group in (limited, free)]
     assert work[0] <= 0.3 + 1e-6 < work[1], "its nodes never get more than the limit together"
     factors = [
-        sum(proxy.decider.backends[node.ident].factor for node in group) / 6.0  # type: ignore[union-attr]
+        sum(proxy.decider.endpoints.backends[node.ident].cost_factor for node in group) / 6.0  # type: ignore[union-attr]
         for group in (limited, free)
         for proxy in world.proxies[:1]
     ]
--- a/tests/experiments/test_experiments.py
+++ b/tests/experiments/test_experiments.py
@@ -147,10 +147,10 @@
         (Setting("proxies.idle_ms", 9000), Setting("troubles.0.size", 5), Setting("list.lines_per_s", 9)),
     )
     assert one.proxies.idle_ms == 9000.0 and one.troubles[0].size == 5.0 and one.list.lines_per_s == 9.0
-    before = subset.KEPT_BY
+    before = subset.PROXIES_PER_BACKEND
     with constants((Setting("heronreel.balancer.subset.KEPT_BY", 77),)):
-        assert subset.KEPT_BY == 77
-    assert before == subset.KEPT_BY
+        assert subset.PROXIES_PER_BACKEND == 77
+    assert before == subset.PROXIES_PER_BACKEND
     for text, words in (
         ("proxies.idel_ms=3", "lost at 'idel_ms'"), ("troubles.7.size=2", "lost at '7'"),
         ("proxies.idle_ms=fast", "idle_ms"), ("heronreel.balancer.subset.NONE=3", "no number"),
--- a/tests/routes/hostile_world.py
+++ b/tests/routes/hostile_world.py
@@ -114,18 +114,26 @@
         policy = self.router.find(b"h", b"/x", self.method.encode(), {b"idempotency-key": b"k"})
         assert policy
         policy = replace(
-            policy, retry_share=policy.retry_share and 1.0
+            policy, retry_budget_ratio=policy.retry_budget_ratio and 1.0
         )  # budgets must not hide what is unsafe
         if self.blind:
-            policy = replace(policy, klass=replace(policy.klass, repeat_window_ms=HOUR_MS), margin_ms=0.0)
+            policy = replace(
+                policy,
+                request_class=replace(policy.request_class, repeat_window_ms=HOUR_MS),
+                window_margin_ms=0.0,
+            )
         ident = len(self.asks)
         waits = self.now + self.limits.client_wait_ms
-        ask = Ask(ident, line, self.now + policy.klass.deadline_ms, waits, key, policy)
+        ask = Ask(ident, line, self.now + policy.request_class.deadline_ms, waits, key, policy)
         self.asks[ident] = ask
         self.steps.append(Step(self.now, What.RETURNS if again else What.ARRIVES, line))
         self.at(ask.deadline, lambda: self.deadline(ask))
-        left = policy.klass.deadline_ms
-        self.tell(api.Arrival(ident, policy.klass.name, left, hint_ms=20.0, policy=policy, repeat_key=key))
+        left = policy.request_class.deadline_ms
+        self.tell(
+            api.Arrival(
+                ident, policy.request_class.name, left, hint_ms=20.0, policy=policy, idempotency_key=key
+            )
+        )
 
     def carry_out(self, action: api.Action) -> None:
         match action:
@@ -133,7 +141,7 @@
                 self.start(action)
             case api.SetTimer(token, delay):
                 self.at(self.now + delay + self.late(), lambda: self.tell(api.TimerFired(token)))
-            case api.Refuse(ident, after):
+            case api.Reject(ident, after):
                 self.final(self.asks[ident], What.REFUSED)
                 self.at(self.now + after, lambda: self.come_back(ident))
             case api.Fail(ident):
