--- a/heronreel/experiments/identity.py
+++ b/heronreel/experiments/identity.py
@@ -16,6 +16,7 @@
 import msgspec
 
 from heronreel.emulator.model import Rehearsal
+from heronreel.experiments.renamed import RENAMED_CONSTANTS
 
 ROOT = Path(__file__).parent.parent.parent
 CODE = ("heronreel/balancer", "heronreel/emulator", "heronreel/serve/policies.py", "heronreel/routes")
@@ -126,14 +127,16 @@
 def _constant(setting: Setting) -> tuple[Any, str]:
     found = _CONSTANT.fullmatch(setting.key)
     assert found
-    name = f"heronreel.balancer.{found[1]}"
+    key = f"{found[1]}.{found[2]}"
+    module_name, constant = RENAMED_CONSTANTS.get(key, key).split(".")
+    name = f"heronreel.balancer.{module_name}"
     try:
         module = importlib.import_module(name)
     except ImportError:
         raise BadSet(f"set: there is no module {name!r}") from None
-    if not isinstance(getattr(module, found[2], None), int | float):
-        raise BadSet(f"set: {name} has no number {found[2]!r}")
-    return module, found[2]
+    if not isinstance(getattr(module, constant, None), int | float):
+        raise BadSet(f"set: {name} has no number {constant!r}")
+    return module, constant
 
 
 @contextmanager
--- /dev/null
+++ b/tests/experiments/test_renamed_constants.py
@@ -0,0 +1,114 @@
+"""Settings of `rehearse --set` under the names that constants had up to version 0.2.0."""
+
+from __future__ import annotations
+
+import importlib
+
+import pytest
+
+from heronreel.experiments.identity import BadSet, Setting, changed, constants, settings_of
+from heronreel.experiments.renamed import RENAMED_CONSTANTS
+from tests.experiments.test_experiments import SMALL
+
+# every number that the modules of then had, with its value, but the place of a heap (choice.REST) that no
+# rehearsal could change
+VALUES = {
+    "choice.PERIOD_MS": 200.0,
+    "choice.BASE_MS": 10.0,
+    "choice.RETRY_SHARE": 0.2,
+    "choice.RETRY_BURST": 10.0,
+    "choice.BOOKED_SHARE": 0.9,
+    "choice.STRIKES_MOST": 5.0,
+    "choice.REDEEM": 0.5,
+    "choice.LONE_MOST": 1.0,
+    "choice.RESTING_MOST": 0.5,
+    "choice.SEEN_LEAST": 0.2,
+    "choice.COST_STEP": 0.05,
+    "choice.OUT_STEP": 0.4,
+    "choice.FLOOR_STEP": 0.005,
+    "choice.BEAR": 0.8,
+    "choice.BEAR_OVER_SHARE": 0.2,
+    "choice.SHARE_BURST_MS": 2000.0,
+    "choice.SHARE_SLACK": 1.3,
+    "choice.KEY_HOMES": 3,
+    "choice.KEY_SLACK": 8.0,
+    "choice.HOMES_MOST": 4096,
+    "choice.CROSS_FOR": 2.0,
+    "choice.NEAR_TRIES": 2,
+    "choice.COLD_SHARE": 0.55,
+    "choice.RATE_MS": 3000.0,
+    "choice.SHORT_SHARE": 0.1,
+    "choice.ADVICE_LEAST": 0.25,
+    "choice.OPEN_MS": 1000.0,
+    "choice.OPEN_WORTH": 1.0,
+    "choice.OPEN_LOOK": 3,
+    "choice.UPDATE": 0,
+    "choice.WATCH": 1,
+    "asking.FIRST_SHARE": 0.125,
+    "asking.FIRST_MS": 1000.0,
+    "asking.MOVED_MS": 500.0,
+    "asking.SPREAD_MS": 2000.0,
+    "asking.MOST_MS": 2600.0,
+    "asking.MOST_SHARE": 0.3333333333333333,
+    "asking.AT_ONCE_MS": 500.0,
+    "asking.LONG_FROM": 3,
+    "asking.LONG_LEAST": 0.9,
+    "asking.GONE_MS": 1500.0,
+    "asking.GONE_GROWTH": 1.25,
+    "asking.GONE_FOR_MS": 14000.0,
+    "asking.GONE_LEAST": 0.4,
+    "asking.FULL_LEAST": 0.1,
+    "board.SLOT_MS": 200.0,
+    "board.SLOTS": 64,
+    "overload.FADE": 0.8,
+    "overload.LEAST_SEEN": 50.0,
+    "overload.FEW_TURNED_AWAY": 0.4,
+    "overload.MOST_TURNED_AWAY": 0.6,
+    "overload.TRIES": 2,
+    "speed.FACTOR_LEAST": 0.1,
+    "speed.FACTOR_MOST": 20.0,
+    "speed.FALL_STEP": 0.25,
+    "speed.RISE_STEP": 0.08,
+    "speed.KIND_STEPS": 0.25,
+    "speed.OWN_AFTER": 8.0,
+    "speed.OWN_MOST": 64.0,
+    "subset.KEPT_BY": 13,
+    "subset.LEAST": 8,
+    "subset.WORD": 18446744073709551616,
+    "routes.BURST": 10.0,
+    "routes.BURST_MS": 1000.0,
+    "routes.SAMPLES_LEAST": 20,
+    "routes.SAMPLES_MOST": 2000.0,
+    "routes.STEP": 0.09531017980432493,
+    "routes.BUCKETS": 160,
+}
+
+
+def current(key: str) -> float:
+    module, name = RENAMED_CONSTANTS.get(key, key).split(".")
+    value = getattr(importlib.import_module(f"heronreel.balancer.{module}"), name)
+    assert isinstance(value, int | float)
+    return value
+
+
+@pytest.mark.parametrize("package", ["flintplank", "heronreel.balancer"])
+@pytest.mark.parametrize("key", VALUES)
+def test_an_old_name_sets_the_constant_of_today_and_takes_it_back(key: str, package: str) -> None:
+    before = current(key)
+    assert before == VALUES[key]
+    (setting,) = settings_of(f"{package}.{key}=7")
+    assert changed(SMALL, (setting,)) == SMALL
+    with constants((setting,)):
+        assert current(key) == 7
+    assert current(key) == before
+
+
+def test_the_names_of_today_hold_as_well() -> None:
+    for key in RENAMED_CONSTANTS.values():
+        with constants((Setting(f"heronreel.balancer.{key}", 3),)):
+            assert current(key) == 3
+
+
+def test_a_name_that_never_was_is_refused() -> None:
+    with pytest.raises(BadSet, match="no module"):
+        changed(SMALL, (Setting("flintplank.asking.NONE", 1),))
