--- a/heronreel/balancer/adapter.py
+++ b/heronreel/balancer/adapter.py
@@ -8,7 +8,8 @@
 
 from heronreel.balancer.choice import Balancer
 from heronreel.balancer.errors import WireError
-from heronreel.balancer.wire import EVENTS, fields_of, render, settings_of
+from heronreel.balancer.interface import Event
+from heronreel.balancer.wire import EVENTS, Fields, Rows, fields_of, render, settings_of
 
 
 class Adapter:
@@ -28,7 +29,7 @@
                 raise WireError(number, f"expected begin_batch, got {head[:40]!r}")
             yield self._batch(fields_of(number, rest).number("NowMs"), rows)
 
-    def _batch(self, now: float, rows: Iterator[tuple[int, str]]) -> str:
+    def _batch(self, now: float, rows: Rows) -> str:
         reply: list[str] = []
         for number, line in rows:
             head, _, rest = line.rstrip("\n").partition(" ")
@@ -36,27 +37,31 @@
                 reply.append("ok\n")
                 return "\n".join(reply)
             fields = fields_of(number, rest)
-            who = fields.integer("Who")
-            if head == "born":
-                self.hosted[who] = Balancer(settings_of(fields), fields.integer("Nonce64"))
-                continue
-            if who not in self.hosted:
-                raise WireError(number, f"Who: no instance {who} was born")
-            if head == "kill":
-                del self.hosted[who]
-                continue
-            if head not in EVENTS:
-                raise WireError(number, f"unknown message {head[:40]!r}")
-            event = EVENTS[head](fields, rows)
-            if event is None:
-                continue
-            try:
-                reply.extend(render(who, action) for action in self.hosted[who].handle(now, event))
-            except Exception as error:  # the wire's own word for a failure of the decision code
-                words = " ".join(f"{type(error).__name__}: {error}".split())
-                reply.append(f"give_in Who={who} Words={words}")
+            reply += self._message(now, head, fields, rows)
         raise WireError(None, "input ended inside a batch")
 
+    def _message(self, now: float, head: str, fields: Fields, rows: Rows) -> list[str]:
+        who = fields.integer("Who")
+        if head == "born":
+            self.hosted[who] = Balancer(settings_of(fields), fields.integer("Nonce64"))
+            return []
+        if who not in self.hosted:
+            raise WireError(fields.line, f"Who: no instance {who} was born")
+        if head == "kill":
+            del self.hosted[who]
+            return []
+        if head not in EVENTS:
+            raise WireError(fields.line, f"unknown message {head[:40]!r}")
+        event = EVENTS[head](fields, rows)
+        return [] if event is None else self._handle(now, who, event)
+
+    def _handle(self, now: float, who: int, event: Event) -> list[str]:
+        try:
+            return [render(who, action) for action in self.hosted[who].handle(now, event)]
+        except Exception as error:  # the wire's own word for a failure of the decision code
+            words = " ".join(f"{type(error).__name__}: {error}".split())
+            return [f"give_in Who={who} Words={words}"]
+
 
 def run(source: TextIO, sink: TextIO) -> int:
     """Reply until the input ends; returns the exit status, 2 after malformed input."""
--- a/heronreel/balancer/choice.py
+++ b/heronreel/balancer/choice.py
@@ -103,7 +103,7 @@
             if self.settings.watch_list:
                 self.actions.append(api.SetTimer(WATCH, self.watch.first_delay(self.random)))
         if event.kind is api.ListKind.FAILED:
-            delay = self.watch.call_failed(now, self.random, event.lost)
+            delay = self.watch.call_failed(now, self.random, event.failure)
             if delay is not None:
                 self.actions.append(api.SetTimer(WATCH, delay))
             return
--- a/heronreel/balancer/interface.py
+++ b/heronreel/balancer/interface.py
@@ -63,7 +63,7 @@
     FAILED = "failed"  # a call failed or the watch was lost; the old list stays in force
 
 
-class Lost(Enum):
+class WatchFailure(Enum):
     """Why a list call or watch failed."""
 
     ENDED = "ended"  # unavailable, broken off or unreadable
@@ -257,7 +257,7 @@
 
     kind: ListKind
     backends: list[BackendInfo] = field(default_factory=list)
-    lost: Lost = Lost.ENDED  # of FAILED
+    failure: WatchFailure = WatchFailure.ENDED  # of FAILED
 
 
 @dataclass(slots=True)
--- a/heronreel/balancer/watch_schedule.py
+++ b/heronreel/balancer/watch_schedule.py
@@ -7,7 +7,7 @@
 
 import random
 
-from heronreel.balancer.interface import Lost, exponential_backoff
+from heronreel.balancer.interface import WatchFailure, exponential_backoff
 
 FIRST_CALL_SHARE = 1.0 / 8.0  # of the time within which a proxy must call: first calls spread over it (ours)
 FIRST_BACKOFF_MS = 1000.0  # after a first failure; doubled with each further one (ours)
@@ -41,9 +41,9 @@
         """Note that the timer has fired, and the call goes out."""
         self.scheduled, self.called_at = False, now
 
-    def call_failed(self, now: float, draw: random.Random, lost: Lost = Lost.ENDED) -> float | None:
+    def call_failed(self, now: float, draw: random.Random, failure: WatchFailure) -> float | None:
         """How long to wait before the next call, ms; None if one is scheduled already."""
-        if lost is Lost.MOVED:
+        if failure is WatchFailure.MOVED:
             self.failures = self.refusals = 0
             self.full, self.scheduled = False, True
             return min(MOVED_SPREAD_MS, self._max_backoff()) * draw.random()
@@ -51,18 +51,18 @@
             return None
         self.scheduled = True
         since, longest = now - self.called_at, self._max_backoff()
-        if lost is Lost.BUSY and (self.refusals or since >= FAST_REFUSAL_MS):
+        if failure is WatchFailure.BUSY and (self.refusals or since >= FAST_REFUSAL_MS):
             self.full |= since < FAST_REFUSAL_MS  # down, it says so always alike
             self.refused_at = self.refused_at if self.refusals else now
             self.refusals += 1
             return self._refused_backoff(now, draw)
-        self.full = lost is Lost.LATE
-        if self.received_at >= self.called_at and (since >= longest or lost is Lost.LATE):
+        self.full = failure is WatchFailure.LATE
+        if self.received_at >= self.called_at and (since >= longest or failure is WatchFailure.LATE):
             self.failures = 0  # by a watch that lasted: one that breaks off at once is no better than none
         self.failures += 1
         drawn = draw.uniform(0.5 if self.failures < LONG_FROM else MIN_LONG_SHARE, 1.0)
         backoff = exponential_backoff(self.failures, min(FIRST_BACKOFF_MS, longest), longest) * drawn
-        if lost is Lost.LATE:  # what it misses soon counts as received
+        if failure is WatchFailure.LATE:  # what it misses soon counts as received
             return max(backoff - since, min(LATE_SPREAD_MS, longest) * draw.random())
         return backoff
 
--- a/heronreel/balancer/wire.py
+++ b/heronreel/balancer/wire.py
@@ -39,6 +39,7 @@
 
 Rows = Iterator[tuple[int, str]]
 Word = TypeVar("Word", bound=Enum)
+Number = TypeVar("Number", int, float)
 
 OUTCOMES = {
     "served": Outcome.SERVED,
@@ -73,9 +74,7 @@
         """A finite number; without a default it must be there."""
         text = self.values.get(name)
         if text is None:
-            if default is None:
-                raise WireError(self.line, f"{name}: missing")
-            return default
+            return self._default(name, default)
         try:
             value = float(text)
         except ValueError:
@@ -88,14 +87,17 @@
         """A whole number; without a default it must be there."""
         text = self.values.get(name)
         if text is None:
-            if default is None:
-                raise WireError(self.line, f"{name}: missing")
-            return default
+            return self._default(name, default)
         try:
             return int(text)
         except ValueError:
             raise WireError(self.line, f"{name}: not a whole number: {text[:40]!r}") from None
 
+    def _default(self, name: str, default: Number | None) -> Number:
+        if default is None:
+            raise WireError(self.line, f"{name}: missing")
+        return default
+
     def flag(self, name: str, default: bool = False) -> bool:
         """1 or true, 0 or false."""
         text = self.values.get(name)
@@ -127,44 +129,60 @@
     return Fields(line, values)
 
 
+def _request_class(fields: Fields, at: str) -> RequestClass:
+    return RequestClass(
+        name=fields.text(f"{at}Name"),
+        latency_objective_ms=fields.number(f"{at}OnTimeMs", 1000.0),
+        deadline_ms=fields.number(f"{at}HardLimitMs", 5000.0),
+        priority_weight=fields.number(f"{at}Worth", 1.0),
+        late_weight=fields.number(f"{at}LateWorth", 0.0),
+        effect=fields.word(f"{at}Effect", EFFECTS, "at_most_once"),
+        dedup_scope=fields.word(f"{at}DedupScope", SCOPES, "cell"),
+        repeat_window_ms=fields.number(f"{at}RepeatWindowMs", 0.0),
+    )
+
+
+def _tenant(fields: Fields, at: str) -> Tenant:
+    return Tenant(
+        name=fields.text(f"{at}Name"),
+        share=fields.number(f"{at}Portion", 1.0),
+        quota_per_s=fields.number(f"{at}QuotaPerS", 0.0),
+    )
+
+
+def _prefixes(fields: Fields, group: str, default: int | None = None) -> list[str]:
+    """The beginnings of the names of each member of a numbered group."""
+    return [f"{group}.{number}." for number in range(fields.integer(f"{group}.count", default))]
+
+
+def _proxy_index(fields: Fields) -> int | None:
+    index = fields.integer("SlotNo", -1)
+    return index if index >= 0 else None
+
+
+def _max_retry_after_ms(fields: Fields) -> float:
+    if not fields.flag("Limits.RetryAfter"):
+        return 0.0
+    return fields.number("Limits.MaxRetryAfterMs", 0.0)
+
+
 def settings_of(fields: Fields) -> Settings:
     """The settings of a `born` line.  What is absent falls back to the defaults of `Settings`."""
     try:
         return Settings(
-            classes=tuple(
-                RequestClass(
-                    name=fields.text(f"{at}Name"),
-                    latency_objective_ms=fields.number(f"{at}OnTimeMs", 1000.0),
-                    deadline_ms=fields.number(f"{at}HardLimitMs", 5000.0),
-                    priority_weight=fields.number(f"{at}Worth", 1.0),
-                    late_weight=fields.number(f"{at}LateWorth", 0.0),
-                    effect=fields.word(f"{at}Effect", EFFECTS, "at_most_once"),
-                    dedup_scope=fields.word(f"{at}DedupScope", SCOPES, "cell"),
-                    repeat_window_ms=fields.number(f"{at}RepeatWindowMs", 0.0),
-                )
-                for at in (f"Categories.{i}." for i in range(fields.integer("Categories.count")))
-            ),
-            tenants=tuple(
-                Tenant(
-                    fields.text(f"{at}Name"),
-                    fields.number(f"{at}Portion", 1.0),
-                    fields.number(f"{at}QuotaPerS", 0.0),
-                )
-                for at in (f"Tenants.{i}." for i in range(fields.integer("Tenants.count", 0)))
-            ),
+            classes=tuple(_request_class(fields, at) for at in _prefixes(fields, "Categories")),
+            tenants=tuple(_tenant(fields, at) for at in _prefixes(fields, "Tenants", 0)),
             zone=fields.text("Zone"),
             zones=tuple(zone for zone in fields.text("FailureDomains").split(",") if zone),
             proxies=fields.integer("Balancers", 1),
-            proxy_index=index if (index := fields.integer("SlotNo", -1)) >= 0 else None,
+            proxy_index=_proxy_index(fields),
             watch_list=fields.text("Discovery") == "ask",
             watch_within_ms=fields.number("Rules.MustAskInMs", 10000.0),
             max_attempts=fields.integer("Limits.MostTries", 1),
             hedging=fields.flag("Limits.SecondCopies"),
             cancel=fields.flag("Limits.Cancel"),
             probing=fields.flag("Limits.Probing"),
-            max_retry_after_ms=(
-                fields.number("Limits.MaxRetryAfterMs", 0.0) if fields.flag("Limits.RetryAfter") else 0.0
-            ),
+            max_retry_after_ms=_max_retry_after_ms(fields),
             connect_timeout_ms=fields.number("Limits.ConnectTimeoutMs", 250.0),
             key_affinity=fields.flag("FamilyInfo.WarmKeys"),
             live_weights=fields.text("WeightSource") == "live",
@@ -184,27 +202,28 @@
         raise WireError(fields.line, f"settings: {error}") from None
 
 
+def _backend(entry: Fields) -> BackendInfo:
+    return BackendInfo(
+        backend=entry.integer("Backend"),
+        state=entry.word("Readiness", STATES),
+        zone=entry.text("Hall"),
+        kind=entry.text("Hw"),
+        cell=entry.integer("Group", 0),
+        weight=entry.number("Weight", 1.0),
+        started_ms=entry.number("StartTimeMs", 0.0),
+    )
+
+
 def _list(fields: Fields, rows: Rows) -> BackendList:
-    news = BackendList(fields.word("Kind", KINDS))
+    update = BackendList(fields.word("Kind", KINDS))
     count = fields.integer("Elements", 0)
     for _ in range(count):
         number, line = next(rows, (None, ""))
         head, _, rest = line.rstrip("\n").partition(" ")
         if number is None or head != "entry":
-            raise WireError(number, f"Elements: {count} entries announced, {len(news.backends)} came")
-        entry = fields_of(number, rest)
-        news.backends.append(
-            BackendInfo(
-                backend=entry.integer("Backend"),
-                state=entry.word("Readiness", STATES),
-                zone=entry.text("Hall"),
-                kind=entry.text("Hw"),
-                cell=entry.integer("Group", 0),
-                weight=entry.number("Weight", 1.0),
-                started_ms=entry.number("StartTimeMs", 0.0),
-            )
-        )
-    return news
+            raise WireError(number, f"Elements: {count} entries announced, {len(update.backends)} came")
+        update.backends.append(_backend(fields_of(number, rest)))
+    return update
 
 
 def _arrival(fields: Fields, rows: Rows) -> Arrival:
--- a/heronreel/emulator/policies.py
+++ b/heronreel/emulator/policies.py
@@ -97,7 +97,7 @@
             if self.settings.watch_list:
                 self.actions.append(api.SetTimer(WATCH, self.watch.first_delay(self.random)))
         if news.kind is api.ListKind.FAILED:
-            wait = self.watch.call_failed(now, self.random, news.lost)
+            wait = self.watch.call_failed(now, self.random, news.failure)
             if wait is not None:
                 self.actions.append(api.SetTimer(WATCH, wait))
             return
--- a/heronreel/proxy/discovery.py
+++ b/heronreel/proxy/discovery.py
@@ -1,7 +1,7 @@
 """The list of backends: what discovery writes, and the calls that ask it.
 
-A call tells what it was told and, when it fails, why (`Lost`), once.  Nothing of a malformed answer is passed
-on, so the old list stays in force.
+A call tells what it was told and, when it fails, why (`WatchFailure`), once.  Nothing of a malformed answer
+is passed on, so the old list stays in force.
 
 The platform counts what a silent watch misses as told 6 s after it fell silent, and a watch may fall silent
 right after a line, or before its first.  So a call that is quiet for longer than a healthy one ever is asked
@@ -21,7 +21,7 @@
 
 import httptools
 
-from heronreel.balancer.interface import Lost, State
+from heronreel.balancer.interface import State, WatchFailure
 
 LINE_MOST = 4 << 20  # bytes of one line: some 30,000 backends
 CONNECT_S = 1.0  # for a connection: a packet that vanished is sent again no sooner by the kernel
@@ -129,7 +129,7 @@
         loop: asyncio.AbstractEventLoop,
         address: tuple[str, int],
         index: int,
-        tell: Callable[[Members | Lost], None],
+        tell: Callable[[Members | WatchFailure], None],
         pushed: bool = False,
     ) -> None:
         self.loop = loop
@@ -151,11 +151,11 @@
         if moved and any(call.stream for call in self.calls):
             self._begin()
         if moved and not pushed:
-            self.tell(Lost.MOVED)  # it may stand in a long pause after failures of the old one
+            self.tell(WatchFailure.MOVED)  # it may stand in a long pause after failures of the old one
         if turned and pushed:
             self.start()
         elif turned and not self._watches():
-            self.tell(Lost.ENDED)  # from now on somebody else paces the calls
+            self.tell(WatchFailure.ENDED)  # from now on somebody else paces the calls
 
     def watch(self) -> None:
         """Begin a watch, unless there is a good one.  Late ones go on until one is answered, so that no
@@ -184,7 +184,7 @@
             for call in [call for call in self.calls if call.stream and call is not fresh]:
                 call.close()
 
-    def failed(self, call: _Call, lost: Lost) -> None:
+    def failed(self, call: _Call, lost: WatchFailure) -> None:
         """A call ended, or is late.  Tell of it, unless another is about to take its place."""
         if call.stream and self._watches():
             return
@@ -261,7 +261,7 @@
         if status >= 200:
             self.answered = status == 200
             if not self.answered:
-                self._fail(f"answered {status}", Lost.BUSY)
+                self._fail(f"answered {status}", WatchFailure.BUSY)
             elif not self.over:
                 self.owner.answered(self)
 
@@ -321,9 +321,9 @@
             log.info("discovery: late")
             self.late = True
             self.timer = self.owner.loop.call_later(QUIET_MOST_S - limit, self._check)
-            self.owner.failed(self, Lost.LATE)
+            self.owner.failed(self, WatchFailure.LATE)
 
-    def _fail(self, why: str, lost: Lost = Lost.ENDED) -> None:
+    def _fail(self, why: str, lost: WatchFailure = WatchFailure.ENDED) -> None:
         if not self.over:
             log.info("discovery: %s", why)
             self.close()
--- a/heronreel/proxy/proxy.py
+++ b/heronreel/proxy/proxy.py
@@ -441,9 +441,9 @@
 
     # The list.
 
-    def told(self, members: Members | api.Lost) -> None:
-        if isinstance(members, api.Lost):
-            self.tell(api.BackendList(api.ListKind.FAILED, lost=members))
+    def told(self, members: Members | api.WatchFailure) -> None:
+        if isinstance(members, api.WatchFailure):
+            self.tell(api.BackendList(api.ListKind.FAILED, failure=members))
         else:
             self.heard = True
             self._take_list(members, api.ListKind.FULL if members.whole else api.ListKind.CHANGES)
--- a/tests/balancer/test_watch_schedule.py
+++ b/tests/balancer/test_watch_schedule.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from heronreel.balancer.interface import Lost
+from heronreel.balancer.interface import WatchFailure
 from heronreel.balancer.watch_schedule import WatchSchedule
 
 WITHIN_MS = 10_000.0
@@ -57,7 +57,7 @@
             if now >= service.breaks_until:
                 listed[n] = min(listed[n], now)
                 continue
-        wait = schedule.call_failed(now, draw)
+        wait = schedule.call_failed(now, draw, WatchFailure.ENDED)
         assert wait is not None
         heapq.heappush(due, (now + wait, n, "call"))
     return listed
@@ -96,7 +96,7 @@
     for number in range(3_000):
         now = number * 3_000.0
         schedule.call_started(now)
-        wait = schedule.call_failed(now, draw)
+        wait = schedule.call_failed(now, draw, WatchFailure.ENDED)
         assert wait is not None and 0.0 < wait <= WITHIN_MS / 3.0
 
 
@@ -104,13 +104,13 @@
     schedule, draw = WatchSchedule(WITHIN_MS), random.Random(1)
     for _ in range(4):
         schedule.call_started(0.0)
-        long = schedule.call_failed(0.0, draw)
+        long = schedule.call_failed(0.0, draw, WatchFailure.ENDED)
     schedule.call_started(0.0)
     schedule.list_received(100.0)  # and never again: nothing changed while it lasted
-    ended = schedule.call_failed(5_000.0, draw)
-    assert schedule.call_failed(5_000.0, draw) is None  # a timer is set
+    ended = schedule.call_failed(5_000.0, draw, WatchFailure.ENDED)
+    assert schedule.call_failed(5_000.0, draw, WatchFailure.ENDED) is None  # a timer is set
     schedule.call_started(6_000.0)
-    short = schedule.call_failed(6_000.0, draw)
+    short = schedule.call_failed(6_000.0, draw, WatchFailure.ENDED)
     assert long is not None and ended is not None and short is not None
     assert 500.0 <= ended <= 1000.0 and short <= 2000.0 < long
 
@@ -128,23 +128,23 @@
         schedule.list_received(20.0)
         for number in range(4):  # down for some 12 s, and every wait fits
             schedule.call_started(number * 4_000.0)
-            wait = schedule.call_failed(number * 4_000.0 + 3_000.0, draw, Lost.BUSY)
+            wait = schedule.call_failed(number * 4_000.0 + 3_000.0, draw, WatchFailure.BUSY)
             assert wait is not None and 150.0 <= wait <= 6_000.0 - 3_000.0, seed
         schedule.call_started(16_000.0)
         schedule.list_received(16_020.0)
         schedule.call_started(20_000.0)
         schedule.list_received(20_020.0)
-        wait = schedule.call_failed(22_520.0, draw, Lost.LATE)
+        wait = schedule.call_failed(22_520.0, draw, WatchFailure.LATE)
         assert wait is not None and 0.0 <= wait <= 2_000.0, seed
         soonest = min(soonest, wait)
         schedule.call_started(23_000.0)
-        wait = schedule.call_failed(26_000.0, draw, Lost.BUSY)  # it has too many calls
+        wait = schedule.call_failed(26_000.0, draw, WatchFailure.BUSY)  # it has too many calls
         assert wait is not None and WITHIN_MS / 10 <= wait <= WITHIN_MS, seed
     assert soonest < 100.0  # what has passed since the call is taken off
     schedule = WatchSchedule(60_000.0)
     for number in range(6):  # a service that swallows all of them; however long the time for schedule is
         schedule.call_started(number * 3_100.0)
-        wait = schedule.call_failed((number + 1) * 3_100.0, draw, Lost.LATE)
+        wait = schedule.call_failed((number + 1) * 3_100.0, draw, WatchFailure.LATE)
         assert wait is not None and wait <= 2_000.0
 
 
@@ -189,7 +189,7 @@
                 ends_at = min(free_at, now + self.timeout_ms)
                 heapq.heappush(due, (ends_at, n, "listed" if free_at <= ends_at else "busy"))
             else:
-                wait = schedules[n].call_failed(now, draw, Lost.BUSY)
+                wait = schedules[n].call_failed(now, draw, WatchFailure.BUSY)
                 assert wait is not None
                 heapq.heappush(due, (now + wait, n, "call"))
 
