--- a/heronreel/cli/rehearse.py
+++ b/heronreel/cli/rehearse.py
@@ -231,7 +231,7 @@
     multiple=True,
     metavar="KEY=A,B,C",
     help="A place in the script (proxies.idle_ms) or a constant of the module "
-    "(heronreel.balancer.subset.KEPT_BY); repeatable.",
+    "(heronreel.balancer.subset.PROXIES_PER_BACKEND); repeatable.",
 )
 @click.option("--seeds", default=SEEDS, show_default=True)
 @click.option("--policies", default="", help="Comma-separated; by default as the script says.")
--- a/tests/balancer/strict_host.py
+++ b/tests/balancer/strict_host.py
@@ -1,4 +1,4 @@
-"""A strict host for tests: it keeps its own books of what happened and checks the four rules on every action.
+"""A strict host for tests: it keeps its own record of what happened and checks the rules on every action.
 
 Nothing here looks inside the balancer.  Attempts end only when a test says so.
 """
@@ -35,41 +35,47 @@
 
 
 @dataclass
-class Sent:
+class SentAttempt:
+    """An attempt as the host sees it."""
+
     backend: int
     at: float
     ends_by: float
-    out: bool = True
-    maybe: bool = True
+    in_flight: bool = True
+    may_have_run: bool = True
 
 
 @dataclass
-class Owed:
+class HostedRequest:
+    """A request, and the attempts that the balancer made of it."""
+
     arrival: Arrival
     deadline: float
-    attempts: list[Sent] = field(default_factory=list)
+    attempts: list[SentAttempt] = field(default_factory=list)
     over: bool = False
 
 
-class RuleBroken(AssertionError):
-    pass
+class RuleViolationError(AssertionError):
+    """An action that a rule forbids."""
 
 
 class Host:
+    """One balancer, its clock, timers and requests."""
+
     def __init__(self, settings: Settings, seed: int = 1, now: float = 1000.0) -> None:
         self.settings = settings
         self.balancer = Balancer(settings, seed)
-        self.classes = {klass.name: klass for klass in settings.classes}
+        self.classes = {each.name: each for each in settings.classes}
         self.now = now
-        self.owed: dict[int, Owed] = {}
+        self.requests: dict[int, HostedRequest] = {}
         self.usable: dict[int, BackendInfo] = {}
         self.known: dict[int, BackendInfo] = {}
         self.timers: list[tuple[float, int]] = []
         self.log: list[Action] = []
         self.cold_work: dict[int, list[tuple[float, float]]] = {}
         self.next_id = 0
-        self.live: dict[tuple[int, int], Sent] = {}
-        self.unanswered: dict[int, Owed] = {}
+        self.live_attempts: dict[tuple[int, int], SentAttempt] = {}
+        self.pending: dict[int, HostedRequest] = {}
 
     def _do(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, event)
@@ -82,54 +88,54 @@
         if isinstance(action, StartAttempt):
             self._check_send(action)
         elif isinstance(action, Reject | Fail):
-            owed = self.owed[action.request]
-            if owed.over:
-                raise RuleBroken("rule 1: a second final answer")
-            if self.now > owed.deadline + 20.0:
-                raise RuleBroken("rule 1: final answer too late")
-            if isinstance(action, Reject) and any(a.maybe for a in owed.attempts):
-                klass = self.classes[owed.arrival.request_class]
-                shared = klass.effect is Effect.KEYED and klass.dedup_scope is DedupScope.ALL
-                if klass.effect is not Effect.IDEMPOTENT and not shared:
-                    raise RuleBroken("rule 2: refused though it may have run")
-            owed.over = True
-            self.unanswered.pop(action.request, None)
+            request = self.requests[action.request]
+            if request.over:
+                raise RuleViolationError("rule 1: a second final response")
+            if self.now > request.deadline + 20.0:
+                raise RuleViolationError("rule 1: final response too late")
+            if isinstance(action, Reject) and any(a.may_have_run for a in request.attempts):
+                request_class = self.classes[request.arrival.request_class]
+                shared = request_class.effect is Effect.KEYED and request_class.dedup_scope is DedupScope.ALL
+                if request_class.effect is not Effect.IDEMPOTENT and not shared:
+                    raise RuleViolationError("rule 2: rejected though it may have run")
+            request.over = True
+            self.pending.pop(action.request, None)
         elif isinstance(action, SetTimer):
             assert action.delay_ms >= 0.0
             self.timers.append((self.now + action.delay_ms, action.token))
         elif isinstance(action, CancelAttempt):
-            assert action.attempt < len(self.owed[action.request].attempts)
+            assert action.attempt < len(self.requests[action.request].attempts)
 
     def _check_send(self, action: StartAttempt) -> None:
-        owed = self.owed[action.request]
-        if owed.over:
-            raise RuleBroken("rule 1: sent after the end")
+        request = self.requests[action.request]
+        if request.over:
+            raise RuleViolationError("rule 1: sent after the end")
         if action.backend not in self.usable:
-            raise RuleBroken("rule 3: sent to a backend that drains or is gone")
-        klass = self.classes[owed.arrival.request_class]
-        if len(owed.attempts) >= self.settings.max_attempts:
-            raise RuleBroken("more attempts than allowed")
-        if not self.settings.hedging and any(a.out for a in owed.attempts):
-            raise RuleBroken("rule 2: two attempts out")
-        maybe = [a for a in owed.attempts if a.maybe]
-        if maybe and klass.effect is Effect.UNSAFE:
-            raise RuleBroken("rule 2: an unsafe request sent again")
-        if maybe and klass.effect is Effect.KEYED:
-            here, there = self.known[action.backend], self.known[maybe[0].backend]
+            raise RuleViolationError("rule 3: sent to a backend that drains or is gone")
+        request_class = self.classes[request.arrival.request_class]
+        if len(request.attempts) >= self.settings.max_attempts:
+            raise RuleViolationError("more attempts than allowed")
+        if not self.settings.hedging and any(a.in_flight for a in request.attempts):
+            raise RuleViolationError("rule 2: two attempts in flight")
+        executed = [a for a in request.attempts if a.may_have_run]
+        if executed and request_class.effect is Effect.UNSAFE:
+            raise RuleViolationError("rule 2: an unsafe request sent again")
+        if executed and request_class.effect is Effect.KEYED:
+            here, there = self.known[action.backend], self.known[executed[0].backend]
             same = {
                 DedupScope.ALL: True,
                 DedupScope.ZONE: here.zone == there.zone,
                 DedupScope.CELL: here.cell == there.cell,
-            }[klass.dedup_scope]
+            }[request_class.dedup_scope]
             if not same:
-                raise RuleBroken("rule 2: a repeat outside its group")
-            if self.now > maybe[0].at + klass.repeat_window_ms:
-                raise RuleBroken("rule 2: a repeat outside its window")
+                raise RuleViolationError("rule 2: a retry outside its group")
+            if self.now > executed[0].at + request_class.repeat_window_ms:
+                raise RuleViolationError("rule 2: a retry outside its window")
         limit = action.timeout_ms or float("inf")
-        sent = Sent(action.backend, self.now, min(owed.deadline, self.now + limit))
-        self.live[action.request, len(owed.attempts)] = sent
-        owed.attempts.append(sent)
-        self.cold_work.setdefault(action.backend, []).append((self.now, owed.arrival.hint_ms))
+        sent = SentAttempt(action.backend, self.now, min(request.deadline, self.now + limit))
+        self.live_attempts[action.request, len(request.attempts)] = sent
+        request.attempts.append(sent)
+        self.cold_work.setdefault(action.backend, []).append((self.now, request.arrival.hint_ms))
 
     def listed(self, kind: ListKind, *infos: BackendInfo) -> list[Action]:
         if kind in (ListKind.FULL, ListKind.CACHED):
@@ -144,7 +150,7 @@
 
     def arrive(
         self,
-        klass: str = "",
+        request_class: str = "",
         hint: float = 50.0,
         left: float = 2000.0,
         tenant: str = "",
@@ -153,37 +159,38 @@
     ) -> int:
         ident = self.next_id
         self.next_id += 1
-        arrival = Arrival(ident, klass or self.settings.classes[0].name, left, tenant, key, hint, retry)
-        self.owed[ident] = self.unanswered[ident] = Owed(arrival, self.now + left)
+        name = request_class or self.settings.classes[0].name
+        arrival = Arrival(ident, name, left, tenant, key, hint, retry)
+        self.requests[ident] = self.pending[ident] = HostedRequest(arrival, self.now + left)
         self._do(arrival)
         return ident
 
     def end(self, ident: int, attempt: int, outcome: Outcome, latency: float | None = None) -> list[Action]:
-        owed = self.owed[ident]
-        sent = owed.attempts[attempt]
-        assert sent.out
-        sent.out = False
-        del self.live[ident, attempt]
-        sent.maybe = outcome not in NEVER_RAN
+        request = self.requests[ident]
+        sent = request.attempts[attempt]
+        assert sent.in_flight
+        sent.in_flight = False
+        del self.live_attempts[ident, attempt]
+        sent.may_have_run = outcome not in NEVER_RAN
         if outcome is Outcome.SERVED:
-            owed.over = True
-            self.unanswered.pop(ident, None)
+            request.over = True
+            self.pending.pop(ident, None)
         took = self.now - sent.at if latency is None else latency
-        return self._do(AttemptEnded(ident, attempt, sent.backend, outcome, took, owed.over))
+        return self._do(AttemptEnded(ident, attempt, sent.backend, outcome, took, request.over))
 
-    def leave(self, ident: int) -> None:
-        self.owed[ident].over = True
-        self.unanswered.pop(ident, None)
+    def disconnect(self, ident: int) -> None:
+        self.requests[ident].over = True
+        self.pending.pop(ident, None)
         self._do(ClientGone(ident))
 
-    def out(self) -> list[tuple[int, int]]:
-        return list(self.live)
+    def in_flight(self) -> list[tuple[int, int]]:
+        return list(self.live_attempts)
 
     def run_to(self, now: float) -> None:
-        """Let time pass: timers and the time-outs of attempts come due in order."""
+        """Let time pass: timers and the timeouts of attempts come due in order."""
         while True:
             due = min((at for at, _ in self.timers), default=float("inf"))
-            late = [(sent.ends_by, i, n) for (i, n), sent in self.live.items()]
+            late = [(sent.ends_by, i, n) for (i, n), sent in self.live_attempts.items()]
             first = min(late, default=(float("inf"), 0, 0))
             if min(due, first[0]) > now:
                 break
@@ -195,14 +202,14 @@
                 self.timers.remove(timer)
                 self.now = max(self.now, timer[0])
                 self._do(TimerFired(timer[1]))
-            self.check_nothing_forgotten()
+            self.check_deadlines()
         self.now = now
-        self.check_nothing_forgotten()
+        self.check_deadlines()
 
-    def check_nothing_forgotten(self) -> None:
-        for owed in self.unanswered.values():
-            if self.now > owed.deadline + 20.0:
-                raise RuleBroken("rule 1: no final answer in time")
+    def check_deadlines(self) -> None:
+        for request in self.pending.values():
+            if self.now > request.deadline + 20.0:
+                raise RuleViolationError("rule 1: no final response in time")
 
 
 def fleet(count: int) -> list[BackendInfo]:
@@ -210,10 +217,10 @@
 
 
 def large(**changes: Any) -> Settings:
-    """What a proxy of a large fleet is told, and what a test changes of it."""
-    klass = RequestClass("read", 400.0, 2000.0, effect=Effect.IDEMPOTENT)
+    """The settings of a proxy of a large fleet, and what a test changes of them."""
+    request_class = RequestClass("read", 400.0, 2000.0, effect=Effect.IDEMPOTENT)
     base = Settings(
-        (klass,),
+        (request_class,),
         max_attempts=4,
         slow_start_from=0.2,
         slow_start_ms=20_000.0,
--- a/tests/balancer/test_adapter.py
+++ b/tests/balancer/test_adapter.py
@@ -118,7 +118,7 @@
     assert "give_in Who=4 Words=" in done.stdout
 
 
-def test_a_killed_instance_is_forgotten_and_may_be_born_again() -> None:
+def test_a_killed_instance_is_removed_and_may_be_born_again() -> None:
     text = batch(1.0, born(1)) + batch(2.0, submit(1, 5)) + batch(3.0, "kill Who=1\n", born(1))
     done = talk(text + batch(4.0, submit(1, 6)))
     assert done.returncode == 0, done.stderr
--- a/tests/balancer/test_endpoint_list_changes.py
+++ b/tests/balancer/test_endpoint_list_changes.py
@@ -1,4 +1,4 @@
-"""What a growing and changing list does to one proxy's tables and to keys' homes."""
+"""What a growing and changing list does to one proxy's tables and to keys' owners."""
 
 import random
 from typing import Any
@@ -41,12 +41,12 @@
         host.listed(ListKind.CHANGES, line(number, host.now), left)
         host.run_to(host.now + 20.0)
         ident = host.arrive(key=draw.randrange(50))
-        if host.owed[ident].attempts:
+        if host.requests[ident].attempts:
             outcome = draw.choice((Outcome.SERVED, Outcome.SERVED, Outcome.TIMEOUT))
             host.end(ident, 0, outcome, 30.0)
-            if outcome is Outcome.TIMEOUT and not host.owed[ident].over:
-                host.leave(ident)
-                for which, attempt in host.out():
+            if outcome is Outcome.TIMEOUT and not host.requests[ident].over:
+                host.disconnect(ident)
+                for which, attempt in host.in_flight():
                     host.end(which, attempt, Outcome.CANCELLED, 1.0)
         host.log.clear()
         if number == 1_030:
@@ -57,22 +57,22 @@
     assert not grown, (grown, "seed", seed)
 
 
-def test_a_change_of_the_list_moves_the_homes_of_the_affected_keys_alone() -> None:
+def test_a_change_of_the_list_moves_the_owners_of_the_affected_keys_alone() -> None:
     host = Host(SETTINGS)
     host.listed(ListKind.CACHED, *map(line, range(40)))
 
-    def homes() -> dict[int, list[int]]:
+    def owners() -> dict[int, list[int]]:
         for key in range(200):
             host.end(host.arrive(key=key), 0, Outcome.SERVED, 30.0)
             host.run_to(host.now + 50.0)
         return {key: list(host.balancer.turns.key_owners[key]) for key in range(200)}
 
-    before = homes()
+    before = owners()
     host.listed(ListKind.CHANGES, line(3, state=State.GONE), line(40))
-    after, left, came = homes(), line(3).backend, line(40).backend
+    after, left, came = owners(), line(3).backend, line(40).backend
     moved = [key for key in before if before[key] != after[key]]
     assert moved and all(left in before[key] or came in after[key] for key in moved)
     for key in moved:  # and of these only the place that had to change
         old, new = before[key], after[key]
-        assert [home for home in old if home in new] == [home for home in new if home in old]
+        assert [owner for owner in old if owner in new] == [owner for owner in new if owner in old]
     assert len(moved) < 60
--- a/tests/balancer/test_request_lifecycle.py
+++ b/tests/balancer/test_request_lifecycle.py
@@ -28,15 +28,15 @@
 
 
 def host_of(effect: Effect, scope: DedupScope = DedupScope.ALL, attempts: int = 3, backends: int = 8) -> Host:
-    klass = RequestClass("work", 500.0, 2000.0, effect=effect, dedup_scope=scope, repeat_window_ms=1500.0)
-    host = Host(Settings((klass,), max_attempts=attempts))
+    work = RequestClass("work", 500.0, 2000.0, effect=effect, dedup_scope=scope, repeat_window_ms=1500.0)
+    host = Host(Settings((work,), max_attempts=attempts))
     host.listed(ListKind.CACHED, *fleet(backends))
     return host
 
 
 @pytest.mark.parametrize("outcome", ENDINGS)
 @pytest.mark.parametrize("effect", list(Effect))
-def test_a_further_attempt_only_where_the_effect_allows_it(effect: Effect, outcome: Outcome) -> None:
+def test_a_retry_only_where_the_effect_allows_it(effect: Effect, outcome: Outcome) -> None:
     host = host_of(effect)
     ident = host.arrive()
     host.now += 30.0
@@ -45,13 +45,13 @@
         assert after == Fail(ident)
     else:
         assert isinstance(after, StartAttempt)
-        assert after.backend != host.owed[ident].attempts[0].backend
+        assert after.backend != host.requests[ident].attempts[0].backend
 
 
 @pytest.mark.parametrize("outcome", ENDINGS)
 @pytest.mark.parametrize("scope", SCOPES)
 @pytest.mark.parametrize("effect", list(Effect))
-def test_out_of_attempts_it_is_refused_only_where_harmless(
+def test_out_of_attempts_it_is_rejected_only_where_a_retry_does_no_harm(
     effect: Effect, scope: DedupScope, outcome: Outcome
 ) -> None:
     host = host_of(effect, scope, attempts=1)
@@ -66,23 +66,23 @@
 
 
 @pytest.mark.parametrize("scope", [DedupScope.ZONE, DedupScope.CELL])
-def test_a_repeat_that_may_have_run_stays_in_its_group(scope: DedupScope) -> None:
+def test_a_retry_after_what_may_have_run_stays_in_its_group(scope: DedupScope) -> None:
     for seed in range(20):
         host = host_of(Effect.KEYED, scope)
         host.balancer.random.seed(seed)
         ident = host.arrive()
         host.end(ident, 0, Outcome.ERROR)  # the host checks the group of what follows
-        assert len(host.owed[ident].attempts) == 2
+        assert len(host.requests[ident].attempts) == 2
 
 
-def test_no_repeat_once_the_window_has_closed() -> None:
+def test_no_retry_once_the_window_has_closed() -> None:
     host = host_of(Effect.KEYED, DedupScope.CELL)
     ident = host.arrive()
     host.now += 1490.0
     assert host.end(ident, 0, Outcome.ERROR) == [Fail(ident)]
 
 
-def test_a_time_out_at_the_deadline_is_failed_at_once() -> None:
+def test_a_timeout_at_the_deadline_is_failed_at_once() -> None:
     host = host_of(Effect.UNSAFE)
     ident = host.arrive(left=300.0)
     host.run_to(host.now + 400.0)
@@ -96,7 +96,7 @@
     host.listed(ListKind.CHANGES, BackendInfo(one.backend, state))
     for _ in range(10):
         ident = host.arrive()
-        assert [a.backend for a in host.owed[ident].attempts] == [other.backend]
+        assert [a.backend for a in host.requests[ident].attempts] == [other.backend]
 
 
 def test_missing_from_a_full_list_is_gone_and_a_failed_call_keeps_the_list() -> None:
@@ -104,10 +104,10 @@
     host.listed(ListKind.FULL, fleet(3)[1])
     host.listed(ListKind.FAILED)
     for _ in range(5):
-        assert host.owed[host.arrive()].attempts[0].backend == 101
+        assert host.requests[host.arrive()].attempts[0].backend == 101
 
 
-def test_with_nobody_to_send_to_a_request_is_refused_at_once() -> None:
+def test_without_backends_a_request_is_rejected_at_once() -> None:
     host = Host(Settings((RequestClass("work"),), max_retry_after_ms=300.0))
     host.listed(ListKind.CACHED)
     ident = host.arrive()
@@ -117,7 +117,7 @@
     assert 0.0 < refused.retry_after_ms <= 300.0
 
 
-def test_a_list_that_must_be_asked_is_watched_and_asked_again_after_a_failure() -> None:
+def test_a_list_that_must_be_watched_is_watched_again_after_a_failure() -> None:
     host = Host(Settings((RequestClass("work"),), watch_list=True, watch_within_ms=10000.0))
     host.listed(ListKind.CACHED, *fleet(2))
     host.run_to(host.now + 3000.0)
@@ -130,7 +130,7 @@
     assert host.log.count(WatchList()) == 7
 
 
-def test_a_reload_that_shortens_the_time_to_ask_within_counts_for_the_next_call() -> None:
+def test_a_reload_that_shortens_the_time_for_calls_counts_for_the_next_call() -> None:
     host = Host(Settings((RequestClass("work"),), watch_list=True, watch_within_ms=10000.0))
     host.listed(ListKind.CACHED, *fleet(2))
     host.run_to(host.now + 3000.0)
@@ -142,5 +142,5 @@
 def test_nothing_follows_once_the_client_is_gone() -> None:
     host = host_of(Effect.IDEMPOTENT)
     ident = host.arrive()
-    host.leave(ident)
+    host.disconnect(ident)
     assert host.end(ident, 0, Outcome.ERROR) == []
--- a/tests/balancer/test_route_policies.py
+++ b/tests/balancer/test_route_policies.py
@@ -1,4 +1,4 @@
-"""The module under route policies, event by event: pauses, copies, budgets, limits, splits."""
+"""Route policies, event by event: backoff, hedged requests, budgets, limits, splits."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Driver:
-    """Hands events over and keeps what came back."""
+    """Hands events to the pools and keeps the actions."""
 
     def __init__(self, *infos: api.BackendInfo, settings: api.Settings = SETTINGS, seed: int = 1) -> None:
         self.pools = Pools(settings, seed)
@@ -40,9 +40,9 @@
         self.finals: dict[int, api.Action] = {}
         self.timers: list[tuple[float, int]] = []
         self.idents = 0
-        self.tell(api.BackendList(api.ListKind.CACHED, list(infos)))
+        self.handle(api.BackendList(api.ListKind.CACHED, list(infos)))
 
-    def tell(self, event: api.Event) -> list[api.Action]:
+    def handle(self, event: api.Event) -> list[api.Action]:
         actions = self.pools.handle(self.now, event)
         for action in actions:
             if isinstance(action, api.StartAttempt):
@@ -50,14 +50,14 @@
             elif isinstance(action, api.SetTimer):
                 self.timers.append((self.now + action.delay_ms, action.token))
             elif isinstance(action, api.Reject | api.Fail):
-                assert action.request not in self.finals, "two final answers"
+                assert action.request not in self.finals, "two final responses"
                 self.finals[action.request] = action
         return actions
 
-    def ask(self, policy: api.RoutePolicy, left: float = 2500.0, key: int | None = None) -> int:
+    def request(self, policy: api.RoutePolicy, left: float = 2500.0, key: int | None = None) -> int:
         self.idents += 1
         self.sent[self.idents] = []
-        self.tell(
+        self.handle(
             api.Arrival(self.idents, policy.request_class.name, left, policy=policy, idempotency_key=key)
         )
         return self.idents
@@ -68,9 +68,9 @@
         number = attempt % len(self.sent[ident])
         backend = self.sent[ident][number].backend
         over = over or outcome is api.Outcome.SERVED
-        self.tell(api.AttemptEnded(ident, number, backend, outcome, took, over))
+        self.handle(api.AttemptEnded(ident, number, backend, outcome, took, over))
 
-    def to(self, ident: int) -> list[int]:
+    def backends_of(self, ident: int) -> list[int]:
         return [action.backend for action in self.sent[ident]]
 
     def run_to(self, now: float) -> None:
@@ -78,7 +78,7 @@
             at, token = min(self.timers)
             self.timers.remove((at, token))
             self.now = max(self.now, at)
-            self.tell(api.TimerFired(token))
+            self.handle(api.TimerFired(token))
         self.now = now
 
     def wait(self, span: float) -> None:
@@ -89,45 +89,45 @@
     return [api.BackendInfo(first + n, zone=f"z{n}", cell=n % cells, pool=pool) for n in range(count)]
 
 
-def test_an_attempt_has_its_time_out_and_a_repeat_the_end_of_its_window() -> None:
+def test_an_attempt_has_its_timeout_and_a_retry_the_end_of_its_window() -> None:
     host = Driver(*backends(4))
-    ident = host.ask(replace(SAVE, attempt_timeout_ms=350.0))
+    ident = host.request(replace(SAVE, attempt_timeout_ms=350.0))
     assert host.sent[ident][0].timeout_ms == 350.0 and host.sent[ident][0].within_ms == 0.0
     host.wait(350.0)
     host.end(ident, api.Outcome.TIMEOUT, took=350.0)
     assert host.sent[ident][1].within_ms == 4650.0
-    first, second = host.to(ident)
+    first, second = host.backends_of(ident)
     assert first % 2 == second % 2  # the same cell
 
 
-def test_only_the_outcomes_named_are_worth_a_retry() -> None:
+def test_only_the_outcomes_named_are_retried() -> None:
     host = Driver(*backends(4))
     policy = replace(READ, retry_on=frozenset((api.Outcome.ERROR,)))
-    ident = host.ask(policy)
+    ident = host.request(policy)
     host.end(ident, api.Outcome.ERROR)
     assert len(host.sent[ident]) == 2
     host.end(ident, api.Outcome.RESET)
     assert len(host.sent[ident]) == 2 and isinstance(host.finals[ident], api.Fail)
-    never_ran = host.ask(policy)
+    never_ran = host.request(policy)
     host.end(never_ran, api.Outcome.REJECTED)
     assert isinstance(host.finals[never_ran], api.Reject)
 
 
-def test_an_unsafe_request_is_tried_again_only_while_nothing_ran() -> None:
+def test_an_unsafe_request_is_retried_only_while_nothing_ran() -> None:
     host = Driver(*backends(4))
-    ident = host.ask(PAY)
+    ident = host.request(PAY)
     host.end(ident, api.Outcome.REJECTED)
     host.end(ident, api.Outcome.UNREACHABLE)
     host.end(ident, api.Outcome.RESET)
     assert len(host.sent[ident]) == 3 and isinstance(host.finals[ident], api.Fail)
-    loose = host.ask(replace(PAY, retry_on=ANY))  # whatever a policy says
+    loose = host.request(replace(PAY, retry_on=ANY))  # whatever a policy says
     host.end(loose, api.Outcome.TIMEOUT)
     assert len(host.sent[loose]) == 1 and isinstance(host.finals[loose], api.Fail)
 
 
-def test_a_pause_doubles_and_delays_only_what_goes_on() -> None:
+def test_a_backoff_doubles_and_delays_only_what_is_retried() -> None:
     host = Driver(*backends(6))
-    ident = host.ask(replace(READ, max_attempts=4, backoff_ms=100.0, max_backoff_ms=150.0))
+    ident = host.request(replace(READ, max_attempts=4, backoff_ms=100.0, max_backoff_ms=150.0))
     for pause in (100.0, 150.0, 150.0):
         count = len(host.sent[ident])
         host.end(ident, api.Outcome.ERROR)
@@ -149,125 +149,125 @@
         (replace(PAY, backoff_ms=100.0, retry_on=ANY), 2500.0),  # unsafe
     ],
 )
-def test_no_pause_before_what_could_not_follow_it(policy: api.RoutePolicy, left: float) -> None:
-    """What the module has given up on is answered at once."""
+def test_no_backoff_before_what_could_not_follow_it(policy: api.RoutePolicy, left: float) -> None:
+    """What has no further attempt gets its response at once."""
     host = Driver(*backends(4))
-    ident = host.ask(policy, left)
+    ident = host.request(policy, left)
     host.end(ident, api.Outcome.ERROR)
     assert isinstance(host.finals[ident], api.Fail)
 
 
-def test_a_pause_told_late_sends_nothing_past_the_window() -> None:
+def test_a_backoff_that_ends_late_sends_nothing_past_the_window() -> None:
     host = Driver(*backends(4))
-    ident = host.ask(replace(SAVE, backoff_ms=100.0), 60_000.0)
+    ident = host.request(replace(SAVE, backoff_ms=100.0), 60_000.0)
     host.end(ident, api.Outcome.RESET)
     host.now += 5000.0  # the event loop stood still
     host.run_to(host.now)
     assert len(host.sent[ident]) == 1 and isinstance(host.finals[ident], api.Fail)
 
 
-def test_a_client_that_leaves_in_a_pause_ends_it() -> None:
+def test_a_client_that_leaves_in_a_backoff_ends_it() -> None:
     host = Driver(*backends(4))
-    ident = host.ask(replace(READ, backoff_ms=100.0))
+    ident = host.request(replace(READ, backoff_ms=100.0))
     host.end(ident, api.Outcome.ERROR)
-    host.tell(api.ClientGone(ident))
+    host.handle(api.ClientGone(ident))
     host.wait(500.0)
     assert len(host.sent[ident]) == 1 and not host.finals and not host.pools.requests
 
 
-COPY = replace(SAVE, hedge_after_ms=50.0)
+HEDGED = replace(SAVE, hedge_after_ms=50.0)
 
 
-def test_a_second_copy_stays_in_its_group_and_off_its_backend() -> None:
+def test_a_hedged_request_stays_in_its_group_and_off_the_first_backend() -> None:
     host = Driver(*backends(6))
-    ident = host.ask(COPY)
+    ident = host.request(HEDGED)
     host.wait(51.0)
-    first, second = host.to(ident)
+    first, second = host.backends_of(ident)
     assert first != second and first % 2 == second % 2
     host.wait(500.0)
-    assert len(host.sent[ident]) == 2  # one copy, no more
+    assert len(host.sent[ident]) == 2  # one hedged request, no more
 
 
-def test_the_first_good_answer_wins_and_nothing_follows_the_loser() -> None:
+def test_the_first_good_response_wins_and_nothing_follows_the_other() -> None:
     for winner, loser in ((0, 1), (1, 0)):
         host = Driver(*backends(6))
-        ident = host.ask(COPY)
+        ident = host.request(HEDGED)
         host.wait(51.0)
         host.end(ident, api.Outcome.SERVED, winner)
-        host.end(ident, api.Outcome.SERVED, loser)  # its answer is thrown away by the host
+        host.end(ident, api.Outcome.SERVED, loser)  # its response is discarded by the host
         assert not host.finals and not host.pools.requests and len(host.sent[ident]) == 2
 
 
-def test_while_a_copy_is_out_a_failure_decides_nothing() -> None:
+def test_while_a_hedged_request_is_in_flight_a_failure_decides_nothing() -> None:
     for order in ((0, 1), (1, 0)):
         host = Driver(*backends(6))
-        ident = host.ask(COPY)
+        ident = host.request(HEDGED)
         host.wait(51.0)
         host.end(ident, api.Outcome.ERROR, order[0])
         assert len(host.sent[ident]) == 2 and not host.finals
         host.end(ident, api.Outcome.RESET, order[1])
-        assert len(host.sent[ident]) == 3  # two attempts and a copy are the three allowed
+        assert len(host.sent[ident]) == 3  # two attempts and a hedged one are the three allowed
         host.end(ident, api.Outcome.ERROR)
         assert isinstance(host.finals[ident], api.Fail)
 
 
-def test_an_answer_in_the_same_turn_as_the_copys_start() -> None:
-    for answer_first in (True, False):
+def test_a_response_in_the_same_turn_as_the_hedged_request() -> None:
+    for response_first in (True, False):
         host = Driver(*backends(6))
-        ident = host.ask(COPY)
+        ident = host.request(HEDGED)
         (token,) = [token for at, token in host.timers if at == host.now + 50.0]
         host.now += 50.0
-        if answer_first:
+        if response_first:
             host.end(ident, api.Outcome.SERVED)
-        host.tell(api.TimerFired(token))
-        if not answer_first:
+        host.handle(api.TimerFired(token))
+        if not response_first:
             host.end(ident, api.Outcome.SERVED, 0)
             host.end(ident, api.Outcome.SERVED, 1)
-        assert len(host.sent[ident]) == (1 if answer_first else 2)
+        assert len(host.sent[ident]) == (1 if response_first else 2)
         assert not host.finals and not host.pools.requests
 
 
-def test_a_drain_stops_the_copy() -> None:
+def test_a_drain_stops_the_hedged_request() -> None:
     infos = backends(4)  # cells 0 and 1, two backends each
     host = Driver(*infos)
-    ident = host.ask(COPY)
-    (first,) = host.to(ident)
+    ident = host.request(HEDGED)
+    (first,) = host.backends_of(ident)
     gone = [replace(i, state=api.State.DRAINING) for i in infos if i.backend != first and i.cell == first % 2]
-    host.tell(api.BackendList(api.ListKind.CHANGES, gone))
+    host.handle(api.BackendList(api.ListKind.CHANGES, gone))
     host.wait(100.0)
-    assert host.to(ident) == [first]
+    assert host.backends_of(ident) == [first]
 
 
-def test_no_copy_once_the_first_has_ended_or_where_none_is_allowed() -> None:
+def test_no_hedged_request_once_the_first_has_ended_or_where_none_is_allowed() -> None:
     host = Driver(*backends(6))
-    retried = host.ask(COPY)
+    retried = host.request(HEDGED)
     host.end(retried, api.Outcome.ERROR)
     host.wait(100.0)
     assert len(host.sent[retried]) == 2  # the retry
     for policy in (
-        replace(COPY, max_attempts=1),
-        replace(COPY, retry_budget_ratio=0.0),
+        replace(HEDGED, max_attempts=1),
+        replace(HEDGED, retry_budget_ratio=0.0),
         replace(PAY, hedge_after_ms=50.0),
     ):
-        ident = host.ask(policy)
+        ident = host.request(policy)
         host.wait(100.0)
         assert len(host.sent[ident]) == 1
     host = Driver(*backends(6), settings=replace(SETTINGS, hedging=False))
-    ident = host.ask(COPY)
+    ident = host.request(HEDGED)
     host.wait(100.0)
     assert len(host.sent[ident]) == 1
 
 
-def test_a_percentile_without_samples_sends_no_copy() -> None:
+def test_a_percentile_without_samples_hedges_nothing() -> None:
     host = Driver(*backends(6))
     policy = replace(READ, hedge_percentile=90.0)
     for _ in range(MIN_SAMPLES):
         assert [at for at, _ in host.timers if at > host.now + 300.0] == []
-        ident = host.ask(policy)
+        ident = host.request(policy)
         host.wait(5.0)
         assert len(host.sent[ident]) == 1
         host.end(ident, api.Outcome.SERVED, took=20.0)
-    ident = host.ask(policy)
+    ident = host.request(policy)
     host.wait(25.0)  # 20 ms is the percentile, to 10 %
     assert len(host.sent[ident]) == 2
 
@@ -286,34 +286,34 @@
     assert seen.total < 2000.0
 
 
-def test_copies_and_retries_share_one_budget() -> None:
+def test_hedged_requests_and_retries_share_one_budget() -> None:
     host = Driver(*backends(8))
     for _ in range(200):
-        ident = host.ask(replace(READ, retry_budget_ratio=0.1))
+        ident = host.request(replace(READ, retry_budget_ratio=0.1))
         while ident not in host.finals:
             host.end(ident, api.Outcome.ERROR)
     repeats = sum(len(sent) - 1 for sent in host.sent.values())
     assert repeats <= 10 + 200 * 0.1 and repeats >= 25
 
 
-def test_concurrency_and_rate_turn_away_with_advice() -> None:
+def test_concurrency_and_rate_reject_with_retry_after() -> None:
     host = Driver(*backends(4))
     policy = replace(READ, concurrency=2)
-    one, two, three = (host.ask(policy) for _ in range(3))
+    one, two, three = (host.request(policy) for _ in range(3))
     assert isinstance(host.finals[three], api.Reject) and not host.sent[three]
     host.end(one, api.Outcome.SERVED)
-    assert host.sent[host.ask(policy)]
-    host.tell(api.ClientGone(two))  # what is out still runs, but the request is over
-    assert host.sent[host.ask(policy)]
+    assert host.sent[host.request(policy)]
+    host.handle(api.ClientGone(two))  # what is out still runs, but the request is over
+    assert host.sent[host.request(policy)]
 
     host = Driver(*backends(4))
     policy = replace(READ, requests_per_s=10.0)
-    idents = [host.ask(policy) for _ in range(11)]
+    idents = [host.request(policy) for _ in range(11)]
     assert [ident in host.finals for ident in idents] == [False] * 10 + [True]
     refusal = host.finals[idents[-1]]
     assert isinstance(refusal, api.Reject) and refusal.retry_after_ms == pytest.approx(100.0)
     host.wait(101.0)
-    assert host.sent[host.ask(policy)]
+    assert host.sent[host.request(policy)]
 
 
 def test_a_split_is_kept_by_weight_and_a_keys_pool_by_key() -> None:
@@ -321,86 +321,87 @@
     split = (("a", 3.0), ("b", 1.0))
     count = 0
     for _ in range(400):
-        ident = host.ask(replace(READ, split=split))
-        count += host.to(ident)[0] >= 10
+        ident = host.request(replace(READ, split=split))
+        count += host.backends_of(ident)[0] >= 10
         host.end(ident, api.Outcome.SERVED)
     assert 60 < count < 140
     keyed = replace(SAVE, split=split)
     first = {}
     for key in range(300):
-        first[key] = host.to(host.ask(keyed, key=key))[0] >= 10
+        first[key] = host.backends_of(host.request(keyed, key=key))[0] >= 10
     assert 40 < sum(first.values()) < 110
-    assert all((host.to(host.ask(keyed, key=key))[0] >= 10) == was for key, was in first.items())
+    assert all((host.backends_of(host.request(keyed, key=key))[0] >= 10) == was for key, was in first.items())
     moved = replace(SAVE, split=(("a", 2.0), ("b", 1.0)))  # few keys move, and only towards what gained
-    after = {key: host.to(host.ask(moved, key=key))[0] >= 10 for key in first}
+    after = {key: host.backends_of(host.request(moved, key=key))[0] >= 10 for key in first}
     assert all(after[key] for key, was in first.items() if was)
     assert 0 < sum(after.values()) - sum(first.values()) < 60
 
 
-def test_pools_that_share_a_rack_in_part_keep_a_repeat_where_it_began() -> None:
+def test_pools_that_share_a_rack_in_part_keep_a_retry_where_it_began() -> None:
     """a has cells 0 and 1, b has cells 1 and 2: a repeat stays in the cell and in the pool of its first."""
     b = [api.BackendInfo(10 + n, cell=1 + n % 2, pool="b") for n in range(4)]
     for seed in range(10):
         host = Driver(*backends(4), *b, seed=seed)
-        ident = host.ask(replace(SAVE, split=(("a", 1.0), ("b", 1.0))), key=seed)
+        ident = host.request(replace(SAVE, split=(("a", 1.0), ("b", 1.0))), key=seed)
         for _ in range(2):
             host.end(ident, api.Outcome.RESET)
-        cells = {(info.pool, info.cell) for info in (*backends(4), *b) if info.backend in host.to(ident)}
-        assert len(host.to(ident)) == 3 and len(cells) == 1
+        used = host.backends_of(ident)
+        cells = {(info.pool, info.cell) for info in (*backends(4), *b) if info.backend in used}
+        assert len(used) == 3 and len(cells) == 1
 
 
-def test_what_a_pool_refuses_goes_to_the_next_where_the_route_allows() -> None:
+def test_what_a_pool_rejects_spills_over_where_the_route_allows() -> None:
     split = (("a", 1.0), ("b", 1.0))
     host = Driver(*backends(1), *backends(1, "b", first=10))
-    ident = host.ask(replace(READ, spills_over=True, split=split))
+    ident = host.request(replace(READ, spills_over=True, split=split))
     host.end(ident, api.Outcome.REJECTED)  # the only one of its pool
     host.end(ident, api.Outcome.REJECTED)
-    assert sorted(host.to(ident)) == [0, 10] and isinstance(host.finals[ident], api.Reject)
+    assert sorted(host.backends_of(ident)) == [0, 10] and isinstance(host.finals[ident], api.Reject)
     assert not host.pools.requests
-    stays = host.ask(replace(READ, split=split))
+    stays = host.request(replace(READ, split=split))
     host.end(stays, api.Outcome.REJECTED)
-    assert len(host.to(stays)) == 1 and isinstance(host.finals[stays], api.Reject)
+    assert len(host.backends_of(stays)) == 1 and isinstance(host.finals[stays], api.Reject)
 
 
-def test_what_may_have_run_goes_to_no_other_pool_though_a_refusal_is_due() -> None:
+def test_what_may_have_run_spills_over_to_no_other_pool() -> None:
     host = Driver(*backends(1), *backends(1, "b", first=10))
-    klass = replace(KEYED, dedup_scope=api.DedupScope.ALL)
+    shared = replace(KEYED, dedup_scope=api.DedupScope.ALL)
     never = frozenset(api.NEVER_RAN)
-    policy = replace(SAVE, request_class=klass, retry_on=never, spills_over=True, reject_when_exhausted=True)
-    ident = host.ask(replace(policy, split=(("a", 1.0), ("b", 1.0))))
+    policy = replace(SAVE, request_class=shared, retry_on=never, spills_over=True, reject_when_exhausted=True)
+    ident = host.request(replace(policy, split=(("a", 1.0), ("b", 1.0))))
     host.end(ident, api.Outcome.RESET)
-    assert len(host.to(ident)) == 1 and isinstance(host.finals[ident], api.Reject)
+    assert len(host.backends_of(ident)) == 1 and isinstance(host.finals[ident], api.Reject)
 
 
 def test_attempts_are_counted_over_all_pools() -> None:
     split = (("a", 1.0), ("b", 1.0), ("c", 1.0))
     infos = [info for n, pool in enumerate("abc") for info in backends(3, pool, first=10 * n)]
     host = Driver(*infos)
-    ident = host.ask(replace(READ, max_attempts=4, spills_over=True, split=split))
+    ident = host.request(replace(READ, max_attempts=4, spills_over=True, split=split))
     while ident not in host.finals:
         host.end(ident, api.Outcome.REJECTED)
-    assert len(host.to(ident)) == 4
+    assert len(host.backends_of(ident)) == 4
 
 
-def test_an_empty_or_unknown_pool_refuses() -> None:
+def test_an_empty_or_unknown_pool_rejects() -> None:
     host = Driver(*backends(2))
     for split in ((("none", 1.0),), (("a", 0.0),)):
-        ident = host.ask(replace(READ, split=split))
+        ident = host.request(replace(READ, split=split))
         assert isinstance(host.finals[ident], api.Reject)
-    host.tell(api.BackendList(api.ListKind.FULL, []))
-    ident = host.ask(READ)
+    host.handle(api.BackendList(api.ListKind.FULL, []))
+    ident = host.request(READ)
     assert isinstance(host.finals[ident], api.Reject) and not host.pools.requests
 
 
-def test_one_pools_jam_refuses_nothing_of_anothers() -> None:
+def test_the_overload_of_one_pool_sheds_nothing_of_another() -> None:
     host = Driver(*backends(2), *backends(2, "b", first=10))
     jam = replace(READ, max_attempts=1)
     for _ in range(400):  # nothing of a ever ends
-        host.ask(jam)
+        host.request(jam)
         host.wait(10.0)
     free = replace(READ, route="free", split=(("b", 1.0),), max_attempts=1)
     for _ in range(50):
-        ident = host.ask(free)
+        ident = host.request(free)
         assert host.sent[ident]
         host.wait(10.0)
         host.end(ident, api.Outcome.SERVED)
@@ -416,16 +417,16 @@
     assert set(limiter.routes) == {"r0", "r49"}  # the one still has a request under way
 
 
-def test_time_outs_of_a_routes_own_tell_of_a_backend() -> None:
-    """A time-out shorter than the aim counts against a backend when the route, not the client, set it."""
+def test_timeouts_set_by_a_route_eject_a_backend() -> None:
+    """One below the latency objective counts against a backend if the route, not the client, set it."""
     host = Driver(*backends(8), settings=replace(SETTINGS, max_attempts=1))
     policy = replace(READ, attempt_timeout_ms=100.0, max_attempts=1)
     counts = [0] * 8
     for _ in range(400):
-        ident = host.ask(policy)
+        ident = host.request(policy)
         if not host.sent[ident]:
             continue
-        (to,) = host.to(ident)
+        (to,) = host.backends_of(ident)
         counts[to] += 1
         slow = to == 1
         host.wait(30.0)
@@ -438,26 +439,26 @@
     for _ in range(2):
         host = Driver(*backends(4), *backends(4, "b", first=10), seed=7)
         for n in range(60):
-            ident = host.ask(replace(READ, hedge_after_ms=15.0, split=(("a", 1.0), ("b", 2.0))))
+            ident = host.request(replace(READ, hedge_after_ms=15.0, split=(("a", 1.0), ("b", 2.0))))
             host.wait(20.0)
             host.end(ident, api.Outcome.SERVED if n % 3 else api.Outcome.ERROR, 0, over=True)
         logs.append(host.sent)
     assert logs[0] == logs[1]
 
 
-def test_pools_that_are_gone_end_and_may_come_again() -> None:
+def test_pools_that_are_gone_end_and_may_return() -> None:
     host = Driver(*backends(2))
     for turn in range(20):
         name = f"p{turn % 3}"
-        host.tell(api.BackendList(api.ListKind.CHANGES, backends(2, name, first=10)))
+        host.handle(api.BackendList(api.ListKind.CHANGES, backends(2, name, first=10)))
         policy = replace(READ, split=((name, 1.0),))
-        ident = host.ask(policy)
+        ident = host.request(policy)
         gone = [replace(info, state=api.State.GONE) for info in backends(2, name, first=10)]
-        host.tell(api.BackendList(api.ListKind.CHANGES, gone))
-        host.tell(api.NewSettings(SETTINGS))
+        host.handle(api.BackendList(api.ListKind.CHANGES, gone))
+        host.handle(api.NewSettings(SETTINGS))
         assert name in host.pools.balancers  # its request is still out
         host.end(ident, api.Outcome.SERVED)
-        host.tell(api.NewSettings(SETTINGS))
+        host.handle(api.NewSettings(SETTINGS))
         assert set(host.pools.balancers) == {"a"}
         host.wait(1000.0)
     assert len(host.pools.timers) == 1  # the update of the one pool that is left
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -19,7 +19,7 @@
     State,
     Tenant,
 )
-from tests.balancer.strict_host import Host, RuleBroken, fleet
+from tests.balancer.strict_host import Host, RuleViolationError, fleet
 
 CLASSES = (
     RequestClass("safe", 400.0, 1500.0, 1.0, 0.5, Effect.IDEMPOTENT),
@@ -66,18 +66,18 @@
     host.listed(ListKind.CACHED, *some_fleet(draw, host.now))
     for _ in range(steps):
         roll = draw.random()
-        out = host.out()
+        out = host.in_flight()
         if roll < 0.5:
-            klass = draw.choice(CLASSES)
-            left = klass.deadline_ms * draw.uniform(0.3, 1.0)
+            request_class = draw.choice(CLASSES)
+            left = request_class.deadline_ms * draw.uniform(0.3, 1.0)
             hint = draw.choice((0.0, 30.0, 400.0))
-            host.arrive(klass.name, hint, left, draw.choice("abx"), draw.randint(0, 9))
+            host.arrive(request_class.name, hint, left, draw.choice("abx"), draw.randint(0, 9))
         elif roll < 0.85 and out:
             host.end(*draw.choice(out), draw.choice(ENDINGS))
         elif roll < 0.88 and out:
             ident = draw.choice(out)[0]
-            if not host.owed[ident].over:
-                host.leave(ident)
+            if not host.requests[ident].over:
+                host.disconnect(ident)
         elif roll < 0.90:
             host.listed(draw.choice((ListKind.FULL, ListKind.CHANGES)), *some_fleet(draw, host.now))
         elif roll < 0.92 and host.known:
@@ -94,11 +94,11 @@
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32))
-def test_random_streams_keep_the_rules_and_leave_nothing_behind(seed: int) -> None:
+def test_random_streams_keep_the_rules_and_leave_no_state_behind(seed: int) -> None:
     host = play(seed, 250)
     host.run_to(host.now + 10000.0)
     host.listed(ListKind.FULL)
-    for ident, attempt in host.out():
+    for ident, attempt in host.in_flight():
         host.end(ident, attempt, Outcome.TIMEOUT)
     assert not host.balancer.requests
     assert not host.balancer.endpoints.backends
@@ -113,9 +113,9 @@
 
 
 def cold_host(seed: int, proxies: int = 10) -> Host:
-    klass = RequestClass("work", 500.0, 2000.0, effect=Effect.IDEMPOTENT)
+    work = RequestClass("work", 500.0, 2000.0, effect=Effect.IDEMPOTENT)
     limits = Settings(
-        (klass,), proxies=proxies, slow_start_from=0.13, slow_start_ms=20000.0, overload_window_ms=2000.0
+        (work,), proxies=proxies, slow_start_from=0.13, slow_start_ms=20000.0, overload_window_ms=2000.0
     )
     host = Host(limits, seed)
     host.listed(ListKind.CACHED, *fleet(20))
@@ -125,8 +125,8 @@
 def drive(host: Host, until: float, every: float) -> None:
     """Serve every attempt 60 ms after it was sent."""
     while host.now < until:
-        for ident, attempt in host.out():
-            if host.now >= host.owed[ident].attempts[attempt].at + 60.0:
+        for ident, attempt in host.in_flight():
+            if host.now >= host.requests[ident].attempts[attempt].at + 60.0:
                 host.end(ident, attempt, Outcome.SERVED)
         host.arrive()
         host.run_to(host.now + every)
@@ -171,22 +171,22 @@
     assert host.balancer.endpoints.backends[103] is not before
 
 
-def test_the_checker_itself_sees_each_rule_broken() -> None:
+def test_the_checker_itself_detects_each_violation() -> None:
     host = cold_host(1)
     ident = host.arrive(left=50.0)
-    host.live.clear()  # as if nothing had been sent
-    with pytest.raises(RuleBroken, match="rule 1"):
+    host.live_attempts.clear()  # as if nothing had been sent
+    with pytest.raises(RuleViolationError, match="rule 1"):
         host.run_to(host.now + 100.0)
     host = cold_host(1)
     host.usable.clear()
-    with pytest.raises(RuleBroken, match="rule 3"):
+    with pytest.raises(RuleViolationError, match="rule 3"):
         host.arrive()
     once = RequestClass("once", effect=Effect.IDEMPOTENT)
     host = Host(Settings((once,), max_attempts=3))
     host.listed(ListKind.CACHED, *fleet(3))
     host.classes["once"] = RequestClass("once", effect=Effect.UNSAFE)
     ident = host.arrive()
-    with pytest.raises(RuleBroken, match="rule 2"):
+    with pytest.raises(RuleViolationError, match="rule 2"):
         host.end(ident, 0, Outcome.ERROR)
 
 
@@ -195,5 +195,5 @@
     for gap in (1.0, 1e3, 1e5, 4e6):
         host.run_to(host.now + gap)
         ident = host.arrive()
-        assert host.owed[ident].attempts
+        assert host.requests[ident].attempts
         host.end(ident, 0, Outcome.SERVED, 60.0)
--- a/tests/balancer/test_speed.py
+++ b/tests/balancer/test_speed.py
@@ -25,7 +25,7 @@
     due: list[tuple[float, int, float]] = []
     while host.now < ends:
         ident = host.arrive(hint=50.0)
-        for sent in host.owed[ident].attempts:
+        for sent in host.requests[ident].attempts:
             info = host.known[sent.backend]
             sends[sent.backend] = sends.get(sent.backend, 0) + 1
             took = LATENCY[info.kind] / (ramp_of(host.now - info.started_ms) if info.started_ms else 1.0)
@@ -41,7 +41,7 @@
     return min(1.0, 0.2 + 0.8 * age_ms / 20_000.0)
 
 
-def test_a_backend_nobody_has_heard_of_is_as_fast_as_its_kind() -> None:
+def test_a_new_backend_is_as_fast_as_its_kind() -> None:
     speeds = LearnedSpeeds()
     for _ in range(200):
         speeds.learn("slow", BackendSpeed(), 3.0)
@@ -49,7 +49,7 @@
     assert speeds.factor("new", BackendSpeed()) == 1.0
 
 
-def test_its_own_answers_take_the_place_of_its_kind_by_their_number() -> None:
+def test_its_own_responses_replace_its_kind_by_their_number() -> None:
     speeds, odd = LearnedSpeeds(), BackendSpeed()
     for _ in range(200):
         speeds.learn("kind", BackendSpeed(), 1.0)
@@ -62,14 +62,14 @@
     assert seen[-1] > 2.5
 
 
-def test_a_cold_backend_tells_nothing_of_its_kind() -> None:
+def test_a_cold_backend_is_no_guide_to_its_kind() -> None:
     """How cold it is, is the least that the rule assures: what warms sooner would make all look faster."""
     host = Host(large())
     host.listed(ListKind.CACHED, line(0, host.now), line(2))
     for _ in range(100):
         host.run_to(host.now + 20.0)
         ident = host.arrive()
-        backend = host.owed[ident].attempts[0].backend
+        backend = host.requests[ident].attempts[0].backend
         host.end(ident, 0, Outcome.SERVED, 10.0 if backend == 0 else COST)
     assert host.balancer.endpoints.backends[0].cost_factor < 0.8  # of itself it does
     assert host.balancer.endpoints.speeds.of_kind("fast") == pytest.approx(1.0, rel=0.02)
@@ -84,7 +84,7 @@
     assert len(host.balancer.endpoints.speeds.kinds) <= 2
 
 
-def test_a_cold_backend_is_sent_work_by_the_speed_of_its_kind() -> None:
+def test_a_cold_backend_gets_work_by_the_speed_of_its_kind() -> None:
     host = Host(large(), seed=3)
     host.listed(ListKind.CACHED, *map(line, range(8)))
     serve(host, 10_000.0, 10.0)
@@ -126,7 +126,7 @@
 
 @pytest.mark.parametrize("factor", [1.5, 2.5, 4.0])
 @pytest.mark.parametrize("proxies", [5, 30])
-def test_what_all_send_to_a_cold_backend_leaves_no_more_than_chance_over_the_budget(
+def test_what_all_send_to_a_cold_backend_exceeds_the_budget_by_chance_only(
     proxies: int, factor: float
 ) -> None:
     """The letter's figure: beyond N calls of mean work in the rule's time, 2 roots of N + 2 are chance."""
--- a/tests/balancer/test_subset.py
+++ b/tests/balancer/test_subset.py
@@ -1,4 +1,4 @@
-"""Each backend is kept to by a bounded number of proxies of a large fleet."""
+"""Each backend is in the subsets of a bounded number of proxies of a large fleet."""
 
 import random
 from collections import Counter
@@ -17,8 +17,8 @@
 from tests.balancer.strict_host import Host, large
 
 
-def settings(slot: int | None, proxies: int, zone: str = "z0") -> Settings:
-    return large(proxy_index=slot, proxies=proxies, zone=zone, zones=("z0", "z1"), price_cross_zone=0.03)
+def settings(index: int | None, proxies: int, zone: str = "z0") -> Settings:
+    return large(proxy_index=index, proxies=proxies, zone=zone, zones=("z0", "z1"), price_cross_zone=0.03)
 
 
 def lines(count: int) -> list[BackendInfo]:
@@ -27,25 +27,25 @@
 
 @pytest.mark.parametrize("proxies", [14, 40, 60])
 def test_every_backend_has_just_as_many_proxies(proxies: int) -> None:
-    subsets = [Subset(slot, proxies) for slot in range(proxies)]
+    subsets = [Subset(index, proxies) for index in range(proxies)]
     for backend in range(1, 10_000, 97):
         assert sorted(subset.rank(backend) for subset in subsets) == list(range(proxies))
 
 
-def test_a_proxy_keeps_to_a_good_number_whatever_the_sizes() -> None:
+def test_a_subset_has_a_good_size_in_any_fleet() -> None:
     for proxies in (1, 5, PROXIES_PER_BACKEND, 40, 60, 1000):
         for backends in (1, MIN_SUBSET, 30, 150):
-            kept_by = Subset(0, proxies).proxies_per_backend(backends)
-            assert min(proxies, PROXIES_PER_BACKEND) <= kept_by <= proxies
-            assert kept_by * backends >= min(MIN_SUBSET, backends) * proxies
+            proxies_of_each = Subset(0, proxies).proxies_per_backend(backends)
+            assert min(proxies, PROXIES_PER_BACKEND) <= proxies_of_each <= proxies
+            assert proxies_of_each * backends >= min(MIN_SUBSET, backends) * proxies
 
 
-def used(slots: list[int | None], proxies: int, seed: int) -> Counter[int]:
-    """How many of the proxies sent anything to each of 60 backends, some of it turned away at first."""
+def used(indexes: list[int | None], proxies: int, seed: int) -> Counter[int]:
+    """How many of the proxies sent anything to each of 60 backends, some of it rejected at first."""
     draw = random.Random(seed)
     pairs: Counter[int] = Counter()
-    for slot in slots:
-        host = Host(settings(slot, proxies, f"z{(slot or 0) % 2}"), seed=draw.randrange(2**32))
+    for index in indexes:
+        host = Host(settings(index, proxies, f"z{(index or 0) % 2}"), seed=draw.randrange(2**32))
         host.listed(ListKind.CACHED, *lines(60))
         seen: set[int] = set()
         for _ in range(300):
@@ -54,8 +54,8 @@
             if draw.random() < 0.2:
                 host.end(ident, 0, Outcome.REJECTED, 1.0)
             host.run_to(host.now + 20.0)
-            seen |= {sent.backend for sent in host.owed[ident].attempts}
-            host.end(ident, len(host.owed[ident].attempts) - 1, Outcome.SERVED, 20.0)
+            seen |= {sent.backend for sent in host.requests[ident].attempts}
+            host.end(ident, len(host.requests[ident].attempts) - 1, Outcome.SERVED, 20.0)
         pairs.update(seen)
     return pairs
 
@@ -67,11 +67,11 @@
     assert max(pairs.values()) <= PROXIES_PER_BACKEND, f"seed {seed}"
 
 
-def test_a_proxy_that_does_not_know_its_number_keeps_to_all() -> None:
+def test_a_proxy_that_does_not_know_its_index_uses_all_backends() -> None:
     assert len(used([None], 40, 1)) >= 30 > len(used([4], 40, 1)) > 0
 
 
-def test_a_reload_that_tells_of_a_larger_fleet_ranks_anew() -> None:
+def test_a_reload_for_a_larger_fleet_ranks_anew() -> None:
     host = Host(settings(5, 13))
     host.listed(ListKind.CACHED, *lines(60))
     host.balancer.handle(host.now, NewSettings(settings(5, 60)))
@@ -82,10 +82,10 @@
     assert 0 < sum(backend.tier != FALLBACK for backend in balancer.endpoints.backends.values()) < 40
 
 
-def test_what_it_does_not_keep_to_is_used_when_nothing_else_is_left() -> None:
+def test_what_is_outside_of_the_subset_is_used_when_nothing_else_is_left() -> None:
     host, subset = Host(settings(3, 40)), Subset(3, 40)
     foreign = [info for info in lines(400) if info.zone == "z0" and subset.rank(info.backend) >= 27][:12]
     assert subset.proxies_per_backend(len(foreign)) == 27
     host.listed(ListKind.CACHED, *lines(60))
     host.listed(ListKind.FULL, *foreign)
-    assert host.owed[host.arrive()].attempts[0].backend in {info.backend for info in foreign}
+    assert host.requests[host.arrive()].attempts[0].backend in {info.backend for info in foreign}
--- a/tests/balancer/test_watch_schedule.py
+++ b/tests/balancer/test_watch_schedule.py
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("proxies", [5, 40, 60])
-def test_after_a_herd_every_proxy_has_a_list_in_time(proxies: int, seed: int) -> None:
+def test_after_a_mass_restart_every_proxy_has_a_list_in_time(proxies: int, seed: int) -> None:
     service = Service(call_ms=5_000.0 / proxies)  # one call from every proxy in half of it
     listed = play(proxies, seed, service, 60_000.0)
     assert max(listed) < WITHIN_MS, (max(listed), "seed", seed)
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("fault", ["down", "breaks"])
-def test_a_service_that_fails_for_long_is_asked_at_a_pace_it_could_take(fault: str, seed: int) -> None:
+def test_a_service_that_fails_for_long_is_called_at_a_rate_it_could_take(fault: str, seed: int) -> None:
     proxies, ends = 40, 120_000.0
     service = Service(
         call_ms=5_000.0 / proxies if fault == "down" else 5.0,  # breaking off costs little
@@ -90,7 +90,7 @@
     assert most <= 2.5 * proxies * 1000.0 / longest, (most, "seed", seed)
 
 
-def test_a_service_that_refuses_for_hours_ends_no_watch() -> None:
+def test_a_service_that_refuses_for_hours_ends_no_schedule() -> None:
     schedule, draw = WatchSchedule(WITHIN_MS), random.Random(1)
     schedule.first_delay(draw)
     for number in range(3_000):
@@ -100,7 +100,7 @@
         assert wait is not None and 0.0 < wait <= WITHIN_MS / 3.0
 
 
-def test_a_watch_that_lasted_begins_the_back_off_anew() -> None:
+def test_a_watch_that_lasted_resets_the_backoff() -> None:
     schedule, draw = WatchSchedule(WITHIN_MS), random.Random(1)
     for _ in range(4):
         schedule.call_started(0.0)
@@ -115,7 +115,7 @@
     assert 500.0 <= ended <= 1000.0 and short <= 2000.0 < long
 
 
-def test_a_late_watch_and_a_refused_call_are_asked_for_again_in_time() -> None:
+def test_after_a_late_watch_or_a_refused_call_the_next_call_is_in_time() -> None:
     """What a late one misses counts as told within 6 s of its last line, and what a refused one does within
     6 s of the service's return: the call made just before it may be refused 3 s later.  Where it is full and
     not down, everybody waits as long as it needs for one call from each.
@@ -195,7 +195,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_service_that_works_for_callers_who_have_left_still_catches_up(seed: int) -> None:
+def test_a_service_that_works_through_abandoned_calls_still_catches_up(seed: int) -> None:
     service = Worked(41, 8_000.0, 2_000.0, door=True)
     service.play(seed, 90_000.0)
     assert service.calls <= 6 * service.proxies, (service.calls, "seed", seed)
@@ -207,7 +207,7 @@
 @pytest.mark.parametrize("timeout_ms", [2_000.0, 3_000.0])
 @pytest.mark.parametrize("down_ms", [2_000.0, 5_000.0, 8_000.0, 12_000.0])
 @pytest.mark.parametrize(("proxies", "all_ms"), [(1, 200.0), (6, 1_200.0), (60, 2_500.0), (230, 2_500.0)])
-def test_once_a_service_is_back_everybody_is_told_in_time(
+def test_once_a_service_is_back_all_proxies_receive_the_list_in_time(
     proxies: int, all_ms: float, down_ms: float, timeout_ms: float
 ) -> None:
     """6 s, and the least grace on top that a deployment of ours has.  `all_ms`: of its time for one call from
--- a/tests/balancer/test_weighted_turns.py
+++ b/tests/balancer/test_weighted_turns.py
@@ -26,7 +26,7 @@
 
 
 def firsts(host: Host) -> list[int]:
-    return [owed.attempts[0].backend for owed in host.owed.values() if owed.attempts]
+    return [request.attempts[0].backend for request in host.requests.values() if request.attempts]
 
 
 def test_equal_backends_take_even_turns() -> None:
@@ -50,7 +50,7 @@
     host.arrive(hint=3000.0)
     loaded = firsts(host)[0]
     host.run_to(host.now + 2 * PERIOD_MS)
-    later = [host.owed[host.arrive(hint=50.0)].attempts[0].backend for _ in range(2)]
+    later = [host.requests[host.arrive(hint=50.0)].attempts[0].backend for _ in range(2)]
     assert loaded not in later
 
 
@@ -58,8 +58,8 @@
     host = host_of(4)
     slow = 102
     for _ in range(1500):
-        for ident, attempt in host.out():
-            sent = host.owed[ident].attempts[attempt]
+        for ident, attempt in host.in_flight():
+            sent = host.requests[ident].attempts[attempt]
             if host.now >= sent.at + (480.0 if sent.backend == slow else 60.0):
                 host.end(ident, attempt, Outcome.SERVED)
         host.arrive(hint=50.0, left=20000.0)
@@ -68,7 +68,7 @@
     assert late[slow] * 3 < min(late[b] for b in (100, 101, 103))
 
 
-def test_errors_and_time_outs_teach_no_speed() -> None:
+def test_errors_and_timeouts_change_no_learned_speed() -> None:
     host = host_of(2)
     before = [b.cost_factor for b in host.balancer.endpoints.backends.values()]
     for outcome in (Outcome.ERROR, Outcome.TIMEOUT, Outcome.REJECTED, Outcome.RESET):
@@ -134,14 +134,14 @@
     used = []
     for _ in range(requests):
         ident = host.arrive()
-        used.append(host.owed[ident].attempts[0].backend)
+        used.append(host.requests[ident].attempts[0].backend)
         host.run_to(host.now + took)
         host.end(ident, 0, Outcome.SERVED, 20.0)
         host.run_to(host.now + pause)
     return used
 
 
-def test_of_near_equals_the_one_that_served_lately_takes_the_turn() -> None:
+def test_of_near_equals_the_one_with_an_open_connection_takes_the_turn() -> None:
     """Its connection is open; one more to another backend would stand in a table that all proxies share."""
     host = Host(Settings((WORK,), max_attempts=3))
     host.listed(ListKind.CACHED, *fleet(6))
@@ -151,10 +151,10 @@
     last = used[-1]
     ident = host.arrive()
     host.end(ident, 0, Outcome.REJECTED, 1.0)
-    first, second = host.owed[ident].attempts
+    first, second = host.requests[ident].attempts
     assert first.backend != last and second.backend != first.backend  # it is long ago: the turns go on
 
 
-def test_who_served_lately_is_passed_over_once_it_has_much_more_booked() -> None:
+def test_an_open_connection_loses_to_a_much_less_booked_backend() -> None:
     used = served(host_of(6), 12, took=0.0, pause=0.0)
     assert len(set(used)) == 6, used
