--- a/heronreel/balancer/admission.py
+++ b/heronreel/balancer/admission.py
@@ -5,8 +5,8 @@
 from heronreel.balancer import interface as api
 from heronreel.balancer import rates, requests
 
-MIN_CORRECTION = 0.2  # of the smoothing time that must have passed before the rates tell a delay (ours)
-IN_FLIGHT_STEP, MIN_RESIDENCE_STEP = 0.4, 0.005  # smoothing a period; upward creep of the least (ours)
+MIN_CORRECTION = 0.2  # of the smoothing time that must have passed before the rates give a delay (ours)
+IN_FLIGHT_STEP, MIN_RESIDENCE_STEP = 0.4, 0.005  # smoothing, a period; the least one creeps up so (ours)
 DELAY_SHARE, DELAY_SHARE_OVER_QUOTA = 0.8, 0.2  # of a request's spare time that the delay may take (ours)
 QUOTA_BURST_MS = 2000.0  # of a tenant's quota saved up at most (ours)
 QUOTA_SLACK = 1.3  # our part of the quotas over what it is found to be: sites are not loaded evenly (ours)
@@ -84,7 +84,7 @@
             residence = self.mean_in_flight * rates.PERIOD_MS / rate
             self.min_residence = min(self.min_residence, residence) * (1.0 - step) + residence * step
             self.queueing_delay = residence - self.min_residence
-            # where queues are short, rejections tell of the overload: one residence for each attempt it takes
+            # where queues are short, rejections show the overload: one residence for each attempt it takes
             self.retried_delay = self.queueing_delay + residence * (sends / rate - 1.0)
 
     def admits(self, now: float, request: requests.Request) -> bool:
--- a/heronreel/balancer/choice.py
+++ b/heronreel/balancer/choice.py
@@ -1,4 +1,4 @@
-"""Every decision of the balancer.  Its public interface: heronreel/balancer/interface.py."""
+"""The balancer of one proxy: events in, actions out.  Public interface: heronreel/balancer/interface.py."""
 
 import random
 
@@ -10,14 +10,14 @@
 from heronreel.balancer.turns import TurnQueue
 from heronreel.balancer.watch_schedule import WatchSchedule
 
-UPDATE, WATCH = 0, 1  # timer tokens; those of backoffs and hedged requests count on from there
-MIN_TIMEOUT_SHARE = 0.9  # of an attempt's timeout after which it tells of its backend (ours)
+UPDATE, WATCH = 0, 1  # tokens of timers; those of backoffs and hedged requests count on from there
+MIN_TIMEOUT_SHARE = 0.9  # of an attempt's timeout after which a timeout counts against its backend (ours)
 
 
 class Balancer:
     """One proxy.  Events of ended requests are passed over; an attempt never made is a caller's KeyError."""
 
-    endpoints_type, turns_type = Endpoints, TurnQueue
+    endpoints_type, turns_type = Endpoints, TurnQueue  # an emulator may share tables of many proxies
     grant_credit = staticmethod(slow_start.grant_credit)
 
     def __init__(self, settings: api.Settings, seed: int, limits: api.RouteLimits | None = None) -> None:
@@ -132,7 +132,7 @@
             self.retries.route_limits.served(request.policy, ended.latency_ms)
         if request and not ended.finished:
             request.last_outcome = ended.outcome
-            if not any(other.in_flight for other in request.attempts):  # else another may yet be served
+            if not any(other.in_flight for other in request.attempts):  # else another one may yet be served
                 self._proceed(now, request)
 
     def _observe(self, now: float, attempt: Attempt, ended: api.AttemptEnded) -> None:
--- a/heronreel/balancer/endpoints.py
+++ b/heronreel/balancer/endpoints.py
@@ -11,7 +11,7 @@
 from heronreel.balancer.subset import Subset
 
 MAX_FAILURE_SCORE, SERVED_CREDIT = 5.0, 0.5  # failures that count at most; taken off by one served (ours)
-SPORADIC = (api.Outcome.ERROR, api.Outcome.RESET)  # tell of a backend only when they come together (ours)
+SPORADIC = (api.Outcome.ERROR, api.Outcome.RESET)  # no sign of a faulty backend unless together (ours)
 MAX_SPORADIC_SCORE = 1.0  # failure score by these up to which a backend is not ejected (ours)
 NEUTRAL = (api.Outcome.REJECTED, api.Outcome.CANCELLED, api.Outcome.NOT_SENT)  # no sign of a fault
 FAR, NEAR, FALLBACK = 0, 1, 2  # tiers: other and own zone of our subset; outside of our subset
--- a/heronreel/balancer/rates.py
+++ b/heronreel/balancer/rates.py
@@ -3,7 +3,7 @@
 PERIOD_MS = 200.0  # between two updates of the weights (paper)
 SMOOTHING_MS = 3000.0  # of our own work rate, for slow start (ours)
 REJECTION_DECAY = 0.8  # of what was counted that still counts a period later: about a second's worth (ours)
-MIN_ATTEMPTS = 50.0  # fewer attempts tell less (ours)
+MIN_ATTEMPTS = 50.0  # that are sent, or the share counts as if so many were (ours)
 LOW_REJECTION = 0.4  # share up to which retries find capacity that is there (ours)
 HIGH_REJECTION = 0.6  # share from which on a second attempt does more harm than good (ours)
 MAX_ATTEMPTS = 2  # of a request that were all rejected, between these two shares (ours)
--- a/heronreel/balancer/requests.py
+++ b/heronreel/balancer/requests.py
@@ -88,7 +88,7 @@
             self.budget -= 1.0
 
     def rejectable(self, request: Request, executed: Attempt | None) -> bool:
-        """Whether to tell the client that a retry does no harm."""
+        """Whether a client's own retry does no harm, so that the request may be rejected."""
         if executed is None:
             return True
         if request.policy:
--- a/heronreel/balancer/routes.py
+++ b/heronreel/balancer/routes.py
@@ -35,7 +35,7 @@
             self.total /= 2.0
 
     def percentile(self, percent: float) -> float | None:
-        """The upper end of the bucket that holds it, ms; None while too few were seen to tell."""
+        """The upper end of the bucket that holds it, ms; None while there are too few."""
         if self.total < MIN_SAMPLES:
             return None
         left = self.total * percent / 100.0
