--- a/heronreel/balancer/admission.py
+++ b/heronreel/balancer/admission.py
@@ -6,7 +6,8 @@
 from heronreel.balancer import rates, requests
 
 MIN_CORRECTION = 0.2  # of the smoothing time that must have passed before the rates give a delay (ours)
-IN_FLIGHT_STEP, MIN_RESIDENCE_STEP = 0.4, 0.005  # smoothing, a period; the least one creeps up so (ours)
+IN_FLIGHT_STEP = 0.4  # smoothing of the attempts in flight, a period (ours)
+MIN_RESIDENCE_STEP = 0.005  # how fast the least residence time creeps up to the present one, a period (ours)
 DELAY_SHARE, DELAY_SHARE_OVER_QUOTA = 0.8, 0.2  # of a request's spare time that the delay may take (ours)
 QUOTA_BURST_MS = 2000.0  # of a tenant's quota saved up at most (ours)
 QUOTA_SLACK = 1.3  # our part of the quotas over what it is found to be: sites are not loaded evenly (ours)
@@ -19,10 +20,9 @@
 
     def __init__(self, settings: api.Settings) -> None:
         self.buckets: dict[str, tuple[float, float]] = {}  # by tenant: requests saved up, and when
-        self.demand: dict[
-            str, rates.SmoothedRate
-        ] = {}  # by tenant with a quota: requests without clients' retries
+        self.demand: dict[str, rates.SmoothedRate] = {}  # by tenant with a quota, without clients' retries
         self.share = QUOTA_SLACK / settings.proxies  # of the quotas that is ours
+        self.configure(settings)
 
     def configure(self, settings: api.Settings) -> None:
         """Take new settings."""
@@ -57,13 +57,14 @@
 class Admission:
     """Load shedding: what can't be in time behind what is in flight, lowest priority first.  Times in ms."""
 
-    def __init__(self, draw: random.Random) -> None:
+    def __init__(self, settings: api.Settings, draw: random.Random) -> None:
         self.random = draw
         self.completions, self.mean_in_flight = rates.SmoothedRate(), 0.0  # of attempts that may have run
         self.queueing_delay = self.retried_delay = 0.0  # the latter with the retries that it takes
         self.min_residence = 1e9  # of attempts on the fleet
         self.arrived = self.rejected = 0  # since the last update
         self.short_since = -1.0  # none: before 0
+        self.configure(settings)
 
     def configure(self, settings: api.Settings) -> None:
         """Take new settings."""
@@ -89,10 +90,10 @@
 
     def admits(self, now: float, request: requests.Request) -> bool:
         """Whether a request could be in time behind what is in flight."""
-        its_class = request.request_class
+        request_class = request.request_class
         done = now + requests.BASE_COST_MS + request.arrival.hint_ms
-        spare = request.arrived_at + its_class.latency_objective_ms - done
-        weight, late_weight = its_class.priority_weight, its_class.late_weight
+        spare = request.arrived_at + request_class.latency_objective_ms - done
+        weight, late_weight = request_class.priority_weight, request_class.late_weight
         if request.within_quota and weight >= self.max_weight:  # the highest goes on, the rest yields to it
             return self.queueing_delay <= DELAY_SHARE * max(spare, late_weight * (request.deadline - done))
         # no class may wait longer than one of more weight could, or it would starve that one
@@ -102,9 +103,9 @@
         share = DELAY_SHARE if request.within_quota else DELAY_SHARE_OVER_QUOTA
         return self.retried_delay <= tolerance * share
 
-    def retry_after(self, now: float, its_class: api.RequestClass) -> float:
+    def retry_after(self, now: float, request_class: api.RequestClass) -> float:
         """Retry-After of a rejected request, ms: as long again as the shortage has lasted."""
         short = now - self.short_since if self.short_since >= 0.0 else 0.0
         spread = self.random.uniform(0.5, 1.5)  # or the rejected would come as one wave
-        least = MIN_RETRY_AFTER * its_class.latency_objective_ms
+        least = MIN_RETRY_AFTER * request_class.latency_objective_ms
         return min(max(short, least) * spread, self.max_retry_after_ms)
--- a/heronreel/balancer/choice.py
+++ b/heronreel/balancer/choice.py
@@ -25,7 +25,7 @@
         self.watch = WatchSchedule(settings.watch_within_ms)
         self.endpoints = self.endpoints_type(settings, self.random)
         self.turns = self.turns_type(self.endpoints)
-        self.quotas, self.admission = TenantQuotas(settings), Admission(self.random)
+        self.quotas, self.admission = TenantQuotas(settings), Admission(settings, self.random)
         self.retries = RetryRules(settings, limits)
         self.rejection_rate, self.served_work = rates.RejectionRate(), rates.SmoothedRate()
         self._configure(settings)
@@ -113,9 +113,9 @@
 
     def _arrival(self, now: float, arrival: api.Arrival) -> None:
         policy, name = arrival.policy, arrival.request_class
-        its_class = policy.request_class if policy else self.classes.get(name) or api.RequestClass(name)
+        request_class = policy.request_class if policy else self.classes.get(name) or api.RequestClass(name)
         deadline, within_quota = now + arrival.time_left_ms, self.quotas.take(now, arrival)
-        request = Request(arrival, its_class, now, deadline, within_quota, policy)
+        request = Request(arrival, request_class, now, deadline, within_quota, policy)
         self.requests[arrival.request] = request
         self.retries.add_request()
         self.admission.arrived += 1
--- a/heronreel/balancer/requests.py
+++ b/heronreel/balancer/requests.py
@@ -6,10 +6,8 @@
 from heronreel.balancer.endpoints import Backend
 
 BASE_COST_MS = 10.0  # fixed part of a request's cost: connection, parsing, logging (ours)
-RETRY_BUDGET_RATIO, MAX_RETRY_BUDGET = (
-    0.2,
-    10.0,
-)  # retries after attempts that may have run, per request (ours)
+RETRY_BUDGET_RATIO = 0.2  # retries after attempts that may have run, per request (ours)
+MAX_RETRY_BUDGET = 10.0  # of these saved up (ours)
 
 
 @dataclass(slots=True)
