--- a/tests/balancer/test_request_lifecycle.py
+++ b/tests/balancer/test_request_lifecycle.py
@@ -111,10 +111,10 @@
     host = Host(Settings((RequestClass("work"),), max_retry_after_ms=300.0))
     host.listed(ListKind.CACHED)
     ident = host.arrive()
-    refused = host.log[-1]
-    assert isinstance(refused, Reject)
-    assert refused.request == ident
-    assert 0.0 < refused.retry_after_ms <= 300.0
+    rejected = host.log[-1]
+    assert isinstance(rejected, Reject)
+    assert rejected.request == ident
+    assert 0.0 < rejected.retry_after_ms <= 300.0
 
 
 def test_a_list_that_must_be_watched_is_watched_again_after_a_failure() -> None:
--- a/tests/balancer/test_route_policies.py
+++ b/tests/balancer/test_route_policies.py
@@ -128,10 +128,10 @@
 def test_a_backoff_doubles_and_delays_only_what_is_retried() -> None:
     host = Driver(*backends(6))
     ident = host.request(replace(READ, max_attempts=4, backoff_ms=100.0, max_backoff_ms=150.0))
-    for pause in (100.0, 150.0, 150.0):
+    for backoff in (100.0, 150.0, 150.0):
         count = len(host.sent[ident])
         host.end(ident, api.Outcome.ERROR)
-        host.wait(pause - 1.0)
+        host.wait(backoff - 1.0)
         assert len(host.sent[ident]) == count
         host.wait(2.0)
         assert len(host.sent[ident]) == count + 1
@@ -310,8 +310,8 @@
     policy = replace(READ, requests_per_s=10.0)
     idents = [host.request(policy) for _ in range(11)]
     assert [ident in host.finals for ident in idents] == [False] * 10 + [True]
-    refusal = host.finals[idents[-1]]
-    assert isinstance(refusal, api.Reject) and refusal.retry_after_ms == pytest.approx(100.0)
+    rejection = host.finals[idents[-1]]
+    assert isinstance(rejection, api.Reject) and rejection.retry_after_ms == pytest.approx(100.0)
     host.wait(101.0)
     assert host.sent[host.request(policy)]
 
@@ -395,9 +395,9 @@
 
 def test_the_overload_of_one_pool_sheds_nothing_of_another() -> None:
     host = Driver(*backends(2), *backends(2, "b", first=10))
-    jam = replace(READ, max_attempts=1)
+    overloaded = replace(READ, max_attempts=1)
     for _ in range(400):  # nothing of a ever ends
-        host.request(jam)
+        host.request(overloaded)
         host.wait(10.0)
     free = replace(READ, route="free", split=(("b", 1.0),), max_attempts=1)
     for _ in range(50):
--- a/tests/balancer/test_speed.py
+++ b/tests/balancer/test_speed.py
@@ -99,7 +99,7 @@
 def test_all_proxies_together_stay_under_the_rule_and_use_a_good_part_of_it(proxies: int, seed: int) -> None:
     """Half the fleet comes back cold: rule 4 counts the work of all proxies in every window of 2 s."""
     hosts = [Host(large(proxies=proxies, proxy_index=n), seed * 1000 + n) for n in range(proxies)]
-    capacity = 2.0  # cores of the fast kind's speed, of which six tenths are asked for
+    capacity = 2.0  # cores of the fast kind's speed, of which six tenths are used
     speed = {"fast": 3.0, "slow": 0.5}
     total = capacity * sum(speed[line(n).kind] for n in range(BACKENDS))
     every = COST * proxies / (0.6 * total)  # ms between a proxy's arrivals
@@ -141,7 +141,7 @@
         host.listed(ListKind.CACHED, *map(line, range(BACKENDS // 3, BACKENDS)))
         serve(host, 6_000.0, every)
     start = max(host.now for host in hosts)
-    for n, host in enumerate(hosts):  # the news reaches some of them late
+    for n, host in enumerate(hosts):  # the list reaches some of them late
         host.run_to(start + 100.0 * (n % 10))
         host.listed(ListKind.CHANGES, *(line(number, start) for number in range(BACKENDS // 3)))
         serve(host, 8_000.0, every)
--- a/tests/balancer/test_watch_schedule.py
+++ b/tests/balancer/test_watch_schedule.py
@@ -13,7 +13,7 @@
 
 
 class Service:
-    """Works through calls in turn; `breaks`: it answers at once, and the watch ends with the answer."""
+    """Works through calls in turn; `breaks`: it responds at once, and the watch ends with the response."""
 
     def __init__(self, call_ms: float, breaks_until: float = 0.0, down_until: float = 0.0) -> None:
         self.call_ms, self.breaks_until, self.down_until = call_ms, breaks_until, down_until
@@ -21,7 +21,7 @@
         self.calls: list[float] = []
 
     def call(self, now: float) -> tuple[float, bool]:
-        """When it is answered, and whether with a list."""
+        """When it gets its response, and whether that is a list."""
         self.calls.append(now)
         if now < self.down_until:
             return now + 1.0, False
@@ -49,8 +49,8 @@
         schedule, wait = schedules[n], None
         if what == "call":
             schedule.call_started(now)
-            at, told = service.call(now)
-            heapq.heappush(due, (at, n, "listed" if told else "failed"))
+            at, listed_now = service.call(now)
+            heapq.heappush(due, (at, n, "listed" if listed_now else "failed"))
             continue
         if what == "listed":
             schedule.list_received(now)
@@ -116,9 +116,9 @@
 
 
 def test_after_a_late_watch_or_a_refused_call_the_next_call_is_in_time() -> None:
-    """What a late one misses counts as told within 6 s of its last line, and what a refused one does within
-    6 s of the service's return: the call made just before it may be refused 3 s later.  Where it is full and
-    not down, everybody waits as long as it needs for one call from each.
+    """What a late one misses counts as received within 6 s of its last line, and what a refused one does
+    within 6 s of the service's return: the call made just before it may be refused 3 s later.  Where it is
+    full and not down, all wait as long as it needs for one call from each.
     """
     soonest = WITHIN_MS
     for seed in range(100):
@@ -148,10 +148,10 @@
         assert wait is not None and wait <= 2_000.0
 
 
-class Worked:
-    """A service that takes more calls than it can answer in time, and works through those that gave up too:
-    while all ask as often as after a broken call, nobody ever gets an answer (seen on `join+disco+huge`).
-    `door`: it refuses at once who would wait for twice as long as it lets a call wait.
+class BacklogService:
+    """A service that takes more calls than it can complete in time, and works through abandoned ones too:
+    while all call as often as after a broken call, nobody ever gets a response (seen on `join+disco+huge`).
+    `door`: it refuses at once calls that would wait for twice as long as it lets a call wait.
     """
 
     def __init__(
@@ -196,10 +196,12 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_service_that_works_through_abandoned_calls_still_catches_up(seed: int) -> None:
-    service = Worked(41, 8_000.0, 2_000.0, door=True)
+    service = BacklogService(41, 8_000.0, 2_000.0, door=True)
     service.play(seed, 90_000.0)
     assert service.calls <= 6 * service.proxies, (service.calls, "seed", seed)
-    service = Worked(41, 8_000.0, 2_000.0, door=False)  # as the one seen; it can take a call from each in 8 s
+    service = BacklogService(
+        41, 8_000.0, 2_000.0, door=False
+    )  # as the one seen; it can take a call from each in 8 s
     service.play(seed, 90_000.0)
     assert service.calls <= 9 * service.proxies, (service.calls, "seed", seed)
 
@@ -214,7 +216,7 @@
     each, as it was seen on days at full size and at close range.
     """
     for seed in range(10):
-        service = Worked(proxies, all_ms, timeout_ms, door=False, down_ms=down_ms)
+        service = BacklogService(proxies, all_ms, timeout_ms, door=False, down_ms=down_ms)
         service.play(seed, 90_000.0)
         late = max(service.listed) - down_ms - 6_000.0
         assert late <= 250.0, (late, "seed", seed)
