--- a/heronreel/routes/proof.py
+++ b/heronreel/routes/proof.py
@@ -67,12 +67,12 @@
 def platform_limits(settings: Settings, clock_margin_ms: float = 50.0) -> PlatformLimits:
     """What a platform's settings allow."""
     classes = {
-        each.name: PlatformClass(each.effect, each.scope, each.repeat_window_ms, each.deadline_ms)
+        each.name: PlatformClass(each.effect, each.dedup_scope, each.repeat_window_ms, each.deadline_ms)
         for each in settings.classes
     }
     return PlatformLimits(
         settings.max_attempts,
-        settings.second_copies,
+        settings.hedging,
         settings.connect_timeout_ms,
         max(each.deadline_ms for each in settings.classes),
         clock_margin_ms,
--- a/tests/balancer/test_speed.py
+++ b/tests/balancer/test_speed.py
@@ -4,7 +4,7 @@
 
 from heronreel.balancer.choice import Balancer
 from heronreel.balancer.interface import BackendInfo, ListKind, Outcome
-from heronreel.balancer.speed import OWN_AFTER, Speed, Speeds
+from heronreel.balancer.speed import KIND_RESPONSES, BackendSpeed, LearnedSpeeds
 from tests.balancer.strict_host import Host, large
 
 COST = 60.0  # ms: the fixed part and a hint of 50
@@ -25,7 +25,7 @@
     due: list[tuple[float, int, float]] = []
     while host.now < ends:
         ident = host.arrive(hint=50.0)
-        for sent in host.owed[ident].attempts:
+        for sent in host.requests[ident].attempts:
             info = host.known[sent.backend]
             sends[sent.backend] = sends.get(sent.backend, 0) + 1
             took = LATENCY[info.kind] / (ramp_of(host.now - info.started_ms) if info.started_ms else 1.0)
@@ -41,38 +41,38 @@
     return min(1.0, 0.2 + 0.8 * age_ms / 20_000.0)
 
 
-def test_a_backend_nobody_has_heard_of_is_as_fast_as_its_kind() -> None:
-    speeds = Speeds()
+def test_a_new_backend_is_as_fast_as_its_kind() -> None:
+    speeds = LearnedSpeeds()
     for _ in range(200):
-        speeds.learn("slow", Speed(), 3.0)
-    assert speeds.factor("slow", Speed()) == pytest.approx(3.0, rel=0.02)
-    assert speeds.factor("new", Speed()) == 1.0
+        speeds.learn("slow", BackendSpeed(), 3.0)
+    assert speeds.factor("slow", BackendSpeed()) == pytest.approx(3.0, rel=0.02)
+    assert speeds.factor("new", BackendSpeed()) == 1.0
 
 
-def test_its_own_answers_take_the_place_of_its_kind_by_their_number() -> None:
-    speeds, odd = Speeds(), Speed()
+def test_its_own_responses_replace_its_kind_by_their_number() -> None:
+    speeds, odd = LearnedSpeeds(), BackendSpeed()
     for _ in range(200):
-        speeds.learn("kind", Speed(), 1.0)
+        speeds.learn("kind", BackendSpeed(), 1.0)
     seen = []
-    for _ in range(int(8 * OWN_AFTER)):
+    for _ in range(int(8 * KIND_RESPONSES)):
         speeds.learn("kind", odd, 4.0)
         seen.append(speeds.factor("kind", odd))
-        speeds.learn("kind", Speed(), 1.0)  # the others of its kind go on as they were
+        speeds.learn("kind", BackendSpeed(), 1.0)  # the others of its kind go on as they were
     assert seen[0] < 1.1 and seen == sorted(seen)
     assert seen[-1] > 2.5
 
 
-def test_a_cold_backend_tells_nothing_of_its_kind() -> None:
+def test_a_cold_backend_is_no_guide_to_its_kind() -> None:
     """How cold it is, is the least that the rule assures: what warms sooner would make all look faster."""
     host = Host(large())
     host.listed(ListKind.CACHED, line(0, host.now), line(2))
     for _ in range(100):
         host.run_to(host.now + 20.0)
         ident = host.arrive()
-        backend = host.owed[ident].attempts[0].backend
+        backend = host.requests[ident].attempts[0].backend
         host.end(ident, 0, Outcome.SERVED, 10.0 if backend == 0 else COST)
-    assert host.balancer.backends[0].factor < 0.8  # of itself it does
-    assert host.balancer.speeds.of_kind("fast") == pytest.approx(1.0, rel=0.02)
+    assert host.balancer.endpoints.backends[0].cost_factor < 0.8  # of itself it does
+    assert host.balancer.endpoints.speeds.of_kind("fast") == pytest.approx(1.0, rel=0.02)
 
 
 def test_kinds_that_the_list_no_longer_names_are_forgotten() -> None:
@@ -81,10 +81,10 @@
         host.listed(ListKind.FULL, BackendInfo(number, kind=f"k{number}"), line(10_000))
         ident = host.arrive()
         host.end(ident, 0, Outcome.SERVED, 50.0)
-    assert len(host.balancer.speeds.kinds) <= 2
+    assert len(host.balancer.endpoints.speeds.kinds) <= 2
 
 
-def test_a_cold_backend_is_sent_work_by_the_speed_of_its_kind() -> None:
+def test_a_cold_backend_gets_work_by_the_speed_of_its_kind() -> None:
     host = Host(large(), seed=3)
     host.listed(ListKind.CACHED, *map(line, range(8)))
     serve(host, 10_000.0, 10.0)
@@ -98,8 +98,8 @@
 @pytest.mark.parametrize("proxies", [5, 40])
 def test_all_proxies_together_stay_under_the_rule_and_use_a_good_part_of_it(proxies: int, seed: int) -> None:
     """Half the fleet comes back cold: rule 4 counts the work of all proxies in every window of 2 s."""
-    hosts = [Host(large(proxies=proxies, slot=n), seed * 1000 + n) for n in range(proxies)]
-    capacity = 2.0  # cores of the fast kind's speed, of which six tenths are asked for
+    hosts = [Host(large(proxies=proxies, proxy_index=n), seed * 1000 + n) for n in range(proxies)]
+    capacity = 2.0  # cores of the fast kind's speed, of which six tenths are used
     speed = {"fast": 3.0, "slow": 0.5}
     total = capacity * sum(speed[line(n).kind] for n in range(BACKENDS))
     every = COST * proxies / (0.6 * total)  # ms between a proxy's arrivals
@@ -126,12 +126,14 @@
 
 @pytest.mark.parametrize("factor", [1.5, 2.5, 4.0])
 @pytest.mark.parametrize("proxies", [5, 30])
-def test_what_all_send_to_a_cold_backend_leaves_no_more_than_chance_over_the_budget(
+def test_what_all_send_to_a_cold_backend_exceeds_the_budget_by_chance_only(
     proxies: int, factor: float
 ) -> None:
     """The letter's figure: beyond N calls of mean work in the rule's time, 2 roots of N + 2 are chance."""
     seed = 11
-    hosts = [Host(large(proxies=proxies, slot=n, overload_factor=factor), seed + n) for n in range(proxies)]
+    hosts = [
+        Host(large(proxies=proxies, proxy_index=n, overload_factor=factor), seed + n) for n in range(proxies)
+    ]
     capacity, speed = 2.0, {"fast": 3.0, "slow": 0.5}
     every = COST * proxies / (0.95 * capacity * sum(speed[line(n).kind] for n in range(BACKENDS)))
     for n, host in enumerate(hosts):
@@ -139,7 +141,7 @@
         host.listed(ListKind.CACHED, *map(line, range(BACKENDS // 3, BACKENDS)))
         serve(host, 6_000.0, every)
     start = max(host.now for host in hosts)
-    for n, host in enumerate(hosts):  # the news reaches some of them late
+    for n, host in enumerate(hosts):  # the list reaches some of them late
         host.run_to(start + 100.0 * (n % 10))
         host.listed(ListKind.CHANGES, *(line(number, start) for number in range(BACKENDS // 3)))
         serve(host, 8_000.0, every)
@@ -153,5 +155,5 @@
 
 def test_speeds_end_with_their_proxy() -> None:
     one, other = (Balancer(large(), seed=1) for _ in range(2))
-    one.speeds.learn("fast", Speed(), 5.0)
-    assert other.speeds.of_kind("fast") == 1.0
+    one.endpoints.speeds.learn("fast", BackendSpeed(), 5.0)
+    assert other.endpoints.speeds.of_kind("fast") == 1.0
--- a/tests/balancer/test_watch_schedule.py
+++ b/tests/balancer/test_watch_schedule.py
@@ -5,15 +5,15 @@
 
 import pytest
 
-from heronreel.balancer.asking import Asking
-from heronreel.balancer.interface import Lost
+from heronreel.balancer.interface import WatchFailure
+from heronreel.balancer.watch_schedule import WatchSchedule
 
 WITHIN_MS = 10_000.0
 TIMEOUT_MS = 3_000.0  # a call that would wait longer is refused
 
 
 class Service:
-    """Works through calls in turn; `breaks`: it answers at once, and the watch ends with the answer."""
+    """Works through calls in turn; `breaks`: it responds at once, and the watch ends with the response."""
 
     def __init__(self, call_ms: float, breaks_until: float = 0.0, down_until: float = 0.0) -> None:
         self.call_ms, self.breaks_until, self.down_until = call_ms, breaks_until, down_until
@@ -21,7 +21,7 @@
         self.calls: list[float] = []
 
     def call(self, now: float) -> tuple[float, bool]:
-        """When it is answered, and whether with a list."""
+        """When it gets its response, and whether that is a list."""
         self.calls.append(now)
         if now < self.down_until:
             return now + 1.0, False
@@ -38,34 +38,34 @@
 def play(proxies: int, seed: int, service: Service, until: float) -> list[float]:
     """All start at 0; when each had a list that lasted, or infinity."""
     draw = random.Random(seed)
-    askers = [Asking(WITHIN_MS) for _ in range(proxies)]
+    schedules = [WatchSchedule(WITHIN_MS) for _ in range(proxies)]
     listed = [float("inf")] * proxies
-    due = [(asking.begin(draw), n, "ask") for n, asking in enumerate(askers)]
+    due = [(schedule.first_delay(draw), n, "call") for n, schedule in enumerate(schedules)]
     heapq.heapify(due)
     while due:
         now, n, what = heapq.heappop(due)
         if now >= until:
             break
-        asking, wait = askers[n], None
-        if what == "ask":
-            asking.asks(now)
-            at, told = service.call(now)
-            heapq.heappush(due, (at, n, "told" if told else "failed"))
+        schedule, wait = schedules[n], None
+        if what == "call":
+            schedule.call_started(now)
+            at, listed_now = service.call(now)
+            heapq.heappush(due, (at, n, "listed" if listed_now else "failed"))
             continue
-        if what == "told":
-            asking.told(now)
+        if what == "listed":
+            schedule.list_received(now)
             if now >= service.breaks_until:
                 listed[n] = min(listed[n], now)
                 continue
-        wait = asking.failed(now, draw)
+        wait = schedule.call_failed(now, draw, WatchFailure.ENDED)
         assert wait is not None
-        heapq.heappush(due, (now + wait, n, "ask"))
+        heapq.heappush(due, (now + wait, n, "call"))
     return listed
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("proxies", [5, 40, 60])
-def test_after_a_herd_every_proxy_has_a_list_in_time(proxies: int, seed: int) -> None:
+def test_after_a_mass_restart_every_proxy_has_a_list_in_time(proxies: int, seed: int) -> None:
     service = Service(call_ms=5_000.0 / proxies)  # one call from every proxy in half of it
     listed = play(proxies, seed, service, 60_000.0)
     assert max(listed) < WITHIN_MS, (max(listed), "seed", seed)
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("fault", ["down", "breaks"])
-def test_a_service_that_fails_for_long_is_asked_at_a_pace_it_could_take(fault: str, seed: int) -> None:
+def test_a_service_that_fails_for_long_is_called_at_a_rate_it_could_take(fault: str, seed: int) -> None:
     proxies, ends = 40, 120_000.0
     service = Service(
         call_ms=5_000.0 / proxies if fault == "down" else 5.0,  # breaking off costs little
@@ -90,68 +90,68 @@
     assert most <= 2.5 * proxies * 1000.0 / longest, (most, "seed", seed)
 
 
-def test_a_service_that_refuses_for_hours_ends_no_watch() -> None:
-    asking, draw = Asking(WITHIN_MS), random.Random(1)
-    asking.begin(draw)
+def test_a_service_that_refuses_for_hours_ends_no_schedule() -> None:
+    schedule, draw = WatchSchedule(WITHIN_MS), random.Random(1)
+    schedule.first_delay(draw)
     for number in range(3_000):
         now = number * 3_000.0
-        asking.asks(now)
-        wait = asking.failed(now, draw)
+        schedule.call_started(now)
+        wait = schedule.call_failed(now, draw, WatchFailure.ENDED)
         assert wait is not None and 0.0 < wait <= WITHIN_MS / 3.0
 
 
-def test_a_watch_that_lasted_begins_the_back_off_anew() -> None:
-    asking, draw = Asking(WITHIN_MS), random.Random(1)
+def test_a_watch_that_lasted_resets_the_backoff() -> None:
+    schedule, draw = WatchSchedule(WITHIN_MS), random.Random(1)
     for _ in range(4):
-        asking.asks(0.0)
-        long = asking.failed(0.0, draw)
-    asking.asks(0.0)
-    asking.told(100.0)  # and never again: nothing changed while it lasted
-    ended = asking.failed(5_000.0, draw)
-    assert asking.failed(5_000.0, draw) is None  # a timer is set
-    asking.asks(6_000.0)
-    short = asking.failed(6_000.0, draw)
+        schedule.call_started(0.0)
+        long = schedule.call_failed(0.0, draw, WatchFailure.ENDED)
+    schedule.call_started(0.0)
+    schedule.list_received(100.0)  # and never again: nothing changed while it lasted
+    ended = schedule.call_failed(5_000.0, draw, WatchFailure.ENDED)
+    assert schedule.call_failed(5_000.0, draw, WatchFailure.ENDED) is None  # a timer is set
+    schedule.call_started(6_000.0)
+    short = schedule.call_failed(6_000.0, draw, WatchFailure.ENDED)
     assert long is not None and ended is not None and short is not None
     assert 500.0 <= ended <= 1000.0 and short <= 2000.0 < long
 
 
-def test_a_late_watch_and_a_refused_call_are_asked_for_again_in_time() -> None:
-    """What a late one misses counts as told within 6 s of its last line, and what a refused one does within
-    6 s of the service's return: the call made just before it may be refused 3 s later.  Where it is full and
-    not down, everybody waits as long as it needs for one call from each.
+def test_after_a_late_watch_or_a_refused_call_the_next_call_is_in_time() -> None:
+    """What a late one misses counts as received within 6 s of its last line, and what a refused one does
+    within 6 s of the service's return: the call made just before it may be refused 3 s later.  Where it is
+    full and not down, all wait as long as it needs for one call from each.
     """
     soonest = WITHIN_MS
     for seed in range(100):
-        asking, draw = Asking(WITHIN_MS), random.Random(seed)
-        asking.begin(draw)
-        asking.asks(0.0)
-        asking.told(20.0)
+        schedule, draw = WatchSchedule(WITHIN_MS), random.Random(seed)
+        schedule.first_delay(draw)
+        schedule.call_started(0.0)
+        schedule.list_received(20.0)
         for number in range(4):  # down for some 12 s, and every wait fits
-            asking.asks(number * 4_000.0)
-            wait = asking.failed(number * 4_000.0 + 3_000.0, draw, Lost.BUSY)
+            schedule.call_started(number * 4_000.0)
+            wait = schedule.call_failed(number * 4_000.0 + 3_000.0, draw, WatchFailure.BUSY)
             assert wait is not None and 150.0 <= wait <= 6_000.0 - 3_000.0, seed
-        asking.asks(16_000.0)
-        asking.told(16_020.0)
-        asking.asks(20_000.0)
-        asking.told(20_020.0)
-        wait = asking.failed(22_520.0, draw, Lost.LATE)
+        schedule.call_started(16_000.0)
+        schedule.list_received(16_020.0)
+        schedule.call_started(20_000.0)
+        schedule.list_received(20_020.0)
+        wait = schedule.call_failed(22_520.0, draw, WatchFailure.LATE)
         assert wait is not None and 0.0 <= wait <= 2_000.0, seed
         soonest = min(soonest, wait)
-        asking.asks(23_000.0)
-        wait = asking.failed(26_000.0, draw, Lost.BUSY)  # it has too many calls
+        schedule.call_started(23_000.0)
+        wait = schedule.call_failed(26_000.0, draw, WatchFailure.BUSY)  # it has too many calls
         assert wait is not None and WITHIN_MS / 10 <= wait <= WITHIN_MS, seed
     assert soonest < 100.0  # what has passed since the call is taken off
-    asking = Asking(60_000.0)
-    for number in range(6):  # a service that swallows all of them; however long the time for asking is
-        asking.asks(number * 3_100.0)
-        wait = asking.failed((number + 1) * 3_100.0, draw, Lost.LATE)
+    schedule = WatchSchedule(60_000.0)
+    for number in range(6):  # a service that swallows all of them; however long the time for schedule is
+        schedule.call_started(number * 3_100.0)
+        wait = schedule.call_failed((number + 1) * 3_100.0, draw, WatchFailure.LATE)
         assert wait is not None and wait <= 2_000.0
 
 
-class Worked:
-    """A service that takes more calls than it can answer in time, and works through those that gave up too:
-    while all ask as often as after a broken call, nobody ever gets an answer (seen on `join+disco+huge`).
-    `door`: it refuses at once who would wait for twice as long as it lets a call wait.
+class BacklogService:
+    """A service that takes more calls than it can complete in time, and works through abandoned ones too:
+    while all call as often as after a broken call, nobody ever gets a response (seen on `join+disco+huge`).
+    `door`: it refuses at once calls that would wait for twice as long as it lets a call wait.
     """
 
     def __init__(
@@ -163,22 +163,22 @@
 
     def play(self, seed: int, until: float) -> None:
         draw = random.Random(seed)
-        askers = [Asking(WITHIN_MS) for _ in range(self.proxies)]
-        for asking in askers if self.down_ms else ():
-            asking.asks(0.0)
-            asking.told(0.0)  # they had their watches before it went down
+        schedules = [WatchSchedule(WITHIN_MS) for _ in range(self.proxies)]
+        for schedule in schedules if self.down_ms else ():
+            schedule.call_started(0.0)
+            schedule.list_received(0.0)  # they had their watches before it went down
         free_at = 0.0
-        due = [(asking.begin(draw), n, "ask") for n, asking in enumerate(askers)]
+        due = [(schedule.first_delay(draw), n, "call") for n, schedule in enumerate(schedules)]
         heapq.heapify(due)
         while due and len(self.listed) < self.proxies:
             now, n, what = heapq.heappop(due)
             assert now < until, (len(self.listed), "seed", seed)
-            if what == "told":
-                askers[n].told(now)
+            if what == "listed":
+                schedules[n].list_received(now)
                 self.listed.append(now)
-            elif what == "ask":
+            elif what == "call":
                 self.calls += 1
-                askers[n].asks(now)
+                schedules[n].call_started(now)
                 if now < self.down_ms:
                     heapq.heappush(due, (now + self.timeout_ms, n, "busy"))
                     continue
@@ -187,19 +187,21 @@
                     continue
                 free_at = max(free_at, now) + self.call_ms
                 ends_at = min(free_at, now + self.timeout_ms)
-                heapq.heappush(due, (ends_at, n, "told" if free_at <= ends_at else "busy"))
+                heapq.heappush(due, (ends_at, n, "listed" if free_at <= ends_at else "busy"))
             else:
-                wait = askers[n].failed(now, draw, Lost.BUSY)
+                wait = schedules[n].call_failed(now, draw, WatchFailure.BUSY)
                 assert wait is not None
-                heapq.heappush(due, (now + wait, n, "ask"))
+                heapq.heappush(due, (now + wait, n, "call"))
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_service_that_works_for_callers_who_have_left_still_catches_up(seed: int) -> None:
-    service = Worked(41, 8_000.0, 2_000.0, door=True)
+def test_a_service_that_works_through_abandoned_calls_still_catches_up(seed: int) -> None:
+    service = BacklogService(41, 8_000.0, 2_000.0, door=True)
     service.play(seed, 90_000.0)
     assert service.calls <= 6 * service.proxies, (service.calls, "seed", seed)
-    service = Worked(41, 8_000.0, 2_000.0, door=False)  # as the one seen; it can take a call from each in 8 s
+    service = BacklogService(
+        41, 8_000.0, 2_000.0, door=False
+    )  # as the one seen; it can take a call from each in 8 s
     service.play(seed, 90_000.0)
     assert service.calls <= 9 * service.proxies, (service.calls, "seed", seed)
 
@@ -207,14 +209,14 @@
 @pytest.mark.parametrize("timeout_ms", [2_000.0, 3_000.0])
 @pytest.mark.parametrize("down_ms", [2_000.0, 5_000.0, 8_000.0, 12_000.0])
 @pytest.mark.parametrize(("proxies", "all_ms"), [(1, 200.0), (6, 1_200.0), (60, 2_500.0), (230, 2_500.0)])
-def test_once_a_service_is_back_everybody_is_told_in_time(
+def test_once_a_service_is_back_all_proxies_receive_the_list_in_time(
     proxies: int, all_ms: float, down_ms: float, timeout_ms: float
 ) -> None:
     """6 s, and the least grace on top that a deployment of ours has.  `all_ms`: of its time for one call from
     each, as it was seen on days at full size and at close range.
     """
     for seed in range(10):
-        service = Worked(proxies, all_ms, timeout_ms, door=False, down_ms=down_ms)
+        service = BacklogService(proxies, all_ms, timeout_ms, door=False, down_ms=down_ms)
         service.play(seed, 90_000.0)
         late = max(service.listed) - down_ms - 6_000.0
         assert late <= 250.0, (late, "seed", seed)
--- a/tests/balancer/test_weighted_turns.py
+++ b/tests/balancer/test_weighted_turns.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from heronreel.balancer.choice import PERIOD_MS, Balancer
+from heronreel.balancer import Balancer
 from heronreel.balancer.interface import (
     Arrival,
     BackendList,
@@ -13,6 +13,7 @@
     Settings,
     StartAttempt,
 )
+from heronreel.balancer.rates import PERIOD_MS
 from tests.balancer.strict_host import Host, fleet
 
 WORK = RequestClass("work", 500.0, 20000.0, effect=Effect.IDEMPOTENT)
@@ -25,7 +26,7 @@
 
 
 def firsts(host: Host) -> list[int]:
-    return [owed.attempts[0].backend for owed in host.owed.values() if owed.attempts]
+    return [request.attempts[0].backend for request in host.requests.values() if request.attempts]
 
 
 def test_equal_backends_take_even_turns() -> None:
@@ -49,7 +50,7 @@
     host.arrive(hint=3000.0)
     loaded = firsts(host)[0]
     host.run_to(host.now + 2 * PERIOD_MS)
-    later = [host.owed[host.arrive(hint=50.0)].attempts[0].backend for _ in range(2)]
+    later = [host.requests[host.arrive(hint=50.0)].attempts[0].backend for _ in range(2)]
     assert loaded not in later
 
 
@@ -57,8 +58,8 @@
     host = host_of(4)
     slow = 102
     for _ in range(1500):
-        for ident, attempt in host.out():
-            sent = host.owed[ident].attempts[attempt]
+        for ident, attempt in host.in_flight():
+            sent = host.requests[ident].attempts[attempt]
             if host.now >= sent.at + (480.0 if sent.backend == slow else 60.0):
                 host.end(ident, attempt, Outcome.SERVED)
         host.arrive(hint=50.0, left=20000.0)
@@ -67,14 +68,14 @@
     assert late[slow] * 3 < min(late[b] for b in (100, 101, 103))
 
 
-def test_errors_and_time_outs_teach_no_speed() -> None:
+def test_errors_and_timeouts_change_no_learned_speed() -> None:
     host = host_of(2)
-    before = [b.factor for b in host.balancer.backends.values()]
+    before = [b.cost_factor for b in host.balancer.endpoints.backends.values()]
     for outcome in (Outcome.ERROR, Outcome.TIMEOUT, Outcome.REJECTED, Outcome.RESET):
         ident = host.arrive()
         host.now += 900.0
         host.end(ident, 0, outcome)
-    assert [b.factor for b in host.balancer.backends.values()] == before
+    assert [b.cost_factor for b in host.balancer.endpoints.backends.values()] == before
 
 
 def test_the_same_events_give_the_same_actions() -> None:
@@ -92,7 +93,7 @@
 
 
 def weights(host: Host) -> list[float]:
-    return sorted(backend.weight for backend in host.balancer.backends.values())
+    return sorted(backend.weight for backend in host.balancer.endpoints.backends.values())
 
 
 def loaded(bookings: list[float], sends: float) -> Host:
@@ -100,11 +101,11 @@
     host = host_of(len(bookings))
     balancer = host.balancer
     host.run_to(host.now + 250.0)
-    balancer.sends.raw, balancer.sends.seen = sends, 1.0
-    balancer.service.raw, balancer.service.seen = sends * 100.0, 1.0
-    for backend, cost in zip(balancer.backends.values(), bookings, strict=True):
+    balancer.turns.sends.biased_mean, balancer.turns.sends.correction = sends, 1.0
+    balancer.turns.booked_work.biased_mean, balancer.turns.booked_work.correction = sends * 100.0, 1.0
+    for backend, cost in zip(balancer.endpoints.backends.values(), bookings, strict=True):
         backend.board.queue.append((host.now + PERIOD_MS, cost))
-        balancer.busy[backend.info.backend] = None
+        balancer.endpoints.booked[backend.info.backend] = None
     return host
 
 
@@ -113,14 +114,14 @@
     host.run_to(host.now + PERIOD_MS)
     lowered = weights(host)
     assert max(lowered) == 0.0
-    loads = sorted(-backend.load for backend in host.balancer.backends.values())
+    loads = sorted(-backend.load for backend in host.balancer.endpoints.backends.values())
     assert lowered == [load - max(loads) for load in loads]
 
 
 def test_a_spread_beyond_tdiff_is_compressed_to_it_in_proportion() -> None:
     host = loaded([0.0, 4000.0, 8000.0], sends=3.0)
     host.run_to(host.now + PERIOD_MS)
-    tdiff = host.balancer.sends.mean / 3
+    tdiff = host.balancer.turns.sends.mean / 3
     lowest, middle, highest = weights(host)
     assert highest == 0.0
     assert abs(lowest + tdiff) < 1e-9
@@ -133,14 +134,14 @@
     used = []
     for _ in range(requests):
         ident = host.arrive()
-        used.append(host.owed[ident].attempts[0].backend)
+        used.append(host.requests[ident].attempts[0].backend)
         host.run_to(host.now + took)
         host.end(ident, 0, Outcome.SERVED, 20.0)
         host.run_to(host.now + pause)
     return used
 
 
-def test_of_near_equals_the_one_that_served_lately_takes_the_turn() -> None:
+def test_of_near_equals_the_one_with_an_open_connection_takes_the_turn() -> None:
     """Its connection is open; one more to another backend would stand in a table that all proxies share."""
     host = Host(Settings((WORK,), max_attempts=3))
     host.listed(ListKind.CACHED, *fleet(6))
@@ -150,10 +151,10 @@
     last = used[-1]
     ident = host.arrive()
     host.end(ident, 0, Outcome.REJECTED, 1.0)
-    first, second = host.owed[ident].attempts
+    first, second = host.requests[ident].attempts
     assert first.backend != last and second.backend != first.backend  # it is long ago: the turns go on
 
 
-def test_who_served_lately_is_passed_over_once_it_has_much_more_booked() -> None:
+def test_an_open_connection_loses_to_a_much_less_booked_backend() -> None:
     used = served(host_of(6), 12, took=0.0, pause=0.0)
     assert len(set(used)) == 6, used
