--- a/bench/added_cost.py
+++ b/bench/added_cost.py
@@ -78,7 +78,7 @@
     told = parser.parse_args()
     file = load(text_of(told.routes).encode())
     settings, router = settings_of(file), Router(file)
-    assert len(members_of(file).entries) == 24
+    assert len(members_of(file).endpoints) == 24
     names = [f"r{n}".encode() for n in range(told.routes)]
     classes = {klass.name: klass for klass in settings.classes}
     klass = next(iter(classes))
--- a/heronreel/metering/counter.py
+++ b/heronreel/metering/counter.py
@@ -52,27 +52,27 @@
         self.place = self.open_book.book.begin(self.tenant)
         self.counter.points.reach("count")
 
-    def answer(self, status: int, lines: bytes, body: bytes = b"") -> None:
+    def respond(self, status: int, header_lines: bytes, body: bytes = b"") -> None:
         self._begin()
-        self.client.answer(status, lines, body)
+        self.client.respond(status, header_lines, body)
         self.counter.handed_over(self, kind_of(status))
 
-    def begin(self, link: Any, answer: Any, length: int | None) -> Any:
+    def begin_stream(self, connection: Any, start: Any, length: int | None) -> Any:
         """A long answer is under way for as long as its client takes, and unknown if we end meanwhile."""
-        taker = self.client.begin(link, answer, length)
+        taker = self.client.begin_stream(connection, start, length)
         if taker is not None:
             self._begin()
         return taker
 
-    def finish(self) -> None:
-        self.client.finish()
+    def finish_stream(self) -> None:
+        self.client.finish_stream()
         self.counter.handed_over(self, SERVED)
 
-    def has_left(self) -> bool:
-        return bool(self.client.has_left())
+    def has_disconnected(self) -> bool:
+        return bool(self.client.has_disconnected())
 
-    def cut(self) -> None:
-        self.client.cut()
+    def abort_stream(self) -> None:
+        self.client.abort_stream()
         self.counter.handed_over(self, FAILED)
 
 
--- a/heronreel/proxy/__main__.py
+++ b/heronreel/proxy/__main__.py
@@ -1,4 +1,4 @@
-"""Start, SIGHUP, SIGTERM and exit code of one real proxy."""
+"""The proxy's process: start, reload on SIGHUP, graceful shutdown on SIGTERM, and the exit status."""
 
 from __future__ import annotations
 
@@ -15,19 +15,27 @@
 
 import uvloop
 
-from heronreel.proxy.clients import Clients
-from heronreel.proxy.config import Config, ConfigError, load
-from heronreel.proxy.http1 import log_to_stderr
-from heronreel.proxy.proxy import Proxy
-from heronreel.proxy.shared import Shared
+from heronreel.proxy.client_listener import ClientListener
+from heronreel.proxy.config import Config, load
+from heronreel.proxy.dispatcher import Dispatcher
+from heronreel.proxy.errors import ConfigError
+from heronreel.proxy.logs import log_to_stderr
+from heronreel.proxy.shared_state import SharedState
 
-KNOWN_S = 3.0  # a successor waits so long for discovery; it is due to serve within 6 s
-PUSHED_S = 1.0  # and a process whose agent has the list, which answers at once unless discovery is down
+SUCCESSOR_LIST_TIMEOUT_S = 3.0  # that a successor waits for discovery; it must serve within 6 s
+PUSHED_LIST_TIMEOUT_S = 1.0  # and a process whose agent has the list, which responds unless discovery is down
+POLL_INTERVAL_S = 0.02
+EXIT_UNUSABLE = 2  # a configuration or an address that can't be used
 
 log = logging.getLogger(__name__)
 
 
 async def serve(config: Config) -> None:
+    """Serve until SIGTERM or SIGINT, then drain.
+
+    Raises:
+        OSError: An address can't be bound.
+    """
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(_log_exception)
     stop, reload = asyncio.Event(), asyncio.Event()
@@ -35,82 +43,83 @@
         loop.add_signal_handler(number, stop.set)
     # before anything else: what SIGHUP does by default is end the process
     loop.add_signal_handler(signal.SIGHUP, reload.set)
-    proxy = Proxy(loop, config)
-    clients = Clients(loop, config, proxy)
-    inherited, shared = _inherited(os.environ), _shared(os.environ, config)
+    dispatcher = Dispatcher(loop, config)
+    clients = ClientListener(loop, config, dispatcher)
+    inherited, shared = inherited_descriptor(os.environ), open_shared_state(os.environ, config)
     ready = asyncio.Event()
-    if config.mgmt:
-        await _take_orders(loop, config.mgmt, proxy, clients, shared, ready)
-    if inherited is not None and shared and shared.others():
-        await _known_to(proxy, KNOWN_S)  # the predecessor serves until we know as much as it does
+    if config.admin_address:
+        await _start_admin_api(loop, config.admin_address, dispatcher, clients, shared, ready)
+    if inherited is not None and shared and shared.other_processes():
+        # the predecessor serves until we know as much as it does
+        await _wait_for_list(dispatcher, SUCCESSOR_LIST_TIMEOUT_S)
     elif config.discovery and not config.settings.watch_list:
-        # guards rule 3: what the agent has counts as told from our first moment on, and `known` may be old
-        await _known_to(proxy, PUSHED_S)
+        # guards rule 3: what the agent has counts as notified from our first moment on; `known` may be old
+        await _wait_for_list(dispatcher, PUSHED_LIST_TIMEOUT_S)
     log.info("listening on %s:%d", *await clients.listen(config.listen, inherited))
     ready.set()
     gc.collect()
     gc.freeze()  # what lives as long as the process need not be searched again
-    reloading = loop.create_task(_reloads(reload, proxy, clients))
+    reloading = loop.create_task(_reload_on(reload, dispatcher, clients))
     await stop.wait()
     if shared:
-        shared.resign()
-    await clients.drain(succeeded=inherited is not None and bool(shared and shared.others()))
+        shared.unregister_process()
+    await clients.drain(has_successor=inherited is not None and bool(shared and shared.other_processes()))
     reloading.cancel()
 
 
-def _inherited(environ: Mapping[str, str]) -> int | None:
+def inherited_descriptor(environ: Mapping[str, str]) -> int | None:
     """The descriptor of a listening socket that whoever started us holds open for our successors too."""
     number = environ.get("LB_ACCEPT_FD", "")
     return int(number) if number.isascii() and number.isdigit() else None
 
 
-def _shared(environ: Mapping[str, str], config: Config) -> Shared | None:
-    """What this proxy's processes share; only where operators call, and where there is a folder for it."""
-    if not config.mgmt or not environ.get("TMPDIR"):
+def open_shared_state(environ: Mapping[str, str], config: Config) -> SharedState | None:
+    """What this proxy's processes share; only where there is an admin API, and a folder for it."""
+    if not config.admin_address or not environ.get("TMPDIR"):
         return None
     try:
-        shared = Shared(Path(environ["TMPDIR"]) / f"heronreel-{config.name}")
-        shared.enrol()
+        shared = SharedState(Path(environ["TMPDIR"]) / f"heronreel-{config.name}")
+        shared.register_process()
     except OSError as error:
-        log.error("shared folder: %s; holds end with this process", error)
+        log.error("shared folder: %s; cordons end with this process", error)
         return None
     return shared
 
 
-async def _take_orders(
+async def _start_admin_api(
     loop: asyncio.AbstractEventLoop,
     address: tuple[str, int],
-    proxy: Proxy,
-    clients: Clients,
-    shared: Shared | None,
+    dispatcher: Dispatcher,
+    clients: ClientListener,
+    shared: SharedState | None,
     ready: asyncio.Event,
 ) -> None:
     # only here: a proxy that nobody calls need not load it
-    from heronreel.proxy.operators import Operators, Orders
+    from heronreel.proxy.admin_api import AdminCommands, AdminServer
 
-    orders = Orders(loop, proxy, clients, shared)
-    orders.look()  # before the first request: what was held stays held
-    operators = Operators(
-        loop, lambda: ready.is_set() and not clients.draining and proxy.serves(), orders.carry_out
+    commands = AdminCommands(loop, dispatcher, clients, shared)
+    commands.synchronize()  # before the first request: what was cordoned stays cordoned
+    server = AdminServer(
+        loop, lambda: ready.is_set() and not clients.draining and dispatcher.is_serving(), commands.execute
     )
-    log.info("operators call %s:%d", *await operators.listen(address))
+    log.info("admin API on %s:%d", *await server.listen(address))
 
 
-async def _known_to(proxy: Proxy, most_s: float) -> None:
-    """Until discovery has told a list, and at least some member is on it; `most_s` at most."""
-    ends_at = time.monotonic() + most_s
-    while not (proxy.heard and proxy.serves()) and time.monotonic() < ends_at:
-        await asyncio.sleep(0.02)
+async def _wait_for_list(dispatcher: Dispatcher, timeout_s: float) -> None:
+    """Until discovery has sent a list with at least one backend on it; `timeout_s` at most."""
+    ends_at = time.monotonic() + timeout_s
+    while not (dispatcher.has_list and dispatcher.is_serving()) and time.monotonic() < ends_at:
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def _reloads(asked: asyncio.Event, proxy: Proxy, clients: Clients) -> None:
+async def _reload_on(requested: asyncio.Event, dispatcher: Dispatcher, clients: ClientListener) -> None:
     """Take a new configuration on SIGHUP, as a whole or not at all; signals that come together count once."""
     while True:
-        await asked.wait()
-        asked.clear()
+        await requested.wait()
+        requested.clear()
         try:
             config = load(os.environ)
-            proxy.reload(config)
+            dispatcher.reload(config)
             clients.reload(config)
         except ConfigError as error:
             log.error("reload: %s; the old configuration stays in force", error)
@@ -126,17 +135,18 @@
 
 
 def main() -> int:
+    """Run the proxy that the environment describes; the exit status."""
     try:
         config = load(os.environ)
     except ConfigError as error:
         print(f"heronreel: {error}", file=sys.stderr)
-        return 2
+        return EXIT_UNUSABLE
     log_to_stderr(config.name)
     try:
         uvloop.run(serve(config))
     except OSError as error:
         print(f"heronreel: LB_LISTEN: {error}", file=sys.stderr)
-        return 2
+        return EXIT_UNUSABLE
     return 0
 
 
--- /dev/null
+++ b/heronreel/proxy/backend_registry.py
@@ -0,0 +1,138 @@
+"""The backends that this proxy knows, as the endpoint list and operators' cordons have them."""
+
+from __future__ import annotations
+
+import hashlib
+import logging
+import time
+from collections.abc import Callable
+
+from heronreel.balancer import interface as api
+from heronreel.proxy.backend_connection import Backend
+from heronreel.proxy.connection_pool import ConnectionPool
+from heronreel.proxy.endpoints import Endpoint, EndpointList
+from heronreel.proxy.shared_state import Cordon
+
+log = logging.getLogger(__name__)
+
+
+def stable_number(name: bytes) -> int:
+    """A number for a name, the same at all proxies; 53 bits, as the simulator's keys have."""
+    return int.from_bytes(hashlib.blake2b(name, digest_size=8).digest()) >> 11
+
+
+class BackendRegistry:
+    """The backends by number.  Each change is dispatched to the balancer as an event."""
+
+    def __init__(
+        self, pool: ConnectionPool, dispatch: Callable[[api.Event], None], merges_file: bool
+    ) -> None:
+        self.pool = pool
+        self.dispatch = dispatch
+        self.merges_file = merges_file  # a file's endpoints stand beside those of discovery, if there are any
+        self.backends: dict[int, Backend] = {}
+        self.numbers: dict[str, int] = {}  # by name
+        self.cordons: dict[str, Cordon] = {}  # by name: in force, and released
+
+    def is_serving(self) -> bool:
+        """Whether any backend may get requests."""
+        return any(backend.listed for backend in self.backends.values())
+
+    def knows(self, name: str) -> bool:
+        """Whether any backend has that name, or had when it was cordoned."""
+        return name in self.numbers or name in self.cordons
+
+    def forget_if_unused(self, backend: Backend) -> None:
+        """Drop a backend that has left, once nothing is in flight to it."""
+        if not backend.listed and not backend.in_flight and self.backends.get(backend.number) is backend:
+            del self.backends[backend.number], self.numbers[backend.name]
+
+    def _number_for(self, name: str) -> int:
+        number = self.numbers.get(name)
+        if number is not None:
+            return number
+        number = stable_number(name.encode())
+        while number in self.backends:  # another name's number
+            number = stable_number(b"%d" % number)
+        return number
+
+    # Cordons.
+
+    def apply_cordons(self, cordons: dict[str, Cordon]) -> None:
+        """Carry out what operators have asked since the last time, from this process or the other."""
+        for name, cordon in cordons.items():
+            if cordon != self.cordons.get(name):
+                self._apply_cordon(cordon)
+        for name in [name for name, old in self.cordons.items() if old.released_ms and name not in cordons]:
+            del self.cordons[name]  # long enough ago; a cordon ends by its release alone
+
+    def _apply_cordon(self, cordon: Cordon) -> None:
+        number, in_force = self._number_for(cordon.name), not cordon.released_ms
+        self.cordons[cordon.name] = cordon
+        log.info("%s %s", "cordoned" if in_force else "uncordoned", cordon.name)
+        backend = self.backends.get(number)
+        if backend:
+            backend.cordoned = in_force
+            self.pool.close_idle(backend)  # cordoned, or restarted since
+        if in_force:
+            self.dispatch(api.HoldBackend(number, cordon.since_ms))
+            return
+        self.dispatch(api.ReleaseBackend(number, cordon.since_ms, cordon.released_ms))
+        if backend:
+            self.forget_if_unused(backend)
+
+    # The endpoint list.
+
+    def update(self, endpoints: EndpointList, kind: api.ListKind, from_file: bool = False) -> None:
+        """Take a list, or the changes of one."""
+        infos = [self._update_endpoint(endpoint) for endpoint in endpoints.endpoints]
+        if endpoints.is_snapshot:
+            listed = {info.backend for info in infos}
+            missing = [backend for backend in self.backends.values() if backend.number not in listed]
+            for backend in missing:
+                if not self.merges_file:
+                    self._start_draining(backend)
+                # a file's list says nothing of discovery's endpoints, nor discovery's of the file's
+                elif (backend.pool != "") == from_file:
+                    infos.append(api.BackendInfo(backend.number, api.State.GONE, pool=backend.pool))
+                    self._start_draining(backend)
+        if self.merges_file and kind is api.ListKind.FULL:
+            kind = api.ListKind.CHANGES
+        self.dispatch(api.BackendList(kind, infos))
+
+    def _update_endpoint(self, endpoint: Endpoint) -> api.BackendInfo:
+        number = self._number_for(endpoint.name)
+        backend = self.backends.get(number)
+        if endpoint.state is not api.State.UP or endpoint.address is None:
+            if backend:
+                self._start_draining(backend)
+        elif backend is None:
+            self._add(number, endpoint, endpoint.address)
+        else:
+            backend.listed = True
+            if (backend.address, backend.since_ms) != (endpoint.address, endpoint.since_ms):
+                backend.address, backend.since_ms = endpoint.address, endpoint.since_ms
+                self.pool.close_idle(backend)  # they lead to what it was before
+        return api.BackendInfo(
+            number,
+            endpoint.state,
+            endpoint.zone,
+            endpoint.kind,
+            endpoint.cell,
+            endpoint.weight,
+            endpoint.since_ms,
+            endpoint.pool,
+        )
+
+    def _add(self, number: int, endpoint: Endpoint, address: tuple[str, int]) -> None:
+        self.numbers[endpoint.name] = number
+        backend = Backend(number, endpoint.name, address, endpoint.since_ms, endpoint.pool)
+        cordon = self.cordons.get(endpoint.name)
+        backend.cordoned = cordon is not None and not cordon.released_ms
+        self.backends[number] = backend
+
+    def _start_draining(self, backend: Backend) -> None:
+        if backend.listed:
+            backend.listed, backend.draining_since = False, time.monotonic()
+            self.pool.close_idle(backend)
+            self.forget_if_unused(backend)
--- /dev/null
+++ b/heronreel/proxy/client_connection.py
@@ -0,0 +1,523 @@
+"""One client connection: it reads one request at a time and writes the responses in order.
+
+A request is handed on when its last byte is read.  What is malformed or too large is rejected here and the
+connection ends; what finds no room is rejected before anything ran.  No connection waits without end: each
+has a time by which its next step is due.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import math
+import time
+from collections import deque
+from typing import cast
+
+import httptools
+
+from heronreel.proxy.backend_connection import BackendConnection, Response, ResponseBodySink
+from heronreel.proxy.client_interface import (
+    IDLE_TIMEOUT_S,
+    LARGE_BODY_SHARE,
+    LINGER_S,
+    MAX_BODY_PAUSE_S,
+    MAX_FRAMING_BYTES,
+    MAX_HEADER_FIELDS,
+    MAX_LINGER_BYTES,
+    MAX_PIPELINED,
+    MAX_UPLOAD_PAUSE_S,
+    MIN_BODY_BYTES_PER_S,
+    REQUEST_TIMEOUT_S,
+    SMALL_BODY_BYTES,
+    WRITE_TIMEOUT_S,
+    ConnectionRegistry,
+    Phase,
+    ReadRequest,
+)
+from heronreel.proxy.errors import UnreadableMessageError
+from heronreel.proxy.http1 import (
+    CONTINUE,
+    DATE_LINE,
+    MAX_HEAD_BYTES,
+    MAX_TARGET_BYTES,
+    OPTIONAL_WHITESPACE,
+    Headers,
+    absolute_form,
+    is_host,
+    response_head,
+)
+from heronreel.proxy.request import Request, RequestHead
+from heronreel.proxy.request_validation import (
+    MAX_NUMBER_DIGITS,
+    VERSIONS,
+    Fields,
+    is_well_framed,
+    read_request_head,
+)
+from heronreel.proxy.socket_state import has_unread_input, peer_has_closed
+from heronreel.proxy.streams import (
+    LAST_CHUNK,
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_REQUEST_BYTES,
+    RequestBodyStream,
+    encode_chunk,
+)
+
+
+class ClientConnection(asyncio.Protocol):
+    """One client connection."""
+
+    __slots__ = (
+        "admitted", "body", "body_bytes", "chunked", "close_after_response", "declared_length", "due_at",
+        "error_status", "head", "header_bytes", "headers", "is_http10", "listener", "parser", "phase",
+        "pipelined", "progress_bytes", "reading_paused", "request", "response_source", "started_at", "target",
+        "transport", "upload", "writing_paused",
+    )  # fmt: skip
+
+    def __init__(self, listener: ConnectionRegistry[ClientConnection]) -> None:
+        self.listener = listener
+        self.transport: asyncio.Transport
+        self.parser = httptools.HttpRequestParser(self)
+        self.phase = Phase.IDLE
+        self.target = b""
+        self.headers: Headers = []
+        self.body: bytes | bytearray = b""
+        self.head: RequestHead | None = None  # of the request being read; None: it is answered here
+        self.error_status = 0  # that a request being read will be answered with
+        # bytes of the head, or since the body last came on; after the last response, of anything
+        self.progress_bytes = 0
+        self.header_bytes = self.body_bytes = 0
+        self.pipelined: deque[ReadRequest] = deque()
+        self.request: Request | None = None
+        self.upload: RequestBodyStream | None = None  # the body being read, where it is forwarded as it comes
+        self.declared_length = 0  # of the body; 0: the head does not say
+        self.reading_paused = False  # nobody takes what we read of a long body
+        self.response_source: BackendConnection | None = None  # of the response being forwarded
+        self.chunked = False  # that response is sent in chunks
+        self.is_http10 = False  # the request being answered is of HTTP/1.0
+        self.close_after_response = False  # no request after this one
+        self.writing_paused = False
+        self.started_at = time.monotonic()  # of the request being read; infinite between requests
+        self.due_at = self.started_at + REQUEST_TIMEOUT_S  # of the connection's next step
+        self.admitted = True
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Have the connection counted."""
+        self.transport = cast(asyncio.Transport, transport)
+        self.listener.silent[self] = None
+        self.admitted = self.listener.admit(self)
+
+    # Reading.  A callback that raises ends the parsing of what came; `error_status` tells how to answer.
+
+    def data_received(self, data: bytes) -> None:
+        """Parse more of the requests."""
+        self.listener.silent.pop(self, None)
+        self.progress_bytes += len(data)
+        if self.phase is Phase.CLOSING:
+            if self.progress_bytes > MAX_LINGER_BYTES:
+                self.transport.pause_reading()  # guards our time: 60 MB need not be read to be rejected
+            return
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserUpgrade:
+            self.close_after_response = True  # no other protocol is spoken here; what follows can't be read
+        except httptools.HttpParserError:
+            self._on_unreadable()
+            return
+        if self.progress_bytes > MAX_HEAD_BYTES and self.phase is Phase.HEAD:
+            self._reject(431)
+        elif self.progress_bytes > MAX_HEAD_BYTES + MAX_FRAMING_BYTES:  # guards memory
+            self._reject(400)
+
+    def _on_unreadable(self) -> None:
+        if self._is_closing():
+            return  # answered while its body was still coming
+        if self.phase is Phase.IDLE and self.close_after_response:
+            self.transport.pause_reading()  # its last request was read; nothing that follows is wanted
+        else:
+            self._reject(self.error_status or 400)
+
+    def _is_closing(self) -> bool:
+        """Whether nothing more is read but to be dropped."""
+        return self.phase is Phase.CLOSING
+
+    def on_message_begin(self) -> None:
+        """Parser callback: a request begins."""
+        if self.phase is Phase.CLOSING:
+            raise UnreadableMessageError
+        self.listener.idle.pop(self, None)
+        if self.started_at == math.inf:  # the first request's time began with the connection
+            self.started_at = time.monotonic()
+        self.target, self.headers, self.body = b"", [], b""
+        self.head, self.error_status = None, 0
+        self.header_bytes, self.body_bytes, self.declared_length = 0, 0, 0
+        self.phase = Phase.HEAD
+        self.due_at = self.started_at + REQUEST_TIMEOUT_S
+
+    def on_url(self, url: bytes) -> None:
+        """Parser callback: more of the target."""
+        self.target += url
+        if len(self.target) > MAX_TARGET_BYTES:
+            self._refuse(414)
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Parser callback: one header or trailer field."""
+        self.header_bytes += len(name) + len(value) + 4
+        if self.header_bytes > MAX_HEAD_BYTES or len(self.headers) >= MAX_HEADER_FIELDS:
+            self._refuse(431)
+        if self.phase is Phase.HEAD:
+            self.headers.append((name.lower(), value.rstrip(OPTIONAL_WHITESPACE)))
+
+    def _refuse(self, status: int) -> None:
+        """End the parsing; the request is answered with that status."""
+        self.error_status = status
+        raise UnreadableMessageError
+
+    def on_headers_complete(self) -> None:
+        """Parser callback: check the head."""
+        self.phase = Phase.BODY
+        if len(self.target) + self.header_bytes > MAX_HEAD_BYTES:
+            self._refuse(431)
+        self.progress_bytes = 0
+        version = self.parser.get_http_version()
+        if version not in VERSIONS:
+            self._refuse(505)  # RFC 9110, 15.6.6; HTTP/0.9 too, which the parser reads
+        fields = dict(self.headers)
+        if not is_well_framed(self.headers, fields, version):
+            self._refuse(400)
+        if version == "1.0":
+            self.close_after_response = True  # RFC 9112, 9.3: no proxy keeps a connection of HTTP/1.0
+        if absolute := absolute_form(self.target):
+            self._take_authority(*absolute)
+            fields[b"host"] = absolute[0]
+        self._take_length(fields.get(b"content-length", b"0"))
+        if not self.parser.should_keep_alive():
+            self.close_after_response = True
+        self._take_head(fields, version)
+        if version == "1.1" and fields.get(b"expect", b"").lower() == b"100-continue" and not self.request:
+            self._continue()
+
+    def _take_authority(self, authority: bytes, target: bytes) -> None:
+        """RFC 9112, 3.2.2: what the target names counts, whatever the Host field says."""
+        if not authority or not is_host(authority):
+            self._refuse(400)
+        self.target = target
+        self.headers = [(name, value) for name, value in self.headers if name != b"host"]
+        self.headers.append((b"host", authority))
+
+    def _take_length(self, length: bytes) -> None:
+        if not length.isdigit():
+            self._refuse(400)
+        if len(length) > MAX_NUMBER_DIGITS or int(length) > MAX_BODY_BYTES:
+            self._refuse(413)
+        self.declared_length = int(length)
+
+    def _take_head(self, fields: Fields, version: str) -> None:
+        listener = self.listener
+        found = read_request_head(
+            listener.dispatcher,
+            listener.is_ready,
+            self.parser.get_method(),
+            self.target,
+            self.headers,
+            fields,
+            version,
+        )
+        if isinstance(found, RequestHead):
+            found.is_http10 = version == "1.0"
+            self.head = found
+            return
+        self.error_status = found
+        if 400 <= found < 500:
+            self._refuse(found)  # the body need not come
+
+    def _continue(self) -> None:
+        """RFC 9110, 10.1.1: the client waits with its body; HTTP/1.0 has no interim responses."""
+        if self.error_status or not self.admitted:
+            self._refuse(self.error_status or 503)
+        self.transport.write(CONTINUE)
+
+    def on_body(self, data: bytes) -> None:
+        """Parser callback: buffer more of the body, or forward it."""
+        if self.phase is Phase.CLOSING:
+            raise UnreadableMessageError  # answered while it came
+        self.body_bytes += len(data)
+        self.progress_bytes = 0
+        if self.body_bytes > MAX_BODY_BYTES:
+            self._refuse(413)
+        if self.body_bytes > SMALL_BODY_BYTES:
+            self._extend_due_time()
+        if self.error_status:
+            return
+        if self.upload:
+            self.upload.feed(data)
+            return
+        self._buffer_body(data)
+        # guards rule 1: one that found no room has lost its first bytes, and its rest is nobody's
+        if not self.error_status and (
+            self.body_bytes > MAX_BUFFERED_REQUEST_BYTES or self.declared_length > MAX_BUFFERED_REQUEST_BYTES
+        ):
+            self._start_upload()
+
+    def _extend_due_time(self) -> None:
+        """A large body may take as long as it comes on at the minimum rate."""
+        now = time.monotonic()
+        first_due_at = self.started_at + REQUEST_TIMEOUT_S
+        at_minimum_rate = first_due_at + self.body_bytes / MIN_BODY_BYTES_PER_S
+        self.due_at = max(first_due_at, min(now + MAX_BODY_PAUSE_S, at_minimum_rate))
+
+    def _buffer_body(self, data: bytes) -> None:
+        share = 1.0 if self.body_bytes <= SMALL_BODY_BYTES else LARGE_BODY_SHARE
+        if not self.admitted or not self.listener.dispatcher.budget.reserve(len(data), share):
+            self._drop_body()
+            self.error_status = 503  # nothing of it ran; the client reads so once its body is out
+        elif not self.body:
+            self.body = data
+        else:
+            if isinstance(self.body, bytes):
+                self.body = bytearray(self.body)
+            self.body += data
+
+    def _drop_body(self) -> None:
+        self.listener.dispatcher.budget.release(len(self.body))
+        self.body = b""
+
+    def _start_upload(self) -> None:
+        """A body too long to be buffered goes on to a backend while it comes."""
+        dispatcher, head = self.listener.dispatcher, self.head
+        duplicate = head is not None and head.request_id and head.request_id in dispatcher.request_ids
+        if self.request or self.pipelined or head is None or duplicate:
+            self._drop_body()
+            self.error_status = 503 if self.request or self.pipelined else 400
+            return
+        body, self.body = bytes(self.body), b""
+        if self.declared_length:
+            head.data += b"content-length: %d\r\n" % self.declared_length
+        else:
+            head.data += b"transfer-encoding: chunked\r\n"
+        self.is_http10 = head.is_http10
+        self.upload = RequestBodyStream(self, dispatcher.budget, body, not self.declared_length)
+        request = dispatcher.submit(self, head, b"", self.upload)
+        if request.finished:
+            raise UnreadableMessageError
+        self.request = request
+
+    def set_reading_paused(self, paused: bool) -> None:
+        """Nobody takes what we read of a long body, or somebody does again."""
+        if paused == self.reading_paused or self.phase is not Phase.BODY or self.transport.is_closing():
+            return
+        self.reading_paused = paused
+        if paused:
+            self.due_at = time.monotonic() + MAX_UPLOAD_PAUSE_S
+            self.transport.pause_reading()
+        else:
+            self.due_at = time.monotonic() + MAX_BODY_PAUSE_S
+            self.transport.resume_reading()
+
+    def on_message_complete(self) -> None:
+        """Parser callback: hand the request on, or keep it until the one before it has its response."""
+        if self.phase is Phase.CLOSING:
+            raise UnreadableMessageError
+        self.phase, self.progress_bytes, self.due_at, self.started_at = Phase.IDLE, 0, math.inf, math.inf
+        if self.upload:
+            self._finish_upload(self.upload)
+            return
+        read = ReadRequest(self.head, self.error_status, self.body)
+        self.body, self.headers, self.head, self.target = b"", [], None, b""
+        if self.request is None and not self.pipelined:
+            self._serve(read)
+        elif len(self.pipelined) < MAX_PIPELINED:
+            self.pipelined.append(read)
+            self.transport.pause_reading()  # one at a time; so it can't be seen leaving until then
+        else:
+            self.listener.dispatcher.budget.release(len(read.body))
+            self._refuse(429)
+
+    def _finish_upload(self, upload: RequestBodyStream) -> None:
+        self.upload, self.head = None, None
+        upload.finish()
+        if self.request:
+            self.listener.dispatcher.upload_finished(self.request)
+
+    def _serve(self, read: ReadRequest) -> None:
+        dispatcher = self.listener.dispatcher
+        head, status, body = read
+        if not self.admitted:
+            status, self.close_after_response = status or 503, True
+        if head and not status and head.request_id and head.request_id in dispatcher.request_ids:
+            status = 400  # guards rules 1 and 2: the id of an open request tells which response is whose
+        if head is None or status:
+            dispatcher.budget.release(len(body))
+            # a client that can't send a valid request need not send another one here
+            self.close_after_response = self.close_after_response or 400 <= status < 500
+            self.respond(status or 400, DATE_LINE.now())
+            return
+        # a body of the framing that backends get: always its length
+        if body or head.is_write:
+            head.data += b"content-length: %d\r\n" % len(body)
+        self.is_http10 = head.is_http10
+        request = dispatcher.submit(self, head, body)
+        self.request = None if request.finished else request
+
+    def _serve_pipelined(self) -> None:
+        if self.pipelined and self.request is None and not self.transport.is_closing():
+            read = self.pipelined.popleft()
+            if not self.pipelined and self.phase is not Phase.CLOSING and not self.writing_paused:
+                self.transport.resume_reading()
+            self._serve(read)
+
+    # Responding.
+
+    def respond(self, status: int, header_lines: bytes, body: bytes = b"") -> None:
+        """Send the whole response."""
+        self.close_after_response = self.close_after_response or self.listener.is_closing_connections()
+        if self.upload:  # its body still comes, and nobody wants the rest
+            self.upload, self.close_after_response = None, True
+            self.phase = Phase.CLOSING
+            if self.reading_paused:
+                self.reading_paused = False
+                self.transport.resume_reading()  # to be dropped
+        close = self.close_after_response and not self.pipelined
+        self.transport.write(response_head(status, header_lines, len(body), close) + body)
+        self._on_responded()
+
+    def _on_responded(self) -> None:
+        self.request = None
+        if self.pipelined:
+            self.listener.loop.call_soon(self._serve_pipelined)
+        elif self.close_after_response:
+            self._linger()
+        elif self.phase is Phase.IDLE:
+            self.due_at = time.monotonic() + IDLE_TIMEOUT_S
+            self.listener.idle[self] = None
+
+    def begin_stream(
+        self, connection: BackendConnection, start: Response, length: int | None
+    ) -> ResponseBodySink | None:
+        """Take a long response as it comes; `length` None: its head does not say."""
+        if self.transport.is_closing() or self.upload:
+            return None
+        self.chunked = length is None and not self.is_http10
+        ends_with_connection = length is None and self.is_http10
+        self.close_after_response = (
+            self.close_after_response or self.listener.is_closing_connections() or ends_with_connection
+        )
+        self.response_source = connection
+        close = self.close_after_response and not self.pipelined
+        self.transport.write(response_head(start.status, start.header_lines, length, close, self.chunked))
+        self.write_body(start.body)
+        return self
+
+    def write_body(self, data: bytes) -> None:
+        """Send more of a long response."""
+        if data:
+            self.transport.write(encode_chunk(data) if self.chunked else data)
+
+    def finish_stream(self) -> None:
+        """The last byte of a long response was sent."""
+        self.response_source = None
+        if self.chunked:
+            self.transport.write(LAST_CHUNK)
+        self._on_responded()
+
+    def abort_stream(self) -> None:
+        """A long response can't be finished: an end without its last byte says so."""
+        self.response_source = None
+        self.transport.abort()
+
+    def has_disconnected(self) -> bool:
+        """Whether the client is gone: one that ends its sending is, whether the connection is read or not."""
+        if not peer_has_closed(self.transport):
+            return False
+        self.transport.abort()
+        return True
+
+    def pause_writing(self) -> None:
+        """The client reads too slowly: nothing more is read from it until it has caught up."""
+        self.writing_paused = True
+        self.due_at = time.monotonic() + WRITE_TIMEOUT_S
+        self.transport.pause_reading()
+        if self.response_source:
+            self.response_source.set_reading_paused(True)
+
+    def resume_writing(self) -> None:
+        """The client has caught up."""
+        self.writing_paused = False
+        self.due_at = math.inf if self.request else time.monotonic() + LINGER_S
+        if not self.pipelined and not self.reading_paused:
+            self.transport.resume_reading()
+        if self.response_source:
+            self.response_source.set_reading_paused(False)
+
+    def _reject(self, status: int) -> None:
+        """Answer what can't be served.  Responses owed for what came before it are sent first, and alone."""
+        self._drop_body()
+        self.target, self.headers, self.head = b"", [], None
+        self.listener.idle.pop(self, None)
+        self.phase, self.close_after_response, self.due_at = Phase.CLOSING, True, math.inf
+        if self.upload:  # it can't be finished, so what was sent of it never runs
+            self.upload, request, self.request = None, self.request, None
+            if request:
+                self.listener.dispatcher.client_disconnected(request)
+        if self.request is None and not self.pipelined:
+            self.transport.write(response_head(status, DATE_LINE.now(), 0, True))
+            self._linger()
+
+    def _linger(self) -> None:
+        """End our side, and read on for a while, lest a reset overtake the response."""
+        self.listener.idle.pop(self, None)
+        self.phase, self.progress_bytes = Phase.CLOSING, 0
+        self.due_at = time.monotonic() + LINGER_S
+        if self.transport.can_write_eof() and not self.transport.is_closing():
+            self.transport.write_eof()
+
+    # Ending.
+
+    def on_overdue(self) -> None:
+        """The connection's next step was not made in time."""
+        if self.upload:
+            self._reject(408)
+        elif self.request or self.pipelined:
+            if self.writing_paused:
+                self.transport.abort()  # it does not take the responses it has
+            else:
+                self._reject(408)  # of the next one only a part came
+        elif self.phase in (Phase.HEAD, Phase.BODY):
+            self._reject(408)
+        elif self.phase is Phase.IDLE and not self.transport.get_write_buffer_size():
+            self.close()
+        else:
+            self.transport.abort()
+
+    def close(self) -> None:
+        """End a connection between requests, unless something has just come.
+
+        That is read first, and a connection closed over it would be reset under what was answered before.
+        """
+        if has_unread_input(self.transport):
+            return
+        self.listener.idle.pop(self, None)
+        self.phase, self.close_after_response = Phase.CLOSING, True
+        self.due_at = time.monotonic() + WRITE_TIMEOUT_S
+        self.transport.close()
+
+    def abort(self) -> None:
+        """Close at once; the descriptor is as good as free."""
+        self.listener.forget(self)
+        self.transport.abort()
+
+    def eof_received(self) -> bool:
+        """The client has ended its sending, and counts as gone."""
+        return False
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Release what the connection holds, and let go of its request."""
+        self.listener.forget(self)
+        self._drop_body()
+        for read in self.pipelined:
+            self.listener.dispatcher.budget.release(len(read.body))
+        self.pipelined.clear()
+        request, self.request = self.request, None
+        if request:
+            self.listener.dispatcher.client_disconnected(request)
+        del self.parser  # it refers back to us, and the collector would come late
--- /dev/null
+++ b/heronreel/proxy/client_listener.py
@@ -0,0 +1,230 @@
+"""The listener for clients: accepting, limits on connections, and the graceful shutdown."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import math
+import socket
+import time
+from collections.abc import Callable
+from itertools import islice
+
+from heronreel.proxy.client_connection import ClientConnection
+from heronreel.proxy.client_interface import IDLE_TIMEOUT_S, REQUEST_TIMEOUT_S, Phase
+from heronreel.proxy.config import Config, with_descriptors_in_use
+from heronreel.proxy.dispatcher import Dispatcher
+from heronreel.proxy.socket_state import has_unread_input
+
+BACKLOG = 2048
+MAX_INSPECTED = 16  # connections that are looked at to find one that may be closed
+SWEEP_INTERVAL_S = 0.2
+POLL_INTERVAL_S = 0.02  # while shutting down
+MIN_IDLE_TIMEOUT_S = 0.1  # between requests, once many connections are open
+MIN_SILENCE_TIMEOUT_S = 0.5  # for the first byte then; before that REQUEST_TIMEOUT_S
+FEW_CONNECTIONS_SHARE = 0.25  # of the connections that clients may hold, up to which few are open
+# after SIGTERM new connections come for up to 0.4 s
+QUIET_S, MIN_ACCEPT_S, MAX_ACCEPT_S = 0.25, 0.6, 1.5
+LAST_DEADLINE_MARGIN_S = 0.5  # after the longest deadline the process ends; SIGKILL comes 0.7 s after it
+MAX_DRAIN_DEADLINE_S = 3.0  # a longest deadline counts as this much at most
+HANDOVER_S = 1.8  # after SIGTERM clients' connections that stay idle are kept for a successor's sake
+ABORT_DELAY_S = 0.05  # for the last responses to be written
+# after a health check that failed, the load balancer in front of us sends no more connections
+QUIESCE_DELAY_S, QUIESCE_INTERVAL_S = 0.35, 0.05
+QUIESCE_SILENCE_S = 0.6  # after which a connection that says nothing is closed then
+
+log = logging.getLogger(__name__)
+
+
+def bind_listener(address: tuple[str, int]) -> socket.socket:
+    """A socket to listen on that address.
+
+    Raises:
+        OSError: The address can't be bound.
+    """
+    family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
+    listener = socket.socket(family, socket.SOCK_STREAM)
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # no waiting for TIME_WAIT
+    listener.bind(address)
+    return listener
+
+
+class ClientListener:
+    """Accepts clients' connections, counts them and ends those that are overdue or too many."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, dispatcher: Dispatcher) -> None:
+        self.loop = loop
+        self.dispatcher = dispatcher
+        self.address = config.listen
+        self.config = config
+        self.before_admit: Callable[[], None] | None = None  # while another process shares our limits
+        self.reload(config)
+        self.connections: dict[ClientConnection, None] = {}
+        self.silent: dict[ClientConnection, None] = {}  # those that have not sent a byte, the oldest first
+        self.idle: dict[ClientConnection, None] = {}  # those between requests, the longest idle first
+        self.draining = False
+        self.quiesced_at = math.inf  # when operators asked for it
+        self.accepted_at = 0.0
+        self.servers: list[asyncio.Server] = []
+
+    def limit_descriptors(self, in_use_elsewhere: int) -> None:
+        """Leave the proxy's other processes what they hold of the descriptors that are for all of them."""
+        config = self.config
+        if in_use_elsewhere:
+            config = with_descriptors_in_use(config, in_use_elsewhere)
+        self.max_connections, self.max_rejected = config.client_sockets, config.rejected_sockets
+        self.dispatcher.pool.reconfigure(config)
+
+    def reload(self, config: Config) -> None:
+        """Take the limits of a new configuration."""
+        self.config = config
+        self.max_connections, self.max_rejected = config.client_sockets, config.rejected_sockets
+        # where the endpoints are a file's, the host reports changes of its listeners
+        if config.listen != self.address and not config.endpoints_from_file:
+            log.error("reload: listen: a new address needs a restart; %s:%d stays", *self.address)
+
+    async def listen(self, address: tuple[str, int], inherited: int | None = None) -> tuple[str, int]:
+        """Listen on an address, or on an inherited socket that successors will share; the bound address.
+
+        Raises:
+            OSError: The address can't be bound, or the inherited descriptor is no socket.
+        """
+        listener = bind_listener(address) if inherited is None else socket.socket(fileno=inherited)
+        server = await self.loop.create_server(lambda: ClientConnection(self), sock=listener, backlog=BACKLOG)
+        if not self.servers:
+            self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        self.servers.append(server)
+        bound = listener.getsockname()
+        return bound[0], bound[1]
+
+    # Counting.
+
+    def admit(self, client: ClientConnection) -> bool:
+        """Count a new connection; False: there are too many, and it is only there to be rejected."""
+        self.connections[client] = None
+        self.accepted_at = time.monotonic()
+        if self.before_admit:
+            self.before_admit()
+        if len(self.connections) <= self.max_connections:
+            return True
+        # guards usual clients: a crowd that says nothing goes before anyone who has sent a request, so that
+        # its size costs no more than its accepts; it might hurt a client that connects long before it sends
+        oldest = self._first_without_input(self.silent)
+        if oldest and oldest is not client:
+            oldest.abort()
+            return True
+        if oldest := self._first_without_input(self.idle):
+            oldest.close()
+            return True
+        excess = len(self.connections) - self.max_connections
+        if self.dispatcher.pool.lend_descriptors(excess) >= excess:
+            return True
+        if excess > self.dispatcher.pool.lent_descriptors + self.max_rejected:
+            self._abort_slowest(client)
+        return False
+
+    def _abort_slowest(self, newest: ClientConnection) -> None:
+        """Guards the descriptors: whoever is rejected goes, or has been sending its request for longest."""
+        slow = [client for client in self.connections if not client.request and not client.pipelined]
+        min(
+            slow, key=lambda client: (client.phase is not Phase.CLOSING, client.started_at), default=newest
+        ).abort()
+
+    def _first_without_input(self, clients: dict[ClientConnection, None]) -> ClientConnection | None:
+        """The first of those that have not just sent something; only so many are looked at."""
+        inspected = islice(clients, MAX_INSPECTED)
+        return next((client for client in inspected if not has_unread_input(client.transport)), None)
+
+    def forget(self, client: ClientConnection) -> None:
+        """A connection is closed."""
+        self.connections.pop(client, None)
+        self.idle.pop(client, None)
+        self.silent.pop(client, None)
+        if self.dispatcher.pool.lent_descriptors:
+            self.dispatcher.pool.lend_descriptors(len(self.connections) - self.max_connections)
+
+    def _sweep(self) -> None:
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        now = time.monotonic()
+        for client in [client for client in self.connections if client.due_at <= now]:
+            client.on_overdue()
+        self._close_resting(now)
+        self.dispatcher.pool.close_expired(now)
+
+    def _close_resting(self, now: float) -> None:
+        """Once many connections are open, close those that have rested for a while.
+
+        Guards new clients: those that send one request and stay for good must not hold what others need,
+        here or where clients count their own.  It might hurt one that sends now and then, by a connection
+        each time.
+        """
+        kept = FEW_CONNECTIONS_SHARE * self.max_connections
+        resting = [(client, REQUEST_TIMEOUT_S - MIN_SILENCE_TIMEOUT_S) for client in self.silent]
+        resting += [(client, IDLE_TIMEOUT_S - MIN_IDLE_TIMEOUT_S) for client in self.idle]
+        for client, earlier_s in resting:
+            if len(self.connections) > kept and client.due_at - earlier_s <= now:
+                client.close()
+                kept += 1
+
+    # Quiescing and shutting down.
+
+    def is_ready(self) -> bool:
+        """Whether requests are served and more clients may come."""
+        return self.dispatcher.is_serving() and not self.is_closing_connections()
+
+    def is_closing_connections(self) -> bool:
+        """Whether each connection ends behind its next response, for a while or for good."""
+        return self.draining or self.quiesced_at < math.inf
+
+    def set_quiesced(self, quiesced: bool) -> None:
+        """Operators send the proxy's clients elsewhere, or let them come again."""
+        if quiesced == (self.quiesced_at < math.inf):
+            return
+        self.quiesced_at = time.monotonic() if quiesced else math.inf
+        if quiesced:
+            self.loop.call_later(QUIESCE_DELAY_S, self._close_quiesced, self.quiesced_at)
+
+    def _close_quiesced(self, quiesced_at: float) -> None:
+        """Close what is between requests, once closing it makes clients come to another proxy."""
+        if self.quiesced_at != quiesced_at or self.draining:
+            return
+        self.loop.call_later(QUIESCE_INTERVAL_S, self._close_quiesced, quiesced_at)
+        for client in list(self.idle):
+            client.close()
+        due_by = time.monotonic() + REQUEST_TIMEOUT_S - QUIESCE_SILENCE_S
+        for client in [client for client in self.silent if client.due_at <= due_by]:
+            client.close()
+
+    async def drain(self, has_successor: bool = False) -> None:
+        """Shut down gracefully after SIGTERM: answer all that was taken, then close.
+
+        Without a successor, take what still comes first.  With one, what comes is its own, and clients'
+        connections stay open for a while: each ends behind its next response, so that few close on a request.
+        """
+        self.draining = True
+        started_at = time.monotonic()
+        longest_s = min(self.dispatcher.max_deadline_ms / 1000.0, MAX_DRAIN_DEADLINE_S)
+        ends_at = started_at + longest_s + LAST_DEADLINE_MARGIN_S
+        if not has_successor:
+            await self._accept_the_last(started_at)
+        for server in self.servers:
+            server.close()  # the last accepts left the backlog empty for QUIET_S
+        while has_successor and self.connections and time.monotonic() < started_at + HANDOVER_S:
+            await asyncio.sleep(POLL_INTERVAL_S)
+        while self.connections and time.monotonic() < ends_at:
+            for client in list(self.idle):
+                client.close()
+            await asyncio.sleep(POLL_INTERVAL_S)
+        # guards rule 1: what was taken late is answered that it failed rather than cut off
+        for request in [client.request for client in self.connections if client.request]:
+            self.dispatcher.time_out(request)
+        await asyncio.sleep(ABORT_DELAY_S)
+        for client in list(self.connections):
+            client.abort()
+
+    async def _accept_the_last(self, started_at: float) -> None:
+        """Wait until new connections have stopped coming."""
+        while (now := time.monotonic()) < started_at + MAX_ACCEPT_S:
+            if now >= max(started_at + MIN_ACCEPT_S, self.accepted_at + QUIET_S):
+                break
+            await asyncio.sleep(POLL_INTERVAL_S)
--- a/heronreel/proxy/config.py
+++ b/heronreel/proxy/config.py
@@ -1,4 +1,4 @@
-"""What a proxy is told at start and at each reload: variables and one JSON file, checked and frozen.
+"""The configuration read at start and at each reload: environment variables and one JSON file, checked.
 
 `LB_NAME` and `LB_LISTEN` say who and where; the file that `LB_CONFIG` names holds `seed`, `limits`, `known`,
 `settings` and `discovery`, which `LB_DISCOVERY` stands in for.  Anything missing or malformed is a
@@ -12,108 +12,151 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, replace
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from heronreel.balancer.interface import Settings
 from heronreel.balancer.wire import Fields, WireError, settings_of
-from heronreel.proxy.discovery import BadList, Members, members_of
+from heronreel.proxy.endpoints import EndpointList, parse_endpoint_list
+from heronreel.proxy.errors import ConfigError, MalformedEndpointListError
 
 MB = 1 << 20
-BASE_MB = 28  # of memory for the interpreter, the module and the connections' own books
-BODY_SHARE = 0.4  # of the rest for bodies and held answers; parsing and garbage take their part too
-BODY_LEAST_MB = 1.0  # under which too few requests could be held to be of use
+BASE_MB = 28  # of memory for the interpreter, the code and the connections' own state
+BODY_SHARE = 0.4  # of the rest for bodies and buffered responses; parsing and garbage take their part too
+MIN_BODY_MB = 1.0  # under which too few requests could be buffered to be of use
 OWN_DESCRIPTORS = 32  # standard streams, event loop, listener, discovery, and some to spare
 BACKEND_SHARE = 0.45  # of the other descriptors; so no crowd of clients can take what backends need
-CROWD_SHARE = 0.1  # over what clients may hold, only to tell the newest that it is refused
+REJECTED_SHARE = 0.1  # beyond what clients may hold, only to answer the newest that they are rejected
+DEFAULT_BACKEND_IDLE_MS = 15_000.0
+DEFAULT_DRAIN_GRACE_MS = 1000.0
 
 
-class ConfigError(Exception):
-    """One line for the operator."""
+class ResourceShares(NamedTuple):
+    """How a process divides its memory and descriptors."""
+
+    body_bytes: int  # of bodies and buffered responses together
+    client_sockets: int
+    rejected_sockets: int  # of clients beyond them that are answered 503
+    backend_sockets: int
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """A checked configuration."""
+
     name: str
     listen: tuple[str, int]
-    discovery: tuple[str, int] | None  # None: `known` is all there is
+    discovery: tuple[str, int] | None  # None: `endpoints` is all there is
     seed: int
     settings: Settings
-    known: Members
-    conn_idle_ms: float  # a backend closes a connection that stood idle for so long
-    drain_grace_ms: float  # and nothing new may be written to it so long after its leave was told
-    body_bytes: int  # of bodies and held answers together
+    endpoints: EndpointList  # known at start
+    backend_idle_ms: float  # a backend closes a connection that was idle for so long
+    drain_grace_ms: float  # nothing new may be written to it so long after it was told to be draining
+    body_bytes: int  # as in `ResourceShares`, and so are the next three
     client_sockets: int
-    crowd_sockets: int
+    rejected_sockets: int
     backend_sockets: int
-    listed: bool = False  # a reload takes `known` as the whole list
-    mgmt: tuple[str, int] | None = None  # where operators call; None: nowhere
+    endpoints_from_file: bool = False  # a reload takes `endpoints` as the file's whole list
+    admin_address: tuple[str, int] | None = None  # of the admin API; None: nowhere
     sockets: int = 0  # of all processes of this proxy together
-    any_status: bool = False  # answers other than 200 are served too, unless they are of the server's failing
+    any_status: bool = (
+        False  # responses other than 200 count as served, unless they are the server's failures
+    )
 
 
 def load(environ: Mapping[str, str]) -> Config:
+    """Read the configuration that the environment names.
+
+    Raises:
+        ConfigError: A variable or a field is missing or malformed, or the file can't be read.
+    """
     name = _variable(environ, "LB_NAME")
     listen = _address(environ, "LB_LISTEN")
-    path = _variable(environ, "LB_CONFIG")
-    try:
-        told = json.loads(Path(path).read_bytes())
-    except OSError as error:
-        raise ConfigError(f"LB_CONFIG: {error.strerror or error}: {path}") from None
-    except (ValueError, RecursionError):
-        raise ConfigError(f"LB_CONFIG: not JSON: {path}") from None
-    if not isinstance(told, dict):
-        raise ConfigError("LB_CONFIG: not a JSON object")
+    document = _read_document(_variable(environ, "LB_CONFIG"))
     # the file is what a reload replaces, so where it names discovery the variable may be old
-    where = told.get("discovery", environ.get("LB_DISCOVERY"))
-    discovery = _host_port("discovery" if "discovery" in told else "LB_DISCOVERY", where)
-    calls = told.get("mgmt", environ.get("LB_MGMT") or None)
-    mgmt = _host_port("mgmt" if "mgmt" in told else "LB_MGMT", calls) if calls is not None else None
-    limits = _object(told, "limits")
-    memory, sockets = _positive(limits, "limits.memory_mb"), int(_positive(limits, "limits.sockets"))
-    soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft != resource.RLIM_INFINITY:
-        sockets = min(sockets, soft)
-    if sockets < 2 * OWN_DESCRIPTORS:
-        raise ConfigError(f"limits.sockets: at least {2 * OWN_DESCRIPTORS} are needed, not {sockets}")
-    fields = Fields(0, dict(_flat("", _object(told, "settings"))))
-    try:
-        settings = settings_of(fields)
-        conn_idle = fields.number("Limits.ConnIdleMs", 15000.0)
-        grace = fields.number("Rules.DrainGraceMs", 1000.0)
-    except WireError as error:
-        raise ConfigError(f"settings: {error}") from None
+    discovery_text = document.get("discovery", environ.get("LB_DISCOVERY"))
+    discovery = _host_port("discovery" if "discovery" in document else "LB_DISCOVERY", discovery_text)
+    admin_text = document.get("mgmt", environ.get("LB_MGMT") or None)
+    admin = (
+        _host_port("mgmt" if "mgmt" in document else "LB_MGMT", admin_text)
+        if admin_text is not None
+        else None
+    )
+    memory_mb, sockets = _limits(document)
+    settings, backend_idle_ms, drain_grace_ms = _settings(document)
     try:
-        known = members_of(_object(told, "known"))
-    except BadList as error:
+        endpoints = parse_endpoint_list(_object(document, "known"))
+    except MalformedEndpointListError as error:
         raise ConfigError(f"known: {error}") from None
     return Config(
         name,
         listen,
         discovery,
-        _seed(told),
+        _seed(document),
         settings,
-        known,
-        conn_idle,
-        grace,
-        *shares_of(memory, sockets),
-        mgmt=mgmt,
+        endpoints,
+        backend_idle_ms,
+        drain_grace_ms,
+        *resource_shares(memory_mb, sockets),
+        admin_address=admin,
         sockets=sockets,
     )
 
 
-def beside(config: Config, taken: int) -> Config:
-    """The same where other processes of this proxy hold that many descriptors: they count together."""
-    left = max(2 * OWN_DESCRIPTORS, config.sockets - taken)
-    _, client, crowd, backend = shares_of(0.0, left)
-    return replace(config, client_sockets=client, crowd_sockets=crowd, backend_sockets=backend)
+def with_descriptors_in_use(config: Config, in_use: int) -> Config:
+    """The same where other processes of this proxy hold that many descriptors: the limit is for all."""
+    left = max(2 * OWN_DESCRIPTORS, config.sockets - in_use)
+    shares = resource_shares(0.0, left)
+    return replace(
+        config,
+        client_sockets=shares.client_sockets,
+        rejected_sockets=shares.rejected_sockets,
+        backend_sockets=shares.backend_sockets,
+    )
 
 
-def shares_of(memory_mb: float, sockets: int) -> tuple[int, int, int, int]:
-    """Bytes of bodies, then sockets of clients, of a crowd beyond them, and of backends."""
+def resource_shares(memory_mb: float, sockets: int) -> ResourceShares:
+    """Divide memory and descriptors between bodies, clients and backends."""
     shared = sockets - OWN_DESCRIPTORS
-    backend, crowd = int(shared * BACKEND_SHARE), int(shared * CROWD_SHARE)
-    body = int(max(BODY_LEAST_MB, (memory_mb - BASE_MB) * BODY_SHARE) * MB)
-    return body, shared - backend - crowd, crowd, backend
+    backend, rejected = int(shared * BACKEND_SHARE), int(shared * REJECTED_SHARE)
+    body = int(max(MIN_BODY_MB, (memory_mb - BASE_MB) * BODY_SHARE) * MB)
+    return ResourceShares(body, shared - backend - rejected, rejected, backend)
+
+
+def _read_document(path: str) -> dict[str, Any]:
+    try:
+        document = json.loads(Path(path).read_bytes())
+    except OSError as error:
+        raise ConfigError(f"LB_CONFIG: {error.strerror or error}: {path}") from None
+    except (ValueError, RecursionError):
+        raise ConfigError(f"LB_CONFIG: not JSON: {path}") from None
+    if not isinstance(document, dict):
+        raise ConfigError("LB_CONFIG: not a JSON object")
+    return document
+
+
+def _limits(document: dict[str, Any]) -> tuple[float, int]:
+    """Megabytes of memory, and descriptors as far as the kernel allows them."""
+    limits = _object(document, "limits")
+    memory_mb = _positive(limits, "limits.memory_mb")
+    sockets = int(_positive(limits, "limits.sockets"))
+    soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if soft != resource.RLIM_INFINITY:
+        sockets = min(sockets, soft)
+    if sockets < 2 * OWN_DESCRIPTORS:
+        raise ConfigError(f"limits.sockets: at least {2 * OWN_DESCRIPTORS} are needed, not {sockets}")
+    return memory_mb, sockets
+
+
+def _settings(document: dict[str, Any]) -> tuple[Settings, float, float]:
+    """The balancer's settings, and backends' idle time-out and drain grace in ms."""
+    fields = Fields(0, dict(_flatten("", _object(document, "settings"))))
+    try:
+        settings = settings_of(fields)
+        backend_idle_ms = fields.number("Limits.ConnIdleMs", DEFAULT_BACKEND_IDLE_MS)
+        drain_grace_ms = fields.number("Rules.DrainGraceMs", DEFAULT_DRAIN_GRACE_MS)
+    except WireError as error:
+        raise ConfigError(f"settings: {error}") from None
+    return settings, backend_idle_ms, drain_grace_ms
 
 
 def _variable(environ: Mapping[str, str], name: str) -> str:
@@ -136,8 +179,8 @@
     return host.strip("[]"), int(port)
 
 
-def _object(told: dict[str, Any], name: str) -> dict[str, Any]:
-    value = told.get(name)
+def _object(document: dict[str, Any], name: str) -> dict[str, Any]:
+    value = document.get(name)
     if not isinstance(value, dict):
         raise ConfigError(f"{name}: {'missing' if value is None else 'not an object'}")
     return value
@@ -151,22 +194,22 @@
     return value
 
 
-def _seed(told: dict[str, Any]) -> int:
+def _seed(document: dict[str, Any]) -> int:
     try:
-        return int(told.get("seed", ""), 16)
+        return int(document.get("seed", ""), 16)
     except (TypeError, ValueError):
-        raise ConfigError(f"seed: not a hexadecimal number: {told.get('seed')!r:.40}") from None
+        raise ConfigError(f"seed: not a hexadecimal number: {document.get('seed')!r:.40}") from None
 
 
-def _flat(path: str, value: object) -> Iterator[tuple[str, str]]:
+def _flatten(path: str, value: object) -> Iterator[tuple[str, str]]:
     """The settings' JSON as the path=value pairs that the simulator's wire carries."""
     if isinstance(value, dict):
         for name, part in value.items():
-            yield from _flat(f"{path}.{name}" if path else name, part)
+            yield from _flatten(f"{path}.{name}" if path else name, part)
     elif isinstance(value, list) and any(isinstance(part, dict) for part in value):
         yield f"{path}.count", str(len(value))
         for place, part in enumerate(value):
-            yield from _flat(f"{path}.{place}", part)
+            yield from _flatten(f"{path}.{place}", part)
     elif isinstance(value, list):
         yield path, ",".join(str(part) for part in value)
         if not value:
--- a/heronreel/proxy/http1.py
+++ b/heronreel/proxy/http1.py
@@ -1,29 +1,22 @@
-"""What clients and backends share of HTTP/1.1: heads, framing, figures in headers, and rate-limited logs."""
+"""HTTP/1.1 syntax that both sides share: heads, framing, dates and numbers in headers."""
 
 from __future__ import annotations
 
-import logging
 import math
 import re
-import sys
 import time
 
-HEAD_MOST = 16 << 10  # bytes of a head; of a trailer too
-BODY_MOST = 64 << 10  # bytes of a body, either way
-URL_MOST = 8 << 10  # bytes of a request's target: RFC 9112, 3, asks for 8,000 at least
+MAX_HEAD_BYTES = 16 << 10  # of a trailer too
+MAX_TARGET_BYTES = 8 << 10  # RFC 9112, 3, asks for 8,000 at least
 
 Headers = list[tuple[bytes, bytes]]  # names in lower case
 
-
-class Unreadable(Exception):
-    """Raised in a parser's callback: what comes is past any use, so the rest of the segment is not parsed."""
-
-
 HOP_BY_HOP = frozenset((
     b"connection", b"keep-alive", b"proxy-authenticate", b"proxy-authorization", b"proxy-connection", b"te",
     b"trailer", b"transfer-encoding", b"upgrade", b"content-length", b"expect", b"http2-settings",
 ))  # fmt: skip
-NEEDED = frozenset((b"x-request-id", b"idempotency-key"))  # without them a repeat could not be told
+# never dropped, whatever Connection names: without them a repeat could not be recognised
+DEDUPLICATION_FIELDS = frozenset((b"x-request-id", b"idempotency-key"))
 REASONS = {
     200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
     413: b"Content Too Large", 414: b"URI Too Long", 429: b"Too Many Requests",
@@ -35,27 +28,30 @@
 MONTHS = (
     b"Jan", b"Feb", b"Mar", b"Apr", b"May", b"Jun", b"Jul", b"Aug", b"Sep", b"Oct", b"Nov", b"Dec"
 )  # fmt: skip
-OWS = b" \t"  # round a field's value and no part of it (RFC 9110, 5.5); the parser leaves what follows it
+# surrounds a field's value and is no part of it (RFC 9110, 5.5); the parser leaves what follows it
+OPTIONAL_WHITESPACE = b" \t"
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-def end_to_end(headers: Headers, besides: frozenset[bytes] = frozenset()) -> bytes:
-    """The header lines that may cross a proxy: not those of one hop, nor those that Connection names."""
-    kept = [(name, value) for name, value in headers if name not in HOP_BY_HOP and name not in besides]
+def end_to_end_lines(headers: Headers, excluded: frozenset[bytes] = frozenset()) -> bytes:
+    """The header lines that may cross a proxy: not hop-by-hop ones, nor those that Connection names."""
+    kept = [(name, value) for name, value in headers if name not in HOP_BY_HOP and name not in excluded]
     for value in [value for name, value in headers if name == b"connection"]:
-        named = {token.strip().lower() for token in value.split(b",")} - NEEDED
+        named = {token.strip().lower() for token in value.split(b",")} - DEDUPLICATION_FIELDS
         kept = [(name, value) for name, value in kept if name not in named]
     return b"".join([b"%b: %b\r\n" % header for header in kept])
 
 
-def answer_head(status: int, lines: bytes, length: int | None, close: bool, chunked: bool = False) -> bytes:
-    """The head of an answer to a client.  Without a length it is chunked or ends with its connection."""
+def response_head(
+    status: int, header_lines: bytes, length: int | None, close: bool, chunked: bool = False
+) -> bytes:
+    """The head of a response to a client.  Without a length it is chunked or ends with its connection."""
     # RFC 9110, 8.6: no length with 204; that of a 304 would be the length of what is not sent
     framing = b"Transfer-Encoding: chunked\r\n" if chunked else b""
     if length is not None and status not in (204, 304):
         framing = b"Content-Length: %d\r\n" % length
     ending = b"Connection: close\r\n\r\n" if close else b"\r\n"
-    return b"HTTP/1.1 %d %b\r\n%b%b%b" % (status, REASONS.get(status, b""), lines, framing, ending)
+    return b"HTTP/1.1 %d %b\r\n%b%b%b" % (status, REASONS.get(status, b""), header_lines, framing, ending)
 
 
 def is_host(value: bytes) -> bool:
@@ -75,12 +71,13 @@
 
 
 class DateLine:
-    """The Date field of an answer, made once a second (RFC 9110, 6.6.1)."""
+    """The Date field of a response, formatted once a second (RFC 9110, 6.6.1)."""
 
     def __init__(self) -> None:
         self.second, self.line = 0, b""
 
     def now(self) -> bytes:
+        """The header line for the current second."""
         second = int(time.time())
         if second != self.second:
             self.second = second
@@ -92,61 +89,13 @@
         return self.line
 
 
-def figure(text: bytes, most: float) -> float | None:
-    """A header's number from 0 up to `most`; None for what is no finite number."""
+def parse_bounded_number(text: bytes, maximum: float) -> float | None:
+    """A header's number, clamped to 0..`maximum`; None for what is no finite number."""
     try:
         value = float(text)
     except ValueError:
         return None
-    return min(max(value, 0.0), most) if math.isfinite(value) else None
-
-
-DATE = DateLine()
-
-
-class RateLimit(logging.Filter):
-    """So many lines a second and no more: a storm of bad input must cost neither disk nor time."""
-
-    MOST = 5
-
-    def __init__(self) -> None:
-        super().__init__()
-        self.second, self.count, self.dropped = 0, 0, 0
-
-    def filter(self, record: logging.LogRecord) -> bool:
-        if getattr(record, "always", False):  # what an operator asked for, and waits to hear of
-            return True
-        second = int(time.monotonic())
-        if second != self.second:
-            if self.dropped:
-                record.msg, record.args = f"{record.getMessage()} ({self.dropped} lines dropped before)", None
-            self.second, self.count, self.dropped = second, 0, 0
-        self.count += 1
-        self.dropped += self.count > self.MOST
-        return self.count <= self.MOST
-
-
-def log_to_stderr(name: str) -> None:
-    handler = logging.StreamHandler(sys.stderr)
-    handler.addFilter(RateLimit())
-    handler.setFormatter(logging.Formatter(f"%(asctime)s {name} %(message)s"))
-    logging.basicConfig(level=logging.INFO, handlers=[handler])
-
-
-class Budget:
-    """Bytes that may be held for all requests and answers together."""
-
-    __slots__ = ("most", "used")
-
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.used = 0
+    return min(max(value, 0.0), maximum) if math.isfinite(value) else None
 
-    def take(self, size: int, share: float = 1.0) -> bool:
-        if self.used + size > self.most * share:
-            return False
-        self.used += size
-        return True
 
-    def give(self, size: int) -> None:
-        self.used -= size
+DATE_LINE = DateLine()
--- a/heronreel/proxy/streams.py
+++ b/heronreel/proxy/streams.py
@@ -1,8 +1,8 @@
-"""Bodies that are longer than what is held: passed on as they come, never faster than they are taken.
+"""Bodies too long to be buffered: forwarded as they come, never faster than they are taken.
 
-Up to HOLD_MOST bytes of a request are held whole, so that it costs its backend nothing while it comes and may
-be sent again.  A longer one is passed on while it still comes.  What was passed on is kept as long as it is
-no more than that; once part of it is gone the request can't be sent a second time.
+Up to `MAX_BUFFERED_REQUEST_BYTES` of a request are buffered, so that it costs its backend nothing while it
+comes and may be sent again.  A longer one is forwarded while it still comes.  What was forwarded is kept as
+long as it is no more than twice that; once part of it is dropped the request can't be sent a second time.
 """
 
 from __future__ import annotations
@@ -10,96 +10,104 @@
 import math
 from typing import Protocol
 
-from heronreel.proxy.http1 import Budget
+from heronreel.proxy.budget import ByteBudget
 
-HOLD_MOST = 512 << 10  # bytes of a request that are held before it is passed on
-STREAM_MOST = 33 << 20  # bytes of a body, either way
-ANSWER_HOLD_MOST = 16 << 10  # of an answer of unknown length, before it is passed on
-STREAM_BYTES = 448 << 10  # what one stream holds at most; 402 KiB were measured (bench/long_bodies.py)
+MAX_BUFFERED_REQUEST_BYTES = 512 << 10  # a longer request is forwarded while it comes
+MAX_BODY_BYTES = 33 << 20  # either way
+MAX_BUFFERED_RESPONSE_BYTES = 64 << 10  # a longer response is forwarded as it comes
+MAX_BUFFERED_UNSIZED_RESPONSE_BYTES = 16 << 10  # the same for one whose head tells no length
+STREAM_BYTES = 448 << 10  # what one stream buffers at most; 402 KiB were measured (bench/long_bodies.py)
 
+LAST_CHUNK = b"0\r\n\r\n"
 
-class Source(Protocol):
-    """Where a stream comes from: it can be told to wait."""
 
-    def hold(self, on: bool) -> None: ...
+class PausableSource(Protocol):
+    """Where a body comes from: its reading can be paused."""
 
+    def set_reading_paused(self, paused: bool) -> None:
+        """Stop reading for now, or go on."""
 
-class Sink(Protocol):
-    """Where a request's bytes go."""
 
-    def push(self, data: bytes) -> None: ...
-    def pushed(self) -> None: ...
+class RequestBodySink(Protocol):
+    """Where a request's body goes."""
 
+    def write_body(self, data: bytes) -> None:
+        """Take more of the body."""
 
-def chunk(data: bytes) -> bytes:
-    """RFC 9112, 7.1."""
-    return b"%x\r\n%b\r\n" % (len(data), data)
+    def finish_body(self) -> None:
+        """The last byte of the body was written."""
 
 
-LAST_CHUNK = b"0\r\n\r\n"
+def encode_chunk(data: bytes) -> bytes:
+    """One chunk of a chunked body (RFC 9112, 7.1)."""
+    return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-class Upload:
-    """A request's body under way from a client to one backend at a time.
+class RequestBodyStream:
+    """A request's body on its way from a client to one backend at a time.
 
-    Until `whole`, nothing of the request has run anywhere: a backend begins with the last byte.
+    Until it is `complete`, nothing of the request has run anywhere: a backend begins with the last byte.
     """
 
-    __slots__ = ("budget", "chunked", "held", "left_ms", "prefix", "sink", "source", "whole")
+    __slots__ = ("budget", "buffer", "buffered_bytes", "chunked", "complete", "sink", "source", "timeout_ms")
 
-    def __init__(self, source: Source, budget: Budget, prefix: bytes, chunked: bool) -> None:
+    def __init__(self, source: PausableSource, budget: ByteBudget, start: bytes, chunked: bool) -> None:
         self.source = source
         self.budget = budget
-        self.prefix: list[bytes] | None = [prefix]  # all that came; None: part of it is gone
-        self.held = len(prefix)  # taken from the budget by whoever read it
+        self.buffer: list[bytes] | None = [start]  # all that came; None: part of it was dropped
+        self.buffered_bytes = len(start)  # reserved from the budget by whoever read them
         self.chunked = chunked
-        self.sink: Sink | None = None
-        self.whole = False
-        self.left_ms = 0.0  # from the last byte on
+        self.sink: RequestBodySink | None = None
+        self.complete = False
+        self.timeout_ms = 0.0  # the request's time from the last byte on
 
-    def may_start(self) -> bool:
+    def can_restart(self) -> bool:
         """Whether the body can be sent from its first byte on."""
-        return self.prefix is not None
+        return self.buffer is not None
 
-    def attach(self, sink: Sink) -> None:
-        """Send what came, and from now on what comes."""
+    def attach(self, sink: RequestBodySink) -> None:
+        """Send what came to this sink, and from now on what comes."""
         self.sink = sink
-        for data in self.prefix or ():
-            sink.push(chunk(data) if self.chunked else data)
-        self._end()
-        if not self.whole:
-            self.source.hold(False)
-
-    def detach(self, sink: Sink) -> None:
-        """The connection has gone; whether another one follows is decided elsewhere."""
+        for data in self.buffer or ():
+            sink.write_body(encode_chunk(data) if self.chunked else data)
+        self._finish_sink()
+        if not self.complete:
+            self.source.set_reading_paused(False)
+
+    def detach(self, sink: RequestBodySink) -> None:
+        """The sink's connection is gone; whether another one follows is decided elsewhere."""
         if self.sink is sink:
             self.sink = None
 
     def feed(self, data: bytes) -> None:
-        if self.prefix is not None:
-            fits = self.held + len(data) <= 2 * HOLD_MOST and self.budget.take(len(data))
-            # guards rule 1: what has gone nowhere yet must be kept, room or not; reading stops behind it
-            if fits or (self.sink is None and self.budget.take(len(data), math.inf)):
-                self.held += len(data)
-                self.prefix.append(data)
+        """Forward what was read, and buffer it for a retry while there is room."""
+        if self.buffer is not None:
+            fits = self.buffered_bytes + len(data) <= 2 * MAX_BUFFERED_REQUEST_BYTES
+            fits = fits and self.budget.reserve(len(data))
+            # guards rule 1: what was sent nowhere yet must be kept, room or not; reading stops behind it
+            if fits or (self.sink is None and self.budget.reserve(len(data), math.inf)):
+                self.buffered_bytes += len(data)
+                self.buffer.append(data)
             else:
-                self.forget()  # guards memory: it can't be sent again from here on
+                self.drop_buffer()  # guards memory: it can't be sent again from here on
         if self.sink is not None:
-            self.sink.push(chunk(data) if self.chunked else data)
-        elif self.prefix is not None and self.held > HOLD_MOST:
-            self.source.hold(True)  # until there is somewhere to send it
+            self.sink.write_body(encode_chunk(data) if self.chunked else data)
+        elif self.buffer is not None and self.buffered_bytes > MAX_BUFFERED_REQUEST_BYTES:
+            self.source.set_reading_paused(True)  # until there is somewhere to send it
 
     def finish(self) -> None:
-        self.whole = True
-        self._end()
+        """The body's last byte was read."""
+        self.complete = True
+        self._finish_sink()
 
-    def _end(self) -> None:
-        if self.whole and self.sink is not None:
+    def _finish_sink(self) -> None:
+        if self.complete and self.sink is not None:
             if self.chunked:
-                self.sink.push(LAST_CHUNK)
-            self.sink.pushed()
-
-    def forget(self) -> None:
-        self.prefix = None
-        self.budget.give(self.held)
-        self.held = 0
+                self.sink.write_body(LAST_CHUNK)
+            self.sink.finish_body()
+
+    def drop_buffer(self) -> None:
+        """Release what was kept for a retry; none is possible from here on."""
+        self.buffer = None
+        self.budget.release(self.buffered_bytes)
+        self.buffered_bytes = 0
--- a/heronreel/serve/fleet.py
+++ b/heronreel/serve/fleet.py
@@ -28,8 +28,9 @@
 from heronreel.metering import records
 from heronreel.metering.counter import Counted, Counter, close
 from heronreel.metering.files import Shelf
-from heronreel.proxy.proxy import Ask, Asker, Proxy, Request
-from heronreel.proxy.streams import Upload
+from heronreel.proxy.dispatcher import Dispatcher
+from heronreel.proxy.request import Request, RequestHead, ResponseWriter
+from heronreel.proxy.streams import RequestBodyStream
 from heronreel.routes.model import RoutesFile
 from heronreel.serve.probes import Probes
 
@@ -49,7 +50,7 @@
     pid: int
 
 
-class CountedProxy(Proxy):
+class CountedProxy(Dispatcher):
     """A proxy whose answers are counted by tenant."""
 
     def __init__(self, counter: Counter, *made: Any) -> None:
@@ -57,11 +58,15 @@
         super().__init__(*made)
         self.counter = counter
 
-    def arrive(
-        self, client: Asker, ask: Ask, body: bytes | bytearray, upload: Upload | None = None
+    def submit(
+        self,
+        client: ResponseWriter,
+        head: RequestHead,
+        body: bytes | bytearray,
+        upload: RequestBodyStream | None = None,
     ) -> Request:
-        tenant = ask.tenant if ask.tenant in self.tenants else ""
-        return super().arrive(Counted(self.counter, client, tenant), ask, body, upload)
+        tenant = head.tenant if head.tenant in self.tenants else ""
+        return super().submit(Counted(self.counter, client, tenant), head, body, upload)
 
 
 class InFleet:
@@ -84,9 +89,9 @@
         self.probes: Probes | None = None
         self.running: list[asyncio.Task[None]] = []
 
-    def proxy(self, *made: Any) -> Proxy:
+    def proxy(self, *made: Any) -> Dispatcher:
         """The proxy, made as any other; with its answers counted where counts are wanted."""
-        return Proxy(*made) if self.counter is None else CountedProxy(self.counter, *made)
+        return Dispatcher(*made) if self.counter is None else CountedProxy(self.counter, *made)
 
     def begin(self, address: str, probes: Probes | None = None) -> None:
         """Be there from now on; whatever fails is logged and tried again, and does not end the proxy."""
--- a/heronreel/serve/policies.py
+++ b/heronreel/serve/policies.py
@@ -7,8 +7,8 @@
 from dataclasses import replace
 
 from heronreel.balancer import interface as api
-from heronreel.proxy.config import Config, shares_of
-from heronreel.proxy.discovery import Member, Members
+from heronreel.proxy.config import Config, resource_shares
+from heronreel.proxy.endpoints import Endpoint, EndpointList
 from heronreel.routes.index import RouteIndex
 from heronreel.routes.model import OUTCOMES, Exhausted, Pool, Reach, Route, RoutesFile
 
@@ -118,17 +118,17 @@
     return next((pool.name for pool in file.pools.values() if pool.discovered), "")
 
 
-def members_of(file: RoutesFile, down: Collection[tuple[str, str]] = ()) -> Members:
+def members_of(file: RoutesFile, down: Collection[tuple[str, str]] = ()) -> EndpointList:
     """All members of the file's pools, as the whole of a list; those that are down (pool and name) are left
     alone as drained ones are.
     """
     entries = [entry for pool in file.pools.values() for entry in _entries(pool, down)]
-    return Members(0, True, entries)
+    return EndpointList(0, True, entries)
 
 
-def _entries(pool: Pool, down: Collection[tuple[str, str]]) -> list[Member]:
+def _entries(pool: Pool, down: Collection[tuple[str, str]]) -> list[Endpoint]:
     return [
-        Member(
+        Endpoint(
             f"{pool.name}/{member.name}",
             member.address,
             member.zone or f"?{pool.name}/{member.name}",
@@ -160,7 +160,7 @@
         members_of(file, down),
         process.backend_idle_ms,
         process.drain_grace_ms,
-        *shares_of(process.memory_mb, process.sockets),
-        listed=True,
+        *resource_shares(process.memory_mb, process.sockets),
+        endpoints_from_file=True,
         any_status=True,
     )
--- a/heronreel/serve/program.py
+++ b/heronreel/serve/program.py
@@ -14,10 +14,11 @@
 import uvloop
 
 from heronreel.balancer.pools import Pools
-from heronreel.proxy.clients import Clients
-from heronreel.proxy.config import Config, ConfigError, load
-from heronreel.proxy.http1 import log_to_stderr
-from heronreel.proxy.proxy import Proxy
+from heronreel.proxy.client_listener import ClientListener
+from heronreel.proxy.config import Config, load
+from heronreel.proxy.dispatcher import Dispatcher
+from heronreel.proxy.errors import ConfigError
+from heronreel.proxy.logs import log_to_stderr
 from heronreel.routes.model import Problem, RoutesFile
 from heronreel.routes.proof import Finding, Report, limits_of
 from heronreel.serve.files import checked
@@ -87,7 +88,7 @@
             from heronreel.serve.fleet import InFleet
 
             self.in_fleet = InFleet(file)
-        make = Proxy if self.in_fleet is None else self.in_fleet.proxy
+        make = Dispatcher if self.in_fleet is None else self.in_fleet.proxy
         self.proxy = make(loop, config, self.pools, Router(file))
         self.config = config
         self.down: Collection[tuple[str, str]] = ()  # members that probes found down
@@ -96,18 +97,18 @@
             from heronreel.serve.probes import Probes
 
             self.probes = Probes(file, self.leave_alone)
-        self.clients = Clients(loop, config, self.proxy)
+        self.clients = ClientListener(loop, config, self.proxy)
 
     async def listen(self) -> dict[str, tuple[str, int]]:
         """The address that each listener is bound to, by its name."""
         if self.platform:
-            return {"clients": await self.clients.listen(self.clients.listens)}
+            return {"clients": await self.clients.listen(self.clients.address)}
         return {row.name: await self.clients.listen(row.address) for row in self.file.listeners}
 
     def leave_alone(self, down: Collection[tuple[str, str]]) -> None:
         """Probes found these down, and no others: nothing new goes to them."""
         self.down = down
-        self.config = replace(self.config, known=members_of(self.file, down))
+        self.config = replace(self.config, endpoints=members_of(self.file, down))
         self.proxy.reload(self.config)
 
     async def reload(self) -> Report:
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -38,8 +38,8 @@
 from heronreel.leases.lease import CLAIM_PREFIX, PRESENCE_PREFIX
 from heronreel.leases.tasks import CURSOR_PREFIX, Cursor, encode_cursor
 from heronreel.metering.records import SUM, Closed, Posted, Sum, book_key, closed_key
-from heronreel.proxy.operators import Caller, Operators
-from heronreel.proxy.shared import Hold, Shared
+from heronreel.proxy.admin_api import AdminConnection, AdminServer
+from heronreel.proxy.shared_state import Cordon, SharedState
 from heronreel.store import Limits, Store
 from heronreel.store.frames import Kind, SegmentHeader, encode_frame, encode_operations
 from heronreel.store.manifest import DamageEntry, Manifest, RunEntry, TableEntry, encode_manifest
@@ -120,7 +120,7 @@
 
 # -- a proxy's processes and its second address
 
-HOLDS = [Hold("b1", 1700000000000.5), Hold("zone/é", 1700000000000.0, 1700000001234.25)]
+HOLDS = [Cordon("b1", 1700000000000.5), Cordon("zone/é", 1700000000000.0, 1700000001234.25)]
 CALLS = [
     b"GET /admin/health HTTP/1.1\r\nHost: h\r\n\r\n",
     b"GET /admin/health?x=y HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -161,9 +161,9 @@
                 raise OSError("full")
             return (name, backend) in (("cordon", "b1"), ("quiesce", ""))
 
-        owner = Operators(asyncio.get_running_loop(), lambda: next(healthy), order)
+        owner = AdminServer(asyncio.get_running_loop(), lambda: next(healthy), order)
         for call in CALLS:
-            caller, kept = Caller(owner), Kept()
+            caller, kept = AdminConnection(owner), Kept()
             caller.connection_made(kept)
             caller.data_received(call)
             caller.connection_lost(None)
@@ -419,10 +419,10 @@
         (folder / name).write_bytes(data)
     write_store(folder / "store")
     write_plays(folder / "plays")
-    shared = Shared(folder / "shared")
+    shared = SharedState(folder / "shared")
     for hold in HOLDS:
         shared.put(hold)
-    shared.set_emptying(True)
+    shared.set_quiesced(True)
     (folder / "commands").mkdir()
     for name, data in commands(folder, group_content()).items():
         (folder / "commands" / f"{name}.txt").write_bytes(data)
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -27,9 +27,9 @@
 from heronreel.fleet import model as fleet
 from heronreel.leases.tasks import CURSOR_PREFIX, decode_cursor
 from heronreel.metering.records import SUM, Closed, Posted, Sum, book_key, closed_key
-from heronreel.proxy.__main__ import _inherited, _shared
+from heronreel.proxy.__main__ import inherited_descriptor, open_shared_state
 from heronreel.proxy.config import load as config_of
-from heronreel.proxy.shared import Shared
+from heronreel.proxy.shared_state import SharedState
 from heronreel.store import Store
 from heronreel.store.frames import (
     HEADER_BYTES,
@@ -153,10 +153,10 @@
 def test_what_operators_told_a_former_process_is_known(tmp_path: Path) -> None:
     folder = tmp_path / "shared"
     shutil.copytree(DATA / "shared", folder)
-    holds, emptying = Shared(folder).look()
+    holds, emptying = SharedState(folder).read()
     assert holds == {hold.name: hold for hold in stored_data.HOLDS} and emptying
     (folder / "emptying").unlink()
-    assert Shared(folder).look() == (holds, False)
+    assert SharedState(folder).read() == (holds, False)
 
 
 def test_a_process_finds_the_folder_and_socket_that_it_is_given(tmp_path: Path) -> None:
@@ -165,15 +165,15 @@
     told_in_file = configuration("127.0.0.1:3", backend) | {"mgmt": "127.0.0.1:4"}
     (tmp_path / "config").write_text(json.dumps(told_in_file))
     told = {"LB_NAME": "p1", "LB_LISTEN": "127.0.0.1:1", "LB_CONFIG": str(tmp_path / "config")}
-    shared = _shared(told | {"TMPDIR": str(tmp_path)}, config_of(told))
+    shared = open_shared_state(told | {"TMPDIR": str(tmp_path)}, config_of(told))
     assert shared is not None and shared.folder == tmp_path / "heronreel-p1"
     own = tmp_path / "heronreel-p1" / f"process-{os.getpid()}"
     assert own.read_bytes() == b""
     (own.parent / f"process-{os.getppid()}").write_bytes(b"")
-    assert shared.others() == [os.getppid()]
-    shared.resign()
+    assert shared.other_processes() == [os.getppid()]
+    shared.unregister_process()
     assert not own.exists()
-    assert (_inherited({"LB_ACCEPT_FD": "7"}), _inherited({})) == (7, None)
+    assert (inherited_descriptor({"LB_ACCEPT_FD": "7"}), inherited_descriptor({})) == (7, None)
 
 
 # -- the group's records, and all commands
--- a/tests/proxy/test_admin_api.py
+++ b/tests/proxy/test_admin_api.py
@@ -14,9 +14,11 @@
 import pytest
 
 from heronreel.balancer import interface as api
+from heronreel.proxy.backend_registry import stable_number
 from heronreel.proxy.config import load
-from heronreel.proxy.proxy import Ask, Asker, Proxy, number_of
-from heronreel.proxy.shared import Hold, Shared
+from heronreel.proxy.dispatcher import Dispatcher
+from heronreel.proxy.request import RequestHead, ResponseWriter
+from heronreel.proxy.shared_state import Cordon, SharedState
 from tests.support.loopback import (
     Backend,
     Discovery,
@@ -80,26 +82,30 @@
                 ended.set()
             return [api.StartAttempt(event.request, number)] if isinstance(event, api.Arrival) else []
 
-    class Rider(Asker):
-        def answer(self, status: int, lines: bytes, body: bytes = b"") -> None:
+    class Client(ResponseWriter):
+        def respond(self, status: int, header_lines: bytes, body: bytes = b"") -> None:
             ended.set()
 
-    number, ended = number_of(b"b1"), asyncio.Event()
+    number, ended = stable_number(b"b1"), asyncio.Event()
 
     async def talk() -> None:
         async with Backend() as one:
             config = configuration("127.0.0.1:1", entry("b1", one.address))
             (tmp_path / "config.json").write_text(json.dumps(config))
-            told = {"LB_NAME": "n0", "LB_LISTEN": "127.0.0.1:0", "LB_CONFIG": str(tmp_path / "config.json")}
-            proxy = Proxy(asyncio.get_running_loop(), load(told), Decided())
-            ask = Ask(b"GET /read/1 HTTP/1.1\r\nx-request-id: a\r\n", b"a", "read")
-            proxy.arrive(Rider(), ask, b"")  # it waits for its connection
-            proxy.settle_holds({"b1": Hold("b1", 1.0)})
+            environ = {
+                "LB_NAME": "n0",
+                "LB_LISTEN": "127.0.0.1:0",
+                "LB_CONFIG": str(tmp_path / "config.json"),
+            }
+            dispatcher = Dispatcher(asyncio.get_running_loop(), load(environ), Decided())
+            head = RequestHead(b"GET /read/1 HTTP/1.1\r\nx-request-id: a\r\n", b"a", "read")
+            dispatcher.submit(Client(), head, b"")  # it waits for its connection
+            dispatcher.registry.apply_cordons({"b1": Cordon("b1", 1.0)})
             await ended.wait()
             assert [end.outcome for end in Decided.ends if isinstance(end, api.AttemptEnded)] == [
                 api.Outcome.NOT_SENT
             ]
-            assert not one.seen and not proxy.pool.idle  # nor is its connection kept
+            assert not one.seen and not dispatcher.pool.idle  # nor is its connection kept
 
     run(talk())
 
@@ -228,17 +234,17 @@
 
 @pytest.mark.parametrize("odd", [b"", b"{", b'{"name": 1}', b"[]", NO_TIME])
 def test_an_odd_file_in_the_shared_folder_holds_nothing(tmp_path: Path, odd: bytes) -> None:
-    shared = Shared(tmp_path / "s")
+    shared = SharedState(tmp_path / "s")
     (tmp_path / "s" / "hold-odd").write_bytes(odd)
     (tmp_path / "s" / "process-99999999").write_text("")
-    shared.put(Hold("b2", 5.0))
-    assert shared.look() == ({"b2": Hold("b2", 5.0)}, False)
-    assert shared.others() == []
-    shared.put(Hold("b2", 5.0, 9.0))
-    assert Shared(tmp_path / "s").look()[0] == {"b2": Hold("b2", 5.0, 9.0)}
-    shared.look()
-    shared.forget_before(9.5)
-    assert shared.look() == ({}, False)
+    shared.put(Cordon("b2", 5.0))
+    assert shared.read() == ({"b2": Cordon("b2", 5.0)}, False)
+    assert shared.other_processes() == []
+    shared.put(Cordon("b2", 5.0, 9.0))
+    assert SharedState(tmp_path / "s").read()[0] == {"b2": Cordon("b2", 5.0, 9.0)}
+    shared.read()
+    shared.forget_released_before(9.5)
+    assert shared.read() == ({}, False)
 
 
 def test_two_processes_of_one_proxy_keep_to_its_descriptors_together(tmp_path: Path) -> None:
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -6,7 +6,7 @@
 import time
 from pathlib import Path
 
-from heronreel.proxy.__main__ import PUSHED_S
+from heronreel.proxy.__main__ import PUSHED_LIST_TIMEOUT_S
 from tests.support.loopback import (
     SETTINGS,
     Backend,
@@ -82,7 +82,7 @@
             config = configuration(agent.address, entry("b", backend.address))
             config["settings"] = SETTINGS | {"Discovery": "push"}
             async with node(tmp_path, config) as proxy:
-                assert time.monotonic() - asked[0] >= 0.9 * PUSHED_S
+                assert time.monotonic() - asked[0] >= 0.9 * PUSHED_LIST_TIMEOUT_S
                 assert await proxy.ask("a1") == ("200", b"a1")
 
     run(talk())
--- a/tests/proxy/test_streams.py
+++ b/tests/proxy/test_streams.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from heronreel.proxy.http1 import Budget
-from heronreel.proxy.streams import HOLD_MOST, STREAM_MOST, Upload
+from heronreel.proxy.budget import ByteBudget
+from heronreel.proxy.streams import MAX_BODY_BYTES, MAX_BUFFERED_REQUEST_BYTES, RequestBodyStream
 from tests.support.loopback import (
     Discovery,
     Listener,
@@ -138,7 +138,7 @@
 
         async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             told.append(await reader.readuntil(b"\r\n\r\n"))
-            reader._transport.pause_reading()  # type: ignore[attr-defined]
+            writer.transport.pause_reading()  # type: ignore[attr-defined]
             halt.set()
             await asyncio.Event().wait()
 
@@ -229,7 +229,7 @@
     ("lines", "sent"),
     [
         (["Content-Length: 60000000"], b""),
-        (["Transfer-Encoding: chunked"], chunked(b"y" * (STREAM_MOST + MB), MB)),
+        (["Transfer-Encoding: chunked"], chunked(b"y" * (MAX_BODY_BYTES + MB), MB)),
     ],
     ids=["told", "not told"],
 )
@@ -314,8 +314,8 @@
         async with one_behind(tmp_path, backend) as proxy:
             before = memory_kb(proxy.process.pid)
             clients = [await proxy.connect() for _ in range(6)]
-            for number, (reader, writer) in enumerate(clients):
-                reader._transport.pause_reading()  # type: ignore[attr-defined]
+            for number, (_, writer) in enumerate(clients):
+                writer.transport.pause_reading()  # type: ignore[attr-defined]
                 writer.write(request(f"r{number}", "read"))
             while backend.opened < 6:
                 await asyncio.sleep(0)
@@ -346,41 +346,41 @@
 def test_an_upload_keeps_what_may_be_sent_again_and_gives_back_what_it_took() -> None:
     class Peer:
         def __init__(self) -> None:
-            self.got, self.holds, self.ended = b"", list[bool](), False
+            self.received, self.pauses, self.ended = b"", list[bool](), False
 
-        def push(self, data: bytes) -> None:
-            self.got += data
+        def write_body(self, data: bytes) -> None:
+            self.received += data
 
-        def pushed(self) -> None:
+        def finish_body(self) -> None:
             self.ended = True
 
-        def hold(self, on: bool) -> None:
-            self.holds.append(on)
+        def set_reading_paused(self, paused: bool) -> None:
+            self.pauses.append(paused)
 
     client, first, second = Peer(), Peer(), Peer()
-    budget = Budget(4 * HOLD_MOST)
-    assert budget.take(HOLD_MOST + 1)
-    upload = Upload(client, budget, b"a" * (HOLD_MOST + 1), chunked=False)
+    budget = ByteBudget(4 * MAX_BUFFERED_REQUEST_BYTES)
+    assert budget.reserve(MAX_BUFFERED_REQUEST_BYTES + 1)
+    upload = RequestBodyStream(client, budget, b"a" * (MAX_BUFFERED_REQUEST_BYTES + 1), chunked=False)
     upload.feed(b"b")
-    assert client.holds == [True]  # nowhere to send it yet
+    assert client.pauses == [True]  # nowhere to send it yet
     upload.attach(first)
-    assert client.holds[-1] is False and first.got.endswith(b"ab")
+    assert client.pauses[-1] is False and first.received.endswith(b"ab")
     upload.detach(first)
-    assert upload.may_start()
+    assert upload.can_restart()
     upload.attach(second)
-    assert second.got == first.got
-    upload.feed(b"c" * HOLD_MOST)  # more than is kept
-    assert not upload.may_start() and budget.used == 0
+    assert second.received == first.received
+    upload.feed(b"c" * MAX_BUFFERED_REQUEST_BYTES)  # more than is kept
+    assert not upload.can_restart() and budget.used == 0
     late = Peer()
-    tight = Budget(HOLD_MOST + 1)
-    assert tight.take(HOLD_MOST + 1)
-    waits = Upload(client, tight, b"a" * (HOLD_MOST + 1), chunked=False)
-    waits.feed(b"b" * HOLD_MOST)  # no room for it, and nowhere to send it
-    assert waits.may_start() and client.holds[-1] is True
+    tight = ByteBudget(MAX_BUFFERED_REQUEST_BYTES + 1)
+    assert tight.reserve(MAX_BUFFERED_REQUEST_BYTES + 1)
+    waits = RequestBodyStream(client, tight, b"a" * (MAX_BUFFERED_REQUEST_BYTES + 1), chunked=False)
+    waits.feed(b"b" * MAX_BUFFERED_REQUEST_BYTES)  # no room for it, and nowhere to send it
+    assert waits.can_restart() and client.pauses[-1] is True
     waits.attach(late)
-    assert len(late.got) == 2 * HOLD_MOST + 1
+    assert len(late.received) == 2 * MAX_BUFFERED_REQUEST_BYTES + 1
     waits.feed(b"c")
-    assert not waits.may_start() and late.got.endswith(b"bc") and tight.used == 0
+    assert not waits.can_restart() and late.received.endswith(b"bc") and tight.used == 0
     upload.detach(first)  # one that has it no more
     upload.finish()
-    assert second.ended and len(second.got) == 2 * HOLD_MOST + 2 and not first.ended
+    assert second.ended and len(second.received) == 2 * MAX_BUFFERED_REQUEST_BYTES + 2 and not first.ended
--- a/tests/proxy/test_watch.py
+++ b/tests/proxy/test_watch.py
@@ -17,7 +17,7 @@
 import pytest
 
 from heronreel.proxy.config import load
-from heronreel.proxy.proxy import Proxy
+from heronreel.proxy.dispatcher import Dispatcher
 from tests.support.loopback import configuration, entry
 
 TOLD_S, GRACE_S = 6.0, 0.25  # the page's, and the least grace that a deployment of ours has
@@ -183,7 +183,7 @@
         self.file = path / "config.json"
         self.environ = {"LB_NAME": "n0", "LB_LISTEN": "127.0.0.1:0", "LB_CONFIG": str(self.file)}
         self.write(config)
-        self.proxy = Proxy(self.loop, load(self.environ))  # type: ignore[arg-type]
+        self.dispatcher = Dispatcher(self.loop, load(self.environ))  # type: ignore[arg-type]
 
     def write(self, config: dict[str, Any]) -> None:
         self.config = config
@@ -192,13 +192,13 @@
     def reload(self, **changes: Any) -> None:
         """SIGHUP with a file so changed."""
         self.write(self.config | changes)
-        self.proxy.reload(load(self.environ))
+        self.dispatcher.reload(load(self.environ))
 
     def at(self, at: float, call: Callable[..., object], *args: Any) -> None:
         self.loop.call_later(at - self.loop.now, call, *args)
 
     def knows(self) -> bool:
-        return not any(node.listed for node in self.proxy.nodes.values())
+        return not any(backend.listed for backend in self.dispatcher.backends.values())
 
     def knows_at(self, most: float) -> float:
         """When the proxy has been told of the leave; infinity: not by `most`."""
--- a/tests/routes/hostile_world.py
+++ b/tests/routes/hostile_world.py
@@ -60,7 +60,7 @@
         self.asks: dict[int, Ask] = {}
         self.steps: list[Step] = []
         self.infos: dict[int, api.BackendInfo] = {}
-        for number, member in enumerate(members_of(file).entries):
+        for number, member in enumerate(members_of(file).endpoints):
             self.infos[number] = api.BackendInfo(
                 number, member.state, member.zone, member.kind, member.cell, pool=member.pool
             )
--- a/tests/serve/test_serve.py
+++ b/tests/serve/test_serve.py
@@ -17,7 +17,8 @@
 import pytest
 
 from heronreel.balancer import interface as api
-from heronreel.proxy.proxy import Ask, Asker, Proxy
+from heronreel.proxy.dispatcher import Dispatcher
+from heronreel.proxy.request import RequestHead, ResponseWriter
 from heronreel.routes.load import load
 from heronreel.serve.policies import Router, config_of
 from heronreel.stubs.servers import Manners, ProfileNode, Rack
@@ -262,11 +263,11 @@
         return self.decide(event)
 
 
-class Asking(Asker):
+class Asking(ResponseWriter):
     def __init__(self) -> None:
         self.statuses: list[int] = []
 
-    def answer(self, status: int, lines: bytes, body: bytes = b"") -> None:
+    def respond(self, status: int, header_lines: bytes, body: bytes = b"") -> None:
         self.statuses.append(status)
 
 
@@ -296,7 +297,7 @@
                 return []
 
             decisions = Fixed(decide)
-            proxy = Proxy(loop, config_of(file), decisions, Router(file))
+            proxy = Dispatcher(loop, config_of(file), decisions, Router(file))
             connect = loop.create_connection
 
             async def slow(*args: Any, **more: Any) -> Any:
@@ -304,15 +305,17 @@
                 if trouble == "window":
                     time.sleep(0.1)  # the loop stands still, as a busy or swapped process does
                 elif trouble == "drain":
-                    for told in proxy.nodes.values():
-                        told.listed, told.told_off_at = False, time.monotonic() - 1.0
+                    for told in proxy.backends.values():
+                        told.listed, told.draining_since = False, time.monotonic() - 1.0
                 return made
 
             loop.create_connection = slow  # type: ignore[method-assign]
             policy = Router(file).find(b"h", b"/save", b"POST", {b"idempotency-key": b"k"})
             asking = Asking()
-            ask = Ask(b"POST /save HTTP/1.1\r\nx-request-id: a\r\n", time_left_ms=3000.0, policy=policy)
-            proxy.arrive(asking, ask, b"")
+            head = RequestHead(
+                b"POST /save HTTP/1.1\r\nx-request-id: a\r\n", timeout_ms=3000.0, policy=policy
+            )
+            proxy.submit(asking, head, b"")
             await decisions.told.wait()
             loop.create_connection = connect  # type: ignore[method-assign]
             ran = trouble == "none"
