--- a/tests/proxy/test_bad_backends.py
+++ b/tests/proxy/test_bad_backends.py
@@ -1,4 +1,4 @@
-"""Backends whose answers are spoilt, or bring more than belongs to them."""
+"""Backends whose responses are malformed, or are followed by more than belongs to them."""
 
 import asyncio
 from contextlib import suppress
@@ -8,23 +8,23 @@
 
 from tests.support.loopback import (
     Backend,
+    ConnectionHandler,
     Discovery,
-    Talk,
-    answer_of,
     configuration,
     entry,
-    node,
     ok,
-    one_behind,
+    proxy_with_backend,
+    read_request,
+    read_response,
     request,
-    request_of,
     run,
+    running_proxy,
 )
 
 OK = b"HTTP/1.1 200 OK\r\n"
 HINTS = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
 LARGE = b"ffffffffff\r\n" + b"x" * 10_000  # a chunk of a terabyte
-SPOILT = {
+MALFORMED = {
     "noise": b"\xd9\xd7M\x15y}V\x94e\xee\r\n\r\n",
     "another protocol": b"ICY 200 OK\r\nContent-Length: 4\r\n\r\nride",
     "a status that is none": b"HTTP/1.1 0x200 OK\r\nContent-Length: 4\r\n\r\nride",
@@ -37,7 +37,7 @@
     "chunks of too much": OK + b"Transfer-Encoding: chunked\r\n\r\n" + LARGE,
     "a field without end": OK + b"X-Pad: " + b"p" * 100_000,
     "fields without end": OK + b"X-Pad: pppp\r\n" * 10_000,
-    "half an answer": OK + b"Content-Length: 400\r\n\r\nride",
+    "half a response": OK + b"Content-Length: 400\r\n\r\nride",
     "no length": OK + b"\r\nride",
     "another protocol's turn": b"HTTP/1.1 101 Other\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n",
 }  # fmt: skip
@@ -48,57 +48,57 @@
 }  # fmt: skip
 
 
-def spoiler(spoilt: bytes, ended: asyncio.Event) -> Talk:
-    """The first request gets `spoilt` on a connection that stays open until the other side ends it."""
-    first = [spoilt]
+def malformed_once(malformed: bytes, ended: asyncio.Event) -> ConnectionHandler:
+    """The first request gets `malformed` on a connection that stays open until the other side ends it."""
+    first = [malformed]
 
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            head, _ = await request_of(reader)
+            head, _ = await read_request(reader)
             if not first:
                 writer.write(ok(head["x-request-id"].encode()))
                 continue
             writer.write(first.pop())
             with suppress(ConnectionError):
-                assert await reader.read(1) == b""  # nothing is asked again on this connection
+                assert await reader.read(1) == b""  # no further request comes on this connection
             ended.set()
             return
 
-    return talk
+    return handle
 
 
-@pytest.mark.parametrize("spoilt", SPOILT.values(), ids=SPOILT.keys())
-def test_a_spoilt_answer_is_retried_and_ends_its_connection(tmp_path: Path, spoilt: bytes) -> None:
-    async def talk() -> None:
+@pytest.mark.parametrize("malformed", MALFORMED.values(), ids=MALFORMED.keys())
+def test_a_malformed_response_is_retried_and_ends_its_connection(tmp_path: Path, malformed: bytes) -> None:
+    async def scenario() -> None:
         ended = asyncio.Event()
         async with Backend() as one, Backend() as two:
-            one.talk = two.talk = spoiler(spoilt, ended)
+            one.handler = two.handler = malformed_once(malformed, ended)
             known = [entry("b1", one.address), entry("b2", two.address)]
             async with (
                 Discovery(*known) as discovery,
-                node(tmp_path, configuration(discovery.address, *known)) as proxy,
+                running_proxy(tmp_path, configuration(discovery.address, *known)) as proxy,
             ):
-                assert await proxy.ask("a1") == ("200", b"a1")
+                assert await proxy.send_request("a1") == ("200", b"a1")
                 await ended.wait()
-                assert await proxy.ask("a2") == ("200", b"a2")
+                assert await proxy.send_request("a2") == ("200", b"a2")
 
-    run(talk())
+    run(scenario())
 
 
 @pytest.mark.parametrize("good", GOOD.values(), ids=GOOD.keys())
-def test_an_odd_answer_that_is_whole_is_served(tmp_path: Path, good: bytes) -> None:
-    async def talk() -> None:
-        async with one_behind(tmp_path, Backend(lambda head, body: good)) as proxy:
+def test_an_unusual_but_complete_response_is_served(tmp_path: Path, good: bytes) -> None:
+    async def scenario() -> None:
+        async with proxy_with_backend(tmp_path, Backend(lambda head, body: good)) as proxy:
             for ident in ("a1", "a2"):
-                assert await proxy.ask(ident) == ("200", b"ride")
+                assert await proxy.send_request(ident) == ("200", b"ride")
 
-    run(talk())
+    run(scenario())
 
 
 @pytest.mark.parametrize("beyond", [ok(b"copy"), b"\x00noise\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Le"])
 @pytest.mark.parametrize("together", [True, False])
-def test_bytes_beyond_an_answer_end_its_connection(tmp_path: Path, beyond: bytes, together: bool) -> None:
-    async def talk() -> None:
+def test_bytes_beyond_a_response_end_its_connection(tmp_path: Path, beyond: bytes, together: bool) -> None:
+    async def scenario() -> None:
         async with Backend() as backend:
             backend.reply = lambda head, body: (
                 ok(head["x-request-id"].encode()) + (beyond if together else b"")
@@ -106,22 +106,22 @@
             known = [entry("b1", backend.address)]
             async with (
                 Discovery(*known) as discovery,
-                node(tmp_path, configuration(discovery.address, *known)) as proxy,
+                running_proxy(tmp_path, configuration(discovery.address, *known)) as proxy,
             ):
                 reader, writer = await proxy.connect()
                 for number in range(1, 5):
                     writer.write(request(f"a{number}"))
-                    assert await answer_of(reader) == ("200", b"a%d" % number)
+                    assert await read_response(reader) == ("200", b"a%d" % number)
                     if not together:
                         backend.writers[-1].write(beyond)
                         await backend.ended()
                 assert backend.opened == 4  # none of them carried a second request
 
-    run(talk())
+    run(scenario())
 
 
-def test_what_the_backend_cannot_use_is_the_clients_fault(tmp_path: Path) -> None:
-    async def talk() -> None:
+def test_a_request_that_backends_reject_as_bad_is_the_clients_fault(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with Backend() as one, Backend() as two:
             for backend in (one, two):
                 backend.reply = lambda head, body: (
@@ -130,15 +130,15 @@
             known = [entry("b1", one.address), entry("b2", two.address)]
             async with (
                 Discovery(*known) as discovery,
-                node(tmp_path, configuration(discovery.address, *known)) as proxy,
+                running_proxy(tmp_path, configuration(discovery.address, *known)) as proxy,
             ):
                 for number in range(6):
                     reader, writer = await proxy.connect()
                     writer.write(request(f"a{number}", body=b"????"))
-                    status, _ = await answer_of(reader)
+                    status, _ = await read_response(reader)
                     assert status == "400"
-                assert len(one.seen) + len(two.seen) == 6  # no other backend is asked
-                assert [(await proxy.ask(f"g{number}"))[0] for number in range(8)] == ["200"] * 8
-                assert min(len(one.seen), len(two.seen)) > 3  # neither rests
+                assert len(one.seen) + len(two.seen) == 6  # no other backend is tried
+                assert [(await proxy.send_request(f"g{number}"))[0] for number in range(8)] == ["200"] * 8
+                assert min(len(one.seen), len(two.seen)) > 3  # both go on getting requests
 
-    run(talk())
+    run(scenario())
--- a/tests/proxy/test_bad_clients.py
+++ b/tests/proxy/test_bad_clients.py
@@ -9,13 +9,13 @@
 from tests.support.loopback import (
     Backend,
     Discovery,
-    answer_of,
     configuration,
     entry,
-    node,
-    one_behind,
+    proxy_with_backend,
+    read_response,
     request,
     run,
+    running_proxy,
 )
 
 HEAD = (
@@ -52,78 +52,78 @@
 
 
 @pytest.mark.parametrize("sent", BAD.values(), ids=BAD.keys())
-def test_a_bad_request_is_turned_away_and_costs_the_backends_nothing(tmp_path: Path, sent: bytes) -> None:
-    async def talk() -> None:
+def test_a_bad_request_is_rejected_and_reaches_no_backend(tmp_path: Path, sent: bytes) -> None:
+    async def scenario() -> None:
         backend = Backend()
-        async with one_behind(tmp_path, backend) as proxy:
+        async with proxy_with_backend(tmp_path, backend) as proxy:
             reader, writer = await proxy.connect()
             writer.write(sent)
             async with asyncio.timeout(4.0):
-                status, _ = await answer_of(reader)
+                status, _ = await read_response(reader)
             assert status in ("closed", "400", "405", "408", "413", "414", "431")
-            assert await proxy.ask("a1") == ("200", b"a1")
+            assert await proxy.send_request("a1") == ("200", b"a1")
             assert backend.seen == ["a1"]
 
-    run(talk())
+    run(scenario())
 
 
-def test_the_id_of_an_open_request_is_turned_away(tmp_path: Path) -> None:
-    async def talk() -> None:
+def test_the_id_of_an_open_request_is_rejected(tmp_path: Path) -> None:
+    async def scenario() -> None:
         backend = Backend(lambda head, body: None)
-        async with one_behind(tmp_path, backend) as proxy:
+        async with proxy_with_backend(tmp_path, backend) as proxy:
             reader, writer = await proxy.connect()
             writer.write(request("a1"))
-            await backend.asked.wait()
-            assert (await proxy.ask("a1"))[0] == "400"
+            await backend.requested.wait()
+            assert (await proxy.send_request("a1"))[0] == "400"
             backend.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
-            assert await answer_of(reader) == ("200", b"done")
+            assert await read_response(reader) == ("200", b"done")
             assert backend.seen == ["a1"]
 
-    run(talk())
+    run(scenario())
 
 
-def test_nothing_after_a_rejected_request_is_taken_up(tmp_path: Path) -> None:
-    async def talk() -> None:
+def test_nothing_after_a_rejected_request_is_served(tmp_path: Path) -> None:
+    async def scenario() -> None:
         backend = Backend()
-        async with one_behind(tmp_path, backend) as proxy:
+        async with proxy_with_backend(tmp_path, backend) as proxy:
             reader, writer = await proxy.connect()
             hidden = b"4\r\nride\r\n0\r\n\r\n" + request("a9")
             writer.write(HEAD + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n" + hidden)
-            assert (await answer_of(reader))[0] == "400"
+            assert (await read_response(reader))[0] == "400"
             assert await reader.read() == b""
             assert backend.seen == []
 
-    run(talk())
+    run(scenario())
 
 
-def test_an_owed_answer_goes_out_though_half_of_another_request_follows(tmp_path: Path) -> None:
-    async def talk() -> None:
+def test_an_owed_response_is_sent_though_half_of_another_request_follows(tmp_path: Path) -> None:
+    async def scenario() -> None:
         backend = Backend(lambda head, body: None)
-        async with one_behind(tmp_path, backend) as proxy:
+        async with proxy_with_backend(tmp_path, backend) as proxy:
             reader, writer = await proxy.connect()
             writer.write(request("a1") + HEAD)
-            await backend.asked.wait()
+            await backend.requested.wait()
             other, _ = await proxy.connect()
             assert await other.read() == b""  # the later connection's time is over, so that half's is too
             backend.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
-            assert await answer_of(reader) == ("200", b"done")
+            assert await read_response(reader) == ("200", b"done")
 
-    run(talk())
+    run(scenario())
 
 
-def test_a_silent_crowd_does_not_push_out_usual_clients(tmp_path: Path) -> None:
-    async def talk() -> None:
-        async with one_behind(tmp_path, Backend()) as proxy:
+def test_a_silent_crowd_does_not_displace_usual_clients(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with proxy_with_backend(tmp_path, Backend()) as proxy:
             reader, writer = await proxy.connect()
             writer.write(request("a1"))
-            assert await answer_of(reader) == ("200", b"a1")
+            assert await read_response(reader) == ("200", b"a1")
             crowd = [await proxy.connect() for _ in range(300)]
-            assert await proxy.ask("a2") == ("200", b"a2")
+            assert await proxy.send_request("a2") == ("200", b"a2")
             writer.write(request("a3"))
-            answer = await answer_of(reader)
-            if answer[0] == "closed":  # idle too long for a crowd: a client asks anew
-                answer = await proxy.ask("a3")
-            assert answer == ("200", b"a3")
+            response = await read_response(reader)
+            if response[0] == "closed":  # idle too long for a crowd: a client sends it again
+                response = await proxy.send_request("a3")
+            assert response == ("200", b"a3")
             assert proxy.descriptors() <= 256
             for other, _ in crowd:  # all of them are closed, in time
                 with suppress(ConnectionError):
@@ -131,44 +131,47 @@
             for _, ending in crowd:
                 ending.close()
 
-    run(talk())
+    run(scenario())
 
 
-def test_many_that_ask_once_and_stay_are_closed_and_a_few_are_not(tmp_path: Path) -> None:
-    async def talk() -> None:
+def test_many_idle_connections_are_closed_and_a_few_are_kept(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with Backend() as backend:
             known = [entry("b1", backend.address)]
             config = configuration(":0", *known)
             async with Discovery(*known) as discovery:
                 config["discovery"] = discovery.address
-                async with node(tmp_path, config) as proxy:
+                async with running_proxy(tmp_path, config) as proxy:
                     stay = []
                     for number in range(60):
                         reader, writer = await proxy.connect()
                         writer.write(request(f"a{number}"))
-                        assert (await answer_of(reader))[0] == "200"
+                        assert (await read_response(reader))[0] == "200"
                         stay.append((reader, writer))
                     async with asyncio.timeout(6.0):
                         assert await stay[0][0].read() == b""  # the longest idle goes in a few seconds
                     reader, writer = stay[-1]
                     writer.write(request("z1"))
-                    assert await answer_of(reader) == ("200", b"z1")  # few are left then, and they may stay
+                    assert await read_response(reader) == (
+                        "200",
+                        b"z1",
+                    )  # few are left then, and they may stay
 
-    run(talk())
+    run(scenario())
 
 
-def test_slow_clients_borrow_what_backends_do_not_use(tmp_path: Path) -> None:
+def test_slow_clients_borrow_descriptors_that_backends_do_not_use(tmp_path: Path) -> None:
     """96 descriptors leave clients 30 of their own; 40 with half a head must not keep the next one out."""
 
-    async def talk() -> None:
+    async def scenario() -> None:
         backend = Backend()
-        async with one_behind(tmp_path, backend, sockets=96) as proxy:
+        async with proxy_with_backend(tmp_path, backend, sockets=96) as proxy:
             slow = [await proxy.connect() for _ in range(40)]
             for _, writer in slow:
                 writer.write(HEAD)
-            assert await proxy.ask("a1") == ("200", b"a1")
+            assert await proxy.send_request("a1") == ("200", b"a1")
             assert proxy.descriptors() <= 96
             for _, writer in slow:
                 writer.close()
 
-    run(talk())
+    run(scenario())
--- a/tests/proxy/test_bookkeeping.py
+++ b/tests/proxy/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The proxy's own books after what should not happen, and its start and end within small limits."""
+"""The dispatcher's state after what should not happen, and a process's start and end in little memory."""
 
 import asyncio
 import json
@@ -11,7 +11,15 @@
 from heronreel.proxy.connection_pool import MAX_IDLE_S
 from heronreel.proxy.dispatcher import Dispatcher
 from heronreel.proxy.request import RequestHead, ResponseWriter
-from tests.support.loopback import Backend, answer_of, configuration, entry, one_behind, request, run
+from tests.support.loopback import (
+    Backend,
+    configuration,
+    entry,
+    proxy_with_backend,
+    read_response,
+    request,
+    run,
+)
 
 
 def config_of(path: Path, *known: dict[str, Any]) -> Config:
@@ -30,8 +38,8 @@
         self.status.set_result(status)
 
 
-def test_a_connect_that_fails_in_an_odd_way_ends_its_attempt_and_leaves_no_count(tmp_path: Path) -> None:
-    async def talk() -> None:
+def test_an_unexpected_connect_error_ends_its_attempt_and_leaks_no_count(tmp_path: Path) -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         dispatcher = Dispatcher(
             loop, config_of(tmp_path, entry("b1", "127.0.0.1:9"), entry("b2", "127.0.0.1:9"))
@@ -43,16 +51,16 @@
         loop.create_connection = odd  # type: ignore
         client = WaitingClient()
         dispatcher.submit(client, RequestHead(b"GET /read/1 HTTP/1.1\r\n", class_name="read"), b"")
-        assert await client.status == 503  # it never ran, so it is refused, and at once
+        assert await client.status == 503  # it never ran, so it is rejected, and at once
         await asyncio.sleep(0)
         assert not dispatcher.pool.connecting and not dispatcher.pool.connections
         assert not dispatcher.requests and not dispatcher.budget.used
 
-    run(talk())
+    run(scenario())
 
 
-def test_an_idle_connection_does_not_stand_in_a_table_that_all_proxies_share(tmp_path: Path) -> None:
-    async def talk() -> None:
+def test_an_idle_connection_is_closed_long_before_its_backend_would(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with Backend() as backend:
             config = config_of(tmp_path, entry("b1", backend.address))
             dispatcher = Dispatcher(asyncio.get_running_loop(), config)
@@ -68,11 +76,11 @@
             dispatcher.pool.close_expired(connection.idle_since + 1.1 * MAX_IDLE_S)
             assert not dispatcher.pool.idle and not dispatcher.pool.open_count()
 
-    run(talk())
+    run(scenario())
 
 
-def test_a_timer_that_the_module_fails_on_comes_again(tmp_path: Path) -> None:
-    async def talk() -> None:
+def test_a_timer_that_the_balancer_fails_on_fires_again(tmp_path: Path) -> None:
+    async def scenario() -> None:
         dispatcher = Dispatcher(asyncio.get_running_loop(), config_of(tmp_path, entry("b1", "127.0.0.1:9")))
         handle, again = dispatcher.balancer.handle, asyncio.Event()
         failed: list[api.Event] = []
@@ -90,20 +98,20 @@
         assert dispatcher.watch
         dispatcher.watch.close()
 
-    run(talk())
+    run(scenario())
 
 
 def test_it_starts_and_drains_in_32_mb(tmp_path: Path) -> None:
-    async def talk() -> None:
+    async def scenario() -> None:
         backend = Backend(lambda head, body: None)
-        async with one_behind(tmp_path, backend, memory_mb=32) as proxy:
+        async with proxy_with_backend(tmp_path, backend, memory_mb=32) as proxy:
             reader, writer = await proxy.connect()
             writer.write(request("a1"))
-            await backend.asked.wait()
+            await backend.requested.wait()
             proxy.signal(signal.SIGTERM)
             backend.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
-            assert await answer_of(reader) == ("200", b"done")
+            assert await read_response(reader) == ("200", b"done")
             assert await reader.read() == b""  # and the connection with it
             assert await proxy.process.wait() == 0
 
-    run(talk())
+    run(scenario())
--- a/tests/proxy/test_no_deployment_names.py
+++ b/tests/proxy/test_no_deployment_names.py
@@ -13,12 +13,12 @@
     ROOT,
     Backend,
     Discovery,
-    answer_of,
     configuration,
     entry,
-    node,
+    read_response,
     request,
     run,
+    running_proxy,
 )
 
 SITES = sorted((ROOT / "deploy" / "sites").glob("*.toml"))
@@ -67,14 +67,19 @@
     tenants = [{"Name": name(), "Portion": 0.5, "QuotaPerS": draw.uniform(5.0, 50.0)} for _ in range(2)]
     zones = [name() for _ in range(draw.randint(1, 4))]
 
-    async def talk() -> None:
+    async def scenario() -> None:
         async with Backend() as backend:
             known = entry("b1", backend.address) | {"zone": zones[-1], "type": name()}
             async with Discovery(known) as discovery:
                 config = configuration(discovery.address, known)
-                told = {"Categories": classes, "Tenants": tenants, "FailureDomains": zones, "Zone": zones[0]}
-                config["settings"] = config["settings"] | told
-                async with node(tmp_path, config) as proxy:
+                settings = {
+                    "Categories": classes,
+                    "Tenants": tenants,
+                    "FailureDomains": zones,
+                    "Zone": zones[0],
+                }
+                config["settings"] = config["settings"] | settings
+                async with running_proxy(tmp_path, config) as proxy:
                     for number, klass in enumerate(classes):
                         tenant = f"X-Tenant: {tenants[0]['Name']}\r\n"
                         sent = request(f"a{number}", klass["Name"], extra=tenant)
@@ -84,7 +89,7 @@
                             sent = re.sub(rb"Idempotency-Key: .*?\r\n", b"", sent)
                         reader, writer = await proxy.connect()
                         writer.write(sent)
-                        assert await answer_of(reader) == ("200", b"a%d" % number), ("seed", seed)
-                    assert (await proxy.ask("a9", "save"))[0] == "400"  # the other tests' class
+                        assert await read_response(reader) == ("200", b"a%d" % number), ("seed", seed)
+                    assert (await proxy.send_request("a9", "save"))[0] == "400"  # the other tests' class
 
-    run(talk())
+    run(scenario())
--- a/tests/proxy/test_crossing_events.py
+++ b/tests/proxy/test_race_conditions.py
@@ -23,51 +23,51 @@
     Backend,
     Discovery,
     Listener,
-    Node,
-    answer_of,
+    ProxyProcess,
     configuration,
     entry,
-    head_of,
-    node,
     ok,
-    one_behind,
+    proxy_with_backend,
+    read_head,
+    read_request,
+    read_response,
     request,
-    request_of,
     run,
+    running_proxy,
 )
 
-LONG = b"x" * (500 << 10)  # held whole by the proxy, and more than a backend's kernel takes unread
+LONG = b"x" * (500 << 10)  # buffered by the proxy, and more than a backend's kernel takes unread
 
 
-async def serves(proxy: Node) -> bool:
-    """What it tells the front."""
+async def serves(proxy: ProxyProcess) -> bool:
+    """What its health check says."""
     reader, writer = await proxy.connect()
     writer.write(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-    status, _ = await answer_of(reader)
+    status, _ = await read_response(reader)
     writer.close()
     return status == "200"
 
 
-async def stopped(proxy: Node) -> None:
+async def stopped(proxy: ProxyProcess) -> None:
     proxy.signal(signal.SIGSTOP)
     while "T (stopped)" not in Path(f"/proc/{proxy.process.pid}/status").read_text():
         await asyncio.sleep(0.001)
 
 
-async def rested(proxy: Node, backend: Backend) -> None:
+async def rest_connections(proxy: ProxyProcess, backend: Backend) -> None:
     """Three connections to the backend rest, so that further attempts are written at once."""
     backend.seen.clear()
-    asked = [asyncio.create_task(proxy.ask(f"w{number}")) for number in range(3)]
+    pending = [asyncio.create_task(proxy.send_request(f"w{number}")) for number in range(3)]
     while len(backend.seen) < 3:
         await asyncio.sleep(0.001)
     for carrier in list(backend.carriers.values())[-3:]:
         carrier.write(ok(b"done"))
-    await asyncio.gather(*asked)
+    await asyncio.gather(*pending)
     backend.seen.clear()
-    await asyncio.sleep(0.02)  # each is left alone for some milliseconds after its answer
+    await asyncio.sleep(0.02)  # each is left alone for some milliseconds after its response
 
 
-async def leaves(writer: asyncio.StreamWriter, how: str) -> None:
+async def disconnect(writer: asyncio.StreamWriter, how: str) -> None:
     if how == "ends its sending":
         writer.write_eof()
         return
@@ -84,49 +84,54 @@
 
 
 @LEAVING
-def test_a_request_behind_another_is_not_sent_once_its_client_has_left(tmp_path: Path, how: str) -> None:
-    async def talk() -> None:
+def test_a_pipelined_request_is_not_sent_once_its_client_has_disconnected(tmp_path: Path, how: str) -> None:
+    async def scenario() -> None:
         backend = Backend(lambda head, body: None if head["x-request-id"][0] in "aw" else ok(b"done"))
-        async with one_behind(tmp_path, backend) as proxy:
-            await rested(proxy, backend)
+        async with proxy_with_backend(tmp_path, backend) as proxy:
+            await rest_connections(proxy, backend)
             _, writer = await proxy.connect()
             writer.write(request("a1") + request("a2"))
             while backend.seen != ["a1"]:
                 await asyncio.sleep(0.001)
-            await leaves(writer, how)
-            assert await proxy.ask("b1") == ("200", b"done")  # what the kernel knew of has had its turn
+            await disconnect(writer, how)
+            assert await proxy.send_request("b1") == (
+                "200",
+                b"done",
+            )  # what the kernel knew of has had its turn
             backend.carriers["a1"].write(ok(b"done"))
-            assert await proxy.ask("b2") == ("200", b"done")
+            assert await proxy.send_request("b2") == ("200", b"done")
             assert backend.seen == ["a1", "b1", "b2"]
 
-    run(talk())
+    run(scenario())
 
 
 @LEAVING
-def test_a_request_that_is_read_after_its_client_has_left_is_not_sent(tmp_path: Path, how: str) -> None:
-    async def talk() -> None:
+def test_a_request_that_is_read_after_its_client_has_disconnected_is_not_sent(
+    tmp_path: Path, how: str
+) -> None:
+    async def scenario() -> None:
         backend = Backend(lambda head, body: None if head["x-request-id"][0] == "w" else ok(b"done"))
-        async with one_behind(tmp_path, backend) as proxy:
+        async with proxy_with_backend(tmp_path, backend) as proxy:
             resting = await proxy.connect()
             resting[1].write(request("a1"))
-            assert await answer_of(resting[0]) == ("200", b"done")
-            await rested(proxy, backend)
+            assert await read_response(resting[0]) == ("200", b"done")
+            await rest_connections(proxy, backend)
             await stopped(proxy)
             resting[1].write(request("a2"))
             _, fresh = await proxy.connect()
             fresh.write(request("a3"))
             await asyncio.gather(resting[1].drain(), fresh.drain())
-            await leaves(resting[1], how)
-            await leaves(fresh, how)
+            await disconnect(resting[1], how)
+            await disconnect(fresh, how)
             proxy.signal(signal.SIGCONT)
-            assert await proxy.ask("b1") == ("200", b"done")
+            assert await proxy.send_request("b1") == ("200", b"done")
             assert backend.seen == ["b1"]
 
-    run(talk())
+    run(scenario())
 
 
-class Late:
-    """A backend whose connections come up only once it is told to `go`."""
+class LateBackend:
+    """A backend whose connections come up only once `go` is set."""
 
     def __init__(self, address: str) -> None:
         self.address, self.go, self.came = address, asyncio.Event(), list[bytes]()
@@ -146,14 +151,14 @@
 
 
 @asynccontextmanager
-async def late_backend() -> AsyncIterator[Late]:
-    """Until it is told, the kernel's table of its connections is full, and drops who asks for one."""
+async def late_backend() -> AsyncIterator[LateBackend]:
+    """Until `go` is set, the kernel's table of its connections is full and drops new ones."""
     with socket.socket() as listener, socket.socket() as filler:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
         filler.connect(listener.getsockname())
         listener.setblocking(False)
-        late = Late("{}:{}".format(*listener.getsockname()))
+        late = LateBackend("{}:{}".format(*listener.getsockname()))
         task = asyncio.create_task(late.serve(listener))
         try:
             yield late
@@ -171,76 +176,81 @@
 
 
 @LEAVING
-def test_an_attempt_whose_connection_comes_up_late_is_not_sent_once_its_client_has_left(
+def test_an_attempt_whose_connection_comes_up_late_is_not_sent_once_its_client_has_disconnected(
     tmp_path: Path, how: str
 ) -> None:
     """The client has another request behind it, so that the proxy does not read what it does."""
 
-    async def talk() -> None:
+    async def scenario() -> None:
         async with late_backend() as backend, Discovery(entry("b1", backend.address)) as discovery:
             known = entry("b1", backend.address)
             config = slower(configuration(discovery.address, known), 20_000.0)
-            async with node(tmp_path, config) as proxy:
+            async with running_proxy(tmp_path, config) as proxy:
                 _, writer = await proxy.connect()
                 writer.write(request("a1") + request("a2"))
                 while not proxy.connecting():
                     await asyncio.sleep(0.005)
-                await leaves(writer, how)
+                await disconnect(writer, how)
                 backend.go.set()
-                assert await proxy.ask("b1") == ("200", b"done")
+                assert await proxy.send_request("b1") == ("200", b"done")
                 while len(backend.tasks) < 3:  # the filler's, and those for the two requests
                     await asyncio.sleep(0.005)
                 for ident in ("b2", "b3"):  # on both of them
-                    assert await proxy.ask(ident) == ("200", b"done")
+                    assert await proxy.send_request(ident) == ("200", b"done")
                 assert not any(b"a1" in data or b"a2" in data for data in backend.came)
 
-    run(talk())
+    run(scenario())
 
 
-class Holding(Listener):
-    """A backend that reads heads and, until it is told, no more; `whole` once a request's last byte came."""
+class PausingBackend(Listener):
+    """Reads heads and, until `go` is set, no more; `complete` once a request's last byte came."""
 
     def __init__(self) -> None:
-        super().__init__(self._hold, narrow=True)
-        self.begun, self.go, self.done, self.whole = (asyncio.Event() for _ in range(4))
+        super().__init__(self._pause, narrow=True)
+        self.begun, self.go, self.done, self.complete = (asyncio.Event() for _ in range(4))
 
-    async def _hold(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        head = await head_of(reader)
+    async def _pause(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        head = await read_head(reader)
         self.begun.set()
         await self.go.wait()
         try:
             await reader.readexactly(int(head["content-length"]))
-            self.whole.set()
+            self.complete.set()
             writer.write(ok(b"late"))
         finally:
             self.done.set()
 
 
 @LEAVING
-def test_what_was_not_wholly_written_never_begins_once_its_client_has_left(tmp_path: Path, how: str) -> None:
-    async def talk() -> None:
-        backend = Holding()
-        async with one_behind(tmp_path, backend) as proxy:
+def test_a_partly_written_request_never_begins_once_its_client_has_disconnected(
+    tmp_path: Path, how: str
+) -> None:
+    async def scenario() -> None:
+        backend = PausingBackend()
+        async with proxy_with_backend(tmp_path, backend) as proxy:
             _, writer = await proxy.connect()
             writer.write(request("a1", body=LONG))
             await backend.begun.wait()
-            await leaves(writer, how)
-            await proxy.ask("b1", "none")  # the proxy has read the end by now
+            await disconnect(writer, how)
+            await proxy.send_request("b1", "none")  # the proxy has read the end by now
             backend.go.set()
             await backend.done.wait()
-            assert not backend.whole.is_set()
+            assert not backend.complete.is_set()
 
-    run(talk())
+    run(scenario())
 
 
-def test_a_repeat_whose_last_byte_would_come_after_its_window_never_begins(tmp_path: Path) -> None:
-    async def talk() -> None:
-        first, second = Backend(lambda head, body: b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Holding()
+def test_a_retry_whose_last_byte_would_come_after_its_window_never_begins(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        first, second = (
+            Backend(lambda head, body: b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"),
+            PausingBackend(),
+        )
         async with first, second:
             known = [entry("b1", first.address), entry("b2", second.address)]
             async with Discovery(*known) as discovery:
                 config = slower(configuration(discovery.address, *known), 50.0, RepeatWindowMs=500.0)
-                async with node(tmp_path, config) as proxy:
+                async with running_proxy(tmp_path, config) as proxy:
                     for number in range(40):  # until one begins at the first of the two
                         reader, writer = await proxy.connect()
                         writer.write(request(f"a{number}", body=LONG))
@@ -250,22 +260,22 @@
                         writer.transport.abort()
                         second.begun.clear()
                     assert first.seen
-                    assert (await answer_of(reader))[0] == "502"  # long before its deadline
+                    assert (await read_response(reader))[0] == "502"  # long before its deadline
                     second.go.set()
                     await second.done.wait()
-                    assert not second.whole.is_set()
+                    assert not second.complete.is_set()
 
-    run(talk())
+    run(scenario())
 
 
-def test_what_comes_on_a_resting_connection_in_the_instant_of_its_close_is_answered(tmp_path: Path) -> None:
+def test_a_request_on_an_idle_connection_in_the_instant_of_its_close_is_served(tmp_path: Path) -> None:
     """After SIGTERM; the program stands still past the moment at which resting connections are closed."""
 
-    async def talk() -> None:
-        async with one_behind(tmp_path, Backend()) as proxy:
+    async def scenario() -> None:
+        async with proxy_with_backend(tmp_path, Backend()) as proxy:
             reader, writer = await proxy.connect()
             writer.write(request("a1"))
-            assert await answer_of(reader) == ("200", b"a1")
+            assert await read_response(reader) == ("200", b"a1")
             proxy.signal(signal.SIGTERM)
             while await serves(proxy):
                 pass
@@ -273,14 +283,14 @@
             writer.write(request("a2"))
             await asyncio.sleep(2.0)  # more than new connections are waited for
             proxy.signal(signal.SIGCONT)
-            assert await answer_of(reader) == ("200", b"a2")
+            assert await read_response(reader) == ("200", b"a2")
             assert await reader.read() == b""
             assert await proxy.process.wait() == 0
 
-    run(talk())
+    run(scenario())
 
 
-class Down(Discovery):
+class DownDiscovery(Discovery):
     """A list service that ends each call at once until it is back."""
 
     def __init__(self, *entries: dict[str, Any]) -> None:
@@ -294,18 +304,18 @@
             writer.transport.abort()
 
 
-def test_idle_clients_that_fill_the_descriptors_keep_no_call_to_discovery_from_being_made(
+def test_idle_clients_that_fill_the_descriptors_prevent_no_call_to_discovery(
     tmp_path: Path,
 ) -> None:
     """The kernel holds the program to its limit, as the platform does; more come than it may ever hold."""
 
-    async def talk() -> None:
-        async with Backend() as old, Backend() as new, Down(entry("b1", old.address)) as discovery:
+    async def scenario() -> None:
+        async with Backend() as old, Backend() as new, DownDiscovery(entry("b1", old.address)) as discovery:
             known = entry("b1", old.address)
-            async with node(tmp_path, configuration(discovery.address, known, sockets=128)) as proxy:
+            async with running_proxy(tmp_path, configuration(discovery.address, known, sockets=128)) as proxy:
                 resource.prlimit(proxy.process.pid, resource.RLIMIT_NOFILE, (128, 128))
                 idle = [await proxy.connect() for _ in range(400)]
-                assert await proxy.ask("a1") == ("200", b"a1")
+                assert await proxy.send_request("a1") == ("200", b"a1")
                 await stopped(proxy)  # so that all the others come in the same instant
                 idle += [await proxy.connect() for _ in range(400)]
                 proxy.signal(signal.SIGCONT)
@@ -313,12 +323,12 @@
                 discovery.back = True
                 async with asyncio.timeout(6.0):
                     await discovery.watched.wait()
-                assert await proxy.ask("a2") == ("200", b"a2")
+                assert await proxy.send_request("a2") == ("200", b"a2")
                 assert old.seen == ["a1"] and new.seen == ["a2"]
                 for _, writer in idle:
                     writer.transport.abort()
 
-    run(talk())
+    run(scenario())
 
 
 def test_nine_in_ten_of_many_processes_restarted_at_once_are_ready_in_time_on_a_busy_machine(
@@ -326,9 +336,9 @@
 ) -> None:
     """While discovery is down, so that none of them hears from it.  10 s are the operators' figure."""
 
-    async def talk() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        async with Backend() as backend, Down() as discovery:
+        async with Backend() as backend, DownDiscovery() as discovery:
             config = configuration(discovery.address, entry("b1", backend.address))
             spin = [sys.executable, "-c", "while True: pass"]
             busy = [await asyncio.create_subprocess_exec(*spin) for _ in range(os.cpu_count() or 1)]
@@ -338,7 +348,7 @@
                 began = loop.time()
                 folder = tmp_path / str(number)
                 folder.mkdir()
-                async with node(folder, config) as proxy:
+                async with running_proxy(folder, config) as proxy:
                     while not await serves(proxy):
                         pass
                     took.append(loop.time() - began)
@@ -351,46 +361,46 @@
                     await process.wait()
             assert sorted(took)[17] <= 10.0, sorted(took)
 
-    run(talk())
+    run(scenario())
 
 
 @pytest.mark.parametrize("how", ["closes", "resets", "ends its sending"])
 @pytest.mark.parametrize("together", [True, False])
-def test_an_answer_without_a_length_ends_with_its_connection_and_with_no_reset(
+def test_a_response_without_a_length_ends_with_its_connection_and_without_a_reset(
     tmp_path: Path, how: str, together: bool
 ) -> None:
     """`together`: its bytes and its end are read in the same instant."""
 
-    async def talk() -> None:
-        asked, go = asyncio.Event(), asyncio.Event()
+    async def scenario() -> None:
+        requested, go = asyncio.Event(), asyncio.Event()
 
-        async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await request_of(reader)
-            if asked.is_set():
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await read_request(reader)
+            if requested.is_set():
                 writer.write(ok(b"again"))
                 return
-            asked.set()
+            requested.set()
             await go.wait()
             writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nride")
             await writer.drain()
             if not together:
                 await asyncio.sleep(0.05)
-            await leaves(writer, how)
+            await disconnect(writer, how)
 
-        async with Listener(answer) as one, Listener(answer) as two:
+        async with Listener(handle) as one, Listener(handle) as two:
             known = [entry("b1", one.address), entry("b2", two.address)]
             async with (
                 Discovery(*known) as discovery,
-                node(tmp_path, configuration(discovery.address, *known)) as proxy,
+                running_proxy(tmp_path, configuration(discovery.address, *known)) as proxy,
             ):
-                asking = asyncio.create_task(proxy.ask("a1"))
-                await asked.wait()
+                pending = asyncio.create_task(proxy.send_request("a1"))
+                await requested.wait()
                 if together:
                     await stopped(proxy)
                 go.set()
                 if together:
                     await (one if one.opened else two).ended()
                     proxy.signal(signal.SIGCONT)
-                assert await asking == ("200", b"again" if how == "resets" else b"ride")
+                assert await pending == ("200", b"again" if how == "resets" else b"ride")
 
-    run(talk())
+    run(scenario())
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP under load: the new file as a whole or not at all, and no gap in what discovery tells."""
+"""SIGHUP under load: the new file as a whole or not at all, and no gap in what discovery reports."""
 
 import asyncio
 import json
@@ -12,52 +12,52 @@
     Backend,
     Discovery,
     Listener,
-    answer_of,
     configuration,
     entry,
-    node,
+    read_response,
     request,
     run,
+    running_proxy,
 )  # fmt: skip
 
 
 def test_sighup_moves_the_watch_and_keeps_what_is_under_way(tmp_path: Path) -> None:
-    async def talk() -> None:
+    async def scenario() -> None:
         async with Backend() as old, Backend() as new, Discovery() as first, Discovery() as second:
             first.entries = [entry("b-old", old.address)]
             second.entries = [entry("b-new", new.address)]
             old.reply = lambda head, body: None
             config = configuration(first.address, *first.entries)
-            async with node(tmp_path, config) as proxy:
+            async with running_proxy(tmp_path, config) as proxy:
                 await first.watched.wait()
                 reader, writer = await proxy.connect()
                 writer.write(request("a1"))
-                await old.asked.wait()
+                await old.requested.wait()
                 proxy.path.write_text(json.dumps(config | {"discovery": second.address}))
                 proxy.signal(signal.SIGHUP)
                 await second.watched.wait()
                 await first.ended()  # only once the new one is up
                 old.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
-                assert await answer_of(reader) == ("200", b"done")
-                assert await proxy.ask("a2") == ("200", b"a2")
+                assert await read_response(reader) == ("200", b"done")
+                assert await proxy.send_request("a2") == ("200", b"a2")
                 assert new.seen == ["a2"]  # the new list is in force
 
-    run(talk())
+    run(scenario())
 
 
 def test_a_bad_new_file_leaves_the_old_one_in_force(tmp_path: Path) -> None:
-    async def talk() -> None:
+    async def scenario() -> None:
         async with Backend() as backend, Discovery() as first, Discovery() as second:
             first.entries = second.entries = [entry("b", backend.address)]
             config = configuration(first.address, *first.entries)
-            async with node(tmp_path, config) as proxy:
+            async with running_proxy(tmp_path, config) as proxy:
                 await first.watched.wait()
                 wrongs: tuple[dict[str, object], ...] = ({"discovery": 5}, {"limits": {}}, {"settings": 0})
                 for text in ("{", *(json.dumps({**config, **wrong}) for wrong in wrongs)):
                     proxy.path.write_text(text)
                     proxy.signal(signal.SIGHUP)
                     assert "stays in force" in await proxy.log_line("reload")
-                assert await proxy.ask("a1") == ("200", b"a1")
+                assert await proxy.send_request("a1") == ("200", b"a1")
                 assert second.opened == 0 and not first.ends[first.writers[-1]].is_set()
                 proxy.path.write_text(json.dumps(config | {"discovery": second.address}))
                 proxy.signal(signal.SIGHUP)  # and a good one is still taken
@@ -65,24 +65,24 @@
                 proxy.signal(signal.SIGTERM)
                 assert await proxy.process.wait() == 0
 
-    run(talk())
+    run(scenario())
 
 
 def test_a_new_process_waits_for_its_agent_but_not_for_ever(tmp_path: Path) -> None:
-    """What the agent has counts as told from the first moment on, and the file's list may be old."""
+    """What the agent has counts as notified from the first moment on, and the file's list may be old."""
 
-    async def talk() -> None:
-        asked: list[float] = []
+    async def scenario() -> None:
+        calls: list[float] = []
 
         async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append(time.monotonic())
+            calls.append(time.monotonic())
             await reader.read()
 
         async with Backend() as backend, Listener(silent) as agent:
             config = configuration(agent.address, entry("b", backend.address))
             config["settings"] = SETTINGS | {"Discovery": "push"}
-            async with node(tmp_path, config) as proxy:
-                assert time.monotonic() - asked[0] >= 0.9 * PUSHED_LIST_TIMEOUT_S
-                assert await proxy.ask("a1") == ("200", b"a1")
+            async with running_proxy(tmp_path, config) as proxy:
+                assert time.monotonic() - calls[0] >= 0.9 * PUSHED_LIST_TIMEOUT_S
+                assert await proxy.send_request("a1") == ("200", b"a1")
 
-    run(talk())
+    run(scenario())
--- a/tests/proxy/test_rfc9112.py
+++ b/tests/proxy/test_rfc9112.py
@@ -1,4 +1,4 @@
-"""What RFC 9110 and 9112 ask of a proxy: what it must refuse, and what it must do to what it passes on."""
+"""What RFC 9110 and 9112 require of a proxy: what it must reject, and how it must forward the rest."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from heronreel.proxy.http1 import absolute_form, is_host
 from tests.support.loopback import (
     Backend,
-    answer_of,
-    head_of,
     ok,
-    one_behind,
+    proxy_with_backend,
+    read_head,
+    read_response,
     request,
     run,
 )
 
 READ = b"GET /read/obj1 HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: r1\r\n"
 SAVE = b"POST /save/obj1 HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: r1\r\nIdempotency-Key: k\r\n"
-REFUSED = {
+REJECTED = {
     "no Host (9112, 3.2)": (READ.replace(b"Host: api.internal\r\n", b"") + b"\r\n", "400"),
     "two Hosts (9112, 3.2)": (READ + b"Host: b\r\n\r\n", "400"),
     "a Host that is none (9112, 3.2)": (READ.replace(b"api.internal", b"api/internal") + b"\r\n", "400"),
@@ -45,56 +45,56 @@
 }
 
 
-def test_space_round_a_value_is_no_part_of_it(tmp_path: Path) -> None:
+def test_whitespace_around_a_value_is_no_part_of_it(tmp_path: Path) -> None:
     """RFC 9110, 5.5, on both sides; lengths, codings and ids alike."""
 
-    async def talk() -> None:
+    async def scenario() -> None:
         backend = Backend(lambda head, body: b"HTTP/1.1 200 OK\r\nContent-Length: \t4 \t\r\n\r\ndone")
-        async with one_behind(tmp_path, backend) as proxy:
+        async with proxy_with_backend(tmp_path, backend) as proxy:
             reader, writer = await proxy.connect()
             framings = (b"Content-Length:4 \r\n", b"transfer-encoding:   Chunked  \r\n")
             for number, framing in enumerate(framings):
                 body = b"ride" if not number else b"4\r\nride\r\n0\r\nX-Sum: 1 \r\n\r\n"
                 head = SAVE.replace(b"r1", b" \tr%d \t" % number).replace(b": k", b":k ")
                 writer.write(head + b"X-Deadline-Ms:   2047 \r\n" + framing + b"\r\n" + body)
-                assert await answer_of(reader) == ("200", b"done")
+                assert await read_response(reader) == ("200", b"done")
             assert backend.seen == ["r0", "r1"]
 
-    run(talk())
+    run(scenario())
 
 
-@pytest.mark.parametrize(("sent", "status"), REFUSED.values(), ids=REFUSED.keys())
-def test_what_must_be_refused_is_refused_and_the_connection_ends(
+@pytest.mark.parametrize(("sent", "status"), REJECTED.values(), ids=REJECTED.keys())
+def test_what_must_be_rejected_is_rejected_and_the_connection_ends(
     tmp_path: Path, sent: bytes, status: str
 ) -> None:
-    async def talk() -> None:
+    async def scenario() -> None:
         backend = Backend()
-        async with one_behind(tmp_path, backend) as proxy:
+        async with proxy_with_backend(tmp_path, backend) as proxy:
             reader, writer = await proxy.connect()
             writer.write(sent)
-            assert (await answer_of(reader))[0] == status
+            assert (await read_response(reader))[0] == status
             assert await reader.read() == b""
             assert backend.seen == []
 
-    run(talk())
+    run(scenario())
 
 
-def test_what_is_passed_on_is_as_a_proxy_must_make_it(tmp_path: Path) -> None:
+def test_what_is_forwarded_is_as_a_proxy_must_make_it(tmp_path: Path) -> None:
     heads: list[dict[str, str]] = []
 
     def reply(head: dict[str, str], body: bytes) -> bytes:
         heads.append(head)
         return ok(b"ride")
 
-    async def talk() -> None:
-        async with one_behind(tmp_path, Backend(reply)) as proxy:
+    async def scenario() -> None:
+        async with proxy_with_backend(tmp_path, Backend(reply)) as proxy:
             reader, writer = await proxy.connect()
             # the authority of an absolute target counts (9112, 3.2.2), Via is added (9110, 7.6.3), fields
             # that Connection names end here (9110, 7.6.1)
             target = b"GET http://other.example:81/read/obj1?x=1 HTTP/1.1"
             lines = READ.replace(b"GET /read/obj1 HTTP/1.1", target) + b"Via: 1.0 a\r\n"
             writer.write(lines + b"Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\n\r\n")
-            head = await head_of(reader)
+            head = await read_head(reader)
             assert head[""].split()[1] == "200"
             assert re.fullmatch(r"[A-Z][a-z]{2}, \d\d [A-Z][a-z]{2} \d{4} \d\d:\d\d:\d\d GMT", head["date"])
             assert await reader.readexactly(4) == b"ride"
@@ -105,25 +105,25 @@
             for hops, wanted in ((b"1", 2), (b"0", 2)):
                 options = READ.replace(b"GET", b"OPTIONS") + b"Max-Forwards: %b\r\n\r\n" % hops
                 writer.write(options)
-                assert (await answer_of(reader))[0] == "200"
+                assert (await read_response(reader))[0] == "200"
                 assert len(heads) == wanted
             assert heads[1]["max-forwards"] == "0"
 
-    run(talk())
+    run(scenario())
 
 
-def test_a_client_of_http_1_0_is_answered_and_let_go(tmp_path: Path) -> None:
-    """9112, 9.3: not kept, whatever it asks; 9110, 10.1.1: no interim answer; Host may be missing."""
+def test_a_client_of_http_1_0_gets_its_response_and_is_closed(tmp_path: Path) -> None:
+    """9112, 9.3: not kept, whatever it requests; 9110, 10.1.1: no interim response; Host may be missing."""
 
-    async def talk() -> None:
-        async with one_behind(tmp_path, Backend()) as proxy:
+    async def scenario() -> None:
+        async with proxy_with_backend(tmp_path, Backend()) as proxy:
             reader, writer = await proxy.connect()
             sent = request("a1", extra="Expect: 100-continue\r\nConnection: keep-alive\r\n")
             writer.write(sent.replace(b"HTTP/1.1", b"HTTP/1.0").replace(b"Host: api.internal\r\n", b""))
-            assert await answer_of(reader) == ("200", b"a1")
+            assert await read_response(reader) == ("200", b"a1")
             assert await reader.read() == b""
 
-    run(talk())
+    run(scenario())
 
 
 def test_host_values_and_targets() -> None:
--- a/tests/proxy/test_streams.py
+++ b/tests/proxy/test_streams.py
@@ -1,4 +1,4 @@
-"""Bodies longer than what is held, both ways, on the real program: whole, bounded, cut off."""
+"""Bodies too long to be buffered, both ways, on the real program: complete, bounded, cut off."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from tests.support.loopback import (
     Discovery,
     Listener,
-    Node,
-    answer_of,
+    ProxyProcess,
     configuration,
     entry,
-    head_of,
-    node,
-    one_behind,
+    proxy_with_backend,
+    read_head,
+    read_request,
+    read_response,
     request,
-    request_of,
     run,
+    running_proxy,
 )
 
 MB = 1 << 20
@@ -37,56 +37,56 @@
     return b"".join(b"%x;n=1\r\n%b\r\n" % (len(part), part) for part in parts) + b"0\r\nX-Sum: 1\r\n\r\n"
 
 
-def head(ident: str, *lines: str) -> bytes:
+def request_head(ident: str, *lines: str) -> bytes:
     return SAVE.format(ident, "".join(f"{line}\r\n" for line in lines)).encode()
 
 
-async def body_of(reader: asyncio.StreamReader, told: dict[str, str]) -> bytes:
+async def read_body(reader: asyncio.StreamReader, head: dict[str, str]) -> bytes:
     """A body of any framing; raises IncompleteReadError for one that is cut off."""
-    if "content-length" in told:
-        return await reader.readexactly(int(told["content-length"]))
-    if "transfer-encoding" not in told:
+    if "content-length" in head:
+        return await reader.readexactly(int(head["content-length"]))
+    if "transfer-encoding" not in head:
         return await reader.read()
-    whole = b""
+    complete = b""
     while size := int((await reader.readuntil(b"\r\n")).split(b";")[0], 16):
-        whole += (await reader.readexactly(size + 2))[:-2]
+        complete += (await reader.readexactly(size + 2))[:-2]
     while await reader.readuntil(b"\r\n") != b"\r\n":
         pass
-    return whole
+    return complete
 
 
-class Digests(Listener):
-    """Answers a request of any length with its digest, or does what `answers` says, once for each request."""
+class DigestBackend(Listener):
+    """Responds to a request of any length with its digest, or with what `responses` has, each once."""
 
-    def __init__(self, *answers: bytes) -> None:
-        super().__init__(self._talk)
-        self.answers = list(answers)
+    def __init__(self, *responses: bytes) -> None:
+        super().__init__(self._handle)
+        self.responses = list(responses)
         self.heads: list[dict[str, str]] = []
         self.begun = asyncio.Event()
 
-    async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            told = await head_of(reader)
-            self.heads.append(told)
+            head = await read_head(reader)
+            self.heads.append(head)
             self.begun.set()
-            body = await body_of(reader, told)
-            said = hashlib.sha256(body).hexdigest().encode()
-            if self.answers:
-                writer.write(self.answers.pop(0))
+            body = await read_body(reader, head)
+            digest = hashlib.sha256(body).hexdigest().encode()
+            if self.responses:
+                writer.write(self.responses.pop(0))
                 continue
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(said), said))
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(digest), digest))
 
 
-class Gives(Listener):
-    """Answers each request with these pieces, `more` before each but the first, and ends if told so."""
+class PiecewiseBackend(Listener):
+    """Responds with these pieces, `more` before each but the first, and ends the connection if `ends`."""
 
     def __init__(self, *pieces: bytes, ends: bool = False) -> None:
-        super().__init__(self._talk)
+        super().__init__(self._handle)
         self.pieces, self.ends_it, self.more = pieces, ends, asyncio.Semaphore(0)
 
-    async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            await request_of(reader)
+            await read_request(reader)
             for number, piece in enumerate(self.pieces):
                 if number:
                     await self.more.acquire()
@@ -101,84 +101,84 @@
     "length": ([f"Content-Length: {len(LONG)}"], LONG),
     "chunks": (["Transfer-Encoding: chunked"], chunked(LONG, 50_000)),
     "small chunks": (["Transfer-Encoding: chunked"], chunked(LONG[: 1 * MB], 700)),
-    "held": (["Content-Length: 300000"], LONG[:300_000]),
+    "buffered": (["Content-Length: 300000"], LONG[:300_000]),
 }
 
 
 @pytest.mark.parametrize("framing", FRAMINGS)
-def test_a_long_body_comes_whole_and_the_connection_goes_on(tmp_path: Path, framing: str) -> None:
+def test_a_long_body_arrives_complete_and_the_connection_is_reused(tmp_path: Path, framing: str) -> None:
     lines, sent = FRAMINGS[framing]
-    size = {"small chunks": MB, "held": 300_000}.get(framing, len(LONG))
+    size = {"small chunks": MB, "buffered": 300_000}.get(framing, len(LONG))
     digest = hashlib.sha256(LONG[:size]).hexdigest().encode()
 
-    async def talk() -> None:
-        backend = Digests()
-        async with one_behind(tmp_path, backend) as proxy:
+    async def scenario() -> None:
+        backend = DigestBackend()
+        async with proxy_with_backend(tmp_path, backend) as proxy:
             reader, writer = await proxy.connect()
             for number in range(2):
-                writer.write(head(f"r{number}", *lines))
+                writer.write(request_head(f"r{number}", *lines))
                 if number:  # in pieces that cut anything anywhere
                     for at in range(0, len(sent), 70_001):
                         writer.write(sent[at : at + 70_001])
                         await writer.drain()
                 else:
                     writer.write(sent)
-                assert await answer_of(reader) == ("200", digest)
+                assert await read_response(reader) == ("200", digest)
             assert len(backend.heads) == 2 and "x-deadline-ms" in backend.heads[0]
 
-    run(talk())
+    run(scenario())
 
 
-def test_the_length_of_a_body_bounds_no_memory(tmp_path: Path) -> None:
+def test_memory_does_not_grow_with_the_length_of_a_body(tmp_path: Path) -> None:
     """A backend that reads nothing: the client is made to wait, and the proxy stays small."""
 
-    async def talk() -> None:
+    async def scenario() -> None:
         halt = asyncio.Event()
-        told: list[bytes] = []
+        heads: list[bytes] = []
 
-        async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            told.append(await reader.readuntil(b"\r\n\r\n"))
+        async def read_only_head(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            heads.append(await reader.readuntil(b"\r\n\r\n"))
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             halt.set()
             await asyncio.Event().wait()
 
-        backend = Listener(deaf)
-        async with one_behind(tmp_path, backend) as proxy:
+        backend = Listener(read_only_head)
+        async with proxy_with_backend(tmp_path, backend) as proxy:
             before = memory_kb(proxy.process.pid)
             clients = [await proxy.connect() for _ in range(4)]
             for number, (_, writer) in enumerate(clients):
-                writer.write(head(f"d{number}", f"Content-Length: {30 * MB}"))
+                writer.write(request_head(f"d{number}", f"Content-Length: {30 * MB}"))
                 writer.write(b"x" * (30 * MB))
             await halt.wait()
             await serves_within(proxy, before + 16 * 1024)
             for _, writer in clients:
                 writer.transport.abort()
 
-    run(talk())
+    run(scenario())
 
 
-def test_a_long_body_that_finds_no_room_reaches_no_backend_in_part(tmp_path: Path) -> None:
-    async def talk() -> None:
-        backend = Digests()
-        async with one_behind(tmp_path, backend, memory_mb=30) as proxy:  # 1 MiB for bodies
+def test_a_long_body_without_memory_for_it_reaches_no_backend_in_part(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        backend = DigestBackend()
+        async with proxy_with_backend(tmp_path, backend, memory_mb=30) as proxy:  # 1 MiB for bodies
             _, first = await proxy.connect()
-            first.write(head("r1", f"Content-Length: {len(LONG)}") + LONG[:900_000])
+            first.write(request_head("r1", f"Content-Length: {len(LONG)}") + LONG[:900_000])
             await backend.begun.wait()
             reader, writer = await proxy.connect()
-            writer.write(head("r2", "Content-Length: 2000000") + LONG[:2_000_000])
-            assert (await answer_of(reader))[0] == "503"
-            assert [told["x-request-id"] for told in backend.heads] == ["r1"]
+            writer.write(request_head("r2", "Content-Length: 2000000") + LONG[:2_000_000])
+            assert (await read_response(reader))[0] == "503"
+            assert [head["x-request-id"] for head in backend.heads] == ["r1"]
             first.transport.abort()
 
-    run(talk())
+    run(scenario())
 
 
-async def serves_within(proxy: Node, most_kb: int) -> None:
-    """It still answers, and holds no more than that."""
+async def serves_within(proxy: ProxyProcess, max_kb: int) -> None:
+    """It still responds, and its memory is below that."""
     reader, writer = await proxy.connect()
     writer.write(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-    assert (await answer_of(reader))[0] == "200"
-    assert memory_kb(proxy.process.pid) < most_kb
+    assert (await read_response(reader))[0] == "200"
+    assert memory_kb(proxy.process.pid) < max_kb
 
 
 def memory_kb(process: int) -> int:
@@ -186,43 +186,43 @@
     return next(int(line.split()[1]) for line in lines if line.startswith("VmRSS"))
 
 
-def test_what_a_backend_turns_away_goes_to_it_again_from_the_first_byte(tmp_path: Path) -> None:
+def test_a_rejected_upload_is_retried_from_its_first_byte(tmp_path: Path) -> None:
     """Only as long as all that came is still there."""
     away = b"HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
-    async def talk() -> None:
-        for size, status, tries in ((900_000, "200", 2), (len(LONG), "503", 1)):
-            one, two = Digests(away), Digests()
-            two.answers = one.answers  # whoever is asked first turns it away
+    async def scenario() -> None:
+        for size, expected, attempts in ((900_000, "200", 2), (len(LONG), "503", 1)):
+            one, two = DigestBackend(away), DigestBackend()
+            two.responses = one.responses  # whichever gets it first rejects it
             async with one, two:
                 known = [entry("b1", one.address), entry("b2", two.address)]
                 async with Discovery(*known) as discovery:
-                    async with node(tmp_path, configuration(discovery.address, *known)) as proxy:
+                    async with running_proxy(tmp_path, configuration(discovery.address, *known)) as proxy:
                         reader, writer = await proxy.connect()
-                        writer.write(head("r", f"Content-Length: {size}") + LONG[:size])
-                        told, body = await answer_of(reader)
-                        assert (told, len(one.heads) + len(two.heads)) == (status, tries)
-                        if tries == 2:
+                        writer.write(request_head("r", f"Content-Length: {size}") + LONG[:size])
+                        status, body = await read_response(reader)
+                        assert (status, len(one.heads) + len(two.heads)) == (expected, attempts)
+                        if attempts == 2:
                             assert body.decode() == hashlib.sha256(LONG[:size]).hexdigest()
 
-    run(talk())
+    run(scenario())
 
 
-def test_a_client_that_leaves_or_stops_half_way_ends_what_went_out(tmp_path: Path) -> None:
-    async def talk() -> None:
+def test_a_client_that_disconnects_or_stalls_ends_its_upload(tmp_path: Path) -> None:
+    async def scenario() -> None:
         for leaves in (True, False):
-            backend = Digests()
-            async with one_behind(tmp_path, backend) as proxy:
+            backend = DigestBackend()
+            async with proxy_with_backend(tmp_path, backend) as proxy:
                 reader, writer = await proxy.connect()
-                writer.write(head("r", f"Content-Length: {len(LONG)}") + LONG[:MB])
+                writer.write(request_head("r", f"Content-Length: {len(LONG)}") + LONG[:MB])
                 await backend.begun.wait()
                 if leaves:
                     writer.transport.abort()
                 else:
-                    assert (await answer_of(reader))[0] == "408"
+                    assert (await read_response(reader))[0] == "408"
                 await backend.ended()
 
-    run(talk())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -231,87 +231,93 @@
         (["Content-Length: 60000000"], b""),
         (["Transfer-Encoding: chunked"], chunked(b"y" * (MAX_BODY_BYTES + MB), MB)),
     ],
-    ids=["told", "not told"],
+    ids=["declared", "chunked"],
 )
-def test_more_than_any_body_may_have_is_refused(tmp_path: Path, lines: list[str], sent: bytes) -> None:
-    async def talk() -> None:
-        async with one_behind(tmp_path, Digests()) as proxy:
+def test_a_body_over_the_limit_is_rejected(tmp_path: Path, lines: list[str], sent: bytes) -> None:
+    async def scenario() -> None:
+        async with proxy_with_backend(tmp_path, DigestBackend()) as proxy:
             reader, writer = await proxy.connect()
-            writer.write(head("r", *lines) + sent)
-            assert (await answer_of(reader))[0] == "413"
+            writer.write(request_head("r", *lines) + sent)
+            assert (await read_response(reader))[0] == "413"
 
-    run(talk())
+    run(scenario())
 
 
 OK = b"HTTP/1.1 200 OK\r\n"
-ANSWERS = {
+RESPONSES = {
     "length": ([OK + b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG], False),
     "chunks and a trailer": ([OK + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG, 9_999)], False),
     "to the connection's end": ([OK + b"Connection: close\r\n\r\n" + LONG], True),
-    "an interim answer before": (
+    "an interim response before": (
         [b"HTTP/1.1 103 X\r\nA: b\r\n\r\n" + OK + b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG], False
     ),
 }  # fmt: skip
 
 
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-@pytest.mark.parametrize("answer", ANSWERS)
-def test_a_long_answer_comes_whole_to_clients_of_any_age(tmp_path: Path, answer: str, version: str) -> None:
-    pieces, ends = ANSWERS[answer]
-
-    async def talk() -> None:
-        async with one_behind(tmp_path, Gives(*pieces, ends=ends)) as proxy:
+@pytest.mark.parametrize("response", RESPONSES)
+def test_a_long_response_arrives_complete_at_clients_of_any_version(
+    tmp_path: Path, response: str, version: str
+) -> None:
+    pieces, ends = RESPONSES[response]
+
+    async def scenario() -> None:
+        async with proxy_with_backend(tmp_path, PiecewiseBackend(*pieces, ends=ends)) as proxy:
             for _ in range(2):
                 reader, writer = await proxy.connect()
                 writer.write(request("r", "read").replace(b"HTTP/1.1", b"HTTP/" + version.encode()))
-                told = await head_of(reader)
-                assert told[""].split()[1] == "200"
-                assert version == "1.1" or "transfer-encoding" not in told
-                assert await body_of(reader, told) == LONG
+                head = await read_head(reader)
+                assert head[""].split()[1] == "200"
+                assert version == "1.1" or "transfer-encoding" not in head
+                assert await read_body(reader, head) == LONG
                 writer.close()
 
-    run(talk())
+    run(scenario())
 
 
-def test_the_first_bytes_of_a_long_answer_do_not_wait_for_the_rest(tmp_path: Path) -> None:
-    async def talk() -> None:
+def test_the_first_bytes_of_a_long_response_do_not_wait_for_the_rest(tmp_path: Path) -> None:
+    async def scenario() -> None:
         first = OK + b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG[:5000]
-        backend = Gives(first, LONG[5000:])
-        async with one_behind(tmp_path, backend) as proxy:
+        backend = PiecewiseBackend(first, LONG[5000:])
+        async with proxy_with_backend(tmp_path, backend) as proxy:
             reader, writer = await proxy.connect()
             writer.write(request("r", "read"))
-            told = await head_of(reader)
+            head = await read_head(reader)
             assert await reader.readexactly(5000) == LONG[:5000]  # and only then comes the rest
             backend.more.release()
             assert await reader.readexactly(len(LONG) - 5000) == LONG[5000:]
-            assert int(told["content-length"]) == len(LONG)
+            assert int(head["content-length"]) == len(LONG)
 
-    run(talk())
+    run(scenario())
 
 
 @pytest.mark.parametrize("form", ["length", "chunks"])
-def test_a_long_answer_cut_off_by_its_backend_is_cut_off_for_its_client(tmp_path: Path, form: str) -> None:
-    """Nobody may take a part for the whole, and the proxy goes on."""
+def test_a_long_response_cut_off_by_its_backend_is_cut_off_for_its_client(tmp_path: Path, form: str) -> None:
+    """Nobody may take a part for all of it, and the proxy goes on."""
     lines = b"Content-Length: 3000000\r\n" if form == "length" else b"Transfer-Encoding: chunked\r\n"
     part = LONG[:500_000] if form == "length" else chunked(LONG[:500_000], 5_000)[:-20]
 
-    async def talk() -> None:
-        async with one_behind(tmp_path, Gives(OK + lines + b"\r\n" + part, ends=True)) as proxy:
+    async def scenario() -> None:
+        async with proxy_with_backend(
+            tmp_path, PiecewiseBackend(OK + lines + b"\r\n" + part, ends=True)
+        ) as proxy:
             for _ in range(2):
                 reader, writer = await proxy.connect()
                 writer.write(request("r", "read"))
-                told = await head_of(reader)
+                head = await read_head(reader)
                 with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                    await body_of(reader, told)
+                    await read_body(reader, head)
 
-    run(talk())
+    run(scenario())
 
 
-def test_a_client_that_reads_nothing_holds_little_and_ends_the_answer_by_leaving(tmp_path: Path) -> None:
-    async def talk() -> None:
+def test_a_client_that_reads_nothing_costs_little_memory_and_ends_its_response_by_leaving(
+    tmp_path: Path,
+) -> None:
+    async def scenario() -> None:
         endless = OK + b"Content-Length: %d\r\n\r\n" % (30 * MB) + b"z" * (30 * MB)
-        backend = Gives(endless)
-        async with one_behind(tmp_path, backend) as proxy:
+        backend = PiecewiseBackend(endless)
+        async with proxy_with_backend(tmp_path, backend) as proxy:
             before = memory_kb(proxy.process.pid)
             clients = [await proxy.connect() for _ in range(6)]
             for number, (_, writer) in enumerate(clients):
@@ -325,25 +331,25 @@
             for end in list(backend.ends.values()):
                 await end.wait()
 
-    run(talk())
+    run(scenario())
 
 
-def test_a_drain_lets_long_ones_under_way_end(tmp_path: Path) -> None:
-    async def talk() -> None:
-        backend = Gives(OK + b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG[:MB], LONG[MB:])
-        async with one_behind(tmp_path, backend) as proxy:
+def test_a_drain_waits_for_long_responses(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        backend = PiecewiseBackend(OK + b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG[:MB], LONG[MB:])
+        async with proxy_with_backend(tmp_path, backend) as proxy:
             reader, writer = await proxy.connect()
             writer.write(request("r", "read"))
-            told = await head_of(reader)
+            head = await read_head(reader)
             proxy.signal(signal.SIGTERM)
             backend.more.release()
-            assert await body_of(reader, told) == LONG
+            assert await read_body(reader, head) == LONG
             assert await proxy.process.wait() == 0
 
-    run(talk())
+    run(scenario())
 
 
-def test_an_upload_keeps_what_may_be_sent_again_and_gives_back_what_it_took() -> None:
+def test_an_upload_keeps_what_may_be_sent_again_and_releases_its_memory() -> None:
     class Peer:
         def __init__(self) -> None:
             self.received, self.pauses, self.ended = b"", list[bool](), False
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,7 +1,7 @@
 """Peers on loopback sockets for tests: discovery, backends whose every byte a test decides, and clients.
 
-Nothing here waits for a stretch of time; every wait is for bytes, a connection or its end, and LIMIT only
-keeps a broken proxy from holding the suite up.
+Nothing here waits for a fixed time; every wait is for bytes, a connection or its end; TIMEOUT_S only
+keeps a broken proxy from blocking the suite.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from typing import Any, Self
 
 ROOT = Path(__file__).parents[2]
-LIMIT = 60.0
-BEAT_S = 1.0  # between two empty lines of a watch
+TIMEOUT_S = 60.0
+HEARTBEAT_S = 1.0  # between two empty lines of a watch
 SETTINGS: dict[str, Any] = {
     "Balancers": 1,
     "Categories": [
@@ -35,14 +35,14 @@
     "Rules": {"MustAskInMs": 800.0, "DrainGraceMs": 500.0},
 }  # fmt: skip
 SYN_SENT = "02"  # in the kernel's table
-Talk = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class Listener:
-    """A server on an ephemeral port; `talk` is one connection's whole life."""
+    """A server on an ephemeral port; `handler` is one connection's whole life."""
 
-    def __init__(self, talk: Talk, narrow: bool = False) -> None:
-        self.talk = talk
+    def __init__(self, handler: ConnectionHandler, narrow: bool = False) -> None:
+        self.handler = handler
         self.narrow = narrow  # the kernels on both sides hold little that is not read
         self.address = ""
         self.opened = 0
@@ -65,7 +65,7 @@
         self.writers.append(writer)
         self.ends[writer] = asyncio.Event()
         with suppress(OSError, asyncio.IncompleteReadError):
-            await self.talk(reader, writer)
+            await self.handler(reader, writer)
         self.ends[writer].set()
 
     async def ended(self) -> None:
@@ -78,15 +78,15 @@
             writer.transport.abort()
 
 
-async def head_of(reader: asyncio.StreamReader) -> dict[str, str]:
+async def read_head(reader: asyncio.StreamReader) -> dict[str, str]:
     """One head: its first line under "", header names in lower case."""
     first, *lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")[:-2]
     parts = (line.partition(":") for line in lines)
     return {"": first} | {name.lower(): value.strip() for name, _, value in parts}
 
 
-async def request_of(reader: asyncio.StreamReader) -> tuple[dict[str, str], bytes]:
-    head = await head_of(reader)
+async def read_request(reader: asyncio.StreamReader) -> tuple[dict[str, str], bytes]:
+    head = await read_head(reader)
     return head, await reader.readexactly(int(head.get("content-length", "0")))
 
 
@@ -95,24 +95,24 @@
 
 
 class Backend(Listener):
-    """Answers each request with what `reply` makes of it; None says nothing."""
+    """Responds to each request with what `reply` makes of it; None: not at all."""
 
     def __init__(self, reply: Callable[[dict[str, str], bytes], bytes | None] | None = None) -> None:
-        super().__init__(self._answer)
+        super().__init__(self._handle)
         self.reply = reply or (lambda head, body: ok(head["x-request-id"].encode()))
         self.seen: list[str] = []
-        self.carriers: dict[str, asyncio.StreamWriter] = {}  # by request, for a later answer
-        self.asked = asyncio.Event()
+        self.carriers: dict[str, asyncio.StreamWriter] = {}  # by request, for a later response
+        self.requested = asyncio.Event()
 
-    async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            head, body = await request_of(reader)
+            head, body = await read_request(reader)
             self.seen.append(head["x-request-id"])
             self.carriers[head["x-request-id"]] = writer
-            self.asked.set()
-            answer = self.reply(head, body)
-            if answer is not None:
-                writer.write(answer)
+            self.requested.set()
+            response = self.reply(head, body)
+            if response is not None:
+                writer.write(response)
 
 
 def entry(name: str, address: str, status: str = "active", group: int = 0) -> dict[str, Any]:
@@ -120,7 +120,7 @@
 
 
 class Discovery(Listener):
-    """Watches get `entries` as a whole list; more is told with `change`."""
+    """Watches get `entries` as a snapshot; changes are sent with `change`."""
 
     def __init__(self, *entries: dict[str, Any]) -> None:
         super().__init__(self._watch)
@@ -128,22 +128,22 @@
         self.watched = asyncio.Event()
 
     async def _watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await head_of(reader)
+        await read_head(reader)
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         writer.write(head + self._line(True, self.entries))
         self.watched.set()
         while not reader.at_eof():  # as the platform's: a line a while, so that silence means a broken watch
             with suppress(TimeoutError):
-                await asyncio.wait_for(reader.read(1), BEAT_S)
+                await asyncio.wait_for(reader.read(1), HEARTBEAT_S)
             writer.write(b"1\r\n\n\r\n")
 
-    def _line(self, whole: bool, entries: list[dict[str, Any]]) -> bytes:
-        line = json.dumps({"index": 7, "snapshot": whole, "endpoints": entries}).encode() + b"\n"
+    def _line(self, is_snapshot: bool, entries: list[dict[str, Any]]) -> bytes:
+        line = json.dumps({"index": 7, "snapshot": is_snapshot, "endpoints": entries}).encode() + b"\n"
         return b"%x\r\n%b\r\n" % (len(line), line)
 
     def change(self, *entries: dict[str, Any]) -> None:
-        changed = {told["name"]: told for told in (*self.entries, *entries)}
-        self.entries = [told for told in changed.values() if told["status"] != "left"]
+        changed = {item["name"]: item for item in (*self.entries, *entries)}
+        self.entries = [item for item in changed.values() if item["status"] != "left"]
         for writer in self.writers:
             writer.write(self._line(False, list(entries)))
 
@@ -157,18 +157,19 @@
     }  # fmt: skip
 
 
-class Node:
+class ProxyProcess:
     """The real program in a process of its own."""
 
-    def __init__(self, path: Path, process: asyncio.subprocess.Process, port: int, calls: int) -> None:
-        self.path, self.process, self.host, self.port, self.calls = path, process, "127.0.0.1", port, calls
+    def __init__(self, path: Path, process: asyncio.subprocess.Process, port: int, admin_port: int) -> None:
+        self.path, self.process, self.host = path, process, "127.0.0.1"
+        self.port, self.admin_port = port, admin_port
 
     async def call(self, path: str, body: str = "", method: str = "POST") -> str:
-        """An operator's call, where the node has an address for them."""
-        reader, writer = await asyncio.open_connection(self.host, self.calls)
+        """An admin call, where the process has an address for them."""
+        reader, writer = await asyncio.open_connection(self.host, self.admin_port)
         head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n{body}"
         writer.write(head.encode())
-        status, _ = await answer_of(reader)
+        status, _ = await read_response(reader)
         writer.close()
         return status
 
@@ -191,27 +192,27 @@
 
     def connecting(self) -> int:
         """How many connections of its own have not come up yet."""
-        held = set[str]()
+        own = set[str]()
         for number in os.listdir(f"/proc/{self.process.pid}/fd"):
             with suppress(OSError):
-                held.add(os.readlink(f"/proc/{self.process.pid}/fd/{number}"))
+                own.add(os.readlink(f"/proc/{self.process.pid}/fd/{number}"))
         rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
-        return sum(row[3] == SYN_SENT and f"socket:[{row[9]}]" in held for row in rows)
+        return sum(row[3] == SYN_SENT and f"socket:[{row[9]}]" in own for row in rows)
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection(self.host, self.port)
 
-    async def ask(self, ident: str, klass: str = "save") -> tuple[str, bytes]:
+    async def send_request(self, ident: str, klass: str = "save") -> tuple[str, bytes]:
         reader, writer = await self.connect()
         writer.write(request(ident, klass))
-        answer = await answer_of(reader)
+        response = await read_response(reader)
         writer.close()
-        return answer
+        return response
 
 
 @contextmanager
-def held_port() -> Iterator[int]:
-    """One that nobody else is given meanwhile; the proxy binds it all the same, with SO_REUSEADDR."""
+def reserved_port() -> Iterator[int]:
+    """A port that nobody else gets meanwhile; the proxy binds it all the same, with SO_REUSEADDR."""
     with socket.socket() as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         probe.bind(("127.0.0.1", 0))
@@ -219,47 +220,47 @@
 
 
 @asynccontextmanager
-async def node(
-    path: Path, config: dict[str, Any], called: bool = False, shared: socket.socket | None = None
-) -> AsyncIterator[Node]:
-    """`called`: with an address for operators; `shared`: a listening socket to inherit, as there."""
-    held = ExitStack()
-    calls = held.enter_context(held_port()) if called else 0
-    file = path / f"config{calls or ''}.json"
-    file.write_text(json.dumps(config | ({"mgmt": f"127.0.0.1:{calls}"} if called else {})))
-    port = shared.getsockname()[1] if shared else held.enter_context(held_port())
-    told = {
+async def running_proxy(
+    path: Path, config: dict[str, Any], with_admin_api: bool = False, shared: socket.socket | None = None
+) -> AsyncIterator[ProxyProcess]:
+    """Start the program; `shared`: a listening socket to inherit, together with an admin API."""
+    ports = ExitStack()
+    admin_port = ports.enter_context(reserved_port()) if with_admin_api else 0
+    file = path / f"config{admin_port or ''}.json"
+    file.write_text(json.dumps(config | ({"mgmt": f"127.0.0.1:{admin_port}"} if with_admin_api else {})))
+    port = shared.getsockname()[1] if shared else ports.enter_context(reserved_port())
+    environ = {
         "LB_NAME": "n0", "LB_LISTEN": f"127.0.0.1:{port}", "LB_CONFIG": str(file),
         "LB_DISCOVERY": config["discovery"], "TMPDIR": str(path),
     }  # fmt: skip
-    passed = (shared.fileno(),) if shared else ()
+    inherited = (shared.fileno(),) if shared else ()
     if shared:
-        told["LB_ACCEPT_FD"] = str(shared.fileno())
+        environ["LB_ACCEPT_FD"] = str(shared.fileno())
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "heronreel.proxy", cwd=ROOT, env={**os.environ, **told}, pass_fds=passed,
+        sys.executable, "-m", "heronreel.proxy", cwd=ROOT, env={**os.environ, **environ}, pass_fds=inherited,
         stderr=asyncio.subprocess.PIPE,
     )  # fmt: skip
-    made = Node(file, process, port, calls)
+    proxy = ProxyProcess(file, process, port, admin_port)
     try:
-        await made.log_line("listening")
-        yield made
+        await proxy.log_line("listening")
+        yield proxy
     finally:
         if process.returncode is None:
             process.kill()
         await process.wait()
-        held.close()
+        ports.close()
 
 
 @asynccontextmanager
-async def one_behind(
-    path: Path, backend: Listener, called: bool = False, **limits: float
-) -> AsyncIterator[Node]:
-    """A proxy with discovery and that one backend; `called` as for `node`."""
+async def proxy_with_backend(
+    path: Path, backend: Listener, with_admin_api: bool = False, **limits: float
+) -> AsyncIterator[ProxyProcess]:
+    """A proxy with discovery and that one backend; `with_admin_api` as for `running_proxy`."""
     async with backend:
         known = [entry("b1", backend.address)]
         async with Discovery(*known) as discovery:
             config = configuration(discovery.address, *known, **limits)
-            async with node(path, config, called) as proxy:
+            async with running_proxy(path, config, with_admin_api) as proxy:
                 yield proxy
 
 
@@ -273,10 +274,10 @@
     return ("\r\n".join(lines) + f"\r\n{extra}\r\n").encode() + (body if klass != "read" else b"")
 
 
-async def answer_of(reader: asyncio.StreamReader) -> tuple[str, bytes]:
-    """Status and body of one whole answer; "closed" if the connection ends first."""
+async def read_response(reader: asyncio.StreamReader) -> tuple[str, bytes]:
+    """Status and body of one response; "closed" if the connection ends first."""
     try:
-        head, body = await request_of(reader)
+        head, body = await read_request(reader)
     except (asyncio.IncompleteReadError, ConnectionError):
         return "closed", b""
     return head[""].split()[1], body
@@ -288,9 +289,9 @@
         return int(taken.getsockname()[1])
 
 
-def run(talk: Awaitable[None]) -> None:
+def run(scenario: Awaitable[None]) -> None:
     async def within() -> None:
-        async with asyncio.timeout(LIMIT):
-            await talk
+        async with asyncio.timeout(TIMEOUT_S):
+            await scenario
 
     asyncio.run(within())
