--- a/tests/health/test_health_checks.py
+++ b/tests/health/test_health_checks.py
@@ -17,7 +17,7 @@
 from heronreel.fault_injection.processes import Harness, Process
 from heronreel.health.checks import Health, Member, Rules, believed
 from heronreel.health.report import Heard, Report, decoded, key_of, task_of, telling
-from tests.support.loopback import Listener, ok, request_of
+from tests.support.loopback import Listener, ok, read_request
 from tests.support.serve_process import get, served
 
 RULES = Rules("/health", fall=3, rise=2)
@@ -75,7 +75,7 @@
 
     async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            head, _ = await request_of(reader)
+            head, _ = await read_request(reader)
             if head[""].split()[1] == "/health":
                 self.probes += 1
                 writer.write(ok(b"") if self.healthy else b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
--- a/tests/metering/test_metering_processes.py
+++ b/tests/metering/test_metering_processes.py
@@ -21,7 +21,7 @@
 from heronreel.leases.overview import lease_overview
 from heronreel.metering import overview
 from heronreel.serve.program import read_report
-from tests.support.loopback import Backend, answer_of, free_port
+from tests.support.loopback import Backend, free_port, read_response
 from tests.support.serve_process import get, gets_to
 
 TENANTS = ("etna", "madonie")
@@ -128,7 +128,7 @@
             for _ in range(count):
                 writer.write(get("/ride", extra=f"X-Tenant: {tenant}\r\n"))
                 asked = True
-                status, _ = await answer_of(reader)
+                status, _ = await read_response(reader)
                 if status == "closed":
                     break
                 asked = False
--- a/tests/serve/test_serve.py
+++ b/tests/serve/test_serve.py
@@ -27,12 +27,12 @@
     SETTINGS,
     Backend,
     Discovery,
-    answer_of,
     configuration,
     entry,
     ok,
+    read_request,
+    read_response,
     request,
-    request_of,
     run,
 )
 from tests.support.serve_process import file_of, get, post, served
@@ -73,10 +73,10 @@
 
     async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            head, _ = await request_of(reader)
+            head, _ = await read_request(reader)
             self.heads.append(head)
             self.seen.append(head["x-request-id"])
-            self.asked.set()
+            self.requested.set()
             answer = self.answers.pop(0) if self.answers else ok(b"good")
             if answer is None:
                 await self.go.wait()
@@ -163,12 +163,12 @@
             async with served(tmp_path, file_of(COPY, p=[(n.address, "r1") for n in nodes])) as proxy:
                 reader, writer = await proxy.connect()
                 writer.write(post("/save/1", "k1", "a1"))
-                await asyncio.gather(one.asked.wait(), two.asked.wait())
+                await asyncio.gather(one.requested.wait(), two.requested.wait())
                 nodes[winner].go.set()
-                assert await answer_of(reader) == ("200", b"late")
+                assert await read_response(reader) == ("200", b"late")
                 nodes[1 - winner].go.set()
                 writer.write(post("/save/2", "k2", "a2"))
-                assert await answer_of(reader) == ("200", b"good")
+                assert await read_response(reader) == ("200", b"good")
                 assert sorted(one.seen + two.seen) == ["a1", "a1", "a2"]
 
     run(talk())
@@ -184,16 +184,16 @@
             async with served(tmp_path, file_of(COPY, p=[(n.address, "r1") for n in (one, two)])) as proxy:
                 reader, writer = await proxy.connect()
                 writer.write(post("/save/1", "k1", "a1"))
-                await asyncio.gather(one.asked.wait(), two.asked.wait())
+                await asyncio.gather(one.requested.wait(), two.requested.wait())
                 one.writers[0].write(ERROR)
                 two.writers[0].write(ERROR)
-                one.asked.clear()
-                two.asked.clear()
-                waits = [asyncio.create_task(node.asked.wait()) for node in (one, two)]
+                one.requested.clear()
+                two.requested.clear()
+                waits = [asyncio.create_task(node.requested.wait()) for node in (one, two)]
                 one.go.set()  # what the two still write after their 500 is nobody's
                 two.go.set()
                 await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-                assert await answer_of(reader) == ("200", b"third")
+                assert await read_response(reader) == ("200", b"third")
                 assert len(one.seen + two.seen) == 3
                 for task in waits:
                     task.cancel()
@@ -208,7 +208,7 @@
             async with served(tmp_path, text) as proxy:
                 reader, writer = await proxy.connect()
                 writer.write(post("/save/1", "k1", "a1"))
-                waits = [asyncio.create_task(node.asked.wait()) for node in (one, two)]
+                waits = [asyncio.create_task(node.requested.wait()) for node in (one, two)]
                 await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
                 first, other = (one, two) if one.seen else (two, one)
                 name = 'name = "m1"' if other is two else 'name = "m0"'
@@ -218,7 +218,7 @@
                 await asyncio.sleep(0.8)  # past the time of the copy
                 assert other.seen == []
                 first.go.set()
-                assert await answer_of(reader) == ("200", b"late")
+                assert await read_response(reader) == ("200", b"late")
                 for task in waits:
                     task.cancel()
 
@@ -237,11 +237,11 @@
             async with served(tmp_path, file_of(route, p=[(node.address, "r1")])) as proxy:
                 reader, writer = await proxy.connect()
                 writer.write(post("/save/1", "k1", "a1"))
-                await node.asked.wait()
+                await node.requested.wait()
                 proxy.signal(signal.SIGSTOP)
                 await asyncio.sleep(1.2)
                 proxy.signal(signal.SIGCONT)
-                assert (await answer_of(reader))[0] in ("502", "504")
+                assert (await read_response(reader))[0] in ("502", "504")
                 assert await proxy.ask(get("/_health")) == ("200", b"")
                 assert node.seen == ["a1"]
 
@@ -340,7 +340,7 @@
             async with served(tmp_path, text) as proxy:
                 copied, copied_writer = await proxy.connect()
                 copied_writer.write(post("/save/1", "k1", "a1"))
-                await asyncio.gather(one.asked.wait(), two.asked.wait())  # first and copy are out
+                await asyncio.gather(one.requested.wait(), two.requested.wait())  # first and copy are out
                 for node in (one, two):
                     node.answers = [ERROR]
                 waiting, waiting_writer = await proxy.connect()
@@ -357,7 +357,7 @@
                 proxy.signal(signal.SIGHUP)
                 await proxy.log_line("reload: done, 1 routes")
                 assert (await proxy.ask(post("/save/2", "k2")))[0] == "404"
-                assert await answer_of(waiting) == (
+                assert await read_response(waiting) == (
                     "200",
                     b"good",
                 )  # after its pause, on a route that is gone
@@ -369,10 +369,10 @@
                 proxy.path.write_text(file_of(READ, p=members))
                 proxy.signal(signal.SIGHUP)
                 await proxy.log_line("reload: done, 1 routes")
-                assert (await answer_of(brief))[0] == "504"
+                assert (await read_response(brief))[0] == "504"
                 one.go.set()
                 two.go.set()
-                assert await answer_of(copied) == ("200", b"late")
+                assert await read_response(copied) == ("200", b"late")
                 assert (await proxy.ask(get("/read/2")))[0] == "200"
 
     run(talk())
@@ -422,7 +422,7 @@
                     while not stop.is_set():
                         number += 1
                         writer.write(post(f"/save/{worker}", f"k{worker}-{number}"))
-                        answers.append((await answer_of(reader))[0])
+                        answers.append((await read_response(reader))[0])
                         if answers[-1] != "200":
                             stop.set()
                     writer.close()
@@ -449,11 +449,11 @@
             async with served(tmp_path, file_of(SAVE, p=[(node.address, "r1")])) as proxy:
                 reader, writer = await proxy.connect()
                 writer.write(post("/save/1", "k1"))
-                await node.asked.wait()
+                await node.requested.wait()
                 proxy.signal(signal.SIGTERM)
                 await proxy.log_line("draining")
                 node.go.set()
-                assert await answer_of(reader) == ("200", b"late")
+                assert await read_response(reader) == ("200", b"late")
                 assert await proxy.process.wait() == 0
 
     run(talk())
@@ -469,7 +469,7 @@
                 for name in ("in", "out"):
                     reader, writer = await proxy.connect(name)
                     writer.write(get("/read/1"))
-                    assert await answer_of(reader) == ("200", b"good")
+                    assert await read_response(reader) == ("200", b"good")
                 assert len(node.seen) == 2
 
     run(talk())
@@ -544,19 +544,19 @@
                 assert len(one.seen + two.seen) == 1
                 for node in nodes:
                     node.go.set()
-                assert await answer_of(reader) == ("200", b"late")
+                assert await read_response(reader) == ("200", b"late")
                 for number in range(25):  # now there are samples, of a few ms
                     writer.write(get(f"/read/{number}"))
-                    assert (await answer_of(reader))[0] == "200"
+                    assert (await read_response(reader))[0] == "200"
                 for node in nodes:
                     node.answers = [None]
                     node.go.clear()
-                    node.asked.clear()
+                    node.requested.clear()
                 writer.write(get("/read/last"))
-                await asyncio.gather(one.asked.wait(), two.asked.wait())
+                await asyncio.gather(one.requested.wait(), two.requested.wait())
                 one.go.set()
                 two.go.set()
-                assert await answer_of(reader) == ("200", b"late")
+                assert await read_response(reader) == ("200", b"late")
 
     run(talk())
 
@@ -606,7 +606,7 @@
                 reader, writer = await proxy.connect()
                 for number in range(80):
                     writer.write(post("/save/1", f"k{number}", extra=f"X-Effect-Id: e{number}\r\n"))
-                    assert await answer_of(reader) == ("200", b"e%d" % number)
+                    assert await read_response(reader) == ("200", b"e%d" % number)
                 assert len(effects) == 80 and set(effects.values()) == {1}
                 assert 5 < one.dropped + two.dropped < 75  # copies went out, and not for all
 
@@ -664,10 +664,12 @@
                     assert (await proxy.ask(post("/save/1", "k1")))[0] == "400"  # it needs an id here
                     reader, writer = await proxy.connect()
                     writer.write(request("a1"))
-                    await asyncio.gather(one.asked.wait(), two.asked.wait())  # the copy that the route allows
+                    await asyncio.gather(
+                        one.requested.wait(), two.requested.wait()
+                    )  # the copy that the route allows
                     one.go.set()
                     two.go.set()
-                    assert await answer_of(reader) == ("200", b"late")
+                    assert await read_response(reader) == ("200", b"late")
                     assert await proxy.ask(request("a2", "read")) == (
                         "200",
                         b"good",
@@ -707,7 +709,7 @@
                 while not done.done():
                     asked = time.monotonic()
                     writer.write(get("/read/1"))
-                    assert await answer_of(reader) == ("200", b"good")
+                    assert await read_response(reader) == ("200", b"good")
                     waits.append(time.monotonic() - asked)
                 # a loop held up would answer one request only when the file is read: nearly all of the time
                 assert max(waits) < 0.5 * (time.monotonic() - began)
--- a/tests/support/serve_process.py
+++ b/tests/support/serve_process.py
@@ -10,7 +10,7 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from tests.support.loopback import ROOT, answer_of
+from tests.support.loopback import ROOT, read_response
 
 
 class Served:
@@ -32,7 +32,7 @@
     async def ask(self, data: bytes) -> tuple[str, bytes]:
         reader, writer = await self.connect()
         writer.write(data)
-        answer = await answer_of(reader)
+        answer = await read_response(reader)
         writer.close()
         return answer
 
