--- a/heronreel/proxy/__main__.py
+++ b/heronreel/proxy/__main__.py
@@ -53,7 +53,8 @@
         # the predecessor serves until we know as much as it does
         await _wait_for_list(dispatcher, SUCCESSOR_LIST_TIMEOUT_S)
     elif config.discovery and not config.settings.watch_list:
-        # guards rule 3: what the agent has counts as notified from our first moment on; `known` may be old
+        # draining backends must get nothing new: what the agent has counts as notified from our first moment
+        # on, and the list of the file may be old
         await _wait_for_list(dispatcher, PUSHED_LIST_TIMEOUT_S)
     log.info("listening on %s:%d", *await clients.listen(config.listen, inherited))
     ready.set()
--- a/heronreel/proxy/admin_api.py
+++ b/heronreel/proxy/admin_api.py
@@ -1,4 +1,4 @@
-"""The admin API on the second address: what operators ask of a running proxy and have it do.
+"""The admin API on the second address: health checks and commands for a running proxy.
 
 HTTP/1.1, one call a connection.  Calls share the event loop with the clients' requests, so each is bounded:
 in bytes, in time, and all of them in number, the longest waiting going first.  Nothing a caller does or
@@ -46,7 +46,7 @@
         self.registry = dispatcher.registry
         self.clients = clients
         self.shared = shared
-        self.descriptors_elsewhere = 0  # held by the proxy's other process
+        self.descriptors_elsewhere = 0  # in use by the proxy's other process
         if shared is not None:
             self._poll()
 
@@ -75,7 +75,7 @@
     def _share_descriptors(self) -> None:
         """Keep to what the other process leaves, and take no more from clients than has to be.
 
-        While there is another, each accept asks anew: a crowd at both grows faster than we poll.
+        While there is another, each accept looks again: a crowd at both grows faster than we poll.
         """
         if self.shared is None:
             return
@@ -107,7 +107,7 @@
             return self._store(Cordon(backend_name, now_ms))
         if command == "uncordon" and previous is not None and in_force:
             return self._store(Cordon(backend_name, previous.since_ms, now_ms))
-        return True  # as it is already: two cordons need one uncordon
+        return True  # nothing to change: two cordons need one uncordon
 
     def _store(self, cordon: Cordon) -> bool:
         cordons = self.registry.cordons
@@ -123,7 +123,7 @@
 
 
 class AdminServer:
-    """The listener: `is_healthy` answers the health check, `execute` carries out a command."""
+    """The listener: `is_healthy` decides the health check, `execute` carries out a command."""
 
     def __init__(
         self,
@@ -186,7 +186,7 @@
         """Count the caller, and close the longest waiting one if there are too many."""
         self.transport = cast(asyncio.Transport, transport)
         self.timer = self.server.loop.call_later(CALL_TIMEOUT_S, self.transport.abort)
-        if len(self.server.connections) >= MAX_CALLERS:  # guards the next caller: a silent one goes first
+        if len(self.server.connections) >= MAX_CALLERS:  # a silent caller must not keep the next one out
             oldest = next(iter(self.server.connections))
             del self.server.connections[oldest]
             oldest.transport.abort()
--- a/heronreel/proxy/backend_connection.py
+++ b/heronreel/proxy/backend_connection.py
@@ -36,9 +36,8 @@
 # bytes of a response with interim ones and the framing of chunks, and this much for each byte of its body
 MAX_RAW_BYTES = MAX_HEAD_BYTES + 2 * MAX_BUFFERED_RESPONSE_BYTES
 MAX_FRAMING_FACTOR = 8
-MAX_JOINED_BODY_BYTES = (
-    16 << 10
-)  # a body up to this is joined to its head; a larger one is not worth the copy
+# a body up to this is joined to its head; a larger one is not worth the copy
+MAX_JOINED_BODY_BYTES = 16 << 10
 MAX_LENGTH_DIGITS = 12  # of a Content-Length
 
 
@@ -168,7 +167,7 @@
         self.status = 0
         self.declared_length: int | None = None  # of the body, where the head says so
         self.sink: ResponseBodySink | None = None  # of a response that is forwarded as it comes
-        self.reading_paused = False  # its silence says nothing then
+        self.reading_paused = False  # its silence means nothing then
         self.complete = False  # the response's last byte was read
         self.ends_with_connection = False  # the response is as long as the connection
         self.keep_alive = False
@@ -259,7 +258,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse more of the response, and act on what is known of it then."""
         if self.attempt is None:
-            self.transport.abort()  # nothing was requested
+            self.transport.abort()  # no request is in flight
             return
         self.received_bytes += len(data)
         unreadable = False
@@ -316,8 +315,8 @@
     def _check_silence(self, received_bytes: int) -> None:
         """Fail a response that stops half-way on a connection that stays open.
 
-        Guards against a length too large, a head or a chunk without end.  It might hurt a backend that pauses
-        for long while it writes.
+        The cause is a length too large, a head or a chunk without end.  A backend that pauses for long while
+        it writes fails as well.
         """
         self.silence_timer = None
         if self.attempt is None:
@@ -336,7 +335,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """Parser callback: one header field."""
         if self.status >= 200 and not self.complete:
-            return  # a trailer, which no client of ours asked for (RFC 9110, 6.5.1); MAX_RAW_BYTES bounds it
+            return  # a trailer, which no client of ours requested (RFC 9110, 6.5.1); MAX_RAW_BYTES bounds it
         self.section_bytes += len(name) + len(value) + 4
         if self.section_bytes > MAX_HEAD_BYTES or self.complete:
             raise UnreadableMessageError
@@ -378,7 +377,7 @@
             self.sink.write_body(data)
             return
         if not self.pool.observer.budget.reserve(len(data)):
-            raise UnreadableMessageError  # guards memory: like a malformed one it may have run
+            raise UnreadableMessageError  # no memory for it: like a malformed one it may have run
         self.reserved_bytes += len(data)
         self.body_parts.append(data)
 
@@ -405,7 +404,7 @@
         elif self._is_served(status):
             self.pool.end_attempt(attempt, Outcome.SERVED, Response(status, header_lines, b"".join(parts)))
         elif 400 <= status < 500 and not self.pool.any_status:
-            # the backend can't use what the client sent, which tells nothing of the backend's health
+            # the backend can't use what the client sent, which is no sign of the backend's health
             self.pool.end_attempt(attempt, Outcome.CANCELLED, Response(400, DATE_LINE.now(), b""))
         else:
             not_run = status in (429, 503, 504) and (b"x-not-run", b"1") in headers
--- a/heronreel/proxy/backend_registry.py
+++ b/heronreel/proxy/backend_registry.py
@@ -59,7 +59,7 @@
     # Cordons.
 
     def apply_cordons(self, cordons: dict[str, Cordon]) -> None:
-        """Carry out what operators have asked since the last time, from this process or the other."""
+        """Carry out what operators have commanded since the last time, through this process or the other."""
         for name, cordon in cordons.items():
             if cordon != self.cordons.get(name):
                 self._apply_cordon(cordon)
@@ -92,7 +92,7 @@
             for backend in missing:
                 if not self.merges_file:
                     self._start_draining(backend)
-                # a file's list says nothing of discovery's endpoints, nor discovery's of the file's
+                # a file's list is silent on discovery's endpoints, and discovery's on the file's
                 elif (backend.pool != "") == from_file:
                     infos.append(api.BackendInfo(backend.number, api.State.GONE, pool=backend.pool))
                     self._start_draining(backend)
--- a/heronreel/proxy/client_connection.py
+++ b/heronreel/proxy/client_connection.py
@@ -82,19 +82,19 @@
         self.target = b""
         self.headers: Headers = []
         self.body: bytes | bytearray = b""
-        self.head: RequestHead | None = None  # of the request being read; None: it is answered here
-        self.error_status = 0  # that a request being read will be answered with
+        self.head: RequestHead | None = None  # of the request being read; None: no backend is needed
+        self.error_status = 0  # of the response to the request being read, where no backend is needed
         # bytes of the head, or since the body last came on; after the last response, of anything
         self.progress_bytes = 0
         self.header_bytes = self.body_bytes = 0
         self.pipelined: deque[ReadRequest] = deque()
         self.request: Request | None = None
         self.upload: RequestBodyStream | None = None  # the body being read, where it is forwarded as it comes
-        self.declared_length = 0  # of the body; 0: the head does not say
+        self.declared_length = 0  # of the body; 0: unknown
         self.reading_paused = False  # nobody takes what we read of a long body
         self.response_source: BackendConnection | None = None  # of the response being forwarded
         self.chunked = False  # that response is sent in chunks
-        self.is_http10 = False  # the request being answered is of HTTP/1.0
+        self.is_http10 = False  # the request whose response is due is of HTTP/1.0
         self.close_after_response = False  # no request after this one
         self.writing_paused = False
         self.started_at = time.monotonic()  # of the request being read; infinite between requests
@@ -107,7 +107,7 @@
         self.listener.silent[self] = None
         self.admitted = self.listener.admit(self)
 
-    # Reading.  A callback that raises ends the parsing of what came; `error_status` tells how to answer.
+    # Reading.  A callback that raises ends the parsing of what came; `error_status` is the response's.
 
     def data_received(self, data: bytes) -> None:
         """Parse more of the requests."""
@@ -115,7 +115,7 @@
         self.progress_bytes += len(data)
         if self.phase is Phase.CLOSING:
             if self.progress_bytes > MAX_LINGER_BYTES:
-                self.transport.pause_reading()  # guards our time: 60 MB need not be read to be rejected
+                self.transport.pause_reading()  # 60 MB need not be read to be rejected
             return
         try:
             self.parser.feed_data(data)
@@ -126,12 +126,12 @@
             return
         if self.progress_bytes > MAX_HEAD_BYTES and self.phase is Phase.HEAD:
             self._reject(431)
-        elif self.progress_bytes > MAX_HEAD_BYTES + MAX_FRAMING_BYTES:  # guards memory
+        elif self.progress_bytes > MAX_HEAD_BYTES + MAX_FRAMING_BYTES:  # bounds memory
             self._reject(400)
 
     def _on_unreadable(self) -> None:
         if self._is_closing():
-            return  # answered while its body was still coming
+            return  # its response was sent while its body was still coming
         if self.phase is Phase.IDLE and self.close_after_response:
             self.transport.pause_reading()  # its last request was read; nothing that follows is wanted
         else:
@@ -169,7 +169,7 @@
             self.headers.append((name.lower(), value.rstrip(OPTIONAL_WHITESPACE)))
 
     def _refuse(self, status: int) -> None:
-        """End the parsing; the request is answered with that status."""
+        """End the parsing; the response has that status."""
         self.error_status = status
         raise UnreadableMessageError
 
@@ -198,7 +198,7 @@
             self._continue()
 
     def _take_authority(self, authority: bytes, target: bytes) -> None:
-        """RFC 9112, 3.2.2: what the target names counts, whatever the Host field says."""
+        """RFC 9112, 3.2.2: what the target names counts, whatever the Host field names."""
         if not authority or not is_host(authority):
             self._refuse(400)
         self.target = target
@@ -240,7 +240,7 @@
     def on_body(self, data: bytes) -> None:
         """Parser callback: buffer more of the body, or forward it."""
         if self.phase is Phase.CLOSING:
-            raise UnreadableMessageError  # answered while it came
+            raise UnreadableMessageError  # its response was sent while it came
         self.body_bytes += len(data)
         self.progress_bytes = 0
         if self.body_bytes > MAX_BODY_BYTES:
@@ -253,7 +253,7 @@
             self.upload.feed(data)
             return
         self._buffer_body(data)
-        # guards rule 1: one that found no room has lost its first bytes, and its rest is nobody's
+        # a body that found no memory has lost its first bytes, so its rest must not be forwarded
         if not self.error_status and (
             self.body_bytes > MAX_BUFFERED_REQUEST_BYTES or self.declared_length > MAX_BUFFERED_REQUEST_BYTES
         ):
@@ -345,7 +345,7 @@
         if not self.admitted:
             status, self.close_after_response = status or 503, True
         if head and not status and head.request_id and head.request_id in dispatcher.request_ids:
-            status = 400  # guards rules 1 and 2: the id of an open request tells which response is whose
+            status = 400  # the id of an open request is what tells its response and its effect from others'
         if head is None or status:
             dispatcher.budget.release(len(body))
             # a client that can't send a valid request need not send another one here
@@ -394,7 +394,7 @@
     def begin_stream(
         self, connection: BackendConnection, start: Response, length: int | None
     ) -> ResponseBodySink | None:
-        """Take a long response as it comes; `length` None: its head does not say."""
+        """Take a long response as it comes; `length` None: unknown."""
         if self.transport.is_closing() or self.upload:
             return None
         self.chunked = length is None and not self.is_http10
@@ -421,7 +421,7 @@
         self._on_responded()
 
     def abort_stream(self) -> None:
-        """A long response can't be finished: an end without its last byte says so."""
+        """A long response can't be finished: an end without its last byte shows it."""
         self.response_source = None
         self.transport.abort()
 
@@ -450,7 +450,7 @@
             self.response_source.set_reading_paused(False)
 
     def _reject(self, status: int) -> None:
-        """Answer what can't be served.  Responses owed for what came before it are sent first, and alone."""
+        """Reject what can't be served.  Responses owed for what came before it are sent first, and alone."""
         self._drop_body()
         self.target, self.headers, self.head = b"", [], None
         self.listener.idle.pop(self, None)
@@ -492,7 +492,7 @@
     def close(self) -> None:
         """End a connection between requests, unless something has just come.
 
-        That is read first, and a connection closed over it would be reset under what was answered before.
+        That is read first, and a connection closed over it would be reset under the response before it.
         """
         if has_unread_input(self.transport):
             return
@@ -511,7 +511,7 @@
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Release what the connection holds, and let go of its request."""
+        """Release the connection's memory, and report its request's client as gone."""
         self.listener.forget(self)
         self._drop_body()
         for read in self.pipelined:
--- a/heronreel/proxy/client_interface.py
+++ b/heronreel/proxy/client_interface.py
@@ -37,7 +37,10 @@
 
 
 class ReadRequest(NamedTuple):
-    """A request whose last byte was read.  `error_status`, unless 0, is what it is answered with here."""
+    """A request whose last byte was read.
+
+    `error_status`, unless 0, is the status of its response, which needs no backend.
+    """
 
     head: RequestHead | None
     error_status: int
--- a/heronreel/proxy/client_listener.py
+++ b/heronreel/proxy/client_listener.py
@@ -22,16 +22,16 @@
 POLL_INTERVAL_S = 0.02  # while shutting down
 MIN_IDLE_TIMEOUT_S = 0.1  # between requests, once many connections are open
 MIN_SILENCE_TIMEOUT_S = 0.5  # for the first byte then; before that REQUEST_TIMEOUT_S
-FEW_CONNECTIONS_SHARE = 0.25  # of the connections that clients may hold, up to which few are open
+FEW_CONNECTIONS_SHARE = 0.25  # of the connections that clients may have, up to which few are open
 # after SIGTERM new connections come for up to 0.4 s
 QUIET_S, MIN_ACCEPT_S, MAX_ACCEPT_S = 0.25, 0.6, 1.5
 LAST_DEADLINE_MARGIN_S = 0.5  # after the longest deadline the process ends; SIGKILL comes 0.7 s after it
 MAX_DRAIN_DEADLINE_S = 3.0  # a longest deadline counts as this much at most
-HANDOVER_S = 1.8  # after SIGTERM clients' connections that stay idle are kept for a successor's sake
+HANDOVER_S = 1.8  # after SIGTERM clients' connections that stay idle stay open for a successor's sake
 ABORT_DELAY_S = 0.05  # for the last responses to be written
 # after a health check that failed, the load balancer in front of us sends no more connections
 QUIESCE_DELAY_S, QUIESCE_INTERVAL_S = 0.35, 0.05
-QUIESCE_SILENCE_S = 0.6  # after which a connection that says nothing is closed then
+QUIESCE_SILENCE_S = 0.6  # after which a silent connection is closed then
 
 log = logging.getLogger(__name__)
 
@@ -63,12 +63,12 @@
         self.silent: dict[ClientConnection, None] = {}  # those that have not sent a byte, the oldest first
         self.idle: dict[ClientConnection, None] = {}  # those between requests, the longest idle first
         self.draining = False
-        self.quiesced_at = math.inf  # when operators asked for it
+        self.quiesced_at = math.inf  # when operators commanded it
         self.accepted_at = 0.0
         self.servers: list[asyncio.Server] = []
 
     def limit_descriptors(self, in_use_elsewhere: int) -> None:
-        """Leave the proxy's other processes what they hold of the descriptors that are for all of them."""
+        """Leave the proxy's other processes what they use of the descriptors that are for all of them."""
         config = self.config
         if in_use_elsewhere:
             config = with_descriptors_in_use(config, in_use_elsewhere)
@@ -107,8 +107,9 @@
             self.before_admit()
         if len(self.connections) <= self.max_connections:
             return True
-        # guards usual clients: a crowd that says nothing goes before anyone who has sent a request, so that
-        # its size costs no more than its accepts; it might hurt a client that connects long before it sends
+        # protects usual clients: a silent crowd is closed before anyone who has sent a request, so that its
+        # size
+        # costs no more than its accepts; a client that connects long before it sends may be closed too
         oldest = self._first_without_input(self.silent)
         if oldest and oldest is not client:
             oldest.abort()
@@ -124,7 +125,7 @@
         return False
 
     def _abort_slowest(self, newest: ClientConnection) -> None:
-        """Guards the descriptors: whoever is rejected goes, or has been sending its request for longest."""
+        """Free the descriptor of a rejected client, or of the one that sends its request for longest."""
         slow = [client for client in self.connections if not client.request and not client.pipelined]
         min(
             slow, key=lambda client: (client.phase is not Phase.CLOSING, client.started_at), default=newest
@@ -154,9 +155,8 @@
     def _close_resting(self, now: float) -> None:
         """Once many connections are open, close those that have rested for a while.
 
-        Guards new clients: those that send one request and stay for good must not hold what others need,
-        here or where clients count their own.  It might hurt one that sends now and then, by a connection
-        each time.
+        Those that send one request and stay for good must not occupy what new clients need, here or where
+        clients count their own.  One that sends now and then pays a connection each time.
         """
         kept = FEW_CONNECTIONS_SHARE * self.max_connections
         resting = [(client, REQUEST_TIMEOUT_S - MIN_SILENCE_TIMEOUT_S) for client in self.silent]
@@ -196,7 +196,7 @@
             client.close()
 
     async def drain(self, has_successor: bool = False) -> None:
-        """Shut down gracefully after SIGTERM: answer all that was taken, then close.
+        """Shut down gracefully after SIGTERM: respond to all that was taken, then close.
 
         Without a successor, take what still comes first.  With one, what comes is its own, and clients'
         connections stay open for a while: each ends behind its next response, so that few close on a request.
@@ -215,7 +215,7 @@
             for client in list(self.idle):
                 client.close()
             await asyncio.sleep(POLL_INTERVAL_S)
-        # guards rule 1: what was taken late is answered that it failed rather than cut off
+        # every request gets a response: what was taken late gets a 504 rather than a reset
         for request in [client.request for client in self.connections if client.request]:
             self.dispatcher.time_out(request)
         await asyncio.sleep(ABORT_DELAY_S)
--- a/heronreel/proxy/config.py
+++ b/heronreel/proxy/config.py
@@ -1,8 +1,8 @@
 """The configuration read at start and at each reload: environment variables and one JSON file, checked.
 
-`LB_NAME` and `LB_LISTEN` say who and where; the file that `LB_CONFIG` names holds `seed`, `limits`, `known`,
-`settings` and `discovery`, which `LB_DISCOVERY` stands in for.  Anything missing or malformed is a
-`ConfigError` whose one line names the field.
+`LB_NAME` and `LB_LISTEN` name the proxy and its address; the file that `LB_CONFIG` names holds `seed`,
+`limits`, `known`, `settings` and `discovery`, which `LB_DISCOVERY` stands in for.  Anything missing or
+malformed is a `ConfigError` whose one line names the field.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 MIN_BODY_MB = 1.0  # under which too few requests could be buffered to be of use
 OWN_DESCRIPTORS = 32  # standard streams, event loop, listener, discovery, and some to spare
 BACKEND_SHARE = 0.45  # of the other descriptors; so no crowd of clients can take what backends need
-REJECTED_SHARE = 0.1  # beyond what clients may hold, only to answer the newest that they are rejected
+REJECTED_SHARE = 0.1  # beyond what clients may have, only to reject the newest with a response
 DEFAULT_BACKEND_IDLE_MS = 15_000.0
 DEFAULT_DRAIN_GRACE_MS = 1000.0
 
@@ -35,7 +35,7 @@
 
     body_bytes: int  # of bodies and buffered responses together
     client_sockets: int
-    rejected_sockets: int  # of clients beyond them that are answered 503
+    rejected_sockets: int  # of clients beyond them that get a 503
     backend_sockets: int
 
 
@@ -50,7 +50,7 @@
     settings: Settings
     endpoints: EndpointList  # known at start
     backend_idle_ms: float  # a backend closes a connection that was idle for so long
-    drain_grace_ms: float  # nothing new may be written to it so long after it was told to be draining
+    drain_grace_ms: float  # nothing new may be written to it so long after its draining was reported
     body_bytes: int  # as in `ResourceShares`, and so are the next three
     client_sockets: int
     rejected_sockets: int
@@ -58,9 +58,8 @@
     endpoints_from_file: bool = False  # a reload takes `endpoints` as the file's whole list
     admin_address: tuple[str, int] | None = None  # of the admin API; None: nowhere
     sockets: int = 0  # of all processes of this proxy together
-    any_status: bool = (
-        False  # responses other than 200 count as served, unless they are the server's failures
-    )
+    # responses other than 200 count as served, unless they are the server's failures
+    any_status: bool = False
 
 
 def load(environ: Mapping[str, str]) -> Config:
@@ -103,7 +102,7 @@
 
 
 def with_descriptors_in_use(config: Config, in_use: int) -> Config:
-    """The same where other processes of this proxy hold that many descriptors: the limit is for all."""
+    """The same where other processes of this proxy use that many descriptors: the limit is for all."""
     left = max(2 * OWN_DESCRIPTORS, config.sockets - in_use)
     shares = resource_shares(0.0, left)
     return replace(
--- a/heronreel/proxy/connection_pool.py
+++ b/heronreel/proxy/connection_pool.py
@@ -96,9 +96,9 @@
         task.add_done_callback(self.connecting.discard)
 
     def _take_idle(self, backend: Backend, now: float) -> BackendConnection | None:
-        """An idle connection that has nothing to say.
+        """An idle connection with nothing to be read.
 
-        Guards rule 1: bytes beyond a response, or an end not yet read, would meet the next request.  It
+        Bytes beyond a response, or an end not yet read, would meet the next request.  The check
         covers a duplicate response, noise, and a backend that closed an idle connection early.  It costs
         system calls, and where responses come faster than SETTLE_S on few connections, a connection more.
         """
@@ -133,7 +133,7 @@
 
     def _send(self, connection: BackendConnection, attempt: Attempt) -> None:
         backend, now = attempt.backend, time.monotonic()
-        # guards rule 3: a connect or a stall of ours may outlast the grace after draining began
+        # draining backends get nothing new: a connect or a stall of ours may outlast the grace
         if backend.cordoned or (not backend.listed and now > backend.draining_since + self.drain_grace_s):
             connection.transport.abort()
             self.end_attempt(attempt, Outcome.NOT_SENT)
@@ -148,19 +148,20 @@
     def _must_not_send(self, attempt: Attempt, now: float) -> bool:
         """Whether what has happened since the decision, while a connection came up, forbids to send."""
         upload = attempt.request.upload
-        # guards rule 1: part of the body may have been dropped by now
+        # part of the body may have been dropped by now
         if upload and not upload.can_restart():
             return True
-        # guards rule 2: the group may have forgotten the first by now; the balancer's own check came before
-        # a connect, or before a stall of this process
+        # no effect may happen twice: the backends may have forgotten the first attempt by now, and the
+        # balancer's
+        # own check came before a connect, or before a stall of this process
         if now >= attempt.send_by:
             return True
-        # guards the work of backends: the client may have closed behind bytes that are not read yet, or while
-        # this process stood still
+        # backends need not work for nobody: the client may have closed behind bytes that are not read yet, or
+        # while this process stood still
         return self.observer.is_abandoned(attempt)
 
     def _on_send_deadline(self, attempt: Attempt) -> None:
-        """Guards rule 2: a repeat counts when its last byte arrives, and its backend may read slowly."""
+        """Cancel a retry that would be late: it counts when its last byte arrives, which may take long."""
         connection = attempt.connection
         if connection and connection.attempt is attempt and connection.has_unsent_bytes:
             self.abandon_attempt(attempt, Outcome.CANCELLED)
@@ -177,10 +178,10 @@
         self.observer.attempt_ended(attempt, outcome, response)
 
     def abandon_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Stop waiting.  What was not wholly written can never run: the connection ends with it."""
+        """Stop waiting.  What was not completely written can never run: the connection ends with it."""
         connection = attempt.connection
         if connection is None or connection.has_unsent_bytes:
-            # called off by us, it tells nothing of the backend
+            # cancelled by us, it is no sign of the backend's health
             outcome = Outcome.NOT_SENT if outcome is Outcome.CANCELLED else Outcome.UNREACHABLE
         self.end_attempt(attempt, outcome)
         if connection is not None and connection.attempt is attempt:
--- a/heronreel/proxy/dispatcher.py
+++ b/heronreel/proxy/dispatcher.py
@@ -219,7 +219,7 @@
                 request.number,
                 head.class_name,
                 timeout_ms,
-                head.tenant if head.tenant in self.tenants else "",  # guards the balancer's state by tenant
+                head.tenant if head.tenant in self.tenants else "",  # bounds the balancer's state by tenant
                 stable_number(head.key) if head.key else None,
                 head.cost_hint_ms,
                 head.is_retry,
@@ -246,7 +246,7 @@
         """Nobody waits any more.
 
         What is in flight goes on to its deadline: giving up stops no backend's work, and the connection is
-        worth keeping.  What was not wholly written has not begun, and never does.
+        worth keeping.  What was not completely written has not begun, and never does.
         """
         if request.finished:
             return
@@ -263,9 +263,8 @@
 
     def _on_deadline(self, request: Request) -> None:
         left = request.deadline - time.monotonic()
-        if (
-            left > DEADLINE_TOLERANCE_S
-        ):  # the loop's clock stands still while it works: a timer may come early
+        # the loop's clock stands still while it works, so a timer may come early
+        if left > DEADLINE_TOLERANCE_S:
             request.timer = self.loop.call_later(left, self._on_deadline, request)
             return
         self.time_out(request)
@@ -274,7 +273,7 @@
         """Its time is over, or ours is."""
         for attempt in request.attempts:
             self.pool.abandon_attempt(attempt, api.Outcome.TIMEOUT)
-        if not request.finished:  # guards rule 1: the balancer queues it, or failed on it
+        if not request.finished:  # the balancer queues it, or failed on it
             self._finish(request.number, 504, 0.0)
             self.dispatch(api.ClientGone(request.number))
 
@@ -383,7 +382,7 @@
         if client and outcome is api.Outcome.SERVED:
             client.finish_stream()
         elif client:
-            client.abort_stream()  # the rest can't come; the client can tell that it has not all
+            client.abort_stream()  # the rest can't come; the client sees that it is incomplete
         self._forget_if_done(request.number)
 
     def _ended_event(
--- a/heronreel/proxy/endpoint_watch.py
+++ b/heronreel/proxy/endpoint_watch.py
@@ -6,7 +6,7 @@
 The platform counts a change that a silent watch misses as notified 6 s after it fell silent, and a watch may
 fall silent right after a line, or before its first.  So a call that is quiet for longer than a healthy one
 ever is gets a second one beside it while it stays open: if it was only late, it is as good as before, and
-nothing was lost by asking.
+the second one costs nothing.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 
 MAX_LINE_BYTES = 4 << 20  # some 30,000 backends
 CONNECT_TIMEOUT_S = 1.0  # the kernel resends the packet of a connect that was lost no sooner
-HEARTBEAT_TIMEOUT_S = 2.5  # an idle watch says something every 2 s, so one that is quiet for longer is late
-RESPONSE_TIMEOUT_S = 3.1  # for a response's head: a call may wait its turn, but is refused after 3 s
+HEARTBEAT_TIMEOUT_S = 2.5  # an idle watch gets a line every 2 s, so one that is quiet for longer is late
+RESPONSE_TIMEOUT_S = 3.1  # for a response's head: a call may wait its turn, but is rejected after 3 s
 MAX_SILENCE_S = 8.0  # after which a late call is given up
 PUSHED_RETRY_INTERVAL_S = 0.1  # between calls to an agent on this machine, which responds at once, at no cost
 
@@ -108,7 +108,7 @@
         return [call for call in self.calls if call.is_watch and call.address == self.address]
 
     def _is_watching(self) -> bool:
-        """Whether a call under way will bring the list, as far as can be told."""
+        """Whether a call under way will bring the list, as far as is known."""
         return any(not call.is_late for call in self._current_watches())
 
     # Reports of the calls.
@@ -208,9 +208,8 @@
                 self._take_list(line)
             end = self.buffer.find(b"\n")
         self.searched = len(self.buffer)
-        if (
-            len(self.buffer) > MAX_LINE_BYTES
-        ):  # guards memory: discovery gone mad must not take the proxy along
+        # bounds memory: a faulty discovery must not take the proxy down
+        if len(self.buffer) > MAX_LINE_BYTES:
             self._fail(f"a line of over {MAX_LINE_BYTES} bytes")
 
     def on_message_complete(self) -> None:
@@ -237,7 +236,7 @@
         return True
 
     def _check_silence(self) -> None:
-        """Fail on silence, for a cut network says nothing.
+        """Fail on silence, for a cut network sends nothing.
 
         After a stall of our own, what came meanwhile may be read after this: then the call was never late.
         """
--- a/heronreel/proxy/request.py
+++ b/heronreel/proxy/request.py
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class RequestHead:
-    """What a client's head says, checked."""
+    """A client's checked head."""
 
     data: bytes  # request line and header lines for a backend, without the time left
     request_id: bytes = b""  # X-Request-Id
--- a/heronreel/proxy/request_validation.py
+++ b/heronreel/proxy/request_validation.py
@@ -34,7 +34,7 @@
 def is_well_framed(headers: Headers, fields: Fields, version: str) -> bool:
     """Whether a head can be read in one way only, and names a host as it must."""
     names = [name for name, _ in headers if name in SINGLETON_FIELDS]
-    # guards rule 2: a message with two lengths may hide another request in its body
+    # request smuggling: a message with two lengths may hide another request in its body
     if len(set(names)) < len(names) or (b"content-length" in fields and b"transfer-encoding" in fields):
         return False
     if fields.get(b"transfer-encoding", b"chunked").lower() != b"chunked":
@@ -65,8 +65,9 @@
     fields: Fields,
     version: str,
 ) -> RequestHead | int:
-    """The checked head, or the status of a response that needs no backend: a health check's, or a
-    rejection.
+    """The checked head, or the status of a response that needs no backend.
+
+    That is a health check's or a rejection's.  `is_ready` decides the health check.
     """
     path = target.partition(b"?")[0]
     if method not in METHODS:
--- a/heronreel/proxy/shared_state.py
+++ b/heronreel/proxy/shared_state.py
@@ -84,7 +84,7 @@
         return found
 
     def descriptors_in_use_elsewhere(self) -> int:
-        """How many descriptors the proxy's other processes hold, with some to spare."""
+        """How many descriptors the proxy's other processes use, with some to spare."""
         in_use = 0
         for process in self.other_processes():
             with suppress(OSError):  # it has just ended, or is not ours to look into
@@ -133,7 +133,7 @@
 
 
 def _parse_cordon(text: bytes) -> Cordon | None:
-    """What a file says; None for one that is not ours."""
+    """The cordon that a file has; None for a malformed one."""
     try:
         fields = json.loads(text)
         return Cordon(str(fields["name"]), float(fields["since_ms"]), float(fields["released_ms"]))
--- a/heronreel/proxy/streams.py
+++ b/heronreel/proxy/streams.py
@@ -15,7 +15,7 @@
 MAX_BUFFERED_REQUEST_BYTES = 512 << 10  # a longer request is forwarded while it comes
 MAX_BODY_BYTES = 33 << 20  # either way
 MAX_BUFFERED_RESPONSE_BYTES = 64 << 10  # a longer response is forwarded as it comes
-MAX_BUFFERED_UNSIZED_RESPONSE_BYTES = 16 << 10  # the same for one whose head tells no length
+MAX_BUFFERED_UNSIZED_RESPONSE_BYTES = 16 << 10  # the same for one whose head has no length
 STREAM_BYTES = 448 << 10  # what one stream buffers at most; 402 KiB were measured (bench/long_bodies.py)
 
 LAST_CHUNK = b"0\r\n\r\n"
@@ -84,12 +84,12 @@
         if self.buffer is not None:
             fits = self.buffered_bytes + len(data) <= 2 * MAX_BUFFERED_REQUEST_BYTES
             fits = fits and self.budget.reserve(len(data))
-            # guards rule 1: what was sent nowhere yet must be kept, room or not; reading stops behind it
+            # no request may be lost: what was sent nowhere yet is kept, room or not; reading stops behind it
             if fits or (self.sink is None and self.budget.reserve(len(data), math.inf)):
                 self.buffered_bytes += len(data)
                 self.buffer.append(data)
             else:
-                self.drop_buffer()  # guards memory: it can't be sent again from here on
+                self.drop_buffer()  # bounds memory: it can't be sent again from here on
         if self.sink is not None:
             self.sink.write_body(encode_chunk(data) if self.chunked else data)
         elif self.buffer is not None and self.buffered_bytes > MAX_BUFFERED_REQUEST_BYTES:
