--- a/heronreel/serve/fleet.py
+++ b/heronreel/serve/fleet.py
@@ -32,7 +32,7 @@
 from heronreel.metering.period_task import close_period
 from heronreel.metering.records import TASK_NAME as METERING_TASK
 from heronreel.metering.uploader import LedgerUploader
-from heronreel.proxy.proxy import Proxy
+from heronreel.proxy.dispatcher import Dispatcher
 from heronreel.routes.model import RoutesFile
 from heronreel.serve.health_checks import HealthChecks
 from heronreel.serve.metered_proxy import MeteredProxy
@@ -81,10 +81,10 @@
         self.checks: HealthChecks | None = None
         self._components: list[asyncio.Task[None]] = []
 
-    def make_proxy(self, *proxy_arguments: Any) -> Proxy:
+    def make_proxy(self, *proxy_arguments: Any) -> Dispatcher:
         """A proxy like any other, with its responses counted where usage is metered."""
         if self.uploader is None:
-            return Proxy(*proxy_arguments)
+            return Dispatcher(*proxy_arguments)
         return MeteredProxy(self.uploader.meter, *proxy_arguments)
 
     def start(self, address: str, checks: HealthChecks | None = None) -> None:
--- a/heronreel/serve/metered_proxy.py
+++ b/heronreel/serve/metered_proxy.py
@@ -6,20 +6,21 @@
 
 from heronreel.metering.counts import NO_TENANT, ResponseKind, kind_of_status
 from heronreel.metering.meter import BegunResponse, UsageMeter
-from heronreel.proxy.backends import Answer, Link, Taker
-from heronreel.proxy.proxy import Ask, Asker, Proxy, Request
-from heronreel.proxy.streams import Upload
+from heronreel.proxy.backend_connection import BackendConnection, Response, ResponseBodySink
+from heronreel.proxy.dispatcher import Dispatcher
+from heronreel.proxy.request import Request, RequestHead, ResponseWriter
+from heronreel.proxy.streams import RequestBodyStream
 
 
 class MeteredClient:
     """The receiver of a response, with its tenant: what reaches it is counted.
 
-    It implements `Asker` where the proxy expects its client, and passes every call on.
+    It implements `ResponseWriter` where the proxy expects its client, and passes every call on.
     """
 
     __slots__ = ("begun", "client", "meter", "tenant")
 
-    def __init__(self, meter: UsageMeter, client: Asker, tenant: str) -> None:
+    def __init__(self, meter: UsageMeter, client: ResponseWriter, tenant: str) -> None:
         self.meter = meter
         self.client = client
         self.tenant = tenant
@@ -32,45 +33,51 @@
         assert self.begun is not None
         self.meter.settle(self.begun, kind)
 
-    def answer(self, status: int, lines: bytes, body: bytes = b"") -> None:
+    def respond(self, status: int, header_lines: bytes, body: bytes = b"") -> None:
         """Pass on a complete response."""
         self._begin()
-        self.client.answer(status, lines, body)
+        self.client.respond(status, header_lines, body)
         self._settle(kind_of_status(status))
 
-    def begin(self, link: Link, answer: Answer, length: int | None) -> Taker | None:
+    def begin_stream(
+        self, connection: BackendConnection, start: Response, length: int | None
+    ) -> ResponseBodySink | None:
         """Pass on the start of a streamed response: in flight for as long as its client takes it."""
-        taker = self.client.begin(link, answer, length)
-        if taker is not None:
+        sink = self.client.begin_stream(connection, start, length)
+        if sink is not None:
             self._begin()
-        return taker
+        return sink
 
-    def finish(self) -> None:
+    def finish_stream(self) -> None:
         """Pass on the end of a streamed response."""
-        self.client.finish()
+        self.client.finish_stream()
         self._settle(ResponseKind.SERVED)
 
-    def cut(self) -> None:
+    def abort_stream(self) -> None:
         """Pass on that a streamed response can't be completed."""
-        self.client.cut()
+        self.client.abort_stream()
         self._settle(ResponseKind.FAILED)
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has closed its connection."""
-        return self.client.has_left()
+        return self.client.has_disconnected()
 
 
-class MeteredProxy(Proxy):
+class MeteredProxy(Dispatcher):
     """A proxy whose responses are counted by tenant."""
 
     def __init__(self, meter: UsageMeter, *proxy_arguments: Any) -> None:
-        """`proxy_arguments` are those of `Proxy`."""
+        """`proxy_arguments` are those of `Dispatcher`."""
         super().__init__(*proxy_arguments)
         self.meter = meter
 
-    def arrive(
-        self, client: Asker, ask: Ask, body: bytes | bytearray, upload: Upload | None = None
+    def submit(
+        self,
+        client: ResponseWriter,
+        head: RequestHead,
+        body: bytes | bytearray,
+        upload: RequestBodyStream | None = None,
     ) -> Request:
         """Take a request; what its client receives is counted."""
-        tenant = ask.tenant if ask.tenant in self.tenants else NO_TENANT
-        return super().arrive(MeteredClient(self.meter, client, tenant), ask, body, upload)
+        tenant = head.tenant if head.tenant in self.tenants else NO_TENANT
+        return super().submit(MeteredClient(self.meter, client, tenant), head, body, upload)
--- a/tests/coordinator/test_leases.py
+++ b/tests/coordinator/test_leases.py
@@ -21,6 +21,7 @@
 from heronreel.fault_injection.resource_client import ResourceClient, ResourceRequest
 from heronreel.fault_injection.trial import start_resource
 from heronreel.fault_injection.worker import LOST, TASK, acquired_tokens
+from heronreel.leases.claim import Claim
 from heronreel.leases.lease import LeaseTerms
 from heronreel.leases.session import LeaseSession
 from tests.coordinator.group_support import SHORT_TERMS, THREE, put_until_done, value_of
@@ -86,12 +87,12 @@
                     assert isinstance(left, LeaseResponse) and left.keys == (b"held/task",) and left.ttl >= 0
                     assert not (claim.fencing_token(one.now()) and other.fencing_token(two.now()))
 
-    async def is_first(one: LeaseSession, claim: Any, two: LeaseSession, other: Any) -> bool:
+    async def is_first(one: LeaseSession, claim: Claim, two: LeaseSession, other: Claim) -> bool:
         waits = [asyncio.create_task(one.wait_acquired(claim)), asyncio.create_task(two.wait_acquired(other))]
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
-        return bool(claim.number)
+        return bool(claim.granted_token)
 
     asyncio.run(run())
 
--- a/tests/metering/test_metering_processes.py
+++ b/tests/metering/test_metering_processes.py
@@ -22,7 +22,7 @@
 from heronreel.metering import overview
 from heronreel.metering.overview import UsageOverview
 from heronreel.serve.program import read_report
-from tests.support.loopback import Backend, answer_of, free_port
+from tests.support.loopback import Backend, free_port, read_response
 from tests.support.serve_process import get, gets_to
 
 TENANTS = ("etna", "madonie")
@@ -119,13 +119,13 @@
             machine = SingleMachine(tmp_path, address, backend.address)
             try:
                 ports = [await machine.start("one")]
-                await machine.running["one"].wait_for_line('"listens"')
+                await machine.running["one"].wait_for_line('"listening"')
                 ports.append(await machine.start("two"))
                 await until_present(client, 2)
                 for port in ports:
                     assert await clients.send(port, "etna", 10)
                 await machine.running["one"].kill()
-                await machine.running["two"].wait_for_line('"listens"')
+                await machine.running["two"].wait_for_line('"listening"')
                 await machine.start("one")
                 await until_present(client, 2)
                 assert await until_counted(client, "etna", 20) <= 21 and clients.served["etna"] == 20
@@ -151,7 +151,7 @@
             for _ in range(count):
                 writer.write(get("/ride", extra=f"X-Tenant: {tenant}\r\n"))
                 in_flight = True
-                status, _ = await answer_of(reader)
+                status, _ = await read_response(reader)
                 if status == "closed":
                     break
                 in_flight = False
--- /dev/null
+++ b/tests/proxy/test_dispatcher.py
@@ -0,0 +1,117 @@
+"""The dispatcher's state after what should not happen, and a process's start and end in little memory."""
+
+import asyncio
+import json
+import signal
+from pathlib import Path
+from typing import Any
+
+from heronreel.balancer import interface as api
+from heronreel.proxy.config import Config, load
+from heronreel.proxy.connection_pool import MAX_IDLE_S
+from heronreel.proxy.dispatcher import Dispatcher
+from heronreel.proxy.request import RequestHead, ResponseWriter
+from tests.support.loopback import (
+    Backend,
+    configuration,
+    entry,
+    proxy_with_backend,
+    read_response,
+    request,
+    run,
+)
+
+
+def config_of(path: Path, *known: dict[str, Any]) -> Config:
+    file = path / "config.json"
+    file.write_text(json.dumps(configuration("127.0.0.1:1", *known)))
+    return load({"LB_NAME": "n0", "LB_LISTEN": "127.0.0.1:0", "LB_CONFIG": str(file)})
+
+
+class WaitingClient(ResponseWriter):
+    """A client that only waits for its response."""
+
+    def __init__(self) -> None:
+        self.status: asyncio.Future[int] = asyncio.get_running_loop().create_future()
+
+    def respond(self, status: int, header_lines: bytes, body: bytes = b"") -> None:
+        self.status.set_result(status)
+
+
+def test_an_unexpected_connect_error_ends_its_attempt_and_leaks_no_count(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        loop = asyncio.get_running_loop()
+        dispatcher = Dispatcher(
+            loop, config_of(tmp_path, entry("b1", "127.0.0.1:9"), entry("b2", "127.0.0.1:9"))
+        )
+
+        async def odd(*args: object, **more: object) -> None:
+            raise ValueError("no such family")
+
+        loop.create_connection = odd  # type: ignore
+        client = WaitingClient()
+        dispatcher.submit(client, RequestHead(b"GET /read/1 HTTP/1.1\r\n", class_name="read"), b"")
+        assert await client.status == 503  # it never ran, so it is rejected, and at once
+        await asyncio.sleep(0)
+        assert not dispatcher.pool.connecting and not dispatcher.pool.connections
+        assert not dispatcher.requests and not dispatcher.budget.used
+
+    run(scenario())
+
+
+def test_an_idle_connection_is_closed_long_before_its_backend_would(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with Backend() as backend:
+            config = config_of(tmp_path, entry("b1", backend.address))
+            dispatcher = Dispatcher(asyncio.get_running_loop(), config)
+            client = WaitingClient()
+            head = RequestHead(b"GET /read/1 HTTP/1.1\r\nx-request-id: 1\r\n", class_name="read")
+            dispatcher.submit(client, head, b"")
+            assert await client.status == 200
+            (connection,) = dispatcher.pool.idle
+            # the backend would keep it far longer
+            assert config.backend_idle_ms >= 10.0 * MAX_IDLE_S * 1000.0
+            dispatcher.pool.close_expired(connection.idle_since + 0.9 * MAX_IDLE_S)
+            assert connection in dispatcher.pool.idle
+            dispatcher.pool.close_expired(connection.idle_since + 1.1 * MAX_IDLE_S)
+            assert not dispatcher.pool.idle and not dispatcher.pool.open_count()
+
+    run(scenario())
+
+
+def test_a_timer_that_the_balancer_fails_on_fires_again(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        dispatcher = Dispatcher(asyncio.get_running_loop(), config_of(tmp_path, entry("b1", "127.0.0.1:9")))
+        handle, again = dispatcher.balancer.handle, asyncio.Event()
+        failed: list[api.Event] = []
+
+        def failing(now: float, event: api.Event) -> list[api.Action]:
+            if isinstance(event, api.TimerFired) and event.token == 0:
+                if not failed:
+                    failed.append(event)
+                    raise RuntimeError("once")
+                again.set()
+            return handle(now, event)
+
+        dispatcher.balancer.handle = failing  # type: ignore[method-assign, assignment]
+        await again.wait()
+        assert dispatcher.watch
+        dispatcher.watch.close()
+
+    run(scenario())
+
+
+def test_it_starts_and_drains_in_32_mb(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        backend = Backend(lambda head, body: None)
+        async with proxy_with_backend(tmp_path, backend, memory_mb=32) as proxy:
+            reader, writer = await proxy.connect()
+            writer.write(request("a1"))
+            await backend.requested.wait()
+            proxy.signal(signal.SIGTERM)
+            backend.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
+            assert await read_response(reader) == ("200", b"done")
+            assert await reader.read() == b""  # and the connection with it
+            assert await proxy.process.wait() == 0
+
+    run(scenario())
