--- a/heronreel/emulator/__init__.py
+++ b/heronreel/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Nodes, proxies, clients and the list service in virtual time, with a judge that sees all."""
+"""Deterministic fleet emulator: plays a rehearsal script in virtual time."""
--- a/heronreel/emulator/events.py
+++ b/heronreel/emulator/events.py
@@ -1,7 +1,7 @@
-"""Virtual time: what is due, in order.
+"""The event queue of virtual time.
 
-Events at the same time happen in the order in which they were set, so two plays of one seed are alike, also
-where times tie.  Callbacks and not processes: `docs/emulator-design.md` weighs both by figures.
+Events at the same time run in the order in which they were scheduled, so two plays of one seed are alike,
+also where times tie.  Callbacks and not processes: `docs/emulator-design.md` compares both by figures.
 """
 
 from __future__ import annotations
@@ -10,30 +10,30 @@
 from heapq import heappop, heappush
 from typing import Any
 
-Due = tuple[float, int, Callable[..., object], tuple[Any, ...]]
+ScheduledEvent = tuple[float, int, Callable[..., object], tuple[Any, ...]]
 
 
-class Events:
-    """Times are ms since the start of the rehearsal."""
+class EventQueue:
+    """Scheduled callbacks and the current time, ms since the start of the rehearsal."""
 
-    __slots__ = ("count", "due", "now", "played")
+    __slots__ = ("now", "pending", "processed", "scheduled")
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.due: list[Due] = []
-        self.count = 0  # set so far; breaks ties
-        self.played = 0
-
-    def at(self, when: float, call: Callable[..., object], *args: Any) -> None:
-        """Set one for `when`, or for now if that has passed."""
-        self.count += 1
-        heappush(self.due, (when if when > self.now else self.now, self.count, call, args))
-
-    def run(self, until: float) -> None:
-        """Play all that is due up to and at `until`, and stand there."""
-        due = self.due
-        while due and due[0][0] <= until:
-            self.now, _, call, args = heappop(due)
-            self.played += 1
-            call(*args)
+        self.pending: list[ScheduledEvent] = []
+        self.scheduled = 0  # so far; breaks ties
+        self.processed = 0
+
+    def schedule(self, when: float, callback: Callable[..., object], *args: Any) -> None:
+        """Run `callback(*args)` at `when`, or now if that has passed."""
+        self.scheduled += 1
+        heappush(self.pending, (when if when > self.now else self.now, self.scheduled, callback, args))
+
+    def run_until(self, until: float) -> None:
+        """Run everything due up to and at `until`, and advance the time to it."""
+        pending = self.pending
+        while pending and pending[0][0] <= until:
+            self.now, _, callback, args = heappop(pending)
+            self.processed += 1
+            callback(*args)
         self.now = max(self.now, until)
--- a/heronreel/emulator/fleet.py
+++ b/heronreel/emulator/fleet.py
@@ -1,191 +1,210 @@
-"""The nodes of a rehearsal and their lives: built from the script, worked on by events."""
+"""The nodes of a rehearsal and their lives: built from the script, advanced by events."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import Protocol
 
-from heronreel.emulator.draws import Draws, Stream
-from heronreel.emulator.events import Events
-from heronreel.emulator.model import Kind, Rehearsal
-from heronreel.emulator.node import NEVER, TAKEN, Job, Node, Pressure, Rack
+from heronreel.emulator.events import EventQueue
+from heronreel.emulator.model import NodeKind, Rehearsal
+from heronreel.emulator.node import NEVER, Admission, Job, Node, OverloadWindow, Rack
+from heronreel.emulator.random_streams import RandomStream, RandomStreams
 
-COLD_TICK_MS = 200.0  # how often the pace of a cold node is found anew
-SHARED_STEP = 0.005  # change of a rack's share that counts
+WARM_UP_TICK_MS = 200.0  # how often the pace of a warming node is found anew
+MIN_SHARE_CHANGE = 0.005  # of a rack's pace share, for its nodes to be updated
+MIN_SPEED_FACTOR = 0.2  # of a machine's own speed over its kind's
+IDENT_LIMIT = 2**40
+
+
+class FleetListener(Protocol):
+    """Who is notified of what happens on nodes."""
+
+    def job_ended(self, node: Node, job: Job) -> None:
+        """A node has completed a job."""
+
+    def job_lost(self, node: Node, job: Job) -> None:
+        """The node's process went with the job undone."""
+
+    def node_warmed_up(self, node: Node) -> None:
+        """A warming node has its full pace."""
 
 
 def counts_by_share(shares: list[float], count: int) -> list[int]:
     """Whole numbers that sum to `count`, as near to the shares as can be (largest remainder)."""
-    whole = sum(shares) or 1.0
-    exact = [share / whole * count for share in shares]
+    total = sum(shares) or 1.0
+    exact = [share / total * count for share in shares]
     counts = [int(number) for number in exact]
-    rest = sorted(range(len(shares)), key=lambda place: (counts[place] - exact[place], place))
-    for place in rest[: count - sum(counts)]:
-        counts[place] += 1
+    by_remainder = sorted(range(len(shares)), key=lambda index: (counts[index] - exact[index], index))
+    for index in by_remainder[: count - sum(counts)]:
+        counts[index] += 1
     return counts
 
 
 class Fleet:
+    """All nodes of a play.  Times are ms."""
+
     def __init__(
-        self, rehearsal: Rehearsal, draws: Draws, events: Events, ended: Callable[[Node, Job], None],
-        lost: Callable[[Node, Job], None], warmed: Callable[[Node], None],
-    ) -> None:  # fmt: skip
-        """`ended`: a node has done a job.  `lost`: its process went with the job undone."""
+        self, rehearsal: Rehearsal, streams: RandomStreams, events: EventQueue, listener: FleetListener
+    ) -> None:
         self.rehearsal, self.events = rehearsal, events
-        self.ended, self.lost, self.warmed = ended, lost, warmed
-        self.build: Stream = draws.stream("fleet")
-        self.pauses: Stream = draws.stream("pauses")
+        self.on_job_ended: Callable[[Node, Job], None] = listener.job_ended
+        self.listener = listener
+        self.build_stream: RandomStream = streams.stream("fleet")
+        self.pause_stream: RandomStream = streams.stream("pauses")
         self.nodes: list[Node] = []  # all that ever were
         self.racks: list[Rack] = []
-        self.made = 0
         self._build()
 
     def _build(self) -> None:
         fleet = self.rehearsal.fleet
-        kinds: list[Kind] = []
-        for kind, count in zip(
-            fleet.kinds, counts_by_share([k.share for k in fleet.kinds], fleet.nodes), strict=True
-        ):
+        kinds: list[NodeKind] = []
+        counts = counts_by_share([kind.share for kind in fleet.kinds], fleet.nodes)
+        for kind, count in zip(fleet.kinds, counts, strict=True):
             kinds += [kind] * count
-        kinds = self.build.shuffled(kinds)
+        kinds = self.build_stream.shuffled(kinds)
         racks = -(-fleet.nodes // fleet.rack_size)
-        for number in range(racks):
-            self.racks.append(Rack(f"r{number}"))
-        for rack in self.build.sample(self.racks, round(fleet.limited_racks * racks)):
+        self.racks = [Rack(f"r{number}") for number in range(racks)]
+        for rack in self.build_stream.sample(self.racks, round(fleet.limited_racks * racks)):
             rack.limit = fleet.rack_limit
-        for place, kind in enumerate(kinds):
-            number = place % racks
-            self.make(kind, fleet.zones[number % len(fleet.zones)], self.racks[number])
+        for position, kind in enumerate(kinds):
+            number = position % racks
+            self.add(kind, fleet.zones[number % len(fleet.zones)], self.racks[number])
 
-    def make(self, kind: Kind, zone: str, rack: Rack, since: float = 0.0, cold: bool = False) -> Node:
+    def add(self, kind: NodeKind, zone: str, rack: Rack, started_at: float = 0.0, cold: bool = False) -> Node:
         """A new machine under an id of its own."""
-        self.made += 1
-        speed = kind.speed * max(0.2, 1.0 + kind.speed_cv * self.build.normal())
-        ident = self.build.seed() % 2**40
-        node = Node(ident, f"n{self.made}", zone, rack, kind, speed, since, cold)
+        factor = max(MIN_SPEED_FACTOR, 1.0 + kind.speed_cv * self.build_stream.normal())
+        ident = self.build_stream.seed() % IDENT_LIMIT
+        name = f"n{len(self.nodes) + 1}"
+        node = Node(ident, name, zone, rack, kind, kind.speed * factor, started_at, cold)
         if node.cold:
-            node.pressure = self.pressure()
-            self.events.at(self.events.now + COLD_TICK_MS, self._warm, node, node.epoch)
+            node.overload = self._overload_window()
+            self._schedule_warm_up(node)
         node.refresh(self.events.now)
         self.nodes.append(node)
-        if kind.pause_every_ms and kind.pause_ms:
-            self._pause_later(node)
+        self._schedule_pause(node)
         return node
 
-    def pressure(self) -> Pressure:
+    def _overload_window(self) -> OverloadWindow:
         rules = self.rehearsal.rules
-        return Pressure(rules.fall_ms, rules.overload_factor, rules.fall_slack_ms)
+        return OverloadWindow(rules.collapse_window_ms, rules.overload_factor, rules.collapse_slack_ms)
 
-    def alive(self) -> list[Node]:
-        return [node for node in self.nodes if not node.down and not node.drains]
+    def in_service(self) -> list[Node]:
+        """Nodes that are up and not draining."""
+        return [node for node in self.nodes if not node.down and not node.draining]
 
-    def offer(self, node: Node, job: Job) -> str:
-        """A request has come to a node whose process is there and awake."""
+    def admit(self, node: Node, job: Job) -> Admission:
+        """A request has come to a node whose process is up and not paused."""
         now = self.events.now
         node.settle(now)
-        found = node.offer(now, job)
-        if found == TAKEN:
-            self._touched(node)
-        return found
+        admission = node.admit(now, job)
+        if admission is Admission.ACCEPTED:
+            self._pace_changed(node)
+        return admission
 
-    def touch(self, node: Node, change: Callable[[], None] | None = None) -> None:
-        """Something about a node's pace changes now."""
+    def update(self, node: Node, change: Callable[[], None] | None = None) -> None:
+        """Apply a change that affects a node's pace now."""
         node.settle(self.events.now)
         if change is not None:
             change()
-        self._touched(node)
+        self._pace_changed(node)
 
-    def _touched(self, node: Node) -> None:
+    def _pace_changed(self, node: Node) -> None:
         now = self.events.now
         node.refresh(now)
         rack = node.rack
         if rack.limit:
-            shared = rack.share()
-            if abs(shared - rack.shared) > SHARED_STEP:
-                rack.shared = shared
+            share = rack.share()
+            if abs(share - rack.pace_share) > MIN_SHARE_CHANGE:
+                rack.pace_share = share
                 for other in rack.nodes:
                     if other is not node and not other.down:
                         other.settle(now)
-                        other.held = other.want * shared
-                        self._set_end(other)
-                node.held = node.want * shared
-        self._set_end(node)
+                        other.pace = other.requested_pace * share
+                        self._schedule_end(other)
+                node.pace = node.requested_pace * share
+        self._schedule_end(node)
 
-    def _set_end(self, node: Node) -> None:
+    def _schedule_end(self, node: Node) -> None:
         """One event for the next end; one that comes too early finds nothing done and sets the next."""
-        at = node.next_end()
-        if at < node.due:
-            node.due = at
-            self.events.at(at, self._end, node, at)
+        at = node.next_completion()
+        if at < node.next_end_at:
+            node.next_end_at = at
+            self.events.schedule(at, self._end, node, at)
 
     def _end(self, node: Node, due: float) -> None:
-        if node.due != due:
-            return  # an earlier one was set since, or the process has gone
-        node.due = NEVER
+        if node.next_end_at != due:
+            return  # an earlier one was scheduled since, or the process has gone
+        node.next_end_at = NEVER
         now = self.events.now
         node.settle(now)
         for job in node.finish(now):
-            self.ended(node, job)
-        self._touched(node)
+            self.on_job_ended(node, job)
+        self._pace_changed(node)
 
-    # What befalls them.
+    # Pauses, warm-up and the life of processes.
 
-    def pause(self, node: Node, length: float) -> None:
-        """It stands still, accepts included, and goes on as if nothing had been."""
+    def pause(self, node: Node, duration: float) -> None:
+        """It stands still, accepts included, and continues as if nothing had been."""
         now = self.events.now
         if node.down:
             return
         node.settle(now)
-        node.paused_until = max(node.paused_until, now + length)
-        self._touched(node)
-        node.due = NEVER  # what was set is void: nothing ends before the pause does
-        self.events.at(node.paused_until, self.touch, node)
-
-    def _pause_later(self, node: Node) -> None:
-        wait = self.pauses.exponential(node.kind.pause_every_ms)
-        self.events.at(self.events.now + wait, self._own_pause, node, node.epoch)
-
-    def _own_pause(self, node: Node, epoch: int) -> None:
-        length = self.pauses.exponential(node.kind.pause_ms)
-        if node.down or node.epoch != epoch:
+        node.paused_until = max(node.paused_until, now + duration)
+        self._pace_changed(node)
+        node.next_end_at = NEVER  # what was scheduled is void: nothing ends before the pause does
+        self.events.schedule(node.paused_until, self.update, node)
+
+    def _schedule_pause(self, node: Node) -> None:
+        """The next of the pauses that its kind makes by itself."""
+        kind = node.kind
+        if not (kind.pause_every_ms and kind.pause_ms):
             return
-        self.pause(node, length)
-        self._pause_later(node)
+        wait = self.pause_stream.exponential(kind.pause_every_ms)
+        self.events.schedule(self.events.now + wait, self._pause_itself, node, node.incarnation)
 
-    def _warm(self, node: Node, epoch: int) -> None:
-        if node.epoch != epoch or node.down:
+    def _pause_itself(self, node: Node, incarnation: int) -> None:
+        duration = self.pause_stream.exponential(node.kind.pause_ms)
+        if node.down or node.incarnation != incarnation:
             return
-        self.touch(node)
+        self.pause(node, duration)
+        self._schedule_pause(node)
+
+    def _schedule_warm_up(self, node: Node) -> None:
+        self.events.schedule(self.events.now + WARM_UP_TICK_MS, self._warm_up, node, node.incarnation)
+
+    def _warm_up(self, node: Node, incarnation: int) -> None:
+        if node.incarnation != incarnation or node.down:
+            return
+        self.update(node)
         if node.cold:
-            self.events.at(self.events.now + COLD_TICK_MS, self._warm, node, epoch)
+            self._schedule_warm_up(node)
         else:
-            self.warmed(node)
+            self.listener.node_warmed_up(node)
 
     def kill(self, node: Node) -> None:
         """The process dies; its connections are reset."""
         if node.down:
             return
         node.settle(self.events.now)
-        for job in node.die():
-            self.lost(node, job)
+        for job in node.stop_process():
+            self.listener.job_lost(node, job)
         if node.rack.limit:
-            node.rack.shared = node.rack.share()
+            node.rack.pace_share = node.rack.share()
 
-    def raise_(self, node: Node, cold: bool) -> None:
+    def restart(self, node: Node, cold: bool) -> None:
         """A new process at the same address."""
-        now = self.events.now
         if not node.down:
             self.kill(node)
-        node.rise(now, cold, self.pressure())
+        node.start_process(self.events.now, cold, self._overload_window())
         if node.cold:
-            self.events.at(now + COLD_TICK_MS, self._warm, node, node.epoch)
-        self._touched(node)
-        if node.kind.pause_every_ms and node.kind.pause_ms:
-            self._pause_later(node)
-
-    def presses(self, node: Node, work: float) -> bool:
-        """Count what reached a cold node; True: it has just collapsed, and does not come back by itself."""
-        if not node.presses(self.events.now, work):
+            self._schedule_warm_up(node)
+        self._pace_changed(node)
+        self._schedule_pause(node)
+
+    def collapses(self, node: Node, work: float) -> bool:
+        """Count what reached a warming node; True: it has just collapsed, and stays down."""
+        if not node.overloaded_by(self.events.now, work):
             return False
         self.kill(node)
-        node.fell = True
+        node.collapsed = True
         return True
--- /dev/null
+++ b/heronreel/emulator/invariants.py
@@ -0,0 +1,326 @@
+"""The four invariants, checked by one who sees everything and shares no code with any proxy.
+
+The checker is given what is on the wire and what the nodes really do, never what a proxy believes, and keeps
+every breach with the request, proxy and node it belongs to.  Times are ms.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass, field
+
+MAX_BREACHES_KEPT = 1000  # of each rule; all are counted
+EFFECT_MEMORY_MS = 60_000.0  # effects are remembered for one to two of these
+SLACK_MS = 50.0  # sockets' and clocks', on every time limit
+INFORMED_NUMERATOR, INFORMED_DENOMINATOR = 2.0, 3.0  # share of the work sent by those who knew of the cold
+
+
+@dataclass(slots=True, frozen=True)
+class Breach:
+    """One broken rule.  The field names are part of a result."""
+
+    rule: str  # lost, twice, drain, cold
+    at_ms: float
+    words: str
+    request: int = -1
+    proxy: str = ""
+    node: str = ""
+    line: int = -1  # the client's request that this is an attempt of
+
+
+@dataclass(slots=True)
+class SentAttempt:
+    """An attempt of a proxy that went out to a node."""
+
+    number: int
+    node: str
+    rack: str
+    zone: str
+    sent_at: float
+    may_have_run: bool = True
+
+
+@dataclass(slots=True)
+class AcceptedRequest:
+    """A request that a proxy has accepted, until its result and the end of all its attempts."""
+
+    client_request: int
+    proxy: str
+    effect: str
+    dedup_scope: str
+    dedup_window_ms: float
+    deadline: float
+    attempts: list[SentAttempt] = field(default_factory=list)
+    in_flight: int = 0
+    result: str = ""
+
+    def uncertain_attempt(self) -> SentAttempt | None:
+        """The first attempt that may have run."""
+        return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
+
+
+@dataclass(slots=True)
+class ProxyView:
+    """What a proxy has been sent of the endpoint list, and when it last polled."""
+
+    polled_at: float
+    watching: bool = False
+    unusable: dict[str, float] = field(default_factory=dict)  # draining or gone nodes: notified when
+    starts: dict[str, float] = field(default_factory=dict)  # nodes: the start time it was sent
+
+
+@dataclass(slots=True)
+class ColdNode:
+    """A warming node and the work it was sent within the collapse window."""
+
+    started_at: float
+    arrivals: deque[tuple[float, float, bool]] = field(default_factory=deque)  # when, work, sender informed
+
+
+class InvariantChecker:
+    """Counts breaches of the four rules: lost requests, double effects, drains and cold nodes."""
+
+    def __init__(
+        self,
+        response_grace_ms: float,
+        drain_grace_ms: float,
+        delivered_after_ms: float,
+        poll_within_ms: float,
+        collapse_window_ms: float,
+    ) -> None:
+        self.response_grace_ms = response_grace_ms
+        self.drain_grace_ms = drain_grace_ms + SLACK_MS
+        self.delivered_after_ms = delivered_after_ms
+        self.poll_within_ms = poll_within_ms
+        self.collapse_window_ms = collapse_window_ms
+        self.accepted: dict[int, AcceptedRequest] = {}
+        self.views: dict[str, ProxyView] = {}
+        self.unusable_since: dict[str, float] = {}  # nodes: when the list service learned it
+        self.cold: dict[str, ColdNode] = {}
+        self.effects: tuple[dict[int, str], dict[int, str]] = ({}, {})  # client requests that ran: new, old
+        self.effects_rotated_at = 0.0
+        self.counts = {"lost": 0, "twice": 0, "drain": 0, "cold": 0}
+        self.breaches: list[Breach] = []
+
+    def _breach(
+        self, rule: str, now: float, words: str, request: int = -1, proxy: str = "", node: str = ""
+    ) -> None:
+        self.counts[rule] += 1
+        if self.counts[rule] <= MAX_BREACHES_KEPT:
+            accepted = self.accepted.get(request)
+            client_request = accepted.client_request if accepted else -1
+            self.breaches.append(Breach(rule, now, words, request, proxy, node, client_request))
+
+    # Rule 1: every accepted request has one final response, in time, and nothing is forwarded after it.
+
+    def request_accepted(
+        self,
+        request: int,
+        client_request: int,
+        proxy: str,
+        effect: str,
+        dedup_scope: str,
+        dedup_window_ms: float,
+        deadline: float,
+    ) -> None:
+        """A proxy has received the whole of a request."""
+        self.accepted[request] = AcceptedRequest(
+            client_request, proxy, effect, dedup_scope, dedup_window_ms, deadline
+        )
+
+    def request_answered(self, request: int, result: str, now: float) -> None:
+        """The proxy has responded.  `result`: served, refused or failed."""
+        accepted = self.accepted.get(request)
+        if accepted is None:
+            return
+        if accepted.result and accepted.result != "left":
+            words = f"{result} after it was {accepted.result} already"
+            self._breach("lost", now, words, request, accepted.proxy)
+        elif not accepted.result and now > accepted.deadline + self.response_grace_ms + SLACK_MS:
+            words = f"{result} {now - accepted.deadline:.0f} ms after its time was up"
+            self._breach("lost", now, words, request, accepted.proxy)
+        if result == "refused":
+            self._check_refusal(accepted, request, now)
+        accepted.result = accepted.result or result
+        self._forget_if_done(request, accepted)
+
+    def _check_refusal(self, accepted: AcceptedRequest, request: int, now: float) -> None:
+        """A refusal invites a retry, so nothing with an effect may have run."""
+        if accepted.effect == "safe" or (accepted.effect, accepted.dedup_scope) == ("keyed", "all"):
+            return
+        uncertain = accepted.uncertain_attempt()
+        if uncertain:
+            words = f"refused though attempt {uncertain.number} may have run"
+            self._breach("twice", now, words, request, accepted.proxy, uncertain.node)
+
+    def request_overdue(self, request: int, now: float) -> None:
+        """Its time and the grace are over.  Called for every request without a response by then."""
+        accepted = self.accepted.get(request)
+        if accepted is not None and not accepted.result:
+            self._breach("lost", now, "no answer in time", request, accepted.proxy)
+            accepted.result = "lost"
+            self._forget_if_done(request, accepted)
+
+    def client_left(self, request: int) -> None:
+        """The client disconnected by itself; nothing is owed."""
+        accepted = self.accepted.get(request)
+        if accepted is not None:
+            accepted.result = accepted.result or "left"
+            self._forget_if_done(request, accepted)
+
+    def proxy_stopped(self, proxy: str, requests: list[int], now: float, killed: bool) -> None:
+        """A proxy's process ended with these in flight: killed outright, or by itself after SIGTERM."""
+        for request in requests:
+            accepted = self.accepted.pop(request, None)
+            if accepted is not None and not accepted.result and not killed:
+                self._breach("lost", now, "the proxy ended with it unanswered", request, proxy)
+
+    def _forget_if_done(self, request: int, accepted: AcceptedRequest) -> None:
+        if accepted.result and not accepted.in_flight:
+            del self.accepted[request]
+
+    # Rule 2: no effect twice.
+
+    def attempt_sent(
+        self, request: int, number: int, proxy: str, node: str, rack: str, zone: str, now: float
+    ) -> None:
+        """The first byte of an attempt is written."""
+        self._check_drain(proxy, node, request, now)
+        accepted = self.accepted.get(request)
+        if accepted is None:
+            self._breach("lost", now, "sent on after its end", request, proxy, node)
+            return
+        if accepted.result:
+            self._breach("lost", now, f"sent on after it was {accepted.result}", request, proxy, node)
+        attempt = SentAttempt(number, node, rack, zone, now)
+        uncertain = accepted.uncertain_attempt()
+        if uncertain is not None and accepted.effect != "safe":
+            self._check_retry(accepted, uncertain, attempt, request, proxy)
+        accepted.attempts.append(attempt)
+        accepted.in_flight += 1
+
+    def _check_retry(
+        self,
+        accepted: AcceptedRequest,
+        uncertain: SentAttempt,
+        attempt: SentAttempt,
+        request: int,
+        proxy: str,
+    ) -> None:
+        """Another attempt beside one that may have run needs a node that drops the repeat."""
+        words = f"attempt {attempt.number} goes out though attempt {uncertain.number} may have run"
+        scope, elapsed = accepted.dedup_scope, attempt.sent_at - uncertain.sent_at
+        same_scope = {"rack": attempt.rack == uncertain.rack, "zone": attempt.zone == uncertain.zone}
+        if accepted.effect != "unsafe" and same_scope.get(scope, True):
+            if attempt.sent_at <= uncertain.sent_at + accepted.dedup_window_ms + SLACK_MS:
+                return
+            words += f", {elapsed:.0f} ms ago"
+        elif accepted.effect != "unsafe":
+            words += f" in another {scope}"
+        self._breach("twice", attempt.sent_at, words, request, proxy, attempt.node)
+
+    def attempt_ended(self, request: int, number: int, never_ran: bool) -> None:
+        """The proxy has learned how an attempt that was sent ended."""
+        accepted = self.accepted.get(request)
+        if accepted is None:
+            return
+        accepted.in_flight -= 1
+        for attempt in accepted.attempts:
+            if attempt.number == number:
+                attempt.may_have_run = not never_ran
+        self._forget_if_done(request, accepted)
+
+    def effect_took_place(
+        self, client_request: int, effect: str, request: int, proxy: str, node: str, now: float
+    ) -> None:
+        """A node has done a request's work, its effect with it."""
+        if effect == "safe":
+            return
+        if now - self.effects_rotated_at >= EFFECT_MEMORY_MS:
+            self.effects, self.effects_rotated_at = ({}, self.effects[0]), now
+        new, old = self.effects
+        first = new.get(client_request) or old.get(client_request)
+        if first is not None:
+            self._breach("twice", now, f"its effect took place at {first} already", request, proxy, node)
+        new[client_request] = node
+
+    # Rule 3: drains are respected.
+
+    def proxy_started(self, proxy: str, now: float) -> None:
+        """A process of a proxy has come up."""
+        self.views[proxy] = ProxyView(now)
+
+    def list_polled(self, proxy: str, now: float, watching: bool) -> None:
+        """A proxy has called the list service, or its watch has ended."""
+        view = self.views[proxy]
+        view.polled_at, view.watching = now, watching
+
+    def node_state_known(self, node: str, usable: bool, now: float) -> None:
+        """The list service has learned that a node drains or is gone, or is usable."""
+        if usable:
+            self.unusable_since.pop(node, None)
+            for view in self.views.values():
+                view.unusable.pop(node, None)
+        else:
+            self.unusable_since.setdefault(node, now)
+
+    def change_received(self, proxy: str, node: str, usable: bool, started_at: float, now: float) -> None:
+        """One changed entry of the list has reached a proxy."""
+        view = self.views[proxy]
+        view.starts[node] = started_at
+        if usable:
+            view.unusable.pop(node, None)
+        else:
+            view.unusable.setdefault(node, now)
+            view.starts.pop(node, None)
+
+    def snapshot_received(self, proxy: str, starts: dict[str, float], now: float) -> None:
+        """A whole list has reached a proxy: usable nodes and their start times.  All others are gone."""
+        view = self.views[proxy]
+        for node in view.starts.keys() - starts.keys():
+            view.unusable.setdefault(node, now)
+        view.starts = dict(starts)
+        for node in starts:
+            view.unusable.pop(node, None)
+
+    def _check_drain(self, proxy: str, node: str, request: int, now: float) -> None:
+        view = self.views[proxy]
+        notified = view.unusable.get(node)
+        known = self.unusable_since.get(node)
+        if known is not None:
+            if self.delivered_after_ms:
+                delivered = known + self.delivered_after_ms
+                notified = min(notified if notified is not None else delivered, delivered)
+            if notified is None and not view.watching and now - view.polled_at > self.poll_within_ms:
+                notified = max(known, view.polled_at + self.poll_within_ms)
+        if notified is not None and now > notified + self.drain_grace_ms:
+            words = f"sent to a node {now - notified:.0f} ms after it was told that it drains or is gone"
+            self._breach("drain", now, words, request, proxy, node)
+
+    # Rule 4: no warming node is overloaded.
+
+    def node_started_cold(self, node: str, started_at: float) -> None:
+        """A node has started and is warming up."""
+        self.cold[node] = ColdNode(started_at)
+
+    def node_warmed_up(self, node: str) -> None:
+        """A node is warm, or its process is gone."""
+        self.cold.pop(node, None)
+
+    def cold_work_arrived(self, node: str, proxy: str, work: float, now: float) -> None:
+        """Work has arrived at a warming node."""
+        cold = self.cold[node]
+        informed = self.views[proxy].starts.get(node) == cold.started_at
+        cold.arrivals.append((now, work, informed))
+        while cold.arrivals and cold.arrivals[0][0] <= now - self.collapse_window_ms:
+            cold.arrivals.popleft()
+
+    def node_collapsed(self, node: str, now: float) -> None:
+        """A breach if two thirds of its work came from proxies that knew that it was cold."""
+        cold = self.cold.pop(node, None)
+        arrivals = cold.arrivals if cold else ()
+        total = sum(work for _, work, _ in arrivals)
+        informed_work = sum(work for _, work, informed in arrivals if informed)
+        if INFORMED_DENOMINATOR * informed_work >= INFORMED_NUMERATOR * total:
+            words = f"a cold node fell under {total:.0f} ms of work within {self.collapse_window_ms:.0f} ms"
+            self._breach("cold", now, words, node=node)
--- a/heronreel/emulator/model.py
+++ b/heronreel/emulator/model.py
@@ -1,42 +1,41 @@
-"""What a rehearsal script says, as frozen records: the tables of the file and their defaults.
+"""The configuration read from a rehearsal script: one frozen record for each table, with its defaults.
 
-Descriptions follow the word "expected" in messages.  Spans are named by their unit; shares run from 0 to 1;
-work is ms of one core at speed 1.
+A field's stored name, where it differs from the attribute, is the key in the file and never changes.  The
+descriptions in the annotations follow the word "expected" in error messages.  Durations end in their unit;
+shares run from 0 to 1; work is ms of one core at speed 1.
 """
 
 from __future__ import annotations
 
 from typing import Annotated, Any, Literal
 
-import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 from heronreel.routes.schema import Count, Flag, Name, Positive, Share, Span
 
-VERSION = 1
-NODES_MOST, PROXIES_MOST, TROUBLES_MOST = 2_000, 2_000, 1_000
-HOURS_MOST_S = 6 * 3600.0
+SCRIPT_VERSION = 1
+MAX_PROXIES, MAX_FAULTS = 2_000, 1_000
+MAX_DURATION_S = 6 * 3600.0
 
 
-def _meta(words: str, **bounds: Any) -> Meta:
-    return Meta(description=words, **bounds)
+def _meta(description: str, **bounds: Any) -> Meta:
+    return Meta(description=description, **bounds)
 
 
-Seconds = Annotated[float, _meta("seconds from 0 to 21,600", ge=0.0, le=HOURS_MOST_S)]
-Length = Annotated[float, _meta("seconds over 0 and up to 21,600", gt=0.0, le=HOURS_MOST_S)]
-Times = Annotated[float, _meta("a number from 0 to 1,000", ge=0.0, le=1000.0)]
-Slower = Annotated[float, _meta("a number from 1 to 1,000", ge=1.0, le=1000.0)]
+Seconds = Annotated[float, _meta("seconds from 0 to 21,600", ge=0.0, le=MAX_DURATION_S)]
+Duration = Annotated[float, _meta("seconds over 0 and up to 21,600", gt=0.0, le=MAX_DURATION_S)]
+Factor = Annotated[float, _meta("a number from 0 to 1,000", ge=0.0, le=1000.0)]
 Speed = Annotated[float, _meta("a number over 0 and up to 100", gt=0.0, le=100.0)]
 Price = Annotated[float, _meta("points of service from 0 to 1", ge=0.0, le=1.0)]
 Many = Annotated[int, _meta("a whole number from 1 to 2,000", ge=1, le=2_000)]
 PerSecond = Annotated[float, _meta("a number a second from 0 to 1,000,000", ge=0.0, le=1e6)]
-Dist = Annotated[Literal["exp", "lognormal", "fixed"], _meta('"exp", "lognormal" or "fixed"')]
+Distribution = Annotated[Literal["exp", "lognormal", "fixed"], _meta('"exp", "lognormal" or "fixed"')]
 Title = Annotated[str, _meta("a text of at most 200 characters", max_length=200)]
 Names = Annotated[list[str], _meta("a list of names")]
 
 
-class Kind(Struct, frozen=True):
-    """One kind of node.  A part is left out where its figure is 0 (`cold_from`: 1)."""
+class NodeKind(Struct, frozen=True):
+    """One kind of node (`[[fleet.kinds]]`).  0 disables a feature (for `warm_up_floor`: 1)."""
 
     name: Name
     share: Share = 1.0
@@ -45,153 +44,191 @@
     speed: Speed = 1.0
     speed_cv: Share = 0.0
     queue: Annotated[int, _meta("a whole number from 0 to 1,000,000", ge=0, le=1_000_000)] = 4
-    thrash: Share = 0.0  # of its pace lost when crowded most
-    thrash_at: Speed = 6.0  # requests here for each core, beyond its cores, at which it is crowded most
-    connections: Count = 0  # it holds at most; 0: any number
-    full_tax: Share = 0.0  # of its pace lost when the table of connections is full
+    thrash: Share = 0.0  # largest share of its pace lost to contention
+    thrash_at: Speed = 6.0  # requests for each core, beyond its cores, at which that loss is reached
+    connections: Count = 0  # limit of open connections; 0: unlimited
+    full_tax: Share = 0.0  # share of its pace lost when the connection table is full
     handshake_ms: Span = 0.0  # work of a new connection
-    handshake_rtts: Times = 1.0
-    warm_gain: Share = 0.0  # work saved for a key met lately
+    handshake_rtts: Factor = 1.0
+    warm_gain: Share = 0.0  # share of the work saved for a recently used key
     warm_ms: Span = 5000.0
     warm_keys: Count = 20
-    cold_from: Share = 1.0
-    cold_ms: Span = 0.0
-    warm_work_ms: Span = 0.0  # it is warm after so much work, if that comes before `cold_ms`
+    warm_up_floor: Share = field(default=1.0, name="cold_from")  # share of its pace right after a start
+    warm_up_ms: Span = field(default=0.0, name="cold_ms")
+    warm_up_work_ms: Span = field(default=0.0, name="warm_work_ms")  # ends the warm-up early
     error_rate: Share = 0.0
     pause_every_ms: Span = 0.0
     pause_ms: Span = 0.0
 
 
-class Fleet(Struct, frozen=True):
+class FleetConfig(Struct, frozen=True):
+    """The nodes, their racks and zones (`[fleet]`)."""
+
     nodes: Many = 12
-    zones: Names = msgspec.field(default_factory=lambda: ["z0"])
+    zones: Names = field(default_factory=lambda: ["z0"])
     rack_size: Many = 6
     limited_racks: Share = 0.0  # share of racks with a hidden common limit
     rack_limit: Share = 0.6  # of what their nodes could do
-    kinds: tuple[Kind, ...] = ()
+    kinds: tuple[NodeKind, ...] = ()
+
 
+class NetworkConfig(Struct, frozen=True):
+    """One-way latencies (`[network]`)."""
 
-class Network(Struct, frozen=True):
-    same_ms: Span = 0.3  # one way
-    cross_ms: Span = 15.0
+    same_zone_ms: Span = field(default=0.3, name="same_ms")
+    cross_zone_ms: Span = field(default=15.0, name="cross_ms")
     client_ms: Span = 0.8
     jitter: Share = 0.1
 
 
-class Proxies(Struct, frozen=True):
+class ProxyConfig(Struct, frozen=True):
+    """The proxies and what they may do (`[proxies]`)."""
+
     count: Many = 6
-    skew: Share = 0.0  # of traffic: busiest over mean, less 1, up to this, by steps of rank
+    skew: Share = 0.0  # of traffic between proxies: busiest over mean, less 1, by steps of rank
     policy: Name = "heronreel"
     routes: Annotated[str, _meta("the path of a file of routes")] = ""
-    idle_ms: Span = 1000.0  # connections to nodes are closed when idle for so long
+    idle_ms: Span = 1000.0  # idle connections to nodes are closed after this
     connect_timeout_ms: Positive = 250.0
     max_attempts: Annotated[int, _meta("a whole number from 1 to 16", ge=1, le=16)] = 4
-    second_copies: Flag = False
+    hedging: Flag = field(default=False, name="second_copies")
     max_retry_after_ms: Span = 2000.0
-    restart_ms: Span = 1000.0  # from the end of a process to its successor's first health answer
-    term_ms: Span = 3000.0  # after SIGTERM it is killed at the latest
+    restart_ms: Span = 1000.0  # from the end of a process to its successor's first healthy response
+    shutdown_limit_ms: Span = field(default=3000.0, name="term_ms")  # from SIGTERM to a kill at the latest
+
+
+class FrontEndConfig(Struct, frozen=True):
+    """What spreads requests over proxies (`[front]`)."""
 
+    detection_ms: Span = field(default=2000.0, name="notice_ms")  # until a dead proxy gets no new requests
 
-class Front(Struct, frozen=True):
-    notice_ms: Span = 2000.0  # after which a dead proxy gets no new requests
 
+class TrafficPoint(Struct, frozen=True):
+    """A point of the traffic's shape (`[[traffic.points]]`)."""
 
-class Point(Struct, frozen=True):
     at_s: Seconds
-    factor: Times
+    factor: Factor
 
 
-class Traffic(Struct, frozen=True):
+class TrafficConfig(Struct, frozen=True):
+    """How many requests arrive, and when (`[traffic]`)."""
+
     requests_per_s: PerSecond = 100.0
     zone_skew: Share = 0.0
     arrivals: Annotated[Literal["open", "closed"], _meta('"open" or "closed"')] = "open"
     users: Annotated[int, _meta("a whole number from 1 to 100,000", ge=1, le=100_000)] = 50  # closed only
     think_ms: Span = 500.0  # closed only
-    points: tuple[Point, ...] = ()  # the shape: a factor on the rate, straight between points
+    points: tuple[TrafficPoint, ...] = ()  # a factor on the rate, linear between points
+
 
+class RequestClass(Struct, frozen=True):
+    """A class of requests (`[[classes]]`)."""
 
-class Class(Struct, frozen=True):
     name: Name = "save"
     share: Share = 1.0
     work_ms: Positive = 80.0
-    dist: Dist = "exp"
-    cv: Times = 1.0
-    attempt_noise: Times = 0.0  # deviation of an attempt's work over the request's
-    hint_noise: Times = 0.1
+    distribution: Distribution = field(default="exp", name="dist")
+    cv: Factor = 1.0
+    attempt_noise: Factor = 0.0  # deviation of an attempt's work over the request's
+    hint_noise: Factor = 0.1
     hints: Flag = True
-    aim_ms: Positive = 500.0
+    latency_objective_ms: Positive = field(default=500.0, name="aim_ms")
     deadline_ms: Positive = 2500.0
-    worth: Times = 1.0
-    late_worth: Share = 0.5
+    weight: Factor = field(default=1.0, name="worth")
+    late_weight: Share = field(default=0.5, name="late_worth")
     effect: Annotated[Literal["safe", "keyed", "unsafe"], _meta('"safe", "keyed" or "unsafe"')] = "keyed"
-    group: Annotated[Literal["rack", "zone", "all"], _meta('"rack", "zone" or "all"')] = "rack"
-    window_ms: Span = 5000.0
+    dedup_scope: Annotated[Literal["rack", "zone", "all"], _meta('"rack", "zone" or "all"')] = field(
+        default="rack", name="group"
+    )
+    dedup_window_ms: Span = field(default=5000.0, name="window_ms")
+
+    @property
+    def dedup_ms(self) -> float:
+        """For how long nodes drop a repeat: 0 without an idempotency key."""
+        return self.dedup_window_ms if self.effect == "keyed" else 0.0
 
 
 class Tenant(Struct, frozen=True):
+    """A tenant and its quota (`[[tenants]]`)."""
+
     name: Name
-    share: Share = 1.0  # of the traffic that is its due
-    usage: Times = 1.0  # what it asks over that
-    quota_per_s: PerSecond = 0.0  # beyond which its requests are worth little; 0: its share of the rate
+    share: Share = 1.0  # of the traffic it is entitled to
+    usage: Factor = 1.0  # what it sends over that
+    quota_per_s: PerSecond = 0.0  # requests beyond it weigh little; 0: its share of the rate
 
 
-class Keys(Struct, frozen=True):
+class KeyDistribution(Struct, frozen=True):
+    """The keys of requests (`[keys]`)."""
+
     count: Count = 1000
-    zipf: Times = 1.0
+    zipf: Factor = 1.0
+
 
+class ClientConfig(Struct, frozen=True):
+    """Client behaviour: retries, backoff and patience (`[clients]`)."""
 
-class Clients(Struct, frozen=True):
     retries: Annotated[int, _meta("a whole number from 0 to 20", ge=0, le=20)] = 1
     backoff_ms: Span = 100.0
     backoff: Annotated[Literal["fixed", "exp"], _meta('"fixed" or "exp"')] = "exp"
-    honour: Share = 1.0  # share that waits as Retry-After says
-    impatient: Share = 0.0  # share that leaves early
-    patience: Share = 0.5  # of the deadline, after which those leave
-    try_share: Share = 1.0  # of the deadline that one try has
-    marks: Flag = True  # its retries say that they are
+    honor_retry_after: Share = field(default=1.0, name="honour")  # share that waits as Retry-After says
+    abandon_share: Share = field(default=0.0, name="impatient")  # share that disconnects early
+    abandon_after: Share = field(default=0.5, name="patience")  # of the deadline, when those disconnect
+    attempt_timeout_share: Share = field(default=1.0, name="try_share")  # of the deadline, for each attempt
+    mark_retries: Flag = field(default=True, name="marks")
 
 
-class List(Struct, frozen=True):
-    lines_per_s: Annotated[float, _meta("lines a second over 0", gt=0.0, le=1e7)] = 200.0
-    call_lines: Times = 24.0  # what a call costs by itself
+class EndpointListConfig(Struct, frozen=True):
+    """The endpoint list service (`[list]`)."""
+
+    entries_per_s: Annotated[float, _meta("lines a second over 0", gt=0.0, le=1e7)] = field(
+        default=200.0, name="lines_per_s"
+    )
+    call_cost: Factor = field(default=24.0, name="call_lines")  # cost of a call itself, in entries
     timeout_ms: Positive = 3000.0
-    notice_ms: Span = 2500.0  # until it knows that a node has gone
-    add_ms: Span = 1000.0  # until it knows a new one
-    period_ms: Positive = 500.0  # changes are sent together
-    backlog: Annotated[int, _meta("a whole number from 1 to 1,000,000", ge=1, le=1_000_000)] = 10_000
+    removal_delay_ms: Span = field(default=2500.0, name="notice_ms")  # until it knows that a node has gone
+    addition_delay_ms: Span = field(default=1000.0, name="add_ms")  # until it knows a new one
+    batch_ms: Positive = field(default=500.0, name="period_ms")  # changes are sent together
+    max_backlog: Annotated[int, _meta("a whole number from 1 to 1,000,000", ge=1, le=1_000_000)] = field(
+        default=10_000, name="backlog"
+    )
+
 
+class InvariantLimits(Struct, frozen=True):
+    """Time limits of the invariants (`[rules]`)."""
 
-class Rules(Struct, frozen=True):
-    answer_grace_ms: Span = 50.0
+    response_grace_ms: Span = field(default=50.0, name="answer_grace_ms")
     drain_grace_ms: Span = 500.0
-    told_ms: Span = 0.0  # after which what the list service knows counts as told; 0: only what has come
-    ask_within_ms: Positive = 10_000.0
+    # after which what the list service knows counts as delivered; 0: only what has arrived
+    delivered_after_ms: Span = field(default=0.0, name="told_ms")
+    poll_within_ms: Positive = field(default=10_000.0, name="ask_within_ms")
     overload_factor: Annotated[float, _meta("a number from 1 to 100", ge=1.0, le=100.0)] = 4.0
-    fall_ms: Positive = 2000.0
-    fall_slack_ms: Span = 400.0  # of work that chance may add
+    collapse_window_ms: Positive = field(default=2000.0, name="fall_ms")
+    collapse_slack_ms: Span = field(default=400.0, name="fall_slack_ms")  # of work that chance may add
 
 
 class Prices(Struct, frozen=True):
-    """Points of service lost: for a handshake for each request, for 100 connections a node, and so on."""
+    """Points of service lost for each unit of cost (`[prices]`)."""
 
-    handshake: Price = 0.0
-    connection: Price = 0.0
+    handshake: Price = 0.0  # for a handshake for each request
+    connection: Price = 0.0  # for 100 connections at each node
     cross_zone: Price = 0.0
     late_failure: Price = 0.0
     waste: Price = 0.0
     list_calls: Price = 0.0  # for a call a second from each proxy
 
 
-class Score(Struct, frozen=True):
+class ScoreWeights(Struct, frozen=True):
+    """How the parts of a score are weighed (`[score]`)."""
+
     whole: Share = 0.6
     worst_window: Share = 0.15
     worst_tenant: Share = 0.25
-    window_s: Length = 10.0
-    over_share_worth: Share = 0.05
-    by_work: Flag = True  # worth is counted for each ms of work
+    window_s: Duration = 10.0
+    over_quota_weight: Share = field(default=0.05, name="over_share_worth")
+    by_work: Flag = True  # a request's weight is counted for each ms of work
 
 
-What = Literal[
+FaultKind = Literal[
     "slow", "errors", "neighbour", "pause", "silent", "crash", "drain", "replace", "grow", "lose_answers",
     "reset",
     "zone_lost", "zone_cut", "burst", "heavy", "shift", "tenant", "list_slow", "list_refuses", "list_silent",
@@ -199,54 +236,67 @@
 ]  # fmt: skip
 
 
-class Trouble(Struct, frozen=True):
-    """One trouble; which fields count for which kind stands in `docs/emulator.md`."""
+class Fault(Struct, frozen=True):
+    """One fault to inject (`[[troubles]]`); `docs/emulator.md` says which fields count for which kind."""
 
-    what: Annotated[What, _meta("a kind of trouble")]
+    fault_kind: Annotated[FaultKind, _meta("a kind of trouble")] = field(name="what")
     at_s: Seconds
     for_s: Seconds = 0.0
-    size: Times = 0.0
-    share: Share = 0.0  # of its targets, drawn
-    names: Names = msgspec.field(default_factory=list)
+    size: Factor = 0.0
+    share: Share = 0.0  # of its candidates, drawn
+    names: Names = field(default_factory=list)
     rack: Annotated[str, _meta("the name of a rack")] = ""
     zone: Annotated[str, _meta("the name of a zone")] = ""
-    kind: Annotated[str, _meta("the name of a kind")] = ""
+    node_kind: Annotated[str, _meta("the name of a kind")] = field(default="", name="kind")
     tenant: Annotated[str, _meta("the name of a tenant")] = ""
-    busiest: Count = 0  # so many, that have most to do now
-    count: Count = 0  # so many, drawn; of `grow`: new nodes
-    within_s: Seconds = 0.0  # spread over
+    busiest: Count = 0  # this many, those with the most to do now
+    count: Count = 0  # this many, drawn; of `grow`: new nodes
+    within_s: Seconds = 0.0  # the targets' turns are spread over this
     every_s: Seconds = 0.0  # on and off: half of it each
-    cold: Flag = True  # comes back or starts cold
-    same: Flag = False  # of `replace`: the new process at the same address, at once
+    cold_start: Flag = field(default=True, name="cold")
+    same_address: Flag = field(default=False, name="same")  # of `replace`: in place, at once
     after_s: Seconds = 0.0  # from the drain or death to what comes next
 
+    @property
+    def end_s(self) -> float:
+        """When it is over, seconds from the start."""
+        return self.at_s + max(self.for_s, self.within_s)
+
 
 class Rehearsal(Struct, frozen=True):
     """A whole script."""
 
     name: Title = "rehearsal"
-    seconds: Length = 30.0
-    fleet: Fleet = Fleet()
-    network: Network = Network()
-    proxies: Proxies = Proxies()
-    front: Front = Front()
-    traffic: Traffic = Traffic()
-    classes: tuple[Class, ...] = (Class(),)
+    seconds: Duration = 30.0
+    fleet: FleetConfig = FleetConfig()
+    network: NetworkConfig = NetworkConfig()
+    proxies: ProxyConfig = ProxyConfig()
+    front_end: FrontEndConfig = field(default=FrontEndConfig(), name="front")
+    traffic: TrafficConfig = TrafficConfig()
+    classes: tuple[RequestClass, ...] = (RequestClass(),)
     tenants: tuple[Tenant, ...] = ()
-    keys: Keys = Keys()
-    clients: Clients = Clients()
-    list: List = List()
-    rules: Rules = Rules()
+    keys: KeyDistribution = KeyDistribution()
+    clients: ClientConfig = ClientConfig()
+    endpoint_list: EndpointListConfig = field(default=EndpointListConfig(), name="list")
+    rules: InvariantLimits = InvariantLimits()
     prices: Prices = Prices()
-    score: Score = Score()
-    troubles: tuple[Trouble, ...] = ()
+    score: ScoreWeights = ScoreWeights()
+    faults: tuple[Fault, ...] = field(default=(), name="troubles")
+
+    @property
+    def duration_ms(self) -> float:
+        """How long requests arrive, ms."""
+        return self.seconds * 1000.0
 
     def capacity(self) -> float:
         """Work a ms that the whole fleet does at nominal speeds."""
         fleet = self.fleet
-        whole = sum(kind.share for kind in fleet.kinds) or 1.0
-        return fleet.nodes * sum(k.share * k.cores * k.speed for k in fleet.kinds) / whole
-
-    def mean_work(self) -> float:
-        whole = sum(klass.share for klass in self.classes) or 1.0
-        return sum(klass.share * klass.work_ms for klass in self.classes) / whole
+        total = sum(kind.share for kind in fleet.kinds) or 1.0
+        return fleet.nodes * sum(k.share * k.cores * k.speed for k in fleet.kinds) / total
+
+    def tenant_quotas(self) -> dict[str, float]:
+        """Requests a second by tenant, beyond which they weigh little."""
+        return {
+            tenant.name: tenant.quota_per_s or tenant.share * self.traffic.requests_per_s
+            for tenant in self.tenants
+        }
--- a/heronreel/emulator/node.py
+++ b/heronreel/emulator/node.py
@@ -1,262 +1,291 @@
-"""A node: cores that work requests off, a waiting room, and all that goes wrong with it.  No I/O, no clock.
+"""A node: cores that process requests, a waiting queue, and everything that can go wrong with it.
 
-All running requests of a node go at the same pace, so the node keeps one clock of work done by each of its
-cores (`clock`, ms of work): a request that starts at clock c with work w ends when the clock stands at c + w,
-whatever the pace does in between.  Whoever changes anything calls `settle` first, `refresh` afterwards, and
-asks for `next_end` then.
+No I/O, no clock.  All running requests of a node progress at the same pace, so the node keeps one clock of
+work done by each of its cores (`clock`, ms of work): a request that starts at clock c with work w ends when
+the clock is at c + w, whatever the pace does in between.  Whoever changes anything calls `settle` first,
+`refresh` afterwards, and asks for `next_completion` then.
 
-Every part can be left out, by a zero in the kind's table: crowding, table of connections, warm keys, warm-up,
-falling over, pauses, errors, the rack's hidden limit.
+Every feature can be disabled, by a zero in the kind's table: contention, the connection table, warm keys,
+warm-up, collapse, pauses, errors, the rack's hidden limit.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
+from enum import Enum
 from heapq import heappop, heappush
+from typing import Any
 
-from heronreel.emulator.model import Kind
+from heronreel.emulator.model import NodeKind
 
-FULL, TAKEN, REPEAT = "full", "taken", "repeat"
 NEVER = float("inf")
-TINY_MS = 1e-6  # of work: less than this is none, lest an end be set for the same moment again and again
+MIN_WORK_MS = 1e-6  # less is none, lest an end be scheduled for the same moment again and again
+
+
+class Admission(Enum):
+    """What a node does with a request."""
+
+    QUEUE_FULL = "full"
+    ACCEPTED = "taken"
+    DUPLICATE = "repeat"  # dropped, since its rack has had it
 
 
 @dataclass(slots=True)
 class Job:
-    """One attempt at a node.  `line`: the request it is a try of, alike for its repeats."""
+    """One attempt at a node.  `client_request` is the same for its repeats."""
 
-    line: int
+    client_request: int
     key: int
     work: float  # ms of a core at speed 1, as this node would do it without warm keys
-    owner: object  # whom its end is told, opaque here
-    window_ms: float = 0.0  # for how long its rack drops a repeat
+    owner: Any  # the attempt it belongs to, opaque here
+    dedup_window_ms: float = 0.0  # for how long its rack drops a repeat
     fails: bool = False  # ends as an error without being worked on
-    began: float = -1.0
-    arrived: float = 0.0
-    joined: list[object] = field(default_factory=list)  # owners of repeats that were dropped meanwhile
+    started_at: float = -1.0
+    arrived_at: float = 0.0
+    duplicates: list[Any] = field(default_factory=list)  # owners of repeats that were dropped meanwhile
+
+    @property
+    def completed(self) -> bool:
+        """Whether its work is done."""
+        return self.started_at == NEVER
 
 
 class Rack:
     """Nodes that drop one another's repeats and may share a hidden limit."""
 
-    __slots__ = ("limit", "name", "nodes", "seen", "shared")
+    __slots__ = ("limit", "name", "nodes", "pace_share", "recent")
 
     def __init__(self, name: str, limit: float = 0.0) -> None:
         self.name = name
         self.limit = limit  # share of the nodes' pace that they get together; 0: no limit
         self.nodes: list[Node] = []
-        self.shared = 1.0  # part of its pace that each node gets now
-        self.seen: OrderedDict[int, tuple[float, Job]] = OrderedDict()  # by line: forgotten when, the first
-
-    def first(self, line: int, now: float) -> Job | None:
-        """What a repeat of `line` repeats here, while it is remembered."""
-        while self.seen:
-            oldest = next(iter(self.seen))
-            if self.seen[oldest][0] > now:
+        self.pace_share = 1.0  # part of its pace that each node gets now
+        # by client request: when it expires, and the first job
+        self.recent: OrderedDict[int, tuple[float, Job]] = OrderedDict()
+
+    def first_job(self, client_request: int, now: float) -> Job | None:
+        """The job that a repeat duplicates, while it is remembered."""
+        while self.recent:
+            oldest = next(iter(self.recent))
+            if self.recent[oldest][0] > now:
                 break
-            del self.seen[oldest]
-        entry = self.seen.get(line)
+            del self.recent[oldest]
+        entry = self.recent.get(client_request)
         return entry[1] if entry and entry[0] > now else None
 
     def remember(self, job: Job, now: float) -> None:
-        self.seen[job.line] = (now + job.window_ms, job)
-        self.seen.move_to_end(job.line)
+        """Drop repeats of this job for its window."""
+        self.recent[job.client_request] = (now + job.dedup_window_ms, job)
+        self.recent.move_to_end(job.client_request)
 
-    def forget(self, line: int) -> None:
+    def forget(self, client_request: int) -> None:
         """Its work was lost undone: a repeat must not be dropped for it."""
-        self.seen.pop(line, None)
+        self.recent.pop(client_request, None)
 
     def share(self) -> float:
-        """How much of its pace each node gets, by what those that work would go at together."""
+        """How much of its pace each node gets, by what the running requests would progress at together."""
         if not self.limit:
             return 1.0
-        asked = sum(node.want * len(node.running) for node in self.nodes)
-        return min(1.0, self.limit * sum(node.most() for node in self.nodes) / asked) if asked else 1.0
+        requested = sum(node.requested_pace * len(node.running) for node in self.nodes)
+        if not requested:
+            return 1.0
+        return min(1.0, self.limit * sum(node.nominal_capacity() for node in self.nodes) / requested)
 
 
 @dataclass(slots=True)
-class Pressure:
-    """Work that a cold node was sent lately, against what it bears: rule 4's own cause, in the node."""
+class OverloadWindow:
+    """Work that a warming node was sent lately, against what it withstands: the cause of a collapse."""
 
     window_ms: float
     factor: float
     slack_ms: float  # of work that chance may add
-    sent: deque[tuple[float, float]] = field(default_factory=deque)
+    arrivals: deque[tuple[float, float]] = field(default_factory=deque)
     total: float = 0.0
 
-    def add(self, now: float, work: float, pace: float) -> bool:
-        """Whether it is too much.  `pace`: what the node can do at this moment, in cores at speed 1."""
-        self.sent.append((now, work))
+    def add(self, now: float, work: float, capacity: float) -> bool:
+        """Whether it is too much.  `capacity`: of the node at this moment, in cores at speed 1."""
+        self.arrivals.append((now, work))
         self.total += work
-        while self.sent[0][0] <= now - self.window_ms:
-            self.total -= self.sent.popleft()[1]
-        return self.total > self.factor * pace * self.window_ms + self.slack_ms
+        while self.arrivals[0][0] <= now - self.window_ms:
+            self.total -= self.arrivals.popleft()[1]
+        return self.total > self.factor * capacity * self.window_ms + self.slack_ms
 
 
 class Node:
+    """One machine and the process on it."""
+
     __slots__ = (
-        "busy_ms", "clock", "cold", "conns", "done", "down", "drains", "due", "epoch", "errors", "fell",
-        "held", "ident", "keys", "kind", "last", "load_ms", "loses", "name", "neighbour",
-        "paused_until", "pressure", "rack", "resets", "running", "silent", "since", "slow", "speed", "taken",
-        "waiting", "want", "worked", "zone",
+        "busy_ms", "clock", "cold", "collapsed", "completed", "down", "draining", "error_rate", "ident",
+        "incarnation", "kind", "load_ms", "name", "next_end_at", "noisy_neighbour", "open_connections",
+        "overload", "pace", "paused_until", "rack", "recent_keys", "requested_pace", "reset_rate",
+        "response_loss", "running", "settled_at", "silent", "slowdown", "speed", "started", "started_at",
+        "waiting", "work_done_ms", "zone",
     )  # fmt: skip
 
     def __init__(
-        self, ident: int, name: str, zone: str, rack: Rack, kind: Kind, speed: float, since: float = 0.0,
-        cold: bool = False,
+        self, ident: int, name: str, zone: str, rack: Rack, kind: NodeKind, speed: float,
+        started_at: float = 0.0, cold: bool = False,
     ) -> None:  # fmt: skip
         self.ident, self.name, self.zone = ident, name, zone
         self.rack, self.kind, self.speed = rack, kind, speed
-        self.since = since  # when this process came up, as the list tells; 0: long ago
-        self.cold = cold and kind.cold_from < 1.0
-        self.clock, self.last = 0.0, since
+        self.started_at = started_at  # of this process, as the list gives it; 0: long ago
+        self.cold = cold and kind.warm_up_floor < 1.0
+        self.clock, self.settled_at = 0.0, started_at
         self.running: list[tuple[float, int, Job]] = []  # by the clock at which each ends
         self.waiting: deque[Job] = deque()
-        self.taken = 0  # ever; breaks ties of `running`
-        self.want = self.held = speed  # pace of a core: without what the rack takes, and with it
-        self.due = NEVER  # of the event that is set for its next end
-        self.epoch = 0  # processes so far: what was set for an earlier one is void
-        self.conns = 0  # open connections
-        self.keys: OrderedDict[int, float] = OrderedDict()  # met when
-        self.slow = 1.0  # times slower
-        self.neighbour = 0.0  # share of the machine that another program takes
-        self.errors = kind.error_rate
-        self.loses = self.resets = 0.0  # shares of answers lost, and of requests reset
-        self.silent = 0  # troubles that keep it from saying anything; they outlast its process
-        self.down = self.drains = self.fell = False
+        self.started = 0  # jobs ever; breaks ties of `running`
+        self.requested_pace = self.pace = speed  # of a core: without what the rack takes, and with it
+        self.next_end_at = NEVER  # of the event that is scheduled for its next end
+        self.incarnation = 0  # of the process: what was scheduled for an earlier one is void
+        self.open_connections = 0
+        self.recent_keys: OrderedDict[int, float] = OrderedDict()  # last used when
+        self.slowdown = 1.0
+        self.noisy_neighbour = 0.0  # share of the machine that another program takes
+        self.error_rate = kind.error_rate
+        self.response_loss = self.reset_rate = 0.0  # shares of responses lost, and of requests reset
+        self.silent = 0  # faults that keep it from responding at all; they outlast its process
+        self.down = self.draining = self.collapsed = False
         self.paused_until = 0.0
-        self.pressure: Pressure | None = None
-        self.worked = 0.0  # ms of work done
+        self.overload: OverloadWindow | None = None
+        self.work_done_ms = 0.0
         self.busy_ms = self.load_ms = 0.0  # integrals of running and of all requests here over time
-        self.done = 0
+        self.completed = 0
         rack.nodes.append(self)
 
-    def most(self) -> float:
+    def nominal_capacity(self) -> float:
         """Pace of all its cores when nothing is wrong."""
         return self.kind.cores * self.speed
 
-    def warmth(self, now: float) -> float:
-        """Share of its pace that it has by now: by time, by work, or by what comes first."""
+    def slots(self) -> int:
+        """Requests that it runs at once."""
+        return self.kind.cores * self.kind.slots
+
+    def queue_full(self) -> bool:
+        """Whether there is no room for another request."""
+        return len(self.running) + len(self.waiting) >= self.slots() + self.kind.queue
+
+    def warm_up_share(self, now: float) -> float:
+        """Share of its pace that it has by now: by time or by work, whichever is ahead."""
         kind = self.kind
         if not self.cold:
             return 1.0
-        by_time = (now - self.since) / kind.cold_ms if kind.cold_ms else 0.0
-        by_work = self.worked / kind.warm_work_ms if kind.warm_work_ms else 0.0
-        risen = max(by_time, by_work)
-        if risen >= 1.0:
-            self.cold, self.pressure = False, None
+        by_time = (now - self.started_at) / kind.warm_up_ms if kind.warm_up_ms else 0.0
+        by_work = self.work_done_ms / kind.warm_up_work_ms if kind.warm_up_work_ms else 0.0
+        progress = max(by_time, by_work)
+        if progress >= 1.0:
+            self.cold, self.overload = False, None
             return 1.0
-        return kind.cold_from + (1.0 - kind.cold_from) * risen
+        return kind.warm_up_floor + (1.0 - kind.warm_up_floor) * progress
 
     def settle(self, now: float) -> None:
-        """Bring the books up to now, at the pace that has held since the last time."""
-        took = now - self.last
-        if took > 0.0:
+        """Bring the books up to now, at the pace that has applied since the last time."""
+        elapsed = now - self.settled_at
+        if elapsed > 0.0:
             running = len(self.running)
-            self.clock += took * self.held
-            self.worked += took * self.held * running
-            self.busy_ms += took * running
-            self.load_ms += took * (running + len(self.waiting))
-            self.last = now
+            self.clock += elapsed * self.pace
+            self.work_done_ms += elapsed * self.pace * running
+            self.busy_ms += elapsed * running
+            self.load_ms += elapsed * (running + len(self.waiting))
+            self.settled_at = now
 
     def refresh(self, now: float) -> None:
-        """Find the pace that holds from now on.  `settle` comes before."""
+        """Find the pace that applies from now on.  `settle` comes before."""
         if now < self.paused_until or self.down:
-            self.want = self.held = 0.0
+            self.requested_pace = self.pace = 0.0
             return
         kind = self.kind
-        pace = self.speed / self.slow * (1.0 - self.neighbour)
+        pace = self.speed / self.slowdown * (1.0 - self.noisy_neighbour)
         if self.cold:
-            pace *= self.warmth(now)
+            pace *= self.warm_up_share(now)
         if kind.thrash:
-            over = len(self.running) + len(self.waiting) - kind.cores
-            if over > 0:
-                pace *= 1.0 - kind.thrash * min(1.0, over / (kind.thrash_at * kind.cores))
+            excess = len(self.running) + len(self.waiting) - kind.cores
+            if excess > 0:
+                pace *= 1.0 - kind.thrash * min(1.0, excess / (kind.thrash_at * kind.cores))
         if kind.full_tax and kind.connections:
-            pace *= 1.0 - kind.full_tax * min(1.0, self.conns / kind.connections)
-        self.want = pace
-        self.held = pace * self.rack.shared
+            pace *= 1.0 - kind.full_tax * min(1.0, self.open_connections / kind.connections)
+        self.requested_pace = pace
+        self.pace = pace * self.rack.pace_share
 
-    def next_end(self) -> float:
+    def next_completion(self) -> float:
         """When the first of the running ends if nothing changes."""
-        if not self.running or self.held <= 0.0:
+        if not self.running or self.pace <= 0.0:
             return NEVER
-        return self.last + max(0.0, self.running[0][0] - self.clock) / self.held
+        return self.settled_at + max(0.0, self.running[0][0] - self.clock) / self.pace
 
-    def offer(self, now: float, job: Job) -> str:
-        """FULL, TAKEN, or REPEAT: dropped, since its rack has had it.  `settle` comes before."""
-        if job.window_ms:
-            first = self.rack.first(job.line, now)
+    def admit(self, now: float, job: Job) -> Admission:
+        """Start it, queue it, or turn it away.  `settle` comes before."""
+        if job.dedup_window_ms:
+            first = self.rack.first_job(job.client_request, now)
             if first is not None:
-                if first.began != NEVER:  # it waits or runs: the repeat is answered with it
-                    first.joined.append(job.owner)
-                return REPEAT
+                if not first.completed:  # it waits or runs: the repeat is answered with it
+                    first.duplicates.append(job.owner)
+                return Admission.DUPLICATE
         slots = self.kind.cores * self.kind.slots
-        if self.drains or len(self.running) + len(self.waiting) >= slots + self.kind.queue:
-            return FULL
-        job.arrived = now
-        if job.window_ms and not job.fails:
+        if self.draining or len(self.running) + len(self.waiting) >= slots + self.kind.queue:
+            return Admission.QUEUE_FULL
+        job.arrived_at = now
+        if job.dedup_window_ms and not job.fails:
             self.rack.remember(job, now)
         if len(self.running) < slots:
-            self._begin(now, job)
+            self._start(now, job)
         else:
             self.waiting.append(job)
-        return TAKEN
+        return Admission.ACCEPTED
 
-    def presses(self, now: float, work: float) -> bool:
-        """Count work that reached it, also what it turns away; True: more than it bears while cold."""
-        if self.pressure is None or not self.cold:
+    def overloaded_by(self, now: float, work: float) -> bool:
+        """Count work that reached it, also what it rejects; True: more than it withstands while cold."""
+        if self.overload is None or not self.cold:
             return False
-        return self.pressure.add(now, work, self.most() * self.warmth(now))
+        return self.overload.add(now, work, self.nominal_capacity() * self.warm_up_share(now))
 
-    def _begin(self, now: float, job: Job) -> None:
+    def _start(self, now: float, job: Job) -> None:
         work = 0.0 if job.fails else job.work
         kind = self.kind
         if kind.warm_gain and not job.fails:
-            met = self.keys.pop(job.key, -NEVER)
-            if now - met <= kind.warm_ms:
+            last_used = self.recent_keys.pop(job.key, -NEVER)
+            if now - last_used <= kind.warm_ms:
                 work *= 1.0 - kind.warm_gain
-            self.keys[job.key] = now
-            if len(self.keys) > kind.warm_keys:
-                self.keys.popitem(last=False)
-        job.began = now
-        self.taken += 1
-        heappush(self.running, (self.clock + work, self.taken, job))
+            self.recent_keys[job.key] = now
+            if len(self.recent_keys) > kind.warm_keys:
+                self.recent_keys.popitem(last=False)
+        job.started_at = now
+        self.started += 1
+        heappush(self.running, (self.clock + work, self.started, job))
 
     def finish(self, now: float) -> list[Job]:
         """Those of the running that end now; the waiting take their places.  `settle` comes before."""
         ended = []
-        while self.running and self.running[0][0] <= self.clock + TINY_MS:
+        while self.running and self.running[0][0] <= self.clock + MIN_WORK_MS:
             job = heappop(self.running)[2]
-            job.began = NEVER
-            self.done += 1
+            job.started_at = NEVER
+            self.completed += 1
             ended.append(job)
             if self.waiting:
-                self._begin(now, self.waiting.popleft())
+                self._start(now, self.waiting.popleft())
         return ended
 
-    def die(self) -> list[Job]:
-        """The process ends: what it had is gone, undone.  `settle` comes before."""
+    def stop_process(self) -> list[Job]:
+        """The process ends; returns the jobs that are lost undone.  `settle` comes before."""
         lost = [job for _, _, job in sorted(self.running, key=lambda entry: entry[1])] + list(self.waiting)
         for job in lost:
-            self.rack.forget(job.line)
+            self.rack.forget(job.client_request)
         self.running.clear()
         self.waiting.clear()
-        self.keys.clear()
-        self.conns = 0
+        self.recent_keys.clear()
+        self.open_connections = 0
         self.down = True
-        self.want = self.held = 0.0
-        self.due = NEVER
-        self.epoch += 1
+        self.requested_pace = self.pace = 0.0
+        self.next_end_at = NEVER
+        self.incarnation += 1
         return lost
 
-    def rise(self, now: float, cold: bool, pressure: Pressure | None) -> None:
+    def start_process(self, now: float, cold: bool, overload: OverloadWindow | None) -> None:
         """A new process on the same machine.  `settle` comes before."""
-        self.since = self.last = now
-        self.cold = cold and self.kind.cold_from < 1.0
-        self.pressure = pressure if self.cold else None
-        self.clock = self.worked = 0.0
-        self.down = self.fell = self.drains = False
+        self.started_at = self.settled_at = now
+        self.cold = cold and self.kind.warm_up_floor < 1.0
+        self.overload = overload if self.cold else None
+        self.clock = self.work_done_ms = 0.0
+        self.down = self.collapsed = self.draining = False
         self.paused_until = 0.0
-        self.epoch += 1
+        self.incarnation += 1
--- a/heronreel/emulator/policies.py
+++ b/heronreel/emulator/policies.py
@@ -20,6 +20,7 @@
 from heronreel.balancer.asking import Asking
 from heronreel.balancer.choice import Balancer
 from heronreel.balancer.subset import Subset, rendezvous
+from heronreel.emulator.errors import UnknownPolicyError
 
 WATCH = 1
 ADVICE = 0.5  # of the aim: what plain policies tell the refused to wait
@@ -34,7 +35,7 @@
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]: ...
 
 
-class Truth(Protocol):
+class NodeOracle(Protocol):
     """What only an emulator can tell: the true state of a node, at once."""
 
     def wait_ms(self, zone: str, backend: int, work: float) -> float:
@@ -42,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Pending:
+class PendingRequest:
     arrival: api.Arrival
     klass: api.RequestClass
     deadline: float
@@ -51,10 +52,12 @@
     first_maybe: tuple[int, float] | None = None  # node and time of an attempt that may have run
 
 
-class Plain:
+class BaselinePolicy:
     """Keeps the rules, chooses by `pick`, tries `tries` times what never ran."""
 
-    def __init__(self, settings: api.Settings, seed: int, truth: Truth | None = None, tries: int = 1) -> None:
+    def __init__(
+        self, settings: api.Settings, seed: int, truth: NodeOracle | None = None, tries: int = 1
+    ) -> None:
         self.settings, self.truth = settings, truth
         self.tries = min(tries, settings.max_attempts)
         self.random = random.Random(seed)
@@ -63,7 +66,7 @@
         self.infos: dict[int, api.BackendInfo] = {}
         self.order: list[int] = []
         self.load: dict[int, int] = {}  # attempts out
-        self.pending: dict[int, Pending] = {}
+        self.pending: dict[int, PendingRequest] = {}
         self.legs: dict[tuple[int, int], float] = {}  # sent at
         self.started = False
         self.actions: list[api.Action] = []
@@ -73,7 +76,7 @@
         match event:
             case api.Arrival():
                 klass = self.classes[event.klass]
-                pending = Pending(event, klass, now_ms + event.time_left_ms)
+                pending = PendingRequest(event, klass, now_ms + event.time_left_ms)
                 self.pending[event.request] = pending
                 self._go_on(now_ms, pending)
             case api.AttemptEnded():
@@ -130,11 +133,11 @@
         if not pending.out:
             self._go_on(now, pending, ended.outcome)
 
-    def may_repeat(self, now: float, pending: Pending) -> bool:
+    def may_repeat(self, now: float, pending: PendingRequest) -> bool:
         """Whether another attempt is wanted after one that may have run."""
         return False
 
-    def _go_on(self, now: float, pending: Pending, last: api.Outcome | None = None) -> None:
+    def _go_on(self, now: float, pending: PendingRequest, last: api.Outcome | None = None) -> None:
         maybe = pending.first_maybe is not None
         again = not pending.tried or not maybe or self.may_repeat(now, pending)
         chosen = None
@@ -145,7 +148,7 @@
             return
         self.give_up(now, pending)
 
-    def send(self, now: float, pending: Pending, chosen: int) -> None:
+    def send(self, now: float, pending: PendingRequest, chosen: int) -> None:
         ident = pending.arrival.request
         self.legs[ident, len(pending.tried)] = now
         pending.tried.append(chosen)
@@ -153,10 +156,10 @@
         self.load[chosen] = self.load.get(chosen, 0) + 1
         self.actions.append(api.StartAttempt(ident, chosen, self.timeout(pending)))
 
-    def timeout(self, pending: Pending) -> float:
+    def timeout(self, pending: PendingRequest) -> float:
         return 0.0
 
-    def give_up(self, now: float, pending: Pending) -> None:
+    def give_up(self, now: float, pending: PendingRequest) -> None:
         ident, klass = pending.arrival.request, pending.klass
         del self.pending[ident]
         everywhere = klass.effect is api.Effect.KEYED and klass.scope is api.DedupScope.ALL
@@ -166,33 +169,33 @@
         else:
             self.actions.append(api.Fail(ident))
 
-    def pick(self, now: float, pending: Pending) -> int | None:
+    def pick(self, now: float, pending: PendingRequest) -> int | None:
         raise NotImplementedError
 
-    def untried(self, pending: Pending) -> list[int]:
+    def untried(self, pending: PendingRequest) -> list[int]:
         return [ident for ident in self.order if ident not in pending.tried] if pending.tried else self.order
 
 
-class Random(Plain):
-    def pick(self, now: float, pending: Pending) -> int | None:
+class RandomPolicy(BaselinePolicy):
+    def pick(self, now: float, pending: PendingRequest) -> int | None:
         left = self.untried(pending)
         return self.random.choice(left) if left else None
 
 
-class RoundRobin(Plain):
+class RoundRobinPolicy(BaselinePolicy):
     turn = 0
 
-    def pick(self, now: float, pending: Pending) -> int | None:
+    def pick(self, now: float, pending: PendingRequest) -> int | None:
         if not self.order:
             return None
         self.turn += 1
         return self.order[self.turn % len(self.order)]
 
 
-class LeastOfTwo(Plain):
+class PowerOfTwoPolicy(BaselinePolicy):
     """Two drawn, the one with fewer attempts of our own out."""
 
-    def pick(self, now: float, pending: Pending) -> int | None:
+    def pick(self, now: float, pending: PendingRequest) -> int | None:
         left = self.untried(pending)
         if not left:
             return None
@@ -200,10 +203,12 @@
         return one if self.load.get(one, 0) <= self.load.get(other, 0) else other
 
 
-class BoundedHash(Plain):
+class BoundedLoadHashPolicy(BaselinePolicy):
     """A key's own node, unless it has more than its share out: then the next in the key's order."""
 
-    def __init__(self, settings: api.Settings, seed: int, truth: Truth | None = None, tries: int = 1) -> None:
+    def __init__(
+        self, settings: api.Settings, seed: int, truth: NodeOracle | None = None, tries: int = 1
+    ) -> None:
         super().__init__(settings, seed, truth, tries)
         self.homes: dict[int, list[int]] = {}
 
@@ -211,7 +216,7 @@
         super()._list(now, news)
         self.homes.clear()
 
-    def pick(self, now: float, pending: Pending) -> int | None:
+    def pick(self, now: float, pending: PendingRequest) -> int | None:
         if not self.order:
             return None
         key = pending.arrival.key or 0
@@ -227,10 +232,10 @@
         return min(left, key=lambda ident: self.load.get(ident, 0), default=None)
 
 
-class SeesAll(Plain):
+class OraclePolicy(BaselinePolicy):
     """Knows what every node has to do at this moment, and refuses what none would serve in time."""
 
-    def pick(self, now: float, pending: Pending) -> int | None:
+    def pick(self, now: float, pending: PendingRequest) -> int | None:
         assert self.truth is not None
         left = self.untried(pending)
         if len(left) > LOOKED_AT:
@@ -243,44 +248,44 @@
         return best
 
 
-class Storm(LeastOfTwo):
+class RetryStormPolicy(PowerOfTwoPolicy):
     """Times out at the aim and tries again anywhere, as often as it may, without a budget."""
 
-    def timeout(self, pending: Pending) -> float:
+    def timeout(self, pending: PendingRequest) -> float:
         return pending.klass.aim_ms
 
-    def may_repeat(self, now: float, pending: Pending) -> bool:
+    def may_repeat(self, now: float, pending: PendingRequest) -> bool:
         return pending.klass.effect is api.Effect.IDEMPOTENT
 
 
-class CarelessLost(LeastOfTwo):
+class RequestLosingPolicy(PowerOfTwoPolicy):
     """Forgets a request whose attempts are used up."""
 
-    def give_up(self, now: float, pending: Pending) -> None:
+    def give_up(self, now: float, pending: PendingRequest) -> None:
         del self.pending[pending.arrival.request]
 
 
-class CarelessTwice(LeastOfTwo):
+class UnsafeRetryPolicy(PowerOfTwoPolicy):
     """Tries again whatever may have happened, wherever."""
 
-    def timeout(self, pending: Pending) -> float:
+    def timeout(self, pending: PendingRequest) -> float:
         return pending.klass.aim_ms
 
-    def may_repeat(self, now: float, pending: Pending) -> bool:
+    def may_repeat(self, now: float, pending: PendingRequest) -> bool:
         return True
 
 
-class CarelessDrain(LeastOfTwo):
+class DrainIgnoringPolicy(PowerOfTwoPolicy):
     """Goes on with nodes that drain."""
 
     def entry(self, info: api.BackendInfo) -> None:
         super().entry(replace(info, state=api.State.UP))
 
 
-class CarelessCold(LeastOfTwo):
+class ColdNodePolicy(PowerOfTwoPolicy):
     """The newest node is idle, so it must be the best."""
 
-    def pick(self, now: float, pending: Pending) -> int | None:
+    def pick(self, now: float, pending: PendingRequest) -> int | None:
         newest = max((info.started_ms for info in self.infos.values()), default=0.0)
         fresh = [i for i, info in self.infos.items() if info.started_ms == newest and now - newest < 10_000.0]
         fresh = [ident for ident in fresh if ident not in pending.tried]
@@ -311,7 +316,7 @@
         return table[self.slot]
 
 
-class SharedHomes(dict[int, list[int]]):
+class SharedKeyHomes(dict[int, list[int]]):
     """One proxy's homes of keys; what one finds among the same near nodes is found for all."""
 
     tables: ClassVar[dict[tuple[int, int], list[int]]] = {}
@@ -347,12 +352,12 @@
         self.tables[self.place, key] = homes
 
 
-class Hosted(Balancer):
+class HostedBalancer(Balancer):
     """The real module, with what is alike for all proxies found once."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.homes: dict[int, list[int]] = SharedHomes()
+        self.homes: dict[int, list[int]] = SharedKeyHomes()
 
     def _listed_anew(self) -> None:
         super()._listed_anew()
@@ -364,34 +369,39 @@
         self.subset = SharedRanks(settings.slot, settings.proxies)
 
 
-def _ours(settings: api.Settings, seed: int, truth: Truth | None) -> Decider:
-    return Hosted(settings, seed)
+def _ours(settings: api.Settings, seed: int, truth: NodeOracle | None) -> Decider:
+    return HostedBalancer(settings, seed)
 
 
-def _plain(made: Callable[..., Plain], tries: int) -> Callable[[api.Settings, int, Truth | None], Decider]:
+def _plain(
+    made: Callable[..., BaselinePolicy], tries: int
+) -> Callable[[api.Settings, int, NodeOracle | None], Decider]:
     return lambda settings, seed, truth: made(settings, seed, truth, tries)
 
 
-OURS = "heronreel"
-POLICIES: dict[str, Callable[[api.Settings, int, Truth | None], Decider]] = {
-    OURS: _ours,
-    "random": _plain(Random, 1),
-    "round-robin": _plain(RoundRobin, 1),
-    "least-of-two": _plain(LeastOfTwo, 1),
-    "least-of-two-retry": _plain(LeastOfTwo, 2),
-    "bounded-hash": _plain(BoundedHash, 2),
-    "sees-all": _plain(SeesAll, 2),
+DEFAULT_POLICY = "heronreel"
+POLICIES: dict[str, Callable[[api.Settings, int, NodeOracle | None], Decider]] = {
+    DEFAULT_POLICY: _ours,
+    "random": _plain(RandomPolicy, 1),
+    "round-robin": _plain(RoundRobinPolicy, 1),
+    "least-of-two": _plain(PowerOfTwoPolicy, 1),
+    "least-of-two-retry": _plain(PowerOfTwoPolicy, 2),
+    "bounded-hash": _plain(BoundedLoadHashPolicy, 2),
+    "sees-all": _plain(OraclePolicy, 2),
 }
-BASELINES = tuple(name for name in POLICIES if name != OURS)
-CARELESS: dict[str, Callable[[api.Settings, int, Truth | None], Decider]] = {
-    "careless-lost": _plain(CarelessLost, 1),
-    "careless-twice": _plain(CarelessTwice, 4),
-    "careless-drain": _plain(CarelessDrain, 1),
-    "careless-cold": _plain(CarelessCold, 4),
-    "storm": _plain(Storm, 4),
+BASELINES = tuple(name for name in POLICIES if name != DEFAULT_POLICY)
+FAULTY_POLICIES: dict[str, Callable[[api.Settings, int, NodeOracle | None], Decider]] = {
+    "careless-lost": _plain(RequestLosingPolicy, 1),
+    "careless-twice": _plain(UnsafeRetryPolicy, 4),
+    "careless-drain": _plain(DrainIgnoringPolicy, 1),
+    "careless-cold": _plain(ColdNodePolicy, 4),
+    "storm": _plain(RetryStormPolicy, 4),
 }
 
 
-def make(name: str, settings: api.Settings, seed: int, truth: Truth | None = None) -> Decider:
-    """A decider by its name.  Raises KeyError for one that is not known."""
-    return (POLICIES | CARELESS)[name](settings, seed, truth)
+def make_policy(name: str, settings: api.Settings, seed: int, truth: NodeOracle | None = None) -> Decider:
+    """A decider by its name.  Raises UnknownPolicyError."""
+    made = (POLICIES | FAULTY_POLICIES).get(name)
+    if made is None:
+        raise UnknownPolicyError(name)
+    return made(settings, seed, truth)
--- /dev/null
+++ b/heronreel/emulator/proxy.py
@@ -0,0 +1,454 @@
+"""One emulated proxy: carries out what its decider says, as the network code does, in virtual time.
+
+Connections are reused and closed when idle, a new one costs round trips and work at the node, responses come
+late, out of order or never, and a process can be drained, killed and restarted.  The invariant checker is
+given what the proxy does on the wire, the clients what it responds.
+"""
+
+from __future__ import annotations
+
+from typing import Any, Protocol
+
+from heronreel.balancer import interface as api
+from heronreel.emulator.client_request import ClientRequest
+from heronreel.emulator.cluster import Cluster
+from heronreel.emulator.connections import ConnectionPool
+from heronreel.emulator.context import SimulationContext
+from heronreel.emulator.deciders import DeciderFactory, proxy_settings
+from heronreel.emulator.endpoint_list import Endpoint, EndpointState
+from heronreel.emulator.node import NEVER, Node
+from heronreel.emulator.policies import Decider
+from heronreel.emulator.requests import Attempt, Connection, InboundRequest, NodeAttempt
+
+BACKEND_STATES = {
+    EndpointState.UP: api.State.UP,
+    EndpointState.LEAVING: api.State.DRAINING,
+    EndpointState.LEFT: api.State.GONE,
+}
+SWEEP_INTERVAL_MS = 500.0  # how often idle connections are looked through where nothing else happens
+AFTER_GRACE_MS = 1e-3
+REUSABLE_OUTCOMES = (api.Outcome.SERVED, api.Outcome.ERROR, api.Outcome.REJECTED)
+RESET_UNTAKEN_SHARE = 0.5  # of the requests whose connection is reset: never taken; the others run
+
+
+class ClientSide(Protocol):
+    """The clients, as a proxy sees them."""
+
+    def response_sent(self, request: InboundRequest, result: str, retry_after_ms: float) -> None:
+        """A proxy has responded: served, refused, failed or lost."""
+
+    def connection_lost(self, request: InboundRequest) -> None:
+        """The proxy's process has ended with the request in flight."""
+
+    def connect_failed(self, client_request: ClientRequest) -> None:
+        """The client could not reach a proxy."""
+
+
+class Supervisor(Protocol):
+    """What watches the proxies' processes."""
+
+    def process_started(self, proxy: Proxy) -> None:
+        """A process is ready for requests."""
+
+    def process_ended(self, proxy: Proxy) -> None:
+        """A process has ended, by itself or killed."""
+
+
+class Proxy:
+    """One proxy over all its processes.  Times are ms."""
+
+    clients: ClientSide
+    supervisor: Supervisor
+
+    def __init__(
+        self, context: SimulationContext, cluster: Cluster, deciders: DeciderFactory, name: str, zone: str,
+        slot: int,
+    ) -> None:  # fmt: skip
+        """`connect` has to follow before the first `start`."""
+        self.context, self.cluster, self.deciders = context, cluster, deciders
+        self.events = context.events
+        self.name, self.zone, self.slot = name, zone, slot
+        self.seed_stream = context.streams.stream(f"proxy {slot}")
+        self.settings = proxy_settings(context.rehearsal, zone, slot)
+        self.incarnation = 0  # processes so far
+        self.alive = self.draining = False
+        self.decider: Decider | None = None
+        self.requests: dict[int, InboundRequest] = {}  # in flight
+        self.attempts: dict[Attempt, None] = {}  # in flight
+        self.connections = ConnectionPool(context.rehearsal.proxies.idle_ms)
+        self.known_endpoints: dict[int, Endpoint] = {}  # the list as it last received it
+
+    def connect(self, clients: ClientSide, supervisor: Supervisor) -> None:
+        """Set who gets its responses and who watches its processes."""
+        self.clients, self.supervisor = clients, supervisor
+
+    # Its process.
+
+    def start(self) -> None:
+        """Start a process, with the list as the last one had it."""
+        self.incarnation += 1
+        self.alive, self.draining = True, False
+        self.decider = self.deciders.make(self.settings, self.seed_stream.seed())
+        self._record_start()
+        self.supervisor.process_started(self)
+        cached = [self._backend_info(endpoint) for endpoint in self.known_endpoints.values()]
+        self.handle(api.BackendList(api.ListKind.CACHED, cached))
+        self._schedule_sweep()
+
+    def _record_start(self) -> None:
+        """Give the checker a process and the list that it begins with."""
+        now, invariants = self.events.now, self.context.invariants
+        invariants.proxy_started(self.name, now)
+        starts = {endpoint.name: endpoint.started_at for endpoint in self.known_endpoints.values()}
+        invariants.snapshot_received(self.name, starts, now)
+
+    def terminate(self, limit_ms: float) -> None:
+        """SIGTERM: it answers what it has, accepts what still comes, and ends within the limit."""
+        self.draining = True
+        self.events.schedule(self.events.now + limit_ms, self._end, self.incarnation, False)
+
+    def _end_if_idle(self) -> None:
+        if self.draining and self.alive and not self.requests:
+            self._end(self.incarnation, False)
+
+    def kill(self) -> None:
+        """End its process outright."""
+        self._end(self.incarnation, True)
+
+    def _end(self, incarnation: int, killed: bool) -> None:
+        if incarnation != self.incarnation or not self.alive:
+            return
+        self.alive = self.draining = False
+        self.decider = None
+        context, now = self.context, self.events.now
+        context.endpoint_list.end_watch(self)
+        context.invariants.list_polled(self.name, now, False)
+        in_flight = list(self.requests.values())
+        idents = [request.ident for request in in_flight]
+        context.invariants.proxy_stopped(self.name, idents, now, killed)
+        self._close_all_connections()
+        self.requests.clear()
+        for request in in_flight:
+            request.finished = True
+            self.clients.connection_lost(request)
+        self.supervisor.process_ended(self)
+
+    def _close_all_connections(self) -> None:
+        for attempt in self.attempts:
+            attempt.ended = True
+            self._close_connection(attempt)
+        self.attempts.clear()
+        self.connections.close_all()
+
+    def reload(self) -> None:
+        """Its settings are read anew."""
+        self.handle(api.NewSettings(self.settings))
+
+    # The endpoint list.
+
+    def _backend_info(self, endpoint: Endpoint) -> api.BackendInfo:
+        return api.BackendInfo(
+            endpoint.ident, BACKEND_STATES[endpoint.state], endpoint.zone, endpoint.kind, endpoint.rack,
+            started_ms=endpoint.started_at,
+        )  # fmt: skip
+
+    def receive_snapshot(self, endpoints: list[Endpoint]) -> None:
+        """The whole list has come."""
+        now, context = self.events.now, self.context
+        if not self._watches_list():
+            context.endpoint_list.end_watch(self)
+            return
+        self.known_endpoints = {endpoint.ident: endpoint for endpoint in endpoints}
+        starts = {one.name: one.started_at for one in endpoints if one.state is EndpointState.UP}
+        context.invariants.snapshot_received(self.name, starts, now)
+        context.invariants.list_polled(self.name, now, True)
+        self._forward_list(True, endpoints)
+
+    def receive_changes(self, endpoints: list[Endpoint]) -> None:
+        """Changes of the list have come."""
+        if not self._watches_list():
+            return
+        now, invariants = self.events.now, self.context.invariants
+        for endpoint in endpoints:
+            if endpoint.state is EndpointState.LEFT:
+                self.known_endpoints.pop(endpoint.ident, None)
+            else:
+                self.known_endpoints[endpoint.ident] = endpoint
+            usable = endpoint.state is EndpointState.UP
+            invariants.change_received(self.name, endpoint.name, usable, endpoint.started_at, now)
+        self._forward_list(False, endpoints)
+
+    def _watches_list(self) -> bool:
+        return self.alive
+
+    def _forward_list(self, is_snapshot: bool, endpoints: list[Endpoint]) -> None:
+        """To its process."""
+        kind = api.ListKind.FULL if is_snapshot else api.ListKind.CHANGES
+        self.handle(api.BackendList(kind, [self._backend_info(endpoint) for endpoint in endpoints]))
+
+    def call_failed(self) -> None:
+        """Its call of the list service has failed, or its watch has ended."""
+        if self.alive:
+            self.context.invariants.list_polled(self.name, self.events.now, False)
+            self.handle(api.BackendList(api.ListKind.FAILED))
+
+    # What its decider says.
+
+    def handle(self, event: api.Event) -> None:
+        """Give an event to the decider and carry out its actions."""
+        decider = self.decider
+        if decider is None:
+            return
+        now = self.events.now
+        for action in decider.handle(now, event):
+            if isinstance(action, api.StartAttempt):
+                self._start_attempt(now, action)
+            elif isinstance(action, api.SetTimer):
+                self.events.schedule(now + action.delay_ms, self._timer, self.incarnation, action.token)
+            elif isinstance(action, api.Refuse):
+                self._answer(action.request, "refused", action.retry_after_ms)
+            elif isinstance(action, api.Fail):
+                self._answer(action.request, "failed", 0.0)
+            elif isinstance(action, api.WatchList | api.FetchList):
+                self._call_list(now)
+            elif isinstance(action, api.CloseIdle):
+                self.connections.close_node(action.backend)
+
+    def _call_list(self, now: float) -> None:
+        self.context.invariants.list_polled(self.name, now, True)
+        self.context.scoring.meter.list_calls += 1
+        self.context.endpoint_list.call(self)
+
+    def _timer(self, incarnation: int, token: int) -> None:
+        if incarnation == self.incarnation:
+            self.handle(api.TimerFired(token))
+
+    def _answer(self, ident: int, result: str, retry_after_ms: float) -> None:
+        request = self.requests.get(ident)
+        if request is None:
+            self.context.invariants.request_answered(ident, result, self.events.now)
+        else:
+            self._finish(request, result, retry_after_ms)
+
+    # The life of a request.
+
+    def receive(self, request: InboundRequest, time_left_ms: float) -> None:
+        """The last byte of a request has come.  `time_left_ms`: how long the client waits."""
+        context, now = self.context, self.events.now
+        request_class, client_request = request.request_class, request.client_request
+        self._accept(request)
+        self.events.schedule(request.deadline, self._deadline_passed, request)
+        arrival = api.Arrival(
+            request.ident, request_class.name, time_left_ms, client_request.tenant, client_request.key,
+            context.work.hint(client_request),
+            request.is_retry and context.rehearsal.clients.mark_retries, request_class.effect != "safe",
+        )  # fmt: skip
+        if self.deciders.router is not None:
+            arrival.policy = self.deciders.route_policy(request_class)
+            arrival.repeat_key = client_request.ident
+        if context.tracer is not None:
+            context.tracer.request_received(now, request)
+        self.handle(arrival)
+
+    def _accept(self, request: InboundRequest) -> None:
+        self.requests[request.ident] = request
+        request_class = request.request_class
+        self.context.invariants.request_accepted(
+            request.ident, request.client_request.ident, self.name, request_class.effect,
+            request_class.dedup_scope, request_class.dedup_window_ms, request.deadline,
+        )  # fmt: skip
+
+    def client_disconnected(self, request: InboundRequest) -> None:
+        """The client of a request closes."""
+        if request.finished or request.ident not in self.requests:
+            return
+        self._close_request(request)
+        self.context.invariants.client_left(request.ident)
+        self.handle(api.ClientGone(request.ident))
+        self._end_if_idle()
+
+    def _close_request(self, request: InboundRequest) -> None:
+        request.finished = True
+        del self.requests[request.ident]
+
+    def _finish(self, request: InboundRequest, result: str, retry_after_ms: float = 0.0) -> None:
+        context, now = self.context, self.events.now
+        self._close_request(request)
+        context.invariants.request_answered(request.ident, result, now)
+        if context.tracer is not None:
+            context.tracer.request_answered(now, request, result, retry_after_ms)
+        self.clients.response_sent(request, result, retry_after_ms)
+        if self.draining:
+            self.events.schedule(now, self._end_if_idle)
+
+    def _deadline_passed(self, request: InboundRequest) -> None:
+        if request.finished and not any(not attempt.ended for attempt in request.attempts):
+            return
+        for attempt in request.attempts:
+            self._attempt_timed_out(attempt)
+        if not request.finished:
+            grace = self.context.rehearsal.rules.response_grace_ms
+            self.events.schedule(request.deadline + grace + AFTER_GRACE_MS, self._overdue, request)
+
+    def _overdue(self, request: InboundRequest) -> None:
+        if not request.finished:
+            self.context.invariants.request_overdue(request.ident, self.events.now)
+            self._close_request(request)
+            self.clients.response_sent(request, "lost", 0.0)
+            self.handle(api.ClientGone(request.ident))
+            self._end_if_idle()
+
+    # The life of an attempt.
+
+    def _start_attempt(self, now: float, action: api.StartAttempt) -> None:
+        context, request = self.context, self.requests.get(action.request)
+        node = self.cluster.nodes[action.backend]
+        if request is None:
+            context.invariants.attempt_sent(action.request, -1, self.name, node.name, "", node.zone, now)
+            return
+        send_by = now + action.within_ms if action.within_ms else NEVER
+        attempt = Attempt(request, len(request.attempts), node, self.incarnation, now, send_by)
+        request.attempts.append(attempt)
+        self.attempts[attempt] = None
+        if context.tracer is not None:
+            context.tracer.attempt_decided(now, attempt)
+        context.scoring.meter.attempts += 1
+        if now >= request.deadline or len(request.attempts) > self.settings.max_attempts:
+            self.events.schedule(now, self._attempt_ended, attempt, api.Outcome.NOT_SENT)
+            return
+        if action.timeout_ms and now + action.timeout_ms < request.deadline:
+            self.events.schedule(now + action.timeout_ms, self._attempt_timed_out, attempt)
+        attempt.connection = self.connections.take(node, now)
+        if attempt.connection is not None:
+            self._write(attempt)
+        else:
+            self._open_connection(now, attempt)
+
+    def _open_connection(self, now: float, attempt: Attempt) -> None:
+        context, node, events = self.context, attempt.node, self.events
+        timeout = context.rehearsal.proxies.connect_timeout_ms
+        latency = context.network.latency(self.zone, node.zone)
+        unreachable = node.silent or not context.network.reachable(self.zone, node.zone)
+        accepts_late = not node.down and node.paused_until - now > timeout  # a pause stops accepts, too
+        if unreachable or accepts_late:
+            events.schedule(now + timeout, self._attempt_ended, attempt, api.Outcome.UNREACHABLE)
+        elif node.down:
+            events.schedule(now + 2.0 * latency, self._attempt_ended, attempt, api.Outcome.UNREACHABLE)
+        elif node.kind.connections and node.open_connections >= node.kind.connections:
+            events.schedule(now + 2.0 * latency, self._attempt_ended, attempt, api.Outcome.REJECTED)
+        else:
+            node.open_connections += 1
+            attempt.connection = Connection(node)
+            attempt.handshake_work = node.kind.handshake_ms
+            context.scoring.meter.handshakes += 1
+            established = max(now, node.paused_until) + 2.0 * latency * node.kind.handshake_rtts
+            events.schedule(established, self._write, attempt)
+
+    def _write(self, attempt: Attempt) -> None:
+        """Its first byte is sent, if it still may."""
+        if attempt.ended:
+            return
+        context, now, request, node = self.context, self.events.now, attempt.request, attempt.node
+        if request.finished or now >= attempt.send_by:
+            self._attempt_ended(attempt, api.Outcome.NOT_SENT)
+            return
+        attempt.written = True
+        context.invariants.attempt_sent(
+            request.ident, attempt.number, self.name, node.name, node.rack.name, node.zone, now
+        )
+        if node.zone != self.zone:
+            context.scoring.meter.crossings += 1
+        latency = context.network.latency(self.zone, node.zone)
+        self.events.schedule(now + latency, self._reach_node, attempt)
+
+    def _reach_node(self, attempt: Attempt) -> None:
+        """Its last byte is at the node."""
+        context, now, node = self.context, self.events.now, attempt.node
+        if node.silent or not context.network.reachable(self.zone, node.zone):
+            return  # no response, no reset
+        connection = attempt.connection
+        if node.down or connection is None or connection.incarnation != node.incarnation:
+            if not attempt.ended:
+                self.send_response(attempt, api.Outcome.RESET)
+            return
+        if node.paused_until > now:
+            self.events.schedule(node.paused_until, self._reach_node, attempt)
+            return
+        if node.reset_rate and context.fault_stream.bernoulli(node.reset_rate):
+            self.send_response(attempt, api.Outcome.RESET)
+            if context.fault_stream.bernoulli(RESET_UNTAKEN_SHARE):
+                return
+        outcome = self.cluster.admit(node, attempt, attempt.handshake_work)
+        if outcome is not None:
+            self.send_response(attempt, outcome)
+
+    def node_responded(self, attempt: NodeAttempt, outcome: api.Outcome) -> None:
+        """A node is done with an attempt; its response is sent, unless a fault loses it."""
+        loss = attempt.node.response_loss
+        if loss and self.context.fault_stream.bernoulli(loss):
+            return
+        self.send_response(attempt, outcome)
+
+    def send_response(self, attempt: NodeAttempt, outcome: api.Outcome) -> None:
+        """A response, or a reset, travels back from the node."""
+        network, node = self.context.network, attempt.node
+        if network.reachable(self.zone, node.zone) and not node.silent:
+            arrives = self.events.now + network.latency(self.zone, node.zone)
+            self.events.schedule(arrives, self._response_arrived, attempt, outcome)
+
+    def _response_arrived(self, attempt: Any, outcome: api.Outcome) -> None:
+        """The response is at the proxy.  A proxy over real sockets has attempts of its own type."""
+        self._attempt_ended(attempt, outcome)
+
+    def _attempt_timed_out(self, attempt: Attempt) -> None:
+        if not attempt.ended:
+            self._attempt_ended(attempt, api.Outcome.TIMEOUT if attempt.written else api.Outcome.UNREACHABLE)
+
+    def _attempt_ended(self, attempt: Attempt, outcome: api.Outcome) -> None:
+        """The proxy learns how an attempt ended: once, whatever comes later."""
+        context, now, request = self.context, self.events.now, attempt.request
+        if attempt.ended or attempt.incarnation != self.incarnation:
+            return
+        attempt.ended = True
+        del self.attempts[attempt]
+        self._release_connection(attempt, outcome, now)
+        if attempt.written:
+            context.invariants.attempt_ended(request.ident, attempt.number, outcome in api.NEVER_RAN)
+        if context.tracer is not None:
+            context.tracer.attempt_ended(now, attempt, outcome)
+        if outcome is api.Outcome.SERVED and not request.finished:
+            self._finish(request, "served")
+        self.handle(
+            api.AttemptEnded(
+                request.ident, attempt.number, attempt.node.ident, outcome, now - attempt.decided_at,
+                request.finished,
+            )
+        )  # fmt: skip
+
+    # Connections.
+
+    def _release_connection(self, attempt: Attempt, outcome: api.Outcome, now: float) -> None:
+        connection = attempt.connection
+        if connection is None:
+            return
+        if (outcome in REUSABLE_OUTCOMES or not attempt.written) and connection.usable:
+            self.connections.release(connection, now)
+        else:
+            self._close_connection(attempt)
+
+    def _close_connection(self, attempt: Attempt) -> None:
+        if attempt.connection is not None:
+            self.connections.close(attempt.connection)
+            attempt.connection = None
+
+    def _schedule_sweep(self) -> None:
+        self.events.schedule(self.events.now + SWEEP_INTERVAL_MS, self._sweep, self.incarnation)
+
+    def _sweep(self, incarnation: int) -> None:
+        if incarnation == self.incarnation and self.alive:
+            self.connections.sweep(self.events.now)
+            self._schedule_sweep()
+
+    def node_stopped(self, node: Node) -> None:
+        """A node's process is gone, and the connections to it."""
+        self.connections.forget_node(node.ident)
--- a/heronreel/emulator/result.py
+++ b/heronreel/emulator/result.py
@@ -1,22 +1,19 @@
-"""What came of a rehearsal: figures, timeline, breaches, traces, and the bytes two plays are compared by."""
+"""The result of a play: figures, timeline, breaches, traces, and the bytes two plays are compared by."""
 
 from __future__ import annotations
 
 import hashlib
 from dataclasses import asdict
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import msgspec
 
-from heronreel.emulator.observer import Breach
-
-if TYPE_CHECKING:
-    from heronreel.emulator.troubles import Troubles
-    from heronreel.emulator.world import World
+from heronreel.emulator.context import SimulationContext
+from heronreel.emulator.scoring import Scoring
 
 
 class Result(msgspec.Struct):
-    """One play."""
+    """One play.  Field names and keys are the stored form."""
 
     name: str
     policy: str
@@ -25,7 +22,7 @@
     service: dict[str, float]  # whole, worst_window, worst_tenant, service: before prices, 0 to 1
     paid: dict[str, float]  # points by what they are for
     score: float  # service less what is paid; 0 where a rule is broken
-    counts: dict[str, int]  # requests by their end
+    counts: dict[str, int]  # requests by their result
     rules: dict[str, int]  # breaches by rule
     percentiles: dict[str, float]  # ms, from when the request was due
     meter: dict[str, float]
@@ -37,11 +34,12 @@
 
     @property
     def kept(self) -> bool:
+        """Whether no rule was broken."""
         return not any(self.rules.values())
 
     @property
     def broken(self) -> str:
-        """The rules that were, and how often, in words."""
+        """The rules that were broken, and how often, in words."""
         return ", ".join(f"{rule} {count}" for rule, count in self.rules.items() if count)
 
     def lines_of_breaches(self) -> list[int]:
@@ -59,6 +57,7 @@
         return b"".join(msgspec.json.encode(row) + b"\n" for row in rows)
 
     def digest(self) -> str:
+        """A hash of `lines`."""
         return hashlib.sha256(self.lines()).hexdigest()
 
     def row(self) -> dict[str, Any]:
@@ -81,26 +80,31 @@
         return row
 
 
-def gathered(world: World, troubles: Troubles) -> Result:
-    judge, observer = world.judge, world.observer
-    service = {name: round(value, 6) for name, value in judge.service().items()}
-    paid = {name: round(value, 6) for name, value in judge.paid().items()}
-    kept = not any(observer.counts.values())
+def collect_result(context: SimulationContext, policy: str, seed: int, reloads: int) -> Result:
+    """The result of a play that is over.  `reloads`: of proxies, by faults."""
+    rehearsal, scoring, invariants = context.rehearsal, context.scoring, context.invariants
+    service = {name: round(value, 6) for name, value in scoring.service().items()}
+    paid = {name: round(value, 6) for name, value in scoring.paid().items()}
+    kept = not any(invariants.counts.values())
     score = max(0.0, service["service"] - sum(paid.values())) if kept else 0.0
-    rows: list[dict[str, Any]] = [
+    meter = asdict(scoring.meter) | {"list_failed": context.endpoint_list.failed_calls, "reloads": reloads}
+    steps = context.tracer.steps if context.tracer is not None else {}
+    return Result(
+        name=rehearsal.name, policy=policy, seed=seed, seconds=rehearsal.seconds,
+        service=service, paid=paid, score=round(score, 6), counts=scoring.counts(),
+        rules=dict(invariants.counts), percentiles=scoring.percentiles(), meter=meter,
+        events=context.events.processed, seconds_rows=_second_rows(scoring), timeline=context.timeline.rows,
+        breaches=[asdict(breach) for breach in invariants.breaches],
+        traces={str(ident): rows for ident, rows in steps.items()},
+    )  # fmt: skip
+
+
+def _second_rows(scoring: Scoring) -> list[dict[str, Any]]:
+    return [
         {
-            "second": place, "asked": round(s.asked, 3), "got": round(s.got, 3), "requests": s.requests,
-            **{end: s.ends[end] for end in sorted(s.ends)},
+            "second": number, "asked": round(second.requested_weight, 3),
+            "got": round(second.served_weight, 3), "requests": second.requests,
+            **{result: second.results[result] for result in sorted(second.results)},
         }
-        for place, s in enumerate(judge.seconds)
+        for number, second in enumerate(scoring.seconds)
     ]  # fmt: skip
-    breaches: list[Breach] = observer.breaches
-    return Result(
-        name=world.rehearsal.name, policy=world.policy, seed=world.seed, seconds=world.rehearsal.seconds,
-        service=service, paid=paid, score=round(score, 6), counts=judge.totals(), rules=dict(observer.counts),
-        percentiles=judge.percentiles(),
-        meter=asdict(judge.meter) | {"list_failed": world.lists.failed, "reloads": troubles.reloads},
-        events=world.events.played, seconds_rows=rows, timeline=world.timeline,
-        breaches=[asdict(breach) for breach in breaches],
-        traces={str(line): steps for line, steps in (world.tracer.steps if world.tracer else {}).items()},
-    )  # fmt: skip
--- a/heronreel/emulator/trace.py
+++ b/heronreel/emulator/trace.py
@@ -2,113 +2,121 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable
+from typing import Any
 
 from heronreel.balancer import interface as api
 from heronreel.balancer.choice import Balancer
 from heronreel.emulator.node import Node
-from heronreel.emulator.policies import Plain
+from heronreel.emulator.policies import BaselinePolicy, NodeOracle
+from heronreel.emulator.requests import Attempt, InboundRequest, NodeAttempt
 
-if TYPE_CHECKING:
-    from heronreel.emulator.proxies import Ask, Attempt
-    from heronreel.emulator.world import World
-
-SHOWN = 5  # other nodes that a decision is shown beside
+NODES_COMPARED = 5  # other nodes that a decision is shown beside
+MIN_ERROR_RATE_SHOWN = 0.05
 
 
 class Tracer:
-    """Keeps the steps of the lines (a client's requests, with all tries) that it is asked for."""
-
-    def __init__(self, world: World, lines: set[int]) -> None:
-        self.world, self.lines = world, lines
-        self.steps: dict[int, list[dict[str, Any]]] = {line: [] for line in sorted(lines)}
-
-    def _step(self, now: float, ask: Ask, what: str, **told: Any) -> None:
-        if ask.line.ident in self.lines:
-            step = {
-                "at_ms": round(now, 3),
-                "what": what,
-                "request": ask.ident,
-                "proxy": ask.proxy.name,
-                **told,
-            }
-            self.steps[ask.line.ident].append(step)
-
-    def arrived(self, now: float, ask: Ask) -> None:
-        line = ask.line
+    """Keeps the steps of the client requests (with all attempts) that it is asked to follow.
+
+    The keys and words of a step are part of a result.
+    """
+
+    def __init__(
+        self, client_requests: set[int], oracle: NodeOracle, in_service: Callable[[], list[Node]]
+    ) -> None:
+        self.oracle, self.in_service = oracle, in_service
+        self.steps: dict[int, list[dict[str, Any]]] = {ident: [] for ident in sorted(client_requests)}
+
+    def _step(self, now: float, request: InboundRequest, what: str, **details: Any) -> None:
+        steps = self.steps.get(request.client_request.ident)
+        if steps is not None:
+            steps.append({
+                "at_ms": round(now, 3), "what": what, "request": request.ident, "proxy": request.proxy.name,
+                **details,
+            })  # fmt: skip
+
+    def request_received(self, now: float, request: InboundRequest) -> None:
+        """A proxy has received a request."""
+        client_request = request.client_request
         self._step(
-            now, ask, "arrives", **{"try": line.tries}, tenant=line.tenant, key=line.key,
-            work_ms=round(line.work, 2),
-            time_left_ms=round(ask.deadline - now, 2), known_nodes=len(ask.proxy.known),
+            now, request, "arrives", **{"try": client_request.attempts}, tenant=client_request.tenant,
+            key=client_request.key, work_ms=round(client_request.work, 2),
+            time_left_ms=round(request.deadline - now, 2), known_nodes=len(request.proxy.known_endpoints),
         )  # fmt: skip
 
-    def decided(self, now: float, attempt: Attempt) -> None:
-        ask = attempt.ask
-        if ask.line.ident not in self.lines:
+    def attempt_decided(self, now: float, attempt: Attempt) -> None:
+        """A proxy has chosen a node."""
+        request = attempt.request
+        if request.client_request.ident not in self.steps:
             return
-        decider = ask.proxy.decider
-        believed = believes(decider, now, attempt.node.ident)
+        decider = request.proxy.decider
         others = [
-            {"node": node.name} | believes(decider, now, node.ident) | {"truth": truth(self.world, now, node)}
-            for node in self._others(ask, attempt)
+            {"node": node.name} | believes(decider, now, node.ident) | {"truth": node_truth(now, node)}
+            for node in self._fastest_others(request, attempt)
         ]
         self._step(
-            now, ask, "decides", attempt=attempt.number, node=attempt.node.name, believes=believed,
-            truth=truth(self.world, now, attempt.node), others=others,
+            now, request, "decides", attempt=attempt.number, node=attempt.node.name,
+            believes=believes(decider, now, attempt.node.ident), truth=node_truth(now, attempt.node),
+            others=others,
         )  # fmt: skip
 
-    def _others(self, ask: Ask, attempt: Attempt) -> list[Node]:
-        """Nodes that would have answered soonest, as only the emulator knows."""
-        world, zone = self.world, ask.proxy.zone
-        alive = [n for n in world.fleet.alive() if n is not attempt.node]
-        return sorted(alive, key=lambda n: (world.wait_ms(zone, n.ident, ask.line.work), n.name))[:SHOWN]
+    def _fastest_others(self, request: InboundRequest, attempt: Attempt) -> list[Node]:
+        """Nodes that would have responded soonest, as only the emulator knows."""
+        zone, work = request.proxy.zone, request.client_request.work
+        others = [node for node in self.in_service() if node is not attempt.node]
+        others.sort(key=lambda node: (self.oracle.wait_ms(zone, node.ident, work), node.name))
+        return others[:NODES_COMPARED]
 
-    def at_node(self, now: float, attempt: Attempt, what: str) -> None:
+    def reached_node(self, now: float, attempt: NodeAttempt, what: str) -> None:
+        """A node has admitted an attempt, or dropped it as a repeat."""
         self._step(
-            now, attempt.ask, f"at the node: {what}", attempt=attempt.number, node=attempt.node.name,
-            truth=truth(self.world, now, attempt.node),
+            now, attempt.request, f"at the node: {what}", attempt=attempt.number, node=attempt.node.name,
+            truth=node_truth(now, attempt.node),
         )  # fmt: skip
 
-    def ran(self, now: float, attempt: Attempt, failed: bool) -> None:
+    def job_ended(self, now: float, attempt: NodeAttempt, failed: bool) -> None:
+        """A node is done with an attempt."""
         what = "the node answers with an error" if failed else "its work is done"
-        self._step(now, attempt.ask, what, attempt=attempt.number, node=attempt.node.name)
+        self._step(now, attempt.request, what, attempt=attempt.number, node=attempt.node.name)
 
-    def ended(self, now: float, attempt: Attempt, outcome: api.Outcome) -> None:
-        took = round(now - attempt.decided, 3)
+    def attempt_ended(self, now: float, attempt: Attempt, outcome: api.Outcome) -> None:
+        """A proxy has learned how an attempt ended."""
         self._step(
-            now,
-            attempt.ask,
-            f"ends: {outcome.value}",
-            attempt=attempt.number,
-            node=attempt.node.name,
-            took_ms=took,
-        )
+            now, attempt.request, f"ends: {outcome.value}", attempt=attempt.number, node=attempt.node.name,
+            took_ms=round(now - attempt.decided_at, 3),
+        )  # fmt: skip
 
-    def answered(self, now: float, ask: Ask, what: str, after: float) -> None:
-        self._step(now, ask, f"answered: {what}", retry_after_ms=round(after, 1))
+    def request_answered(
+        self, now: float, request: InboundRequest, result: str, retry_after_ms: float
+    ) -> None:
+        """A proxy has responded to its client."""
+        self._step(now, request, f"answered: {result}", retry_after_ms=round(retry_after_ms, 1))
 
 
-def truth(world: World, now: float, node: Node) -> dict[str, Any]:
+def node_truth(now: float, node: Node) -> dict[str, Any]:
     """The state of a node as it is."""
-    told: dict[str, Any] = {
-        "running": len(node.running), "waiting": len(node.waiting), "pace": round(node.held, 3),
-        "connections": node.conns,
+    truth: dict[str, Any] = {
+        "running": len(node.running), "waiting": len(node.waiting), "pace": round(node.pace, 3),
+        "connections": node.open_connections,
+    }  # fmt: skip
+    flags = {
+        "down": node.down, "drains": node.draining, "silent": node.silent, "cold": node.cold,
+        "fell": node.collapsed,
     }  # fmt: skip
-    flags = ("down", "drains", "silent", "cold", "fell")
-    told |= {flag: True for flag in flags if getattr(node, flag)}
-    if node.slow != 1.0:
-        told["slower"] = node.slow
-    if node.errors > 0.05:
-        told["errors"] = node.errors
+    truth |= {name: True for name, is_set in flags.items() if is_set}
+    if node.slowdown != 1.0:
+        truth["slower"] = node.slowdown
+    if node.error_rate > MIN_ERROR_RATE_SHOWN:
+        truth["errors"] = node.error_rate
     if node.paused_until > now:
-        told["paused_for_ms"] = round(node.paused_until - now, 1)
-    if node.rack.shared < 1.0:
-        told["rack_leaves"] = round(node.rack.shared, 3)
-    return told
+        truth["paused_for_ms"] = round(node.paused_until - now, 1)
+    if node.rack.pace_share < 1.0:
+        truth["rack_leaves"] = round(node.rack.pace_share, 3)
+    return truth
 
 
 def believes(decider: object, now: float, ident: int) -> dict[str, Any]:
-    """What a decider holds of a node: read, never changed."""
+    """What a decider believes of a node: read, never changed."""
     if isinstance(decider, Balancer):
         backend = decider.backends.get(ident)
         if backend is None:
@@ -120,6 +128,6 @@
             "rests_ms": round(max(0.0, backend.rests_until - now), 1), "credit_ms": round(backend.credit, 1),
             "near": backend.heap == 1,
         }  # fmt: skip
-    if isinstance(decider, Plain):
+    if isinstance(decider, BaselinePolicy):
         return {"listed": ident in decider.infos, "own_out": decider.load.get(ident, 0)}
     return {}
--- a/heronreel/realtime/__init__.py
+++ b/heronreel/realtime/__init__.py
@@ -1,1 +1,1 @@
-"""Rehearsals over real sockets: the emulator's nodes as loopback servers behind real proxy processes."""
+"""The second engine: plays a rehearsal script over real sockets with real proxy processes."""
--- a/heronreel/realtime/clock.py
+++ b/heronreel/realtime/clock.py
@@ -1,4 +1,4 @@
-"""The emulator's events on the wall's clock, stretched: `scale` real ms for each ms of the rehearsal."""
+"""The emulator's event queue on the wall clock, stretched: `scale` real ms for each ms of the rehearsal."""
 
 from __future__ import annotations
 
@@ -7,61 +7,69 @@
 from heapq import heappop
 from typing import Any
 
-from heronreel.emulator.events import Events
+from heronreel.emulator.events import EventQueue
 
+MS_PER_S = 1000.0
+NOT_SET = float("inf")
 
-class WallEvents(Events):
-    """Plays what is due when it is due.  Callbacks from sockets call `update` before they look at `now`."""
+
+class WallClockEventQueue(EventQueue):
+    """Runs events when they are due.  Callbacks from sockets call `update` before they read `now`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, scale: float) -> None:
         super().__init__()
         self.loop, self.scale = loop, scale
-        self.began = float("inf")  # until `begin`
-        self.handle: asyncio.TimerHandle | None = None
-        self.armed = float("inf")
-        self.playing = False
-        self.lateness = 0.0  # ms, the most that an event was played after its time
+        self.max_lateness_ms = 0.0  # that an event was run after its time
+        self._started_at = NOT_SET  # of the loop's clock, s
+        self._handle: asyncio.TimerHandle | None = None
+        self._armed_for = NOT_SET
+        self._running = False
 
-    def begin(self) -> None:
-        self.began = self.loop.time()
+    def start(self) -> None:
+        """Let the time run from 0."""
+        self._started_at = self.loop.time()
         self._arm()
 
     def update(self) -> float:
-        if self.began != float("inf"):
-            self.now = max(self.now, (self.loop.time() - self.began) * 1000.0 / self.scale)
+        """Bring `now` up to the wall clock, and return it."""
+        if self._started_at != NOT_SET:
+            elapsed_ms = (self.loop.time() - self._started_at) * MS_PER_S / self.scale
+            self.now = max(self.now, elapsed_ms)
         return self.now
 
-    def at(self, when: float, call: Callable[..., object], *args: Any) -> None:
-        super().at(when, call, *args)
-        if not self.playing:
+    def schedule(self, when: float, callback: Callable[..., object], *args: Any) -> None:
+        """Run `callback(*args)` at `when`, or as soon as possible if that has passed."""
+        super().schedule(when, callback, *args)
+        if not self._running:
             self._arm()
 
     def _arm(self) -> None:
-        if not self.due or self.began == float("inf"):
+        if not self.pending or self._started_at == NOT_SET:
             return
-        first = self.due[0][0]
-        if self.handle is not None and self.armed <= first:
+        first = self.pending[0][0]
+        if self._handle is not None and self._armed_for <= first:
             return
-        if self.handle is not None:
-            self.handle.cancel()
-        self.armed = first
-        self.handle = self.loop.call_at(self.began + first * self.scale / 1000.0, self._fire)
+        if self._handle is not None:
+            self._handle.cancel()
+        self._armed_for = first
+        self._handle = self.loop.call_at(self._started_at + first * self.scale / MS_PER_S, self._run_due)
 
-    def _fire(self) -> None:
-        self.handle, self.armed, self.playing = None, float("inf"), True
+    def _run_due(self) -> None:
+        self._handle, self._armed_for, self._running = None, NOT_SET, True
         try:
-            while self.due and self.due[0][0] <= self.update():
-                when, _, call, args = heappop(self.due)
-                self.lateness = max(self.lateness, self.now - when)
-                self.played += 1
-                call(*args)
+            while self.pending and self.pending[0][0] <= self.update():
+                when, _, callback, args = heappop(self.pending)
+                self.max_lateness_ms = max(self.max_lateness_ms, self.now - when)
+                self.processed += 1
+                callback(*args)
         finally:
-            self.playing = False
+            self._running = False
             self._arm()
 
     def stop(self) -> None:
-        self.due.clear()
-        if self.handle is not None:
-            self.handle.cancel()
-            self.handle = None
-        self.began = float("inf")
+        """Drop what is scheduled and stop the time."""
+        self.pending.clear()
+        if self._handle is not None:
+            self._handle.cancel()
+            self._handle = None
+        self._started_at = NOT_SET
--- /dev/null
+++ b/heronreel/realtime/list_call.py
@@ -0,0 +1,89 @@
+"""The endpoint list service's side of a proxy process: its calls, and the list as the protocol has it."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from typing import Any
+
+import httptools
+
+from heronreel.emulator.endpoint_list import Endpoint, EndpointState
+from heronreel.realtime.runtime import Runtime
+from heronreel.stubs.peer import Peer
+
+STATUSES = {
+    EndpointState.UP: "active",
+    EndpointState.LEAVING: "leaving",
+    EndpointState.LEFT: "left",
+}
+
+
+class ListCall(Peer):
+    """One call of a proxy process to the list service."""
+
+    parser: httptools.HttpRequestParser
+
+    def __init__(self, on_call: Callable[[ListCall], None], on_closed: Callable[[ListCall], None]) -> None:
+        super().__init__()
+        self.on_call, self.on_closed = on_call, on_closed
+        self.parser = httptools.HttpRequestParser(self)
+        self.url = b""
+        self.is_stream = False
+
+    def on_url(self, url: bytes) -> None:
+        """Called by the parser."""
+        self.url += url
+
+    def on_message_complete(self) -> None:
+        """Called by the parser: a whole request is here."""
+        self.is_stream = b"stream=1" in self.url
+        self.url = b""
+        self.on_call(self)
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """The proxy's process has closed it, or is gone."""
+        super().connection_lost(error)
+        self.on_closed(self)
+
+    def begin_stream(self) -> None:
+        """Write the head of a streamed response."""
+        if self.is_stream and self.transport:
+            self.transport.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n")
+
+    def write(self, message: dict[str, Any]) -> None:
+        """Write a message: a line of the stream, or the whole response."""
+        self._write_line(json.dumps(message).encode() + b"\n")
+
+    def write_heartbeat(self) -> None:
+        """Write an empty line."""
+        self._write_line(b"\n")
+
+    def _write_line(self, line: bytes) -> None:
+        if self.transport is None:
+            return
+        if self.is_stream:
+            self.transport.write(b"%x\r\n%b\r\n" % (len(line), line))
+        else:
+            self.transport.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%b" % (len(line), line))
+
+    def fail(self) -> None:
+        """Reset the connection."""
+        if self.transport:
+            self.transport.abort()
+
+
+def list_message(
+    runtime: Runtime, index: int, is_snapshot: bool, endpoints: list[Endpoint]
+) -> dict[str, Any]:
+    """A message of the list's protocol; start times are Unix times on the stretched clock."""
+    rows = []
+    for endpoint in endpoints:
+        host, port = runtime.nodes[endpoint.ident].address
+        started_ms = runtime.epoch_unix_ms + endpoint.started_at * runtime.clock.scale
+        rows.append({
+            "name": endpoint.name, "address": f"{host}:{port}", "zone": endpoint.zone, "type": endpoint.kind,
+            "group": endpoint.rack, "status": STATUSES[endpoint.state], "weight": 1.0,
+            "since_ms": started_ms if endpoint.started_at else 0.0,
+        })  # fmt: skip
+    return {"index": index, "snapshot": is_snapshot, "endpoints": rows}
--- a/tests/emulator/test_fleet.py
+++ b/tests/emulator/test_fleet.py
@@ -11,49 +11,52 @@
 from heronreel.balancer import interface as api
 from heronreel.balancer.choice import Balancer
 from heronreel.balancer.subset import KEPT_BY, Subset
-from heronreel.emulator.model import Class, List, Proxies, Rehearsal, Trouble
-from heronreel.emulator.policies import Hosted, SharedRanks
-from heronreel.emulator.world import World, play
+from heronreel.emulator.endpoint_list import Endpoint, ListSubscriber
+from heronreel.emulator.model import EndpointListConfig, Fault, ProxyConfig, Rehearsal, RequestClass
+from heronreel.emulator.node import Job, Node
+from heronreel.emulator.policies import HostedBalancer, SharedRanks
+from heronreel.emulator.proxy import Proxy
+from heronreel.emulator.simulation import Simulation, play
 from tests.support.rehearsals import COLD, KIND, rehearsal
 
 SIZES = [(5, 12, 0), (40, 36, 0), (200, 36, 0), (40, 36, 1)]  # proxies, nodes, and the change of seed
 BORNE = 1.5  # calls that the list service bears, over one of each proxy in the time in which it must ask
 
 
-def fleet(proxies: int, nodes: int, seconds: float, *troubles: Trouble, **changes: object) -> Rehearsal:
+def fleet(proxies: int, nodes: int, seconds: float, *troubles: Fault, **changes: object) -> Rehearsal:
     """Large work and few requests: what is looked at here does not need many."""
-    klass = Class(work_ms=400.0, aim_ms=2000.0, deadline_ms=4000.0)
-    return rehearsal(nodes, proxies, 0.45, seconds, klass=klass, troubles=troubles, **changes)  # type: ignore[arg-type]
+    request_class = RequestClass(work_ms=400.0, latency_objective_ms=2000.0, deadline_ms=4000.0)
+    return rehearsal(nodes, proxies, 0.45, seconds, request_class=request_class, faults=troubles, **changes)  # type: ignore[arg-type]
 
 
-class Calls:
-    """When a world's proxies call the list service, and when each is told a whole list."""
+class ListTraffic:
+    """When proxies call the list service, and when each last received a snapshot."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
-        self.at: list[float] = []
-        self.told: dict[str, float] = {}
-        call = world.lists.call
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
+        self.called_at: list[float] = []
+        self.snapshot_at: dict[str, float] = {}
+        call = simulation.context.endpoint_list.call
 
-        def watched(caller: object) -> None:
-            self.at.append(world.events.now)
-            call(caller)  # type: ignore[arg-type]
+        def watched(subscriber: ListSubscriber) -> None:
+            self.called_at.append(simulation.events.now)
+            call(subscriber)
 
-        world.lists.call = watched  # type: ignore[method-assign]
-        for proxy in world.proxies:
+        simulation.context.endpoint_list.call = watched  # type: ignore[method-assign]
+        for proxy in simulation.proxies:
             self._watch(proxy)
 
-    def _watch(self, proxy: object) -> None:
-        told = proxy.told_whole  # type: ignore[attr-defined]
+    def _watch(self, proxy: Proxy) -> None:
+        receive_snapshot = proxy.receive_snapshot
 
-        def watched(entries: object) -> None:
-            self.told[proxy.name] = self.world.events.now  # type: ignore[attr-defined]
-            told(entries)
+        def watched(endpoints: list[Endpoint]) -> None:
+            self.snapshot_at[proxy.name] = self.simulation.events.now
+            receive_snapshot(endpoints)
 
-        proxy.told_whole = watched  # type: ignore[attr-defined]
+        proxy.receive_snapshot = watched  # type: ignore[method-assign]
 
     def between(self, low_s: float, high_s: float) -> int:
-        return sum(low_s * 1000.0 <= at < high_s * 1000.0 for at in self.at)
+        return sum(low_s * 1000.0 <= at < high_s * 1000.0 for at in self.called_at)
 
 
 @pytest.mark.parametrize(("proxies", "nodes", "shift"), SIZES)
@@ -64,21 +67,21 @@
     seed, killed = 21 + shift, 4.0
     bears = BORNE * proxies / 10.0  # a second
     script = fleet(
-        proxies, nodes, 26.0, Trouble(what="kill", at_s=killed, share=0.7),
-        Trouble(what="list_slow", at_s=killed, for_s=8.0, size=3.0),
-        Trouble(what="drain", at_s=6.0, share=0.1, after_s=10.0),
-        list=List(lines_per_s=bears * (List().call_lines + nodes)),
+        proxies, nodes, 26.0, Fault(fault_kind="kill", at_s=killed, share=0.7),
+        Fault(fault_kind="list_slow", at_s=killed, for_s=8.0, size=3.0),
+        Fault(fault_kind="drain", at_s=6.0, share=0.1, after_s=10.0),
+        endpoint_list=EndpointListConfig(entries_per_s=bears * (EndpointListConfig().call_cost + nodes)),
     )  # fmt: skip
-    world = World(script, seed)
-    calls = Calls(world)
-    result = world.run()
+    simulation = Simulation(script, seed)
+    list_traffic = ListTraffic(simulation)
+    result = simulation.run()
     assert result.kept, (seed, result.breaches[:3])
     herd = [row["names"][0] for row in result.timeline if row["event"] == "ended"]
     assert len(herd) == round(0.7 * proxies)
-    late = calls.between(killed + 14.0, killed + 22.0) / 8.0
+    late = list_traffic.between(killed + 14.0, killed + 22.0) / 8.0
     assert late <= bears, f"seed {seed}: {late:.1f} calls a second, {bears:.1f} are borne"
-    within = (killed + script.proxies.restart_ms / 1000.0) * 1000.0 + 2.0 * script.rules.ask_within_ms
-    untold = [name for name in herd if not killed * 1000.0 < calls.told[name] < within]
+    within = (killed + script.proxies.restart_ms / 1000.0) * 1000.0 + 2.0 * script.rules.poll_within_ms
+    untold = [name for name in herd if not killed * 1000.0 < list_traffic.snapshot_at[name] < within]
     assert not untold, f"seed {seed}: {untold}"
 
 
@@ -88,19 +91,21 @@
     what: str, proxies: int, nodes: int, shift: int
 ) -> None:
     seed, until = 31 + shift, 14.0
-    script = fleet(proxies, nodes, 26.0, Trouble(what=what, at_s=4.0, for_s=until - 4.0))  # type: ignore[arg-type]
-    script = msgspec.structs.replace(script, list=List(lines_per_s=10_000.0))
-    world = World(script, seed)
-    calls = Calls(world)
-    result = world.run()
+    script = fleet(proxies, nodes, 26.0, Fault(fault_kind=what, at_s=4.0, for_s=until - 4.0))  # type: ignore[arg-type]
+    script = msgspec.structs.replace(script, endpoint_list=EndpointListConfig(entries_per_s=10_000.0))
+    simulation = Simulation(script, seed)
+    list_traffic = ListTraffic(simulation)
+    result = simulation.run()
     assert result.kept, (seed, result.breaches[:3])
     assert result.service["worst_window"] > 0.9, "the old list stays in force"
-    rates = [calls.between(second, second + 1.0) / proxies for second in range(4, 25)]
+    rates = [list_traffic.between(second, second + 1.0) / proxies for second in range(4, 25)]
     assert max(rates) <= 2.0, f"seed {seed}: {rates}"
-    told = [calls.told[proxy.name] for proxy in world.proxies]
+    told = [list_traffic.snapshot_at[proxy.name] for proxy in simulation.proxies]
     if what != "list_breaks":  # there they are told before it breaks off
         assert all(at > until * 1000.0 or at < 4000.0 + 5000.0 for at in told)
-    assert all(proxy in world.lists.watchers for proxy in world.proxies), "all watch again"
+    assert all(proxy in simulation.context.endpoint_list.watchers for proxy in simulation.proxies), (
+        "all watch again"
+    )
 
 
 def test_a_service_that_refuses_for_ever_is_asked_ever_more_seldom() -> None:
@@ -139,32 +144,34 @@
     """The budget of cold nodes holds over the sum of all proxies, and a stated part of it is used."""
     seed = 41 + shift
     made = {
-        "zone": lambda at: Trouble(what="zone_lost", at_s=at, for_s=3.0, zone="b"),
-        "replaced": lambda at: Trouble(what="replace", at_s=at, share=0.6, within_s=5.0, after_s=4.0),
-        "herd": lambda at: Trouble(what="kill", at_s=at, share=0.7),
+        "zone": lambda at: Fault(fault_kind="zone_lost", at_s=at, for_s=3.0, zone="b"),
+        "replaced": lambda at: Fault(fault_kind="replace", at_s=at, share=0.6, within_s=5.0, after_s=4.0),
+        "herd": lambda at: Fault(fault_kind="kill", at_s=at, share=0.7),
     }
     troubles = [made[what](at) for what, at in ORDERS[order]]
-    troubles.append(Trouble(what="errors", at_s=3.0, for_s=14.0, share=0.2, size=0.5))
-    klass = Class(work_ms=100.0, aim_ms=1000.0, deadline_ms=4000.0)
-    script = rehearsal(nodes, proxies, 0.5, 24.0, klass=klass, troubles=tuple(troubles))
-    world = World(script, seed)
+    troubles.append(Fault(fault_kind="errors", at_s=3.0, for_s=14.0, share=0.2, size=0.5))
+    request_class = RequestClass(work_ms=100.0, latency_objective_ms=1000.0, deadline_ms=4000.0)
+    script = rehearsal(nodes, proxies, 0.5, 24.0, request_class=request_class, faults=tuple(troubles))
+    simulation = Simulation(script, seed)
     taken: dict[str, float] = defaultdict(float)
-    offered = world.observer.offered
+    offered = simulation.context.invariants.cold_work_arrived
 
     def watched(node: str, proxy: str, work: float, now: float) -> None:
         taken[node] += work
         offered(node, proxy, work, now)
 
-    world.observer.offered = watched  # type: ignore[method-assign]
-    result = world.run()
+    simulation.context.invariants.cold_work_arrived = watched  # type: ignore[method-assign]
+    result = simulation.run()
     assert result.kept, (seed, result.breaches[:3])
     # what the cold nodes could have done while they warmed up, and what they were given
     could = given = 0.0
-    for node in world.fleet.nodes:
-        cold_for = world.events.now - node.since
-        if node.since and cold_for > 4000.0 and not node.down:
-            share = COLD.cold_from + (1.0 - COLD.cold_from) * min(1.0, cold_for / COLD.cold_ms) / 2.0
-            could += node.most() * share * min(cold_for, COLD.cold_ms)
+    for node in simulation.fleet.nodes:
+        cold_for = simulation.events.now - node.started_at
+        if node.started_at and cold_for > 4000.0 and not node.down:
+            share = (
+                COLD.warm_up_floor + (1.0 - COLD.warm_up_floor) * min(1.0, cold_for / COLD.warm_up_ms) / 2.0
+            )
+            could += node.nominal_capacity() * share * min(cold_for, COLD.warm_up_ms)
             given += taken[node.name]
     assert could and given > 0.15 * could, f"seed {seed}: {given / could:.2f} of what cold nodes could do"
 
@@ -173,22 +180,22 @@
 def test_connections_at_a_node_stay_under_its_cap(proxies: int, nodes: int) -> None:
     kind = msgspec.structs.replace(KIND, connections=30, handshake_ms=1.5, full_tax=0.3)
     script = rehearsal(
-        nodes, proxies, 0.8, 12.0, kind, troubles=(Trouble(what="burst", at_s=4.0, for_s=4.0, size=2.0),)
+        nodes, proxies, 0.8, 12.0, kind, faults=(Fault(fault_kind="burst", at_s=4.0, for_s=4.0, size=2.0),)
     )
-    world = World(script, 51)
+    simulation = Simulation(script, 51)
     most: Counter[str] = Counter()
-    ended = world.fleet.ended
+    ended = simulation.fleet.on_job_ended
 
-    def watch(node: object, job: object) -> None:
-        most[node.name] = max(most[node.name], node.conns)  # type: ignore[attr-defined]
-        ended(node, job)  # type: ignore[arg-type]
+    def watch(node: Node, job: Job) -> None:
+        most[node.name] = max(most[node.name], node.open_connections)
+        ended(node, job)
 
-    world.fleet.ended = watch
-    result = world.run()
+    simulation.fleet.on_job_ended = watch
+    result = simulation.run()
     assert result.kept and max(most.values()) <= 30, most
-    for node in world.fleet.nodes:  # every open connection is some proxy's
-        owned = sum(len(proxy.pool.get(node.ident, ())) for proxy in world.proxies)
-        assert node.conns == owned, node.name
+    for node in simulation.fleet.nodes:  # every open connection is some proxy's
+        owned = sum(proxy.connections.idle_count(node) for proxy in simulation.proxies)
+        assert node.open_connections == owned, node.name
 
 
 def test_ranks_found_once_for_the_fleet_are_those_that_each_proxy_finds() -> None:
@@ -199,9 +206,9 @@
 
 
 def test_hosted_decides_as_the_module_does() -> None:
-    """The same events, the same actions: a play with `Hosted` against one with the module itself."""
-    script = fleet(40, 24, 6.0, Trouble(what="replace", at_s=2.0, share=0.3, within_s=1.0, after_s=1.0))
-    plays = [World(script, 61, deciders=made).run() for made in (Hosted, Balancer)]
+    """The same events, the same actions: a play with `HostedBalancer` against one with the module itself."""
+    script = fleet(40, 24, 6.0, Fault(fault_kind="replace", at_s=2.0, share=0.3, within_s=1.0, after_s=1.0))
+    plays = [Simulation(script, 61, deciders=made).run() for made in (HostedBalancer, Balancer)]
     assert plays[0].lines() == plays[1].lines()
 
 
@@ -263,15 +270,16 @@
 
 def test_two_proxies_of_one_zone_do_not_send_the_same_stream() -> None:
     """Instances share nothing, not even luck: seeds differ by proxy and by process."""
-    world = World(fleet(4, 12, 4.0, Trouble(what="kill", at_s=2.0, share=1.0)), 71)
     seeds: list[int] = []
 
     def made(settings: api.Settings, seed: int) -> Balancer:
         seeds.append(seed)
         return Balancer(settings, seed)
 
-    world.deciders = made
-    world.run()
+    simulation = Simulation(
+        fleet(4, 12, 4.0, Fault(fault_kind="kill", at_s=2.0, share=1.0)), 71, deciders=made
+    )
+    simulation.run()
     assert len(seeds) == 8 and len(set(seeds)) == 8
 
 
@@ -280,8 +288,8 @@
         5,
         12,
         12.0,
-        Trouble(what="list_refuses", at_s=1.0, for_s=9.0),
-        Trouble(what="kill", at_s=3.0, share=1.0),
+        Fault(fault_kind="list_refuses", at_s=1.0, for_s=9.0),
+        Fault(fault_kind="kill", at_s=3.0, share=1.0),
     )
-    result = play(msgspec.structs.replace(script, proxies=Proxies(count=5, restart_ms=300.0)), 81)
+    result = play(msgspec.structs.replace(script, proxies=ProxyConfig(count=5, restart_ms=300.0)), 81)
     assert result.kept and result.seconds_rows[8].get("served", 0) > 0.8 * result.seconds_rows[8]["requests"]
--- a/tests/emulator/test_queues.py
+++ b/tests/emulator/test_queues.py
@@ -7,31 +7,35 @@
 import msgspec
 import pytest
 
-from heronreel.emulator.model import Kind, Traffic, Trouble
+from heronreel.emulator.model import Fault, NodeKind, TrafficConfig
 from heronreel.emulator.node import Job, Node
-from heronreel.emulator.world import World
+from heronreel.emulator.simulation import Simulation
 from tests.support.rehearsals import KIND, queue_of, rehearsal
 
 SERVICE_MS = 10.0
 ERROR = 0.08  # of a mean wait over some 30,000 requests
 
 
-def waits(kind: Kind, dist: str, cv: float, load: float, seed: int) -> tuple[float, float, float]:
+def waits(kind: NodeKind, dist: str, cv: float, load: float, seed: int) -> tuple[float, float, float]:
     """The mean wait before service, ms, and the moments of the work as drawn."""
-    world = World(queue_of(kind, SERVICE_MS, dist, cv, load, 500.0 / kind.cores), seed, "random")
+    simulation = Simulation(queue_of(kind, SERVICE_MS, dist, cv, load, 500.0 / kind.cores), seed, "random")
     works: list[float] = []
-    ended = world.fleet.ended
+    ended = simulation.fleet.on_job_ended
 
     def watch(node: Node, job: Job) -> None:
         works.append(job.work)
         ended(node, job)
 
-    world.fleet.ended = watch
-    world.run()
-    node = world.fleet.nodes[0]
-    assert node.done == len(works)
+    simulation.fleet.on_job_ended = watch
+    simulation.run()
+    node = simulation.fleet.nodes[0]
+    assert node.completed == len(works)
     mean = sum(works) / len(works)
-    return (node.load_ms - node.busy_ms) / node.done, mean, sum(work * work for work in works) / len(works)
+    return (
+        (node.load_ms - node.busy_ms) / node.completed,
+        mean,
+        sum(work * work for work in works) / len(works),
+    )
 
 
 def erlang_c(servers: int, load: float) -> float:
@@ -60,30 +64,30 @@
 
 def test_what_is_in_a_node_is_what_comes_a_second_times_how_long_it_stays() -> None:
     """Little's law, node by node: stays are summed apart from the node's own books."""
-    world = World(rehearsal(load=0.7), 13, "least-of-two")
+    simulation = Simulation(rehearsal(load=0.7), 13, "least-of-two")
     stays: dict[str, float] = {}
-    ended = world.fleet.ended
+    ended = simulation.fleet.on_job_ended
 
     def watch(node: Node, job: Job) -> None:
-        stays[node.name] = stays.get(node.name, 0.0) + world.events.now - job.arrived
+        stays[node.name] = stays.get(node.name, 0.0) + simulation.events.now - job.arrived_at
         ended(node, job)
 
-    world.fleet.ended = watch
-    world.run()
+    simulation.fleet.on_job_ended = watch
+    simulation.run()
     assert len(stays) == 12
-    for node in world.fleet.nodes:
+    for node in simulation.fleet.nodes:
         assert not node.running and not node.waiting
         assert node.load_ms == pytest.approx(stays[node.name], rel=1e-6), node.name
 
 
 def test_open_arrivals_count_the_stall_and_closed_ones_hide_it() -> None:
     """No coordinated omission: latency counts from when a request was due, so a stall shows in full."""
-    stall = (Trouble(what="pause", at_s=4.0, for_s=2.0),)
+    stall = (Fault(fault_kind="pause", at_s=4.0, for_s=2.0),)
     found = {}
     for arrivals in ("open", "closed"):
-        traffic = Traffic(requests_per_s=120.0, arrivals=arrivals, users=12, think_ms=40.0)
-        script = rehearsal(kind=KIND, seconds=10.0, troubles=stall, traffic=traffic)
-        result = World(script, 14, "least-of-two").run()
+        traffic = TrafficConfig(requests_per_s=120.0, arrivals=arrivals, users=12, think_ms=40.0)
+        script = rehearsal(kind=KIND, seconds=10.0, faults=stall, traffic=traffic)
+        result = Simulation(script, 14, "least-of-two").run()
         rows = {row["second"]: row["requests"] for row in result.seconds_rows}
         found[arrivals] = (rows[5] / rows[3], result.percentiles["p95"])
     assert found["open"][0] > 0.7 and found["open"][1] > 500.0, found
--- a/tests/emulator/test_rules.py
+++ b/tests/emulator/test_rules.py
@@ -9,22 +9,22 @@
 
 from heronreel.balancer.choice import Balancer
 from heronreel.balancer.interface import Settings
-from heronreel.emulator.model import Class, Rehearsal, Trouble
-from heronreel.emulator.node import REPEAT, TAKEN, Job, Node, Rack
-from heronreel.emulator.observer import Observer
-from heronreel.emulator.world import World, play
+from heronreel.emulator.invariants import InvariantChecker
+from heronreel.emulator.model import Fault, Rehearsal, RequestClass
+from heronreel.emulator.node import Admission, Job, Node, Rack
+from heronreel.emulator.simulation import Simulation, play
 from tests.support.rehearsals import COLD, rehearsal
 
 TROUBLES = {
-    "lost": (Trouble(what="errors", at_s=2.0, for_s=6.0, share=0.5, size=0.5),),
-    "twice": (Trouble(what="slow", at_s=2.0, for_s=6.0, share=0.5, size=15.0),),
-    "drain": (Trouble(what="drain", at_s=2.0, share=0.3, after_s=8.0),),
-    "cold": (Trouble(what="replace", at_s=3.0, share=0.35, within_s=2.0, after_s=3.0),),
+    "lost": (Fault(fault_kind="errors", at_s=2.0, for_s=6.0, share=0.5, size=0.5),),
+    "twice": (Fault(fault_kind="slow", at_s=2.0, for_s=6.0, share=0.5, size=15.0),),
+    "drain": (Fault(fault_kind="drain", at_s=2.0, share=0.3, after_s=8.0),),
+    "cold": (Fault(fault_kind="replace", at_s=3.0, share=0.35, within_s=2.0, after_s=3.0),),
 }
 
 
 def scene(rule: str) -> Rehearsal:
-    return rehearsal(troubles=TROUBLES[rule], load=0.6, proxies=3)
+    return rehearsal(faults=TROUBLES[rule], load=0.6, proxies=3)
 
 
 @pytest.mark.parametrize("rule", list(TROUBLES))
@@ -48,85 +48,85 @@
 
 @pytest.mark.parametrize("effect", ["safe", "keyed", "unsafe"])
 def test_ours_keeps_them_for_each_kind_of_request_under_all_troubles_at_once(effect: str) -> None:
-    klass = Class(work_ms=60.0, effect=effect, attempt_noise=0.2)  # type: ignore[arg-type]
+    request_class = RequestClass(work_ms=60.0, effect=effect, attempt_noise=0.2)  # type: ignore[arg-type]
     troubles = (
         *(trouble for some in TROUBLES.values() for trouble in some),
-        Trouble(what="lose_answers", at_s=4.0, for_s=3.0, share=0.4, size=0.3),
-        Trouble(what="reset", at_s=5.0, for_s=3.0, share=0.4, size=0.2),
-        Trouble(what="kill", at_s=5.0, share=0.5, within_s=1.0),
-        Trouble(what="zone_cut", at_s=6.0, for_s=2.0, zone="a"),
-        Trouble(what="list_breaks", at_s=6.0, for_s=2.0),
+        Fault(fault_kind="lose_answers", at_s=4.0, for_s=3.0, share=0.4, size=0.3),
+        Fault(fault_kind="reset", at_s=5.0, for_s=3.0, share=0.4, size=0.2),
+        Fault(fault_kind="kill", at_s=5.0, share=0.5, within_s=1.0),
+        Fault(fault_kind="zone_cut", at_s=6.0, for_s=2.0, zone="a"),
+        Fault(fault_kind="list_breaks", at_s=6.0, for_s=2.0),
     )
     for seed in (3, 4):
-        result = play(rehearsal(troubles=troubles, klass=klass, proxies=6), seed)
+        result = play(rehearsal(faults=troubles, request_class=request_class, proxies=6), seed)
         assert result.kept, (seed, result.breaches[:3])
 
 
 def test_the_observer_judges_by_what_it_saw() -> None:
     """By hand: attempts, windows, groups, ends and drains, each just within its limit and just beyond."""
-    seen = Observer(20.0, 500.0, 6000.0, 10_000.0, 2000.0)
-    seen.started("p", 0.0)
-    seen.told_whole("p", {"n1": 0.0, "n2": 0.0, "n3": 0.0}, 0.0)
+    checker = InvariantChecker(20.0, 500.0, 6000.0, 10_000.0, 2000.0)
+    checker.proxy_started("p", 0.0)
+    checker.snapshot_received("p", {"n1": 0.0, "n2": 0.0, "n3": 0.0}, 0.0)
     repeats = [("n2", "r1", 5040.0), ("n2", "r1", 5060.0), ("n3", "r2", 90.0)]
     for request, (node, rack, at) in enumerate(repeats):
-        seen.took(request, request, "p", "keyed", "rack", 5000.0, 60_000.0)
-        seen.sent(request, 0, "p", "n1", "r1", "a", 0.0)
-        seen.ended(request, 0, False)
-        seen.sent(request, 1, "p", node, rack, "a", at)
-        assert seen.counts["twice"] == request, "within, beyond the window, another rack"
-    seen.answered(0, "refused", 5050.0)
-    assert seen.counts["twice"] == 3, "refused though it may have run"
-    seen.took(7, 7, "p", "unsafe", "rack", 0.0, 1000.0)
-    seen.sent(7, 0, "p", "n1", "r1", "a", 0.0)
-    seen.ended(7, 0, True)
-    seen.sent(7, 1, "p", "n2", "r1", "a", 10.0)
-    seen.answered(7, "served", 1069.0)
-    assert seen.counts == {"lost": 0, "twice": 3, "drain": 0, "cold": 0}, "what never ran may go again"
-    seen.took(8, 8, "p", "unsafe", "rack", 0.0, 1000.0)
-    seen.answered(8, "failed", 1071.0)
-    assert seen.counts["lost"] == 1, "too late by a little"
-    seen.known("n1", False, 2000.0)
-    seen.took(9, 9, "p", "safe", "rack", 0.0, 60_000.0)
-    seen.sent(9, 0, "p", "n1", "r1", "a", 8540.0)
-    assert seen.counts["drain"] == 0, "told by 8000 at the latest, then half a second's grace"
-    seen.sent(9, 1, "p", "n1", "r1", "a", 8560.0)
-    assert seen.counts["drain"] == 1
-    seen.known("n1", True, 9000.0)
-    seen.sent(9, 2, "p", "n1", "r1", "a", 9100.0)
-    assert seen.counts["drain"] == 1, "it is back"
+        checker.request_accepted(request, request, "p", "keyed", "rack", 5000.0, 60_000.0)
+        checker.attempt_sent(request, 0, "p", "n1", "r1", "a", 0.0)
+        checker.attempt_ended(request, 0, False)
+        checker.attempt_sent(request, 1, "p", node, rack, "a", at)
+        assert checker.counts["twice"] == request, "within, beyond the window, another rack"
+    checker.request_answered(0, "refused", 5050.0)
+    assert checker.counts["twice"] == 3, "refused though it may have run"
+    checker.request_accepted(7, 7, "p", "unsafe", "rack", 0.0, 1000.0)
+    checker.attempt_sent(7, 0, "p", "n1", "r1", "a", 0.0)
+    checker.attempt_ended(7, 0, True)
+    checker.attempt_sent(7, 1, "p", "n2", "r1", "a", 10.0)
+    checker.request_answered(7, "served", 1069.0)
+    assert checker.counts == {"lost": 0, "twice": 3, "drain": 0, "cold": 0}, "what never ran may go again"
+    checker.request_accepted(8, 8, "p", "unsafe", "rack", 0.0, 1000.0)
+    checker.request_answered(8, "failed", 1071.0)
+    assert checker.counts["lost"] == 1, "too late by a little"
+    checker.node_state_known("n1", False, 2000.0)
+    checker.request_accepted(9, 9, "p", "safe", "rack", 0.0, 60_000.0)
+    checker.attempt_sent(9, 0, "p", "n1", "r1", "a", 8540.0)
+    assert checker.counts["drain"] == 0, "told by 8000 at the latest, then half a second's grace"
+    checker.attempt_sent(9, 1, "p", "n1", "r1", "a", 8560.0)
+    assert checker.counts["drain"] == 1
+    checker.node_state_known("n1", True, 9000.0)
+    checker.attempt_sent(9, 2, "p", "n1", "r1", "a", 9100.0)
+    assert checker.counts["drain"] == 1, "it is back"
     for informed, counted in ((0.6, 0), (0.7, 1)):
-        seen.rose("n2", 50.0)
-        seen.told("p", "n2", True, 50.0, 60.0)
-        seen.started("q", 0.0)
+        checker.node_started_cold("n2", 50.0)
+        checker.change_received("p", "n2", True, 50.0, 60.0)
+        checker.proxy_started("q", 0.0)
         for number in range(10):
-            seen.offered("n2", "p" if number < informed * 10 else "q", 100.0, 100.0 + number)
-        seen.fell("n2", 200.0)
-        assert seen.counts["cold"] == counted, "two thirds have to know that it is cold"
+            checker.cold_work_arrived("n2", "p" if number < informed * 10 else "q", 100.0, 100.0 + number)
+        checker.node_collapsed("n2", 200.0)
+        assert checker.counts["cold"] == counted, "two thirds have to know that it is cold"
 
 
 def test_an_effect_that_took_place_twice_is_seen_whatever_was_sent() -> None:
-    seen = Observer(20.0, 500.0, 6000.0, 10_000.0, 2000.0)
-    seen.ran(5, "keyed", 1, "p", "n1", 0.0)
-    seen.ran(5, "keyed", 2, "p", "n2", 59_000.0)
-    assert seen.counts["twice"] == 1 and "n1" in seen.breaches[0].words
+    checker = InvariantChecker(20.0, 500.0, 6000.0, 10_000.0, 2000.0)
+    checker.effect_took_place(5, "keyed", 1, "p", "n1", 0.0)
+    checker.effect_took_place(5, "keyed", 2, "p", "n2", 59_000.0)
+    assert checker.counts["twice"] == 1 and "n1" in checker.breaches[0].words
     for minute in range(4):  # remembered for a minute or two, and no longer: the table has an end
-        seen.ran(100 + minute, "keyed", 3, "p", "n1", 61_000.0 * (minute + 2))
-    assert len(seen.effects[0]) + len(seen.effects[1]) <= 2
+        checker.effect_took_place(100 + minute, "keyed", 3, "p", "n1", 61_000.0 * (minute + 2))
+    assert len(checker.effects[0]) + len(checker.effects[1]) <= 2
 
 
 def test_slow_start_decides_whether_a_cold_machine_outlives_a_costly_burst() -> None:
     """With it the machine stands; the same module told that machines are never cold pushes it over."""
     burst = (
-        Trouble(what="replace", at_s=3.0, share=0.3, within_s=0.5, after_s=2.0),
-        Trouble(what="burst", at_s=4.0, for_s=6.0, size=1.6),
-        Trouble(what="heavy", at_s=4.0, for_s=6.0, share=0.03, size=12.0),
+        Fault(fault_kind="replace", at_s=3.0, share=0.3, within_s=0.5, after_s=2.0),
+        Fault(fault_kind="burst", at_s=4.0, for_s=6.0, size=1.6),
+        Fault(fault_kind="heavy", at_s=4.0, for_s=6.0, share=0.03, size=12.0),
     )
-    script = rehearsal(troubles=burst, load=0.55, kind=msgspec.structs.replace(COLD, queue=8))
+    script = rehearsal(faults=burst, load=0.55, kind=msgspec.structs.replace(COLD, queue=8))
 
     def never_cold(settings: Settings, seed: int) -> Balancer:
         return Balancer(replace(settings, cold_from=1.0, cold_ms=0.0), seed)
 
-    with_it, without = play(script, 5), World(script, 5, deciders=never_cold).run()
+    with_it, without = play(script, 5), Simulation(script, 5, deciders=never_cold).run()
     assert with_it.rules["cold"] == 0 and without.rules["cold"] > 0, (with_it.rules, without.rules)
     fell = [row for row in without.timeline if row["event"] == "fell"]
     assert fell and not [row for row in with_it.timeline if row["event"] == "fell"]
@@ -136,8 +136,8 @@
     """The first was lost with its process: its rack has to run the repeat, or nobody ever does."""
     rack = Rack("r0")
     one, other = (Node(n, f"n{n}", "a", rack, COLD, 1.0) for n in (1, 2))
-    assert one.offer(0.0, Job(5, 1, 80.0, "first", 5000.0)) == TAKEN
-    assert other.offer(10.0, Job(5, 1, 80.0, "second", 5000.0)) == REPEAT
-    assert [job.joined for job in one.die()] == [["second"]]
-    assert other.offer(20.0, Job(5, 1, 80.0, "third", 5000.0)) == TAKEN
-    assert rack.first(5, 5019.0) is not None and rack.first(5, 5021.0) is None
+    assert one.admit(0.0, Job(5, 1, 80.0, "first", 5000.0)) is Admission.ACCEPTED
+    assert other.admit(10.0, Job(5, 1, 80.0, "second", 5000.0)) is Admission.DUPLICATE
+    assert [job.duplicates for job in one.stop_process()] == [["second"]]
+    assert other.admit(20.0, Job(5, 1, 80.0, "third", 5000.0)) is Admission.ACCEPTED
+    assert rack.first_job(5, 5019.0) is not None and rack.first_job(5, 5021.0) is None
--- a/tests/emulator/test_scripts.py
+++ b/tests/emulator/test_scripts.py
@@ -11,11 +11,12 @@
 import msgspec
 import pytest
 
-from heronreel.emulator.events import Events
-from heronreel.emulator.load import load
-from heronreel.emulator.model import Class, Proxies, Trouble
-from heronreel.emulator.policies import make
-from heronreel.emulator.world import World, play
+from heronreel.emulator.client_request import ClientRequest
+from heronreel.emulator.events import EventQueue
+from heronreel.emulator.model import Fault, ProxyConfig, RequestClass
+from heronreel.emulator.policies import make_policy
+from heronreel.emulator.script_loader import load_script
+from heronreel.emulator.simulation import Simulation, play
 from heronreel.routes.load import load as load_routes
 from heronreel.routes.reader import BadFile
 from tests.support.rehearsals import KIND, rehearsal
@@ -47,7 +48,7 @@
 def problem(old: str, new: str) -> str:
     assert old in SCRIPT
     with pytest.raises(BadFile) as caught:
-        load(SCRIPT.replace(old, new).encode())
+        load_script(SCRIPT.replace(old, new).encode())
     return str(caught.value)
 
 
@@ -91,22 +92,22 @@
 
 def test_all_that_is_wrong_comes_at_once() -> None:
     with pytest.raises(BadFile) as caught:
-        load(SCRIPT.replace("nodes = 12", "nodes = 0").replace("at_s = 5.0", 'at_s = "x"').encode())
+        load_script(SCRIPT.replace("nodes = 12", "nodes = 0").replace("at_s = 5.0", 'at_s = "x"').encode())
     assert [problem.line for problem in caught.value.problems] == [5, 17]
 
 
 @pytest.mark.parametrize("path", EXAMPLES, ids=lambda path: path.stem)
 def test_the_examples_can_be_played(path: Path) -> None:
-    script = load(path.read_bytes())
-    assert script.troubles or script.name == "calm evening"
+    script = load_script(path.read_bytes())
+    assert script.faults or script.name == "calm evening"
 
 
 PLAY = """
 import sys
 from pathlib import Path
-from heronreel.emulator.load import load
-from heronreel.emulator.world import play
-script = load(Path(sys.argv[1]).read_bytes())
+from heronreel.emulator.script_loader import load_script
+from heronreel.emulator.simulation import play
+script = load_script(Path(sys.argv[1]).read_bytes())
 sys.stdout.buffer.write(play(script, int(sys.argv[2])).lines())
 """
 
@@ -148,37 +149,37 @@
     """Arrivals, work, keys and tenants are the script's and the seed's; no policy can shift them."""
 
     def asked(policy: str) -> list[tuple[float, float, int]]:
-        world = World(
-            rehearsal(seconds=4.0, troubles=(Trouble(what="burst", at_s=1.0, for_s=2.0, size=2.0),)),
+        simulation = Simulation(
+            rehearsal(seconds=4.0, faults=(Fault(fault_kind="burst", at_s=1.0, for_s=2.0, size=2.0),)),
             7,
             policy,
         )
         due: list[tuple[float, float, int]] = []
-        tried = world.clients._try
+        start_attempt = simulation.clients.start_attempt
 
-        def watch(line: object) -> None:
-            due.append((line.at, line.work, line.key))  # type: ignore[attr-defined]
-            tried(line)  # type: ignore[arg-type]
+        def watch(request: ClientRequest) -> None:
+            due.append((request.due_at, request.work, request.key))
+            start_attempt(request)
 
-        world.clients._try = watch  # type: ignore[method-assign]
-        world.run()
+        simulation.clients.start_attempt = watch  # type: ignore[method-assign]
+        simulation.run()
         return sorted(set(due))
 
     assert asked("random") == asked("heronreel") == asked("sees-all")
 
 
 def test_events_at_one_time_happen_in_the_order_in_which_they_were_set() -> None:
-    events, seen = Events(), []
+    events, seen = EventQueue(), []
 
     def note(number: int) -> None:
         seen.append(number)
         if number == 0:
-            events.at(5.0, note, 3)  # for now: after those that were set before
-            events.at(1.0, note, 4)  # for a time that has passed: now, too
+            events.schedule(5.0, note, 3)  # for now: after those that were set before
+            events.schedule(1.0, note, 4)  # for a time that has passed: now, too
 
     for number in range(3):
-        events.at(5.0, note, number)
-    events.run(5.0)
+        events.schedule(5.0, note, number)
+    events.run_until(5.0)
     assert seen == [0, 1, 2, 3, 4] and events.now == 5.0
 
 
@@ -201,7 +202,7 @@
 retry_on = ["not-run"]
 requests_per_s = 20.0
 """)
-    script = rehearsal(seconds=8.0, load=0.3, klass=Class(work_ms=60.0))
+    script = rehearsal(seconds=8.0, load=0.3, request_class=RequestClass(work_ms=60.0))
     bound, free = play(script, 9, routes=routes), play(script, 9)
     assert bound.kept and free.kept
     assert bound.counts["refused"] > 0.2 * bound.counts["requests"], "20 a second at each proxy"
@@ -210,7 +211,7 @@
 
 def test_a_trace_tells_what_was_believed_and_what_was_true() -> None:
     script = rehearsal(
-        seconds=6.0, troubles=(Trouble(what="slow", at_s=1.0, for_s=5.0, share=0.5, size=20.0),)
+        seconds=6.0, faults=(Fault(fault_kind="slow", at_s=1.0, for_s=5.0, share=0.5, size=20.0),)
     )
     plain = play(script, 10)
     result = play(script, 10, trace=[40, 41, 10**9])
@@ -227,44 +228,44 @@
     """The node stands still, is drained meanwhile, and goes when it has worked off what it had."""
     names = ["n1", "n2", "n3"]
     troubles = (
-        Trouble(what="pause", at_s=3.0, for_s=1.5, names=names),
-        Trouble(what="drain", at_s=3.4, names=names, after_s=5.0),
+        Fault(fault_kind="pause", at_s=3.0, for_s=1.5, names=names),
+        Fault(fault_kind="drain", at_s=3.4, names=names, after_s=5.0),
     )
-    result = play(rehearsal(troubles=troubles, load=0.5, kind=KIND), 15)
+    result = play(rehearsal(faults=troubles, load=0.5, kind=KIND), 15)
     assert result.kept and result.counts["lost"] == 0, result.breaches[:3]
     assert result.counts["served"] > 0.9 * result.counts["requests"]
 
 
 def test_a_node_replaced_at_its_address_within_the_second_is_told_from_the_one_before() -> None:
     """The new process starts cold, what the old one had is undone and may be repeated."""
-    troubles = (Trouble(what="replace", at_s=4.0, share=0.4, same=True),)
-    world = World(rehearsal(troubles=troubles, load=0.6), 16)
-    result = world.run()
+    troubles = (Fault(fault_kind="replace", at_s=4.0, share=0.4, same_address=True),)
+    simulation = Simulation(rehearsal(faults=troubles, load=0.6), 16)
+    result = simulation.run()
     assert result.kept, result.breaches[:3]
-    reborn = [node for node in world.fleet.nodes if node.since]
-    assert len(reborn) == 5 and all(node.since == 4000.0 and node.epoch == 2 for node in reborn)
-    assert len(world.fleet.nodes) == 12, "no new machine, no new id"
+    reborn = [node for node in simulation.fleet.nodes if node.started_at]
+    assert len(reborn) == 5 and all(node.started_at == 4000.0 and node.incarnation == 2 for node in reborn)
+    assert len(simulation.fleet.nodes) == 12, "no new machine, no new id"
     done = [row for row in result.seconds_rows if row["second"] > 6]
     assert sum(row.get("served", 0) for row in done) > 0.9 * sum(row["requests"] for row in done)
 
 
 def test_a_hidden_limit_slows_a_rack_while_each_of_its_nodes_looks_idle() -> None:
-    from heronreel.emulator.model import Fleet
+    from heronreel.emulator.model import FleetConfig
 
-    fleet = Fleet(nodes=12, zones=["a"], rack_size=6, limited_racks=0.5, rack_limit=0.3, kinds=(KIND,))
-    world = World(rehearsal(load=0.55, fleet=fleet), 17)
-    result = world.run()
+    fleet = FleetConfig(nodes=12, zones=["a"], rack_size=6, limited_racks=0.5, rack_limit=0.3, kinds=(KIND,))
+    simulation = Simulation(rehearsal(load=0.55, fleet=fleet), 17)
+    result = simulation.run()
     limited, free = (
-        [node for node in world.fleet.nodes if bool(node.rack.limit) is bound] for bound in (True, False)
+        [node for node in simulation.fleet.nodes if bool(node.rack.limit) is bound] for bound in (True, False)
     )
     assert len(limited) == len(free) == 6
-    seconds = world.events.now / 1000.0
-    work = [sum(node.worked for node in group) / seconds / 12_000.0 for group in (limited, free)]
+    seconds = simulation.events.now / 1000.0
+    work = [sum(node.work_done_ms for node in group) / seconds / 12_000.0 for group in (limited, free)]
     assert work[0] <= 0.3 + 1e-6 < work[1], "its nodes never get more than the limit together"
     factors = [
         sum(proxy.decider.backends[node.ident].factor for node in group) / 6.0  # type: ignore[union-attr]
         for group in (limited, free)
-        for proxy in world.proxies[:1]
+        for proxy in simulation.proxies[:1]
     ]
     assert factors[0] > 1.3 * factors[1], "ours has learned that they are slow"
     assert result.service["whole"] > play(rehearsal(load=0.55, fleet=fleet), 17, "random").service["whole"]
@@ -273,14 +274,16 @@
 @pytest.mark.parametrize("seed", [18, 19])
 def test_retries_feed_on_themselves_with_a_careless_policy_and_ours_comes_back(seed: int) -> None:
     """Metastable failure: a burst of 2 s is over, and a careless fleet stays down by its retries."""
-    from heronreel.emulator.model import Clients
+    from heronreel.emulator.model import ClientConfig
 
-    klass = Class(work_ms=60.0, effect="safe", aim_ms=300.0, deadline_ms=2000.0, late_worth=0.0)
+    request_class = RequestClass(
+        work_ms=60.0, effect="safe", latency_objective_ms=300.0, deadline_ms=2000.0, late_weight=0.0
+    )
     kind = msgspec.structs.replace(KIND, queue=200)  # rooms long enough to hold what is long out of date
-    trigger = (Trouble(what="burst", at_s=4.0, for_s=2.0, size=3.0),)
+    trigger = (Fault(fault_kind="burst", at_s=4.0, for_s=2.0, size=3.0),)
     script = rehearsal(
-        8, klass=klass, kind=kind, load=0.75, seconds=20.0, troubles=trigger,
-        clients=Clients(retries=2, backoff_ms=50.0),
+        8, request_class=request_class, kind=kind, load=0.75, seconds=20.0, faults=trigger,
+        clients=ClientConfig(retries=2, backoff_ms=50.0),
     )  # fmt: skip
     after = {}
     for policy in ("storm", "heronreel"):
@@ -291,15 +294,15 @@
 
 def test_every_policy_is_known_by_its_name() -> None:
     with pytest.raises(KeyError):
-        make("none", World(rehearsal(), 1).proxies[0].settings, 1)
-    assert Proxies().policy == "heronreel"
+        make_policy("none", Simulation(rehearsal(), 1).proxies[0].settings, 1)
+    assert ProxyConfig().policy == "heronreel"
 
 
 def test_troubles_of_one_kind_overlap_and_end_in_any_order() -> None:
     """The longer one goes on when the shorter one ends, and nothing is left when both have."""
     names = ["n1", "n2"]
     pairs = [
-        Trouble(what=what, at_s=at, for_s=lasts, **more)  # type: ignore[arg-type]
+        Fault(fault_kind=what, at_s=at, for_s=lasts, **more)  # type: ignore[arg-type]
         for what, more in (
             ("silent", {"names": names}), ("slow", {"names": names, "size": 3.0}),
             ("errors", {"names": names, "size": 0.2}), ("burst", {"size": 2.0}), ("list_refuses", {}),
@@ -307,19 +310,25 @@
         for at, lasts in ((1.0, 3.0), (2.0, 1.0))
     ]  # fmt: skip
     # of heavy requests the newest trouble counts, and here the first begun is the first to end
-    pairs.append(Trouble(what="heavy", at_s=1.0, for_s=2.0, share=0.1, size=5.0))
-    pairs.append(Trouble(what="heavy", at_s=2.0, for_s=2.0, share=0.2, size=7.0))
-    world = World(rehearsal(seconds=6.0, load=0.3, kind=KIND, troubles=tuple(pairs)), 20)
+    pairs.append(Fault(fault_kind="heavy", at_s=1.0, for_s=2.0, share=0.1, size=5.0))
+    pairs.append(Fault(fault_kind="heavy", at_s=2.0, for_s=2.0, share=0.2, size=7.0))
+    simulation = Simulation(rehearsal(seconds=6.0, load=0.3, kind=KIND, faults=tuple(pairs)), 20)
     seen: dict[float, list[object]] = {}
 
     def look() -> None:
-        node, clients = world.by_ident[world.fleet.nodes[0].ident], world.clients
-        state = [bool(node.silent), node.slow, round(node.errors, 6), clients.heavies[-1], clients.factor]
-        seen[world.events.now] = [*state, world.lists.refuses]
+        node, traffic = simulation.cluster.nodes[simulation.fleet.nodes[0].ident], simulation.traffic
+        state = [
+            bool(node.silent),
+            node.slowdown,
+            round(node.error_rate, 6),
+            traffic.heavy_work[-1],
+            traffic.rate_factor,
+        ]
+        seen[simulation.events.now] = [*state, simulation.context.endpoint_list.refusing]
 
     for at in (500.0, 1500.0, 2500.0, 3500.0, 5000.0):
-        world.events.at(at, look)
-    world.run()
+        simulation.events.schedule(at, look)
+    simulation.run()
     calm, one = [False, 1.0, 0.0, (0.0, 1.0), 1.0, False], [True, 3.0, 0.2, (0.1, 5.0), 2.0, True]
     assert seen[500.0] == seen[5000.0] == calm and seen[1500.0] == one
     assert seen[2500.0] == [True, 9.0, 0.4, (0.2, 7.0), 4.0, True]
--- a/tests/realtime/test_realtime.py
+++ b/tests/realtime/test_realtime.py
@@ -11,38 +11,39 @@
 import msgspec
 import pytest
 
-from heronreel.emulator.model import Class, Proxies, Rehearsal, Trouble
+from heronreel.emulator.model import Fault, ProxyConfig, Rehearsal, RequestClass
 from heronreel.emulator.result import Result
-from heronreel.emulator.world import play
-from heronreel.realtime import engine
-from heronreel.realtime.engine import NotPlayable, play_real
+from heronreel.emulator.simulation import play
+from heronreel.realtime import runtime
+from heronreel.realtime.engine import play_over_sockets
+from heronreel.realtime.errors import UnplayableScriptError
 from tests.support.rehearsals import rehearsal
 
 SCALE = 2.0
 MARGIN = 0.08  # of all requests: answered in time or late, refused or failed
-CASES: dict[str, tuple[Trouble, ...]] = {
+CASES: dict[str, tuple[Fault, ...]] = {
     "slow and failing nodes": (
-        Trouble(what="slow", at_s=1.0, for_s=3.0, names=["n1", "n2"], size=5.0),
-        Trouble(what="errors", at_s=2.0, for_s=2.0, names=["n4"], size=0.5),
+        Fault(fault_kind="slow", at_s=1.0, for_s=3.0, names=["n1", "n2"], size=5.0),
+        Fault(fault_kind="errors", at_s=2.0, for_s=2.0, names=["n4"], size=0.5),
     ),
-    "replaced by cold ones": (Trouble(what="replace", at_s=1.0, share=0.5, within_s=1.0, after_s=1.5),),
+    "replaced by cold ones": (Fault(fault_kind="replace", at_s=1.0, share=0.5, within_s=1.0, after_s=1.5),),
     "restarts and a kill": (
-        Trouble(what="restart", at_s=1.0, names=["p0"]),
-        Trouble(what="reload", at_s=2.0),
-        Trouble(what="kill", at_s=3.0, names=["p1"]),
+        Fault(fault_kind="restart", at_s=1.0, names=["p0"]),
+        Fault(fault_kind="reload", at_s=2.0),
+        Fault(fault_kind="kill", at_s=3.0, names=["p1"]),
     ),
     "the list and the network": (
-        Trouble(what="list_breaks", at_s=0.5, for_s=1.5),
-        Trouble(what="crash", at_s=1.0, names=["n3"], after_s=1.0),
-        Trouble(what="lose_answers", at_s=2.0, for_s=2.0, share=0.5, size=0.2),
-        Trouble(what="pause", at_s=3.0, for_s=0.4, names=["n5"]),
+        Fault(fault_kind="list_breaks", at_s=0.5, for_s=1.5),
+        Fault(fault_kind="crash", at_s=1.0, names=["n3"], after_s=1.0),
+        Fault(fault_kind="lose_answers", at_s=2.0, for_s=2.0, share=0.5, size=0.2),
+        Fault(fault_kind="pause", at_s=3.0, for_s=0.4, names=["n5"]),
     ),
 }
 
 
-def script(*troubles: Trouble) -> Rehearsal:
-    klass = Class(work_ms=60.0, attempt_noise=0.2)
-    return rehearsal(6, 3, 0.4, 5.0, klass=klass, troubles=troubles)
+def script(*troubles: Fault) -> Rehearsal:
+    request_class = RequestClass(work_ms=60.0, attempt_noise=0.2)
+    return rehearsal(6, 3, 0.4, 5.0, request_class=request_class, faults=troubles)
 
 
 def shares(result: Result) -> tuple[float, float]:
@@ -55,7 +56,7 @@
 def test_both_engines_agree_and_the_real_program_keeps_the_rules(case: str) -> None:
     seed = 5
     told = script(*CASES[case])
-    real, crashes = play_real(told, seed, SCALE)
+    real, crashes = play_over_sockets(told, seed, SCALE)
     virtual = play(told, seed)
     print(f"seed {seed}, {case}: real {real.counts}, virtual {virtual.counts}")
     assert not crashes
@@ -70,17 +71,17 @@
 def test_what_is_too_large_for_loopback_is_not_played() -> None:
     large = rehearsal(6, 3, 0.4, 5.0)
     cases: list[tuple[dict[str, Any], str]] = [
-        ({"proxies": Proxies(count=99)}, "99 proxies"),
+        ({"proxies": ProxyConfig(count=99)}, "99 proxies"),
         ({"seconds": 9000.0}, "requests: at most"),
     ]
     for changes, words in cases:
-        with pytest.raises(NotPlayable, match=words):
-            play_real(msgspec.structs.replace(large, **changes), 1)
+        with pytest.raises(UnplayableScriptError, match=words):
+            play_over_sockets(msgspec.structs.replace(large, **changes), 1)
 
 
 def test_bursts_do_not_carry_the_traffic_over_its_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine, "REQUESTS_MOST", 120)
-    told = rehearsal(4, 2, 0.1, 4.0, troubles=(Trouble(what="burst", at_s=0.1, for_s=3.5, size=6.0),))
-    result, crashes = play_real(told, 6)
+    monkeypatch.setattr(runtime, "MAX_REQUESTS", 120)
+    told = rehearsal(4, 2, 0.1, 4.0, faults=(Fault(fault_kind="burst", at_s=0.1, for_s=3.5, size=6.0),))
+    result, crashes = play_over_sockets(told, 6)
     assert crashes == ["stopped asking at 120 requests"] and result.counts["requests"] <= 130
     assert result.kept and result.counts["lost"] == 0
