--- a/bench/agreement.py
+++ b/bench/agreement.py
@@ -15,16 +15,16 @@
 
 import msgspec
 
-from heronreel.emulator.judge import ENDS
 from heronreel.emulator.result import Result
-from heronreel.emulator.world import play
-from heronreel.realtime.engine import play_real
+from heronreel.emulator.scoring import REQUEST_RESULTS
+from heronreel.emulator.simulation import play
+from heronreel.realtime.engine import play_over_sockets
 from tests.realtime.test_realtime import CASES, script
 
 
 def told(name: str, result: Result) -> str:
     counts, requests = result.counts, result.counts["requests"]
-    ends = "  ".join(f"{end} {counts[end] / requests:6.1%}" for end in ENDS if end != "left")
+    ends = "  ".join(f"{end} {counts[end] / requests:6.1%}" for end in REQUEST_RESULTS if end != "left")
     spans = "  ".join(f"{p} {result.percentiles[p]:6.0f}" for p in ("p50", "p90", "p99"))
     rules = "kept" if result.kept else str(result.rules)
     each = result.meter["attempts"] / requests
@@ -39,7 +39,7 @@
     for case, troubles in {"nothing wrong": (), **CASES}.items():
         one = msgspec.structs.replace(script(*troubles), seconds=8.0)
         for seed in range(1, options.seeds + 1):
-            real, crashes = play_real(one, seed, options.scale)
+            real, crashes = play_over_sockets(one, seed, options.scale)
             print(f"{case}, seed {seed}, {real.counts['requests']} requests {crashes or ''}")
             print(told("real", real))
             print(told("virtual", play(one, seed)), flush=True)
--- a/bench/emulator.py
+++ b/bench/emulator.py
@@ -23,36 +23,49 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from heronreel.emulator.events import Events
-from heronreel.emulator.model import Class, Fleet, Kind, Prices, Proxies, Rehearsal, Tenant, Traffic, Trouble
-from heronreel.emulator.world import play
+from heronreel.emulator.events import EventQueue
+from heronreel.emulator.model import (
+    Fault,
+    FleetConfig,
+    NodeKind,
+    Prices,
+    ProxyConfig,
+    Rehearsal,
+    RequestClass,
+    Tenant,
+    TrafficConfig,
+)
+from heronreel.emulator.simulation import play
 
 SIZES = ((12, 30, 640), (60, 150, 3200), (200, 200, 640), (200, 200, 3200))  # proxies, nodes, rate
 LOAD, SECONDS = 0.6, 10.0
 WORK_MOST_MS = 150.0
 PARTS = {
     "cores": 2, "speed_cv": 0.15, "queue": 4, "thrash": 0.3, "connections": 104, "full_tax": 0.3,
-    "handshake_ms": 1.5, "handshake_rtts": 2.5, "warm_gain": 0.5, "warm_ms": 6000.0, "cold_from": 0.15,
-    "cold_ms": 20_000.0, "error_rate": 0.001, "pause_every_ms": 6000.0, "pause_ms": 60.0,
+    "handshake_ms": 1.5, "handshake_rtts": 2.5, "warm_gain": 0.5, "warm_ms": 6000.0, "warm_up_floor": 0.15,
+    "warm_up_ms": 20_000.0, "error_rate": 0.001, "pause_every_ms": 6000.0, "pause_ms": 60.0,
 }  # fmt: skip
 KINDS = tuple(
-    Kind(name=name, share=share, speed=speed, **PARTS)  # type: ignore[arg-type]
+    NodeKind(name=name, share=share, speed=speed, **PARTS)  # type: ignore[arg-type]
     for name, share, speed in (("veloce", 0.33, 1.6), ("medio", 0.5, 1.0), ("lento", 0.17, 0.6))
 )
 
 
 def script(proxies: int, nodes: int, rate: float, seconds: float) -> Rehearsal:
     """A fleet like the site's, with one node in eight slow; work as large as makes it busy."""
-    fleet = Fleet(nodes=nodes, zones=["a", "b"], limited_racks=0.3, kinds=KINDS)
+    fleet = FleetConfig(nodes=nodes, zones=["a", "b"], limited_racks=0.3, kinds=KINDS)
     base = Rehearsal(seconds=seconds, fleet=fleet)
     work = min(WORK_MOST_MS, LOAD * base.capacity() * 1000.0 / rate)
     return Rehearsal(
-        seconds=seconds, fleet=fleet, proxies=Proxies(count=proxies, skew=0.3),
-        traffic=Traffic(requests_per_s=rate),
-        classes=(Class(work_ms=work, attempt_noise=0.2),), tenants=(Tenant("x", 0.55), Tenant("y", 0.45)),
+        seconds=seconds,
+        fleet=fleet,
+        proxies=ProxyConfig(count=proxies, skew=0.3),
+        traffic=TrafficConfig(requests_per_s=rate),
+        classes=(RequestClass(work_ms=work, attempt_noise=0.2),),
+        tenants=(Tenant("x", 0.55), Tenant("y", 0.45)),
         prices=Prices(handshake=0.03, connection=0.03, cross_zone=0.03, late_failure=0.03, waste=0.02),
-        troubles=(Trouble(what="slow", at_s=seconds / 4, for_s=seconds / 2, share=0.125, size=4.0),),
-    )  # fmt: skip
+        faults=(Fault(fault_kind="slow", at_s=seconds / 4, for_s=seconds / 2, share=0.125, size=4.0),),
+    )
 
 
 def one(proxies: int, nodes: int, rate: float, seconds: float, policy: str) -> str:
@@ -75,7 +88,7 @@
 
 def queues(attempts: int = 50_000) -> None:
     """Attempts that end by an answer or a time-out, whichever is first, 1 ms apart: ours, and processes."""
-    ours = Events()
+    ours = EventQueue()
     ended = [0]
 
     def end(state: list[bool]) -> None:
--- a/bench/truths.py
+++ b/bench/truths.py
@@ -24,25 +24,34 @@
 
 from heronreel.balancer import interface as api
 from heronreel.balancer.choice import COLD_SHARE, PERIOD_MS
-from heronreel.emulator.model import Class, Fleet, Prices, Proxies, Rehearsal, Tenant, Traffic, Trouble
-from heronreel.emulator.policies import Decider, Hosted
-from heronreel.emulator.world import World
+from heronreel.emulator.model import (
+    Fault,
+    FleetConfig,
+    Prices,
+    ProxyConfig,
+    Rehearsal,
+    RequestClass,
+    Tenant,
+    TrafficConfig,
+)
+from heronreel.emulator.policies import Decider, HostedBalancer
+from heronreel.emulator.simulation import Simulation
 from heronreel.experiments.compare import compared
 from heronreel.experiments.identity import Setting, changed, constants
 
 SECONDS = 24.0
-BAD = Trouble(what="errors", at_s=4.0, for_s=14.0, share=0.125, size=0.6)
-SLOW = Trouble(what="slow", at_s=4.0, for_s=14.0, share=0.125, size=5.0)
-DAYS: dict[str, tuple[Trouble, ...]] = {
-    "calm": (Trouble(what="burst", at_s=8.0, for_s=6.0, size=1.5),),
+BAD = Fault(fault_kind="errors", at_s=4.0, for_s=14.0, share=0.125, size=0.6)
+SLOW = Fault(fault_kind="slow", at_s=4.0, for_s=14.0, share=0.125, size=5.0)
+DAYS: dict[str, tuple[Fault, ...]] = {
+    "calm": (Fault(fault_kind="burst", at_s=8.0, for_s=6.0, size=1.5),),
     "herd": (
-        Trouble(what="kill", at_s=6.0, share=0.7),
-        Trouble(what="list_slow", at_s=6.0, for_s=6.0, size=3.0),
+        Fault(fault_kind="kill", at_s=6.0, share=0.7),
+        Fault(fault_kind="list_slow", at_s=6.0, for_s=6.0, size=3.0),
         BAD,
     ),
-    "zone": (Trouble(what="zone_lost", at_s=5.0, for_s=5.0, zone="b"), SLOW),
-    "join": (Trouble(what="replace", at_s=4.0, share=0.6, within_s=7.0, after_s=3.0), BAD),
-    "shortage": (Trouble(what="burst", at_s=4.0, for_s=16.0, size=2.2),),
+    "zone": (Fault(fault_kind="zone_lost", at_s=5.0, for_s=5.0, zone="b"), SLOW),
+    "join": (Fault(fault_kind="replace", at_s=4.0, share=0.6, within_s=7.0, after_s=3.0), BAD),
+    "shortage": (Fault(fault_kind="burst", at_s=4.0, for_s=16.0, size=2.2),),
 }
 
 
@@ -51,21 +60,21 @@
 
     `scarce`: 120 proxies, and half as many connections at each node.
     """
-    klass = Class(work_ms=90.0, dist="lognormal", cv=1.1, attempt_noise=0.2)
+    request_class = RequestClass(work_ms=90.0, distribution="lognormal", cv=1.1, attempt_noise=0.2)
     kinds = tuple(msgspec.structs.replace(k, connections=52 if scarce else 104) for k in KINDS)
-    fleet = Fleet(nodes=40, zones=["a", "b"], limited_racks=0.3, kinds=kinds)
+    fleet = FleetConfig(nodes=40, zones=["a", "b"], limited_racks=0.3, kinds=kinds)
     base = Rehearsal(
-        name=name, seconds=SECONDS, fleet=fleet, proxies=Proxies(count=120 if scarce else 40, skew=0.3),
-        classes=(klass,),
+        name=name, seconds=SECONDS, fleet=fleet, proxies=ProxyConfig(count=120 if scarce else 40, skew=0.3),
+        classes=(request_class,),
         prices=Prices(handshake=0.03, connection=0.03, cross_zone=0.03, late_failure=0.03, waste=0.02),
-        troubles=DAYS[name],
+        faults=DAYS[name],
     )  # fmt: skip
-    rate = 0.62 * base.capacity() * 1000.0 / klass.work_ms
+    rate = 0.62 * base.capacity() * 1000.0 / request_class.work_ms
     quotas = (Tenant("x", 0.55, quota_per_s=0.6 * rate), Tenant("y", 0.45, quota_per_s=0.5 * rate))
-    return msgspec.structs.replace(base, traffic=Traffic(requests_per_s=rate), tenants=quotas)
+    return msgspec.structs.replace(base, traffic=TrafficConfig(requests_per_s=rate), tenants=quotas)
 
 
-class AlikeCold(Hosted):
+class AlikeCold(HostedBalancer):
     """Cold credit as it was: every cold node the same part of what is served, whatever its kind."""
 
     def _grant_credit(self, now: float, periods: float) -> None:
@@ -111,7 +120,7 @@
     settings = tuple(Setting(key, value) for key, value in told if key != "alike")
     with constants(settings):
         made = alike if ("alike", 1) in told else None
-        result = World(changed(day(name, scarce), settings), seed, deciders=made).run()
+        result = Simulation(changed(day(name, scarce), settings), seed, deciders=made).run()
     return {"script": name, **result.row()}
 
 
--- a/heronreel/cli/rehearse.py
+++ b/heronreel/cli/rehearse.py
@@ -40,11 +40,11 @@
 
 
 def _script(path: Path) -> Rehearsal:
-    from heronreel.emulator.load import load
+    from heronreel.emulator.script_loader import load_script
     from heronreel.routes.reader import BadFile
 
     try:
-        return load(path.read_bytes())
+        return load_script(path.read_bytes())
     except OSError as error:
         _stop(f"{path}: {error.strerror}")
     except BadFile as error:
@@ -54,9 +54,9 @@
 
 
 def _known(policy: str) -> None:
-    from heronreel.emulator.policies import CARELESS, POLICIES
+    from heronreel.emulator.policies import FAULTY_POLICIES, POLICIES
 
-    names = (*POLICIES, *CARELESS)
+    names = (*POLICIES, *FAULTY_POLICIES)
     if policy not in names:
         _stop(f"policy: there is no {policy!r}; known here: {', '.join(sorted(names))}")
 
@@ -105,12 +105,12 @@
     """Play one script; exit 1 if a rule was broken."""
     rehearsal = _script(file)
     routes = _routes(rehearsal, file)
-    from heronreel.emulator.policies import BASELINES, OURS
+    from heronreel.emulator.policies import BASELINES, DEFAULT_POLICY
 
     policy = policy or rehearsal.proxies.policy
     _known(policy)
-    names = [policy] + ([] if alone else [name for name in (OURS, *BASELINES) if name != policy])
-    if real and (policy != OURS or routes is not None):
+    names = [policy] + ([] if alone else [name for name in (DEFAULT_POLICY, *BASELINES) if name != policy])
+    if real and (policy != DEFAULT_POLICY or routes is not None):
         _stop("real: the real proxy plays its own decisions, without --policy and without routes")
     results = _played(rehearsal, names, seed, trace, routes, as_json)
     if real:
@@ -119,7 +119,7 @@
     broken_by = ours.lines_of_breaches()[:20]
     if page and broken_by and not trace and not real:
         # breaches are linked to their traces: the same play once more, with those requests followed
-        from heronreel.emulator.world import play
+        from heronreel.emulator.simulation import play
 
         ours = results[0] = play(rehearsal, seed, policy, broken_by, routes)
     if timeline:
@@ -144,7 +144,7 @@
     from rich.console import Console
     from rich.progress import BarColumn, Progress, TextColumn, TimeRemainingColumn
 
-    from heronreel.emulator.world import play
+    from heronreel.emulator.simulation import play
 
     results = []
     console = Console(stderr=True)
@@ -166,14 +166,17 @@
     from rich.console import Console
     from rich.progress import Progress
 
-    from heronreel.realtime.engine import NotPlayable, play_real
+    from heronreel.realtime.engine import play_over_sockets
+    from heronreel.realtime.errors import UnplayableScriptError
 
     console = Console(stderr=True)
     with Progress(console=console, disable=quiet or not console.is_terminal, transient=True) as bar:
         task = bar.add_task("real sockets", total=1.0)
         try:
-            result, crashes = play_real(rehearsal, seed, scale, lambda done: bar.update(task, completed=done))
-        except NotPlayable as error:
+            result, crashes = play_over_sockets(
+                rehearsal, seed, scale, lambda done: bar.update(task, completed=done)
+            )
+        except UnplayableScriptError as error:
             _stop(f"real: {error}")
     for words in crashes:
         click.echo(f"heronreel rehearse: {words}", err=True)
@@ -373,7 +376,7 @@
     text = head + written(found.rehearsal)
     if out:
         _write(out, text.encode())
-        click.echo(f"{out}: {len(found.rehearsal.troubles)} troubles, {found.rehearsal.fleet.nodes} nodes")
+        click.echo(f"{out}: {len(found.rehearsal.faults)} troubles, {found.rehearsal.fleet.nodes} nodes")
     else:
         click.echo(text)
 
@@ -386,7 +389,7 @@
 @click.option("--out", type=click.Path(path_type=Path), help="Where the script goes; else standard output.")
 def replay_command(incident: Path, base: Path, out: Path | None) -> None:
     """Turn a recorded incident (JSON lines) into a script that can be played."""
-    from heronreel.emulator.load import load
+    from heronreel.emulator.script_loader import load_script
     from heronreel.experiments.scripts import BadIncident, of_incident, written
     from heronreel.routes.reader import BadFile
 
@@ -394,7 +397,7 @@
     try:
         made, passed = of_incident(rehearsal, incident.read_bytes())
         text = written(made)
-        load(text.encode())  # what is written can be played
+        load_script(text.encode())  # what is written can be played
     except OSError as error:
         _stop(f"{incident}: {error.strerror}")
     except BadIncident as error:
@@ -405,6 +408,6 @@
         click.echo(f"{incident}: {passed} lines without a trouble passed over", err=True)
     if out:
         _write(out, text.encode())
-        click.echo(f"{out}: {len(made.troubles)} troubles")
+        click.echo(f"{out}: {len(made.faults)} troubles")
     else:
         click.echo(text)
--- a/heronreel/experiments/scripts.py
+++ b/heronreel/experiments/scripts.py
@@ -14,10 +14,10 @@
 import tomli_w
 
 from heronreel.emulator import model
-from heronreel.emulator.model import Rehearsal, Trouble
+from heronreel.emulator.model import Fault, Rehearsal
 
 LINES_MOST = 100_000
-FIELDS = {field.name for field in msgspec.structs.fields(Trouble)}
+FIELDS = {field.encode_name for field in msgspec.structs.fields(Fault)}
 
 
 class BadIncident(ValueError):
@@ -51,20 +51,23 @@
 
 def _trimmed(row: dict[str, Any], what: str) -> dict[str, Any]:
     specs: dict[str, type[msgspec.Struct]] = {
-        "classes": model.Class, "tenants": model.Tenant, "troubles": model.Trouble, "kinds": model.Kind,
-    }  # fmt: skip
+        "classes": model.RequestClass,
+        "tenants": model.Tenant,
+        "troubles": model.Fault,
+        "kinds": model.NodeKind,
+    }
     defaults: dict[str, Any] = {}
     for field in msgspec.structs.fields(specs[what]):
         if field.default_factory is not msgspec.NODEFAULT:
-            defaults[field.name] = field.default_factory()
+            defaults[field.encode_name] = field.default_factory()
         elif field.default is not msgspec.NODEFAULT:
-            defaults[field.name] = field.default
+            defaults[field.encode_name] = field.default
     return {k: v for k, v in row.items() if k not in defaults or defaults[k] != v}
 
 
 def of_incident(base: Rehearsal, data: bytes) -> tuple[Rehearsal, int]:
     """The base's fleet and traffic with the incident's troubles; and how many lines were passed over."""
-    troubles: list[Trouble] = []
+    troubles: list[Fault] = []
     passed = 0
     open_: dict[int, int] = {}  # a timeline's trouble: its place here
     rows = data.splitlines()
@@ -90,34 +93,40 @@
     end = max(trouble.at_s + max(trouble.for_s, trouble.within_s) for trouble in troubles)
     seconds = max(base.seconds, end + 5.0)
     name = f"{base.name}, an incident replayed"[:200]
-    return msgspec.structs.replace(base, name=name, seconds=seconds, troubles=tuple(troubles)), passed
+    return msgspec.structs.replace(base, name=name, seconds=seconds, faults=tuple(troubles)), passed
 
 
-def _of_line(row: dict[str, Any], number: int) -> Trouble:
+def _of_line(row: dict[str, Any], number: int) -> Fault:
     unknown = sorted(row.keys() - FIELDS)
     if unknown:
         raise BadIncident(f"line {number}: no such field of a trouble: {', '.join(unknown)}")
     try:
-        return msgspec.convert(row, Trouble)
+        return msgspec.convert(row, Fault)
     except msgspec.ValidationError as error:
         raise BadIncident(f"line {number}: {error}") from None
 
 
 def _of_timeline(
-    base: Rehearsal, row: dict[str, Any], troubles: list[Trouble], open_: dict[int, int], number: int
+    base: Rehearsal, row: dict[str, Any], troubles: list[Fault], open_: dict[int, int], number: int
 ) -> None:
     """A trouble as it was carried out: the script's own, with the targets that it had."""
     place = row.get("trouble")
-    if not isinstance(place, int) or not 0 <= place < len(base.troubles):
+    if not isinstance(place, int) or not 0 <= place < len(base.faults):
         raise BadIncident(f"line {number}: trouble {place!r} is none of the script that it is replayed on")
     if row["event"] == "begins":
-        trouble = base.troubles[place]
+        trouble = base.faults[place]
         names = [name for name in row.get("names", ()) if name[:1] in "np" and name[1:].isdigit()]
         if names:
             trouble = msgspec.structs.replace(
-                trouble, names=names, share=0.0, busiest=0, count=0,
-                rack="", zone="" if trouble.what not in ("zone_cut", "shift") else trouble.zone, kind="",
-            )  # fmt: skip
+                trouble,
+                names=names,
+                share=0.0,
+                busiest=0,
+                count=0,
+                rack="",
+                zone="" if trouble.fault_kind not in ("zone_cut", "shift") else trouble.zone,
+                node_kind="",
+            )
         open_[place] = len(troubles)
         troubles.append(msgspec.structs.replace(trouble, at_s=row["at_ms"] / 1000.0))
     elif place in open_:
--- a/heronreel/experiments/shrink.py
+++ b/heronreel/experiments/shrink.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from heronreel.emulator.model import Kind, Rehearsal, Trouble
-from heronreel.emulator.world import play
+from heronreel.emulator.model import Fault, NodeKind, Rehearsal
+from heronreel.emulator.simulation import play
 
 PLAYS_MOST = 300
 AFTER_S = 1.0  # that stay behind the breach
@@ -81,12 +81,12 @@
 
     def _troubles(self) -> None:
         parts = 2
-        while self.best.troubles and self.plays < PLAYS_MOST:
-            troubles = self.best.troubles
+        while self.best.faults and self.plays < PLAYS_MOST:
+            troubles = self.best.faults
             size = max(1, -(-len(troubles) // parts))
             for start in range(0, len(troubles), size):
                 left = troubles[:start] + troubles[start + size :]
-                if self._fails(msgspec.structs.replace(self.best, troubles=left)):
+                if self._fails(msgspec.structs.replace(self.best, faults=left)):
                     self.told(f"{len(left)} troubles")
                     parts = max(2, parts - 1)
                     break
@@ -101,7 +101,7 @@
         end = round(self.at_ms / 1000.0 + AFTER_S, 1)
         if end < self.best.seconds:
             yield f"{end:g} s", cut_at(self.best, end)
-        if len(self.best.fleet.zones) > 1 and not any(trouble.zone for trouble in self.best.troubles):
+        if len(self.best.fleet.zones) > 1 and not any(trouble.zone for trouble in self.best.faults):
             yield (
                 "one zone",
                 replace(self.best, fleet=replace(self.best.fleet, zones=self.best.fleet.zones[:1])),
@@ -122,28 +122,28 @@
             )
         if self.best.traffic.points:
             yield "steady traffic", replace(self.best, traffic=replace(self.best.traffic, points=()))
-        if self.best.tenants and not any(trouble.tenant for trouble in self.best.troubles):
+        if self.best.tenants and not any(trouble.tenant for trouble in self.best.faults):
             yield "no tenants", replace(self.best, tenants=())
         if self.best.clients.retries:
             yield "no client retries", replace(self.best, clients=replace(self.best.clients, retries=0))
         if self.best.fleet.limited_racks:
             yield "no limited racks", replace(self.best, fleet=replace(self.best.fleet, limited_racks=0.0))
-        if len(self.best.fleet.kinds) > 1 and not any(trouble.kind for trouble in self.best.troubles):
+        if len(self.best.fleet.kinds) > 1 and not any(trouble.node_kind for trouble in self.best.faults):
             yield (
                 "one kind",
                 replace(self.best, fleet=replace(self.best.fleet, kinds=self.best.fleet.kinds[:1])),
             )
         for part, off in PARTS.items():
             if any(getattr(kind, part) != off for kind in self.best.fleet.kinds):
-                kinds: tuple[Kind, ...] = tuple(replace(k, **{part: off}) for k in self.best.fleet.kinds)
+                kinds: tuple[NodeKind, ...] = tuple(replace(k, **{part: off}) for k in self.best.fleet.kinds)
                 yield f"without {part}", replace(self.best, fleet=replace(self.best.fleet, kinds=kinds))
 
 
 def cut_at(rehearsal: Rehearsal, end: float) -> Rehearsal:
     """The script up to `end`, s; troubles that would go on end with it."""
     replace = msgspec.structs.replace
-    troubles: list[Trouble] = []
-    for trouble in rehearsal.troubles:
+    troubles: list[Fault] = []
+    for trouble in rehearsal.faults:
         if trouble.at_s < end:
             left = round(end - trouble.at_s, 6)
             troubles.append(
@@ -151,7 +151,7 @@
             )
     points = tuple(point for point in rehearsal.traffic.points if point.at_s <= end)
     traffic = replace(rehearsal.traffic, points=points)
-    return replace(rehearsal, seconds=end, troubles=tuple(troubles), traffic=traffic)
+    return replace(rehearsal, seconds=end, faults=tuple(troubles), traffic=traffic)
 
 
 def shrink(
--- a/heronreel/experiments/sweep.py
+++ b/heronreel/experiments/sweep.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from heronreel.emulator.model import Rehearsal
-from heronreel.emulator.world import play
+from heronreel.emulator.simulation import play
 from heronreel.experiments.identity import (
     PLAYS_MOST,
     BadSet,
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -255,12 +255,15 @@
 
 SCRIPT = model.Rehearsal(
     "pinned", 2.0,
-    model.Fleet(4, ["a", "b"], 2, 0.5, 0.7, (model.Kind("medio", 1.0, 2, 1, 1.5), model.Kind("tiny", 0.5))),
-    model.Network(0.4, 10.0), model.Proxies(2, 0.5), model.Front(1500.0),
-    model.Traffic(40.0, 0.25, "open", 50, 500.0, (model.Point(0.5, 2.0),)),
-    (model.Class("save", 1.0, 60.0, "fixed"),), (model.Tenant("t1", 0.5, 2.0),), model.Keys(10),
-    model.Clients(2), model.List(150.0), model.Rules(60.0), model.Prices(0.125), model.Score(0.5, 0.25),
-    (model.Trouble("slow", 0.5, 1.0, 3.0, 0.0, ["n1"]), model.Trouble("errors", 1.0, 0.5, 0.5, 0.5)),
+    model.FleetConfig(4, ["a", "b"], 2, 0.5, 0.7,
+                      (model.NodeKind("medio", 1.0, 2, 1, 1.5), model.NodeKind("tiny", 0.5))),
+    model.NetworkConfig(0.4, 10.0), model.ProxyConfig(2, 0.5), model.FrontEndConfig(1500.0),
+    model.TrafficConfig(40.0, 0.25, "open", 50, 500.0, (model.TrafficPoint(0.5, 2.0),)),
+    (model.RequestClass("save", 1.0, 60.0, "fixed"),),
+    (model.Tenant("t1", 0.5, 2.0),), model.KeyDistribution(10),
+    model.ClientConfig(2), model.EndpointListConfig(150.0),
+    model.InvariantLimits(60.0), model.Prices(0.125), model.ScoreWeights(0.5, 0.25),
+    (model.Fault("slow", 0.5, 1.0, 3.0, 0.0, ["n1"]), model.Fault("errors", 1.0, 0.5, 0.5, 0.5)),
 )  # fmt: skip
 INCIDENT = b"""{"at_s": 0.25, "what": "slow", "names": ["n1"], "for_s": 1.5, "size": 4.0}
 {"event": "begins", "trouble": 1, "at_ms": 700.0, "names": ["n2"]}
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -19,8 +19,8 @@
 
 from heronreel.coordination.keyspace import Keyspace
 from heronreel.coordination.model import Record
-from heronreel.emulator.load import load
 from heronreel.emulator.model import Rehearsal
+from heronreel.emulator.script_loader import load_script
 from heronreel.experiments.identity import play_key, script_digest
 from heronreel.experiments.scripts import of_incident
 from heronreel.experiments.table import read
@@ -215,12 +215,12 @@
 
 
 def test_scripts_are_read_and_known_by_the_same_digests() -> None:
-    script = load((DATA / "script.toml").read_bytes())
+    script = load_script((DATA / "script.toml").read_bytes())
     assert script_digest(script) == script_digest(stored_data.SCRIPT) == "9751dab712d71513"
     assert script_digest(Rehearsal()) == "cd0403b9cd317132"
     replayed, passed = of_incident(script, stored_data.INCIDENT)
     assert passed == 1
-    assert script_digest(load((DATA / "incident.toml").read_bytes())) == script_digest(replayed)
+    assert script_digest(load_script((DATA / "incident.toml").read_bytes())) == script_digest(replayed)
 
 
 def test_plays_are_read_and_known_by_the_same_keys() -> None:
--- a/tests/experiments/test_experiments.py
+++ b/tests/experiments/test_experiments.py
@@ -18,9 +18,9 @@
 
 from heronreel.balancer import subset
 from heronreel.cli.__main__ import main
-from heronreel.emulator.load import load
-from heronreel.emulator.model import Trouble
-from heronreel.emulator.world import play
+from heronreel.emulator.model import Fault
+from heronreel.emulator.script_loader import load_script
+from heronreel.emulator.simulation import play
 from heronreel.experiments.compare import Difference, NotComparable, compared, difference, pairs
 from heronreel.experiments.identity import (
     BadSet,
@@ -49,9 +49,9 @@
 
 
 def test_a_script_written_anew_is_the_same_script() -> None:
-    troubles = (Trouble(what="slow", at_s=0.5, for_s=1.0, size=3.0, names=["n1", "n2"]),)
-    for script in (SMALL, msgspec.structs.replace(SMALL, troubles=troubles)):
-        again = load(written(script).encode())
+    troubles = (Fault(fault_kind="slow", at_s=0.5, for_s=1.0, size=3.0, names=["n1", "n2"]),)
+    for script in (SMALL, msgspec.structs.replace(SMALL, faults=troubles)):
+        again = load_script(written(script).encode())
         assert script_digest(again) == script_digest(script)
         assert play(again, 3).digest() == play(script, 3).digest()
 
@@ -73,9 +73,9 @@
 SWEEP = """
 import sys
 from pathlib import Path
-from heronreel.emulator.load import load
+from heronreel.emulator.script_loader import load_script
 from heronreel.experiments.sweep import planned, sweep
-plays = planned(load(Path(sys.argv[1]).read_bytes()), list(range(1, 13)), ["heronreel"], [])
+plays = planned(load_script(Path(sys.argv[1]).read_bytes()), list(range(1, 13)), ["heronreel"], [])
 print("played", sweep(plays, Path(sys.argv[2]), 1, lambda done, of: print(done, flush=True)))
 """
 
@@ -141,12 +141,14 @@
 
 
 def test_settings_reach_the_script_and_the_module_and_are_taken_back() -> None:
-    script = msgspec.structs.replace(SMALL, troubles=(Trouble(what="slow", at_s=0.5, for_s=1.0, size=3.0),))
+    script = msgspec.structs.replace(SMALL, faults=(Fault(fault_kind="slow", at_s=0.5, for_s=1.0, size=3.0),))
     one = changed(
         script,
         (Setting("proxies.idle_ms", 9000), Setting("troubles.0.size", 5), Setting("list.lines_per_s", 9)),
     )
-    assert one.proxies.idle_ms == 9000.0 and one.troubles[0].size == 5.0 and one.list.lines_per_s == 9.0
+    assert (
+        one.proxies.idle_ms == 9000.0 and one.faults[0].size == 5.0 and one.endpoint_list.entries_per_s == 9.0
+    )
     before = subset.KEPT_BY
     with constants((Setting("heronreel.balancer.subset.KEPT_BY", 77),)):
         assert subset.KEPT_BY == 77
@@ -208,20 +210,20 @@
 def test_a_failing_script_is_cut_down_to_what_breaks_the_rule() -> None:
     """Of seven troubles one makes a policy that is careless about drains break the rule."""
     troubles = (
-        Trouble(what="slow", at_s=0.5, for_s=2.0, share=0.3, size=4.0),
-        Trouble(what="errors", at_s=1.0, for_s=2.0, share=0.3, size=0.3),
-        Trouble(what="burst", at_s=1.0, for_s=2.0, size=1.3),
-        Trouble(what="drain", at_s=1.0, share=0.3, after_s=6.0),
-        Trouble(what="heavy", at_s=1.0, for_s=2.0, share=0.01, size=5.0),
-        Trouble(what="list_late", at_s=2.0, for_s=1.0, size=0.2),
-        Trouble(what="neighbour", at_s=2.0, for_s=1.0, share=0.3, size=0.3),
+        Fault(fault_kind="slow", at_s=0.5, for_s=2.0, share=0.3, size=4.0),
+        Fault(fault_kind="errors", at_s=1.0, for_s=2.0, share=0.3, size=0.3),
+        Fault(fault_kind="burst", at_s=1.0, for_s=2.0, size=1.3),
+        Fault(fault_kind="drain", at_s=1.0, share=0.3, after_s=6.0),
+        Fault(fault_kind="heavy", at_s=1.0, for_s=2.0, share=0.01, size=5.0),
+        Fault(fault_kind="list_late", at_s=2.0, for_s=1.0, size=0.2),
+        Fault(fault_kind="neighbour", at_s=2.0, for_s=1.0, share=0.3, size=0.3),
     )
-    script = rehearsal(12, 4, 0.5, 8.0, troubles=troubles)
+    script = rehearsal(12, 4, 0.5, 8.0, faults=troubles)
     found = shrink(script, 3, "careless-drain")
-    assert found.rule == "drain" and [trouble.what for trouble in found.rehearsal.troubles] == ["drain"]
+    assert found.rule == "drain" and [fault.fault_kind for fault in found.rehearsal.faults] == ["drain"]
     small = found.rehearsal
     assert small.fleet.nodes < 12 and small.proxies.count < 4 and small.seconds < 8.0
-    again = play(load(written(small).encode()), 3, "careless-drain")
+    again = play(load_script(written(small).encode()), 3, "careless-drain")
     assert again.rules["drain"] and again.breaches[0]["at_ms"] == found.at_ms
     with pytest.raises(NothingBroken, match="breaks no rule"):
         shrink(SMALL, 1)
@@ -232,15 +234,15 @@
         b'{"at_s": 0.5, "what": "slow", "names": ["n1"], "for_s": 1.0, "size": 4.0}\n\n{"note": "pager"}\n'
     )
     made, passed = of_incident(SMALL, record)
-    assert passed == 1 and made.troubles[0].names == ["n1"] and made.seconds == 6.5
+    assert passed == 1 and made.faults[0].names == ["n1"] and made.seconds == 6.5
     troubles = (
-        Trouble(what="slow", at_s=0.5, for_s=1.0, share=0.5, size=6.0),
-        Trouble(what="kill", at_s=1.0, count=1),
+        Fault(fault_kind="slow", at_s=0.5, for_s=1.0, share=0.5, size=6.0),
+        Fault(fault_kind="kill", at_s=1.0, count=1),
     )
-    first = play(msgspec.structs.replace(SMALL, troubles=troubles), 4)
-    again, _ = of_incident(msgspec.structs.replace(SMALL, troubles=troubles), first.lines())
+    first = play(msgspec.structs.replace(SMALL, faults=troubles), 4)
+    again, _ = of_incident(msgspec.structs.replace(SMALL, faults=troubles), first.lines())
     drawn = next(row for row in first.timeline if row.get("kind") == "slow")
-    assert again.troubles[0].names == drawn["names"] and again.troubles[0].for_s == 1.0
+    assert again.faults[0].names == drawn["names"] and again.faults[0].for_s == 1.0
     second = play(msgspec.structs.replace(again, seconds=SMALL.seconds, name=SMALL.name), 4)
     assert second.digest() == first.digest(), "the same targets by name, the same day"
     for text, words in (
@@ -254,8 +256,8 @@
 
 
 def test_the_page_is_complete_in_itself_and_links_breaches_to_their_traces(tmp_path: Path) -> None:
-    troubles = (Trouble(what="drain", at_s=0.5, share=0.5, after_s=3.0),)
-    path = script_file(tmp_path, seconds=4.0, troubles=troubles, name="<b>odd & name</b>")
+    troubles = (Fault(fault_kind="drain", at_s=0.5, share=0.5, after_s=3.0),)
+    path = script_file(tmp_path, seconds=4.0, faults=troubles, name="<b>odd & name</b>")
     page = tmp_path / "page.html"
     told = CliRunner().invoke(
         main, ["rehearse", str(path), "--seed", "2", "--policy", "careless-drain", "--page", str(page)]
