--- a/heronreel/emulator/policies.py
+++ b/heronreel/emulator/policies.py
@@ -1,9 +1,9 @@
-"""The policies a rehearsal can play: ours, the plain ones it is shown beside, and careless ones.
+"""The policies a rehearsal can play: the balancer, baselines to compare it with, and faulty ones.
 
-Each takes the events of `heronreel.balancer.interface` and gives its actions, as the real module does, so
-one host plays them all.  The plain ones keep the rules as anybody would who reads them, and ask for the
-list at the same pace as ours: what differs is whom they choose and whether they try again.  The careless
-ones break one rule each, to show that the observer says so.
+Each takes the events of `heronreel.balancer.interface` and returns its actions, as the real module does, so
+one host plays them all.  The baselines keep the rules as anybody would who reads them, and poll the endpoint
+list at the same pace as the balancer: what differs is which node they choose and whether they retry.  The
+faulty ones break one rule each, to show that the invariant checker reports it.
 """
 
 from __future__ import annotations
@@ -22,56 +22,64 @@
 from heronreel.balancer.subset import Subset, rendezvous
 from heronreel.emulator.errors import UnknownPolicyError
 
-WATCH = 1
-ADVICE = 0.5  # of the aim: what plain policies tell the refused to wait
+WATCH_TIMER = 1
+ADVICE = 0.5  # of the latency objective: the Retry-After of baselines
 HOMES = 8  # nodes in a key's order that bounded-load hashing looks at
-BOUND = 1.25  # times the mean load that a node may have there (the usual choice)
-RANKS_MOST = 20_000  # backends whose ranks are kept
-HOMES_SHARED = 500_000  # keys whose homes are kept for all proxies
-LOOKED_AT = 40  # nodes that the one which sees the true state compares at most
+MAX_CACHED_KEYS = 4096  # whose homes one proxy caches
+LOAD_BOUND = 1.25  # times the mean load that a node may have there (the usual choice)
+MAX_RANKS = 20_000  # backends whose ranks are cached
+MAX_SHARED_HOMES = 500_000  # keys whose homes are cached for all proxies
+NEW_FOR_MS = 10_000.0  # how long the policy of cold nodes takes one for new
+MAX_COMPARED = 40  # nodes that the oracle policy compares at most
 
 
 class Decider(Protocol):
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]: ...
+    """Makes the decisions of one proxy process."""
+
+    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+        """The actions that follow from an event."""
 
 
 class NodeOracle(Protocol):
-    """What only an emulator can tell: the true state of a node, at once."""
+    """What only an emulator knows: the true state of a node, at once."""
 
     def wait_ms(self, zone: str, backend: int, work: float) -> float:
-        """Until it would have answered, infinite where it would not."""
+        """Until it would have responded, ms; infinite where it would not."""
 
 
 @dataclass(slots=True)
 class PendingRequest:
+    """A request that is not answered yet.  Times are ms."""
+
     arrival: api.Arrival
-    klass: api.RequestClass
+    request_class: api.RequestClass
     deadline: float
-    tried: list[int] = field(default_factory=list)
-    out: int = 0
-    first_maybe: tuple[int, float] | None = None  # node and time of an attempt that may have run
+    attempted: list[int] = field(default_factory=list)
+    in_flight: int = 0
+    uncertain: tuple[int, float] | None = None  # node and time of an attempt that may have run
 
 
 class BaselinePolicy:
-    """Keeps the rules, chooses by `pick`, tries `tries` times what never ran."""
+    """Keeps the rules, chooses by `pick`, and attempts what never ran up to `max_attempts` times."""
 
     def __init__(
-        self, settings: api.Settings, seed: int, truth: NodeOracle | None = None, tries: int = 1
+        self, settings: api.Settings, seed: int, oracle: NodeOracle | None = None, max_attempts: int = 1
     ) -> None:
-        self.settings, self.truth = settings, truth
-        self.tries = min(tries, settings.max_attempts)
+        self.settings, self.oracle = settings, oracle
+        self.max_attempts = min(max_attempts, settings.max_attempts)
         self.random = random.Random(seed)
         self.asking = Asking(settings.ask_within_ms)
         self.classes = {klass.name: klass for klass in settings.classes}
         self.infos: dict[int, api.BackendInfo] = {}
         self.order: list[int] = []
-        self.load: dict[int, int] = {}  # attempts out
+        self.load: dict[int, int] = {}  # attempts in flight
         self.pending: dict[int, PendingRequest] = {}
-        self.legs: dict[tuple[int, int], float] = {}  # sent at
+        self.sent_at: dict[tuple[int, int], float] = {}  # of attempts in flight
         self.started = False
         self.actions: list[api.Action] = []
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+        """The actions that follow from an event."""
         self.actions = []
         match event:
             case api.Arrival():
@@ -85,7 +93,7 @@
                 self.pending.pop(event.request, None)
             case api.BackendList():
                 self._list(now_ms, event)
-            case api.TimerFired(token) if token == WATCH:
+            case api.TimerFired(token) if token == WATCH_TIMER:
                 self.asking.asks(now_ms)
                 self.actions.append(api.WatchList())
             case api.NewSettings():
@@ -96,11 +104,11 @@
         if not self.started:
             self.started = True
             if self.settings.watch_list:
-                self.actions.append(api.SetTimer(WATCH, self.asking.begin(self.random)))
+                self.actions.append(api.SetTimer(WATCH_TIMER, self.asking.begin(self.random)))
         if news.kind is api.ListKind.FAILED:
             wait = self.asking.failed(now, self.random, news.lost)
             if wait is not None:
-                self.actions.append(api.SetTimer(WATCH, wait))
+                self.actions.append(api.SetTimer(WATCH_TIMER, wait))
             return
         self.asking.told(now)
         if news.kind is not api.ListKind.CHANGES:
@@ -111,37 +119,38 @@
         self.random.shuffle(self.order)
 
     def entry(self, info: api.BackendInfo) -> None:
+        """Take over one entry of the endpoint list."""
         if info.state is api.State.UP:
             self.infos[info.backend] = info
         else:
             self.infos.pop(info.backend, None)
 
     def _ended(self, now: float, ended: api.AttemptEnded) -> None:
-        sent_at = self.legs.pop((ended.request, ended.attempt))
+        sent_at = self.sent_at.pop((ended.request, ended.attempt))
         self.load[ended.backend] = self.load.get(ended.backend, 1) - 1
         if not self.load[ended.backend]:
             del self.load[ended.backend]
         pending = self.pending.get(ended.request)
         if pending is None:
             return
-        pending.out -= 1
+        pending.in_flight -= 1
         if ended.finished:
             del self.pending[ended.request]
             return
-        if ended.outcome not in api.NEVER_RAN and pending.first_maybe is None:
-            pending.first_maybe = (ended.backend, sent_at)
-        if not pending.out:
+        if ended.outcome not in api.NEVER_RAN and pending.uncertain is None:
+            pending.uncertain = (ended.backend, sent_at)
+        if not pending.in_flight:
             self._go_on(now, pending, ended.outcome)
 
-    def may_repeat(self, now: float, pending: PendingRequest) -> bool:
+    def may_retry(self, now: float, pending: PendingRequest) -> bool:
         """Whether another attempt is wanted after one that may have run."""
         return False
 
     def _go_on(self, now: float, pending: PendingRequest, last: api.Outcome | None = None) -> None:
-        maybe = pending.first_maybe is not None
-        again = not pending.tried or not maybe or self.may_repeat(now, pending)
+        may_have_run = pending.uncertain is not None
+        again = not pending.attempted or not may_have_run or self.may_retry(now, pending)
         chosen = None
-        if now < pending.deadline and len(pending.tried) < self.tries and again:
+        if now < pending.deadline and len(pending.attempted) < self.max_attempts and again:
             chosen = self.pick(now, pending)
         if chosen is not None:
             self.send(now, pending, chosen)
@@ -149,43 +158,58 @@
         self.give_up(now, pending)
 
     def send(self, now: float, pending: PendingRequest, chosen: int) -> None:
+        """Start an attempt at the chosen node."""
         ident = pending.arrival.request
-        self.legs[ident, len(pending.tried)] = now
-        pending.tried.append(chosen)
-        pending.out += 1
+        self.sent_at[ident, len(pending.attempted)] = now
+        pending.attempted.append(chosen)
+        pending.in_flight += 1
         self.load[chosen] = self.load.get(chosen, 0) + 1
         self.actions.append(api.StartAttempt(ident, chosen, self.timeout(pending)))
 
     def timeout(self, pending: PendingRequest) -> float:
+        """Of an attempt, ms; 0: none."""
         return 0.0
 
     def give_up(self, now: float, pending: PendingRequest) -> None:
-        ident, klass = pending.arrival.request, pending.klass
+        """Refuse the request where nothing may have run, else fail it."""
+        ident, klass = pending.arrival.request, pending.request_class
         del self.pending[ident]
         everywhere = klass.effect is api.Effect.KEYED and klass.scope is api.DedupScope.ALL
-        if pending.first_maybe is None or everywhere or klass.effect is api.Effect.IDEMPOTENT:
+        if pending.uncertain is None or everywhere or klass.effect is api.Effect.IDEMPOTENT:
             advice = klass.aim_ms * ADVICE * self.random.uniform(0.5, 1.5)
             self.actions.append(api.Refuse(ident, min(advice, self.settings.max_retry_after_ms)))
         else:
             self.actions.append(api.Fail(ident))
 
     def pick(self, now: float, pending: PendingRequest) -> int | None:
+        """The node for the next attempt; None: there is none."""
         raise NotImplementedError
 
-    def untried(self, pending: PendingRequest) -> list[int]:
-        return [ident for ident in self.order if ident not in pending.tried] if pending.tried else self.order
+    def not_attempted(self, pending: PendingRequest) -> list[int]:
+        """Nodes that the request was not sent to."""
+        return (
+            [ident for ident in self.order if ident not in pending.attempted]
+            if pending.attempted
+            else self.order
+        )
 
 
 class RandomPolicy(BaselinePolicy):
+    """Chooses at random."""
+
     def pick(self, now: float, pending: PendingRequest) -> int | None:
-        left = self.untried(pending)
+        """Any node."""
+        left = self.not_attempted(pending)
         return self.random.choice(left) if left else None
 
 
 class RoundRobinPolicy(BaselinePolicy):
+    """Takes nodes in turn."""
+
     turn = 0
 
     def pick(self, now: float, pending: PendingRequest) -> int | None:
+        """The next node in turn."""
         if not self.order:
             return None
         self.turn += 1
@@ -193,10 +217,11 @@
 
 
 class PowerOfTwoPolicy(BaselinePolicy):
-    """Two drawn, the one with fewer attempts of our own out."""
+    """Draws two, takes the one with fewer attempts of its own in flight (power of two choices)."""
 
     def pick(self, now: float, pending: PendingRequest) -> int | None:
-        left = self.untried(pending)
+        """The less loaded of two."""
+        left = self.not_attempted(pending)
         if not left:
             return None
         one, other = self.random.choice(left), self.random.choice(left)
@@ -204,12 +229,12 @@
 
 
 class BoundedLoadHashPolicy(BaselinePolicy):
-    """A key's own node, unless it has more than its share out: then the next in the key's order."""
+    """A key's own node, unless that has more than its share in flight: then the next in the key's order."""
 
     def __init__(
-        self, settings: api.Settings, seed: int, truth: NodeOracle | None = None, tries: int = 1
+        self, settings: api.Settings, seed: int, oracle: NodeOracle | None = None, max_attempts: int = 1
     ) -> None:
-        super().__init__(settings, seed, truth, tries)
+        super().__init__(settings, seed, oracle, max_attempts)
         self.homes: dict[int, list[int]] = {}
 
     def _list(self, now: float, news: api.BackendList) -> None:
@@ -217,18 +242,19 @@
         self.homes.clear()
 
     def pick(self, now: float, pending: PendingRequest) -> int | None:
+        """The first of the key's nodes with room, else the least loaded."""
         if not self.order:
             return None
         key = pending.arrival.key or 0
         if key not in self.homes:
-            if len(self.homes) >= 4096:
+            if len(self.homes) >= MAX_CACHED_KEYS:
                 self.homes.clear()
             self.homes[key] = nlargest(HOMES, self.order, key=lambda ident: rendezvous(key, ident))
-        most = BOUND * (sum(self.load.values()) + 1) / len(self.order)
+        most = LOAD_BOUND * (sum(self.load.values()) + 1) / len(self.order)
         for home in self.homes[key]:
-            if home not in pending.tried and self.load.get(home, 0) + 1 <= max(1.0, most):
+            if home not in pending.attempted and self.load.get(home, 0) + 1 <= max(1.0, most):
                 return home
-        left = self.untried(pending)
+        left = self.not_attempted(pending)
         return min(left, key=lambda ident: self.load.get(ident, 0), default=None)
 
 
@@ -236,64 +262,74 @@
     """Knows what every node has to do at this moment, and refuses what none would serve in time."""
 
     def pick(self, now: float, pending: PendingRequest) -> int | None:
-        assert self.truth is not None
-        left = self.untried(pending)
-        if len(left) > LOOKED_AT:
-            left = self.random.sample(left, LOOKED_AT)
+        """The node that responds first, if any does in time."""
+        assert self.oracle is not None
+        left = self.not_attempted(pending)
+        if len(left) > MAX_COMPARED:
+            left = self.random.sample(left, MAX_COMPARED)
         best, least = None, pending.deadline - now
         for ident in left:
-            wait = self.truth.wait_ms(self.settings.zone, ident, pending.arrival.hint_ms or 1.0)
+            wait = self.oracle.wait_ms(self.settings.zone, ident, pending.arrival.hint_ms or 1.0)
             if wait < least:
                 best, least = ident, wait
         return best
 
 
 class RetryStormPolicy(PowerOfTwoPolicy):
-    """Times out at the aim and tries again anywhere, as often as it may, without a budget."""
+    """Times out at the latency objective and retries anywhere, as often as it may, without a budget."""
 
     def timeout(self, pending: PendingRequest) -> float:
-        return pending.klass.aim_ms
+        """The latency objective."""
+        return pending.request_class.aim_ms
 
-    def may_repeat(self, now: float, pending: PendingRequest) -> bool:
-        return pending.klass.effect is api.Effect.IDEMPOTENT
+    def may_retry(self, now: float, pending: PendingRequest) -> bool:
+        """Whatever may run twice."""
+        return pending.request_class.effect is api.Effect.IDEMPOTENT
 
 
 class RequestLosingPolicy(PowerOfTwoPolicy):
     """Forgets a request whose attempts are used up."""
 
     def give_up(self, now: float, pending: PendingRequest) -> None:
+        """Drop the request without a response."""
         del self.pending[pending.arrival.request]
 
 
 class UnsafeRetryPolicy(PowerOfTwoPolicy):
-    """Tries again whatever may have happened, wherever."""
+    """Retries whatever may have happened, wherever."""
 
     def timeout(self, pending: PendingRequest) -> float:
-        return pending.klass.aim_ms
+        """The latency objective."""
+        return pending.request_class.aim_ms
 
-    def may_repeat(self, now: float, pending: PendingRequest) -> bool:
+    def may_retry(self, now: float, pending: PendingRequest) -> bool:
+        """Always."""
         return True
 
 
 class DrainIgnoringPolicy(PowerOfTwoPolicy):
-    """Goes on with nodes that drain."""
+    """Keeps using nodes that drain."""
 
     def entry(self, info: api.BackendInfo) -> None:
+        """Take every listed node as up."""
         super().entry(replace(info, state=api.State.UP))
 
 
 class ColdNodePolicy(PowerOfTwoPolicy):
-    """The newest node is idle, so it must be the best."""
+    """Takes the newest node, which is idle, for the best."""
 
     def pick(self, now: float, pending: PendingRequest) -> int | None:
+        """The newest node while it is new."""
         newest = max((info.started_ms for info in self.infos.values()), default=0.0)
-        fresh = [i for i, info in self.infos.items() if info.started_ms == newest and now - newest < 10_000.0]
-        fresh = [ident for ident in fresh if ident not in pending.tried]
+        fresh = [
+            i for i, info in self.infos.items() if info.started_ms == newest and now - newest < NEW_FOR_MS
+        ]
+        fresh = [ident for ident in fresh if ident not in pending.attempted]
         return self.random.choice(fresh) if newest and fresh else super().pick(now, pending)
 
 
 class SharedRanks(Subset):
-    """Ranks of all proxies for a backend, sorted once for the whole fleet: each proxy by itself counts them.
+    """Ranks of all proxies for a backend, sorted once for the whole fleet; the module counts them by proxy.
 
     The ranks are the same (`tests/emulator/test_fleet.py`); at 200 proxies and 200 nodes counting took a
     third of the time of a play of ten seconds.
@@ -302,11 +338,12 @@
     tables: ClassVar[dict[tuple[int, int], list[int]]] = {}
 
     def rank(self, backend: int) -> int:
+        """This proxy's rank for a backend."""
         if self.proxies <= subset.KEPT_BY:
             return 0
         table = self.tables.get((backend, self.proxies))
         if table is None:
-            if len(self.tables) >= RANKS_MOST:
+            if len(self.tables) >= MAX_RANKS:
                 self.tables.clear()
             order = sorted((subset._mixed(backend, slot), slot) for slot in range(self.proxies))
             table = [0] * self.proxies
@@ -317,7 +354,7 @@
 
 
 class SharedKeyHomes(dict[int, list[int]]):
-    """One proxy's homes of keys; what one finds among the same near nodes is found for all."""
+    """One proxy's homes of keys, shared by all proxies that look among the same near nodes."""
 
     tables: ClassVar[dict[tuple[int, int], list[int]]] = {}
     places: ClassVar[dict[frozenset[int], int]] = {}  # sets of near nodes, numbered
@@ -328,7 +365,8 @@
         self.place = -1
 
     def among(self, near: frozenset[int]) -> None:
-        if len(self.places) >= RANKS_MOST:
+        """Look among these nodes from now on."""
+        if len(self.places) >= MAX_RANKS:
             self.places.clear()  # no number is given twice, so what others found under theirs stays right
         if near not in self.places:
             self.places[near] = next(self.numbers)
@@ -347,13 +385,13 @@
 
     def __setitem__(self, key: int, homes: list[int]) -> None:
         super().__setitem__(key, homes)
-        if len(self.tables) >= HOMES_SHARED:
+        if len(self.tables) >= MAX_SHARED_HOMES:
             self.tables.clear()
         self.tables[self.place, key] = homes
 
 
 class HostedBalancer(Balancer):
-    """The real module, with what is alike for all proxies found once."""
+    """The balancer itself, with what is the same for all proxies computed once."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -369,14 +407,14 @@
         self.subset = SharedRanks(settings.slot, settings.proxies)
 
 
-def _ours(settings: api.Settings, seed: int, truth: NodeOracle | None) -> Decider:
+def _ours(settings: api.Settings, seed: int, oracle: NodeOracle | None) -> Decider:
     return HostedBalancer(settings, seed)
 
 
 def _plain(
-    made: Callable[..., BaselinePolicy], tries: int
+    made: Callable[..., BaselinePolicy], max_attempts: int
 ) -> Callable[[api.Settings, int, NodeOracle | None], Decider]:
-    return lambda settings, seed, truth: made(settings, seed, truth, tries)
+    return lambda settings, seed, oracle: made(settings, seed, oracle, max_attempts)
 
 
 DEFAULT_POLICY = "heronreel"
@@ -399,9 +437,9 @@
 }
 
 
-def make_policy(name: str, settings: api.Settings, seed: int, truth: NodeOracle | None = None) -> Decider:
+def make_policy(name: str, settings: api.Settings, seed: int, oracle: NodeOracle | None = None) -> Decider:
     """A decider by its name.  Raises UnknownPolicyError."""
     made = (POLICIES | FAULTY_POLICIES).get(name)
     if made is None:
         raise UnknownPolicyError(name)
-    return made(settings, seed, truth)
+    return made(settings, seed, oracle)
