--- a/bench/emulator.py
+++ b/bench/emulator.py
@@ -39,7 +39,7 @@
 
 SIZES = ((12, 30, 640), (60, 150, 3200), (200, 200, 640), (200, 200, 3200))  # proxies, nodes, rate
 LOAD, SECONDS = 0.6, 10.0
-WORK_MOST_MS = 150.0
+MAX_WORK_MS = 150.0
 PARTS = {
     "cores": 2, "speed_cv": 0.15, "queue": 4, "thrash": 0.3, "connections": 104, "full_tax": 0.3,
     "handshake_ms": 1.5, "handshake_rtts": 2.5, "warm_gain": 0.5, "warm_ms": 6000.0, "warm_up_floor": 0.15,
@@ -55,7 +55,7 @@
     """A fleet like the site's, with one node in eight slow; work as large as makes it busy."""
     fleet = FleetConfig(nodes=nodes, zones=["a", "b"], limited_racks=0.3, kinds=KINDS)
     base = Rehearsal(seconds=seconds, fleet=fleet)
-    work = min(WORK_MOST_MS, LOAD * base.capacity() * 1000.0 / rate)
+    work = min(MAX_WORK_MS, LOAD * base.capacity() * 1000.0 / rate)
     return Rehearsal(
         seconds=seconds,
         fleet=fleet,
@@ -87,8 +87,8 @@
 
 
 def queues(attempts: int = 50_000) -> None:
-    """Attempts that end by an answer or a time-out, whichever is first, 1 ms apart: ours, and processes."""
-    ours = EventQueue()
+    """Attempts that end by a response or a timeout, whichever is first: callbacks, and processes."""
+    queue = EventQueue()
     ended = [0]
 
     def end(state: list[bool]) -> None:
@@ -98,14 +98,14 @@
 
     def begin(left: int) -> None:
         state = [False]
-        ours.at(ours.now + 80.0, end, state)
-        ours.at(ours.now + 500.0, end, state)
+        queue.schedule(queue.now + 80.0, end, state)
+        queue.schedule(queue.now + 500.0, end, state)
         if left:
-            ours.at(ours.now + 1.0, begin, left - 1)
+            queue.schedule(queue.now + 1.0, begin, left - 1)
 
     began = time.process_time()
     begin(attempts - 1)
-    ours.run(1e12)
+    queue.run_until(1e12)
     heap = (time.process_time() - began) * 1e6 / attempts
     assert ended[0] == attempts
     try:
@@ -152,24 +152,24 @@
     for name in ("speed", "growth", "sweep", "queues", "profile"):
         parser.add_argument(f"--{name}", action="store_true")
     parser.add_argument("--one", default="")
-    told = parser.parse_args()
-    if told.one:
-        proxies, nodes, rate, seconds, policy = told.one.split(",")
+    options = parser.parse_args()
+    if options.one:
+        proxies, nodes, rate, seconds, policy = options.one.split(",")
         print(one(int(proxies), int(nodes), float(rate), float(seconds), policy))
         return
-    plain = not (told.speed or told.growth or told.sweep or told.queues or told.profile)
-    if told.speed or plain:
+    plain = not (options.speed or options.growth or options.sweep or options.queues or options.profile)
+    if options.speed or plain:
         for size in SIZES:
             for policy in ("heronreel", "random"):
                 apart(*size, SECONDS, policy)
-    if told.growth or plain:
+    if options.growth or plain:
         for rate in (400, 800, 1600, 3200, 6400):
             apart(60, 150, rate, SECONDS, "heronreel")
-    if told.sweep:
+    if options.sweep:
         sweeps()
-    if told.queues:
+    if options.queues:
         queues()
-    if told.profile:
+    if options.profile:
         profile = cProfile.Profile()
         profile.runcall(play, script(60, 150, 3200, 5.0), 1)
         pstats.Stats(profile).sort_stats("tottime").print_stats(30)
--- a/bench/truths.py
+++ b/bench/truths.py
@@ -107,7 +107,7 @@
                      ((KEPT_BY, NONE),), ((KEPT_BY, 13),), "better"),
     "cold": Change("cold credit alike for all kinds, then by kind", ("join", "zone"),
                    (("alike", 1),), (), "better"),
-    "attempts": Change("any number of tries in a shortage, then few", ("shortage",),
+    "attempts": Change("any number of attempts in a shortage, then few", ("shortage",),
                        (("heronreel.balancer.overload.FEW_TURNED_AWAY", NONE),), (), "better"),
 }  # fmt: skip
 
@@ -116,10 +116,10 @@
     return AlikeCold(settings, seed)
 
 
-def one(name: str, seed: int, told: tuple[tuple[str, object], ...], scarce: bool) -> dict[str, Any]:
-    settings = tuple(Setting(key, value) for key, value in told if key != "alike")
+def one(name: str, seed: int, changes: tuple[tuple[str, object], ...], scarce: bool) -> dict[str, Any]:
+    settings = tuple(Setting(key, value) for key, value in changes if key != "alike")
     with constants(settings):
-        made = alike if ("alike", 1) in told else None
+        made = alike if ("alike", 1) in changes else None
         result = Simulation(changed(day(name, scarce), settings), seed, deciders=made).run()
     return {"script": name, **result.row()}
 
@@ -135,17 +135,17 @@
     parser.add_argument("--workers", type=int, default=len(os.sched_getaffinity(0)))
     parser.add_argument("--only", choices=list(CHANGES))
     parser.add_argument("--scarce", action="store_true", help="120 proxies, 52 connections a node")
-    told = parser.parse_args()
-    seeds = range(1, told.seeds + 1)
-    with ProcessPoolExecutor(told.workers, mp_context=multiprocessing.get_context("spawn")) as pool:
+    options = parser.parse_args()
+    seeds = range(1, options.seeds + 1)
+    with ProcessPoolExecutor(options.workers, mp_context=multiprocessing.get_context("spawn")) as pool:
         plays = {
-            (name, place, side): [pool.submit(one, place, seed, settings, told.scarce) for seed in seeds]
-            for name, change in CHANGES.items() if not told.only or name == told.only
+            (name, place, side): [pool.submit(one, place, seed, settings, options.scarce) for seed in seeds]
+            for name, change in CHANGES.items() if not options.only or name == options.only
             for place in change.days
             for side, settings in (("before", change.before), ("after", change.after))
         }  # fmt: skip
         for name, change in CHANGES.items():
-            for place in change.days if not told.only or name == told.only else ():
+            for place in change.days if not options.only or name == options.only else ():
                 sides = [plays[name, place, side] for side in ("before", "after")]
                 before, after = ([play.result() for play in side] for side in sides)
                 kept = [sum(bool(row["kept"]) for row in rows) for rows in (before, after)]
--- a/heronreel/emulator/policies.py
+++ b/heronreel/emulator/policies.py
@@ -331,8 +331,8 @@
 class SharedRanks(Subset):
     """Ranks of all proxies for a backend, sorted once for the whole fleet; the module counts them by proxy.
 
-    The ranks are the same (`tests/emulator/test_fleet.py`); at 200 proxies and 200 nodes counting took a
-    third of the time of a play of ten seconds.
+    The ranks are the same (`tests/emulator/test_fleet_scenarios.py`); at 200 proxies and 200 nodes counting
+    took a third of the time of a play of ten seconds.
     """
 
     tables: ClassVar[dict[tuple[int, int], list[int]]] = {}
--- a/tests/emulator/test_fleet.py
+++ b/tests/emulator/test_fleet_scenarios.py
@@ -1,4 +1,4 @@
-"""What a fleet's days call for, at 5, 40 and 200 proxies: invariants, no scores."""
+"""Scenarios of a fleet at 5, 40 and 200 proxies: invariants, no scores."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 BORNE = 1.5  # calls that the list service bears, over one of each proxy in the time in which it must ask
 
 
-def fleet(proxies: int, nodes: int, seconds: float, *troubles: Fault, **changes: object) -> Rehearsal:
-    """Large work and few requests: what is looked at here does not need many."""
+def fleet(proxies: int, nodes: int, seconds: float, *faults: Fault, **changes: object) -> Rehearsal:
+    """Large work and few requests: these scenarios do not need many."""
     request_class = RequestClass(work_ms=400.0, latency_objective_ms=2000.0, deadline_ms=4000.0)
-    return rehearsal(nodes, proxies, 0.45, seconds, request_class=request_class, faults=troubles, **changes)  # type: ignore[arg-type]
+    return rehearsal(nodes, proxies, 0.45, seconds, request_class=request_class, faults=faults, **changes)  # type: ignore[arg-type]
 
 
 class ListTraffic:
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize(("proxies", "nodes", "shift"), SIZES)
-def test_a_herd_on_an_overbooked_list_service_calms_down_and_is_told(
+def test_a_thundering_herd_on_an_overloaded_list_service_settles_and_gets_its_list(
     proxies: int, nodes: int, shift: int
 ) -> None:
     """Seven in ten are killed at once while the service is three times slower, and nodes drain meanwhile."""
@@ -81,13 +81,15 @@
     late = list_traffic.between(killed + 14.0, killed + 22.0) / 8.0
     assert late <= bears, f"seed {seed}: {late:.1f} calls a second, {bears:.1f} are borne"
     within = (killed + script.proxies.restart_ms / 1000.0) * 1000.0 + 2.0 * script.rules.poll_within_ms
-    untold = [name for name in herd if not killed * 1000.0 < list_traffic.snapshot_at[name] < within]
-    assert not untold, f"seed {seed}: {untold}"
+    without_snapshot = [
+        name for name in herd if not killed * 1000.0 < list_traffic.snapshot_at[name] < within
+    ]
+    assert not without_snapshot, f"seed {seed}: {without_snapshot}"
 
 
 @pytest.mark.parametrize("what", ["list_refuses", "list_silent", "list_breaks", "list_garbled"])
 @pytest.mark.parametrize(("proxies", "nodes", "shift"), SIZES[:2])
-def test_a_list_service_that_fails_leaves_the_old_list_and_no_wave(
+def test_a_failing_list_service_leaves_the_old_list_and_no_retry_wave(
     what: str, proxies: int, nodes: int, shift: int
 ) -> None:
     seed, until = 31 + shift, 14.0
@@ -100,32 +102,32 @@
     assert result.service["worst_window"] > 0.9, "the old list stays in force"
     rates = [list_traffic.between(second, second + 1.0) / proxies for second in range(4, 25)]
     assert max(rates) <= 2.0, f"seed {seed}: {rates}"
-    told = [list_traffic.snapshot_at[proxy.name] for proxy in simulation.proxies]
-    if what != "list_breaks":  # there they are told before it breaks off
-        assert all(at > until * 1000.0 or at < 4000.0 + 5000.0 for at in told)
+    received = [list_traffic.snapshot_at[proxy.name] for proxy in simulation.proxies]
+    if what != "list_breaks":  # there they receive it before it breaks off
+        assert all(at > until * 1000.0 or at < 4000.0 + 5000.0 for at in received)
     assert all(proxy in simulation.context.endpoint_list.watchers for proxy in simulation.proxies), (
         "all watch again"
     )
 
 
-def test_a_service_that_refuses_for_ever_is_asked_ever_more_seldom() -> None:
+def test_polls_back_off_to_a_bounded_interval_while_the_service_refuses() -> None:
     """Beyond 1,024 tries of one proxy: the module alone, an hour and a half of refusals."""
     balancer = Balancer(api.Settings((api.RequestClass("r"),), watch_list=True, ask_within_ms=10_000.0), 7)
     actions, now = balancer.handle(0.0, api.BackendList(api.ListKind.CACHED, [])), 0.0
     due: list[tuple[float, int]] = []
-    asked: list[float] = []
-    while len(asked) < 1100:
+    polled_at: list[float] = []
+    while len(polled_at) < 1100:
         for action in actions:
             if isinstance(action, api.SetTimer):
                 due.append((now + action.delay_ms, action.token))
             elif isinstance(action, api.WatchList):
-                asked.append(now)
+                polled_at.append(now)
                 due.append((now, -1))
         due.sort()
         now, token = due.pop(0)
         event = api.TimerFired(token) if token >= 0 else api.BackendList(api.ListKind.FAILED)
         actions = balancer.handle(now, event)
-    gaps = [after - before for before, after in pairwise(asked[10:])]
+    gaps = [after - before for before, after in pairwise(polled_at[10:])]
     assert min(gaps) >= 10_000.0 / 3.0 * 0.49 and max(gaps) <= 10_000.0, (min(gaps), max(gaps))
 
 
@@ -138,7 +140,7 @@
 
 @pytest.mark.parametrize("order", list(ORDERS))
 @pytest.mark.parametrize(("proxies", "nodes", "shift"), [SIZES[0], SIZES[1]])
-def test_cold_nodes_stand_and_are_used_whatever_comes_in_which_order(
+def test_warming_nodes_survive_and_are_used_in_any_order_of_faults(
     order: str, proxies: int, nodes: int, shift: int
 ) -> None:
     """The budget of cold nodes holds over the sum of all proxies, and a stated part of it is used."""
@@ -148,10 +150,10 @@
         "replaced": lambda at: Fault(fault_kind="replace", at_s=at, share=0.6, within_s=5.0, after_s=4.0),
         "herd": lambda at: Fault(fault_kind="kill", at_s=at, share=0.7),
     }
-    troubles = [made[what](at) for what, at in ORDERS[order]]
-    troubles.append(Fault(fault_kind="errors", at_s=3.0, for_s=14.0, share=0.2, size=0.5))
+    faults = [made[what](at) for what, at in ORDERS[order]]
+    faults.append(Fault(fault_kind="errors", at_s=3.0, for_s=14.0, share=0.2, size=0.5))
     request_class = RequestClass(work_ms=100.0, latency_objective_ms=1000.0, deadline_ms=4000.0)
-    script = rehearsal(nodes, proxies, 0.5, 24.0, request_class=request_class, faults=tuple(troubles))
+    script = rehearsal(nodes, proxies, 0.5, 24.0, request_class=request_class, faults=tuple(faults))
     simulation = Simulation(script, seed)
     taken: dict[str, float] = defaultdict(float)
     offered = simulation.context.invariants.cold_work_arrived
@@ -177,7 +179,7 @@
 
 
 @pytest.mark.parametrize(("proxies", "nodes"), [(5, 12), (40, 24)])
-def test_connections_at_a_node_stay_under_its_cap(proxies: int, nodes: int) -> None:
+def test_open_connections_at_a_node_stay_under_its_limit(proxies: int, nodes: int) -> None:
     kind = msgspec.structs.replace(KIND, connections=30, handshake_ms=1.5, full_tax=0.3)
     script = rehearsal(
         nodes, proxies, 0.8, 12.0, kind, faults=(Fault(fault_kind="burst", at_s=4.0, for_s=4.0, size=2.0),)
@@ -198,21 +200,21 @@
         assert node.open_connections == owned, node.name
 
 
-def test_ranks_found_once_for_the_fleet_are_those_that_each_proxy_finds() -> None:
+def test_shared_ranks_equal_those_of_each_proxy() -> None:
     for proxies in (5, KEPT_BY + 1, 40, 200):
         for backend in (1, 77, 2**40 - 3):
             for slot in range(0, proxies, 7):
                 assert SharedRanks(slot, proxies).rank(backend) == Subset(slot, proxies).rank(backend)
 
 
-def test_hosted_decides_as_the_module_does() -> None:
+def test_the_hosted_balancer_decides_as_the_balancer() -> None:
     """The same events, the same actions: a play with `HostedBalancer` against one with the module itself."""
     script = fleet(40, 24, 6.0, Fault(fault_kind="replace", at_s=2.0, share=0.3, within_s=1.0, after_s=1.0))
     plays = [Simulation(script, 61, deciders=made).run() for made in (HostedBalancer, Balancer)]
     assert plays[0].lines() == plays[1].lines()
 
 
-def test_a_change_of_the_list_moves_only_the_keys_of_what_changed() -> None:
+def test_a_change_of_the_endpoint_list_moves_only_the_keys_of_changed_nodes() -> None:
     lines = [api.BackendInfo(1000 + n, zone="a", cell=n // 6) for n in range(30)]
     settings = api.Settings((api.RequestClass("r"),), warm_keys=True, zone="a", zones=("a",))
     homes = []
@@ -227,7 +229,7 @@
     assert moved and all(gone in homes[0][key] for key in moved)
 
 
-def test_no_table_grows_as_ten_thousand_nodes_come_and_go() -> None:
+def test_no_table_grows_over_a_churn_of_ten_thousand_nodes() -> None:
     settings = api.Settings(
         (api.RequestClass("r"),), warm_keys=True, proxies=40, slot=3, zone="a", zones=("a", "b")
     )
@@ -268,7 +270,7 @@
     assert not grown, grown
 
 
-def test_two_proxies_of_one_zone_do_not_send_the_same_stream() -> None:
+def test_every_proxy_process_has_a_seed_of_its_own() -> None:
     """Instances share nothing, not even luck: seeds differ by proxy and by process."""
     seeds: list[int] = []
 
@@ -283,7 +285,7 @@
     assert len(seeds) == 8 and len(set(seeds)) == 8
 
 
-def test_proxies_that_start_anew_have_the_list_that_the_last_process_had() -> None:
+def test_a_restarted_proxy_begins_with_the_cached_list() -> None:
     script = fleet(
         5,
         12,
--- a/tests/emulator/test_rules.py
+++ b/tests/emulator/test_invariants.py
@@ -1,4 +1,4 @@
-"""Each rule is broken by a policy made careless for it alone, and the observer says so; ours keeps them."""
+"""Each rule is broken by a policy with one defect, and the checker reports it; the balancer keeps all."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from heronreel.emulator.simulation import Simulation, play
 from tests.support.rehearsals import COLD, rehearsal
 
-TROUBLES = {
+FAULTS = {
     "lost": (Fault(fault_kind="errors", at_s=2.0, for_s=6.0, share=0.5, size=0.5),),
     "twice": (Fault(fault_kind="slow", at_s=2.0, for_s=6.0, share=0.5, size=15.0),),
     "drain": (Fault(fault_kind="drain", at_s=2.0, share=0.3, after_s=8.0),),
@@ -23,14 +23,14 @@
 }
 
 
-def scene(rule: str) -> Rehearsal:
-    return rehearsal(faults=TROUBLES[rule], load=0.6, proxies=3)
+def scenario(rule: str) -> Rehearsal:
+    return rehearsal(faults=FAULTS[rule], load=0.6, proxies=3)
 
 
-@pytest.mark.parametrize("rule", list(TROUBLES))
+@pytest.mark.parametrize("rule", list(FAULTS))
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_policy_careless_for_a_rule_breaks_it_and_no_other(rule: str, seed: int) -> None:
-    result = play(scene(rule), seed, f"careless-{rule}")
+def test_a_policy_with_one_defect_breaks_its_rule_and_no_other(rule: str, seed: int) -> None:
+    result = play(scenario(rule), seed, f"careless-{rule}")
     print(f"seed {seed}: {result.rules}")
     assert result.rules[rule] > 0 and result.score == 0.0
     assert not [other for other, count in result.rules.items() if count and other != rule], result.rules
@@ -38,19 +38,19 @@
     assert breach["rule"] == rule and breach["words"] and (breach["request"] >= 0 or breach["node"])
 
 
-@pytest.mark.parametrize("rule", list(TROUBLES))
+@pytest.mark.parametrize("rule", list(FAULTS))
 @pytest.mark.parametrize("seed", [1, 2])
-def test_ours_keeps_every_rule_there(rule: str, seed: int) -> None:
-    result = play(scene(rule), seed)
+def test_the_balancer_keeps_every_rule(rule: str, seed: int) -> None:
+    result = play(scenario(rule), seed)
     assert result.kept, (seed, result.breaches[:3])
     assert result.service["whole"] > 0.7
 
 
 @pytest.mark.parametrize("effect", ["safe", "keyed", "unsafe"])
-def test_ours_keeps_them_for_each_kind_of_request_under_all_troubles_at_once(effect: str) -> None:
+def test_the_balancer_keeps_every_rule_for_each_effect_under_all_faults_at_once(effect: str) -> None:
     request_class = RequestClass(work_ms=60.0, effect=effect, attempt_noise=0.2)  # type: ignore[arg-type]
-    troubles = (
-        *(trouble for some in TROUBLES.values() for trouble in some),
+    faults = (
+        *(fault for some in FAULTS.values() for fault in some),
         Fault(fault_kind="lose_answers", at_s=4.0, for_s=3.0, share=0.4, size=0.3),
         Fault(fault_kind="reset", at_s=5.0, for_s=3.0, share=0.4, size=0.2),
         Fault(fault_kind="kill", at_s=5.0, share=0.5, within_s=1.0),
@@ -58,11 +58,11 @@
         Fault(fault_kind="list_breaks", at_s=6.0, for_s=2.0),
     )
     for seed in (3, 4):
-        result = play(rehearsal(faults=troubles, request_class=request_class, proxies=6), seed)
+        result = play(rehearsal(faults=faults, request_class=request_class, proxies=6), seed)
         assert result.kept, (seed, result.breaches[:3])
 
 
-def test_the_observer_judges_by_what_it_saw() -> None:
+def test_the_checker_applies_each_limit_exactly() -> None:
     """By hand: attempts, windows, groups, ends and drains, each just within its limit and just beyond."""
     checker = InvariantChecker(20.0, 500.0, 6000.0, 10_000.0, 2000.0)
     checker.proxy_started("p", 0.0)
@@ -88,7 +88,7 @@
     checker.node_state_known("n1", False, 2000.0)
     checker.request_accepted(9, 9, "p", "safe", "rack", 0.0, 60_000.0)
     checker.attempt_sent(9, 0, "p", "n1", "r1", "a", 8540.0)
-    assert checker.counts["drain"] == 0, "told by 8000 at the latest, then half a second's grace"
+    assert checker.counts["drain"] == 0, "delivered by 8000 at the latest, then half a second's grace"
     checker.attempt_sent(9, 1, "p", "n1", "r1", "a", 8560.0)
     assert checker.counts["drain"] == 1
     checker.node_state_known("n1", True, 9000.0)
@@ -104,7 +104,7 @@
         assert checker.counts["cold"] == counted, "two thirds have to know that it is cold"
 
 
-def test_an_effect_that_took_place_twice_is_seen_whatever_was_sent() -> None:
+def test_a_double_effect_is_detected_whatever_was_sent() -> None:
     checker = InvariantChecker(20.0, 500.0, 6000.0, 10_000.0, 2000.0)
     checker.effect_took_place(5, "keyed", 1, "p", "n1", 0.0)
     checker.effect_took_place(5, "keyed", 2, "p", "n2", 59_000.0)
@@ -114,8 +114,8 @@
     assert len(checker.effects[0]) + len(checker.effects[1]) <= 2
 
 
-def test_slow_start_decides_whether_a_cold_machine_outlives_a_costly_burst() -> None:
-    """With it the machine stands; the same module told that machines are never cold pushes it over."""
+def test_slow_start_decides_whether_a_warming_node_survives_a_costly_burst() -> None:
+    """With it the node survives; the same module without slow start overloads it."""
     burst = (
         Fault(fault_kind="replace", at_s=3.0, share=0.3, within_s=0.5, after_s=2.0),
         Fault(fault_kind="burst", at_s=4.0, for_s=6.0, size=1.6),
@@ -132,7 +132,7 @@
     assert fell and not [row for row in with_it.timeline if row["event"] == "fell"]
 
 
-def test_a_repeat_of_what_died_undone_is_not_dropped() -> None:
+def test_a_repeat_of_a_lost_job_is_not_dropped() -> None:
     """The first was lost with its process: its rack has to run the repeat, or nobody ever does."""
     rack = Rack("r0")
     one, other = (Node(n, f"n{n}", "a", rack, COLD, 1.0) for n in (1, 2))
--- a/tests/emulator/test_queues.py
+++ b/tests/emulator/test_queueing_theory.py
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(("dist", "cv"), [("exp", 1.0), ("fixed", 0.0), ("lognormal", 1.5)])
-def test_a_single_core_waits_as_pollaczek_and_khinchine_say(dist: str, cv: float) -> None:
+def test_the_wait_at_one_core_follows_pollaczek_khinchine(dist: str, cv: float) -> None:
     load, seed = 0.6, 11
     found, mean, square = waits(msgspec.structs.replace(KIND, cores=1), dist, cv, load, seed)
     assert mean == pytest.approx(SERVICE_MS, rel=0.03)
@@ -55,14 +55,14 @@
     assert found == pytest.approx(load / SERVICE_MS * square / 2.0 / (1.0 - drawn), rel=ERROR), f"seed {seed}"
 
 
-def test_four_cores_wait_as_erlang_says() -> None:
+def test_the_wait_at_four_cores_follows_erlang_c() -> None:
     load, seed = 0.8, 12
     expected = erlang_c(4, load) * SERVICE_MS / (4 * (1.0 - load))
     found, _, _ = waits(msgspec.structs.replace(KIND, cores=4), "exp", 1.0, load, seed)
     assert found == pytest.approx(expected, rel=1.5 * ERROR), f"seed {seed}"
 
 
-def test_what_is_in_a_node_is_what_comes_a_second_times_how_long_it_stays() -> None:
+def test_every_node_follows_littles_law() -> None:
     """Little's law, node by node: stays are summed apart from the node's own books."""
     simulation = Simulation(rehearsal(load=0.7), 13, "least-of-two")
     stays: dict[str, float] = {}
@@ -80,7 +80,7 @@
         assert node.load_ms == pytest.approx(stays[node.name], rel=1e-6), node.name
 
 
-def test_open_arrivals_count_the_stall_and_closed_ones_hide_it() -> None:
+def test_open_arrivals_show_a_stall_that_closed_arrivals_hide() -> None:
     """No coordinated omission: latency counts from when a request was due, so a stall shows in full."""
     stall = (Fault(fault_kind="pause", at_s=4.0, for_s=2.0),)
     found = {}
--- a/tests/emulator/test_scripts.py
+++ b/tests/emulator/test_simulation.py
@@ -1,4 +1,4 @@
-"""Rehearsal scripts: what is wrong with one, at its line; what is played alike, and how it is told."""
+"""Plays: determinism, traces, routes, faults, and what the policies make of them."""
 
 from __future__ import annotations
 
@@ -15,93 +15,12 @@
 from heronreel.emulator.events import EventQueue
 from heronreel.emulator.model import Fault, ProxyConfig, RequestClass
 from heronreel.emulator.policies import make_policy
-from heronreel.emulator.script_loader import load_script
 from heronreel.emulator.simulation import Simulation, play
 from heronreel.routes.load import load as load_routes
-from heronreel.routes.reader import BadFile
 from tests.support.rehearsals import KIND, rehearsal
 
 ROOT = Path(__file__).parents[2]
 EXAMPLES = sorted((ROOT / "examples" / "rehearsals").glob("*.toml"))
-SCRIPT = """version = 1
-name = "base"
-seconds = 20.0
-[fleet]
-nodes = 12
-zones = ["a", "b"]
-[[fleet.kinds]]
-name = "medio"
-[proxies]
-count = 4
-[traffic]
-requests_per_s = 100.0
-[[tenants]]
-name = "etna"
-[[troubles]]
-what = "slow"
-at_s = 5.0
-for_s = 5.0
-size = 3.0
-"""
-
-
-def problem(old: str, new: str) -> str:
-    assert old in SCRIPT
-    with pytest.raises(BadFile) as caught:
-        load_script(SCRIPT.replace(old, new).encode())
-    return str(caught.value)
-
-
-@pytest.mark.parametrize(
-    ("old", "new", "line", "words"),
-    [
-        ("size = 3.0", 'size = 3.0\nnames = ["n13"]', 20, "known at the start: n1 to n12"),
-        ("size = 3.0", 'size = 3.0\nzone = "c"', 20, "known here: a, b"),
-        ("size = 3.0", 'size = 3.0\nrack = "r7"', 20, "known here: r0, r1"),
-        ("size = 3.0", "size = 3.0\nshare = 1.5", 20, "a share from 0 to 1"),
-        ("size = 3.0", "size = 0.5", 19, "how many times slower"),
-        ("size = 3.0", "size = 3.0\nshare = 0.5\nbusiest = 2", 15, "in several ways"),
-        ("at_s = 5.0", "at_s = -1.0", 17, "seconds from 0"),
-        ("at_s = 5.0", "at_s = 20.0", 17, "before the end of the rehearsal, 20 s"),
-        ("for_s = 5.0", "for_s = 16.0", 18, "15 at most"),
-        ("for_s = 5.0", "", 15, "lasts for a time"),
-        ('what = "slow"', 'what = "slwo"', 16, "a kind of trouble"),
-        ('what = "slow"', 'what = "kill"', 18, "kill has no end"),
-        ('what = "slow"', 'what = "zone_cut"', 19, "zone_cut has no size"),
-        ('what = "slow"', 'what = "tenant"', 15, "name the tenant"),
-        ("requests_per_s = 100.0", "requests_per_s = -5.0", 12, "a number a second"),
-        ("requests_per_s = 100.0", "request_per_s = 5.0", 12, "did you mean 'requests_per_s'"),
-        ("nodes = 12", "nodes = 4", 5, "1 racks of 6 for 2 zones"),
-        ("nodes = 12", "nodes = 0", 5, "a whole number from 1"),
-        ("count = 4", "count = 1", 10, "one for each of the 2 zones"),
-        ("count = 4", 'count = 4\npolicy = "best"', 11, "known here"),
-        ("version = 1", "version = 2", 1, "use a newer one"),
-        ("version = 1", "version = 1\nfleeet = 3", 2, "did you mean 'fleet'"),
-        ('name = "medio"', "cores = 2", 7, "name is missing"),
-        ('name = "etna"', 'name = "etna"\n[[tenants]]\nname = "etna"', 15, "stands on line"),
-        ("seconds = 20.0", "seconds = 20.0.0", 3, "is no TOML"),
-        ('[[fleet.kinds]]\nname = "medio"', "", 4, "has no kinds"),
-    ],
-)
-def test_what_is_wrong_is_told_by_line_and_with_what_would_be_right(
-    old: str, new: str, line: int, words: str
-) -> None:
-    told = problem(old, new)
-    assert f"{line}: " in told and words in told, told
-
-
-def test_all_that_is_wrong_comes_at_once() -> None:
-    with pytest.raises(BadFile) as caught:
-        load_script(SCRIPT.replace("nodes = 12", "nodes = 0").replace("at_s = 5.0", 'at_s = "x"').encode())
-    assert [problem.line for problem in caught.value.problems] == [5, 17]
-
-
-@pytest.mark.parametrize("path", EXAMPLES, ids=lambda path: path.stem)
-def test_the_examples_can_be_played(path: Path) -> None:
-    script = load_script(path.read_bytes())
-    assert script.faults or script.name == "calm evening"
-
-
 PLAY = """
 import sys
 from pathlib import Path
@@ -127,7 +46,7 @@
     return path
 
 
-def test_a_weekend_surge_twice_with_one_seed_is_the_same_to_the_byte(tmp_path: Path) -> None:
+def test_two_plays_of_one_seed_are_byte_identical(tmp_path: Path) -> None:
     """In processes of their own with other hash seeds; another seed of the rehearsal differs."""
     path = surge(tmp_path)
     running = [
@@ -137,18 +56,18 @@
         )
         for seed, hashes in (("5", "1"), ("5", "4242"), ("6", "1"))
     ]  # fmt: skip
-    told = [process.communicate()[0] for process in running]
+    outputs = [process.communicate()[0] for process in running]
     assert all(process.returncode == 0 for process in running)
-    assert told[0] == told[1] and told[0] != told[2]
-    rows = [json.loads(line) for line in told[0].splitlines()]
+    assert outputs[0] == outputs[1] and outputs[0] != outputs[2]
+    rows = [json.loads(line) for line in outputs[0].splitlines()]
     assert {"slow", "errors", "grow"} <= {row.get("kind") for row in rows}
     assert rows[-1]["score"] > 0.0 and rows[-1]["counts"]["requests"] > 5000
 
 
-def test_two_policies_meet_the_very_same_requests() -> None:
+def test_two_policies_get_identical_requests() -> None:
     """Arrivals, work, keys and tenants are the script's and the seed's; no policy can shift them."""
 
-    def asked(policy: str) -> list[tuple[float, float, int]]:
+    def requests_of(policy: str) -> list[tuple[float, float, int]]:
         simulation = Simulation(
             rehearsal(seconds=4.0, faults=(Fault(fault_kind="burst", at_s=1.0, for_s=2.0, size=2.0),)),
             7,
@@ -165,10 +84,10 @@
         simulation.run()
         return sorted(set(due))
 
-    assert asked("random") == asked("heronreel") == asked("sees-all")
+    assert requests_of("random") == requests_of("heronreel") == requests_of("sees-all")
 
 
-def test_events_at_one_time_happen_in_the_order_in_which_they_were_set() -> None:
+def test_simultaneous_events_run_in_the_order_of_scheduling() -> None:
     events, seen = EventQueue(), []
 
     def note(number: int) -> None:
@@ -183,7 +102,7 @@
     assert seen == [0, 1, 2, 3, 4] and events.now == 5.0
 
 
-def test_a_script_may_play_a_file_of_routes() -> None:
+def test_a_script_applies_a_file_of_routes() -> None:
     """The real policies of routes decide what may be repeated, and how often."""
     routes = load_routes(b"""
 [[pools]]
@@ -209,7 +128,7 @@
     assert free.counts["refused"] == 0
 
 
-def test_a_trace_tells_what_was_believed_and_what_was_true() -> None:
+def test_a_trace_holds_beliefs_and_the_truth() -> None:
     script = rehearsal(
         seconds=6.0, faults=(Fault(fault_kind="slow", at_s=1.0, for_s=5.0, share=0.5, size=20.0),)
     )
@@ -227,19 +146,19 @@
 def test_a_drain_during_a_pause_loses_nothing() -> None:
     """The node stands still, is drained meanwhile, and goes when it has worked off what it had."""
     names = ["n1", "n2", "n3"]
-    troubles = (
+    faults = (
         Fault(fault_kind="pause", at_s=3.0, for_s=1.5, names=names),
         Fault(fault_kind="drain", at_s=3.4, names=names, after_s=5.0),
     )
-    result = play(rehearsal(faults=troubles, load=0.5, kind=KIND), 15)
+    result = play(rehearsal(faults=faults, load=0.5, kind=KIND), 15)
     assert result.kept and result.counts["lost"] == 0, result.breaches[:3]
     assert result.counts["served"] > 0.9 * result.counts["requests"]
 
 
-def test_a_node_replaced_at_its_address_within_the_second_is_told_from_the_one_before() -> None:
+def test_a_process_replaced_at_its_address_is_distinguished_from_its_predecessor() -> None:
     """The new process starts cold, what the old one had is undone and may be repeated."""
-    troubles = (Fault(fault_kind="replace", at_s=4.0, share=0.4, same_address=True),)
-    simulation = Simulation(rehearsal(faults=troubles, load=0.6), 16)
+    faults = (Fault(fault_kind="replace", at_s=4.0, share=0.4, same_address=True),)
+    simulation = Simulation(rehearsal(faults=faults, load=0.6), 16)
     result = simulation.run()
     assert result.kept, result.breaches[:3]
     reborn = [node for node in simulation.fleet.nodes if node.started_at]
@@ -249,7 +168,7 @@
     assert sum(row.get("served", 0) for row in done) > 0.9 * sum(row["requests"] for row in done)
 
 
-def test_a_hidden_limit_slows_a_rack_while_each_of_its_nodes_looks_idle() -> None:
+def test_a_hidden_limit_slows_a_rack_while_its_nodes_look_idle() -> None:
     from heronreel.emulator.model import FleetConfig
 
     fleet = FleetConfig(nodes=12, zones=["a"], rack_size=6, limited_racks=0.5, rack_limit=0.3, kinds=(KIND,))
@@ -267,13 +186,13 @@
         for group in (limited, free)
         for proxy in simulation.proxies[:1]
     ]
-    assert factors[0] > 1.3 * factors[1], "ours has learned that they are slow"
+    assert factors[0] > 1.3 * factors[1], "the balancer has learned that they are slow"
     assert result.service["whole"] > play(rehearsal(load=0.55, fleet=fleet), 17, "random").service["whole"]
 
 
 @pytest.mark.parametrize("seed", [18, 19])
-def test_retries_feed_on_themselves_with_a_careless_policy_and_ours_comes_back(seed: int) -> None:
-    """Metastable failure: a burst of 2 s is over, and a careless fleet stays down by its retries."""
+def test_a_retry_storm_persists_without_a_budget_and_the_balancer_recovers(seed: int) -> None:
+    """Metastable failure: after a burst of 2 s a fleet without a retry budget stays overloaded."""
     from heronreel.emulator.model import ClientConfig
 
     request_class = RequestClass(
@@ -292,13 +211,13 @@
     assert after["storm"] < 0.5 and after["heronreel"] > 0.9, (seed, after)
 
 
-def test_every_policy_is_known_by_its_name() -> None:
+def test_an_unknown_policy_is_an_error() -> None:
     with pytest.raises(KeyError):
         make_policy("none", Simulation(rehearsal(), 1).proxies[0].settings, 1)
     assert ProxyConfig().policy == "heronreel"
 
 
-def test_troubles_of_one_kind_overlap_and_end_in_any_order() -> None:
+def test_faults_of_one_kind_overlap_and_end_in_any_order() -> None:
     """The longer one goes on when the shorter one ends, and nothing is left when both have."""
     names = ["n1", "n2"]
     pairs = [
@@ -309,7 +228,7 @@
         )
         for at, lasts in ((1.0, 3.0), (2.0, 1.0))
     ]  # fmt: skip
-    # of heavy requests the newest trouble counts, and here the first begun is the first to end
+    # of heavy requests the newest fault counts, and here the first begun is the first to end
     pairs.append(Fault(fault_kind="heavy", at_s=1.0, for_s=2.0, share=0.1, size=5.0))
     pairs.append(Fault(fault_kind="heavy", at_s=2.0, for_s=2.0, share=0.2, size=7.0))
     simulation = Simulation(rehearsal(seconds=6.0, load=0.3, kind=KIND, faults=tuple(pairs)), 20)
--- a/tests/realtime/test_realtime.py
+++ b/tests/realtime/test_realtime.py
@@ -41,9 +41,9 @@
 }
 
 
-def script(*troubles: Fault) -> Rehearsal:
+def script(*faults: Fault) -> Rehearsal:
     request_class = RequestClass(work_ms=60.0, attempt_noise=0.2)
-    return rehearsal(6, 3, 0.4, 5.0, request_class=request_class, faults=troubles)
+    return rehearsal(6, 3, 0.4, 5.0, request_class=request_class, faults=faults)
 
 
 def shares(result: Result) -> tuple[float, float]:
@@ -55,20 +55,20 @@
 @pytest.mark.parametrize("case", list(CASES))
 def test_both_engines_agree_and_the_real_program_keeps_the_rules(case: str) -> None:
     seed = 5
-    told = script(*CASES[case])
-    real, crashes = play_over_sockets(told, seed, SCALE)
-    virtual = play(told, seed)
+    case_script = script(*CASES[case])
+    real, crashes = play_over_sockets(case_script, seed, SCALE)
+    virtual = play(case_script, seed)
     print(f"seed {seed}, {case}: real {real.counts}, virtual {virtual.counts}")
     assert not crashes
     assert real.kept and virtual.kept, (real.breaches[:3], virtual.breaches[:3])
     assert real.counts["requests"] == virtual.counts["requests"], "the same arrivals"
-    for ours, theirs in zip(shares(real), shares(virtual), strict=True):
-        assert abs(ours - theirs) <= MARGIN, (real.counts, virtual.counts)
+    for of_real, of_virtual in zip(shares(real), shares(virtual), strict=True):
+        assert abs(of_real - of_virtual) <= MARGIN, (real.counts, virtual.counts)
     assert 0.5 < real.percentiles["p50"] / virtual.percentiles["p50"] < 2.5
     assert real.meter["attempts"] == pytest.approx(virtual.meter["attempts"], rel=0.2)
 
 
-def test_what_is_too_large_for_loopback_is_not_played() -> None:
+def test_a_script_too_large_for_loopback_is_rejected() -> None:
     large = rehearsal(6, 3, 0.4, 5.0)
     cases: list[tuple[dict[str, Any], str]] = [
         ({"proxies": ProxyConfig(count=99)}, "99 proxies"),
@@ -79,9 +79,9 @@
             play_over_sockets(msgspec.structs.replace(large, **changes), 1)
 
 
-def test_bursts_do_not_carry_the_traffic_over_its_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_bursts_do_not_exceed_the_request_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(runtime, "MAX_REQUESTS", 120)
-    told = rehearsal(4, 2, 0.1, 4.0, faults=(Fault(fault_kind="burst", at_s=0.1, for_s=3.5, size=6.0),))
-    result, crashes = play_over_sockets(told, 6)
+    burst = rehearsal(4, 2, 0.1, 4.0, faults=(Fault(fault_kind="burst", at_s=0.1, for_s=3.5, size=6.0),))
+    result, crashes = play_over_sockets(burst, 6)
     assert crashes == ["stopped asking at 120 requests"] and result.counts["requests"] <= 130
     assert result.kept and result.counts["lost"] == 0
