--- a/bench/agreement.py
+++ b/bench/agreement.py
@@ -26,7 +26,7 @@
     counts, requests = result.counts, result.counts["requests"]
     shares = "  ".join(f"{one} {counts[one] / requests:6.1%}" for one in REQUEST_RESULTS if one != "left")
     latencies = "  ".join(f"{p} {result.percentiles[p]:6.0f}" for p in ("p50", "p90", "p99"))
-    rules = "kept" if result.kept else str(result.rules)
+    rules = "kept" if result.rules_kept else str(result.breach_counts)
     each = result.meter["attempts"] / requests
     return f"    {name:<8} {shares}  {latencies} ms  attempts {each:.2f}  rules {rules}"
 
--- a/bench/truths.py
+++ b/bench/truths.py
@@ -121,7 +121,7 @@
     with constants(settings):
         made = alike if ("alike", 1) in changes else None
         result = Simulation(changed(day(name, scarce), settings), seed, deciders=made).run()
-    return {"script": name, **result.row()}
+    return {"script": name, **result.table_row()}
 
 
 def net_of(row: dict[str, Any]) -> float:
--- a/heronreel/cli/rehearse.py
+++ b/heronreel/cli/rehearse.py
@@ -116,26 +116,30 @@
     if real:
         results.insert(0, _played_real(rehearsal, seed, scale, as_json))
     ours = results[0]
-    broken_by = ours.lines_of_breaches()[:20]
+    broken_by = ours.breached_requests()[:20]
     if page and broken_by and not trace and not real:
         # breaches are linked to their traces: the same play once more, with those requests followed
         from heronreel.emulator.simulation import play
 
         ours = results[0] = play(rehearsal, seed, policy, broken_by, routes)
     if timeline:
-        _write(timeline, ours.lines())
+        _write(timeline, ours.json_lines())
     if page:
         from heronreel.experiments.report import of_rehearsal
 
         _write(page, of_rehearsal(rehearsal, results).encode())
     if as_json:
-        told = {"plays": [one.row() | {"rules": one.rules, "digest": one.digest()} for one in results]}
+        told = {
+            "plays": [
+                one.table_row() | {"rules": one.breach_counts, "digest": one.digest()} for one in results
+            ]
+        }
         told["plays"][0] |= {"breaches": ours.breaches, "traces": ours.traces}
         click.echo(json.dumps(told, indent=2))
     else:
         _tell(results)
         _tell_traces(ours)
-    sys.exit(0 if ours.kept else 1)
+    sys.exit(0 if ours.rules_kept else 1)
 
 
 def _played(
@@ -193,11 +197,11 @@
         table.add_column(head, justify="left" if head == "policy" else "right")
     table.add_column("rules")
     for place, one in enumerate(results):
-        row = one.row()
+        row = one.table_row()
         table.add_row(
             one.policy, f"{one.score:.3f}", f"{row['service']:.3f}", f"{row['worst_window']:.3f}",
             f"{row['worst_tenant']:.3f}", *(f"{row[end] / max(1, row['requests']):.1%}" for end in ENDS),
-            f"{row.get('p99', 0.0):.0f}", one.broken or "kept",
+            f"{row.get('p99', 0.0):.0f}", one.broken_rules or "kept",
             style="bold" if not place else "",
         )  # fmt: skip
     Console(width=None if sys.stdout.isatty() else 140).print(table)
--- a/heronreel/emulator/result.py
+++ b/heronreel/emulator/result.py
@@ -20,57 +20,57 @@
     seed: int
     seconds: float
     service: dict[str, float]  # whole, worst_window, worst_tenant, service: before prices, 0 to 1
-    paid: dict[str, float]  # points by what they are for
-    score: float  # service less what is paid; 0 where a rule is broken
+    costs: dict[str, float] = msgspec.field(name="paid")  # points by what they are for
+    score: float  # service less the costs; 0 where a rule is broken
     counts: dict[str, int]  # requests by their result
-    rules: dict[str, int]  # breaches by rule
+    breach_counts: dict[str, int] = msgspec.field(name="rules")  # by rule
     percentiles: dict[str, float]  # ms, from when the request was due
     meter: dict[str, float]
     events: int
-    seconds_rows: list[dict[str, Any]]
+    second_rows: list[dict[str, Any]] = msgspec.field(name="seconds_rows")
     timeline: list[dict[str, Any]]
     breaches: list[dict[str, Any]]
     traces: dict[str, list[dict[str, Any]]] = {}
 
     @property
-    def kept(self) -> bool:
+    def rules_kept(self) -> bool:
         """Whether no rule was broken."""
-        return not any(self.rules.values())
+        return not any(self.breach_counts.values())
 
     @property
-    def broken(self) -> str:
+    def broken_rules(self) -> str:
         """The rules that were broken, and how often, in words."""
-        return ", ".join(f"{rule} {count}" for rule, count in self.rules.items() if count)
+        return ", ".join(f"{rule} {count}" for rule, count in self.breach_counts.items() if count)
 
-    def lines_of_breaches(self) -> list[int]:
+    def breached_requests(self) -> list[int]:
         """The clients' requests that breaches belong to."""
         return sorted({row["line"] for row in self.breaches if row["line"] >= 0})
 
-    def lines(self) -> bytes:
-        """The timeline as JSON lines, byte for byte alike for the same play."""
+    def json_lines(self) -> bytes:
+        """The timeline as JSON lines, byte-identical for the same play."""
         rows = [
             *self.timeline,
-            *self.seconds_rows,
+            *self.second_rows,
             *self.breaches,
             {"score": self.score, "counts": self.counts},
         ]
         return b"".join(msgspec.json.encode(row) + b"\n" for row in rows)
 
     def digest(self) -> str:
-        """A hash of `lines`."""
-        return hashlib.sha256(self.lines()).hexdigest()
+        """A hash of `json_lines`."""
+        return hashlib.sha256(self.json_lines()).hexdigest()
 
-    def row(self) -> dict[str, Any]:
+    def table_row(self) -> dict[str, Any]:
         """Its figures, flat, as a table holds them."""
         row: dict[str, Any] = {
             "policy": self.policy,
             "seed": self.seed,
             "score": self.score,
-            "kept": self.kept,
+            "kept": self.rules_kept,
         }
         row |= self.service
-        row |= {f"paid_{name}": value for name, value in self.paid.items()}
-        row |= {f"broke_{rule}": count for rule, count in self.rules.items()}
+        row |= {f"paid_{name}": value for name, value in self.costs.items()}
+        row |= {f"broke_{rule}": count for rule, count in self.breach_counts.items()}
         row |= dict(self.counts)
         row |= {name.replace(".", "_"): value for name, value in self.percentiles.items()}
         requests = max(1, self.counts["requests"])
@@ -84,16 +84,16 @@
     """The result of a play that is over.  `reloads`: of proxies, by faults."""
     rehearsal, scoring, invariants = context.rehearsal, context.scoring, context.invariants
     service = {name: round(value, 6) for name, value in scoring.service().items()}
-    paid = {name: round(value, 6) for name, value in scoring.paid().items()}
+    costs = {name: round(value, 6) for name, value in scoring.costs().items()}
     kept = not any(invariants.counts.values())
-    score = max(0.0, service["service"] - sum(paid.values())) if kept else 0.0
+    score = max(0.0, service["service"] - sum(costs.values())) if kept else 0.0
     meter = asdict(scoring.meter) | {"list_failed": context.endpoint_list.failed_calls, "reloads": reloads}
     steps = context.tracer.steps if context.tracer is not None else {}
     return Result(
         name=rehearsal.name, policy=policy, seed=seed, seconds=rehearsal.seconds,
-        service=service, paid=paid, score=round(score, 6), counts=scoring.counts(),
-        rules=dict(invariants.counts), percentiles=scoring.percentiles(), meter=meter,
-        events=context.events.processed, seconds_rows=_second_rows(scoring), timeline=context.timeline.rows,
+        service=service, costs=costs, score=round(score, 6), counts=scoring.counts(),
+        breach_counts=dict(invariants.counts), percentiles=scoring.percentiles(), meter=meter,
+        events=context.events.processed, second_rows=_second_rows(scoring), timeline=context.timeline.rows,
         breaches=[asdict(breach) for breach in invariants.breaches],
         traces={str(ident): rows for ident, rows in steps.items()},
     )  # fmt: skip
--- a/heronreel/emulator/scoring.py
+++ b/heronreel/emulator/scoring.py
@@ -161,7 +161,7 @@
                 fractions.append(sum(s.served_weight for s in window) / requested)
         return min(fractions, default=default)
 
-    def paid(self) -> dict[str, float]:
+    def costs(self) -> dict[str, float]:
         """Points lost, by what they are for."""
         meter, prices = self.meter, self.prices
         requests = max(1, sum(s.requests for s in self.seconds))
--- a/heronreel/experiments/charts.py
+++ b/heronreel/experiments/charts.py
@@ -74,7 +74,7 @@
     figure, axes = _axes("Service by second in which requests were due", "s", "share of worth served")
     _shade(axes, results[0])
     for place, result in enumerate(results):
-        rows = [row for row in result.seconds_rows if row["asked"]]
+        rows = [row for row in result.second_rows if row["asked"]]
         axes.plot(
             [row["second"] + 0.5 for row in rows], [row["got"] / row["asked"] for row in rows],
             color=COLOURS[place % len(COLOURS)], lw=2.2 if not place else 1.2, label=result.policy,
@@ -88,11 +88,11 @@
     """Goodput against demand: what became of the requests due in each second."""
     figure, axes = _axes(f"Demand and what became of it ({result.policy})", "s", "requests a second")
     _shade(axes, result)
-    seconds = [row["second"] + 0.5 for row in result.seconds_rows]
-    parts = [[row.get(end, 0) for row in result.seconds_rows] for end in ENDS]
+    seconds = [row["second"] + 0.5 for row in result.second_rows]
+    parts = [[row.get(end, 0) for row in result.second_rows] for end in ENDS]
     axes.stackplot(seconds, *parts, labels=list(ENDS), colors=list(ENDS.values()), alpha=0.85)
     axes.plot(
-        seconds, [row["requests"] for row in result.seconds_rows], color="#222222", lw=1.0, label="demand"
+        seconds, [row["requests"] for row in result.second_rows], color="#222222", lw=1.0, label="demand"
     )
     axes.legend(fontsize=8, loc="upper center", bbox_to_anchor=(0.5, -0.16), ncols=6, frameon=False)
     return svg(figure)
--- a/heronreel/experiments/report.py
+++ b/heronreel/experiments/report.py
@@ -84,9 +84,9 @@
     ]  # fmt: skip
     rows = []
     for place, one in enumerate(results):
-        row = one.row()
-        cells = [_cell(one.policy), _cell(one.score, bad=not one.kept)]
-        cells.append(_cell(one.broken or "kept", bad=not one.kept, words=True))
+        row = one.table_row()
+        cells = [_cell(one.policy), _cell(one.score, bad=not one.rules_kept)]
+        cells.append(_cell(one.broken_rules or "kept", bad=not one.rules_kept, words=True))
         cells += [_cell(row[name]) for name in ("service", "worst_window", "worst_tenant")]
         cells += [_cell(row[name]) for name in ("served", "late", "refused", "failed", "lost")]
         cells += [_cell(row["attempts_each"]), _cell(row.get("p50", 0.0)), _cell(row.get("p99", 0.0))]
@@ -121,13 +121,13 @@
             "rows": [{"cells": [_cell(a), _cell(b), _cell(kind, words=True)], "ours": False}
                      for a, b, kind in charts.troubles_of(ours)]}]),
         _section("Prices", "Points of service paid for what was used.", tables=[{
-            "heads": ["policy", *ours.paid],
-            "rows": [{"cells": [_cell(r.policy), *(_cell(v) for v in r.paid.values())], "ours": not place}
+            "heads": ["policy", *ours.costs],
+            "rows": [{"cells": [_cell(r.policy), *(_cell(v) for v in r.costs.values())], "ours": not place}
                      for place, r in enumerate(results)]}]),
     ]  # fmt: skip
     if breaches:
         heads = ["rule", "at s", "proxy", "node", "what", "trace"]
-        count = sum(ours.rules.values())
+        count = sum(ours.breach_counts.values())
         words = f"{count} in all; the first {len(breaches)} are shown."
         sections.insert(1, _section("Broken rules", words, tables=[{"heads": heads, "rows": breaches}]))
     if ours.traces:
@@ -141,7 +141,9 @@
         f"{rehearsal.traffic.requests_per_s:g} requests a second, {rehearsal.seconds:g} s, seed {ours.seed}"
     )
     kept = (
-        "all rules kept" if ours.kept else "rules broken: " + ", ".join(r for r, c in ours.rules.items() if c)
+        "all rules kept"
+        if ours.rules_kept
+        else "rules broken: " + ", ".join(r for r, c in ours.breach_counts.items() if c)
     )
     return _page(rehearsal.name, subtitle, sections, f"{ours.policy}: score {ours.score:.3f}, {kept}.")
 
--- a/heronreel/experiments/sweep.py
+++ b/heronreel/experiments/sweep.py
@@ -68,7 +68,7 @@
         result = play(one.rehearsal, one.seed, one.policy)
     row: dict[str, Any] = {"script": one.script, "code": code_version(), "name": one.rehearsal.name}
     row |= {f"set {setting.key}": str(setting.value) for setting in one.settings}
-    row |= result.row()
+    row |= result.table_row()
     row |= {"digest": result.digest(), "cpu_s": round(time.process_time() - began, 3)}
     return row
 
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -424,7 +424,7 @@
     files["group.state"] = lines_of(group_content())
     files["script.toml"] = written(SCRIPT).encode()
     files["incident.toml"] = written(of_incident(SCRIPT, INCIDENT)[0]).encode()
-    files["result.jsonl"] = RESULT.lines() + shown(RESULT.row())
+    files["result.jsonl"] = RESULT.json_lines() + shown(RESULT.table_row())
     files["demo.json"] = shown(Stage(5.0).result())
     for name, data in files.items():
         (folder / name).parent.mkdir(parents=True, exist_ok=True)
--- a/tests/emulator/test_fleet_scenarios.py
+++ b/tests/emulator/test_fleet_scenarios.py
@@ -75,7 +75,7 @@
     simulation = Simulation(script, seed)
     list_traffic = ListTraffic(simulation)
     result = simulation.run()
-    assert result.kept, (seed, result.breaches[:3])
+    assert result.rules_kept, (seed, result.breaches[:3])
     herd = [row["names"][0] for row in result.timeline if row["event"] == "ended"]
     assert len(herd) == round(0.7 * proxies)
     late = list_traffic.between(killed + 14.0, killed + 22.0) / 8.0
@@ -98,7 +98,7 @@
     simulation = Simulation(script, seed)
     list_traffic = ListTraffic(simulation)
     result = simulation.run()
-    assert result.kept, (seed, result.breaches[:3])
+    assert result.rules_kept, (seed, result.breaches[:3])
     assert result.service["worst_window"] > 0.9, "the old list stays in force"
     rates = [list_traffic.between(second, second + 1.0) / proxies for second in range(4, 25)]
     assert max(rates) <= 2.0, f"seed {seed}: {rates}"
@@ -164,7 +164,7 @@
 
     simulation.context.invariants.cold_work_arrived = watched  # type: ignore[method-assign]
     result = simulation.run()
-    assert result.kept, (seed, result.breaches[:3])
+    assert result.rules_kept, (seed, result.breaches[:3])
     # what the cold nodes could have done while they warmed up, and what they were given
     could = given = 0.0
     for node in simulation.fleet.nodes:
@@ -194,7 +194,7 @@
 
     simulation.fleet.on_job_ended = watch
     result = simulation.run()
-    assert result.kept and max(most.values()) <= 30, most
+    assert result.rules_kept and max(most.values()) <= 30, most
     for node in simulation.fleet.nodes:  # every open connection is some proxy's
         owned = sum(proxy.connections.idle_count(node) for proxy in simulation.proxies)
         assert node.open_connections == owned, node.name
@@ -211,7 +211,7 @@
     """The same events, the same actions: a play with `HostedBalancer` against one with the module itself."""
     script = fleet(40, 24, 6.0, Fault(fault_kind="replace", at_s=2.0, share=0.3, within_s=1.0, after_s=1.0))
     plays = [Simulation(script, 61, deciders=made).run() for made in (HostedBalancer, Balancer)]
-    assert plays[0].lines() == plays[1].lines()
+    assert plays[0].json_lines() == plays[1].json_lines()
 
 
 def test_a_change_of_the_endpoint_list_moves_only_the_keys_of_changed_nodes() -> None:
@@ -294,4 +294,6 @@
         Fault(fault_kind="kill", at_s=3.0, share=1.0),
     )
     result = play(msgspec.structs.replace(script, proxies=ProxyConfig(count=5, restart_ms=300.0)), 81)
-    assert result.kept and result.seconds_rows[8].get("served", 0) > 0.8 * result.seconds_rows[8]["requests"]
+    assert (
+        result.rules_kept and result.second_rows[8].get("served", 0) > 0.8 * result.second_rows[8]["requests"]
+    )
--- a/tests/emulator/test_invariants.py
+++ b/tests/emulator/test_invariants.py
@@ -31,9 +31,11 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_policy_with_one_defect_breaks_its_rule_and_no_other(rule: str, seed: int) -> None:
     result = play(scenario(rule), seed, f"careless-{rule}")
-    print(f"seed {seed}: {result.rules}")
-    assert result.rules[rule] > 0 and result.score == 0.0
-    assert not [other for other, count in result.rules.items() if count and other != rule], result.rules
+    print(f"seed {seed}: {result.breach_counts}")
+    assert result.breach_counts[rule] > 0 and result.score == 0.0
+    assert not [other for other, count in result.breach_counts.items() if count and other != rule], (
+        result.breach_counts
+    )
     breach = result.breaches[0]
     assert breach["rule"] == rule and breach["words"] and (breach["request"] >= 0 or breach["node"])
 
@@ -42,7 +44,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_balancer_keeps_every_rule(rule: str, seed: int) -> None:
     result = play(scenario(rule), seed)
-    assert result.kept, (seed, result.breaches[:3])
+    assert result.rules_kept, (seed, result.breaches[:3])
     assert result.service["whole"] > 0.7
 
 
@@ -59,7 +61,7 @@
     )
     for seed in (3, 4):
         result = play(rehearsal(faults=faults, request_class=request_class, proxies=6), seed)
-        assert result.kept, (seed, result.breaches[:3])
+        assert result.rules_kept, (seed, result.breaches[:3])
 
 
 def test_the_checker_applies_each_limit_exactly() -> None:
@@ -127,7 +129,10 @@
         return Balancer(replace(settings, cold_from=1.0, cold_ms=0.0), seed)
 
     with_it, without = play(script, 5), Simulation(script, 5, deciders=never_cold).run()
-    assert with_it.rules["cold"] == 0 and without.rules["cold"] > 0, (with_it.rules, without.rules)
+    assert with_it.breach_counts["cold"] == 0 and without.breach_counts["cold"] > 0, (
+        with_it.breach_counts,
+        without.breach_counts,
+    )
     fell = [row for row in without.timeline if row["event"] == "fell"]
     assert fell and not [row for row in with_it.timeline if row["event"] == "fell"]
 
--- a/tests/emulator/test_queueing_theory.py
+++ b/tests/emulator/test_queueing_theory.py
@@ -88,7 +88,7 @@
         traffic = TrafficConfig(requests_per_s=120.0, arrivals=arrivals, users=12, think_ms=40.0)
         script = rehearsal(kind=KIND, seconds=10.0, faults=stall, traffic=traffic)
         result = Simulation(script, 14, "least-of-two").run()
-        rows = {row["second"]: row["requests"] for row in result.seconds_rows}
+        rows = {row["second"]: row["requests"] for row in result.second_rows}
         found[arrivals] = (rows[5] / rows[3], result.percentiles["p95"])
     assert found["open"][0] > 0.7 and found["open"][1] > 500.0, found
     assert found["closed"][0] < 0.3 and found["closed"][1] < 500.0, found
--- a/tests/emulator/test_simulation.py
+++ b/tests/emulator/test_simulation.py
@@ -27,7 +27,7 @@
 from heronreel.emulator.script_loader import load_script
 from heronreel.emulator.simulation import play
 script = load_script(Path(sys.argv[1]).read_bytes())
-sys.stdout.buffer.write(play(script, int(sys.argv[2])).lines())
+sys.stdout.buffer.write(play(script, int(sys.argv[2])).json_lines())
 """
 
 
@@ -123,7 +123,7 @@
 """)
     script = rehearsal(seconds=8.0, load=0.3, request_class=RequestClass(work_ms=60.0))
     bound, free = play(script, 9, routes=routes), play(script, 9)
-    assert bound.kept and free.kept
+    assert bound.rules_kept and free.rules_kept
     assert bound.counts["refused"] > 0.2 * bound.counts["requests"], "20 a second at each proxy"
     assert free.counts["refused"] == 0
 
@@ -151,7 +151,7 @@
         Fault(fault_kind="drain", at_s=3.4, names=names, after_s=5.0),
     )
     result = play(rehearsal(faults=faults, load=0.5, kind=KIND), 15)
-    assert result.kept and result.counts["lost"] == 0, result.breaches[:3]
+    assert result.rules_kept and result.counts["lost"] == 0, result.breaches[:3]
     assert result.counts["served"] > 0.9 * result.counts["requests"]
 
 
@@ -160,11 +160,11 @@
     faults = (Fault(fault_kind="replace", at_s=4.0, share=0.4, same_address=True),)
     simulation = Simulation(rehearsal(faults=faults, load=0.6), 16)
     result = simulation.run()
-    assert result.kept, result.breaches[:3]
+    assert result.rules_kept, result.breaches[:3]
     reborn = [node for node in simulation.fleet.nodes if node.started_at]
     assert len(reborn) == 5 and all(node.started_at == 4000.0 and node.incarnation == 2 for node in reborn)
     assert len(simulation.fleet.nodes) == 12, "no new machine, no new id"
-    done = [row for row in result.seconds_rows if row["second"] > 6]
+    done = [row for row in result.second_rows if row["second"] > 6]
     assert sum(row.get("served", 0) for row in done) > 0.9 * sum(row["requests"] for row in done)
 
 
@@ -206,7 +206,7 @@
     )  # fmt: skip
     after = {}
     for policy in ("storm", "heronreel"):
-        rows = [row for row in play(script, seed, policy).seconds_rows if 14 <= row["second"] < 19]
+        rows = [row for row in play(script, seed, policy).second_rows if 14 <= row["second"] < 19]
         after[policy] = sum(row.get("served", 0) for row in rows) / sum(row["requests"] for row in rows)
     assert after["storm"] < 0.5 and after["heronreel"] > 0.9, (seed, after)
 
--- a/tests/experiments/test_experiments.py
+++ b/tests/experiments/test_experiments.py
@@ -224,7 +224,7 @@
     small = found.rehearsal
     assert small.fleet.nodes < 12 and small.proxies.count < 4 and small.seconds < 8.0
     again = play(load_script(written(small).encode()), 3, "careless-drain")
-    assert again.rules["drain"] and again.breaches[0]["at_ms"] == found.at_ms
+    assert again.breach_counts["drain"] and again.breaches[0]["at_ms"] == found.at_ms
     with pytest.raises(NothingBroken, match="breaks no rule"):
         shrink(SMALL, 1)
 
@@ -240,7 +240,7 @@
         Fault(fault_kind="kill", at_s=1.0, count=1),
     )
     first = play(msgspec.structs.replace(SMALL, faults=troubles), 4)
-    again, _ = of_incident(msgspec.structs.replace(SMALL, faults=troubles), first.lines())
+    again, _ = of_incident(msgspec.structs.replace(SMALL, faults=troubles), first.json_lines())
     drawn = next(row for row in first.timeline if row.get("kind") == "slow")
     assert again.faults[0].names == drawn["names"] and again.faults[0].for_s == 1.0
     second = play(msgspec.structs.replace(again, seconds=SMALL.seconds, name=SMALL.name), 4)
--- a/tests/realtime/test_realtime.py
+++ b/tests/realtime/test_realtime.py
@@ -60,7 +60,7 @@
     virtual = play(case_script, seed)
     print(f"seed {seed}, {case}: real {real.counts}, virtual {virtual.counts}")
     assert not crashes
-    assert real.kept and virtual.kept, (real.breaches[:3], virtual.breaches[:3])
+    assert real.rules_kept and virtual.rules_kept, (real.breaches[:3], virtual.breaches[:3])
     assert real.counts["requests"] == virtual.counts["requests"], "the same arrivals"
     for of_real, of_virtual in zip(shares(real), shares(virtual), strict=True):
         assert abs(of_real - of_virtual) <= MARGIN, (real.counts, virtual.counts)
@@ -84,4 +84,4 @@
     burst = rehearsal(4, 2, 0.1, 4.0, faults=(Fault(fault_kind="burst", at_s=0.1, for_s=3.5, size=6.0),))
     result, crashes = play_over_sockets(burst, 6)
     assert crashes == ["stopped asking at 120 requests"] and result.counts["requests"] <= 130
-    assert result.kept and result.counts["lost"] == 0
+    assert result.rules_kept and result.counts["lost"] == 0
