--- a/bench/agreement.py
+++ b/bench/agreement.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
+from heronreel.emulator.client_request import RequestResult
 from heronreel.emulator.result import Result
-from heronreel.emulator.scoring import REQUEST_RESULTS
 from heronreel.emulator.simulation import play
 from heronreel.realtime.engine import play_over_sockets
 from tests.realtime.test_realtime import CASES, script
@@ -24,7 +24,7 @@
 
 def summary(name: str, result: Result) -> str:
     counts, requests = result.counts, result.counts["requests"]
-    shares = "  ".join(f"{one} {counts[one] / requests:6.1%}" for one in REQUEST_RESULTS if one != "left")
+    shares = "  ".join(f"{one} {counts[one] / requests:6.1%}" for one in RequestResult if one != "left")
     latencies = "  ".join(f"{p} {result.percentiles[p]:6.0f}" for p in ("p50", "p90", "p99"))
     rules = "kept" if result.rules_kept else str(result.breach_counts)
     each = result.meter["attempts"] / requests
--- a/heronreel/emulator/client_request.py
+++ b/heronreel/emulator/client_request.py
@@ -1,8 +1,20 @@
-"""One request of a client, over all its attempts."""
+"""One request of a client, over all its attempts, and its final result."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import StrEnum
+
+
+class RequestResult(StrEnum):
+    """How a request ended.  The values are part of a play's result."""
+
+    SERVED = "served"
+    LATE = "late"
+    REFUSED = "refused"
+    FAILED = "failed"
+    LOST = "lost"
+    LEFT = "left"
 
 
 @dataclass(slots=True)
@@ -19,4 +31,4 @@
     key: int = 0
     zone: str = ""
     attempts: int = 0  # of the client: the first and its retries
-    result: str = ""  # empty while it is open
+    result: RequestResult | None = None  # while it is open
--- a/heronreel/emulator/clients.py
+++ b/heronreel/emulator/clients.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable
 
-from heronreel.emulator.client_request import ClientRequest
+from heronreel.emulator.client_request import ClientRequest, RequestResult
 from heronreel.emulator.context import SimulationContext
 from heronreel.emulator.front_end import FrontEnd
 from heronreel.emulator.proxy import Proxy
@@ -97,9 +97,13 @@
         if hashed_uniform(self.seed, request.ident, ABANDON_PURPOSE) < config.abandon_share:
             self.events.schedule(now + deadline_ms * config.abandon_after, self._abandon, request)
         self.events.schedule(
-            now + network.client_latency(), self._reach_proxy, request, proxy,
-            max(MIN_TIME_LEFT_MS, time_left), proxy.incarnation,
-        )  # fmt: skip
+            now + network.client_latency(),
+            self._reach_proxy,
+            request,
+            proxy,
+            max(MIN_TIME_LEFT_MS, time_left),
+            proxy.incarnation,
+        )
 
     def _reach_proxy(
         self, client_request: ClientRequest, proxy: Proxy, time_left: float, incarnation: int
@@ -109,9 +113,13 @@
             return
         self.inbound_requests += 1
         request = InboundRequest(
-            self.inbound_requests, client_request, self.classes[client_request.class_index], proxy,
-            self.events.now + time_left, client_request.attempts > 1,
-        )  # fmt: skip
+            self.inbound_requests,
+            client_request,
+            self.classes[client_request.class_index],
+            proxy,
+            self.events.now + time_left,
+            client_request.attempts > 1,
+        )
         self.newest_attempts[client_request.ident] = request
         proxy.receive(request, time_left)
 
@@ -121,28 +129,30 @@
             newest = self.newest_attempts.get(request.ident)
             if newest is not None:
                 newest.proxy.client_disconnected(newest)
-            self._finish(request, "left")
+            self._finish(request, RequestResult.LEFT)
 
-    def response_sent(self, request: InboundRequest, result: str, retry_after_ms: float) -> None:
+    def response_sent(self, request: InboundRequest, result: RequestResult, retry_after_ms: float) -> None:
         """A proxy has responded; the client receives it a moment later."""
         at = self.events.now + self.context.network.client_latency()
         self.events.schedule(at, self._response_received, request, result, retry_after_ms)
 
-    def _response_received(self, request: InboundRequest, result: str, retry_after_ms: float) -> None:
+    def _response_received(
+        self, request: InboundRequest, result: RequestResult, retry_after_ms: float
+    ) -> None:
         client_request = request.client_request
         if client_request.result or self.newest_attempts.get(client_request.ident) is not request:
             return
-        if result == "served":
-            self._finish(client_request, "served")
+        if result is RequestResult.SERVED:
+            self._finish(client_request, result)
             return
-        may_retry = result == "refused" or request.request_class.effect == "safe"
+        may_retry = result is RequestResult.REFUSED or request.request_class.effect == "safe"
         if not may_retry or not self._schedule_retry(client_request, retry_after_ms):
             self._finish(client_request, result)
 
     def connect_failed(self, client_request: ClientRequest) -> None:
         """The client could not reach a proxy."""
         if not client_request.result and not self._schedule_retry(client_request, 0.0):
-            self._finish(client_request, "failed")
+            self._finish(client_request, RequestResult.FAILED)
 
     def connection_lost(self, request: InboundRequest) -> None:
         """The proxy's process has ended with the request in flight."""
@@ -150,7 +160,7 @@
         if client_request.result:
             return
         if request.request_class.effect != "safe" or not self._schedule_retry(client_request, 0.0):
-            self._finish(client_request, "failed")
+            self._finish(client_request, RequestResult.FAILED)
 
     def _schedule_retry(self, request: ClientRequest, retry_after_ms: float) -> bool:
         """Whether the client retries, after its own backoff or the advised wait."""
@@ -164,7 +174,7 @@
         self.events.schedule(self.events.now + wait, self.start_attempt, request)
         return True
 
-    def _finish(self, request: ClientRequest, result: str) -> None:
+    def _finish(self, request: ClientRequest, result: RequestResult) -> None:
         request_class = self.classes[request.class_index]
         self.context.scoring.request_finished(
             request, result, self.events.now, request_class.latency_objective_ms, request_class.late_weight
@@ -179,4 +189,6 @@
         """The play is over: what is still open counts as lost."""
         for request in list(self.open_requests.values()):
             objective_ms = self.classes[request.class_index].latency_objective_ms
-            self.context.scoring.request_finished(request, "lost", self.events.now, objective_ms, 0.0)
+            self.context.scoring.request_finished(
+                request, RequestResult.LOST, self.events.now, objective_ms, 0.0
+            )
--- a/heronreel/emulator/cluster.py
+++ b/heronreel/emulator/cluster.py
@@ -118,9 +118,13 @@
         now = self.events.now
         if not job.fails:
             context.invariants.effect_took_place(
-                job.client_request, request.request_class.effect, request.ident, request.proxy.name,
-                node.name, now,
-            )  # fmt: skip
+                job.client_request,
+                request.request_class.effect,
+                request.ident,
+                request.proxy.name,
+                node.name,
+                now,
+            )
             meter = context.scoring.meter
             meter.worked_ms += job.work
             if request.finished:
--- a/heronreel/emulator/deciders.py
+++ b/heronreel/emulator/deciders.py
@@ -22,24 +22,40 @@
     return api.Settings(
         classes=tuple(
             api.RequestClass(
-                k.name, k.latency_objective_ms, k.deadline_ms, k.weight, k.late_weight, EFFECTS[k.effect],
+                k.name,
+                k.latency_objective_ms,
+                k.deadline_ms,
+                k.weight,
+                k.late_weight,
+                EFFECTS[k.effect],
                 GROUPS[k.dedup_scope],
                 k.dedup_ms,
             )
             for k in rehearsal.classes
         ),
         tenants=tuple(api.Tenant(t.name, t.share, quotas[t.name]) for t in rehearsal.tenants),
-        zone=zone, zones=tuple(rehearsal.fleet.zones), proxies=proxies.count, slot=slot, watch_list=True,
-        ask_within_ms=rules.poll_within_ms, max_attempts=proxies.max_attempts,
-        second_copies=proxies.hedging, max_retry_after_ms=proxies.max_retry_after_ms,
-        connect_timeout_ms=proxies.connect_timeout_ms, warm_keys=any(kind.warm_gain for kind in kinds),
+        zone=zone,
+        zones=tuple(rehearsal.fleet.zones),
+        proxies=proxies.count,
+        slot=slot,
+        watch_list=True,
+        ask_within_ms=rules.poll_within_ms,
+        max_attempts=proxies.max_attempts,
+        second_copies=proxies.hedging,
+        max_retry_after_ms=proxies.max_retry_after_ms,
+        connect_timeout_ms=proxies.connect_timeout_ms,
+        warm_keys=any(kind.warm_gain for kind in kinds),
         cold_from=min((kind.warm_up_floor for kind in kinds), default=1.0),
         cold_ms=max((kind.warm_up_ms for kind in kinds), default=0.0),
-        overload_factor=rules.overload_factor, fall_ms=rules.collapse_window_ms,
-        over_share_worth=rehearsal.score.over_quota_weight, price_cross_zone=prices.cross_zone,
-        price_late_failure=prices.late_failure, price_connection=prices.connection,
-        price_handshake=prices.handshake, price_waste=prices.waste,
-    )  # fmt: skip
+        overload_factor=rules.overload_factor,
+        fall_ms=rules.collapse_window_ms,
+        over_share_worth=rehearsal.score.over_quota_weight,
+        price_cross_zone=prices.cross_zone,
+        price_late_failure=prices.late_failure,
+        price_connection=prices.connection,
+        price_handshake=prices.handshake,
+        price_waste=prices.waste,
+    )
 
 
 class DeciderFactory:
@@ -50,9 +66,12 @@
     """
 
     def __init__(
-        self, policy: str, oracle: NodeOracle, routes: RoutesFile | None = None,
+        self,
+        policy: str,
+        oracle: NodeOracle,
+        routes: RoutesFile | None = None,
         custom: MakeDecider | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`custom` makes the deciders in place of a policy by name."""
         self.policy, self.oracle, self.routes, self.custom = policy, oracle, routes, custom
         self.router = Router(routes) if routes is not None else None
--- a/heronreel/emulator/fault_targets.py
+++ b/heronreel/emulator/fault_targets.py
@@ -25,9 +25,13 @@
 
 
 def select_targets(
-    fault: Fault, candidates: Sequence[T], stream: RandomStream, rack_of: Callable[[T], str] = lambda one: "",
-    kind_of: Callable[[T], str] = lambda one: "", load_of: Callable[[T], float] = lambda one: 0.0,
-) -> list[T]:  # fmt: skip
+    fault: Fault,
+    candidates: Sequence[T],
+    stream: RandomStream,
+    rack_of: Callable[[T], str] = lambda one: "",
+    kind_of: Callable[[T], str] = lambda one: "",
+    load_of: Callable[[T], float] = lambda one: 0.0,
+) -> list[T]:
     """Those named; else of the rack, zone and kind the busiest, a number, a share, or all.
 
     A share takes one at least, so that no fault is without a target where there is one.
@@ -36,11 +40,12 @@
         wanted = set(fault.names)
         return [one for one in candidates if one.name in wanted]
     matching = [
-        one for one in candidates
+        one
+        for one in candidates
         if (not fault.zone or one.zone == fault.zone)
         and (not fault.rack or rack_of(one) == fault.rack)
         and (not fault.node_kind or kind_of(one) == fault.node_kind)
-    ]  # fmt: skip
+    ]
     if fault.busiest:
         ranked = sorted(range(len(matching)), key=lambda index: (-load_of(matching[index]), index))
         return [matching[index] for index in sorted(ranked[: fault.busiest])]
--- a/heronreel/emulator/faults.py
+++ b/heronreel/emulator/faults.py
@@ -59,15 +59,19 @@
     """Schedules and carries out the faults of a script."""
 
     def __init__(
-        self, context: SimulationContext, cluster: Cluster, traffic: Traffic, proxies: Sequence[Proxy],
+        self,
+        context: SimulationContext,
+        cluster: Cluster,
+        traffic: Traffic,
+        proxies: Sequence[Proxy],
         supervisor: ProxySupervisor,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.context, self.events = context, context.events
         self.cluster, self.traffic = cluster, traffic
         self.proxies, self.supervisor = proxies, supervisor
         self.reloads = 0
         self._list_toggles = self._make_list_toggles()
-        self._handlers = self._make_handlers()
+        self.handlers = self._make_handlers()
         for index, fault in enumerate(context.rehearsal.faults):
             # the stream's name is a seed: it keeps the words that it always had
             stream = context.streams.stream(f"trouble {index} {fault.fault_kind}")
@@ -106,7 +110,7 @@
 
     def _begin(self, index: int, fault: Fault, stream: RandomStream) -> None:
         now = self.events.now
-        active = self._handlers[fault.fault_kind](fault, stream)
+        active = self.handlers[fault.fault_kind](fault, stream)
         self.context.timeline.record(now, "begins", fault.fault_kind, active.names, index)
         if fault.for_s and active.undo is not None:
             self.events.schedule(now + fault.for_s * SECOND_MS, self._end, index, fault, active.undo)
@@ -119,9 +123,13 @@
 
     def _target_nodes(self, fault: Fault, stream: RandomStream) -> list[Node]:
         return select_targets(
-            fault, self.cluster.fleet.in_service(), stream,
-            rack_of=lambda node: node.rack.name, kind_of=lambda node: node.kind.name, load_of=_node_load,
-        )  # fmt: skip
+            fault,
+            self.cluster.fleet.in_service(),
+            stream,
+            rack_of=lambda node: node.rack.name,
+            kind_of=lambda node: node.kind.name,
+            load_of=_node_load,
+        )
 
     def _target_proxies(self, fault: Fault, stream: RandomStream) -> list[Proxy]:
         serving = [proxy for proxy in self.proxies if proxy.alive and not proxy.draining]
--- a/heronreel/emulator/model.py
+++ b/heronreel/emulator/model.py
@@ -229,11 +229,33 @@
 
 
 FaultKind = Literal[
-    "slow", "errors", "neighbour", "pause", "silent", "crash", "drain", "replace", "grow", "lose_answers",
+    "slow",
+    "errors",
+    "neighbour",
+    "pause",
+    "silent",
+    "crash",
+    "drain",
+    "replace",
+    "grow",
+    "lose_answers",
     "reset",
-    "zone_lost", "zone_cut", "burst", "heavy", "shift", "tenant", "list_slow", "list_refuses", "list_silent",
-    "list_breaks", "list_garbled", "list_late", "kill", "restart", "reload",
-]  # fmt: skip
+    "zone_lost",
+    "zone_cut",
+    "burst",
+    "heavy",
+    "shift",
+    "tenant",
+    "list_slow",
+    "list_refuses",
+    "list_silent",
+    "list_breaks",
+    "list_garbled",
+    "list_late",
+    "kill",
+    "restart",
+    "reload",
+]
 
 
 class Fault(Struct, frozen=True):
--- a/heronreel/emulator/node.py
+++ b/heronreel/emulator/node.py
@@ -116,17 +116,53 @@
     """One machine and the process on it."""
 
     __slots__ = (
-        "busy_ms", "clock", "cold", "collapsed", "completed", "down", "draining", "error_rate", "ident",
-        "incarnation", "kind", "load_ms", "name", "next_end_at", "noisy_neighbour", "open_connections",
-        "overload", "pace", "paused_until", "rack", "recent_keys", "requested_pace", "reset_rate",
-        "response_loss", "running", "settled_at", "silent", "slowdown", "speed", "started", "started_at",
-        "waiting", "work_done_ms", "zone",
-    )  # fmt: skip
+        "busy_ms",
+        "clock",
+        "cold",
+        "collapsed",
+        "completed",
+        "down",
+        "draining",
+        "error_rate",
+        "ident",
+        "incarnation",
+        "kind",
+        "load_ms",
+        "name",
+        "next_end_at",
+        "noisy_neighbour",
+        "open_connections",
+        "overload",
+        "pace",
+        "paused_until",
+        "rack",
+        "recent_keys",
+        "requested_pace",
+        "reset_rate",
+        "response_loss",
+        "running",
+        "settled_at",
+        "silent",
+        "slowdown",
+        "speed",
+        "started",
+        "started_at",
+        "waiting",
+        "work_done_ms",
+        "zone",
+    )
 
     def __init__(
-        self, ident: int, name: str, zone: str, rack: Rack, kind: NodeKind, speed: float,
-        started_at: float = 0.0, cold: bool = False,
-    ) -> None:  # fmt: skip
+        self,
+        ident: int,
+        name: str,
+        zone: str,
+        rack: Rack,
+        kind: NodeKind,
+        speed: float,
+        started_at: float = 0.0,
+        cold: bool = False,
+    ) -> None:
         self.ident, self.name, self.zone = ident, name, zone
         self.rack, self.kind, self.speed = rack, kind, speed
         self.started_at = started_at  # of this process, as the list gives it; 0: long ago
--- a/heronreel/emulator/proxy.py
+++ b/heronreel/emulator/proxy.py
@@ -10,7 +10,7 @@
 from typing import Any, Protocol
 
 from heronreel.balancer import interface as api
-from heronreel.emulator.client_request import ClientRequest
+from heronreel.emulator.client_request import ClientRequest, RequestResult
 from heronreel.emulator.cluster import Cluster
 from heronreel.emulator.connections import ConnectionPool
 from heronreel.emulator.context import SimulationContext
@@ -34,7 +34,7 @@
 class ClientSide(Protocol):
     """The clients, as a proxy sees them."""
 
-    def response_sent(self, request: InboundRequest, result: str, retry_after_ms: float) -> None:
+    def response_sent(self, request: InboundRequest, result: RequestResult, retry_after_ms: float) -> None:
         """A proxy has responded: served, refused, failed or lost."""
 
     def connection_lost(self, request: InboundRequest) -> None:
@@ -61,9 +61,14 @@
     supervisor: Supervisor
 
     def __init__(
-        self, context: SimulationContext, cluster: Cluster, deciders: DeciderFactory, name: str, zone: str,
+        self,
+        context: SimulationContext,
+        cluster: Cluster,
+        deciders: DeciderFactory,
+        name: str,
+        zone: str,
         slot: int,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`connect` has to follow before the first `start`."""
         self.context, self.cluster, self.deciders = context, cluster, deciders
         self.events = context.events
@@ -148,9 +153,13 @@
 
     def _backend_info(self, endpoint: Endpoint) -> api.BackendInfo:
         return api.BackendInfo(
-            endpoint.ident, BACKEND_STATES[endpoint.state], endpoint.zone, endpoint.kind, endpoint.rack,
+            endpoint.ident,
+            BACKEND_STATES[endpoint.state],
+            endpoint.zone,
+            endpoint.kind,
+            endpoint.rack,
             started_ms=endpoint.started_at,
-        )  # fmt: skip
+        )
 
     def receive_snapshot(self, endpoints: list[Endpoint]) -> None:
         """The whole list has come."""
@@ -206,9 +215,9 @@
             elif isinstance(action, api.SetTimer):
                 self.events.schedule(now + action.delay_ms, self._timer, self.incarnation, action.token)
             elif isinstance(action, api.Refuse):
-                self._answer(action.request, "refused", action.retry_after_ms)
+                self._answer(action.request, RequestResult.REFUSED, action.retry_after_ms)
             elif isinstance(action, api.Fail):
-                self._answer(action.request, "failed", 0.0)
+                self._answer(action.request, RequestResult.FAILED, 0.0)
             elif isinstance(action, api.WatchList | api.FetchList):
                 self._call_list(now)
             elif isinstance(action, api.CloseIdle):
@@ -223,7 +232,7 @@
         if incarnation == self.incarnation:
             self.handle(api.TimerFired(token))
 
-    def _answer(self, ident: int, result: str, retry_after_ms: float) -> None:
+    def _answer(self, ident: int, result: RequestResult, retry_after_ms: float) -> None:
         request = self.requests.get(ident)
         if request is None:
             self.context.invariants.request_answered(ident, result, self.events.now)
@@ -239,10 +248,15 @@
         self._accept(request)
         self.events.schedule(request.deadline, self._deadline_passed, request)
         arrival = api.Arrival(
-            request.ident, request_class.name, time_left_ms, client_request.tenant, client_request.key,
+            request.ident,
+            request_class.name,
+            time_left_ms,
+            client_request.tenant,
+            client_request.key,
             context.work.hint(client_request),
-            request.is_retry and context.rehearsal.clients.mark_retries, request_class.effect != "safe",
-        )  # fmt: skip
+            request.is_retry and context.rehearsal.clients.mark_retries,
+            request_class.effect != "safe",
+        )
         if self.deciders.router is not None:
             arrival.policy = self.deciders.route_policy(request_class)
             arrival.repeat_key = client_request.ident
@@ -254,9 +268,14 @@
         self.requests[request.ident] = request
         request_class = request.request_class
         self.context.invariants.request_accepted(
-            request.ident, request.client_request.ident, self.name, request_class.effect,
-            request_class.dedup_scope, request_class.dedup_window_ms, request.deadline,
-        )  # fmt: skip
+            request.ident,
+            request.client_request.ident,
+            self.name,
+            request_class.effect,
+            request_class.dedup_scope,
+            request_class.dedup_window_ms,
+            request.deadline,
+        )
 
     def client_disconnected(self, request: InboundRequest) -> None:
         """The client of a request closes."""
@@ -271,7 +290,7 @@
         request.finished = True
         del self.requests[request.ident]
 
-    def _finish(self, request: InboundRequest, result: str, retry_after_ms: float = 0.0) -> None:
+    def _finish(self, request: InboundRequest, result: RequestResult, retry_after_ms: float = 0.0) -> None:
         context, now = self.context, self.events.now
         self._close_request(request)
         context.invariants.request_answered(request.ident, result, now)
@@ -294,7 +313,7 @@
         if not request.finished:
             self.context.invariants.request_overdue(request.ident, self.events.now)
             self._close_request(request)
-            self.clients.response_sent(request, "lost", 0.0)
+            self.clients.response_sent(request, RequestResult.LOST, 0.0)
             self.handle(api.ClientGone(request.ident))
             self._end_if_idle()
 
@@ -417,13 +436,17 @@
         if context.tracer is not None:
             context.tracer.attempt_ended(now, attempt, outcome)
         if outcome is api.Outcome.SERVED and not request.finished:
-            self._finish(request, "served")
+            self._finish(request, RequestResult.SERVED)
         self.handle(
             api.AttemptEnded(
-                request.ident, attempt.number, attempt.node.ident, outcome, now - attempt.decided_at,
+                request.ident,
+                attempt.number,
+                attempt.node.ident,
+                outcome,
+                now - attempt.decided_at,
                 request.finished,
             )
-        )  # fmt: skip
+        )
 
     # Connections.
 
--- a/heronreel/emulator/requests.py
+++ b/heronreel/emulator/requests.py
@@ -57,14 +57,26 @@
     """One attempt of a client's request, at one proxy.  Times are ms."""
 
     __slots__ = (
-        "attempts", "attempts_at_nodes", "client_request", "deadline", "finished", "ident", "is_retry",
-        "proxy", "request_class",
-    )  # fmt: skip
+        "attempts",
+        "attempts_at_nodes",
+        "client_request",
+        "deadline",
+        "finished",
+        "ident",
+        "is_retry",
+        "proxy",
+        "request_class",
+    )
 
     def __init__(
-        self, ident: int, client_request: ClientRequest, request_class: RequestClass, proxy: ProxyHandle,
-        deadline: float, is_retry: bool,
-    ) -> None:  # fmt: skip
+        self,
+        ident: int,
+        client_request: ClientRequest,
+        request_class: RequestClass,
+        proxy: ProxyHandle,
+        deadline: float,
+        is_retry: bool,
+    ) -> None:
         self.ident, self.client_request, self.request_class = ident, client_request, request_class
         self.proxy, self.deadline, self.is_retry = proxy, deadline, is_retry
         self.attempts: list[Attempt] = []
@@ -92,14 +104,27 @@
     """One attempt of a proxy at a node.  Times are ms."""
 
     __slots__ = (
-        "connection", "decided_at", "ended", "handshake_work", "incarnation", "node", "number", "request",
-        "send_by", "written",
-    )  # fmt: skip
+        "connection",
+        "decided_at",
+        "ended",
+        "handshake_work",
+        "incarnation",
+        "node",
+        "number",
+        "request",
+        "send_by",
+        "written",
+    )
 
     def __init__(
-        self, request: InboundRequest, number: int, node: Node, incarnation: int, decided_at: float,
+        self,
+        request: InboundRequest,
+        number: int,
+        node: Node,
+        incarnation: int,
+        decided_at: float,
         send_by: float,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.request, self.number, self.node, self.incarnation = request, number, node, incarnation
         self.decided_at, self.send_by = decided_at, send_by
         self.connection: Connection | None = None
--- a/heronreel/emulator/result.py
+++ b/heronreel/emulator/result.py
@@ -90,21 +90,33 @@
     meter = asdict(scoring.meter) | {"list_failed": context.endpoint_list.failed_calls, "reloads": reloads}
     steps = context.tracer.steps if context.tracer is not None else {}
     return Result(
-        name=rehearsal.name, policy=policy, seed=seed, seconds=rehearsal.seconds,
-        service=service, costs=costs, score=round(score, 6), counts=scoring.counts(),
-        breach_counts=dict(invariants.counts), percentiles=scoring.percentiles(), meter=meter,
-        events=context.events.processed, second_rows=_second_rows(scoring), timeline=context.timeline.rows,
+        name=rehearsal.name,
+        policy=policy,
+        seed=seed,
+        seconds=rehearsal.seconds,
+        service=service,
+        costs=costs,
+        score=round(score, 6),
+        counts=scoring.counts(),
+        breach_counts=dict(invariants.counts),
+        percentiles=scoring.percentiles(),
+        meter=meter,
+        events=context.events.processed,
+        second_rows=_second_rows(scoring),
+        timeline=context.timeline.rows,
         breaches=[asdict(breach) for breach in invariants.breaches],
         traces={str(ident): rows for ident, rows in steps.items()},
-    )  # fmt: skip
+    )
 
 
 def _second_rows(scoring: Scoring) -> list[dict[str, Any]]:
     return [
         {
-            "second": number, "asked": round(second.requested_weight, 3),
-            "got": round(second.served_weight, 3), "requests": second.requests,
-            **{result: second.results[result] for result in sorted(second.results)},
+            "second": number,
+            "asked": round(second.requested_weight, 3),
+            "got": round(second.served_weight, 3),
+            "requests": second.requests,
+            **{result.value: second.results[result] for result in sorted(second.results)},
         }
         for number, second in enumerate(scoring.seconds)
-    ]  # fmt: skip
+    ]
--- a/heronreel/emulator/sampler.py
+++ b/heronreel/emulator/sampler.py
@@ -36,13 +36,19 @@
             if not node.down:
                 states[node.name] = [len(node.running), len(node.waiting), node.open_connections]
         cores = sum(node.slots() for node in up) or 1
-        context.timeline.rows.append({
-            "at_ms": round(now, 3), "event": "second", "nodes": len(up),
-            "proxies": sum(proxy.alive for proxy in self.proxies), "attempts": attempts - self.attempts,
-            "utilisation": round((busy - self.busy_ms) / SECOND_MS / cores, 4),
-            "requests_at_nodes": round((load - self.load_ms) / SECOND_MS, 3),
-            "list_queue": context.endpoint_list.queued_calls,
-            "breaches": sum(context.invariants.counts.values()), "states": states,
-        })  # fmt: skip
+        context.timeline.rows.append(
+            {
+                "at_ms": round(now, 3),
+                "event": "second",
+                "nodes": len(up),
+                "proxies": sum(proxy.alive for proxy in self.proxies),
+                "attempts": attempts - self.attempts,
+                "utilisation": round((busy - self.busy_ms) / SECOND_MS / cores, 4),
+                "requests_at_nodes": round((load - self.load_ms) / SECOND_MS, 3),
+                "list_queue": context.endpoint_list.queued_calls,
+                "breaches": sum(context.invariants.counts.values()),
+                "states": states,
+            }
+        )
         self.attempts, self.busy_ms, self.load_ms = attempts, busy, load
         context.events.schedule(now + SECOND_MS, self._sample)
--- a/heronreel/emulator/scoring.py
+++ b/heronreel/emulator/scoring.py
@@ -13,7 +13,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from heronreel.emulator.client_request import ClientRequest
+from heronreel.emulator.client_request import ClientRequest, RequestResult
 from heronreel.emulator.model import Prices, ScoreWeights
 
 SECOND_MS = 1000.0
@@ -22,7 +22,7 @@
 SIGNIFICANT_DIGITS = 3
 QUOTA_BURST_S = 2.0  # a tenant may save up its quota for this long
 PERCENTILES = (50, 90, 95, 99, 99.9)
-REQUEST_RESULTS = ("served", "late", "refused", "failed", "lost", "left")
+UNSERVED = (RequestResult.REFUSED, RequestResult.FAILED, RequestResult.LOST)
 
 
 @dataclass(slots=True)
@@ -32,7 +32,7 @@
     requested_weight: float = 0.0
     served_weight: float = 0.0
     requests: int = 0
-    results: dict[str, int] = field(default_factory=dict)
+    results: dict[RequestResult, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -111,13 +111,18 @@
         return request
 
     def request_finished(
-        self, request: ClientRequest, result: str, now: float, objective_ms: float, late_weight: float
+        self,
+        request: ClientRequest,
+        result: RequestResult,
+        now: float,
+        objective_ms: float,
+        late_weight: float,
     ) -> None:
-        """The final result of a request: served, refused, failed, lost or left."""
+        """Close the books of a request; `late` is found here from the time it took."""
         took = now - request.due_at
-        if result == "served" and took > objective_ms:
-            result = "late"
-        fraction = {"served": 1.0, "late": late_weight}.get(result, 0.0)
+        if result is RequestResult.SERVED and took > objective_ms:
+            result = RequestResult.LATE
+        fraction = _served_fraction(result, late_weight)
         second = self.second(request.due_at)
         second.served_weight += fraction * request.weight
         second.results[result] = second.results.get(result, 0) + 1
@@ -125,7 +130,7 @@
             self.tenants[request.tenant].served_weight += fraction * request.weight
         if fraction:
             self.latency.record_value(max(1, int(took * US_PER_MS)))
-        elif result in ("failed", "refused", "lost") and took > objective_ms:
+        elif result in UNSERVED and took > objective_ms:
             self.meter.late_failures += 1
         request.result = result
 
@@ -178,10 +183,10 @@
 
     def counts(self) -> dict[str, int]:
         """Requests, all and by their result."""
-        counts = dict.fromkeys(REQUEST_RESULTS, 0)
+        counts = {result.value: 0 for result in RequestResult}
         for second in self.seconds:
             for result, count in second.results.items():
-                counts[result] += count
+                counts[result.value] += count
         return {"requests": sum(s.requests for s in self.seconds), **counts}
 
     def percentiles(self) -> dict[str, float]:
@@ -189,3 +194,10 @@
         if not self.latency.get_total_count():
             return {}
         return {f"p{p:g}": self.latency.get_value_at_percentile(p) / US_PER_MS for p in PERCENTILES}
+
+
+def _served_fraction(result: RequestResult, late_weight: float) -> float:
+    """How much of its weight a request counts."""
+    if result is RequestResult.SERVED:
+        return 1.0
+    return late_weight if result is RequestResult.LATE else 0.0
--- a/heronreel/emulator/script_checks.py
+++ b/heronreel/emulator/script_checks.py
@@ -52,9 +52,20 @@
     "list_late": SizeRange("seconds later, from 0 to 1,000", 0.0, 1000.0),
 }
 NODE_FAULTS = frozenset(
-    ("slow", "errors", "neighbour", "pause", "silent", "crash", "drain", "replace", "lose_answers", "reset",
-     "zone_lost")
-)  # fmt: skip
+    (
+        "slow",
+        "errors",
+        "neighbour",
+        "pause",
+        "silent",
+        "crash",
+        "drain",
+        "replace",
+        "lose_answers",
+        "reset",
+        "zone_lost",
+    )
+)
 PROXY_FAULTS = frozenset(("kill", "restart", "reload"))
 INSTANT_FAULTS = frozenset(("crash", "drain", "replace", "grow", "kill", "restart", "reload"))  # no end
 ZONE_FAULTS = frozenset(("zone_lost", "zone_cut", "shift"))
@@ -78,9 +89,11 @@
     if racks < len(zones):
         least = (len(zones) - 1) * fleet.rack_size + 1
         yield Finding(
-            ("fleet", "nodes"), f"make {racks} racks of {fleet.rack_size} for {len(zones)} zones",
-            f"expected {least} nodes at least, or smaller racks", "placement",
-        )  # fmt: skip
+            ("fleet", "nodes"),
+            f"make {racks} racks of {fleet.rack_size} for {len(zones)} zones",
+            f"expected {least} nodes at least, or smaller racks",
+            "placement",
+        )
 
 
 def _check_shares(rehearsal: Rehearsal) -> Iterator[Finding]:
--- a/heronreel/emulator/simulation.py
+++ b/heronreel/emulator/simulation.py
@@ -35,10 +35,16 @@
     """One play."""
 
     def __init__(
-        self, rehearsal: Rehearsal, seed: int, policy: str = "", trace: Iterable[int] = (),
-        routes: RoutesFile | None = None, deciders: MakeDecider | None = None,
-        events: EventQueue | None = None, make_proxy: MakeProxy = Proxy,
-    ) -> None:  # fmt: skip
+        self,
+        rehearsal: Rehearsal,
+        seed: int,
+        policy: str = "",
+        trace: Iterable[int] = (),
+        routes: RoutesFile | None = None,
+        deciders: MakeDecider | None = None,
+        events: EventQueue | None = None,
+        make_proxy: MakeProxy = Proxy,
+    ) -> None:
         """Build everything at time 0.  Raises InvalidSeedError.
 
         Args:
@@ -139,8 +145,12 @@
 
 
 def play(
-    rehearsal: Rehearsal, seed: int, policy: str = "", trace: Iterable[int] = (),
-    routes: RoutesFile | None = None, progress: Progress | None = None,
-) -> Result:  # fmt: skip
+    rehearsal: Rehearsal,
+    seed: int,
+    policy: str = "",
+    trace: Iterable[int] = (),
+    routes: RoutesFile | None = None,
+    progress: Progress | None = None,
+) -> Result:
     """Play a script in virtual time.  Raises InvalidSeedError and UnknownPolicyError."""
     return Simulation(rehearsal, seed, policy, trace, routes).run(progress)
--- a/heronreel/emulator/trace.py
+++ b/heronreel/emulator/trace.py
@@ -7,6 +7,7 @@
 
 from heronreel.balancer import interface as api
 from heronreel.balancer.choice import Balancer
+from heronreel.emulator.client_request import RequestResult
 from heronreel.emulator.node import Node
 from heronreel.emulator.policies import BaselinePolicy, NodeOracle
 from heronreel.emulator.requests import Attempt, InboundRequest, NodeAttempt
@@ -30,19 +31,30 @@
     def _step(self, now: float, request: InboundRequest, what: str, **details: Any) -> None:
         steps = self.steps.get(request.client_request.ident)
         if steps is not None:
-            steps.append({
-                "at_ms": round(now, 3), "what": what, "request": request.ident, "proxy": request.proxy.name,
-                **details,
-            })  # fmt: skip
+            steps.append(
+                {
+                    "at_ms": round(now, 3),
+                    "what": what,
+                    "request": request.ident,
+                    "proxy": request.proxy.name,
+                    **details,
+                }
+            )
 
     def request_received(self, now: float, request: InboundRequest) -> None:
         """A proxy has received a request."""
         client_request = request.client_request
         self._step(
-            now, request, "arrives", **{"try": client_request.attempts}, tenant=client_request.tenant,
-            key=client_request.key, work_ms=round(client_request.work, 2),
-            time_left_ms=round(request.deadline - now, 2), known_nodes=len(request.proxy.known_endpoints),
-        )  # fmt: skip
+            now,
+            request,
+            "arrives",
+            **{"try": client_request.attempts},
+            tenant=client_request.tenant,
+            key=client_request.key,
+            work_ms=round(client_request.work, 2),
+            time_left_ms=round(request.deadline - now, 2),
+            known_nodes=len(request.proxy.known_endpoints),
+        )
 
     def attempt_decided(self, now: float, attempt: Attempt) -> None:
         """A proxy has chosen a node."""
@@ -55,10 +67,15 @@
             for node in self._fastest_others(request, attempt)
         ]
         self._step(
-            now, request, "decides", attempt=attempt.number, node=attempt.node.name,
-            believes=believes(decider, now, attempt.node.ident), truth=node_truth(now, attempt.node),
+            now,
+            request,
+            "decides",
+            attempt=attempt.number,
+            node=attempt.node.name,
+            believes=believes(decider, now, attempt.node.ident),
+            truth=node_truth(now, attempt.node),
             others=others,
-        )  # fmt: skip
+        )
 
     def _fastest_others(self, request: InboundRequest, attempt: Attempt) -> list[Node]:
         """Nodes that would have responded soonest, as only the emulator knows."""
@@ -70,9 +87,13 @@
     def reached_node(self, now: float, attempt: NodeAttempt, what: str) -> None:
         """A node has admitted an attempt, or dropped it as a repeat."""
         self._step(
-            now, attempt.request, f"at the node: {what}", attempt=attempt.number, node=attempt.node.name,
+            now,
+            attempt.request,
+            f"at the node: {what}",
+            attempt=attempt.number,
+            node=attempt.node.name,
             truth=node_truth(now, attempt.node),
-        )  # fmt: skip
+        )
 
     def job_ended(self, now: float, attempt: NodeAttempt, failed: bool) -> None:
         """A node is done with an attempt."""
@@ -82,27 +103,36 @@
     def attempt_ended(self, now: float, attempt: Attempt, outcome: api.Outcome) -> None:
         """A proxy has learned how an attempt ended."""
         self._step(
-            now, attempt.request, f"ends: {outcome.value}", attempt=attempt.number, node=attempt.node.name,
+            now,
+            attempt.request,
+            f"ends: {outcome.value}",
+            attempt=attempt.number,
+            node=attempt.node.name,
             took_ms=round(now - attempt.decided_at, 3),
-        )  # fmt: skip
+        )
 
     def request_answered(
-        self, now: float, request: InboundRequest, result: str, retry_after_ms: float
+        self, now: float, request: InboundRequest, result: RequestResult, retry_after_ms: float
     ) -> None:
         """A proxy has responded to its client."""
-        self._step(now, request, f"answered: {result}", retry_after_ms=round(retry_after_ms, 1))
+        self._step(now, request, f"answered: {result.value}", retry_after_ms=round(retry_after_ms, 1))
 
 
 def node_truth(now: float, node: Node) -> dict[str, Any]:
     """The state of a node as it is."""
     truth: dict[str, Any] = {
-        "running": len(node.running), "waiting": len(node.waiting), "pace": round(node.pace, 3),
+        "running": len(node.running),
+        "waiting": len(node.waiting),
+        "pace": round(node.pace, 3),
         "connections": node.open_connections,
-    }  # fmt: skip
+    }
     flags = {
-        "down": node.down, "drains": node.draining, "silent": node.silent, "cold": node.cold,
+        "down": node.down,
+        "drains": node.draining,
+        "silent": node.silent,
+        "cold": node.cold,
         "fell": node.collapsed,
-    }  # fmt: skip
+    }
     truth |= {name: True for name, is_set in flags.items() if is_set}
     if node.slowdown != 1.0:
         truth["slower"] = node.slowdown
@@ -122,12 +152,15 @@
         if backend is None:
             return {"listed": False}
         return {
-            "weight": round(backend.weight, 3), "load": round(backend.load, 3),
+            "weight": round(backend.weight, 3),
+            "load": round(backend.load, 3),
             "held": round(backend.held, 3),
-            "factor": round(backend.factor, 3), "strikes": backend.strikes,
-            "rests_ms": round(max(0.0, backend.rests_until - now), 1), "credit_ms": round(backend.credit, 1),
+            "factor": round(backend.factor, 3),
+            "strikes": backend.strikes,
+            "rests_ms": round(max(0.0, backend.rests_until - now), 1),
+            "credit_ms": round(backend.credit, 1),
             "near": backend.heap == 1,
-        }  # fmt: skip
+        }
     if isinstance(decider, BaselinePolicy):
         return {"listed": ident in decider.infos, "own_out": decider.load.get(ident, 0)}
     return {}
--- a/heronreel/realtime/list_call.py
+++ b/heronreel/realtime/list_call.py
@@ -81,9 +81,16 @@
     for endpoint in endpoints:
         host, port = runtime.nodes[endpoint.ident].address
         started_ms = runtime.epoch_unix_ms + endpoint.started_at * runtime.clock.scale
-        rows.append({
-            "name": endpoint.name, "address": f"{host}:{port}", "zone": endpoint.zone, "type": endpoint.kind,
-            "group": endpoint.rack, "status": STATUSES[endpoint.state], "weight": 1.0,
-            "since_ms": started_ms if endpoint.started_at else 0.0,
-        })  # fmt: skip
+        rows.append(
+            {
+                "name": endpoint.name,
+                "address": f"{host}:{port}",
+                "zone": endpoint.zone,
+                "type": endpoint.kind,
+                "group": endpoint.rack,
+                "status": STATUSES[endpoint.state],
+                "weight": 1.0,
+                "since_ms": started_ms if endpoint.started_at else 0.0,
+            }
+        )
     return {"index": index, "snapshot": is_snapshot, "endpoints": rows}
--- a/heronreel/realtime/node_server.py
+++ b/heronreel/realtime/node_server.py
@@ -9,6 +9,7 @@
 
 import asyncio
 import socket
+from http import HTTPStatus
 
 import httptools
 
@@ -22,8 +23,10 @@
 
 LISTEN_BACKLOG = 512
 RESPONSES = {
-    Outcome.SERVED: (200, b""), Outcome.ERROR: (500, b""), Outcome.REJECTED: (503, b"X-Not-Run: 1\r\n"),
-}  # fmt: skip
+    Outcome.SERVED: (HTTPStatus.OK, b""),
+    Outcome.ERROR: (HTTPStatus.INTERNAL_SERVER_ERROR, b""),
+    Outcome.REJECTED: (HTTPStatus.SERVICE_UNAVAILABLE, b"X-Not-Run: 1\r\n"),
+}
 
 
 class NodeAttempt:
@@ -89,7 +92,7 @@
         now = self.runtime.clock.update()
         request = self.runtime.requests.get(self.headers.get(b"x-request-id", b""))
         if request is None:
-            self._write(400, b"", b"")
+            self._write(HTTPStatus.BAD_REQUEST, b"", b"")
             return
         attempt = self.attempt = NodeAttempt(request, request.attempts_at_nodes, self)
         request.attempts_at_nodes += 1
--- a/heronreel/realtime/process_proxy.py
+++ b/heronreel/realtime/process_proxy.py
@@ -13,10 +13,12 @@
 import signal
 import socket
 import sys
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
 from heronreel.balancer.interface import Outcome
+from heronreel.emulator.client_request import RequestResult
 from heronreel.emulator.cluster import Cluster
 from heronreel.emulator.context import SimulationContext
 from heronreel.emulator.deciders import DeciderFactory
@@ -37,6 +39,7 @@
 HEALTH_CHECK_INTERVAL_S = 0.05
 DEADLINE_SLACK_MS = 400.0  # of a busy machine: a response this late still counts as what it is
 HEALTH_REQUEST = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
+REFUSAL_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 BODY = b"xx"  # of requests that may change something
 MICROSECONDS_PER_MS = 1000.0
 
@@ -45,9 +48,15 @@
     """The wire's side of one proxy; `alive` while its process is healthy."""
 
     def __init__(
-        self, context: SimulationContext, cluster: Cluster, deciders: DeciderFactory, name: str, zone: str,
-        slot: int, runtime: Runtime,
-    ) -> None:  # fmt: skip
+        self,
+        context: SimulationContext,
+        cluster: Cluster,
+        deciders: DeciderFactory,
+        name: str,
+        zone: str,
+        slot: int,
+        runtime: Runtime,
+    ) -> None:
         super().__init__(context, cluster, deciders, name, zone, slot)
         self.runtime = runtime
         self.subprocess: asyncio.subprocess.Process | None = None
@@ -91,9 +100,12 @@
         config.write_text(json.dumps(self._configuration()))
         environment = {
             **{name: value for name, value in os.environ.items() if not name.startswith("LB_")},
-            "LB_NAME": self.name, "LB_LISTEN": _shown(self.address), "LB_CONFIG": str(config),
-            "PYTHONPATH": str(ROOT), "PYTHONDONTWRITEBYTECODE": "1",
-        }  # fmt: skip
+            "LB_NAME": self.name,
+            "LB_LISTEN": _shown(self.address),
+            "LB_CONFIG": str(config),
+            "PYTHONPATH": str(ROOT),
+            "PYTHONDONTWRITEBYTECODE": "1",
+        }
         with open(folder / "log", "wb") as log:
             return await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "heronreel.proxy", env=environment, stdout=log, stderr=log, cwd=folder
@@ -169,12 +181,14 @@
         assert self.list_server
         rehearsal, scale = self.context.rehearsal, self.runtime.clock.scale
         return {
-            "name": self.name, "listen": _shown(self.address),
+            "name": self.name,
+            "listen": _shown(self.address),
             "discovery": _shown(self.list_server.sockets[0].getsockname()),
-            "seed": f"{self.seed_stream.seed():x}", "limits": LIMITS,
+            "seed": f"{self.seed_stream.seed():x}",
+            "limits": LIMITS,
             "known": self._list_message(True, list(self.known_endpoints.values())),
             "settings": platform_settings(rehearsal, self.settings, self.slot, self.zone, scale),
-        }  # fmt: skip
+        }
 
     # The endpoint list.
 
@@ -238,21 +252,22 @@
             self._close_request(request)
             self.context.invariants.client_left(request.ident)  # it was never accepted
             self.clients.connect_failed(request.client_request)
-        elif not status or (status == 200 and body != b"%x" % request.ident):
+        elif not status or (status == HTTPStatus.OK and body != b"%x" % request.ident):
             self._overdue(request)
         else:
-            result = "served" if status == 200 else "refused" if status in (429, 503) else "failed"
-            self._finish(request, result, connection.retry_after_s * 1000.0 / runtime.clock.scale)
+            self._finish(request, _result_of(status), connection.retry_after_s * 1000.0 / runtime.clock.scale)
 
     def _request_bytes(self, request: InboundRequest, time_left_ms: float) -> bytes:
         request_class, client_request = request.request_class, request.client_request
         scale, has_effect = self.runtime.clock.scale, request_class.effect != "safe"
         method = "POST" if has_effect else "GET"
         lines = [
-            f"{method} /{request_class.name}/{client_request.key:x} HTTP/1.1", "Host: x",
-            f"X-Request-Id: {request.ident:016x}", f"X-Class: {request_class.name}",
+            f"{method} /{request_class.name}/{client_request.key:x} HTTP/1.1",
+            "Host: x",
+            f"X-Request-Id: {request.ident:016x}",
+            f"X-Class: {request_class.name}",
             f"X-Deadline-Ms: {int(time_left_ms * scale)}",
-        ]  # fmt: skip
+        ]
         if client_request.tenant:
             lines.append(f"X-Tenant: {client_request.tenant}")
         if hint := self.context.work.hint(client_request):
@@ -274,6 +289,12 @@
         self.runtime.nodes[node.ident].process_stopped()
 
 
+def _result_of(status: int) -> RequestResult:
+    if status == HTTPStatus.OK:
+        return RequestResult.SERVED
+    return RequestResult.REFUSED if status in REFUSAL_STATUSES else RequestResult.FAILED
+
+
 def _free_address() -> SocketAddress:
     """A loopback port that was free a moment ago."""
     with socket.create_server(LOOPBACK) as probe:
--- a/tests/emulator/test_fleet_scenarios.py
+++ b/tests/emulator/test_fleet_scenarios.py
@@ -67,11 +67,14 @@
     seed, killed = 21 + shift, 4.0
     bears = BORNE * proxies / 10.0  # a second
     script = fleet(
-        proxies, nodes, 26.0, Fault(fault_kind="kill", at_s=killed, share=0.7),
+        proxies,
+        nodes,
+        26.0,
+        Fault(fault_kind="kill", at_s=killed, share=0.7),
         Fault(fault_kind="list_slow", at_s=killed, for_s=8.0, size=3.0),
         Fault(fault_kind="drain", at_s=6.0, share=0.1, after_s=10.0),
         endpoint_list=EndpointListConfig(entries_per_s=bears * (EndpointListConfig().call_cost + nodes)),
-    )  # fmt: skip
+    )
     simulation = Simulation(script, seed)
     list_traffic = ListTraffic(simulation)
     result = simulation.run()
--- a/tests/emulator/test_simulation.py
+++ b/tests/emulator/test_simulation.py
@@ -6,6 +6,7 @@
 import os
 import subprocess
 import sys
+import typing
 from pathlib import Path
 
 import msgspec
@@ -13,7 +14,7 @@
 
 from heronreel.emulator.client_request import ClientRequest
 from heronreel.emulator.events import EventQueue
-from heronreel.emulator.model import Fault, ProxyConfig, RequestClass
+from heronreel.emulator.model import Fault, FaultKind, ProxyConfig, RequestClass
 from heronreel.emulator.policies import make_policy
 from heronreel.emulator.simulation import Simulation, play
 from heronreel.routes.load import load as load_routes
@@ -23,6 +24,7 @@
 EXAMPLES = sorted((ROOT / "examples" / "rehearsals").glob("*.toml"))
 PLAY = """
 import sys
+import typing
 from pathlib import Path
 from heronreel.emulator.script_loader import load_script
 from heronreel.emulator.simulation import play
@@ -35,10 +37,12 @@
     """The weekend surge of the examples, with a third of its machines, to be quick."""
     text = (ROOT / "examples" / "rehearsals" / "weekend-surge.toml").read_text()
     for old, new in (
-        ("nodes = 60", "nodes = 18"), ("count = 20", "count = 6"),
+        ("nodes = 60", "nodes = 18"),
+        ("count = 20", "count = 6"),
         ("requests_per_s = 640.0", "requests_per_s = 200.0"),
-        ("quota_per_s = 880.0", "quota_per_s = 270.0"), ("quota_per_s = 720.0", "quota_per_s = 220.0"),
-    ):  # fmt: skip
+        ("quota_per_s = 880.0", "quota_per_s = 270.0"),
+        ("quota_per_s = 720.0", "quota_per_s = 220.0"),
+    ):
         assert old in text
         text = text.replace(old, new)
     path = tmp_path / "surge.toml"
@@ -51,11 +55,13 @@
     path = surge(tmp_path)
     running = [
         subprocess.Popen(
-            [sys.executable, "-c", PLAY, str(path), seed], stdout=subprocess.PIPE, cwd=ROOT,
+            [sys.executable, "-c", PLAY, str(path), seed],
+            stdout=subprocess.PIPE,
+            cwd=ROOT,
             env={**os.environ, "PYTHONHASHSEED": hashes, "PYTHONPATH": str(ROOT)},
         )
         for seed, hashes in (("5", "1"), ("5", "4242"), ("6", "1"))
-    ]  # fmt: skip
+    ]
     outputs = [process.communicate()[0] for process in running]
     assert all(process.returncode == 0 for process in running)
     assert outputs[0] == outputs[1] and outputs[0] != outputs[2]
@@ -201,9 +207,14 @@
     kind = msgspec.structs.replace(KIND, queue=200)  # rooms long enough to hold what is long out of date
     trigger = (Fault(fault_kind="burst", at_s=4.0, for_s=2.0, size=3.0),)
     script = rehearsal(
-        8, request_class=request_class, kind=kind, load=0.75, seconds=20.0, faults=trigger,
+        8,
+        request_class=request_class,
+        kind=kind,
+        load=0.75,
+        seconds=20.0,
+        faults=trigger,
         clients=ClientConfig(retries=2, backoff_ms=50.0),
-    )  # fmt: skip
+    )
     after = {}
     for policy in ("storm", "heronreel"):
         rows = [row for row in play(script, seed, policy).second_rows if 14 <= row["second"] < 19]
@@ -223,11 +234,14 @@
     pairs = [
         Fault(fault_kind=what, at_s=at, for_s=lasts, **more)  # type: ignore[arg-type]
         for what, more in (
-            ("silent", {"names": names}), ("slow", {"names": names, "size": 3.0}),
-            ("errors", {"names": names, "size": 0.2}), ("burst", {"size": 2.0}), ("list_refuses", {}),
+            ("silent", {"names": names}),
+            ("slow", {"names": names, "size": 3.0}),
+            ("errors", {"names": names, "size": 0.2}),
+            ("burst", {"size": 2.0}),
+            ("list_refuses", {}),
         )
         for at, lasts in ((1.0, 3.0), (2.0, 1.0))
-    ]  # fmt: skip
+    ]
     # of heavy requests the newest fault counts, and here the first begun is the first to end
     pairs.append(Fault(fault_kind="heavy", at_s=1.0, for_s=2.0, share=0.1, size=5.0))
     pairs.append(Fault(fault_kind="heavy", at_s=2.0, for_s=2.0, share=0.2, size=7.0))
@@ -252,3 +266,8 @@
     assert seen[500.0] == seen[5000.0] == calm and seen[1500.0] == one
     assert seen[2500.0] == [True, 9.0, 0.4, (0.2, 7.0), 4.0, True]
     assert seen[3500.0] == [True, 3.0, 0.2, (0.2, 7.0), 2.0, True]
+
+
+def test_every_kind_of_fault_has_a_handler_and_no_other_name_has() -> None:
+    faults = Simulation(rehearsal(seconds=1.0), 21).begin()
+    assert faults.handlers.keys() == set(typing.get_args(FaultKind))
--- a/tests/support/rehearsals.py
+++ b/tests/support/rehearsals.py
@@ -23,10 +23,16 @@
 
 
 def rehearsal(
-    nodes: int = 12, proxies: int = 4, load: float = 0.5, seconds: float = 12.0, kind: NodeKind = COLD,
-    zones: tuple[str, ...] = ("a", "b"), request_class: RequestClass = CLASS, faults: tuple[Fault, ...] = (),
+    nodes: int = 12,
+    proxies: int = 4,
+    load: float = 0.5,
+    seconds: float = 12.0,
+    kind: NodeKind = COLD,
+    zones: tuple[str, ...] = ("a", "b"),
+    request_class: RequestClass = CLASS,
+    faults: tuple[Fault, ...] = (),
     **changes: Any,
-) -> Rehearsal:  # fmt: skip
+) -> Rehearsal:
     """`load`: offered load, as a share of what the fleet can do."""
     rack_size = max(1, min(6, nodes // len(zones)))
     fleet = FleetConfig(nodes=nodes, zones=list(zones), rack_size=rack_size, kinds=(kind,))
@@ -47,6 +53,12 @@
     spans = {"work_ms": work_ms, "latency_objective_ms": 3e6, "deadline_ms": 3e6}
     request_class = RequestClass(distribution=dist, cv=cv, effect="safe", hint_noise=0.0, **spans)  # type: ignore[arg-type]
     return rehearsal(
-        1, 1, load, seconds, msgspec.structs.replace(kind, queue=1_000_000), ("a",), request_class,
+        1,
+        1,
+        load,
+        seconds,
+        msgspec.structs.replace(kind, queue=1_000_000),
+        ("a",),
+        request_class,
         network=NetworkConfig(same_zone_ms=0.0, client_ms=0.0, jitter=0.0),
-    )  # fmt: skip
+    )
