--- a/heronreel/emulator/cluster.py
+++ b/heronreel/emulator/cluster.py
@@ -188,7 +188,7 @@
         overload, warm_up = node.overload, node.warm_up_share(self.events.now)
         if overload is None or warm_up >= 1.0:
             return False
-        withstands = overload.factor * node.nominal_capacity() * warm_up * overload.window_ms
+        withstands = overload.factor * node.nominal_capacity * warm_up * overload.window_ms
         return overload.total + OVERLOAD_MARGIN * work > withstands
 
     def _queueing_ms(self, node: Node, pace: float) -> float:
--- a/heronreel/emulator/invariants.py
+++ b/heronreel/emulator/invariants.py
@@ -193,7 +193,7 @@
         if accepted.result:
             self._breach("lost", now, f"sent on after it was {accepted.result}", request, proxy, node)
         attempt = SentAttempt(number, node, rack, zone, now)
-        uncertain = accepted.uncertain_attempt()
+        uncertain = accepted.uncertain_attempt() if accepted.attempts else None
         if uncertain is not None and accepted.effect != "safe":
             self._check_retry(accepted, uncertain, attempt, request, proxy)
         accepted.attempts.append(attempt)
--- a/heronreel/emulator/node.py
+++ b/heronreel/emulator/node.py
@@ -90,7 +90,7 @@
         requested = sum(node.requested_pace * len(node.running) for node in self.nodes)
         if not requested:
             return 1.0
-        return min(1.0, self.limit * sum(node.nominal_capacity() for node in self.nodes) / requested)
+        return min(1.0, self.limit * sum(node.nominal_capacity for node in self.nodes) / requested)
 
 
 @dataclass(slots=True)
@@ -131,6 +131,7 @@
         "name",
         "next_end_at",
         "noisy_neighbour",
+        "nominal_capacity",
         "open_connections",
         "overload",
         "pace",
@@ -165,6 +166,7 @@
     ) -> None:
         self.ident, self.name, self.zone = ident, name, zone
         self.rack, self.kind, self.speed = rack, kind, speed
+        self.nominal_capacity = kind.cores * speed  # pace of all its cores when nothing is wrong
         self.started_at = started_at  # of this process, as the list gives it; 0: long ago
         self.cold = cold and kind.warm_up_floor < 1.0
         self.clock, self.settled_at = 0.0, started_at
@@ -189,10 +191,6 @@
         self.completed = 0
         rack.nodes.append(self)
 
-    def nominal_capacity(self) -> float:
-        """Pace of all its cores when nothing is wrong."""
-        return self.kind.cores * self.speed
-
     def slots(self) -> int:
         """Requests that it runs at once."""
         return self.kind.cores * self.kind.slots
@@ -273,7 +271,7 @@
         """Count work that reached it, also what it rejects; True: more than it withstands while cold."""
         if self.overload is None or not self.cold:
             return False
-        return self.overload.add(now, work, self.nominal_capacity() * self.warm_up_share(now))
+        return self.overload.add(now, work, self.nominal_capacity * self.warm_up_share(now))
 
     def _start(self, now: float, job: Job) -> None:
         work = 0.0 if job.fails else job.work
--- a/heronreel/emulator/proxy.py
+++ b/heronreel/emulator/proxy.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Any, Protocol
 
 from heronreel.balancer import interface as api
@@ -82,6 +83,8 @@
         self.attempts: dict[Attempt, None] = {}  # in flight
         self.connections = ConnectionPool(context.rehearsal.proxies.idle_ms)
         self.known_endpoints: dict[int, Endpoint] = {}  # the list as it last received it
+        # what a response does here: over real sockets, attempts are of another type
+        self.on_response: Callable[[Any, api.Outcome], None] = self._attempt_ended
 
     def connect(self, clients: ClientSide, supervisor: Supervisor) -> None:
         """Set who gets its responses and who watches its processes."""
@@ -413,11 +416,7 @@
         network, node = self.context.network, attempt.node
         if network.reachable(self.zone, node.zone) and not node.silent:
             arrives = self.events.now + network.latency(self.zone, node.zone)
-            self.events.schedule(arrives, self._response_arrived, attempt, outcome)
-
-    def _response_arrived(self, attempt: Any, outcome: api.Outcome) -> None:
-        """The response is at the proxy.  A proxy over real sockets has attempts of its own type."""
-        self._attempt_ended(attempt, outcome)
+            self.events.schedule(arrives, self.on_response, attempt, outcome)
 
     def _attempt_timed_out(self, attempt: Attempt) -> None:
         if not attempt.ended:
@@ -454,7 +453,8 @@
         connection = attempt.connection
         if connection is None:
             return
-        if (outcome in REUSABLE_OUTCOMES or not attempt.written) and connection.usable:
+        usable = connection.incarnation == connection.node.incarnation
+        if usable and (outcome in REUSABLE_OUTCOMES or not attempt.written):
             self.connections.release(connection, now)
         else:
             self._close_connection(attempt)
--- a/heronreel/emulator/requests.py
+++ b/heronreel/emulator/requests.py
@@ -23,11 +23,6 @@
         self.node, self.incarnation = node, node.incarnation
         self.idle_since = IN_USE
 
-    @property
-    def usable(self) -> bool:
-        """Whether the process it was opened to is still there."""
-        return self.incarnation == self.node.incarnation
-
 
 class ProxyHandle(Protocol):
     """A proxy, as clients, nodes and traces see it."""
--- a/heronreel/realtime/process_proxy.py
+++ b/heronreel/realtime/process_proxy.py
@@ -59,6 +59,7 @@
     ) -> None:
         super().__init__(context, cluster, deciders, name, zone, slot)
         self.runtime = runtime
+        self.on_response = self._carry_response
         self.subprocess: asyncio.subprocess.Process | None = None
         self.address = LOOPBACK
         self.killed = False  # outright: its clients may retry what was in flight
@@ -280,7 +281,7 @@
             lines.append(f"Content-Length: {len(BODY)}")
         return "\r\n".join([*lines, "", ""]).encode() + (BODY if has_effect else b"")
 
-    def _response_arrived(self, attempt: NodeAttempt, outcome: Outcome) -> None:
+    def _carry_response(self, attempt: NodeAttempt, outcome: Outcome) -> None:
         """A node's model has responded: its connection carries it."""
         attempt.connection.respond(attempt, outcome)
 
--- a/tests/emulator/test_fleet_scenarios.py
+++ b/tests/emulator/test_fleet_scenarios.py
@@ -176,7 +176,7 @@
             share = (
                 COLD.warm_up_floor + (1.0 - COLD.warm_up_floor) * min(1.0, cold_for / COLD.warm_up_ms) / 2.0
             )
-            could += node.nominal_capacity() * share * min(cold_for, COLD.warm_up_ms)
+            could += node.nominal_capacity * share * min(cold_for, COLD.warm_up_ms)
             given += taken[node.name]
     assert could and given > 0.15 * could, f"seed {seed}: {given / could:.2f} of what cold nodes could do"
 
