--- a/tests/emulator/test_simulation.py
+++ b/tests/emulator/test_simulation.py
@@ -13,18 +13,17 @@
 import pytest
 
 from heronreel.emulator.client_request import ClientRequest
+from heronreel.emulator.errors import UnknownPolicyError
 from heronreel.emulator.events import EventQueue
-from heronreel.emulator.model import Fault, FaultKind, ProxyConfig, RequestClass
+from heronreel.emulator.model import ClientConfig, Fault, FaultKind, FleetConfig, ProxyConfig, RequestClass
 from heronreel.emulator.policies import make_policy
 from heronreel.emulator.simulation import Simulation, play
 from heronreel.routes.load import load as load_routes
 from tests.support.rehearsals import KIND, rehearsal
 
 ROOT = Path(__file__).parents[2]
-EXAMPLES = sorted((ROOT / "examples" / "rehearsals").glob("*.toml"))
 PLAY = """
 import sys
-import typing
 from pathlib import Path
 from heronreel.emulator.script_loader import load_script
 from heronreel.emulator.simulation import play
@@ -175,8 +174,6 @@
 
 
 def test_a_hidden_limit_slows_a_rack_while_its_nodes_look_idle() -> None:
-    from heronreel.emulator.model import FleetConfig
-
     fleet = FleetConfig(nodes=12, zones=["a"], rack_size=6, limited_racks=0.5, rack_limit=0.3, kinds=(KIND,))
     simulation = Simulation(rehearsal(load=0.55, fleet=fleet), 17)
     result = simulation.run()
@@ -199,12 +196,10 @@
 @pytest.mark.parametrize("seed", [18, 19])
 def test_a_retry_storm_persists_without_a_budget_and_the_balancer_recovers(seed: int) -> None:
     """Metastable failure: after a burst of 2 s a fleet without a retry budget stays overloaded."""
-    from heronreel.emulator.model import ClientConfig
-
     request_class = RequestClass(
         work_ms=60.0, effect="safe", latency_objective_ms=300.0, deadline_ms=2000.0, late_weight=0.0
     )
-    kind = msgspec.structs.replace(KIND, queue=200)  # rooms long enough to hold what is long out of date
+    kind = msgspec.structs.replace(KIND, queue=200)  # long enough to hold requests that are long out of date
     trigger = (Fault(fault_kind="burst", at_s=4.0, for_s=2.0, size=3.0),)
     script = rehearsal(
         8,
@@ -223,7 +218,7 @@
 
 
 def test_an_unknown_policy_is_an_error() -> None:
-    with pytest.raises(KeyError):
+    with pytest.raises(UnknownPolicyError):
         make_policy("none", Simulation(rehearsal(), 1).proxies[0].settings, 1)
     assert ProxyConfig().policy == "heronreel"
 
