--- a/bench/truths.py
+++ b/bench/truths.py
@@ -23,28 +23,35 @@
 from emulator import KINDS
 
 from heronreel.balancer import interface as api
-from heronreel.balancer.endpoints import FALLBACK, Endpoints
-from heronreel.balancer.rates import PERIOD_MS
-from heronreel.balancer.slow_start import CREDIT_SHARE, capacity_share
-from heronreel.emulator.model import Class, Fleet, Prices, Proxies, Rehearsal, Tenant, Traffic, Trouble
-from heronreel.emulator.policies import Decider, Hosted
-from heronreel.emulator.world import World
+from heronreel.balancer.choice import COLD_SHARE, PERIOD_MS
+from heronreel.emulator.model import (
+    Fault,
+    FleetConfig,
+    Prices,
+    ProxyConfig,
+    Rehearsal,
+    RequestClass,
+    Tenant,
+    TrafficConfig,
+)
+from heronreel.emulator.policies import Decider, HostedBalancer
+from heronreel.emulator.simulation import Simulation
 from heronreel.experiments.compare import compared
 from heronreel.experiments.identity import Setting, changed, constants
 
 SECONDS = 24.0
-BAD = Trouble(what="errors", at_s=4.0, for_s=14.0, share=0.125, size=0.6)
-SLOW = Trouble(what="slow", at_s=4.0, for_s=14.0, share=0.125, size=5.0)
-DAYS: dict[str, tuple[Trouble, ...]] = {
-    "calm": (Trouble(what="burst", at_s=8.0, for_s=6.0, size=1.5),),
+BAD = Fault(fault_kind="errors", at_s=4.0, for_s=14.0, share=0.125, size=0.6)
+SLOW = Fault(fault_kind="slow", at_s=4.0, for_s=14.0, share=0.125, size=5.0)
+DAYS: dict[str, tuple[Fault, ...]] = {
+    "calm": (Fault(fault_kind="burst", at_s=8.0, for_s=6.0, size=1.5),),
     "herd": (
-        Trouble(what="kill", at_s=6.0, share=0.7),
-        Trouble(what="list_slow", at_s=6.0, for_s=6.0, size=3.0),
+        Fault(fault_kind="kill", at_s=6.0, share=0.7),
+        Fault(fault_kind="list_slow", at_s=6.0, for_s=6.0, size=3.0),
         BAD,
     ),
-    "zone": (Trouble(what="zone_lost", at_s=5.0, for_s=5.0, zone="b"), SLOW),
-    "join": (Trouble(what="replace", at_s=4.0, share=0.6, within_s=7.0, after_s=3.0), BAD),
-    "shortage": (Trouble(what="burst", at_s=4.0, for_s=16.0, size=2.2),),
+    "zone": (Fault(fault_kind="zone_lost", at_s=5.0, for_s=5.0, zone="b"), SLOW),
+    "join": (Fault(fault_kind="replace", at_s=4.0, share=0.6, within_s=7.0, after_s=3.0), BAD),
+    "shortage": (Fault(fault_kind="burst", at_s=4.0, for_s=16.0, size=2.2),),
 }
 
 
@@ -53,45 +60,37 @@
 
     `scarce`: 120 proxies, and half as many connections at each node.
     """
-    klass = Class(work_ms=90.0, dist="lognormal", cv=1.1, attempt_noise=0.2)
+    request_class = RequestClass(work_ms=90.0, distribution="lognormal", cv=1.1, attempt_noise=0.2)
     kinds = tuple(msgspec.structs.replace(k, connections=52 if scarce else 104) for k in KINDS)
-    fleet = Fleet(nodes=40, zones=["a", "b"], limited_racks=0.3, kinds=kinds)
+    fleet = FleetConfig(nodes=40, zones=["a", "b"], limited_racks=0.3, kinds=kinds)
     base = Rehearsal(
-        name=name, seconds=SECONDS, fleet=fleet, proxies=Proxies(count=120 if scarce else 40, skew=0.3),
-        classes=(klass,),
+        name=name, seconds=SECONDS, fleet=fleet, proxies=ProxyConfig(count=120 if scarce else 40, skew=0.3),
+        classes=(request_class,),
         prices=Prices(handshake=0.03, connection=0.03, cross_zone=0.03, late_failure=0.03, waste=0.02),
-        troubles=DAYS[name],
+        faults=DAYS[name],
     )  # fmt: skip
-    rate = 0.62 * base.capacity() * 1000.0 / klass.work_ms
+    rate = 0.62 * base.capacity() * 1000.0 / request_class.work_ms
     quotas = (Tenant("x", 0.55, quota_per_s=0.6 * rate), Tenant("y", 0.45, quota_per_s=0.5 * rate))
-    return msgspec.structs.replace(base, traffic=Traffic(requests_per_s=rate), tenants=quotas)
+    return msgspec.structs.replace(base, traffic=TrafficConfig(requests_per_s=rate), tenants=quotas)
 
 
-def grant_alike(endpoints: Endpoints, now: float, periods: float, served_work: float) -> None:
-    """Credit of slow start as it was: every cold node the same part of what is served, whatever its kind."""
-    settings, backends = endpoints.settings, endpoints.backends.values()
-    cold = [(b, share) for b in backends if (share := capacity_share(settings, now, b.info)) < 1.0]
-    strength = max(1.0, len(backends) - sum(1.0 - share for _, share in cold))
-    allowed = CREDIT_SHARE * settings.overload_factor * served_work * periods / strength
-    for backend, share in cold:
-        if backend.tier != FALLBACK:
-            proxies_per_backend = endpoints.proxies_per_backend[backend.tier]
-            earned = allowed * share * endpoints.subset.proxies / proxies_per_backend
-            most = earned * settings.overload_window_ms / PERIOD_MS
-            backend.credit_ms = min(backend.credit_ms + earned, most)
+class AlikeCold(HostedBalancer):
+    """Cold credit as it was: every cold node the same part of what is served, whatever its kind."""
 
-
-class AlikeCold(Hosted):
-    """A balancer whose slow start knows no kinds."""
-
-    grant_credit = staticmethod(grant_alike)
+    def _grant_credit(self, now: float, periods: float) -> None:
+        cold = [(b, ramp) for b in self.backends.values() if (ramp := self._ramp(b, now)) < 1.0]
+        strength = max(1.0, len(self.backends) - sum(1.0 - ramp for _, ramp in cold))
+        share = COLD_SHARE * self.settings.overload_factor * self.served.mean * periods / strength
+        for backend, ramp in cold:
+            if backend.heap != 2:
+                earned = share * ramp * self.subset.proxies / self.kept_by[backend.heap]
+                most = earned * self.settings.fall_ms / PERIOD_MS
+                backend.credit = min(backend.credit + earned, most)
 
 
 @dataclass(frozen=True)
 class Change:
-    """A change of the past, and what it did."""
-
-    title: str
+    words: str
     days: tuple[str, ...]
     before: tuple[tuple[str, object], ...]
     after: tuple[tuple[str, object], ...]
@@ -99,17 +98,17 @@
 
 
 NONE = 1_000_000
-PROXIES_PER_BACKEND = "heronreel.balancer.subset.PROXIES_PER_BACKEND"
+KEPT_BY = "heronreel.balancer.subset.KEPT_BY"
 CHANGES = {
     "idle": Change("connections kept for 9 s, then 1 s", ("calm", "herd"),
                    (("proxies.idle_ms", 9000),),
                    (("proxies.idle_ms", 1000),), "better"),
     "subset": Change("each node kept to by all proxies, then by 13", ("calm", "herd", "join"),
-                     ((PROXIES_PER_BACKEND, NONE),), ((PROXIES_PER_BACKEND, 13),), "better"),
+                     ((KEPT_BY, NONE),), ((KEPT_BY, 13),), "better"),
     "cold": Change("cold credit alike for all kinds, then by kind", ("join", "zone"),
                    (("alike", 1),), (), "better"),
-    "attempts": Change("any number of tries in a shortage, then few", ("shortage",),
-                       (("heronreel.balancer.rates.LOW_REJECTION", NONE),), (), "better"),
+    "attempts": Change("any number of attempts in a shortage, then few", ("shortage",),
+                       (("heronreel.balancer.overload.FEW_TURNED_AWAY", NONE),), (), "better"),
 }  # fmt: skip
 
 
@@ -121,8 +120,8 @@
     settings = tuple(Setting(key, value) for key, value in changes if key != "alike")
     with constants(settings):
         made = alike if ("alike", 1) in changes else None
-        result = World(changed(day(name, scarce), settings), seed, deciders=made).run()
-    return {"script": name, **result.row()}
+        result = Simulation(changed(day(name, scarce), settings), seed, deciders=made).run()
+    return {"script": name, **result.table_row()}
 
 
 def net_of(row: dict[str, Any]) -> float:
@@ -150,7 +149,7 @@
                 sides = [plays[name, place, side] for side in ("before", "after")]
                 before, after = ([play.result() for play in side] for side in sides)
                 kept = [sum(bool(row["kept"]) for row in rows) for rows in (before, after)]
-                print(f"{change.title}; day {place}; measured: {change.measured}; rules kept in {kept[0]}, "
+                print(f"{change.words}; day {place}; measured: {change.measured}; rules kept in {kept[0]}, "
                       f"{kept[1]} of {len(seeds)}")  # fmt: skip
                 net = [[row | {"net": net_of(row)} for row in rows] for rows in (before, after)]
                 for it in compared(*net, metrics=("net", "service", "attempts_each", "handshakes_each")):
--- a/heronreel/emulator/result.py
+++ b/heronreel/emulator/result.py
@@ -1,77 +1,76 @@
-"""What came of a rehearsal: figures, timeline, breaches, traces, and the bytes two plays are compared by."""
+"""The result of a play: figures, timeline, breaches, traces, and the bytes two plays are compared by."""
 
 from __future__ import annotations
 
 import hashlib
 from dataclasses import asdict
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import msgspec
 
-from heronreel.emulator.observer import Breach
-
-if TYPE_CHECKING:
-    from heronreel.emulator.troubles import Troubles
-    from heronreel.emulator.world import World
+from heronreel.emulator.context import SimulationContext
+from heronreel.emulator.scoring import Scoring
 
 
 class Result(msgspec.Struct):
-    """One play."""
+    """One play.  Field names and keys are the stored form."""
 
     name: str
     policy: str
     seed: int
     seconds: float
     service: dict[str, float]  # whole, worst_window, worst_tenant, service: before prices, 0 to 1
-    paid: dict[str, float]  # points by what they are for
-    score: float  # service less what is paid; 0 where a rule is broken
-    counts: dict[str, int]  # requests by their end
-    rules: dict[str, int]  # breaches by rule
+    costs: dict[str, float] = msgspec.field(name="paid")  # points by what they are for
+    score: float  # service less the costs; 0 where a rule is broken
+    counts: dict[str, int]  # requests by their result
+    breach_counts: dict[str, int] = msgspec.field(name="rules")  # by rule
     percentiles: dict[str, float]  # ms, from when the request was due
     meter: dict[str, float]
     events: int
-    seconds_rows: list[dict[str, Any]]
+    second_rows: list[dict[str, Any]] = msgspec.field(name="seconds_rows")
     timeline: list[dict[str, Any]]
     breaches: list[dict[str, Any]]
     traces: dict[str, list[dict[str, Any]]] = {}
 
     @property
-    def kept(self) -> bool:
-        return not any(self.rules.values())
+    def rules_kept(self) -> bool:
+        """Whether no rule was broken."""
+        return not any(self.breach_counts.values())
 
     @property
-    def broken(self) -> str:
-        """The rules that were, and how often, in words."""
-        return ", ".join(f"{rule} {count}" for rule, count in self.rules.items() if count)
+    def broken_rules(self) -> str:
+        """The rules that were broken, and how often, in words."""
+        return ", ".join(f"{rule} {count}" for rule, count in self.breach_counts.items() if count)
 
-    def lines_of_breaches(self) -> list[int]:
+    def breached_requests(self) -> list[int]:
         """The clients' requests that breaches belong to."""
         return sorted({row["line"] for row in self.breaches if row["line"] >= 0})
 
-    def lines(self) -> bytes:
-        """The timeline as JSON lines, byte for byte alike for the same play."""
+    def json_lines(self) -> bytes:
+        """The timeline as JSON lines, byte-identical for the same play."""
         rows = [
             *self.timeline,
-            *self.seconds_rows,
+            *self.second_rows,
             *self.breaches,
             {"score": self.score, "counts": self.counts},
         ]
         return b"".join(msgspec.json.encode(row) + b"\n" for row in rows)
 
     def digest(self) -> str:
-        return hashlib.sha256(self.lines()).hexdigest()
+        """A hash of `json_lines`."""
+        return hashlib.sha256(self.json_lines()).hexdigest()
 
-    def row(self) -> dict[str, Any]:
+    def table_row(self) -> dict[str, Any]:
         """Its figures, flat, as a table holds them."""
         row: dict[str, Any] = {
             "policy": self.policy,
             "seed": self.seed,
             "score": self.score,
-            "kept": self.kept,
+            "kept": self.rules_kept,
         }
         row |= self.service
-        row |= {f"paid_{name}": value for name, value in self.paid.items()}
-        row |= {f"broke_{rule}": count for rule, count in self.rules.items()}
+        row |= {f"paid_{name}": value for name, value in self.costs.items()}
+        row |= {f"broke_{rule}": count for rule, count in self.breach_counts.items()}
         row |= dict(self.counts)
         row |= {name.replace(".", "_"): value for name, value in self.percentiles.items()}
         requests = max(1, self.counts["requests"])
@@ -81,26 +80,43 @@
         return row
 
 
-def gathered(world: World, troubles: Troubles) -> Result:
-    judge, observer = world.judge, world.observer
-    service = {name: round(value, 6) for name, value in judge.service().items()}
-    paid = {name: round(value, 6) for name, value in judge.paid().items()}
-    kept = not any(observer.counts.values())
-    score = max(0.0, service["service"] - sum(paid.values())) if kept else 0.0
-    rows: list[dict[str, Any]] = [
+def collect_result(context: SimulationContext, policy: str, seed: int, reloads: int) -> Result:
+    """The result of a play that is over.  `reloads`: of proxies, by faults."""
+    rehearsal, scoring, invariants = context.rehearsal, context.scoring, context.invariants
+    service = {name: round(value, 6) for name, value in scoring.service().items()}
+    costs = {name: round(value, 6) for name, value in scoring.costs().items()}
+    kept = not any(invariants.counts.values())
+    score = max(0.0, service["service"] - sum(costs.values())) if kept else 0.0
+    meter = asdict(scoring.meter) | {"list_failed": context.endpoint_list.failed_calls, "reloads": reloads}
+    steps = context.tracer.steps if context.tracer is not None else {}
+    return Result(
+        name=rehearsal.name,
+        policy=policy,
+        seed=seed,
+        seconds=rehearsal.seconds,
+        service=service,
+        costs=costs,
+        score=round(score, 6),
+        counts=scoring.counts(),
+        breach_counts=dict(invariants.counts),
+        percentiles=scoring.percentiles(),
+        meter=meter,
+        events=context.events.processed,
+        second_rows=_second_rows(scoring),
+        timeline=context.timeline.rows,
+        breaches=[asdict(breach) for breach in invariants.breaches],
+        traces={str(ident): rows for ident, rows in steps.items()},
+    )
+
+
+def _second_rows(scoring: Scoring) -> list[dict[str, Any]]:
+    return [
         {
-            "second": place, "asked": round(s.asked, 3), "got": round(s.got, 3), "requests": s.requests,
-            **{end: s.ends[end] for end in sorted(s.ends)},
+            "second": number,
+            "asked": round(second.requested_weight, 3),
+            "got": round(second.served_weight, 3),
+            "requests": second.requests,
+            **{result.value: second.results[result] for result in sorted(second.results)},
         }
-        for place, s in enumerate(judge.seconds)
-    ]  # fmt: skip
-    breaches: list[Breach] = observer.breaches
-    return Result(
-        name=world.rehearsal.name, policy=world.policy, seed=world.seed, seconds=world.rehearsal.seconds,
-        service=service, paid=paid, score=round(score, 6), counts=judge.totals(), rules=dict(observer.counts),
-        percentiles=judge.percentiles(),
-        meter=asdict(judge.meter) | {"list_failed": world.lists.failed, "reloads": troubles.reloads},
-        events=world.events.played, seconds_rows=rows, timeline=world.timeline,
-        breaches=[asdict(breach) for breach in breaches],
-        traces={str(line): steps for line, steps in (world.tracer.steps if world.tracer else {}).items()},
-    )  # fmt: skip
+        for number, second in enumerate(scoring.seconds)
+    ]
--- a/heronreel/experiments/sweep.py
+++ b/heronreel/experiments/sweep.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from heronreel.emulator.model import Rehearsal
-from heronreel.emulator.world import play
+from heronreel.emulator.simulation import play
 from heronreel.experiments.identity import (
     PLAYS_MOST,
     BadSet,
@@ -68,7 +68,7 @@
         result = play(one.rehearsal, one.seed, one.policy)
     row: dict[str, Any] = {"script": one.script, "code": code_version(), "name": one.rehearsal.name}
     row |= {f"set {setting.key}": str(setting.value) for setting in one.settings}
-    row |= result.row()
+    row |= result.table_row()
     row |= {"digest": result.digest(), "cpu_s": round(time.process_time() - began, 3)}
     return row
 
