--- a/bench/request_cost.py
+++ b/bench/request_cost.py
@@ -1,9 +1,10 @@
-"""What a file in force adds to a whole request over sockets: the proxy's processor time, a ratio in one run.
+"""What a routes file adds to a request over sockets: the proxy's processor time, a ratio in one run.
 
-    .venv-cli/bin/python bench/request_cost.py [--rounds 6] [--routes 1000]
+    .venv-cli/bin/python bench/request_cost.py [--rounds 6] [--routes 1000] [--other CHECKOUT]
 
-The platform's program and `heronreel serve` stand side by side before the same stand-in servers and get the
-same requests, in turns, on 16 kept connections each.  Ratios are told by pairs of rounds: noise shows.
+The platform's program and `heronreel serve` run side by side before the same stub servers and get the same
+requests, in turns, on 16 kept connections each.  With another checkout, its program takes turns with them.
+Ratios are of pairs of rounds, so that noise shows.
 """
 
 from __future__ import annotations
@@ -66,15 +67,17 @@
     return f'{listener}[[pools]]\nname = "p"\n{members}[defaults]\ndeadline_ms = 2500\naim_ms = 500\n{tables}'
 
 
-def spent(pid: int) -> float:
+def processor_s(pid: int) -> float:
     """Processor seconds of a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def start(words: list[str], env: dict[str, str]) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
+async def start(
+    words: list[str], env: dict[str, str], checkout: Path = ROOT
+) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", *words, cwd=ROOT, env={**os.environ, **env}, stderr=asyncio.subprocess.PIPE
+        sys.executable, "-m", *words, cwd=checkout, env={**os.environ, **env}, stderr=asyncio.subprocess.PIPE
     )
     assert process.stderr
     while line := (await process.stderr.readline()).decode():
@@ -86,17 +89,17 @@
 async def batch(clients: Clients, first: int) -> None:
     left = iter(range(first, first + BATCH))
 
-    async def ask_on() -> None:
+    async def send_requests() -> None:
         for number in left:
             lines = f"Host: h\r\nX-Request-Id: q{number}\r\nX-Class: r7\r\nIdempotency-Key: k{number}\r\n"
             lines += "X-Cost-Hint: 5000\r\nContent-Length: 4\r\n"
             data = f"POST /r7/x{number % 500} HTTP/1.1\r\n{lines}\r\nride"
             await clients.ask("r7", data.encode())
 
-    await asyncio.gather(*(ask_on() for _ in range(CONNECTIONS)))
+    await asyncio.gather(*(send_requests() for _ in range(CONNECTIONS)))
 
 
-async def play(rounds: int, routes: int) -> None:
+async def measure(rounds: int, routes: int, other: Path | None) -> None:
     async with AsyncExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         rack, effects = Rack("r1"), Counter[bytes]()
@@ -106,32 +109,47 @@
         ]
         (folder / "config.json").write_text(json.dumps(platform_file(nodes)))
         (folder / "routes.toml").write_text(routes_file(nodes, routes))
-        with socket.socket() as probe:
-            probe.bind(("127.0.0.1", 0))
-            port = probe.getsockname()[1]
-        env = {"LB_NAME": "n", "LB_LISTEN": f"127.0.0.1:{port}", "LB_CONFIG": str(folder / "config.json")}
-        ways = []
-        for words, more in (
-            (["heronreel.proxy"], env),
-            (["heronreel.cli", "serve", str(folder / "routes.toml")], {}),
-        ):
-            process, address = await start(words, more)
+        programs = [
+            (["heronreel.proxy"], ROOT),
+            (["heronreel.cli", "serve", str(folder / "routes.toml")], ROOT),
+        ]
+        if other:
+            programs.append((["heronreel.proxy"], other))
+        running = []
+        for words, checkout in programs:
+            env = {
+                "LB_NAME": "n", "LB_LISTEN": f"127.0.0.1:{free_port()}", "LB_CONFIG": f"{folder}/config.json"
+            }  # fmt: skip
+            process, address = await start(words, env, checkout)
             stack.callback(process.kill)
             told = Told()
-            ways.append((process.pid, Clients(address, told), told))
-        costs: list[list[float]] = [[], []]
+            running.append((process.pid, Clients(address, told), told))
+        costs: list[list[float]] = [[] for _ in running]
         for turn in range(rounds + 1):
-            for place, (pid, clients, _) in enumerate(ways):
-                before = spent(pid)
-                await batch(clients, (2 * turn + place) * BATCH)
+            for place, (pid, clients, _) in enumerate(running):
+                before = processor_s(pid)
+                await batch(clients, (len(running) * turn + place) * BATCH)
                 if turn:  # the first round warms up
-                    costs[place].append((spent(pid) - before) / BATCH * 1e6)
-    for (_, _, told), name, row in zip(ways, ("platform", "routes"), costs, strict=True):
+                    costs[place].append((processor_s(pid) - before) / BATCH * 1e6)
+    for (_, _, told), name, row in zip(running, ("platform", "routes", "other"), costs, strict=False):
         mean, served = sum(row) / len(row), f"{told.counts['served']:,} of {told.asked:,} served"
         print(f"{name:9} {mean:6.0f} us a request ({min(row):.0f} to {max(row):.0f}), {served}")
-    ratios = sorted(two / one for one, two in zip(*costs, strict=True))
-    spread = f"({ratios[0]:.2f} to {ratios[-1]:.2f})"
-    print(f"ratio with {routes:,} routes: median {ratios[len(ratios) // 2]:.2f} {spread}")
+    print_ratio(f"ratio with {routes:,} routes", costs[1], costs[0])
+    if other:
+        print_ratio("ratio to the other checkout", costs[0], costs[2])
+
+
+def free_port() -> int:
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return int(probe.getsockname()[1])
+
+
+def print_ratio(label: str, costs: list[float], reference: list[float]) -> None:
+    ratios = sorted(one / two for one, two in zip(costs, reference, strict=True))
+    of_sums = sum(costs) / sum(reference)
+    median = ratios[len(ratios) // 2]
+    print(f"{label}: median {median:.2f} ({ratios[0]:.2f} to {ratios[-1]:.2f}), of the sums {of_sums:.3f}")
 
 
 def main() -> None:
@@ -140,8 +158,9 @@
     )
     parser.add_argument("--rounds", type=int, default=6)
     parser.add_argument("--routes", type=int, default=1000)
-    told = parser.parse_args()
-    asyncio.run(play(told.rounds, told.routes))
+    parser.add_argument("--other", type=Path)
+    options = parser.parse_args()
+    asyncio.run(measure(options.rounds, options.routes, options.other))
 
 
 if __name__ == "__main__":
--- a/bench/start_memory.py
+++ b/bench/start_memory.py
@@ -2,7 +2,7 @@
 
     .venv-cli/bin/python bench/start_memory.py [OTHER_CHECKOUT]
 
-Medians of nine processes each, in turns; a difference under 0.1 MB is noise.
+Medians of nine processes each, interleaved; a difference under 0.1 MB is noise.
 """
 
 from __future__ import annotations
@@ -14,12 +14,13 @@
 
 HERE = Path(__file__).parent.parent
 ROUNDS = 9
-TELL = "\nimport gc; gc.collect()\nprint(open('/proc/self/status').read().split('VmRSS:')[1].split()[0])"
+PRINT_RSS = "\nimport gc; gc.collect()\nprint(open('/proc/self/status').read().split('VmRSS:')[1].split()[0])"
 
 
-def resident(folder: Path, module: str) -> int:
+def resident_kb(folder: Path, module: str) -> int:
+    """Kilobytes of a process that has imported that module."""
     done = subprocess.run(
-        [sys.executable, "-c", f"import {module}{TELL}"],
+        [sys.executable, "-c", f"import {module}{PRINT_RSS}"],
         cwd=folder,
         capture_output=True,
         text=True,
@@ -32,11 +33,11 @@
     rows = [("run, here", HERE, "heronreel.proxy.__main__"), ("serve, here", HERE, "heronreel.serve.program")]
     if len(sys.argv) > 1:
         rows.insert(0, ("run, other", Path(sys.argv[1]), "heronreel.proxy.__main__"))
-    seen: dict[str, list[int]] = {name: [] for name, _, _ in rows}
+    sizes: dict[str, list[int]] = {name: [] for name, _, _ in rows}
     for _ in range(ROUNDS):
         for name, folder, module in rows:
-            seen[name].append(resident(folder, module))
-    for name, values in seen.items():
+            sizes[name].append(resident_kb(folder, module))
+    for name, values in sizes.items():
         print(f"{name:12} {statistics.median(values) / 1024:6.2f} MB")
 
 
