--- a/bench/added_cost.py
+++ b/bench/added_cost.py
@@ -92,7 +92,9 @@
         path = b"/%b/x" % names[number % len(names)]
         policy = router.find(b"h", path, b"POST", {b"idempotency-key": b"k"})
         assert policy
-        return api.Arrival(number, policy.klass.name, 2500.0, hint_ms=60.0, policy=policy, repeat_key=number)
+        return api.Arrival(
+            number, policy.request_class.name, 2500.0, hint_ms=60.0, policy=policy, idempotency_key=number
+        )
 
     ways = (Way(Balancer(settings, 1), plain, ""), Way(Pools(settings, 1), routed, "p"))
     until = time.monotonic() + told.seconds
--- a/bench/lease_proof.py
+++ b/bench/lease_proof.py
@@ -22,7 +22,7 @@
 from heronreel.coordination.member_state import Guards
 from heronreel.fault_injection.explore import ExplorationResult, World, explore
 from heronreel.fault_injection.group_world import Budget, GroupWorld
-from heronreel.fault_injection.lease_world import Guarded, LeaseWorld, Limits
+from heronreel.fault_injection.lease_world import LeaseGuards, LeaseWorld, Limits
 from heronreel.fault_injection.schedule import Fault, shrink
 from heronreel.fault_injection.trial import TrialResult, TrialSettings, run_trial
 
@@ -37,17 +37,23 @@
 
 WORLDS: dict[str, World] = {
     "one leader, a write, a read, a crash of each": GroupWorld(
-        NAMES, Budget(tries="a", writes=1, reads=1, crashes="abc"), NO_COPIES
+        NAMES, Budget(elections="a", writes=1, reads=1, crashes="abc"), NO_COPIES
+    ),
+    "two leaders, a write": GroupWorld(NAMES, Budget(elections="ab", writes=1), NO_COPIES),
+    "two leaders, a write, a crash": GroupWorld(
+        NAMES, Budget(elections="ab", writes=1, crashes="c"), NO_COPIES
+    ),
+    "two leaders, a write, a lost disk": GroupWorld(
+        NAMES, Budget(elections="ab", writes=1, lost_disks="c"), NO_COPIES
+    ),
+    "two leaders, a write, an old copy": GroupWorld(
+        NAMES, Budget(elections="ab", writes=1, restored_disks="c")
     ),
-    "two leaders, a write": GroupWorld(NAMES, Budget(tries="ab", writes=1), NO_COPIES),
-    "two leaders, a write, a crash": GroupWorld(NAMES, Budget(tries="ab", writes=1, crashes="c"), NO_COPIES),
-    "two leaders, a write, a lost disk": GroupWorld(NAMES, Budget(tries="ab", writes=1, lost="c"), NO_COPIES),
-    "two leaders, a write, an old copy": GroupWorld(NAMES, Budget(tries="ab", writes=1, restored="c")),
     "two holders, leader changes": LeaseWorld(
-        Limits(seconds=7, questions=(0, 5), actions=2, changes=1), Guarded()
+        Limits(seconds=7, requests=(0, 5), actions=2, leader_changes=1), LeaseGuards()
     ),
     "two holders, one renews": LeaseWorld(
-        Limits(seconds=6, questions=(1, 4), actions=1, changes=0), Guarded()
+        Limits(seconds=6, requests=(1, 4), actions=1, leader_changes=0), LeaseGuards()
     ),
 }
 
@@ -65,7 +71,7 @@
     with ProcessPoolExecutor(len(WORLDS)) as pool:
         for name, found, seconds in pool.map(explore_world, WORLDS, [max_states] * len(WORLDS)):
             print(f"{name}: {found} ({seconds:.0f} s)", flush=True)
-            succeeded = succeeded and found.broken is None
+            succeeded = succeeded and found.violation is None
     return succeeded
 
 
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -132,7 +132,7 @@
 async def _seconds_until_write(harness: Harness, lost_leader: str) -> float:
     others = [harness.address(name) for name in harness.names if name != lost_leader]
     began = time.perf_counter()
-    async with Client(others, answer_s=0.2) as client:
+    async with Client(others, response_timeout_s=0.2) as client:
         while True:
             try:
                 await client.call(Put(b"over", b""), 0.3)
@@ -143,13 +143,13 @@
 
 async def handover(harness: Harness) -> float:
     """Seconds from the release of a task until the next holder has it."""
-    terms = LeaseTerms(ttl=3, margin=0.4, answer=0.5)
+    terms = LeaseTerms(ttl_s=3, safety_margin_s=0.4, response_timeout_s=0.5)
     async with LeaseSession(harness.addresses, "two", terms) as second:
         async with LeaseSession(harness.addresses, "one", terms) as first:
-            await first.held(first.claim("task"))
+            await first.wait_acquired(first.claim("task"))
             claim = second.claim("task")
         began = time.perf_counter()
-        await second.held(claim)
+        await second.wait_acquired(claim)
         return time.perf_counter() - began
 
 
@@ -158,7 +158,7 @@
     async with AsyncExitStack() as stack:
         for number in range(holders):
             session = await stack.enter_async_context(LeaseSession(harness.addresses, f"h{number}"))
-            await session.held(session.claim(f"rest{number}"))
+            await session.wait_acquired(session.claim(f"rest{number}"))
         await asyncio.sleep(SETTLING_S)
         before = relayed_bytes(harness)
         await asyncio.sleep(IDLE_S)
--- a/bench/probing.py
+++ b/bench/probing.py
@@ -76,9 +76,9 @@
     for number in range(count):
         path = harness.folder / f"x{number}.toml"
         path.write_text(routes(f"x{number}", ZONES[number % len(ZONES)], ports, group))
-        started.append(await harness.run(f"x{number}", "heronreel.cli", "serve", str(path)))
+        started.append(await harness.start_process(f"x{number}", "heronreel.cli", "serve", str(path)))
     for process in started:
-        await process.line("listening on", seconds=120)
+        await process.wait_for_line("listening on", timeout_s=120)
 
 
 async def until_reported(client: Client, zone: str) -> None:
@@ -96,7 +96,7 @@
         Harness(folder, ("a",), 1) as harness,
         Client(harness.addresses) as client,
     ):
-        await harness.serves()
+        await harness.wait_until_available()
         await start_proxies(harness, proxies, probed.ports, harness.addresses if shared else [])
         if shared:
             for zone in ZONES:
--- a/heronreel/serve/policies.py
+++ b/heronreel/serve/policies.py
@@ -16,6 +16,7 @@
 
 
 def class_of(route: Route) -> api.RequestClass:
+    """The balancer's class of a route's requests."""
     policy = route.policy
     return api.RequestClass(
         policy.request_class,
@@ -81,6 +82,7 @@
     def find(
         self, host: bytes, path: bytes, method: bytes, headers: Mapping[bytes, bytes]
     ) -> api.RoutePolicy | None:
+        """The policy of a request, without a key the stricter one; None: no route takes it."""
         route = self.index.find(host, path, method, headers)
         if route is None:
             return None
@@ -119,8 +121,9 @@
 
 
 def members_of(file: RoutesFile, down: Collection[tuple[str, str]] = ()) -> EndpointList:
-    """All members of the file's pools, as the whole of a list; those that are down (pool and name) are left
-    alone as drained ones are.
+    """All members of the file's pools, as a complete endpoint list.
+
+    Those that are down, by pool and name, are listed as draining.
     """
     entries = [entry for pool in file.pools.values() for entry in _entries(pool, down)]
     return EndpointList(0, True, entries)
@@ -149,6 +152,7 @@
 
 
 def config_of(file: RoutesFile, down: Collection[tuple[str, str]] = ()) -> Config:
+    """The proxy's configuration: its listener, endpoints, settings and limits."""
     process = file.process
     listen = file.listeners[0].address if file.listeners else ("127.0.0.1", 0)
     return Config(
--- a/heronreel/serve/program.py
+++ b/heronreel/serve/program.py
@@ -97,7 +97,7 @@
         if file.probe is not None:
             from heronreel.serve.health_checks import HealthChecks
 
-            self.health_checks = HealthChecks(file, self.leave_alone)
+            self.health_checks = HealthChecks(file, self.mark_down)
         self.clients = ClientListener(loop, config, self.proxy)
 
     async def listen(self) -> dict[str, tuple[str, int]]:
@@ -106,7 +106,7 @@
             return {"clients": await self.clients.listen(self.clients.address)}
         return {row.name: await self.clients.listen(row.address) for row in self.file.listeners}
 
-    def leave_alone(self, down: Collection[tuple[str, str]]) -> None:
+    def mark_down(self, down: Collection[tuple[str, str]]) -> None:
         """Probes found these down, and no others: nothing new goes to them."""
         self.down = down
         self.config = replace(self.config, endpoints=members_of(self.file, down))
@@ -185,10 +185,10 @@
     reloading.cancel()
 
 
-async def _reloads(asked: asyncio.Event, server: Server) -> None:
+async def _reloads(requested: asyncio.Event, server: Server) -> None:
     while True:
-        await asked.wait()
-        asked.clear()
+        await requested.wait()
+        requested.clear()
         try:
             log.info("reload: reading %s", server.path, extra=ALWAYS)
             report = await server.reload()
