--- a/bench/emulator.py
+++ b/bench/emulator.py
@@ -132,7 +132,7 @@
 
 def sweeps(plays: int = 16) -> None:
     """How near a sweep over all cores comes to so many times the pace of one process."""
-    from heronreel.experiments.sweep import planned, sweep
+    from heronreel.experiments.sweep import plan_sweep, run_sweep
 
     cores = len(os.sched_getaffinity(0))
     base = script(12, 30, 640, 5.0)
@@ -140,7 +140,8 @@
     for workers in (1, cores):
         with tempfile.TemporaryDirectory() as folder:
             began = time.monotonic()
-            sweep(planned(base, list(range(plays * (1 if workers == 1 else cores) // 2)), ["heronreel"], []),
+            seeds = list(range(plays * (1 if workers == 1 else cores) // 2))
+            run_sweep(plan_sweep(base, seeds, ["heronreel"], []),
                   Path(folder), workers)  # fmt: skip
             took[workers] = (time.monotonic() - began) / (plays * (1 if workers == 1 else cores) // 2)
     print(f"one worker {took[1]:.2f} s a play, {cores} workers {took[cores]:.3f}: "
--- a/bench/truths.py
+++ b/bench/truths.py
@@ -36,8 +36,8 @@
 )
 from heronreel.emulator.policies import Decider, HostedBalancer
 from heronreel.emulator.simulation import Simulation
-from heronreel.experiments.compare import compared
-from heronreel.experiments.identity import Setting, changed, constants
+from heronreel.experiments.compare import compare_results
+from heronreel.experiments.identity import Setting, apply_settings, overridden_constants
 
 SECONDS = 24.0
 BAD = Fault(fault_kind="errors", at_s=4.0, for_s=14.0, share=0.125, size=0.6)
@@ -118,9 +118,9 @@
 
 def one(name: str, seed: int, changes: tuple[tuple[str, object], ...], scarce: bool) -> dict[str, Any]:
     settings = tuple(Setting(key, value) for key, value in changes if key != "alike")
-    with constants(settings):
+    with overridden_constants(settings):
         made = alike if ("alike", 1) in changes else None
-        result = Simulation(changed(day(name, scarce), settings), seed, deciders=made).run()
+        result = Simulation(apply_settings(day(name, scarce), settings), seed, deciders=made).run()
     return {"script": name, **result.table_row()}
 
 
@@ -152,7 +152,8 @@
                 print(f"{change.words}; day {place}; measured: {change.measured}; rules kept in {kept[0]}, "
                       f"{kept[1]} of {len(seeds)}")  # fmt: skip
                 net = [[row | {"net": net_of(row)} for row in rows] for rows in (before, after)]
-                for it in compared(*net, metrics=("net", "service", "attempts_each", "handshakes_each")):
+                metrics = ("net", "service", "attempts_each", "handshakes_each")
+                for it in compare_results(*net, metrics=metrics):
                     print(f"    {it.metric:<16} {it.mean_a:8.4f} -> {it.mean_b:8.4f} {it.mean:+.4f}"
                           f" [{it.low:+.4f}, {it.high:+.4f}]  {it.words}", flush=True)  # fmt: skip
 
--- a/heronreel/cli/rehearse.py
+++ b/heronreel/cli/rehearse.py
@@ -125,9 +125,9 @@
     if timeline:
         _write(timeline, ours.json_lines())
     if page:
-        from heronreel.experiments.report import of_rehearsal
+        from heronreel.experiments.report import render_rehearsal
 
-        _write(page, of_rehearsal(rehearsal, results).encode())
+        _write(page, render_rehearsal(rehearsal, results).encode())
     if as_json:
         told = {
             "plays": [
@@ -259,20 +259,21 @@
     from rich.console import Console
     from rich.progress import Progress
 
-    from heronreel.experiments.identity import BadSet, seeds_of, settings_of
-    from heronreel.experiments.sweep import planned, sweep
+    from heronreel.experiments.errors import InvalidSettingError
+    from heronreel.experiments.identity import parse_seeds, parse_settings
+    from heronreel.experiments.sweep import plan_sweep, run_sweep
 
     names = [name.strip() for name in policies.split(",") if name.strip()] or [rehearsal.proxies.policy]
     for name in names:
         _known(name)
     try:
-        plays = planned(rehearsal, seeds_of(seeds), names, [settings_of(text) for text in sets])
-    except BadSet as error:
+        plays = plan_sweep(rehearsal, parse_seeds(seeds), names, [parse_settings(text) for text in sets])
+    except InvalidSettingError as error:
         _stop(str(error))
     console = Console(stderr=True)
     with Progress(console=console, disable=as_json or not console.is_terminal, transient=True) as bar:
         task = bar.add_task("plays", total=len(plays))
-        count = sweep(plays, out, workers or len(os.sched_getaffinity(0)),
+        count = run_sweep(plays, out, workers or len(os.sched_getaffinity(0)),
                       lambda done, of: bar.update(task, completed=done))  # fmt: skip
     told = {"plays": len(plays), "played": count, "there already": len(plays) - count, "results": str(out)}
     if as_json:
@@ -283,6 +284,7 @@
 
 def _rows(path: Path, where: tuple[str, ...]) -> list[Any]:
     from heronreel.experiments import compare, table
+    from heronreel.experiments.errors import UnreadableResultsError
 
     wanted = {}
     for text in where:
@@ -291,8 +293,8 @@
             _stop(f"where: {text!r} is not COLUMN=VALUE")
         wanted[key] = value
     try:
-        rows = compare.where(table.read(path), wanted)
-    except table.BadTable as error:
+        rows = compare.filter_rows(table.read_results(path), wanted)
+    except UnreadableResultsError as error:
         _stop(str(error))
     if not rows:
         _stop(f"{path}: no play{' with ' + ', '.join(where) if where else ''}")
@@ -314,12 +316,13 @@
     from rich.console import Console
     from rich.table import Table
 
-    from heronreel.experiments.compare import NotComparable, compared
+    from heronreel.experiments.compare import compare_results
+    from heronreel.experiments.errors import IncomparableResultsError
 
     rows_a, rows_b = _rows(a, where_a), _rows(b, where_b)
     try:
-        found = compared(rows_a, rows_b)
-    except NotComparable as error:
+        found = compare_results(rows_a, rows_b)
+    except IncomparableResultsError as error:
         _stop(str(error))
     if as_json:
         click.echo(json.dumps([asdict(one) | {"words": one.words} for one in found], indent=2))
@@ -346,11 +349,11 @@
 @click.option("--where", multiple=True, metavar="COLUMN=VALUE", help="Which plays; repeatable.")
 def report_command(results: Path, page: Path, where: tuple[str, ...]) -> None:
     """Write a page with the tables and charts of a sweep."""
-    from heronreel.experiments.report import of_sweep
+    from heronreel.experiments.report import render_sweep
 
     rows = _rows(results, where)
     page.parent.mkdir(parents=True, exist_ok=True)
-    _write(page, of_sweep(rows).encode())
+    _write(page, render_sweep(rows).encode())
     click.echo(f"{page}: {len(rows)} plays")
 
 
@@ -364,20 +367,21 @@
 def shrink_command(file: Path, seed: int, policy: str, out: Path | None) -> None:
     """Cut a script that breaks a rule down to the smallest that still breaks it."""
     rehearsal = _script(file)
-    from heronreel.experiments.scripts import written
-    from heronreel.experiments.shrink import NothingBroken, shrink
+    from heronreel.experiments.errors import NoBreachError
+    from heronreel.experiments.scripts import script_to_toml
+    from heronreel.experiments.shrink import shrink
 
     try:
         found = shrink(
             rehearsal, seed, policy, lambda words: click.echo(f"still broken with {words}", err=True)
         )
-    except NothingBroken as error:
+    except NoBreachError as error:
         _stop(str(error), 1)
     head = (
         f"# Breaks the rule {found.rule!r} at {found.at_ms / 1000.0:.3f} s with seed {seed}"
         f"{' and policy ' + policy if policy else ''}; found in {found.plays} plays.\n"
     )
-    text = head + written(found.rehearsal)
+    text = head + script_to_toml(found.rehearsal)
     if out:
         _write(out, text.encode())
         click.echo(f"{out}: {len(found.rehearsal.faults)} troubles, {found.rehearsal.fleet.nodes} nodes")
@@ -394,17 +398,18 @@
 def replay_command(incident: Path, base: Path, out: Path | None) -> None:
     """Turn a recorded incident (JSON lines) into a script that can be played."""
     from heronreel.emulator.script_loader import load_script
-    from heronreel.experiments.scripts import BadIncident, of_incident, written
+    from heronreel.experiments.errors import InvalidIncidentError
+    from heronreel.experiments.scripts import script_from_incident, script_to_toml
     from heronreel.routes.reader import ConfigFileError
 
     rehearsal = _script(base)
     try:
-        made, passed = of_incident(rehearsal, incident.read_bytes())
-        text = written(made)
+        made, passed = script_from_incident(rehearsal, incident.read_bytes())
+        text = script_to_toml(made)
         load_script(text.encode())  # what is written can be played
     except OSError as error:
         _stop(f"{incident}: {error.strerror}")
-    except BadIncident as error:
+    except InvalidIncidentError as error:
         _stop(f"{incident}: {error}")
     except ConfigFileError as error:
         _stop(f"{incident}: " + "; ".join(f"{p.field}: {p.wrong}, {p.right}" for p in error.problems[:5]))
--- a/heronreel/experiments/charts.py
+++ b/heronreel/experiments/charts.py
@@ -14,14 +14,20 @@
 from matplotlib.figure import Figure
 
 from heronreel.emulator.result import Result
-from heronreel.experiments.table import label_of
+from heronreel.experiments.table import row_label
 
 COLOURS = ("#1b6ca8", "#d1495b", "#edae49", "#66a182", "#8d96a3", "#7b4b94", "#2e4057")
-TROUBLE = "#f3d9b1"
-ENDS = {"served": "#66a182", "late": "#edae49", "refused": "#8d96a3", "failed": "#d1495b", "lost": "#000000"}
+FAULT_COLOUR = "#f3d9b1"
+OUTCOME_COLOURS = {
+    "served": "#66a182",
+    "late": "#edae49",
+    "refused": "#8d96a3",
+    "failed": "#d1495b",
+    "lost": "#000000",
+}
 
 
-def svg(figure: Figure) -> str:
+def render_svg(figure: Figure) -> str:
     """As text, without what changes from one run to the next."""
     text = io.StringIO()
     figure.savefig(text, format="svg", metadata={"Date": None}, bbox_inches="tight")
@@ -42,7 +48,7 @@
     return figure, axes
 
 
-def troubles_of(result: Result) -> list[tuple[float, float, str]]:
+def fault_intervals(result: Result) -> list[tuple[float, float, str]]:
     """Start and end, s, and kind of each trouble, from the timeline."""
     begun: dict[int, tuple[float, str]] = {}
     found = []
@@ -57,11 +63,11 @@
     return sorted(found + [(at, at, kind) for at, kind in begun.values()])
 
 
-def _shade(axes: Axes, result: Result) -> None:
+def _shade_faults(axes: Axes, result: Result) -> None:
     """The troubles behind the curves, on the same axis."""
     levels: list[float] = []
-    for at, end, kind in troubles_of(result):
-        axes.axvspan(at, max(end, at + 0.15), color=TROUBLE, alpha=0.55, lw=0, zorder=0)
+    for at, end, kind in fault_intervals(result):
+        axes.axvspan(at, max(end, at + 0.15), color=FAULT_COLOUR, alpha=0.55, lw=0, zorder=0)
         level = next((n for n, until in enumerate(levels) if until <= at), len(levels))
         levels[level : level + 1] = [max(end, at + 2.0)]
         axes.annotate(
@@ -72,7 +78,7 @@
 
 def service_over_time(results: Sequence[Result]) -> str:
     figure, axes = _axes("Service by second in which requests were due", "s", "share of worth served")
-    _shade(axes, results[0])
+    _shade_faults(axes, results[0])
     for place, result in enumerate(results):
         rows = [row for row in result.second_rows if row["asked"]]
         axes.plot(
@@ -81,28 +87,30 @@
         )  # fmt: skip
     axes.set_ylim(0.0, 1.03)
     axes.legend(fontsize=8, loc="lower left", ncols=4, frameon=False)
-    return svg(figure)
+    return render_svg(figure)
 
 
-def ends_over_time(result: Result) -> str:
+def outcomes_over_time(result: Result) -> str:
     """Goodput against demand: what became of the requests due in each second."""
     figure, axes = _axes(f"Demand and what became of it ({result.policy})", "s", "requests a second")
-    _shade(axes, result)
+    _shade_faults(axes, result)
     seconds = [row["second"] + 0.5 for row in result.second_rows]
-    parts = [[row.get(end, 0) for row in result.second_rows] for end in ENDS]
-    axes.stackplot(seconds, *parts, labels=list(ENDS), colors=list(ENDS.values()), alpha=0.85)
+    parts = [[row.get(end, 0) for row in result.second_rows] for end in OUTCOME_COLOURS]
+    axes.stackplot(
+        seconds, *parts, labels=list(OUTCOME_COLOURS), colors=list(OUTCOME_COLOURS.values()), alpha=0.85
+    )
     axes.plot(
         seconds, [row["requests"] for row in result.second_rows], color="#222222", lw=1.0, label="demand"
     )
     axes.legend(fontsize=8, loc="upper center", bbox_to_anchor=(0.5, -0.16), ncols=6, frameon=False)
-    return svg(figure)
+    return render_svg(figure)
 
 
 def fleet_over_time(result: Result) -> str:
     figure, axes = _axes(
         f"Nodes: utilisation and requests at them ({result.policy})", "s", "share of cores busy"
     )
-    _shade(axes, result)
+    _shade_faults(axes, result)
     rows = [row for row in result.timeline if row["event"] == "second"]
     seconds = [row["at_ms"] / 1000.0 - 0.5 for row in rows]
     axes.plot(seconds, [row["utilisation"] for row in rows], color=COLOURS[0], lw=1.8, label="utilisation")
@@ -110,7 +118,7 @@
     other = axes.twinx()
     other.plot(seconds, [row["requests_at_nodes"] for row in rows], color=COLOURS[1], lw=1.2)
     other.set_ylabel("requests at nodes", color=COLOURS[1])
-    return svg(figure)
+    return render_svg(figure)
 
 
 def nodes_over_time(result: Result, most: int = 60) -> str:
@@ -131,7 +139,7 @@
     step = max(1, len(names) // 20)
     axes.set_yticks(range(0, len(names), step), names[::step], fontsize=7)
     axes.grid(False)
-    return svg(figure)
+    return render_svg(figure)
 
 
 def latency(results: Sequence[Result]) -> str:
@@ -144,18 +152,18 @@
         )  # fmt: skip
     axes.set_yscale("log")
     axes.legend(fontsize=8, frameon=False)
-    return svg(figure)
+    return render_svg(figure)
 
 
-def spread(rows: Sequence[Mapping[str, Any]], metric: str = "score") -> str:
+def distribution_over_seeds(rows: Sequence[Mapping[str, Any]], metric: str = "score") -> str:
     """A figure's values over seeds, by policy or setting."""
     groups: dict[str, list[float]] = {}
     for row in rows:
-        groups.setdefault(label_of(row), []).append(float(row[metric]))
+        groups.setdefault(row_label(row), []).append(float(row[metric]))
     figure, axes = _axes(f"{metric} over seeds", metric, "", 1.2 + 0.35 * len(groups))
     names = list(groups)
     axes.boxplot([groups[name] for name in names], orientation="horizontal", tick_labels=names, widths=0.6)
     for place, name in enumerate(names):
         axes.plot(groups[name], [place + 1] * len(groups[name]), ".", color=COLOURS[0], alpha=0.5)
     axes.invert_yaxis()
-    return svg(figure)
+    return render_svg(figure)
--- a/heronreel/experiments/compare.py
+++ b/heronreel/experiments/compare.py
@@ -15,18 +15,16 @@
 import numpy as np
 from scipy import stats
 
+from heronreel.experiments.errors import IncomparableResultsError
+
 METRICS = ("score", "service", "whole", "worst_window", "worst_tenant", "attempts_each", "handshakes_each")
 LESS_IS_BETTER = frozenset(
     ("attempts_each", "handshakes_each", "p50", "p90", "p95", "p99", "refused", "failed")
 )
-SURE = 0.95
-PAIRS_LEAST = 5  # fewer say nothing
-RESAMPLED = 4000
-TINY = 1e-12
-
-
-class NotComparable(ValueError):
-    """Two sets without pairs, or that are of different scripts."""
+CONFIDENCE_LEVEL = 0.95
+MIN_PAIRS = 5  # fewer say nothing
+BOOTSTRAP_RESAMPLES = 4000
+EPSILON = 1e-12
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,8 +45,8 @@
 
     @property
     def words(self) -> str:
-        if self.pairs < PAIRS_LEAST:
-            return f"too few pairs ({self.pairs}; {PAIRS_LEAST} at least)"
+        if self.pairs < MIN_PAIRS:
+            return f"too few pairs ({self.pairs}; {MIN_PAIRS} at least)"
         if not self.shown:
             return "no difference shown"
         better = (self.mean < 0.0) == (self.metric in LESS_IS_BETTER)
@@ -58,7 +56,7 @@
 Row = Mapping[str, Any]
 
 
-def pairs(
+def pair_rows(
     a: Sequence[Row], b: Sequence[Row], by: Callable[[Row], object] | None = None
 ) -> list[tuple[Row, Row]]:
     """Plays of one script and seed.  Raises NotComparable where there is none."""
@@ -66,40 +64,48 @@
     here: dict[object, Row] = {}
     for row in a:
         if key(row) in here and here[key(row)] != row:
-            raise NotComparable(f"A has seed {row['seed']} twice: choose one policy and setting with --where")
+            raise IncomparableResultsError(
+                f"A has seed {row['seed']} twice: choose one policy and setting with --where"
+            )
         here[key(row)] = row
     found, seen = [], set()
     for row in b:
         if key(row) in seen:
-            raise NotComparable(f"B has seed {row['seed']} twice: choose one policy and setting with --where")
+            raise IncomparableResultsError(
+                f"B has seed {row['seed']} twice: choose one policy and setting with --where"
+            )
         seen.add(key(row))
         if key(row) in here:
             found.append((here[key(row)], row))
     if not found:
         scripts = {row["script"] for row in a} & {row["script"] for row in b}
         why = "no seed in common" if scripts else "they are plays of different scripts"
-        raise NotComparable(f"nothing to pair: {why}")
+        raise IncomparableResultsError(f"nothing to pair: {why}")
     return sorted(found, key=lambda pair: pair[0]["seed"])
 
 
-def difference(metric: str, of: Sequence[tuple[Row, Row]]) -> Difference:
+def paired_difference(metric: str, of: Sequence[tuple[Row, Row]]) -> Difference:
     a = np.array([float(left[metric]) for left, _ in of])
     b = np.array([float(right[metric]) for _, right in of])
     apart = b - a
     mean = float(apart.mean())
     base = (metric, len(of), float(a.mean()), float(b.mean()), mean)
-    if len(of) < PAIRS_LEAST:
+    if len(of) < MIN_PAIRS:
         return Difference(*base, -np.inf, np.inf, -np.inf, np.inf, 1.0)
-    if float(apart.std()) < TINY:  # alike in every pair: no spread to test against
-        same = abs(mean) < TINY
+    if float(apart.std()) < EPSILON:  # alike in every pair: no spread to test against
+        same = abs(mean) < EPSILON
         return Difference(*base, mean, mean, mean, mean, 1.0 if same else 0.0)
     test = stats.ttest_rel(b, a)
-    interval = test.confidence_interval(SURE)
+    interval = test.confidence_interval(CONFIDENCE_LEVEL)
     # the percentile method: exact enough here, and defined for every sample
     boot = stats.bootstrap(
-        (apart,), np.mean, n_resamples=RESAMPLED, confidence_level=SURE, method="percentile",
+        (apart,),
+        np.mean,
+        n_resamples=BOOTSTRAP_RESAMPLES,
+        confidence_level=CONFIDENCE_LEVEL,
+        method="percentile",
         rng=np.random.default_rng(1),
-    ).confidence_interval  # fmt: skip
+    ).confidence_interval
     return Difference(
         *base,
         float(interval.low),
@@ -110,24 +116,24 @@
     )
 
 
-def compared(a: Sequence[Row], b: Sequence[Row], metrics: Sequence[str] = METRICS) -> list[Difference]:
+def compare_results(a: Sequence[Row], b: Sequence[Row], metrics: Sequence[str] = METRICS) -> list[Difference]:
     """Each figure's difference; shown or not, after Holm's correction over all of them."""
-    of = pairs(a, b)
-    found = [difference(metric, of) for metric in metrics if metric in of[0][0] and metric in of[0][1]]
+    of = pair_rows(a, b)
+    found = [paired_difference(metric, of) for metric in metrics if metric in of[0][0] and metric in of[0][1]]
     order = sorted(range(len(found)), key=lambda place: found[place].p)
     open_ = True
     shown = set()
     for rank, place in enumerate(order):
         one = found[place]
-        open_ = open_ and one.p <= (1.0 - SURE) / (len(found) - rank)
+        open_ = open_ and one.p <= (1.0 - CONFIDENCE_LEVEL) / (len(found) - rank)
         apart = one.low > 0.0 or one.high < 0.0
         boot = one.boot_low > 0.0 or one.boot_high < 0.0
-        if open_ and apart and boot and one.pairs >= PAIRS_LEAST:
+        if open_ and apart and boot and one.pairs >= MIN_PAIRS:
             shown.add(place)
     return [replace(one, shown=place in shown) for place, one in enumerate(found)]
 
 
-def where(rows: Sequence[Row], wanted: Mapping[str, str]) -> list[Row]:
+def filter_rows(rows: Sequence[Row], wanted: Mapping[str, str]) -> list[Row]:
     """Rows whose columns have these values; a setting's column may be named by its key alone."""
 
     def fits(row: Row) -> bool:
--- a/heronreel/experiments/identity.py
+++ b/heronreel/experiments/identity.py
@@ -16,21 +16,18 @@
 import msgspec
 
 from heronreel.emulator.model import Rehearsal
+from heronreel.experiments.errors import InvalidSettingError
 from heronreel.experiments.renamed import RENAMED_CONSTANTS
 
 ROOT = Path(__file__).parent.parent.parent
-CODE = ("heronreel/balancer", "heronreel/emulator", "heronreel/serve/policies.py", "heronreel/routes")
-PLAYS_MOST = 100_000
-SEED_MOST = 2**63 - 1
+CODE_PATHS = ("heronreel/balancer", "heronreel/emulator", "heronreel/serve/policies.py", "heronreel/routes")
+MAX_PLAYS = 100_000
+MAX_SEED = 2**63 - 1
 _SEEDS = re.compile(r"(\d+)(?:\.\.(\d+))?")
 # "flintplank" was the balancer's package up to version 0.2.0: keys in scripts and tables of then still hold.
 _CONSTANT = re.compile(r"(?:flintplank|heronreel\.balancer)\.([a-z_]+)\.([A-Z][A-Z0-9_]*)")
 
 
-class BadSet(ValueError):
-    """A setting or a list of seeds that can't be used; one line for whom typed it."""
-
-
 def script_digest(rehearsal: Rehearsal) -> str:
     """Of what the script says; comments and order of tables don't count."""
     return hashlib.sha256(msgspec.json.encode(rehearsal, order="deterministic")).hexdigest()[:16]
@@ -40,23 +37,23 @@
 def code_version() -> str:
     """Of the code that decides a play's outcome."""
     digest = hashlib.sha256()
-    for place in CODE:
+    for place in CODE_PATHS:
         path = ROOT / place
         for file in sorted(path.rglob("*.py")) if path.is_dir() else [path]:
             digest.update(f"{file.relative_to(ROOT)}\0".encode() + file.read_bytes() + b"\0")
     return digest.hexdigest()[:16]
 
 
-def seeds_of(text: str) -> list[int]:
+def parse_seeds(text: str) -> list[int]:
     """1..20 or 1,4,9..12."""
     seeds: list[int] = []
     for part in text.split(","):
         found = _SEEDS.fullmatch(part.strip())
         if not found:
-            raise BadSet(f"seeds: {part[:40]!r} is no number and no range such as 1..20")
+            raise InvalidSettingError(f"seeds: {part[:40]!r} is no number and no range such as 1..20")
         low, high = int(found[1]), int(found[2] or found[1])
-        if high < low or high > SEED_MOST or high - low >= PLAYS_MOST:
-            raise BadSet(f"seeds: {part[:40]!r} runs backwards, or is too many or too large")
+        if high < low or high > MAX_SEED or high - low >= MAX_PLAYS:
+            raise InvalidSettingError(f"seeds: {part[:40]!r} runs backwards, or is too many or too large")
         seeds += range(low, high + 1)
     return list(dict.fromkeys(seeds))
 
@@ -72,15 +69,15 @@
         return f"{self.key}={self.value}"
 
 
-def settings_of(text: str) -> list[Setting]:
+def parse_settings(text: str) -> list[Setting]:
     """KEY=A,B,C as the settings that it stands for."""
     key, equals, values = text.partition("=")
     if not equals or not key or not values:
-        raise BadSet(f"set: {text[:60]!r} is not KEY=A,B,C")
-    return [Setting(key.strip(), _value(part.strip())) for part in values.split(",")]
+        raise InvalidSettingError(f"set: {text[:60]!r} is not KEY=A,B,C")
+    return [Setting(key.strip(), _parse_value(part.strip())) for part in values.split(",")]
 
 
-def _value(text: str) -> Any:
+def _parse_value(text: str) -> Any:
     if text in ("true", "false"):
         return text == "true"
     for kind in (int, float):
@@ -91,16 +88,16 @@
     return text
 
 
-def combinations(sets: list[list[Setting]]) -> Iterator[tuple[Setting, ...]]:
+def setting_combinations(sets: list[list[Setting]]) -> Iterator[tuple[Setting, ...]]:
     return itertools.product(*sets)
 
 
-def changed(rehearsal: Rehearsal, settings: tuple[Setting, ...]) -> Rehearsal:
-    """The script with settings of its own; those of constants are left to `constants`."""
+def apply_settings(rehearsal: Rehearsal, settings: tuple[Setting, ...]) -> Rehearsal:
+    """The script with settings of its own; those of constants are left to `overridden_constants`."""
     raw = msgspec.to_builtins(rehearsal)
     for setting in settings:
         if _CONSTANT.fullmatch(setting.key):
-            _constant(setting)
+            _resolve_constant(setting)
             continue
         here: Any = raw
         path = setting.key.split(".")
@@ -109,22 +106,24 @@
             try:
                 if place == len(path) - 1:
                     old = here[key]
-                    here[key] = float(setting.value) if _is_float(old, setting.value) else setting.value
+                    here[key] = float(setting.value) if _needs_float(old, setting.value) else setting.value
                 else:
                     here = here[key]
             except (KeyError, IndexError, TypeError):
-                raise BadSet(f"set: the script has no {setting.key!r} (lost at {step!r})") from None
+                raise InvalidSettingError(
+                    f"set: the script has no {setting.key!r} (lost at {step!r})"
+                ) from None
     try:
         return msgspec.convert(raw, Rehearsal)
     except msgspec.ValidationError as error:
-        raise BadSet(f"set: {', '.join(map(str, settings))}: {error}") from None
+        raise InvalidSettingError(f"set: {', '.join(map(str, settings))}: {error}") from None
 
 
-def _is_float(old: Any, new: Any) -> bool:
+def _needs_float(old: Any, new: Any) -> bool:
     return isinstance(old, float) and isinstance(new, int) and not isinstance(new, bool)
 
 
-def _constant(setting: Setting) -> tuple[Any, str]:
+def _resolve_constant(setting: Setting) -> tuple[Any, str]:
     found = _CONSTANT.fullmatch(setting.key)
     assert found
     key = f"{found[1]}.{found[2]}"
@@ -133,20 +132,20 @@
     try:
         module = importlib.import_module(name)
     except ImportError:
-        raise BadSet(f"set: there is no module {name!r}") from None
+        raise InvalidSettingError(f"set: there is no module {name!r}") from None
     if not isinstance(getattr(module, constant, None), int | float):
-        raise BadSet(f"set: {name} has no number {constant!r}")
+        raise InvalidSettingError(f"set: {name} has no number {constant!r}")
     return module, constant
 
 
 @contextmanager
-def constants(settings: tuple[Setting, ...]) -> Iterator[None]:
+def overridden_constants(settings: tuple[Setting, ...]) -> Iterator[None]:
     """Constants of the module set otherwise for a while: a change rehearsed before it is made."""
     before: list[tuple[Any, str, Any]] = []
     try:
         for setting in settings:
             if _CONSTANT.fullmatch(setting.key):
-                module, name = _constant(setting)
+                module, name = _resolve_constant(setting)
                 old = getattr(module, name)
                 before.append((module, name, old))
                 setattr(module, name, type(old)(setting.value))
--- a/heronreel/experiments/report.py
+++ b/heronreel/experiments/report.py
@@ -11,10 +11,11 @@
 from heronreel.emulator.model import Rehearsal
 from heronreel.emulator.result import Result
 from heronreel.experiments import charts
-from heronreel.experiments.compare import Difference, NotComparable, compared
-from heronreel.experiments.table import label_of
+from heronreel.experiments.compare import Difference, compare_results
+from heronreel.experiments.errors import IncomparableResultsError
+from heronreel.experiments.table import row_label
 
-BREACHES_SHOWN, STEPS_SHOWN = 20, 40
+MAX_BREACHES, MAX_TRACE_STEPS = 20, 40
 
 PAGE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{ title }}</title>
@@ -73,11 +74,11 @@
     return f"trace-{line}" if str(line) in traced else ""
 
 
-def _drawn(*drawings: str) -> list[Markup]:
+def _markup(*drawings: str) -> list[Markup]:
     return [Markup(one) for one in drawings]
 
 
-def _figures(results: Sequence[Result]) -> dict[str, Any]:
+def _result_table(results: Sequence[Result]) -> dict[str, Any]:
     heads = [
         "policy", "score", "rules", "service", "worst window", "worst tenant", "served", "late", "refused",
         "failed", "lost", "attempts each", "p50 ms", "p99 ms",
@@ -94,7 +95,7 @@
     return {"heads": heads, "rows": rows}
 
 
-def of_rehearsal(rehearsal: Rehearsal, results: Sequence[Result]) -> str:
+def render_rehearsal(rehearsal: Rehearsal, results: Sequence[Result]) -> str:
     """The page of one script: ours first, the others beside it on the same arrivals."""
     ours = results[0]
     traced = set(ours.traces)
@@ -107,19 +108,19 @@
             ],
             "ours": False,
         }
-        for row in ours.breaches[:BREACHES_SHOWN]
+        for row in ours.breaches[:MAX_BREACHES]
     ]  # fmt: skip
     sections = [
         _section("Figures", "The first row is the policy this page is about; the others met the same "
-                 "requests, work and troubles.", tables=[_figures(results)]),
-        _section("Over time", charts=_drawn(
-            charts.service_over_time(results), charts.ends_over_time(ours), charts.fleet_over_time(ours),
+                 "requests, work and troubles.", tables=[_result_table(results)]),
+        _section("Over time", charts=_markup(
+            charts.service_over_time(results), charts.outcomes_over_time(ours), charts.fleet_over_time(ours),
             charts.nodes_over_time(ours))),
-        _section("Latency", charts=_drawn(charts.latency(results))),
+        _section("Latency", charts=_markup(charts.latency(results))),
         _section("What happened", tables=[{
             "heads": ["from s", "to s", "trouble"],
             "rows": [{"cells": [_cell(a), _cell(b), _cell(kind, words=True)], "ours": False}
-                     for a, b, kind in charts.troubles_of(ours)]}]),
+                     for a, b, kind in charts.fault_intervals(ours)]}]),
         _section("Prices", "Points of service paid for what was used.", tables=[{
             "heads": ["policy", *ours.costs],
             "rows": [{"cells": [_cell(r.policy), *(_cell(v) for v in r.costs.values())], "ours": not place}
@@ -151,21 +152,21 @@
 def trace_text(steps: Sequence[Mapping[str, Any]]) -> str:
     """One request's story, a line for each step."""
     lines = []
-    for step in list(steps)[:STEPS_SHOWN]:
+    for step in list(steps)[:MAX_TRACE_STEPS]:
         told = {k: v for k, v in step.items() if k not in ("at_ms", "what", "others")}
         words = "  ".join(f"{key}={value}" for key, value in told.items())
         lines.append(f"{step['at_ms']:>12.3f} ms  {step['what']:<24} {words}")
         lines += [f"{'':>15}  also there: {other}" for other in step.get("others", ())]
-    if len(steps) > STEPS_SHOWN:
-        lines.append(f"... and {len(steps) - STEPS_SHOWN} more steps")
+    if len(steps) > MAX_TRACE_STEPS:
+        lines.append(f"... and {len(steps) - MAX_TRACE_STEPS} more steps")
     return "\n".join(lines)
 
 
-def of_sweep(rows: Sequence[Mapping[str, Any]]) -> str:
+def render_sweep(rows: Sequence[Mapping[str, Any]]) -> str:
     """The page of a sweep: figures by policy and setting, and each against the first, seed by seed."""
     groups: dict[str, list[Mapping[str, Any]]] = {}
     for row in rows:
-        groups.setdefault(label_of(row), []).append(row)
+        groups.setdefault(row_label(row), []).append(row)
     names = list(groups)
     heads = [
         "policy and settings",
@@ -193,20 +194,25 @@
         table.append({"cells": cells, "ours": not place})
     sections = [_section("Figures", tables=[{"heads": heads, "rows": table}])]
     sections.append(
-        _section("Over seeds", charts=_drawn(charts.spread(rows), charts.spread(rows, "service")))
+        _section(
+            "Over seeds",
+            charts=_markup(
+                charts.distribution_over_seeds(rows), charts.distribution_over_seeds(rows, "service")
+            ),
+        )
     )
     for name in names[1:]:
         try:
-            found = compared(groups[names[0]], groups[name])
-        except NotComparable as error:
+            found = compare_results(groups[names[0]], groups[name])
+        except IncomparableResultsError as error:
             sections.append(_section(f"{names[0]} (A) against {name} (B)", str(error)))
             continue
-        sections.append(_section(f"{names[0]} (A) against {name} (B)", tables=[differences(found)]))
+        sections.append(_section(f"{names[0]} (A) against {name} (B)", tables=[difference_table(found)]))
     scripts = ", ".join(sorted({str(row["name"]) for row in rows}))
     return _page(f"Sweep of {scripts}", f"{len(rows)} plays", sections)
 
 
-def differences(found: Sequence[Difference]) -> dict[str, Any]:
+def difference_table(found: Sequence[Difference]) -> dict[str, Any]:
     heads = ["figure", "pairs", "A", "B", "B less A", "95 % from", "to", "verdict"]
     rows = []
     for one in found:
--- a/heronreel/experiments/scripts.py
+++ b/heronreel/experiments/scripts.py
@@ -15,16 +15,13 @@
 
 from heronreel.emulator import model
 from heronreel.emulator.model import Fault, Rehearsal
+from heronreel.experiments.errors import InvalidIncidentError
 
-LINES_MOST = 100_000
-FIELDS = {field.encode_name for field in msgspec.structs.fields(Fault)}
+MAX_LINES = 100_000
+FAULT_FIELDS = {field.encode_name for field in msgspec.structs.fields(Fault)}
 
 
-class BadIncident(ValueError):
-    """A record that can't be turned into a script; names the line."""
-
-
-def written(rehearsal: Rehearsal) -> str:
+def script_to_toml(rehearsal: Rehearsal) -> str:
     """The script as TOML: what is set otherwise than by default."""
     raw = msgspec.to_builtins(rehearsal)
     told: dict[str, Any] = {"version": 1}
@@ -32,16 +29,16 @@
     for name, value in raw.items():
         if name in ("classes", "tenants", "troubles"):
             if value:
-                told[name] = [_trimmed(row, name) for row in value]
+                told[name] = [_struct_without_defaults(row, name) for row in value]
         elif name == "fleet":
-            kinds = [_trimmed(kind, "kinds") for kind in value["kinds"]]
+            kinds = [_struct_without_defaults(kind, "kinds") for kind in value["kinds"]]
             told[name] = {k: v for k, v in value.items() if k != "kinds"} | {"kinds": kinds}
         elif value != default.get(name) or name in ("name", "seconds"):
-            told[name] = _part(value, default.get(name))
+            told[name] = _without_defaults(value, default.get(name))
     return tomli_w.dumps(told)
 
 
-def _part(value: Any, default: Any) -> Any:
+def _without_defaults(value: Any, default: Any) -> Any:
     if not isinstance(value, dict):
         return value
     return {
@@ -49,7 +46,7 @@
     }
 
 
-def _trimmed(row: dict[str, Any], what: str) -> dict[str, Any]:
+def _struct_without_defaults(row: dict[str, Any], what: str) -> dict[str, Any]:
     specs: dict[str, type[msgspec.Struct]] = {
         "classes": model.RequestClass,
         "tenants": model.Tenant,
@@ -65,54 +62,56 @@
     return {k: v for k, v in row.items() if k not in defaults or defaults[k] != v}
 
 
-def of_incident(base: Rehearsal, data: bytes) -> tuple[Rehearsal, int]:
+def script_from_incident(base: Rehearsal, data: bytes) -> tuple[Rehearsal, int]:
     """The base's fleet and traffic with the incident's troubles; and how many lines were passed over."""
     troubles: list[Fault] = []
     passed = 0
     open_: dict[int, int] = {}  # a timeline's trouble: its place here
     rows = data.splitlines()
-    if len(rows) > LINES_MOST:
-        raise BadIncident(f"has {len(rows):,} lines; at most {LINES_MOST:,} are read")
+    if len(rows) > MAX_LINES:
+        raise InvalidIncidentError(f"has {len(rows):,} lines; at most {MAX_LINES:,} are read")
     for number, text in enumerate(rows, 1):
         if not text.strip():
             continue
         try:
             row = msgspec.json.decode(text)
         except msgspec.DecodeError as error:
-            raise BadIncident(f"line {number}: is no JSON: {error}") from None
+            raise InvalidIncidentError(f"line {number}: is no JSON: {error}") from None
         if not isinstance(row, dict):
-            raise BadIncident(f"line {number}: expected an object")
+            raise InvalidIncidentError(f"line {number}: expected an object")
         if row.get("event") in ("begins", "ends"):
-            _of_timeline(base, row, troubles, open_, number)
+            _apply_timeline_row(base, row, troubles, open_, number)
         elif "what" in row:
-            troubles.append(_of_line(row, number))
+            troubles.append(_fault_from_line(row, number))
         else:
             passed += 1
     if not troubles:
-        raise BadIncident('holds no trouble: no line has "what" or "event"')
+        raise InvalidIncidentError('holds no trouble: no line has "what" or "event"')
     end = max(trouble.at_s + max(trouble.for_s, trouble.within_s) for trouble in troubles)
     seconds = max(base.seconds, end + 5.0)
     name = f"{base.name}, an incident replayed"[:200]
     return msgspec.structs.replace(base, name=name, seconds=seconds, faults=tuple(troubles)), passed
 
 
-def _of_line(row: dict[str, Any], number: int) -> Fault:
-    unknown = sorted(row.keys() - FIELDS)
+def _fault_from_line(row: dict[str, Any], number: int) -> Fault:
+    unknown = sorted(row.keys() - FAULT_FIELDS)
     if unknown:
-        raise BadIncident(f"line {number}: no such field of a trouble: {', '.join(unknown)}")
+        raise InvalidIncidentError(f"line {number}: no such field of a trouble: {', '.join(unknown)}")
     try:
         return msgspec.convert(row, Fault)
     except msgspec.ValidationError as error:
-        raise BadIncident(f"line {number}: {error}") from None
+        raise InvalidIncidentError(f"line {number}: {error}") from None
 
 
-def _of_timeline(
+def _apply_timeline_row(
     base: Rehearsal, row: dict[str, Any], troubles: list[Fault], open_: dict[int, int], number: int
 ) -> None:
     """A trouble as it was carried out: the script's own, with the targets that it had."""
     place = row.get("trouble")
     if not isinstance(place, int) or not 0 <= place < len(base.faults):
-        raise BadIncident(f"line {number}: trouble {place!r} is none of the script that it is replayed on")
+        raise InvalidIncidentError(
+            f"line {number}: trouble {place!r} is none of the script that it is replayed on"
+        )
     if row["event"] == "begins":
         trouble = base.faults[place]
         names = [name for name in row.get("names", ()) if name[:1] in "np" and name[1:].isdigit()]
--- a/heronreel/experiments/shrink.py
+++ b/heronreel/experiments/shrink.py
@@ -15,21 +15,18 @@
 
 from heronreel.emulator.model import Fault, NodeKind, Rehearsal
 from heronreel.emulator.simulation import play
+from heronreel.experiments.errors import NoBreachError
 
-PLAYS_MOST = 300
-AFTER_S = 1.0  # that stay behind the breach
-PARTS = {
+MAX_PLAYS = 300
+TAIL_S = 1.0  # that stay behind the breach
+NODE_FEATURES = {
     "thrash": 0.0, "full_tax": 0.0, "handshake_ms": 0.0, "warm_gain": 0.0, "error_rate": 0.0, "pause_ms": 0.0,
     "speed_cv": 0.0, "connections": 0,
 }  # fmt: skip
 
 
-class NothingBroken(ValueError):
-    """The script keeps the rules: there is nothing to cut down."""
-
-
 @dataclass(frozen=True, slots=True)
-class Smallest:
+class ShrunkScript:
     rehearsal: Rehearsal
     rule: str
     at_ms: float  # of its first breach
@@ -43,7 +40,7 @@
         self.best = rehearsal
         broken = self._broken(rehearsal)
         if not broken:
-            raise NothingBroken(f"seed {seed} breaks no rule with {policy or rehearsal.proxies.policy}")
+            raise NoBreachError(f"seed {seed} breaks no rule with {policy or rehearsal.proxies.policy}")
         self.rule = min(broken, key=lambda rule: broken[rule])
         self.at_ms = broken[self.rule]
 
@@ -57,7 +54,7 @@
 
     def _fails(self, rehearsal: Rehearsal) -> bool:
         """Whether it still breaks the rule; if so it is the best so far."""
-        if self.plays >= PLAYS_MOST:
+        if self.plays >= MAX_PLAYS:
             return False
         found = self._broken(rehearsal)
         if self.rule not in found:
@@ -65,10 +62,10 @@
         self.best, self.at_ms = rehearsal, found[self.rule]
         return True
 
-    def run(self) -> Smallest:
+    def run(self) -> ShrunkScript:
         self._troubles()
         before = -1
-        while before != self.plays and self.plays < PLAYS_MOST:
+        while before != self.plays and self.plays < MAX_PLAYS:
             before = self.plays
             kept = self.best
             for what, smaller in self._smaller():
@@ -77,11 +74,11 @@
             if self.best == kept:
                 break
         self._troubles()
-        return Smallest(self.best, self.rule, self.at_ms, self.plays)
+        return ShrunkScript(self.best, self.rule, self.at_ms, self.plays)
 
     def _troubles(self) -> None:
         parts = 2
-        while self.best.faults and self.plays < PLAYS_MOST:
+        while self.best.faults and self.plays < MAX_PLAYS:
             troubles = self.best.faults
             size = max(1, -(-len(troubles) // parts))
             for start in range(0, len(troubles), size):
@@ -98,9 +95,9 @@
     def _smaller(self) -> Iterator[tuple[str, Rehearsal]]:
         """Scripts with less in them, one step at a time from the best so far."""
         replace = msgspec.structs.replace
-        end = round(self.at_ms / 1000.0 + AFTER_S, 1)
+        end = round(self.at_ms / 1000.0 + TAIL_S, 1)
         if end < self.best.seconds:
-            yield f"{end:g} s", cut_at(self.best, end)
+            yield f"{end:g} s", truncate_script(self.best, end)
         if len(self.best.fleet.zones) > 1 and not any(trouble.zone for trouble in self.best.faults):
             yield (
                 "one zone",
@@ -133,13 +130,13 @@
                 "one kind",
                 replace(self.best, fleet=replace(self.best.fleet, kinds=self.best.fleet.kinds[:1])),
             )
-        for part, off in PARTS.items():
+        for part, off in NODE_FEATURES.items():
             if any(getattr(kind, part) != off for kind in self.best.fleet.kinds):
                 kinds: tuple[NodeKind, ...] = tuple(replace(k, **{part: off}) for k in self.best.fleet.kinds)
                 yield f"without {part}", replace(self.best, fleet=replace(self.best.fleet, kinds=kinds))
 
 
-def cut_at(rehearsal: Rehearsal, end: float) -> Rehearsal:
+def truncate_script(rehearsal: Rehearsal, end: float) -> Rehearsal:
     """The script up to `end`, s; troubles that would go on end with it."""
     replace = msgspec.structs.replace
     troubles: list[Fault] = []
@@ -156,5 +153,5 @@
 
 def shrink(
     rehearsal: Rehearsal, seed: int, policy: str = "", told: Callable[[str], None] = lambda words: None
-) -> Smallest:
+) -> ShrunkScript:
     return Shrinker(rehearsal, seed, policy, told).run()
--- a/heronreel/experiments/sweep.py
+++ b/heronreel/experiments/sweep.py
@@ -12,24 +12,24 @@
 
 from heronreel.emulator.model import Rehearsal
 from heronreel.emulator.simulation import play
+from heronreel.experiments.errors import InvalidSettingError
 from heronreel.experiments.identity import (
-    PLAYS_MOST,
-    BadSet,
+    MAX_PLAYS,
     Setting,
-    changed,
+    apply_settings,
     code_version,
-    combinations,
-    constants,
+    overridden_constants,
     play_key,
     script_digest,
+    setting_combinations,
 )
-from heronreel.experiments.table import Table
+from heronreel.experiments.table import ResultsTable
 
-AHEAD = 2  # plays handed out for each worker, so that none waits and none is far ahead
+QUEUED_PER_WORKER = 2  # plays handed out for each worker, so that none waits and none is far ahead
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
+class PlannedPlay:
     """One to be played."""
 
     key: str
@@ -40,31 +40,31 @@
     settings: tuple[Setting, ...]
 
 
-def planned(
+def plan_sweep(
     rehearsal: Rehearsal, seeds: list[int], policies: list[str], sets: list[list[Setting]]
-) -> list[Play]:
+) -> list[PlannedPlay]:
     """Every combination, seeds innermost: what is compared pair by pair is done side by side."""
     count = len(seeds) * len(policies)
     for values in sets:
         count *= len(values)
-    if count > PLAYS_MOST:
-        raise BadSet(f"set: {count:,} plays; at most {PLAYS_MOST:,} are played in one sweep")
+    if count > MAX_PLAYS:
+        raise InvalidSettingError(f"set: {count:,} plays; at most {MAX_PLAYS:,} are played in one sweep")
     script, code = script_digest(rehearsal), code_version()
     plays = []
-    for settings in combinations(sets):
-        other = changed(rehearsal, settings)
+    for settings in setting_combinations(sets):
+        other = apply_settings(rehearsal, settings)
         told = {setting.key: setting.value for setting in settings}
         for seed in seeds:
             for policy in policies:
                 key = play_key(script, code, policy, seed, told)
-                plays.append(Play(key, script, other, policy, seed, settings))
+                plays.append(PlannedPlay(key, script, other, policy, seed, settings))
     return plays
 
 
-def played(one: Play) -> dict[str, Any]:
+def run_play(one: PlannedPlay) -> dict[str, Any]:
     """Play it; the row of the table."""
     began = time.process_time()
-    with constants(one.settings):
+    with overridden_constants(one.settings):
         result = play(one.rehearsal, one.seed, one.policy)
     row: dict[str, Any] = {"script": one.script, "code": code_version(), "name": one.rehearsal.name}
     row |= {f"set {setting.key}": str(setting.value) for setting in one.settings}
@@ -73,11 +73,14 @@
     return row
 
 
-def sweep(
-    plays: list[Play], folder: Path, workers: int, told: Callable[[int, int], None] = lambda done, of: None
+def run_sweep(
+    plays: list[PlannedPlay],
+    folder: Path,
+    workers: int,
+    told: Callable[[int, int], None] = lambda done, of: None,
 ) -> int:
     """Play what the folder has not yet; how many that were.  `told`: how many are there, of how many."""
-    table = Table(folder)
+    table = ResultsTable(folder)
     table.prepare()
     there = table.keys()
     left = [one for one in plays if one.key not in there]
@@ -91,11 +94,11 @@
     return len(left)
 
 
-def _results(plays: list[Play], workers: int) -> Iterator[tuple[str, dict[str, Any]]]:
+def _results(plays: list[PlannedPlay], workers: int) -> Iterator[tuple[str, dict[str, Any]]]:
     """In the order in which they end.  Processes start afresh: what one has loaded can't shift another."""
     if workers <= 1:
         for one in plays:
-            yield one.key, played(one)
+            yield one.key, run_play(one)
         return
     queue = iter(plays)
     with ProcessPoolExecutor(workers, mp_context=multiprocessing.get_context("spawn")) as pool:
@@ -103,8 +106,8 @@
         try:
             while True:
                 for one in queue:
-                    out[pool.submit(played, one)] = one.key
-                    if len(out) >= AHEAD * workers:
+                    out[pool.submit(run_play, one)] = one.key
+                    if len(out) >= QUEUED_PER_WORKER * workers:
                         break
                 if not out:
                     return
--- a/heronreel/experiments/table.py
+++ b/heronreel/experiments/table.py
@@ -16,26 +16,24 @@
 import pyarrow as pa
 import pyarrow.parquet as pq
 
-GATHERED = "plays.parquet"
-PART, UNFINISHED = "part-", ".unfinished"
-FORMAT = 1  # of the columns; a newer one is refused
+from heronreel.experiments.errors import UnreadableResultsError
 
+MERGED_FILE = "plays.parquet"
+PART_PREFIX, UNFINISHED_SUFFIX = "part-", ".unfinished"
+FORMAT_VERSION = 1  # of the columns; a newer one is refused
 
-class BadTable(ValueError):
-    """A results file that can't be read; names the file."""
 
-
-class Table:
+class ResultsTable:
     def __init__(self, folder: Path) -> None:
         self.folder = folder
 
     def prepare(self) -> None:
         self.folder.mkdir(parents=True, exist_ok=True)
-        for path in self.folder.glob(f"*{UNFINISHED}"):
+        for path in self.folder.glob(f"*{UNFINISHED_SUFFIX}"):
             path.unlink()
 
     def add(self, key: str, row: dict[str, Any]) -> None:
-        self._write(self.folder / f"{PART}{key}.parquet", [{"key": key, **row}])
+        self._write(self.folder / f"{PART_PREFIX}{key}.parquet", [{"key": key, **row}])
 
     def rows(self) -> list[dict[str, Any]]:
         """All, in the order of their keys; a row that stands in two files once."""
@@ -51,32 +49,32 @@
         for path in self._files():
             try:
                 keys |= {row["key"] for row in self._read(path)}
-            except BadTable:
+            except UnreadableResultsError:
                 path.rename(path.with_suffix(".unreadable"))
         return keys
 
     def gather(self) -> int:
         """Put all into one file; how many rows it has."""
-        parts = [path for path in self._files() if path.name != GATHERED]
+        parts = [path for path in self._files() if path.name != MERGED_FILE]
         rows = self.rows()
         if parts:
-            self._write(self.folder / GATHERED, rows)
+            self._write(self.folder / MERGED_FILE, rows)
             for path in parts:
                 path.unlink()
         return len(rows)
 
     def _files(self) -> list[Path]:
-        gathered = [self.folder / GATHERED] if (self.folder / GATHERED).exists() else []
-        return gathered + sorted(self.folder.glob(f"{PART}*.parquet"))
+        gathered = [self.folder / MERGED_FILE] if (self.folder / MERGED_FILE).exists() else []
+        return gathered + sorted(self.folder.glob(f"{PART_PREFIX}*.parquet"))
 
     def _read(self, path: Path) -> list[dict[str, Any]]:
         try:
             table = pq.read_table(path)
         except (pa.ArrowInvalid, OSError) as error:
-            raise BadTable(f"{path}: {error}") from None
+            raise UnreadableResultsError(f"{path}: {error}") from None
         told = int((table.schema.metadata or {}).get(b"heronreel.format", b"0"))
-        if told != FORMAT:
-            raise BadTable(f"{path}: format {told}, and this program reads {FORMAT}")
+        if told != FORMAT_VERSION:
+            raise UnreadableResultsError(f"{path}: format {told}, and this program reads {FORMAT_VERSION}")
         rows: list[dict[str, Any]] = table.to_pylist()
         return rows
 
@@ -84,8 +82,8 @@
         rows = list(rows)
         names = list(dict.fromkeys(name for row in rows for name in row))
         columns = {name: [row.get(name) for row in rows] for name in names}
-        table = pa.table(columns).replace_schema_metadata({"heronreel.format": str(FORMAT)})
-        unfinished = path.with_name(f"{path.name}.{os.getpid()}{UNFINISHED}")
+        table = pa.table(columns).replace_schema_metadata({"heronreel.format": str(FORMAT_VERSION)})
+        unfinished = path.with_name(f"{path.name}.{os.getpid()}{UNFINISHED_SUFFIX}")
         with open(unfinished, "wb") as file:
             pq.write_table(table, file, compression="zstd")
             file.flush()
@@ -98,16 +96,16 @@
             os.close(folder)
 
 
-def label_of(row: Mapping[str, Any]) -> str:
+def row_label(row: Mapping[str, Any]) -> str:
     """The policy and what was set otherwise, in words."""
     told = [f"{key[4:]}={row[key]}" for key in row if key.startswith("set ") and row[key] is not None]
     return ", ".join([str(row["policy"]), *told])
 
 
-def read(path: Path) -> list[dict[str, Any]]:
+def read_results(path: Path) -> list[dict[str, Any]]:
     """The rows of a folder of results, or of one file."""
     if path.is_dir():
-        return Table(path).rows()
+        return ResultsTable(path).rows()
     if not path.exists():
-        raise BadTable(f"{path}: no such file or folder")
-    return Table(path.parent)._read(path)
+        raise UnreadableResultsError(f"{path}: no such file or folder")
+    return ResultsTable(path.parent)._read(path)
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -31,8 +31,8 @@
 from heronreel.coordination.model import LeaseGrant, LeaseResponse, LeaseTimeToLive, Put, Request, Response
 from heronreel.demo.runner import DemoState
 from heronreel.emulator import model, result
-from heronreel.experiments.scripts import of_incident, written
-from heronreel.experiments.table import Table, read
+from heronreel.experiments.scripts import script_from_incident, script_to_toml
+from heronreel.experiments.table import ResultsTable, read_results
 from heronreel.fleet import model as fleet
 from heronreel.fleet.model import BudgetRule, Condition, Instance, OperationKind, Scope
 from heronreel.leases.keys import CLAIM_PREFIX, CURSOR_PREFIX, PRESENCE_PREFIX
@@ -301,7 +301,7 @@
 
 def write_plays(folder: Path) -> None:
     """Results of plays: one gathered file, and one play in a file of its own."""
-    table = Table(folder)
+    table = ResultsTable(folder)
     table.prepare()
     table.add("k1", ROW)
     table.add("k2", ROW | {"seed": 2, "p99": 12.5})
@@ -386,7 +386,7 @@
             data[offset] ^= 1
         path.write_bytes(data if offset else data + b"a torn end")
     for name, score, whole in (("five-a", 0.5, 0.25), ("five-b", 0.75, 0.25)):
-        table = Table(folder / name)
+        table = ResultsTable(folder / name)
         table.prepare()
         for seed in range(5):
             more = {"seed": seed, "score": score, "whole": whole, "attempts_each": score + seed}
@@ -423,7 +423,8 @@
         # which ends a second's row counts is a matter of the play
         rows = [dict(list(row.items())[:4]) if "second" in row else row for row in rows]
         told["timeline-shape"] = shown(shape(rows))
-        told["sweep-rows-shape"] = shown([list(read(Path("out"))[0]), shape(read(Path("out")))])
+        plays = read_results(Path("out"))
+        told["sweep-rows-shape"] = shown([list(plays[0]), shape(plays)])
     return told
 
 
@@ -433,8 +434,8 @@
     files = {f"encoders/{name}": data for name, data in encoders().items()}
     files["operators.txt"] = operators_answers()
     files["group.state"] = lines_of(group_content())
-    files["script.toml"] = written(SCRIPT).encode()
-    files["incident.toml"] = written(of_incident(SCRIPT, INCIDENT)[0]).encode()
+    files["script.toml"] = script_to_toml(SCRIPT).encode()
+    files["incident.toml"] = script_to_toml(script_from_incident(SCRIPT, INCIDENT)[0]).encode()
     files["result.jsonl"] = RESULT.json_lines() + shown(RESULT.table_row())
     files["demo.json"] = shown(DemoState(5.0).result())
     for name, data in files.items():
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -22,8 +22,8 @@
 from heronreel.emulator.model import Rehearsal
 from heronreel.emulator.script_loader import load_script
 from heronreel.experiments.identity import play_key, script_digest
-from heronreel.experiments.scripts import of_incident
-from heronreel.experiments.table import read
+from heronreel.experiments.scripts import script_from_incident
+from heronreel.experiments.table import read_results
 from heronreel.fleet import model as fleet
 from heronreel.leases.keys import CURSOR_PREFIX
 from heronreel.leases.tasks import decode_cursor
@@ -226,7 +226,7 @@
     script = load_script((DATA / "script.toml").read_bytes())
     assert script_digest(script) == script_digest(stored_data.SCRIPT) == "9751dab712d71513"
     assert script_digest(Rehearsal()) == "cd0403b9cd317132"
-    replayed, passed = of_incident(script, stored_data.INCIDENT)
+    replayed, passed = script_from_incident(script, stored_data.INCIDENT)
     assert passed == 1
     assert script_digest(load_script((DATA / "incident.toml").read_bytes())) == script_digest(replayed)
 
@@ -235,7 +235,7 @@
     settings = {"proxies.idle_ms": 500, "flintplank.subset.KEPT_BY": 0.5, "a": True}
     assert play_key("s" * 16, "c" * 16, "random", 7, settings) == "d404a695fbc4eaafb8b4a974"
     row = stored_data.ROW
-    assert read(DATA / "plays") == [
+    assert read_results(DATA / "plays") == [
         {"key": "k1", **row, "p99": None},
         {"key": "k2", **row, "seed": 2, "p99": 12.5},
         {"key": "k3", **row, "seed": 3},
--- a/tests/experiments/test_renamed_constants.py
+++ b/tests/experiments/test_renamed_constants.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from heronreel.experiments.identity import BadSet, Setting, changed, constants, settings_of
+from heronreel.experiments.errors import InvalidSettingError
+from heronreel.experiments.identity import Setting, apply_settings, overridden_constants, parse_settings
 from heronreel.experiments.renamed import RENAMED_CONSTANTS
 from tests.experiments.test_experiments import SMALL
 
@@ -96,19 +97,19 @@
 def test_an_old_name_sets_the_constant_of_today_and_takes_it_back(key: str, package: str) -> None:
     before = current(key)
     assert before == VALUES[key]
-    (setting,) = settings_of(f"{package}.{key}=7")
-    assert changed(SMALL, (setting,)) == SMALL
-    with constants((setting,)):
+    (setting,) = parse_settings(f"{package}.{key}=7")
+    assert apply_settings(SMALL, (setting,)) == SMALL
+    with overridden_constants((setting,)):
         assert current(key) == 7
     assert current(key) == before
 
 
 def test_the_names_of_today_hold_as_well() -> None:
     for key in RENAMED_CONSTANTS.values():
-        with constants((Setting(f"heronreel.balancer.{key}", 3),)):
+        with overridden_constants((Setting(f"heronreel.balancer.{key}", 3),)):
             assert current(key) == 3
 
 
 def test_a_name_that_never_was_is_refused() -> None:
-    with pytest.raises(BadSet, match="no module"):
-        changed(SMALL, (Setting("flintplank.asking.NONE", 1),))
+    with pytest.raises(InvalidSettingError, match="no module"):
+        apply_settings(SMALL, (Setting("flintplank.asking.NONE", 1),))
