--- a/heronreel/experiments/shrink.py
+++ b/heronreel/experiments/shrink.py
@@ -1,8 +1,8 @@
-"""A failing script cut down to the smallest that still breaks the same rule.
+"""Reduces a failing script to the smallest one that still breaks the same rule.
 
-First the troubles, by delta debugging (Zeller and Hildebrandt, 2002): halves, then ever smaller parts are
-left out as long as the rule still breaks.  Then the rest: time after the breach, nodes, proxies, traffic,
-tenants and parts of the nodes.  Every step is a play of the same seed; the outcome is a script that breaks
+The faults are reduced first, by delta debugging (Zeller and Hildebrandt, 2002): halves, then ever smaller
+parts are left out as long as the rule still breaks.  The rest follows: time after the breach, nodes, proxies,
+traffic, tenants and features of the nodes.  Every step is a play with the same seed, so the outcome breaks
 the rule again for whoever plays it.
 """
 
@@ -13,20 +13,33 @@
 
 import msgspec
 
-from heronreel.emulator.model import Fault, NodeKind, Rehearsal
+from heronreel.emulator.model import NodeKind, Rehearsal
 from heronreel.emulator.simulation import play
 from heronreel.experiments.errors import NoBreachError
 
 MAX_PLAYS = 300
-TAIL_S = 1.0  # that stay behind the breach
+TAIL_S = 1.0  # time kept after the breach
+SHRINK_SHARES = (0.5, 0.75)  # of nodes, proxies and traffic
+# features of a node kind, with the value that switches each off
 NODE_FEATURES = {
-    "thrash": 0.0, "full_tax": 0.0, "handshake_ms": 0.0, "warm_gain": 0.0, "error_rate": 0.0, "pause_ms": 0.0,
-    "speed_cv": 0.0, "connections": 0,
-}  # fmt: skip
+    "thrash": 0.0,
+    "full_tax": 0.0,
+    "handshake_ms": 0.0,
+    "warm_gain": 0.0,
+    "error_rate": 0.0,
+    "pause_ms": 0.0,
+    "speed_cv": 0.0,
+    "connections": 0,
+}
+
+Candidate = tuple[str, Rehearsal]
+"""A smaller script, with a description of what was taken away or is left."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShrunkScript:
+    """The smallest script found."""
+
     rehearsal: Rehearsal
     rule: str
     at_ms: float  # of its first breach
@@ -34,124 +47,168 @@
 
 
 class Shrinker:
-    def __init__(self, rehearsal: Rehearsal, seed: int, policy: str, told: Callable[[str], None]) -> None:
-        self.seed, self.policy, self.told = seed, policy, told
-        self.plays = 0
-        self.best = rehearsal
-        broken = self._broken(rehearsal)
-        if not broken:
+    """Delta debugging of one script with one seed and policy."""
+
+    def __init__(
+        self, rehearsal: Rehearsal, seed: int, policy: str, on_progress: Callable[[str], None]
+    ) -> None:
+        """Play the script once, to learn which rule it breaks first.
+
+        Raises:
+            NoBreachError: the script keeps all rules.
+        """
+        self._seed = seed
+        self._policy = policy
+        self._on_progress = on_progress
+        self._plays = 0
+        self._best = rehearsal
+        breaches = self._first_breaches(rehearsal)
+        if not breaches:
             raise NoBreachError(f"seed {seed} breaks no rule with {policy or rehearsal.proxies.policy}")
-        self.rule = min(broken, key=lambda rule: broken[rule])
-        self.at_ms = broken[self.rule]
-
-    def _broken(self, rehearsal: Rehearsal) -> dict[str, float]:
-        """Rules broken, and when first."""
-        self.plays += 1
-        first: dict[str, float] = {}
-        for row in play(rehearsal, self.seed, self.policy).breaches:
-            first.setdefault(row["rule"], row["at_ms"])
-        return first
-
-    def _fails(self, rehearsal: Rehearsal) -> bool:
-        """Whether it still breaks the rule; if so it is the best so far."""
-        if self.plays >= MAX_PLAYS:
-            return False
-        found = self._broken(rehearsal)
-        if self.rule not in found:
-            return False
-        self.best, self.at_ms = rehearsal, found[self.rule]
-        return True
+        self._rule = min(breaches, key=lambda rule: breaches[rule])
+        self._at_ms = breaches[self._rule]
 
     def run(self) -> ShrunkScript:
-        self._troubles()
-        before = -1
-        while before != self.plays and self.plays < MAX_PLAYS:
-            before = self.plays
-            kept = self.best
-            for what, smaller in self._smaller():
-                if smaller != self.best and self._fails(smaller):
-                    self.told(what)
-            if self.best == kept:
+        """Reduce the script until no step makes it smaller, or `MAX_PLAYS` is reached."""
+        self._shrink_faults()
+        plays_before = -1
+        while plays_before != self._plays and self._plays < MAX_PLAYS:
+            plays_before = self._plays
+            best_before = self._best
+            for description, candidate in self._candidates():
+                if candidate != self._best and self._accept(candidate):
+                    self._on_progress(description)
+            if self._best == best_before:
                 break
-        self._troubles()
-        return ShrunkScript(self.best, self.rule, self.at_ms, self.plays)
+        self._shrink_faults()
+        return ShrunkScript(self._best, self._rule, self._at_ms, self._plays)
+
+    def _first_breaches(self, rehearsal: Rehearsal) -> dict[str, float]:
+        """The rules broken by the script, each with the time of its first breach, ms."""
+        self._plays += 1
+        first_ms: dict[str, float] = {}
+        for breach in play(rehearsal, self._seed, self._policy).breaches:
+            first_ms.setdefault(breach["rule"], breach["at_ms"])
+        return first_ms
+
+    def _accept(self, candidate: Rehearsal) -> bool:
+        """Whether the candidate still breaks the rule; if so it becomes the best so far."""
+        if self._plays >= MAX_PLAYS:
+            return False
+        breaches = self._first_breaches(candidate)
+        if self._rule not in breaches:
+            return False
+        self._best = candidate
+        self._at_ms = breaches[self._rule]
+        return True
 
-    def _troubles(self) -> None:
+    def _shrink_faults(self) -> None:
         parts = 2
-        while self.best.faults and self.plays < MAX_PLAYS:
-            troubles = self.best.faults
-            size = max(1, -(-len(troubles) // parts))
-            for start in range(0, len(troubles), size):
-                left = troubles[:start] + troubles[start + size :]
-                if self._fails(msgspec.structs.replace(self.best, faults=left)):
-                    self.told(f"{len(left)} troubles")
-                    parts = max(2, parts - 1)
-                    break
+        while self._best.faults and self._plays < MAX_PLAYS:
+            count = len(self._best.faults)
+            size = max(1, -(-count // parts))
+            if self._drop_part_of_faults(size):
+                parts = max(2, parts - 1)
+            elif size == 1:
+                return
             else:
-                if size == 1:
-                    return
-                parts = min(len(troubles), 2 * parts)
-
-    def _smaller(self) -> Iterator[tuple[str, Rehearsal]]:
-        """Scripts with less in them, one step at a time from the best so far."""
+                parts = min(count, 2 * parts)
+
+    def _drop_part_of_faults(self, size: int) -> bool:
+        """Leave out the first part of `size` faults that the breach does not need; whether there was one."""
+        faults = self._best.faults
+        for start in range(0, len(faults), size):
+            remaining = faults[:start] + faults[start + size :]
+            if self._accept(msgspec.structs.replace(self._best, faults=remaining)):
+                self._on_progress(f"{len(remaining)} troubles")
+                return True
+        return False
+
+    def _candidates(self) -> Iterator[Candidate]:
+        """Smaller scripts, one step at a time, each made from the best at the time it is taken."""
+        yield from self._shorter()
+        yield from self._fewer_zones()
+        for share in SHRINK_SHARES:
+            yield from self._scaled_down(share)
+        yield from self._plainer_traffic()
+        yield from self._plainer_nodes()
+
+    def _shorter(self) -> Iterator[Candidate]:
+        end_s = round(self._at_ms / 1000.0 + TAIL_S, 1)
+        if end_s < self._best.seconds:
+            yield f"{end_s:g} s", truncate_script(self._best, end_s)
+
+    def _fewer_zones(self) -> Iterator[Candidate]:
+        if len(self._best.fleet.zones) > 1 and not any(fault.zone for fault in self._best.faults):
+            fleet = msgspec.structs.replace(self._best.fleet, zones=self._best.fleet.zones[:1])
+            yield "one zone", msgspec.structs.replace(self._best, fleet=fleet)
+
+    def _scaled_down(self, share: float) -> Iterator[Candidate]:
         replace = msgspec.structs.replace
-        end = round(self.at_ms / 1000.0 + TAIL_S, 1)
-        if end < self.best.seconds:
-            yield f"{end:g} s", truncate_script(self.best, end)
-        if len(self.best.fleet.zones) > 1 and not any(trouble.zone for trouble in self.best.faults):
-            yield (
-                "one zone",
-                replace(self.best, fleet=replace(self.best.fleet, zones=self.best.fleet.zones[:1])),
-            )
-        for share in (0.5, 0.75):
-            nodes = max(1, int(self.best.fleet.nodes * share))
-            if -(-nodes // self.best.fleet.rack_size) >= len(self.best.fleet.zones):
-                rate = self.best.traffic.requests_per_s * nodes / self.best.fleet.nodes
-                traffic = replace(self.best.traffic, requests_per_s=rate)
-                fleet = replace(self.best.fleet, nodes=nodes)
-                yield f"{nodes} nodes", replace(self.best, fleet=fleet, traffic=traffic)
-            proxies = max(len(self.best.fleet.zones), int(self.best.proxies.count * share))
-            yield f"{proxies} proxies", replace(self.best, proxies=replace(self.best.proxies, count=proxies))
-            rate = self.best.traffic.requests_per_s * share
-            yield (
-                f"{rate:.4g} a second",
-                replace(self.best, traffic=replace(self.best.traffic, requests_per_s=rate)),
-            )
-        if self.best.traffic.points:
-            yield "steady traffic", replace(self.best, traffic=replace(self.best.traffic, points=()))
-        if self.best.tenants and not any(trouble.tenant for trouble in self.best.faults):
-            yield "no tenants", replace(self.best, tenants=())
-        if self.best.clients.retries:
-            yield "no client retries", replace(self.best, clients=replace(self.best.clients, retries=0))
-        if self.best.fleet.limited_racks:
-            yield "no limited racks", replace(self.best, fleet=replace(self.best.fleet, limited_racks=0.0))
-        if len(self.best.fleet.kinds) > 1 and not any(trouble.node_kind for trouble in self.best.faults):
-            yield (
-                "one kind",
-                replace(self.best, fleet=replace(self.best.fleet, kinds=self.best.fleet.kinds[:1])),
-            )
-        for part, off in NODE_FEATURES.items():
-            if any(getattr(kind, part) != off for kind in self.best.fleet.kinds):
-                kinds: tuple[NodeKind, ...] = tuple(replace(k, **{part: off}) for k in self.best.fleet.kinds)
-                yield f"without {part}", replace(self.best, fleet=replace(self.best.fleet, kinds=kinds))
-
-
-def truncate_script(rehearsal: Rehearsal, end: float) -> Rehearsal:
-    """The script up to `end`, s; troubles that would go on end with it."""
+        fleet = self._best.fleet
+        nodes = max(1, int(fleet.nodes * share))
+        if -(-nodes // fleet.rack_size) >= len(fleet.zones):
+            rate = self._best.traffic.requests_per_s * nodes / fleet.nodes
+            traffic = replace(self._best.traffic, requests_per_s=rate)
+            yield f"{nodes} nodes", replace(self._best, fleet=replace(fleet, nodes=nodes), traffic=traffic)
+        proxies = max(len(self._best.fleet.zones), int(self._best.proxies.count * share))
+        yield f"{proxies} proxies", replace(self._best, proxies=replace(self._best.proxies, count=proxies))
+        rate = self._best.traffic.requests_per_s * share
+        traffic = replace(self._best.traffic, requests_per_s=rate)
+        yield f"{rate:.4g} a second", replace(self._best, traffic=traffic)
+
+    def _plainer_traffic(self) -> Iterator[Candidate]:
+        replace = msgspec.structs.replace
+        if self._best.traffic.points:
+            yield "steady traffic", replace(self._best, traffic=replace(self._best.traffic, points=()))
+        if self._best.tenants and not any(fault.tenant for fault in self._best.faults):
+            yield "no tenants", replace(self._best, tenants=())
+        if self._best.clients.retries:
+            yield "no client retries", replace(self._best, clients=replace(self._best.clients, retries=0))
+
+    def _plainer_nodes(self) -> Iterator[Candidate]:
+        replace = msgspec.structs.replace
+        if self._best.fleet.limited_racks:
+            fleet = replace(self._best.fleet, limited_racks=0.0)
+            yield "no limited racks", replace(self._best, fleet=fleet)
+        if len(self._best.fleet.kinds) > 1 and not any(fault.node_kind for fault in self._best.faults):
+            fleet = replace(self._best.fleet, kinds=self._best.fleet.kinds[:1])
+            yield "one kind", replace(self._best, fleet=fleet)
+        for feature, off in NODE_FEATURES.items():
+            if any(getattr(kind, feature) != off for kind in self._best.fleet.kinds):
+                kinds: tuple[NodeKind, ...] = tuple(
+                    replace(kind, **{feature: off}) for kind in self._best.fleet.kinds
+                )
+                fleet = replace(self._best.fleet, kinds=kinds)
+                yield f"without {feature}", replace(self._best, fleet=fleet)
+
+
+def truncate_script(rehearsal: Rehearsal, end_s: float) -> Rehearsal:
+    """The script up to `end_s`; faults that would last longer end with it."""
     replace = msgspec.structs.replace
-    troubles: list[Fault] = []
-    for trouble in rehearsal.faults:
-        if trouble.at_s < end:
-            left = round(end - trouble.at_s, 6)
-            troubles.append(
-                replace(trouble, for_s=min(trouble.for_s, left), within_s=min(trouble.within_s, left))
+    faults = []
+    for fault in rehearsal.faults:
+        if fault.at_s < end_s:
+            left_s = round(end_s - fault.at_s, 6)
+            faults.append(
+                replace(fault, for_s=min(fault.for_s, left_s), within_s=min(fault.within_s, left_s))
             )
-    points = tuple(point for point in rehearsal.traffic.points if point.at_s <= end)
+    points = tuple(point for point in rehearsal.traffic.points if point.at_s <= end_s)
     traffic = replace(rehearsal.traffic, points=points)
-    return replace(rehearsal, seconds=end, faults=tuple(troubles), traffic=traffic)
+    return replace(rehearsal, seconds=end_s, faults=tuple(faults), traffic=traffic)
 
 
 def shrink(
-    rehearsal: Rehearsal, seed: int, policy: str = "", told: Callable[[str], None] = lambda words: None
+    rehearsal: Rehearsal,
+    seed: int,
+    policy: str = "",
+    on_progress: Callable[[str], None] = lambda description: None,
 ) -> ShrunkScript:
-    return Shrinker(rehearsal, seed, policy, told).run()
+    """The smallest script found that breaks the same rule as `rehearsal` does first with this seed.
+
+    `on_progress` is called with a description of each step that was accepted.
+
+    Raises:
+        NoBreachError: the script keeps all rules.
+    """
+    return Shrinker(rehearsal, seed, policy, on_progress).run()
