--- a/heronreel/experiments/identity.py
+++ b/heronreel/experiments/identity.py
@@ -1,4 +1,4 @@
-"""What a play was a play of: the script's digest, the code's, the seed, and what was set otherwise."""
+"""What identifies a play: digests of script and code, the policy, the seed, and the settings."""
 
 from __future__ import annotations
 
@@ -23,44 +23,54 @@
 CODE_PATHS = ("heronreel/balancer", "heronreel/emulator", "heronreel/serve/policies.py", "heronreel/routes")
 MAX_PLAYS = 100_000
 MAX_SEED = 2**63 - 1
+DIGEST_DIGITS = 16  # of scripts and code, hexadecimal
+KEY_DIGITS = 24  # of plays
+MAX_QUOTED_SEEDS = 40  # characters of bad input that an error quotes
+MAX_QUOTED_SETTING = 60
 _SEEDS = re.compile(r"(\d+)(?:\.\.(\d+))?")
 # "flintplank" was the balancer's package up to version 0.2.0: keys in scripts and tables of then still hold.
 _CONSTANT = re.compile(r"(?:flintplank|heronreel\.balancer)\.([a-z_]+)\.([A-Z][A-Z0-9_]*)")
 
 
 def script_digest(rehearsal: Rehearsal) -> str:
-    """Of what the script says; comments and order of tables don't count."""
-    return hashlib.sha256(msgspec.json.encode(rehearsal, order="deterministic")).hexdigest()[:16]
+    """Digest of what the script says; comments and the order of tables don't count."""
+    return hashlib.sha256(msgspec.json.encode(rehearsal, order="deterministic")).hexdigest()[:DIGEST_DIGITS]
 
 
 @cache
 def code_version() -> str:
-    """Of the code that decides a play's outcome."""
+    """Digest of the code that decides a play's outcome."""
     digest = hashlib.sha256()
-    for place in CODE_PATHS:
-        path = ROOT / place
+    for code_path in CODE_PATHS:
+        path = ROOT / code_path
         for file in sorted(path.rglob("*.py")) if path.is_dir() else [path]:
             digest.update(f"{file.relative_to(ROOT)}\0".encode() + file.read_bytes() + b"\0")
-    return digest.hexdigest()[:16]
+    return digest.hexdigest()[:DIGEST_DIGITS]
 
 
 def parse_seeds(text: str) -> list[int]:
-    """1..20 or 1,4,9..12."""
+    """Seeds from text such as `1..20` or `1,4,9..12`, each once, in the order given.
+
+    Raises:
+        InvalidSettingError: the text has another form, or the seeds are too many or too large.
+    """
     seeds: list[int] = []
     for part in text.split(","):
-        found = _SEEDS.fullmatch(part.strip())
-        if not found:
-            raise InvalidSettingError(f"seeds: {part[:40]!r} is no number and no range such as 1..20")
-        low, high = int(found[1]), int(found[2] or found[1])
-        if high < low or high > MAX_SEED or high - low >= MAX_PLAYS:
-            raise InvalidSettingError(f"seeds: {part[:40]!r} runs backwards, or is too many or too large")
-        seeds += range(low, high + 1)
+        match = _SEEDS.fullmatch(part.strip())
+        quoted = repr(part[:MAX_QUOTED_SEEDS])
+        if not match:
+            raise InvalidSettingError(f"seeds: {quoted} is no number and no range such as 1..20")
+        first = int(match[1])
+        last = int(match[2] or match[1])
+        if last < first or last > MAX_SEED or last - first >= MAX_PLAYS:
+            raise InvalidSettingError(f"seeds: {quoted} runs backwards, or is too many or too large")
+        seeds += range(first, last + 1)
     return list(dict.fromkeys(seeds))
 
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """A place in the script or a constant of the module, and a value for it."""
+    """A value for a field of the script or for a constant of the balancer."""
 
     key: str
     value: Any
@@ -68,96 +78,122 @@
     def __str__(self) -> str:
         return f"{self.key}={self.value}"
 
+    @property
+    def is_constant(self) -> bool:
+        """Whether the key names a constant of the balancer."""
+        return _CONSTANT.fullmatch(self.key) is not None
+
 
 def parse_settings(text: str) -> list[Setting]:
-    """KEY=A,B,C as the settings that it stands for."""
+    """A setting for each value of `KEY=A,B,C`.
+
+    Raises:
+        InvalidSettingError: the text has another form.
+    """
     key, equals, values = text.partition("=")
     if not equals or not key or not values:
-        raise InvalidSettingError(f"set: {text[:60]!r} is not KEY=A,B,C")
+        raise InvalidSettingError(f"set: {text[:MAX_QUOTED_SETTING]!r} is not KEY=A,B,C")
     return [Setting(key.strip(), _parse_value(part.strip())) for part in values.split(",")]
 
 
 def _parse_value(text: str) -> Any:
     if text in ("true", "false"):
         return text == "true"
-    for kind in (int, float):
+    for number_type in (int, float):
         try:
-            return kind(text)
+            return number_type(text)
         except ValueError:
             continue
     return text
 
 
-def setting_combinations(sets: list[list[Setting]]) -> Iterator[tuple[Setting, ...]]:
-    return itertools.product(*sets)
+def setting_combinations(settings: list[list[Setting]]) -> Iterator[tuple[Setting, ...]]:
+    """Every combination of one setting from each list, the last list innermost."""
+    return itertools.product(*settings)
 
 
 def apply_settings(rehearsal: Rehearsal, settings: tuple[Setting, ...]) -> Rehearsal:
-    """The script with settings of its own; those of constants are left to `overridden_constants`."""
+    """The script with these settings; those of constants are only checked, see `overridden_constants`.
+
+    Raises:
+        InvalidSettingError: the script or the balancer has no such place, or the value does not fit.
+    """
     raw = msgspec.to_builtins(rehearsal)
     for setting in settings:
-        if _CONSTANT.fullmatch(setting.key):
+        if setting.is_constant:
             _resolve_constant(setting)
-            continue
-        here: Any = raw
-        path = setting.key.split(".")
-        for place, step in enumerate(path):
-            key: Any = int(step) if isinstance(here, list | tuple) and step.isdigit() else step
-            try:
-                if place == len(path) - 1:
-                    old = here[key]
-                    here[key] = float(setting.value) if _needs_float(old, setting.value) else setting.value
-                else:
-                    here = here[key]
-            except (KeyError, IndexError, TypeError):
-                raise InvalidSettingError(
-                    f"set: the script has no {setting.key!r} (lost at {step!r})"
-                ) from None
+        else:
+            _set_field(raw, setting)
     try:
         return msgspec.convert(raw, Rehearsal)
     except msgspec.ValidationError as error:
         raise InvalidSettingError(f"set: {', '.join(map(str, settings))}: {error}") from None
 
 
+def _set_field(raw: Any, setting: Setting) -> None:
+    """Set a field of the script's plain form, in place."""
+    *parents, last = setting.key.split(".")
+    container = raw
+    step = last
+    try:
+        for step in parents:
+            container = container[_field_key(container, step)]
+        step = last
+        key = _field_key(container, last)
+        old = container[key]
+        container[key] = float(setting.value) if _needs_float(old, setting.value) else setting.value
+    except (KeyError, IndexError, TypeError):
+        raise InvalidSettingError(f"set: the script has no {setting.key!r} (lost at {step!r})") from None
+
+
+def _field_key(container: Any, step: str) -> Any:
+    return int(step) if isinstance(container, list | tuple) and step.isdigit() else step
+
+
 def _needs_float(old: Any, new: Any) -> bool:
     return isinstance(old, float) and isinstance(new, int) and not isinstance(new, bool)
 
 
 def _resolve_constant(setting: Setting) -> tuple[Any, str]:
-    found = _CONSTANT.fullmatch(setting.key)
-    assert found
-    key = f"{found[1]}.{found[2]}"
+    """The module and the name of the constant that the setting's key names."""
+    match = _CONSTANT.fullmatch(setting.key)
+    assert match
+    key = f"{match[1]}.{match[2]}"
     module_name, constant = RENAMED_CONSTANTS.get(key, key).split(".")
-    name = f"heronreel.balancer.{module_name}"
+    full_name = f"heronreel.balancer.{module_name}"
     try:
-        module = importlib.import_module(name)
+        module = importlib.import_module(full_name)
     except ImportError:
-        raise InvalidSettingError(f"set: there is no module {name!r}") from None
+        raise InvalidSettingError(f"set: there is no module {full_name!r}") from None
     if not isinstance(getattr(module, constant, None), int | float):
-        raise InvalidSettingError(f"set: {name} has no number {constant!r}")
+        raise InvalidSettingError(f"set: {full_name} has no number {constant!r}")
     return module, constant
 
 
 @contextmanager
 def overridden_constants(settings: tuple[Setting, ...]) -> Iterator[None]:
-    """Constants of the module set otherwise for a while: a change rehearsed before it is made."""
-    before: list[tuple[Any, str, Any]] = []
+    """Context in which constants of the balancer have the values of these settings; others are ignored.
+
+    Raises:
+        InvalidSettingError: the balancer has no such constant.
+    """
+    originals: list[tuple[Any, str, Any]] = []
     try:
         for setting in settings:
-            if _CONSTANT.fullmatch(setting.key):
+            if setting.is_constant:
                 module, name = _resolve_constant(setting)
-                old = getattr(module, name)
-                before.append((module, name, old))
-                setattr(module, name, type(old)(setting.value))
+                original = getattr(module, name)
+                originals.append((module, name, original))
+                setattr(module, name, type(original)(setting.value))
         yield
     finally:
-        for module, name, old in reversed(before):
-            setattr(module, name, old)
+        for module, name, original in reversed(originals):
+            setattr(module, name, original)
 
 
 def play_key(script: str, code: str, policy: str, seed: int, settings: Mapping[str, Any]) -> str:
-    """One play's identity: the same key, the same result."""
-    told = msgspec.json.encode(
-        [script, code, policy, seed, sorted((k, repr(v)) for k, v in settings.items())]
+    """Key of one play: plays with the same key have the same result."""
+    identity = msgspec.json.encode(
+        [script, code, policy, seed, sorted((key, repr(value)) for key, value in settings.items())]
     )
-    return hashlib.sha256(told).hexdigest()[:24]
+    return hashlib.sha256(identity).hexdigest()[:KEY_DIGITS]
--- a/heronreel/experiments/scripts.py
+++ b/heronreel/experiments/scripts.py
@@ -1,14 +1,15 @@
-"""Scripts written anew: of a record, of an incident.
+"""Scripts as text: of a rehearsal, and made from the record of an incident.
 
-An incident is JSON lines, each with the fields of a trouble, such as `{"at_s": 12.0, "what": "slow",
-"names": ["n7"], "for_s": 9.0, "size": 4.0}`; a line with `"event"` is one of a rehearsal's own timeline, so
-what a play drew by share or chance can be replayed with its targets by name.  Lines without either are passed
-over and counted.
+An incident is JSON lines, each with the fields of a fault, such as `{"at_s": 12.0, "what": "slow",
+"names": ["n7"], "for_s": 9.0, "size": 4.0}`.  A line with `"event"` is one of a rehearsal's own timeline, so
+what a play drew at random can be replayed with its targets by name.  Lines without either are skipped and
+counted.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Iterable
+from typing import Any, NamedTuple
 
 import msgspec
 import tomli_w
@@ -17,83 +18,135 @@
 from heronreel.emulator.model import Fault, Rehearsal
 from heronreel.experiments.errors import InvalidIncidentError
 
+SCRIPT_VERSION = 1
 MAX_LINES = 100_000
+MAX_NAME_LENGTH = 200
+QUIET_END_S = 5.0  # time played after the last fault of an incident
 FAULT_FIELDS = {field.encode_name for field in msgspec.structs.fields(Fault)}
+LIST_TABLES: dict[str, type[msgspec.Struct]] = {
+    "classes": model.RequestClass,
+    "tenants": model.Tenant,
+    "troubles": model.Fault,
+}
+ALWAYS_WRITTEN = ("name", "seconds")
+ZONE_FAULTS = ("zone_cut", "shift")  # kinds that keep their zone when replayed on named targets
 
 
 def script_to_toml(rehearsal: Rehearsal) -> str:
-    """The script as TOML: what is set otherwise than by default."""
-    raw = msgspec.to_builtins(rehearsal)
-    told: dict[str, Any] = {"version": 1}
-    default = msgspec.to_builtins(Rehearsal())
-    for name, value in raw.items():
-        if name in ("classes", "tenants", "troubles"):
+    """The script as TOML, without what has its default value."""
+    defaults = msgspec.to_builtins(Rehearsal())
+    script: dict[str, Any] = {"version": SCRIPT_VERSION}
+    for name, value in msgspec.to_builtins(rehearsal).items():
+        if name in LIST_TABLES:
             if value:
-                told[name] = [_struct_without_defaults(row, name) for row in value]
+                script[name] = [_row_without_defaults(row, LIST_TABLES[name]) for row in value]
         elif name == "fleet":
-            kinds = [_struct_without_defaults(kind, "kinds") for kind in value["kinds"]]
-            told[name] = {k: v for k, v in value.items() if k != "kinds"} | {"kinds": kinds}
-        elif value != default.get(name) or name in ("name", "seconds"):
-            told[name] = _without_defaults(value, default.get(name))
-    return tomli_w.dumps(told)
+            kinds = [_row_without_defaults(kind, model.NodeKind) for kind in value["kinds"]]
+            script[name] = {key: field for key, field in value.items() if key != "kinds"} | {"kinds": kinds}
+        elif value != defaults.get(name) or name in ALWAYS_WRITTEN:
+            script[name] = _table_without_defaults(value, defaults.get(name))
+    return tomli_w.dumps(script)
 
 
-def _without_defaults(value: Any, default: Any) -> Any:
-    if not isinstance(value, dict):
-        return value
+def _table_without_defaults(table: Any, defaults: Any) -> Any:
+    if not isinstance(table, dict):
+        return table
     return {
-        k: list(v) if isinstance(v, tuple) else v for k, v in value.items() if v != (default or {}).get(k)
+        key: list(value) if isinstance(value, tuple) else value
+        for key, value in table.items()
+        if value != (defaults or {}).get(key)
     }
 
 
-def _struct_without_defaults(row: dict[str, Any], what: str) -> dict[str, Any]:
-    specs: dict[str, type[msgspec.Struct]] = {
-        "classes": model.RequestClass,
-        "tenants": model.Tenant,
-        "troubles": model.Fault,
-        "kinds": model.NodeKind,
-    }
+def _row_without_defaults(row: dict[str, Any], row_type: type[msgspec.Struct]) -> dict[str, Any]:
     defaults: dict[str, Any] = {}
-    for field in msgspec.structs.fields(specs[what]):
+    for field in msgspec.structs.fields(row_type):
         if field.default_factory is not msgspec.NODEFAULT:
             defaults[field.encode_name] = field.default_factory()
         elif field.default is not msgspec.NODEFAULT:
             defaults[field.encode_name] = field.default
-    return {k: v for k, v in row.items() if k not in defaults or defaults[k] != v}
-
-
-def script_from_incident(base: Rehearsal, data: bytes) -> tuple[Rehearsal, int]:
-    """The base's fleet and traffic with the incident's troubles; and how many lines were passed over."""
-    troubles: list[Fault] = []
-    passed = 0
-    open_: dict[int, int] = {}  # a timeline's trouble: its place here
-    rows = data.splitlines()
-    if len(rows) > MAX_LINES:
-        raise InvalidIncidentError(f"has {len(rows):,} lines; at most {MAX_LINES:,} are read")
-    for number, text in enumerate(rows, 1):
-        if not text.strip():
-            continue
-        try:
-            row = msgspec.json.decode(text)
-        except msgspec.DecodeError as error:
-            raise InvalidIncidentError(f"line {number}: is no JSON: {error}") from None
-        if not isinstance(row, dict):
-            raise InvalidIncidentError(f"line {number}: expected an object")
+    return {key: value for key, value in row.items() if key not in defaults or defaults[key] != value}
+
+
+class ReplayedIncident(NamedTuple):
+    """The script made from an incident, and how many of its lines were skipped."""
+
+    script: Rehearsal
+    skipped_lines: int
+
+
+def script_from_incident(base: Rehearsal, data: bytes) -> ReplayedIncident:
+    """The fleet and traffic of `base` with the faults of an incident.
+
+    Raises:
+        InvalidIncidentError: a line can't be read, the lines are too many, or none has a fault.
+    """
+    lines = data.splitlines()
+    if len(lines) > MAX_LINES:
+        raise InvalidIncidentError(f"has {len(lines):,} lines; at most {MAX_LINES:,} are read")
+    reader = _IncidentReader(base)
+    for number, line in enumerate(lines, 1):
+        if line.strip():
+            reader.read_line(line, number)
+    faults = reader.faults
+    if not faults:
+        raise InvalidIncidentError('holds no trouble: no line has "what" or "event"')
+    last_end_s = max(fault.at_s + max(fault.for_s, fault.within_s) for fault in faults)
+    script = msgspec.structs.replace(
+        base,
+        name=f"{base.name}, an incident replayed"[:MAX_NAME_LENGTH],
+        seconds=max(base.seconds, last_end_s + QUIET_END_S),
+        faults=tuple(faults),
+    )
+    return ReplayedIncident(script, reader.skipped_lines)
+
+
+class _IncidentReader:
+    """Collects the faults of an incident, line by line."""
+
+    def __init__(self, base: Rehearsal) -> None:
+        self.faults: list[Fault] = []
+        self.skipped_lines = 0
+        self._base = base
+        self._begun: dict[int, int] = {}  # index of a fault in the base script: its index in `faults`
+
+    def read_line(self, line: bytes, number: int) -> None:
+        row = _decode_line(line, number)
         if row.get("event") in ("begins", "ends"):
-            _apply_timeline_row(base, row, troubles, open_, number)
+            self._read_timeline_row(row, number)
         elif "what" in row:
-            troubles.append(_fault_from_line(row, number))
+            self.faults.append(_fault_from_row(row, number))
         else:
-            passed += 1
-    if not troubles:
-        raise InvalidIncidentError('holds no trouble: no line has "what" or "event"')
-    end = max(trouble.at_s + max(trouble.for_s, trouble.within_s) for trouble in troubles)
-    seconds = max(base.seconds, end + 5.0)
-    name = f"{base.name}, an incident replayed"[:200]
-    return msgspec.structs.replace(base, name=name, seconds=seconds, faults=tuple(troubles)), passed
+            self.skipped_lines += 1
+
+    def _read_timeline_row(self, row: dict[str, Any], number: int) -> None:
+        """A fault of the base script, with the targets and the duration that it had in the play."""
+        index = row.get("trouble")
+        if not isinstance(index, int) or not 0 <= index < len(self._base.faults):
+            raise InvalidIncidentError(
+                f"line {number}: trouble {index!r} is none of the script that it is replayed on"
+            )
+        if row["event"] == "begins":
+            fault = _with_named_targets(self._base.faults[index], row.get("names", ()))
+            self._begun[index] = len(self.faults)
+            self.faults.append(msgspec.structs.replace(fault, at_s=row["at_ms"] / 1000.0))
+        elif index in self._begun:
+            begun = self.faults[self._begun[index]]
+            duration_s = round(row["at_ms"] / 1000.0 - begun.at_s, 6)
+            self.faults[self._begun[index]] = msgspec.structs.replace(begun, for_s=duration_s)
 
 
-def _fault_from_line(row: dict[str, Any], number: int) -> Fault:
+def _decode_line(line: bytes, number: int) -> dict[str, Any]:
+    try:
+        row = msgspec.json.decode(line)
+    except msgspec.DecodeError as error:
+        raise InvalidIncidentError(f"line {number}: is no JSON: {error}") from None
+    if not isinstance(row, dict):
+        raise InvalidIncidentError(f"line {number}: expected an object")
+    return row
+
+
+def _fault_from_row(row: dict[str, Any], number: int) -> Fault:
     unknown = sorted(row.keys() - FAULT_FIELDS)
     if unknown:
         raise InvalidIncidentError(f"line {number}: no such field of a trouble: {', '.join(unknown)}")
@@ -103,32 +156,18 @@
         raise InvalidIncidentError(f"line {number}: {error}") from None
 
 
-def _apply_timeline_row(
-    base: Rehearsal, row: dict[str, Any], troubles: list[Fault], open_: dict[int, int], number: int
-) -> None:
-    """A trouble as it was carried out: the script's own, with the targets that it had."""
-    place = row.get("trouble")
-    if not isinstance(place, int) or not 0 <= place < len(base.faults):
-        raise InvalidIncidentError(
-            f"line {number}: trouble {place!r} is none of the script that it is replayed on"
-        )
-    if row["event"] == "begins":
-        trouble = base.faults[place]
-        names = [name for name in row.get("names", ()) if name[:1] in "np" and name[1:].isdigit()]
-        if names:
-            trouble = msgspec.structs.replace(
-                trouble,
-                names=names,
-                share=0.0,
-                busiest=0,
-                count=0,
-                rack="",
-                zone="" if trouble.fault_kind not in ("zone_cut", "shift") else trouble.zone,
-                node_kind="",
-            )
-        open_[place] = len(troubles)
-        troubles.append(msgspec.structs.replace(trouble, at_s=row["at_ms"] / 1000.0))
-    elif place in open_:
-        begun = troubles[open_[place]]
-        lasted = round(row["at_ms"] / 1000.0 - begun.at_s, 6)
-        troubles[open_[place]] = msgspec.structs.replace(begun, for_s=lasted)
+def _with_named_targets(fault: Fault, targets: Iterable[str]) -> Fault:
+    """The fault on these nodes and proxies in place of those it selects; unchanged where there are none."""
+    names = [name for name in targets if name[:1] in "np" and name[1:].isdigit()]
+    if not names:
+        return fault
+    return msgspec.structs.replace(
+        fault,
+        names=names,
+        share=0.0,
+        busiest=0,
+        count=0,
+        rack="",
+        zone=fault.zone if fault.fault_kind in ZONE_FAULTS else "",
+        node_kind="",
+    )
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -305,7 +305,7 @@
     table.prepare()
     table.add("k1", ROW)
     table.add("k2", ROW | {"seed": 2, "p99": 12.5})
-    table.gather()
+    table.merge_files()
     table.add("k3", ROW | {"seed": 3})
 
 
--- a/tests/experiments/test_experiments.py
+++ b/tests/experiments/test_experiments.py
@@ -124,10 +124,10 @@
     for number in range(4):
         table.add(f"k{number}", {"seed": number, "score": 0.5})
     parts = {path: path.read_bytes() for path in tmp_path.glob("part-*")}
-    assert table.gather() == 4
+    assert table.merge_files() == 4
     for path, data in parts.items():
         path.write_bytes(data)
-    assert len(table.rows()) == 4 and table.gather() == 4
+    assert len(table.rows()) == 4 and table.merge_files() == 4
 
 
 def test_workers_find_what_one_process_finds(tmp_path: Path) -> None:
