--- a/heronreel/experiments/report.py
+++ b/heronreel/experiments/report.py
@@ -1,9 +1,9 @@
-"""One page of a rehearsal or a sweep, complete in itself: no script, no font, nothing fetched."""
+"""HTML page of a rehearsal or a sweep, complete in itself: without scripts, fonts or external resources."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
-from typing import Any
+from typing import Any, NamedTuple
 
 from jinja2 import Environment, select_autoescape
 from markupsafe import Markup
@@ -15,7 +15,22 @@
 from heronreel.experiments.errors import IncomparableResultsError
 from heronreel.experiments.table import row_label
 
-MAX_BREACHES, MAX_TRACE_STEPS = 20, 40
+MAX_BREACHES = 20
+MAX_TRACE_STEPS = 40
+RESULT_COLUMNS = (
+    "service",
+    "worst_window",
+    "worst_tenant",
+    "served",
+    "late",
+    "refused",
+    "failed",
+    "lost",
+    "attempts_each",
+)
+SWEEP_METRICS = ("score", "service", "worst_window", "attempts_each")
+BREACH_HEADS = ("rule", "at s", "proxy", "node", "what", "trace")
+DIFFERENCE_HEADS = ("figure", "pairs", "A", "B", "B less A", "95 % from", "to", "verdict")
 
 PAGE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{ title }}</title>
@@ -51,110 +66,180 @@
 _ENVIRONMENT = Environment(autoescape=select_autoescape(default=True, default_for_string=True))
 
 
-def _cell(value: object, bad: bool = False, words: bool = False, link: str = "") -> dict[str, Any]:
-    text = f"{value:.3f}" if isinstance(value, float) else str(value)
-    return {"text": text, "bad": bad, "words": words, "link": link}
+class Cell(NamedTuple):
+    """A cell of a table."""
 
+    text: str
+    bad: bool = False  # highlighted
+    words: bool = False  # aligned as text
+    link: str = ""  # id of an element of the page
 
-def _section(title: str, words: str = "", **parts: Any) -> dict[str, Any]:
-    return {"title": title, "words": words, "charts": [], "tables": [], "traces": [], **parts}
 
+class Row(NamedTuple):
+    """A row of a table."""
 
-def _page(title: str, subtitle: str, sections: Sequence[dict[str, Any]], verdict: str = "") -> str:
-    return _ENVIRONMENT.from_string(PAGE).render(
-        title=title, subtitle=subtitle, sections=sections, verdict=verdict
-    )
+    cells: Sequence[Cell]
+    ours: bool = False  # emphasised
 
 
-def _request(line: int) -> str:
-    return f"request {line}" if line >= 0 else ""
+class Table(NamedTuple):
+    """A table with its column headings."""
 
+    heads: Sequence[str]
+    rows: Sequence[Row]
 
-def _link(line: int, traced: set[str]) -> str:
-    return f"trace-{line}" if str(line) in traced else ""
 
+class Trace(NamedTuple):
+    """A folded block with the trace of a request."""
 
-def _markup(*drawings: str) -> list[Markup]:
-    return [Markup(one) for one in drawings]
+    id: str
+    title: str
+    text: str
 
 
-def _result_table(results: Sequence[Result]) -> dict[str, Any]:
-    heads = [
-        "policy", "score", "rules", "service", "worst window", "worst tenant", "served", "late", "refused",
-        "failed", "lost", "attempts each", "p50 ms", "p99 ms",
-    ]  # fmt: skip
-    rows = []
-    for place, one in enumerate(results):
-        row = one.table_row()
-        cells = [_cell(one.policy), _cell(one.score, bad=not one.rules_kept)]
-        cells.append(_cell(one.broken_rules or "kept", bad=not one.rules_kept, words=True))
-        cells += [_cell(row[name]) for name in ("service", "worst_window", "worst_tenant")]
-        cells += [_cell(row[name]) for name in ("served", "late", "refused", "failed", "lost")]
-        cells += [_cell(row["attempts_each"]), _cell(row.get("p50", 0.0)), _cell(row.get("p99", 0.0))]
-        rows.append({"cells": cells, "ours": not place})
-    return {"heads": heads, "rows": rows}
+class Section(NamedTuple):
+    """A part of the page under a heading of its own."""
+
+    title: str
+    words: str = ""
+    charts: Sequence[Markup] = ()
+    tables: Sequence[Table] = ()
+    traces: Sequence[Trace] = ()
+
+
+def _cell(value: object, bad: bool = False, words: bool = False, link: str = "") -> Cell:
+    text = f"{value:.3f}" if isinstance(value, float) else str(value)
+    return Cell(text, bad, words, link)
+
+
+def _page(title: str, subtitle: str, sections: Sequence[Section], verdict: str = "") -> str:
+    template = _ENVIRONMENT.from_string(PAGE)
+    return template.render(title=title, subtitle=subtitle, sections=sections, verdict=verdict)
+
+
+def _markup(*charts_as_svg: str) -> list[Markup]:
+    return [Markup(svg) for svg in charts_as_svg]
 
 
 def render_rehearsal(rehearsal: Rehearsal, results: Sequence[Result]) -> str:
-    """The page of one script: ours first, the others beside it on the same arrivals."""
+    """The page of one script: the first result, and the others beside it on the same arrivals."""
     ours = results[0]
-    traced = set(ours.traces)
-    breaches = [
-        {
-            "cells": [
-                _cell(row["rule"]), _cell(row["at_ms"] / 1000.0), _cell(row["proxy"]), _cell(row["node"]),
-                _cell(row["words"], words=True),
-                _cell(_request(row["line"]), link=_link(row["line"], traced)),
-            ],
-            "ours": False,
-        }
-        for row in ours.breaches[:MAX_BREACHES]
-    ]  # fmt: skip
-    sections = [
-        _section("Figures", "The first row is the policy this page is about; the others met the same "
-                 "requests, work and troubles.", tables=[_result_table(results)]),
-        _section("Over time", charts=_markup(
-            charts.service_over_time(results), charts.outcomes_over_time(ours), charts.fleet_over_time(ours),
-            charts.nodes_over_time(ours))),
-        _section("Latency", charts=_markup(charts.latency(results))),
-        _section("What happened", tables=[{
-            "heads": ["from s", "to s", "trouble"],
-            "rows": [{"cells": [_cell(a), _cell(b), _cell(kind, words=True)], "ours": False}
-                     for a, b, kind in charts.fault_intervals(ours)]}]),
-        _section("Prices", "Points of service paid for what was used.", tables=[{
-            "heads": ["policy", *ours.costs],
-            "rows": [{"cells": [_cell(r.policy), *(_cell(v) for v in r.costs.values())], "ours": not place}
-                     for place, r in enumerate(results)]}]),
-    ]  # fmt: skip
-    if breaches:
-        heads = ["rule", "at s", "proxy", "node", "what", "trace"]
-        count = sum(ours.breach_counts.values())
-        words = f"{count} in all; the first {len(breaches)} are shown."
-        sections.insert(1, _section("Broken rules", words, tables=[{"heads": heads, "rows": breaches}]))
+    sections = [_figures_section(results)]
+    if ours.breaches:
+        sections.append(_breaches_section(ours))
+    sections += [
+        _timeline_section(results),
+        Section("Latency", charts=_markup(charts.latency(results))),
+        _faults_section(ours),
+        _prices_section(results),
+    ]
     if ours.traces:
-        words = "What each proxy believed, and what the nodes really did."
-        sections.append(_section("Traces", words, traces=[
-            {"id": f"trace-{line}", "title": f"request {line}: {len(steps)} steps", "text": trace_text(steps)}
-            for line, steps in ours.traces.items()]))  # fmt: skip
+        sections.append(_traces_section(ours))
+    verdict = f"{ours.policy}: score {ours.score:.3f}, {_rules_verdict(ours)}."
+    return _page(rehearsal.name, _rehearsal_subtitle(rehearsal, ours.seed), sections, verdict)
+
+
+def _rehearsal_subtitle(rehearsal: Rehearsal, seed: int) -> str:
     fleet = rehearsal.fleet
-    subtitle = (
+    return (
         f"{fleet.nodes} nodes in {len(fleet.zones)} zones, {rehearsal.proxies.count} proxies, "
-        f"{rehearsal.traffic.requests_per_s:g} requests a second, {rehearsal.seconds:g} s, seed {ours.seed}"
+        f"{rehearsal.traffic.requests_per_s:g} requests a second, {rehearsal.seconds:g} s, seed {seed}"
     )
-    kept = (
-        "all rules kept"
-        if ours.rules_kept
-        else "rules broken: " + ", ".join(r for r, c in ours.breach_counts.items() if c)
+
+
+def _rules_verdict(result: Result) -> str:
+    if result.rules_kept:
+        return "all rules kept"
+    return "rules broken: " + ", ".join(rule for rule, count in result.breach_counts.items() if count)
+
+
+def _figures_section(results: Sequence[Result]) -> Section:
+    words = (
+        "The first row is the policy this page is about; the others met the same requests, work and troubles."
     )
-    return _page(rehearsal.name, subtitle, sections, f"{ours.policy}: score {ours.score:.3f}, {kept}.")
+    return Section("Figures", words, tables=[_result_table(results)])
+
+
+def _result_table(results: Sequence[Result]) -> Table:
+    rows = []
+    for index, result in enumerate(results):
+        values = result.table_row()
+        broken = not result.rules_kept
+        cells = [
+            _cell(result.policy),
+            _cell(result.score, bad=broken),
+            _cell(result.broken_rules or "kept", bad=broken, words=True),
+            *(_cell(values[name]) for name in RESULT_COLUMNS),
+            _cell(values.get("p50", 0.0)),
+            _cell(values.get("p99", 0.0)),
+        ]
+        rows.append(Row(cells, ours=index == 0))
+    names = [name.replace("_", " ") for name in RESULT_COLUMNS]
+    return Table(["policy", "score", "rules", *names, "p50 ms", "p99 ms"], rows)
+
+
+def _breaches_section(result: Result) -> Section:
+    rows = [Row(_breach_cells(breach, result)) for breach in result.breaches[:MAX_BREACHES]]
+    words = f"{sum(result.breach_counts.values())} in all; the first {len(rows)} are shown."
+    return Section("Broken rules", words, tables=[Table(BREACH_HEADS, rows)])
+
+
+def _breach_cells(breach: Mapping[str, Any], result: Result) -> list[Cell]:
+    line = breach["line"]
+    return [
+        _cell(breach["rule"]),
+        _cell(breach["at_ms"] / 1000.0),
+        _cell(breach["proxy"]),
+        _cell(breach["node"]),
+        _cell(breach["words"], words=True),
+        _cell(
+            f"request {line}" if line >= 0 else "", link=f"trace-{line}" if str(line) in result.traces else ""
+        ),
+    ]
+
+
+def _timeline_section(results: Sequence[Result]) -> Section:
+    ours = results[0]
+    drawn = _markup(
+        charts.service_over_time(results),
+        charts.outcomes_over_time(ours),
+        charts.fleet_over_time(ours),
+        charts.nodes_over_time(ours),
+    )
+    return Section("Over time", charts=drawn)
+
+
+def _faults_section(result: Result) -> Section:
+    rows = [
+        Row([_cell(interval.start_s), _cell(interval.end_s), _cell(interval.kind, words=True)])
+        for interval in charts.fault_intervals(result)
+    ]
+    return Section("What happened", tables=[Table(["from s", "to s", "trouble"], rows)])
+
+
+def _prices_section(results: Sequence[Result]) -> Section:
+    rows = [
+        Row([_cell(result.policy), *(_cell(cost) for cost in result.costs.values())], ours=index == 0)
+        for index, result in enumerate(results)
+    ]
+    words = "Points of service paid for what was used."
+    return Section("Prices", words, tables=[Table(["policy", *results[0].costs], rows)])
+
+
+def _traces_section(result: Result) -> Section:
+    traces = [
+        Trace(f"trace-{line}", f"request {line}: {len(steps)} steps", trace_text(steps))
+        for line, steps in result.traces.items()
+    ]
+    return Section("Traces", "What each proxy believed, and what the nodes really did.", traces=traces)
 
 
 def trace_text(steps: Sequence[Mapping[str, Any]]) -> str:
-    """One request's story, a line for each step."""
+    """The trace of one request as text, a line for each step."""
     lines = []
     for step in list(steps)[:MAX_TRACE_STEPS]:
-        told = {k: v for k, v in step.items() if k not in ("at_ms", "what", "others")}
-        words = "  ".join(f"{key}={value}" for key, value in told.items())
+        details = {key: value for key, value in step.items() if key not in ("at_ms", "what", "others")}
+        words = "  ".join(f"{key}={value}" for key, value in details.items())
         lines.append(f"{step['at_ms']:>12.3f} ms  {step['what']:<24} {words}")
         lines += [f"{'':>15}  also there: {other}" for other in step.get("others", ())]
     if len(steps) > MAX_TRACE_STEPS:
@@ -163,64 +248,64 @@
 
 
 def render_sweep(rows: Sequence[Mapping[str, Any]]) -> str:
-    """The page of a sweep: figures by policy and setting, and each against the first, seed by seed."""
+    """The page of a sweep: metrics by policy and settings, and each group against the first, by seed."""
     groups: dict[str, list[Mapping[str, Any]]] = {}
     for row in rows:
         groups.setdefault(row_label(row), []).append(row)
-    names = list(groups)
-    heads = [
-        "policy and settings",
-        "seeds",
-        "score",
-        "service",
-        "worst window",
-        "attempts each",
-        "plays with a broken rule",
+    over_seeds = _markup(
+        charts.distribution_over_seeds(rows), charts.distribution_over_seeds(rows, "service")
+    )
+    sections = [
+        Section("Figures", tables=[_group_table(groups)]),
+        Section("Over seeds", charts=over_seeds),
     ]
-    table = []
-    for place, name in enumerate(names):
-        group = groups[name]
-        broken = sum(not row["kept"] for row in group)
-        means = [
-            sum(float(r[m]) for r in group) / len(group)
-            for m in ("score", "service", "worst_window", "attempts_each")
-        ]
+    first, *others = groups
+    sections += [
+        _comparison_section(f"{first} (A) against {name} (B)", groups[first], groups[name]) for name in others
+    ]
+    scripts = ", ".join(sorted({str(row["name"]) for row in rows}))
+    return _page(f"Sweep of {scripts}", f"{len(rows)} plays", sections)
+
+
+def _group_table(groups: Mapping[str, Sequence[Mapping[str, Any]]]) -> Table:
+    rows = []
+    for index, (name, plays) in enumerate(groups.items()):
+        broken = sum(not play["kept"] for play in plays)
+        means = [sum(float(play[metric]) for play in plays) / len(plays) for metric in SWEEP_METRICS]
         cells = [
             _cell(name),
-            _cell(len(group)),
+            _cell(len(plays)),
             *(_cell(mean) for mean in means),
             _cell(broken, bad=bool(broken)),
         ]
-        table.append({"cells": cells, "ours": not place})
-    sections = [_section("Figures", tables=[{"heads": heads, "rows": table}])]
-    sections.append(
-        _section(
-            "Over seeds",
-            charts=_markup(
-                charts.distribution_over_seeds(rows), charts.distribution_over_seeds(rows, "service")
-            ),
-        )
-    )
-    for name in names[1:]:
-        try:
-            found = compare_results(groups[names[0]], groups[name])
-        except IncomparableResultsError as error:
-            sections.append(_section(f"{names[0]} (A) against {name} (B)", str(error)))
-            continue
-        sections.append(_section(f"{names[0]} (A) against {name} (B)", tables=[difference_table(found)]))
-    scripts = ", ".join(sorted({str(row["name"]) for row in rows}))
-    return _page(f"Sweep of {scripts}", f"{len(rows)} plays", sections)
+        rows.append(Row(cells, ours=index == 0))
+    names = [metric.replace("_", " ") for metric in SWEEP_METRICS]
+    return Table(["policy and settings", "seeds", *names, "plays with a broken rule"], rows)
 
 
-def difference_table(found: Sequence[Difference]) -> dict[str, Any]:
-    heads = ["figure", "pairs", "A", "B", "B less A", "95 % from", "to", "verdict"]
+def _comparison_section(
+    title: str, a: Sequence[Mapping[str, Any]], b: Sequence[Mapping[str, Any]]
+) -> Section:
+    try:
+        differences = compare_results(a, b)
+    except IncomparableResultsError as error:
+        return Section(title, str(error))
+    return Section(title, tables=[difference_table(differences)])
+
+
+def difference_table(differences: Sequence[Difference]) -> Table:
+    """The table of a paired comparison; significant differences are emphasised."""
     rows = []
-    for one in found:
-        cells = [_cell(one.metric), _cell(one.pairs), _cell(one.mean_a), _cell(one.mean_b), _cell(one.mean)]
-        cells += [
+    for one in differences:
+        cells = [
+            _cell(one.metric),
+            _cell(one.pairs),
+            _cell(one.mean_a),
+            _cell(one.mean_b),
+            _cell(one.mean),
             _cell(min(one.low, one.boot_low)),
             _cell(max(one.high, one.boot_high)),
             _cell(one.words, words=True),
         ]
-        rows.append({"cells": cells, "ours": one.shown})
-    return {"heads": heads, "rows": rows}
+        rows.append(Row(cells, ours=one.shown))
+    return Table(DIFFERENCE_HEADS, rows)
