--- a/tests/experiments/test_renamed_constants.py
+++ b/tests/experiments/test_renamed_constants.py
@@ -9,7 +9,7 @@
 from heronreel.experiments.errors import InvalidSettingError
 from heronreel.experiments.identity import Setting, apply_settings, overridden_constants, parse_settings
 from heronreel.experiments.renamed import RENAMED_CONSTANTS
-from tests.experiments.test_experiments import SMALL
+from tests.experiments.scripts import SMALL
 
 # every number that the modules of then had, with its value, but the place of a heap (choice.REST) that no
 # rehearsal could change
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("package", ["flintplank", "heronreel.balancer"])
 @pytest.mark.parametrize("key", VALUES)
-def test_an_old_name_sets_the_constant_of_today_and_takes_it_back(key: str, package: str) -> None:
+def test_an_old_name_sets_the_current_constant_and_restores_it(key: str, package: str) -> None:
     before = current(key)
     assert before == VALUES[key]
     (setting,) = parse_settings(f"{package}.{key}=7")
@@ -104,12 +104,12 @@
     assert current(key) == before
 
 
-def test_the_names_of_today_hold_as_well() -> None:
+def test_current_names_are_valid_as_well() -> None:
     for key in RENAMED_CONSTANTS.values():
         with overridden_constants((Setting(f"heronreel.balancer.{key}", 3),)):
             assert current(key) == 3
 
 
-def test_a_name_that_never_was_is_refused() -> None:
+def test_an_unknown_name_is_rejected() -> None:
     with pytest.raises(InvalidSettingError, match="no module"):
         apply_settings(SMALL, (Setting("flintplank.asking.NONE", 1),))
