--- a/heronreel/store/checksum.py
+++ b/heronreel/store/checksum.py
@@ -2,6 +2,9 @@
 
 from __future__ import annotations
 
+import struct
+from typing import Any
+
 import xxhash
 
 from heronreel.store.errors import UnknownFormatError
@@ -35,3 +38,23 @@
     """
     if version != FORMAT_VERSION:
         raise UnknownFormatError(f"{file}: format {version}, and this program knows {FORMAT_VERSION}")
+
+
+def decode_header(data: bytes, layout: struct.Struct, magic: bytes, file: str) -> tuple[Any, ...] | None:
+    """The fields of a file's header after its magic and version, or None where there is no valid header.
+
+    Args:
+        data: the start of the file.
+        layout: of the header without its checksum; its first fields are the magic and the version.
+        magic: what the header begins with.
+        file: the file's name, for the error.
+
+    Raises:
+        UnknownFormatError: The header has another format version.
+    """
+    body = verified_body(data, layout.size)
+    if body is None or not body.startswith(magic):
+        return None
+    _, version, *fields = layout.unpack(body)
+    check_format_version(version, file)
+    return tuple(fields)
--- a/heronreel/store/log_format.py
+++ b/heronreel/store/log_format.py
@@ -25,9 +25,8 @@
     CHECKSUM_BYTES,
     FORMAT_VERSION,
     append_checksum,
-    check_format_version,
     checksum_bytes,
-    verified_body,
+    decode_header,
 )
 
 SEGMENT_SUFFIX = "log"
@@ -74,11 +73,10 @@
         Raises:
             UnknownFormatError: The header has a newer format version.
         """
-        body = verified_body(data, _HEADER.size)
-        if body is None or not body.startswith(MAGIC):
+        fields = decode_header(data, _HEADER, MAGIC, file)
+        if fields is None:
             return None
-        _, version, recovery, store, number, first_sequence, previous_end, salt = _HEADER.unpack(body)
-        check_format_version(version, file)
+        recovery, store, number, first_sequence, previous_end, salt = fields
         return cls(store, number, first_sequence, previous_end, salt, bool(recovery))
 
 
--- a/heronreel/store/sstable_format.py
+++ b/heronreel/store/sstable_format.py
@@ -15,8 +15,8 @@
     CHECKSUM_BYTES,
     FORMAT_VERSION,
     append_checksum,
-    check_format_version,
     checksum_bytes,
+    decode_header,
     verified_body,
 )
 from heronreel.store.operations import Operation, decode_operations, encode_operation, match_operation
@@ -65,11 +65,10 @@
         Raises:
             UnknownFormatError: The header has a newer format version.
         """
-        body = verified_body(data, _HEADER.size)
-        if body is None or not body.startswith(MAGIC):
+        fields = decode_header(data, _HEADER, MAGIC, file)
+        if fields is None:
             return None
-        _, version, _, store, number, first_sequence, last_sequence, part, _, salt = _HEADER.unpack(body)
-        check_format_version(version, file)
+        _, store, number, first_sequence, last_sequence, part, _, salt = fields
         return cls(store, number, first_sequence, last_sequence, part, salt)
 
 
--- a/tests/store/test_corruption.py
+++ b/tests/store/test_corruption.py
@@ -123,13 +123,18 @@
     assert harmless.pop("index") and sum(harmless.values()) < 60 and all("log" in kind for kind in harmless)
 
 
-def test_corruption_found_by_a_read_ends_writes_and_is_remembered() -> None:
+def disk_with_one_table() -> tuple[FaultInjectingDisk, str]:
+    """A disk with a compacted store, and the name of its first table."""
     disk = FaultInjectingDisk()
     with Store.open(disk, limits=SMALL_LIMITS) as store:
         for number in range(60):
             store.put(b"%03d" % number, bytes(40))
         store.compact()
-    table = next(name for name in disk.list_names() if name.endswith(".table"))
+    return disk, next(name for name in disk.list_names() if name.endswith(".table"))
+
+
+def test_corruption_found_by_a_read_ends_writes_and_is_remembered() -> None:
+    disk, table = disk_with_one_table()
     disk.flip_bits(table, 200)
     with Store.open(disk, limits=SMALL_LIMITS) as store:
         assert not store.lost  # opening reads no values
@@ -145,12 +150,8 @@
 
 
 def test_corruption_found_by_a_read_ends_a_flush_under_way() -> None:
-    disk = FaultInjectingDisk()
-    with Store.open(disk, limits=SMALL_LIMITS) as store:
-        for number in range(60):
-            store.put(b"%03d" % number, bytes(40))
-        store.compact()
-    disk.flip_bits(next(name for name in disk.list_names() if name.endswith(".table")), 200)
+    disk, table = disk_with_one_table()
+    disk.flip_bits(table, 200)
     store = Store.open(disk, limits=SMALL_LIMITS)
     store.put(b"a", bytes(40))
 
