--- a/tests/support/serve_process.py
+++ b/tests/support/serve_process.py
@@ -12,6 +12,20 @@
 
 from tests.support.loopback import ROOT, read_response
 
+_ROUTE = """\
+name = "{name}"
+match = {{ path_prefix = "/{name}", methods = ["{method}"] }}
+effect = "{effect}"
+{window}aim_ms = 500
+deadline_ms = 4000
+attempts = 3
+retry_on = ["not-run", "error", "reset", "timeout"]
+pool = "p"
+"""
+SAVE = _ROUTE.format(name="save", method="POST", effect="keyed", window="window_ms = 5000\n")
+READ = _ROUTE.format(name="read", method="GET", effect="safe", window="")
+HEDGED_SAVE = SAVE + "second_copy_after_ms = 20\n"
+
 
 class Served:
     def __init__(self, path: Path, process: asyncio.subprocess.Process) -> None:
@@ -92,6 +106,13 @@
 """
 
 
+def many_routes(count: int) -> str:
+    """Tables of further routes to the pool p, each of a path of its own."""
+    return "".join(
+        f'[[routes]]\nname = "m{n}"\nmatch = {{ path = "/many/{n}" }}\npool = "p"\n' for n in range(count)
+    )
+
+
 def post(path: str, key: str = "", ident: str = "", extra: str = "") -> bytes:
     lines = [f"POST {path} HTTP/1.1", "Host: h", "Content-Length: 4"]
     lines += [f"Idempotency-Key: {key}"] if key else []
