--- a/tests/fleet/agent_harness.py
+++ b/tests/fleet/agent_harness.py
@@ -6,8 +6,9 @@
 import os
 import signal
 import sys
+from contextlib import ExitStack
 from pathlib import Path
-from typing import Any
+from typing import Any, Self
 
 import aiohttp
 
@@ -16,7 +17,7 @@
 from heronreel.fault_injection.managed_process import ManagedProcess
 from heronreel.fleet.budget_client import read_snapshot
 from heronreel.fleet.model import Condition, Instance
-from tests.support.loopback import free_port
+from tests.support.loopback import reserved_port
 from tests.support.serve_process import gets_to
 
 REQUEST_TIMEOUT_S = 10
@@ -25,7 +26,11 @@
 
 
 class AgentHarness:
-    """One agent and its proxies, with settings files in a folder."""
+    """One agent and its proxies, with settings files in a folder.
+
+    As a context manager it holds the ports of all of them, so that no other test is given one meanwhile,
+    and kills what is left of the proxies in the end.
+    """
 
     def __init__(
         self,
@@ -38,8 +43,9 @@
         self.name = agent
         self.harness = harness
         self.folder = folder
-        self.address = f"127.0.0.1:{free_port()}"
-        self.ports = {name: free_port() for name in names}
+        self.reservations = ExitStack()
+        self.address = f"127.0.0.1:{self.reservations.enter_context(reserved_port())}"
+        self.ports = {name: self.reservations.enter_context(reserved_port()) for name in names}
         for name, port in self.ports.items():
             self._proxy_file(name).write_text(f"""
 [[listeners]]
@@ -49,6 +55,13 @@
         self.settings = self._settings()
         self._agent_file().write_text(self.settings)
 
+    def __enter__(self) -> Self:
+        return self
+
+    def __exit__(self, *_: object) -> None:
+        self._kill_proxies()
+        self.reservations.close()
+
     def _proxy_file(self, name: str) -> Path:
         return self.folder / f"{name}.toml"
 
@@ -148,7 +161,7 @@
                     found[name].append(int(path.name))
         return found
 
-    def kill_proxies(self) -> None:
+    def _kill_proxies(self) -> None:
         """Kill what is left of this test's own proxies."""
         for pids in self.running().values():
             for pid in pids:
--- a/tests/fleet/test_agent_processes.py
+++ b/tests/fleet/test_agent_processes.py
@@ -27,8 +27,7 @@
         async with Harness(tmp_path, ("a",), 1) as harness, Client(harness.addresses) as client:
             async with Backend() as backend:
                 await harness.wait_until_available()
-                agent = AgentHarness(harness, tmp_path, backend.address)
-                try:
+                with AgentHarness(harness, tmp_path, backend.address) as agent:
                     process = await agent.start()
                     for name in agent.ports:
                         assert await agent.command(name, 5, 1, "running", "1") == 200
@@ -69,8 +68,6 @@
                     await agent.until("p1", condition="failed")  # a crash loop with backoff
                     running = {name: len(pids) for name, pids in agent.running().items()}
                     assert running == {"p1": 0, "p2": 1}
-                finally:
-                    agent.kill_proxies()
 
     asyncio.run(run())
 
@@ -81,8 +78,7 @@
 ) -> None:
     async def run() -> None:
         async with Harness(tmp_path, ("a",), 2) as harness, Backend() as backend:
-            agent = AgentHarness(harness, tmp_path, backend.address)
-            try:
+            with AgentHarness(harness, tmp_path, backend.address) as agent:
                 doomed = await agent.start(HERONREEL_END_AT=f"{point}:1")
                 accepted = False
                 with suppress(aiohttp.ClientError, OSError):
@@ -95,8 +91,6 @@
                 await agent.until("p1", condition="serving")
                 assert await agent.responds("p1")
                 assert len(agent.running()["p1"]) == 1
-            finally:
-                agent.kill_proxies()
 
     asyncio.run(run())
 
@@ -115,8 +109,8 @@
 ) -> None:
     harness = Harness(tmp_path, (), 1)
     harness.names = []
-    agent = AgentHarness(harness, tmp_path, "127.0.0.1:1")
-    text = agent.settings.replace("group = []", 'group = ["127.0.0.1:1"]')
+    with AgentHarness(harness, tmp_path, "127.0.0.1:1") as agent:
+        text = agent.settings.replace("group = []", 'group = ["127.0.0.1:1"]')
     assert len(load(text.encode()).instances) == 2
     with pytest.raises(ConfigFileError) as raised:
         load(text.replace(good, bad).encode())
--- a/tests/fleet/test_rolling_operations.py
+++ b/tests/fleet/test_rolling_operations.py
@@ -302,23 +302,21 @@
         backend = await stack.enter_async_context(Backend())
         await harness.wait_until_available()
         fleet = TwoAgents(harness, folder, backend.address, client)
-        try:
-            for agent in fleet.agents:
-                await agent.start()
-                for name in agent.ports:
-                    assert await agent.command(name, 1, 1, "running", "1") == 200
-            for agent in fleet.agents:
-                for name in agent.ports:
-                    await agent.until(name, condition="serving")
-            await until_reported_serving(client, 4)
-            (folder / "allow.toml").write_text(
-                '[[allow]]\nname = "one a zone"\nkind = "proxy"\nscope = "zone"\nmost_out = 1\n'
-            )
-            await fleet.output("allow", str(folder / "allow.toml"))
-            yield fleet
-        finally:
-            for agent in fleet.agents:
-                agent.kill_proxies()
+        for agent in fleet.agents:
+            stack.enter_context(agent)
+        for agent in fleet.agents:
+            await agent.start()
+            for name in agent.ports:
+                assert await agent.command(name, 1, 1, "running", "1") == 200
+        for agent in fleet.agents:
+            for name in agent.ports:
+                await agent.until(name, condition="serving")
+        await until_reported_serving(client, 4)
+        (folder / "allow.toml").write_text(
+            '[[allow]]\nname = "one a zone"\nkind = "proxy"\nscope = "zone"\nmost_out = 1\n'
+        )
+        await fleet.output("allow", str(folder / "allow.toml"))
+        yield fleet
 
 
 @pytest.mark.parametrize("point", ["claimed:2", "commanded:3"])
--- a/tests/metering/test_metering_processes.py
+++ b/tests/metering/test_metering_processes.py
@@ -9,7 +9,7 @@
 import subprocess
 import sys
 from collections import Counter
-from contextlib import suppress
+from contextlib import AsyncExitStack, suppress
 from pathlib import Path
 
 import pytest
@@ -22,7 +22,7 @@
 from heronreel.metering import overview
 from heronreel.metering.overview import UsageOverview
 from heronreel.serve.program import read_report
-from tests.support.loopback import Backend, free_port, read_response
+from tests.support.loopback import Backend, reserved_port, read_response
 from tests.support.serve_process import get, gets_to
 
 TENANTS = ("etna", "madonie")
@@ -113,9 +113,11 @@
     """Whichever proxy has the disk serves the group; when it is killed another goes on with its state."""
 
     async def run() -> None:
-        address = f"127.0.0.1:{free_port()}"
         clients = Clients()
-        async with Backend() as backend, Client([address]) as client:
+        async with AsyncExitStack() as stack:
+            address = f"127.0.0.1:{stack.enter_context(reserved_port())}"
+            backend = await stack.enter_async_context(Backend())
+            client = await stack.enter_async_context(Client([address]))
             machine = SingleMachine(tmp_path, address, backend.address)
             try:
                 ports = [await machine.start("one")]
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -283,12 +283,6 @@
     return head[""].split()[1], body
 
 
-def free_port() -> int:
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        return int(taken.getsockname()[1])
-
-
 def run(scenario: Awaitable[None]) -> None:
     async def within() -> None:
         async with asyncio.timeout(TIMEOUT_S):
