--- a/heronreel/balancer/rates.py
+++ b/heronreel/balancer/rates.py
@@ -37,5 +37,4 @@
 
     def allows(self, attempts: int) -> bool:
         """Whether a request with so many attempts, all rejected, may retry (docs/overload-design.md)."""
-        most = 1 if self.share >= HIGH_REJECTION else MAX_ATTEMPTS
-        return self.share < LOW_REJECTION or attempts < most
+        return self.share < LOW_REJECTION or attempts < (MAX_ATTEMPTS if self.share < HIGH_REJECTION else 1)
--- a/heronreel/balancer/watch_schedule.py
+++ b/heronreel/balancer/watch_schedule.py
@@ -13,7 +13,7 @@
 FIRST_BACKOFF_MS = 1000.0  # after a first failure; doubled with each further one (ours)
 # between calls of all proxies whose watches end at once: the service must not stand idle meanwhile (ours)
 RESUME_SPACING_MS, MAX_RESUME_MS = 2.5, 500.0
-LASTING_MS, MAX_SHORT = 1000.0, 2  # of a watch that lasted; shorter ones in a row resumed alike (ours)
+LASTING_MS, MAX_RESUMES = 1000.0, 3.0  # time open that earns a watch's resumption; of these saved up (ours)
 MOVED_SPREAD_MS, LATE_SPREAD_MS = 500.0, 2000.0  # of calls to another service; for late watches (ours)
 MAX_BACKOFF_MS, MAX_BACKOFF_SHARE = 2600.0, 1.0 / 3.0  # unless refused; of the time for calls (ours)
 FAST_REFUSAL_MS = 500.0  # a refusal before that costs the service nothing, and is like a broken call (ours)
@@ -28,8 +28,8 @@
 
     def __init__(self, within_ms: float, proxies: int) -> None:
         self.within_ms, self.proxies = within_ms, proxies
-        self.failures = self.refusals = self.short = 0  # refusals since the last list; short watches in a row
-        self.refused_at = 0.0  # the first of them
+        self.failures = self.refusals = 0  # the latter since the last list
+        self.refused_at, self.resumes = 0.0, MAX_RESUMES  # the first of them; what is left, 1 below 0 at most
         self.full = self.scheduled = False  # too many calls, not down, as far as is known; a timer is set
         self.called_at = self.answered_at = -1.0  # last, and the response to it or an earlier one; never: -1
         self.received_at = -1.0  # a list; before `called_at`: the call got no response
@@ -60,9 +60,10 @@
             return self._refused_backoff(now, draw)
         self.full = failure is WatchFailure.LATE
         if self.received_at >= self.called_at:
-            lasted = failure is WatchFailure.LATE or now - self.answered_at >= LASTING_MS
-            self.failures = self.short = 0 if lasted else self.short + 1
-            if failure is WatchFailure.ENDED and self.short <= MAX_SHORT:
+            lasted = (now - self.answered_at) / LASTING_MS
+            self.failures = 0 if lasted >= 1.0 else self.failures
+            self.resumes = min(MAX_RESUMES, max(0.0, self.resumes) + lasted) - 1.0
+            if failure is WatchFailure.ENDED and self.resumes >= 0.0:
                 return min(RESUME_SPACING_MS * self.proxies, MAX_RESUME_MS, longest) * draw.random()
         self.failures += 1
         drawn = draw.uniform(0.5 if self.failures < LONG_FROM else MIN_LONG_SHARE, 1.0)
--- a/tests/balancer/test_watch_ends.py
+++ b/tests/balancer/test_watch_ends.py
@@ -8,6 +8,8 @@
 
 import pytest
 
+from heronreel.balancer.interface import WatchFailure
+from heronreel.balancer.watch_schedule import WatchSchedule
 from tests.support.list_service import ListService
 
 RECEIVED_MS = 2_000.0  # after which it counts as received
@@ -15,6 +17,12 @@
 GRACE_MS, MARGIN_MS = 500.0, 50.0  # of drains on the bench's short days; the time limits' slack
 NOTICED_MS = 145.0  # from the end of a watch at the service until a proxy notices, as seen on the bench
 ALL_CALLS_MS = 2_325.0  # in which the service takes a call from each proxy, as seen on the bench
+# when each watch was called for, had its first list, and ended
+SHORT_WATCHES = (
+    (221.0, 1_143.0, 1_948.0),
+    (14_305.0, 14_315.0, 15_017.0),
+    (15_019.0, 15_790.0, 16_700.0),
+)
 IDLE_MS = 100.0  # for which it may stand idle meanwhile
 
 
@@ -43,7 +51,7 @@
     assert len(refusing) <= len(seeds) // 20, refusing
 
 
-def test_watches_that_break_off_soon_after_their_response_are_resumed_at_once_only_twice() -> None:
+def test_watches_that_keep_breaking_off_are_resumed_at_once_only_for_a_while() -> None:
     for seed in range(50):
         ends = tuple(5_000.0 + 500.0 * number for number in range(41))  # for 20 s
         service = ListService(6, 10.0, ends[-1] - NOTICED_MS, ends)
@@ -53,6 +61,33 @@
         assert service.calls <= 6 * 14, (service.calls, "seed", seed)
 
 
+def test_three_short_watches_within_a_quarter_of_a_minute_are_all_resumed_at_once() -> None:
+    """As on brink 512, day 6, where the third was not and its proxy sent to draining backends: a reset, a
+    watch that another address took over from one that had lasted, and one that ended instead of bringing
+    a change.
+    """
+    schedule, draw = WatchSchedule(10_000.0, 6), random.Random(1)
+    for called_at, listed_at, ended_at in SHORT_WATCHES:
+        schedule.call_started(called_at)
+        schedule.list_received(listed_at)
+        delay = schedule.call_failed(ended_at, draw, WatchFailure.ENDED)
+        assert delay is not None and delay <= 15.0, (ended_at, delay)
+
+
+@pytest.mark.parametrize("broken_off", [0, 100])
+def test_watches_that_last_are_always_resumed_at_once(broken_off: int) -> None:
+    """Also after many in a row that broke off with their response."""
+    schedule, draw, now = WatchSchedule(10_000.0, 6), random.Random(1), 0.0
+    for number in range(broken_off + 20):
+        schedule.call_started(now)
+        schedule.list_received(now + 20.0)
+        now += 1_100.0 if number >= broken_off else 20.0
+        delay = schedule.call_failed(now, draw, WatchFailure.ENDED)
+        assert delay is not None
+        assert delay <= 15.0 or number < broken_off, (number, delay)
+        now += delay
+
+
 @pytest.mark.parametrize(("service_ms", "timeout_ms"), [(4_000.0, 2_000.0), (8_000.0, 3_000.0)])
 @pytest.mark.parametrize("proxies", [6, 41, 230])
 def test_a_service_too_slow_for_all_at_once_recovers_from_the_end_of_all_watches(
