--- /dev/null
+++ b/bench/duty/__init__.py
@@ -0,0 +1,1 @@
+"""The standing duty: the operators' measuring programs played one after the other, and their figures read."""
--- a/bench/lay_sites.py
+++ b/bench/lay_sites.py
@@ -16,16 +16,27 @@
 NAMES = ("real.json", "wire.json", "unlock.txt")
 
 
+def needed_files() -> list[Path]:
+    """The files that are copied, relative to the kit."""
+    return [FROM / name for name in NAMES]
+
+
+def lay_files(kit: Path, sites: Path = SITES) -> None:
+    """Copy the files of the kit into a folder of site files."""
+    for file in needed_files():
+        shutil.copyfile(kit / file, sites / file.name)
+
+
 def main(words: list[str]) -> int:
     if len(words) != 1:
         print(__doc__, file=sys.stderr)
         return 2
-    missing = [name for name in NAMES if not (Path(words[0]) / FROM / name).is_file()]
+    kit = Path(words[0])
+    missing = [file for file in needed_files() if not (kit / file).is_file()]
     if missing:
-        print(f"lay_sites: no kit there: {FROM / missing[0]} is missing", file=sys.stderr)
+        print(f"lay_sites: no kit there: {missing[0]} is missing", file=sys.stderr)
         return 2
-    for name in NAMES:
-        shutil.copyfile(Path(words[0]) / FROM / name, SITES / name)
+    lay_files(kit)
     return 0
 
 
--- /dev/null
+++ b/tests/standing_duty/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the standing duty in one command."""
--- /dev/null
+++ b/tests/standing_duty/samples.py
@@ -0,0 +1,11 @@
+"""Outputs in the form of the kit's programs, with figures that were made up."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+FOLDER = Path(__file__).parent / "samples"
+
+
+def sample(name: str) -> str:
+    return (FOLDER / name).read_text(encoding="utf-8")
