--- a/bench/request_cost.py
+++ b/bench/request_cost.py
@@ -1,9 +1,10 @@
 """What a routes file adds to a request over sockets: the proxy's processor time, a ratio in one run.
 
-    .venv-cli/bin/python bench/request_cost.py [--rounds 6] [--routes 1000] [--other CHECKOUT]
+    .venv-cli/bin/python bench/request_cost.py [--rounds 6] [--routes 1000] [--other CHECKOUT [--module NAME]]
 
 The platform's program and `heronreel serve` run side by side before the same stub servers and get the same
-requests, in turns, on 16 kept connections each.  With another checkout, its program takes turns with them.
+requests, in turns, on 16 kept connections each.  With another checkout, its program takes turns with them;
+`--module` is what that one is started by, where it had another name then.
 Ratios are of pairs of rounds, so that noise shows.
 """
 
@@ -99,7 +100,7 @@
     await asyncio.gather(*(send_requests() for _ in range(CONNECTIONS)))
 
 
-async def measure(rounds: int, routes: int, other: Path | None) -> None:
+async def measure(rounds: int, routes: int, other: Path | None, module: str) -> None:
     async with AsyncExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         rack, effects = DeduplicationGroup("r1"), Counter[bytes]()
@@ -116,7 +117,7 @@
             (["heronreel.cli", "serve", str(folder / "routes.toml")], ROOT),
         ]
         if other:
-            programs.append((["heronreel.proxy"], other))
+            programs.append(([module], other))
         running = []
         for words, checkout in programs:
             env = {
@@ -161,8 +162,9 @@
     parser.add_argument("--rounds", type=int, default=6)
     parser.add_argument("--routes", type=int, default=1000)
     parser.add_argument("--other", type=Path)
+    parser.add_argument("--module", default="heronreel.proxy")
     options = parser.parse_args()
-    asyncio.run(measure(options.rounds, options.routes, options.other))
+    asyncio.run(measure(options.rounds, options.routes, options.other, options.module))
 
 
 if __name__ == "__main__":
--- a/heronreel/proxy/__main__.py
+++ b/heronreel/proxy/__main__.py
@@ -19,7 +19,7 @@
 from heronreel.proxy.config import Config, load
 from heronreel.proxy.dispatcher import Dispatcher
 from heronreel.proxy.errors import ConfigError
-from heronreel.proxy.logs import log_to_stderr
+from heronreel.proxy.logs import ALWAYS, log_to_stderr
 from heronreel.proxy.shared_state import SharedState
 
 SUCCESSOR_LIST_TIMEOUT_S = 3.0  # that a successor waits for discovery; it must serve within 6 s
@@ -56,7 +56,7 @@
         # draining backends must get nothing new: what the agent has counts as notified from our first moment
         # on, and the list of the file may be old
         await _wait_for_list(dispatcher, PUSHED_LIST_TIMEOUT_S)
-    log.info("listening on %s:%d", *await clients.listen(config.listen, inherited))
+    log.info("listening on %s:%d", *await clients.listen(config.listen, inherited), extra=ALWAYS)
     ready.set()
     gc.collect()
     gc.freeze()  # what lives as long as the process need not be searched again
@@ -103,7 +103,7 @@
     server = AdminServer(
         loop, lambda: ready.is_set() and not clients.draining and dispatcher.is_serving(), commands.execute
     )
-    log.info("admin API on %s:%d", *await server.listen(address))
+    log.info("admin API on %s:%d", *await server.listen(address), extra=ALWAYS)
 
 
 async def _wait_for_list(dispatcher: Dispatcher, timeout_s: float) -> None:
@@ -123,11 +123,11 @@
             dispatcher.reload(config)
             clients.reload(config)
         except ConfigError as error:
-            log.error("reload: %s; the old configuration stays in force", error)
+            log.error("reload: %s; the old configuration stays in force", error, extra=ALWAYS)
         except Exception as error:  # a reload must never be what ends the service
             log.exception("reload: %s", error)
         else:
-            log.info("reload: done, discovery is %s:%d", *(config.discovery or ("", 0)))
+            log.info("reload: done, discovery is %s:%d", *(config.discovery or ("", 0)), extra=ALWAYS)
 
 
 def _log_exception(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
--- a/heronreel/proxy/logs.py
+++ b/heronreel/proxy/logs.py
@@ -7,6 +7,7 @@
 import time
 
 MAX_LINES_PER_S = 5
+ALWAYS = {"always": True}  # `extra` of a line that the limit must not drop: an operator waits for it
 
 
 class RateLimit(logging.Filter):
--- a/heronreel/serve/program.py
+++ b/heronreel/serve/program.py
@@ -18,15 +18,13 @@
 from heronreel.proxy.config import Config, load
 from heronreel.proxy.dispatcher import Dispatcher
 from heronreel.proxy.errors import ConfigError
-from heronreel.proxy.logs import log_to_stderr
+from heronreel.proxy.logs import ALWAYS, log_to_stderr
 from heronreel.routes.findings import Finding, Report
 from heronreel.routes.model import Problem, RoutesFile
 from heronreel.routes.proof import platform_limits
 from heronreel.serve.files import check_file
 from heronreel.serve.policies import Router, config_of, discovered_pool, members_of
 
-ALWAYS = {"always": True}  # no limit of lines a second drops it
-
 log = logging.getLogger(__name__)
 
 
@@ -223,7 +221,7 @@
 
     def ready(bound: dict[str, tuple[str, int]]) -> None:
         for name, address in bound.items():
-            log.info("listening on %s:%d for %s (process %d)", *address, name, os.getpid())
+            log.info("listening on %s:%d for %s (process %d)", *address, name, os.getpid(), extra=ALWAYS)
 
     try:
         uvloop.run(run(path, report.file, ready, platform))
--- a/heronreel/stubs/http_server.py
+++ b/heronreel/stubs/http_server.py
@@ -11,6 +11,7 @@
 import time
 from collections import Counter
 from dataclasses import dataclass, field
+from itertools import islice
 from typing import Self
 
 import httptools
@@ -30,7 +31,7 @@
 
     def is_repeat(self, key: bytes, now: float) -> bool:
         """Whether the key ran within the window; if not, it counts as run now."""
-        oldest = list(self.ran.items())[:EXPIRED_AT_ONCE]
+        oldest = list(islice(self.ran.items(), EXPIRED_AT_ONCE))
         for expired in [key for key, ran_at in oldest if ran_at + self.window_s <= now]:
             del self.ran[expired]
         ran_at = self.ran.get(key)
