--- a/heronreel/emulator/context.py
+++ b/heronreel/emulator/context.py
@@ -50,12 +50,17 @@
             rules.delivered_after_ms,
             rules.poll_within_ms,
             rules.collapse_window_ms,
+            rules.untold_ms,
+            rules.failed_call_ms,
         ),
         scoring=Scoring(
             rehearsal.score, rehearsal.prices, rehearsal.tenant_quotas(), rehearsal.proxies.count
         ),
         endpoint_list=EndpointListService(
-            events, rehearsal.endpoint_list, lambda: network.latency("list", "list")
+            events,
+            rehearsal.endpoint_list,
+            lambda: network.latency("list", "list"),
+            streams.stream("list responses"),
         ),
         timeline=Timeline(),
         work=WorkModel(rehearsal.classes, seed),
--- a/heronreel/emulator/faults.py
+++ b/heronreel/emulator/faults.py
@@ -19,6 +19,7 @@
 from heronreel.emulator.random_streams import RandomStream
 from heronreel.emulator.supervisor import ProxySupervisor
 from heronreel.emulator.traffic import Traffic
+from heronreel.emulator.watch_reset import WatchReset
 
 SECOND_MS = 1000.0
 HALF_PERIOD_MS = 500.0  # for each second of `every_s`
@@ -103,6 +104,7 @@
             "list_silent": self._toggle_list,
             "list_breaks": self._toggle_list,
             "list_garbled": self._toggle_list,
+            "list_resets": self._reset_watches,
             "kill": self._kill_proxies,
             "restart": self._restart_proxies,
             "reload": self._reload_proxies,
@@ -335,7 +337,28 @@
     def _toggle_list(self, fault: Fault, stream: RandomStream) -> ActiveFault:
         toggle = self._list_toggles[fault.fault_kind]
         toggle.acquire()
-        return ActiveFault(LIST_TARGET, toggle.release)
+        self._note_list_reachability()
+
+        def undo() -> None:
+            toggle.release()
+            self._note_list_reachability()
+
+        return ActiveFault(LIST_TARGET, undo)
+
+    def _note_list_reachability(self) -> None:
+        service = self.context.endpoint_list
+        reachable = not (service.refusing or service.silent or service.corrupting)
+        self.context.invariants.list_reachable(reachable, self.events.now)
+
+    def _reset_watches(self, fault: Fault, stream: RandomStream) -> ActiveFault:
+        """All watches end, and the calls that wait: at once, or in place of the next change."""
+        after_ms, spread_ms = fault.after_s * SECOND_MS, fault.within_s * SECOND_MS
+        reset = WatchReset(self.events, self.context.endpoint_list, stream, after_ms, spread_ms)
+        if fault.instead_of_change:
+            reset.begin_with_next_change()
+        else:
+            reset.begin()
+        return ActiveFault(LIST_TARGET)
 
     def _make_list_toggles(self) -> dict[str, Toggle]:
         service = self.context.endpoint_list
--- a/heronreel/emulator/invariants.py
+++ b/heronreel/emulator/invariants.py
@@ -9,6 +9,8 @@
 from collections import deque
 from dataclasses import dataclass, field
 
+from heronreel.emulator.notification_terms import UNTOLD_MS, NotificationTerms, ProxyView
+
 MAX_BREACHES_KEPT = 1000  # of each rule; all are counted
 EFFECT_MEMORY_MS = 60_000.0  # effects are remembered for one to two of these
 SLACK_MS = 50.0  # sockets' and clocks', on every time limit
@@ -59,16 +61,6 @@
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
 
-@dataclass(slots=True)
-class ProxyView:
-    """What a proxy has been sent of the endpoint list, and when it last polled."""
-
-    polled_at: float
-    watching: bool = False
-    unusable: dict[str, float] = field(default_factory=dict)  # draining or gone nodes: notified when
-    starts: dict[str, float] = field(default_factory=dict)  # nodes: the start time it was sent
-
-
 @dataclass(slots=True)
 class ColdNode:
     """A warming node and the work it was sent within the collapse window."""
@@ -87,15 +79,17 @@
         delivered_after_ms: float,
         poll_within_ms: float,
         collapse_window_ms: float,
+        untold_ms: float = UNTOLD_MS,
+        failed_call_ms: float = 0.0,
     ) -> None:
         self.response_grace_ms = response_grace_ms
         self.drain_grace_ms = drain_grace_ms + SLACK_MS
-        self.delivered_after_ms = delivered_after_ms
-        self.poll_within_ms = poll_within_ms
+        self.terms = NotificationTerms(delivered_after_ms, poll_within_ms, untold_ms, failed_call_ms)
         self.collapse_window_ms = collapse_window_ms
         self.accepted: dict[int, AcceptedRequest] = {}
         self.views: dict[str, ProxyView] = {}
         self.unusable_since: dict[str, float] = {}  # nodes: when the list service learned it
+        self.list_reachable_since: float | None = 0.0  # None: it can't be reached
         self.cold: dict[str, ColdNode] = {}
         self.effects: tuple[dict[int, str], dict[int, str]] = ({}, {})  # client requests that ran: new, old
         self.effects_rotated_at = 0.0
@@ -255,12 +249,40 @@
         view = self.views[proxy]
         view.polled_at, view.watching = now, watching
 
+    def list_call_answered(self, proxy: str, now: float) -> None:
+        """A proxy's call has got its response."""
+        self.list_polled(proxy, now, True)
+        self.views[proxy].call_failed = False
+
+    def list_call_failed(self, proxy: str, now: float) -> None:
+        """A proxy's call or watch has failed, was refused or given up."""
+        self.list_polled(proxy, now, False)
+        view = self.views[proxy]
+        view.call_failed = True
+        if self.terms.failed_call_ms:  # it counts for what was to be told, too, whatever comes next
+            view.untold.clear()
+
+    def list_reachable(self, reachable: bool, now: float) -> None:
+        """The list service answers those who call, or does not."""
+        if not reachable:
+            self.list_reachable_since = None
+        elif self.list_reachable_since is None:
+            self.list_reachable_since = now
+
+    def watch_ended_untold(self, proxy: str, nodes: list[str], now: float) -> None:
+        """A proxy's watch has ended in place of telling that these nodes changed."""
+        untold = self.views[proxy].untold
+        for node in nodes:
+            if node in self.unusable_since:
+                untold.setdefault(node, now)
+
     def node_state_known(self, node: str, usable: bool, now: float) -> None:
         """The list service has learned that a node drains or is gone, or is usable."""
         if usable:
             self.unusable_since.pop(node, None)
             for view in self.views.values():
                 view.unusable.pop(node, None)
+                view.untold.pop(node, None)
         else:
             self.unusable_since.setdefault(node, now)
 
@@ -284,15 +306,8 @@
             view.unusable.pop(node, None)
 
     def _check_drain(self, proxy: str, node: str, request: int, now: float) -> None:
-        view = self.views[proxy]
-        notified = view.unusable.get(node)
-        known = self.unusable_since.get(node)
-        if known is not None:
-            if self.delivered_after_ms:
-                delivered = known + self.delivered_after_ms
-                notified = min(notified if notified is not None else delivered, delivered)
-            if notified is None and not view.watching and now - view.polled_at > self.poll_within_ms:
-                notified = max(known, view.polled_at + self.poll_within_ms)
+        known_at = self.unusable_since.get(node)
+        notified = self.terms.notified_at(self.views[proxy], node, known_at, self.list_reachable_since)
         if notified is not None and now > notified + self.drain_grace_ms:
             words = f"sent to a node {now - notified:.0f} ms after it was told that it drains or is gone"
             self._breach("drain", now, words, request, proxy, node)
--- a/heronreel/emulator/model.py
+++ b/heronreel/emulator/model.py
@@ -11,6 +11,7 @@
 
 from msgspec import Meta, Struct, field
 
+from heronreel.emulator.notification_terms import UNTOLD_MS
 from heronreel.routes.schema import Count, Flag, Name, Positive, Share, Span
 
 SCRIPT_VERSION = 1
@@ -191,6 +192,11 @@
     max_backlog: Annotated[int, _meta("a whole number from 1 to 1,000,000", ge=1, le=1_000_000)] = field(
         default=10_000, name="backlog"
     )
+    # of the service's time for each call in turn, in place of entries; calls that would wait for over
+    # `timeout_ms` are then refused with 503 and worked off; 0: off
+    call_ms: Span = 0.0
+    snapshot_share: Share = 1.0  # of responses that are the whole list; the others hold what has changed
+    snapshot_omits_draining: Flag = False  # whole lists leave out nodes that drain
 
 
 class InvariantLimits(Struct, frozen=True):
@@ -200,6 +206,11 @@
     drain_grace_ms: Span = 500.0
     # after which what the list service knows counts as delivered; 0: only what has arrived
     delivered_after_ms: Span = field(default=0.0, name="told_ms")
+    # after the end of a watch that ended in place of a change (`instead_of_change`); 0: off
+    untold_ms: Span = UNTOLD_MS
+    # after the list service had a change and could be reached, for a proxy whose last call of it failed,
+    # whatever else would count; 0: off
+    failed_call_ms: Span = 0.0
     poll_within_ms: Positive = field(default=10_000.0, name="ask_within_ms")
     overload_factor: Annotated[float, _meta("a number from 1 to 100", ge=1.0, le=100.0)] = 4.0
     collapse_window_ms: Positive = field(default=2000.0, name="fall_ms")
@@ -252,6 +263,7 @@
     "list_breaks",
     "list_garbled",
     "list_late",
+    "list_resets",
     "kill",
     "restart",
     "reload",
@@ -277,7 +289,8 @@
     every_s: Seconds = 0.0  # on and off: half of it each
     cold_start: Flag = field(default=True, name="cold")
     same_address: Flag = field(default=False, name="same")  # of `replace`: in place, at once
-    after_s: Seconds = 0.0  # from the drain or death to what comes next
+    after_s: Seconds = 0.0  # from the drain or death to what comes next; of `list_resets`: to the ends
+    instead_of_change: Flag = False  # of `list_resets`: it waits for the next change, which no watch is sent
 
     @property
     def end_s(self) -> float:
--- a/heronreel/emulator/proxy.py
+++ b/heronreel/emulator/proxy.py
@@ -16,7 +16,7 @@
 from heronreel.emulator.connections import ConnectionPool
 from heronreel.emulator.context import SimulationContext
 from heronreel.emulator.deciders import DeciderFactory, proxy_settings
-from heronreel.emulator.endpoint_list import Endpoint, EndpointState
+from heronreel.emulator.endpoint_list import CallEnd, Endpoint, EndpointState
 from heronreel.emulator.node import NEVER, Node
 from heronreel.emulator.policies import Decider
 from heronreel.emulator.requests import Attempt, Connection, InboundRequest, NodeAttempt
@@ -173,9 +173,17 @@
         self.known_endpoints = {endpoint.ident: endpoint for endpoint in endpoints}
         starts = {one.name: one.started_at for one in endpoints if one.state is EndpointState.UP}
         context.invariants.snapshot_received(self.name, starts, now)
-        context.invariants.list_polled(self.name, now, True)
+        context.invariants.list_call_answered(self.name, now)
         self._forward_list(True, endpoints)
 
+    def receive_missed_changes(self, endpoints: list[Endpoint]) -> None:
+        """The response to its call has come: the changes since the list that it has."""
+        if not self._watches_list():
+            self.context.endpoint_list.end_watch(self)
+            return
+        self.context.invariants.list_call_answered(self.name, self.events.now)
+        self.receive_changes(endpoints)
+
     def receive_changes(self, endpoints: list[Endpoint]) -> None:
         """Changes of the list have come."""
         if not self._watches_list():
@@ -198,11 +206,26 @@
         kind = api.ListKind.FULL if is_snapshot else api.ListKind.CHANGES
         self.handle(api.BackendList(kind, [self._backend_info(endpoint) for endpoint in endpoints]))
 
-    def call_failed(self) -> None:
+    def call_failed(self, end: CallEnd) -> None:
         """Its call of the list service has failed, or its watch has ended."""
         if self.alive:
+            self._record_call_end(end)
+            failure = api.WatchFailure.BUSY if end is CallEnd.REFUSED else api.WatchFailure.ENDED
+            self.handle(api.BackendList(api.ListKind.FAILED, failure=failure))
+
+    def watch_closed(self, untold: list[Endpoint]) -> None:
+        """The service has closed its watch, in place of telling these changes."""
+        if self.alive:
+            names = [endpoint.name for endpoint in untold]
+            self.context.invariants.watch_ended_untold(self.name, names, self.events.now)
+        self.call_failed(CallEnd.CLOSED)
+
+    def _record_call_end(self, end: CallEnd) -> None:
+        """Give the checker the end of a call or a watch."""
+        if end is CallEnd.CLOSED:
             self.context.invariants.list_polled(self.name, self.events.now, False)
-            self.handle(api.BackendList(api.ListKind.FAILED))
+        else:
+            self.context.invariants.list_call_failed(self.name, self.events.now)
 
     # What its decider says.
 
--- a/heronreel/emulator/script_checks.py
+++ b/heronreel/emulator/script_checks.py
@@ -67,7 +67,9 @@
     )
 )
 PROXY_FAULTS = frozenset(("kill", "restart", "reload"))
-INSTANT_FAULTS = frozenset(("crash", "drain", "replace", "grow", "kill", "restart", "reload"))  # no end
+INSTANT_FAULTS = frozenset(
+    ("crash", "drain", "replace", "grow", "list_resets", "kill", "restart", "reload")
+)  # no end
 ZONE_FAULTS = frozenset(("zone_lost", "zone_cut", "shift"))
 
 
@@ -220,6 +222,12 @@
             yield Finding(("names", index), f"is {describe_value(name)}", right, "unknown-target")
 
 
+def _check_instead_of_change(fault: Fault, rehearsal: Rehearsal) -> Iterator[Finding]:
+    if fault.instead_of_change and fault.fault_kind != "list_resets":
+        right = f"{fault.fault_kind} ends no watches; use it with list_resets"
+        yield Finding(("instead_of_change",), "is true", right)
+
+
 def _check_selection(fault: Fault, rehearsal: Rehearsal) -> Iterator[Finding]:
     ways = sum(bool(way) for way in (fault.busiest, fault.count, fault.share, fault.names))
     if fault.fault_kind in NODE_FAULTS | PROXY_FAULTS and ways > 1:
@@ -241,6 +249,7 @@
     _check_references,
     _check_required,
     _check_names,
+    _check_instead_of_change,
     _check_selection,
 )
 
--- a/heronreel/experiments/identity.py
+++ b/heronreel/experiments/identity.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass
 from functools import cache
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
-from heronreel.emulator.model import Rehearsal
+from heronreel.emulator.model import EndpointListConfig, Fault, InvariantLimits, Rehearsal
 from heronreel.experiments.errors import InvalidSettingError
 from heronreel.experiments.renamed import RENAMED_CONSTANTS
 
@@ -32,9 +32,31 @@
 _CONSTANT = re.compile(r"(?:flintplank|heronreel\.balancer)\.([a-z_]+)\.([A-Z][A-Z0-9_]*)")
 
 
+class AddedFields(NamedTuple):
+    """The fields of a table that a script could not have when digests were first stored."""
+
+    record: type[msgspec.Struct]
+    names: tuple[str, ...]
+
+
+# by table; left out of digests at their defaults, so that those of older scripts stay as they are
+ADDED_FIELDS = {
+    "list": AddedFields(EndpointListConfig, ("call_ms", "snapshot_share", "snapshot_omits_draining")),
+    "rules": AddedFields(InvariantLimits, ("untold_ms", "failed_call_ms")),
+    "troubles": AddedFields(Fault, ("instead_of_change",)),
+}
+
+
 def script_digest(rehearsal: Rehearsal) -> str:
     """Digest of what the script says; comments and the order of tables don't count."""
-    return hashlib.sha256(msgspec.json.encode(rehearsal, order="deterministic")).hexdigest()[:DIGEST_DIGITS]
+    script = msgspec.to_builtins(rehearsal)
+    for table, added in ADDED_FIELDS.items():
+        defaults = {field.encode_name: field.default for field in msgspec.structs.fields(added.record)}
+        for row in [script[table]] if isinstance(script[table], dict) else script[table]:
+            for name in added.names:
+                if row[name] == defaults[name]:
+                    del row[name]
+    return hashlib.sha256(msgspec.json.encode(script)).hexdigest()[:DIGEST_DIGITS]
 
 
 @cache
--- a/heronreel/realtime/list_call.py
+++ b/heronreel/realtime/list_call.py
@@ -29,7 +29,7 @@
         self.on_call, self.on_closed = on_call, on_closed
         self.parser = httptools.HttpRequestParser(self)
         self.url = b""
-        self.is_stream = False
+        self.is_stream = self.has_response = False
 
     def on_url(self, url: bytes) -> None:
         """Called by the parser."""
@@ -37,6 +37,7 @@
 
     def on_message_complete(self) -> None:
         """Called by the parser: a whole request is here."""
+        self.has_response = False
         self.is_stream = b"stream=1" in self.url
         self.url = b""
         self.on_call(self)
@@ -48,6 +49,7 @@
 
     def begin_stream(self) -> None:
         """Write the head of a streamed response."""
+        self.has_response = True
         if self.is_stream and self.transport:
             self.transport.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n")
 
@@ -67,6 +69,11 @@
         else:
             self.transport.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%b" % (len(line), line))
 
+    def refuse(self) -> None:
+        """Respond that the service has too many calls."""
+        if self.transport:
+            self.transport.write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
+
     def fail(self) -> None:
         """Reset the connection."""
         if self.transport:
--- a/heronreel/realtime/process_proxy.py
+++ b/heronreel/realtime/process_proxy.py
@@ -22,7 +22,7 @@
 from heronreel.emulator.cluster import Cluster
 from heronreel.emulator.context import SimulationContext
 from heronreel.emulator.deciders import DeciderFactory
-from heronreel.emulator.endpoint_list import Endpoint
+from heronreel.emulator.endpoint_list import CallEnd, Endpoint
 from heronreel.emulator.node import Node
 from heronreel.emulator.proxy import Proxy
 from heronreel.emulator.requests import InboundRequest
@@ -207,6 +207,8 @@
             self.list_call = None
             self.context.endpoint_list.end_watch(self)
             self.context.invariants.list_polled(self.name, now, False)
+            if not call.has_response:
+                self.context.invariants.list_call_failed(self.name, now)  # given up
 
     def _watches_list(self) -> bool:
         return self.list_call is not None
@@ -214,7 +216,7 @@
     def _forward_list(self, is_snapshot: bool, endpoints: list[Endpoint]) -> None:
         call = self.list_call
         assert call
-        if is_snapshot:
+        if not call.has_response:
             call.begin_stream()
             self.runtime.loop.call_later(HEARTBEAT_S, self._send_heartbeat, call)
         call.write(self._list_message(is_snapshot, endpoints))
@@ -224,12 +226,15 @@
             call.write_heartbeat()
             self.runtime.loop.call_later(HEARTBEAT_S, self._send_heartbeat, call)
 
-    def call_failed(self) -> None:
-        """The list service has failed the newest call."""
+    def call_failed(self, end: CallEnd) -> None:
+        """The list service has failed the newest call, refused it, or closed its watch."""
         if self.list_call is not None:
             call, self.list_call = self.list_call, None
-            self.context.invariants.list_polled(self.name, self.events.now, False)
-            call.fail()
+            self._record_call_end(end)
+            if end is CallEnd.REFUSED:
+                call.refuse()
+            else:
+                call.fail()
 
     # Requests.
 
