--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -221,9 +221,16 @@
 
 @asynccontextmanager
 async def running_proxy(
-    path: Path, config: dict[str, Any], with_admin_api: bool = False, shared: socket.socket | None = None
+    path: Path,
+    config: dict[str, Any],
+    with_admin_api: bool = False,
+    shared: socket.socket | None = None,
+    wait_for_log: bool = True,
 ) -> AsyncIterator[ProxyProcess]:
-    """Start the program; `shared`: a listening socket to inherit, together with an admin API."""
+    """Start the program; `shared`: a listening socket to inherit, together with an admin API.
+
+    `wait_for_log` False: it may not listen yet, and its log may leave out the line that says so.
+    """
     ports = ExitStack()
     admin_port = ports.enter_context(reserved_port()) if with_admin_api else 0
     file = path / f"config{admin_port or ''}.json"
@@ -242,7 +249,8 @@
     )  # fmt: skip
     proxy = ProxyProcess(file, process, port, admin_port)
     try:
-        await proxy.log_line("listening")
+        if wait_for_log:
+            await proxy.log_line("listening")
         yield proxy
     finally:
         if process.returncode is None:
