--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -120,15 +120,19 @@
 
 
 class Discovery(Listener):
-    """Watches get `entries` as a snapshot; changes are sent with `change`."""
+    """Watches get `entries` as a snapshot, once `may_answer` is set; changes are sent with `change`."""
 
     def __init__(self, *entries: dict[str, Any]) -> None:
         super().__init__(self._watch)
         self.entries = list(entries)
-        self.watched = asyncio.Event()
+        self.called, self.watched = asyncio.Event(), asyncio.Event()
+        self.may_answer = asyncio.Event()
+        self.may_answer.set()
 
     async def _watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_head(reader)
+        self.called.set()
+        await self.may_answer.wait()
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         writer.write(head + self._line(True, self.entries))
         self.watched.set()
@@ -221,9 +225,16 @@
 
 @asynccontextmanager
 async def running_proxy(
-    path: Path, config: dict[str, Any], with_admin_api: bool = False, shared: socket.socket | None = None
+    path: Path,
+    config: dict[str, Any],
+    with_admin_api: bool = False,
+    shared: socket.socket | None = None,
+    until_listening: bool = True,
 ) -> AsyncIterator[ProxyProcess]:
-    """Start the program; `shared`: a listening socket to inherit, together with an admin API."""
+    """Start the program; `shared`: a listening socket to inherit, together with an admin API.
+
+    Without `until_listening`, it is not waited for.
+    """
     ports = ExitStack()
     admin_port = ports.enter_context(reserved_port()) if with_admin_api else 0
     file = path / f"config{admin_port or ''}.json"
@@ -242,7 +253,8 @@
     )  # fmt: skip
     proxy = ProxyProcess(file, process, port, admin_port)
     try:
-        await proxy.log_line("listening")
+        if until_listening:
+            await proxy.log_line("listening")
         yield proxy
     finally:
         if process.returncode is None:
