--- a/tests/proxy/test_renewed_terms.py
+++ b/tests/proxy/test_renewed_terms.py
@@ -402,7 +402,7 @@
                 config = configuration(address, member)
                 config["settings"] = settings() | {"Discovery": mode}
                 began_at = time.monotonic()
-                async with running_proxy(tmp_path, config, wait_for_log=False) as proxy:
+                async with running_proxy(tmp_path, config, until_listening=False) as proxy:
                     assert await first_answer(proxy) == ("200", b"a1")
                     assert time.monotonic() - began_at <= READY_S
 
