--- a/heronreel/balancer/admission.py
+++ b/heronreel/balancer/admission.py
@@ -8,7 +8,7 @@
 MIN_CORRECTION = 0.2  # of the smoothing time that must have passed before the rates give a delay (ours)
 IN_FLIGHT_STEP = 0.4  # smoothing of the attempts in flight, a period (ours)
 MIN_RESIDENCE_STEP = 0.005  # how fast the least residence time creeps up to the present one, a period (ours)
-DELAY_SHARE, DELAY_SHARE_OVER_QUOTA = 0.8, 0.2  # of a request's spare time that the delay may take (ours)
+DELAY_SHARE, OVER_QUOTA_SHARE = 0.8, 0.2  # of a request's spare time that the delay may take (ours)
 QUOTA_BURST_MS = 2000.0  # of a tenant's quota saved up at most (ours)
 QUOTA_SLACK = 1.3  # our part of the quotas over what it is found to be: sites are not loaded evenly (ours)
 SHORTAGE_SHARE = 0.1  # of a period's arrivals that are rejected where the fleet is short (ours)
@@ -97,11 +97,11 @@
         if request.within_quota and weight >= self.max_weight:  # the highest goes on, the rest yields to it
             return self.queueing_delay <= DELAY_SHARE * max(spare, late_weight * (request.deadline - done))
         # no class may wait longer than one of more weight could, or it would starve that one
-        limit = min(c.latency_objective_ms for c in self.classes if c.priority_weight >= weight)
+        objectives = [c.latency_objective_ms for c in self.classes if c.priority_weight >= weight]
+        limit = min(objectives, default=spare)  # none where a reload dropped the request's class
         rank = 0.5 + 0.5 * weight / (self.max_weight or 1.0)
         tolerance = max(min(spare, limit), late_weight * limit) * rank
-        share = DELAY_SHARE if request.within_quota else DELAY_SHARE_OVER_QUOTA
-        return self.retried_delay <= tolerance * share
+        return self.retried_delay <= tolerance * (DELAY_SHARE if request.within_quota else OVER_QUOTA_SHARE)
 
     def retry_after(self, now: float, request_class: api.RequestClass) -> float:
         """Retry-After of a rejected request, ms: as long again as the shortage has lasted."""
--- a/heronreel/fleet/agent_settings.py
+++ b/heronreel/fleet/agent_settings.py
@@ -25,7 +25,7 @@
 from heronreel.coordination.settings import read_file
 from heronreel.routes.reader import TableReader, parse_toml
 
-MAX_TABLES = 1000  # of one kind
+MAX_TABLES = 4096  # of one kind
 TABLE_NAMES = ("agent", "versions", "instances")
 
 Name = Annotated[
--- a/heronreel/proxy/__main__.py
+++ b/heronreel/proxy/__main__.py
@@ -51,11 +51,11 @@
         await _start_admin_api(loop, config.admin_address, dispatcher, clients, shared, ready)
     if inherited is not None and shared and shared.other_processes():
         # the predecessor serves until we know as much as it does
-        await _wait_for_list(dispatcher, SUCCESSOR_LIST_TIMEOUT_S)
+        await _wait_for_list(dispatcher, SUCCESSOR_LIST_TIMEOUT_S, stop)
     elif config.discovery and not config.settings.watch_list:
         # draining backends must get nothing new: what the agent has counts as notified from our first moment
         # on, and the list of the file may be old
-        await _wait_for_list(dispatcher, PUSHED_LIST_TIMEOUT_S)
+        await _wait_for_list(dispatcher, PUSHED_LIST_TIMEOUT_S, stop)
     log.info("listening on %s:%d", *await clients.listen(config.listen, inherited), extra=ALWAYS)
     ready.set()
     gc.collect()
@@ -106,10 +106,12 @@
     log.info("admin API on %s:%d", *await server.listen(address), extra=ALWAYS)
 
 
-async def _wait_for_list(dispatcher: Dispatcher, timeout_s: float) -> None:
-    """Until discovery has sent a list with at least one backend on it; `timeout_s` at most."""
+async def _wait_for_list(dispatcher: Dispatcher, timeout_s: float, stop: asyncio.Event) -> None:
+    """Until discovery has sent a list with at least one backend on it, or `stop`; `timeout_s` at most."""
     ends_at = time.monotonic() + timeout_s
     while not (dispatcher.has_list and dispatcher.is_serving()) and time.monotonic() < ends_at:
+        if stop.is_set():
+            return
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
--- a/heronreel/proxy/config.py
+++ b/heronreel/proxy/config.py
@@ -71,7 +71,17 @@
     """
     name = _variable(environ, "LB_NAME")
     listen = _address(environ, "LB_LISTEN")
-    document = _read_document(_variable(environ, "LB_CONFIG"))
+    path = _variable(environ, "LB_CONFIG")
+    document = _read_document(path)
+    try:
+        return _config_of(environ, name, listen, document)
+    except ConfigError as error:
+        raise ConfigError(f"{path}: {error}") from None
+
+
+def _config_of(
+    environ: Mapping[str, str], name: str, listen: tuple[str, int], document: dict[str, Any]
+) -> Config:
     # the file is what a reload replaces, so where it names discovery the variable may be old
     discovery_text = document.get("discovery", environ.get("LB_DISCOVERY"))
     discovery = _host_port("discovery" if "discovery" in document else "LB_DISCOVERY", discovery_text)
--- /dev/null
+++ b/tests/proxy/test_reload_over_quota.py
@@ -0,0 +1,56 @@
+"""A reload while requests over their tenant's quota are under way: each still gets its final response."""
+
+import pytest
+
+from heronreel.balancer.interface import (
+    BackendInfo,
+    Effect,
+    ListKind,
+    NewSettings,
+    Outcome,
+    RequestClass,
+    Settings,
+    Tenant,
+)
+from tests.balancer.strict_host import Host
+from tests.proxy.test_made_up_names import (
+    CLASSES,
+    NAMES_PER_RELOAD,
+    TENANTS,
+    plain_names,
+    play_with_reloads,
+)
+
+HIGH = RequestClass("high", priority_weight=9.0, effect=Effect.IDEMPOTENT)
+LOW = RequestClass("low", priority_weight=0.5, effect=Effect.IDEMPOTENT)
+QUOTA = (Tenant("t", 1.0, quota_per_s=0.1),)
+
+
+def busy_host(*classes: RequestClass) -> Host:
+    """A host whose tenant has used up its quota, with a request in flight."""
+    host = Host(Settings(classes, tenants=QUOTA, max_attempts=3))
+    host.listed(ListKind.CACHED, *(BackendInfo(100 + place) for place in range(3)))
+    host.arrive(LOW.name, tenant="t")
+    return host
+
+
+def test_a_reload_may_drop_the_class_of_highest_weight_under_a_request_over_its_quota() -> None:
+    host = busy_host(LOW, HIGH)
+    request = host.arrive(HIGH.name, tenant="t")
+    host._do(NewSettings(Settings((LOW,), tenants=QUOTA, max_attempts=3)))
+    host.end(request, 0, Outcome.UNREACHABLE)
+    assert len(host.requests[request].attempts) == 2 or host.requests[request].over
+
+
+def test_a_request_over_its_quota_of_a_class_that_no_settings_name_is_decided() -> None:
+    host = busy_host(LOW)
+    host.classes["dropped"] = RequestClass("dropped")
+    request = host.arrive("dropped", tenant="t")
+    assert host.requests[request].attempts or host.requests[request].over
+
+
+@pytest.mark.parametrize("seed", range(20))
+def test_reloads_under_quotas_leave_no_request_without_its_final_response(seed: int) -> None:
+    names = plain_names("name", CLASSES + TENANTS + 6 * NAMES_PER_RELOAD)
+    own, spare = names[: CLASSES + TENANTS], list(names[CLASSES + TENANTS :])
+    assert not play_with_reloads(seed, own, spare, quotas=True).balancer.requests
--- a/tests/proxy/test_renewed_terms.py
+++ b/tests/proxy/test_renewed_terms.py
@@ -455,3 +455,17 @@
                 await asyncio.gather(*pending)
 
     run(scenario())
+
+
+def test_a_pipelined_request_tells_no_more_than_what_is_left(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        backend = AttemptLog(after(0.4, ok(b"done")))
+        async with backend, proxy_of(tmp_path, backend.address) as proxy:
+            reader, writer = await proxy.connect()
+            sent_at = time.monotonic()
+            writer.write(b"".join(with_deadline(f"a{n}", "save", 3000) for n in range(4)))
+            for _ in range(4):
+                await read_response(reader)
+            assert backend.told_too_much(sent_at, 3000, TOLD_SLACK_S) == []
+
+    run(scenario())
