--- a/heronreel/proxy/connection_pool.py
+++ b/heronreel/proxy/connection_pool.py
@@ -86,7 +86,8 @@
         if connection is not None:
             self._send(connection, attempt)
             return
-        if self.open_count() >= self.max_connections - self.lent_descriptors and self.idle:
+        # more than one where the limit has shrunk, as during an upgrade
+        while self.open_count() >= self.max_connections - self.lent_descriptors and self.idle:
             self.close(next(iter(self.idle)))
         if self.open_count() >= self.max_connections - self.lent_descriptors:
             self.end_attempt(attempt, Outcome.NOT_SENT)
--- a/tests/proxy/test_admin_api.py
+++ b/tests/proxy/test_admin_api.py
@@ -10,7 +10,7 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from pathlib import Path
-from typing import ClassVar
+from typing import Any, ClassVar
 
 import pytest
 
@@ -33,6 +33,9 @@
     running_proxy,
 )
 
+STALLS, STALL_S = 4, 0.7
+STALL_PROOF_MS = 60_000.0
+
 
 @asynccontextmanager
 async def two_behind(path: Path) -> AsyncIterator[tuple[ProxyProcess, Backend, Backend, Discovery]]:
@@ -197,6 +200,23 @@
     return head.lower().split(b"content-length:")[1].split()[0]
 
 
+async def stall_clients_and_backends() -> None:
+    """Stand still a few times, as on a busy machine: what comes at once then opens further connections, and
+    while two processes share the limit there are more of them than one may have.
+    """
+    for _ in range(STALLS):
+        await asyncio.sleep(0.2)
+        time.sleep(STALL_S)  # noqa: ASYNC251
+
+
+def without_load_shedding(config: dict[str, Any]) -> dict[str, Any]:
+    """The same with a latency objective of a minute: a stall of this machine, which holds up clients and
+    backends alike, looks like queueing, and requests behind it would be rejected with 503.
+    """
+    classes = [each | {"OnTimeMs": STALL_PROOF_MS} for each in config["settings"]["Categories"]]
+    return config | {"settings": config["settings"] | {"Categories": classes}}
+
+
 async def until_all_are_served(
     clients: list[SteadyClient], tasks: list[asyncio.Task[None]], count: int
 ) -> None:
@@ -219,7 +239,7 @@
                 with socket.socket() as shared:
                     shared.bind(("127.0.0.1", 0))
                     shared.listen(64)
-                    config = configuration(discovery.address, *known)
+                    config = without_load_shedding(configuration(discovery.address, *known))
                     async with running_proxy(tmp_path, config, True, shared) as old:
                         await discovery.watched.wait()
                         assert await old.call("/admin/cordon", "b1") == "200"
@@ -229,6 +249,7 @@
                         async with running_proxy(tmp_path, config, True, shared) as new:
                             while await new.health() != "200":
                                 await asyncio.sleep(0.01)
+                            await stall_clients_and_backends()
                             assert await new.call("/admin/cordon", "b2") == "200"  # while both serve
                             await old.log_line("cordoned b2")
                             # what was under way then may still be read by its backend
