--- a/tests/proxy/test_admin_api.py
+++ b/tests/proxy/test_admin_api.py
@@ -206,7 +206,7 @@
     """
     for _ in range(STALLS):
         await asyncio.sleep(0.2)
-        time.sleep(STALL_S)  # noqa: ASYNC251
+        time.sleep(STALL_S)
 
 
 def without_load_shedding(config: dict[str, Any]) -> dict[str, Any]:
