--- a/heronreel/proxy/client_connection.py
+++ b/heronreel/proxy/client_connection.py
@@ -322,7 +322,9 @@
         if self.upload:
             self._finish_upload(self.upload)
             return
-        read = ReadRequest(self.head, self.error_status, self.body, time.monotonic())
+        if self.head:
+            self.head.read_at = time.monotonic()
+        read = ReadRequest(self.head, self.error_status, self.body)
         self.body, self.headers, self.head, self.target = b"", [], None, b""
         if self.request is None and not self.pipelined:
             self._serve(read)
@@ -341,7 +343,7 @@
 
     def _serve(self, read: ReadRequest) -> None:
         dispatcher = self.listener.dispatcher
-        head, status, body, read_at = read
+        head, status, body = read
         if not self.admitted:
             status, self.close_after_response = status or 503, True
         if head and not status and head.request_id and head.request_id in dispatcher.request_ids:
@@ -356,7 +358,7 @@
         if body or head.is_write:
             head.data += b"content-length: %d\r\n" % len(body)
         self.is_http10 = head.is_http10
-        request = dispatcher.submit(self, head, body, read_at=read_at)
+        request = dispatcher.submit(self, head, body)
         self.request = None if request.finished else request
 
     def _serve_pipelined(self) -> None:
--- a/heronreel/proxy/client_interface.py
+++ b/heronreel/proxy/client_interface.py
@@ -45,7 +45,6 @@
     head: RequestHead | None
     error_status: int
     body: bytes | bytearray
-    read_at: float  # when its last byte was, by the monotonic clock: its time counts from then
 
 
 class ConnectionRegistry(Protocol[Connection]):
--- a/heronreel/proxy/dispatcher.py
+++ b/heronreel/proxy/dispatcher.py
@@ -196,12 +196,8 @@
         head: RequestHead,
         body: bytes | bytearray,
         upload: RequestBodyStream | None = None,
-        read_at: float | None = None,
     ) -> Request:
-        """Take a request whose last byte was read, or a long one under way; it is owed one final response.
-
-        `read_at`: when that byte was read, where the request waited its turn since; None: just now.
-        """
+        """Take a request whose last byte was read, or a long one under way; it is owed one final response."""
         now = time.monotonic()
         timeout_ms = head.timeout_ms
         if timeout_ms is None:
@@ -209,8 +205,8 @@
             timeout_ms = request_class.deadline_ms if request_class else self.max_deadline_ms
         if upload:  # its time begins with its last byte; how fast it comes is its connection's to judge
             upload.timeout_ms, timeout_ms = timeout_ms, timeout_ms + MAX_UPLOAD_S * 1000.0
-        elif read_at is not None:
-            timeout_ms = max(0.0, timeout_ms - (now - read_at) * 1000.0)
+        elif head.read_at is not None:  # it may have waited its turn since
+            timeout_ms = max(0.0, timeout_ms - (now - head.read_at) * 1000.0)
         self.last_number += 1
         deadline = now + timeout_ms / 1000.0
         request = Request(
--- a/heronreel/proxy/request.py
+++ b/heronreel/proxy/request.py
@@ -62,6 +62,9 @@
     policy: api.RoutePolicy | None = None
     idempotency_key: bytes = b""
     is_http10: bool = False
+    read_at: float | None = (
+        None  # when the request's last byte was, on the monotonic clock; None: it still comes
+    )
 
 
 @dataclass(slots=True, eq=False)
--- a/heronreel/serve/metered_proxy.py
+++ b/heronreel/serve/metered_proxy.py
@@ -77,8 +77,7 @@
         head: RequestHead,
         body: bytes | bytearray,
         upload: RequestBodyStream | None = None,
-        read_at: float | None = None,
     ) -> Request:
         """Take a request; what its client receives is counted."""
         tenant = head.tenant if head.tenant in self.tenants else NO_TENANT
-        return super().submit(MeteredClient(self.meter, client, tenant), head, body, upload, read_at)
+        return super().submit(MeteredClient(self.meter, client, tenant), head, body, upload)
