--- a/heronreel/fault_injection/harness.py
+++ b/heronreel/fault_injection/harness.py
@@ -8,7 +8,7 @@
 import signal
 import subprocess
 import sys
-from collections.abc import Mapping, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from pathlib import Path
 
 import aiohttp
@@ -223,11 +223,24 @@
         Raises:
             GroupUnhealthyError: That is not so within `timeout_s` seconds.
         """
+        await self._wait_for_reports(_is_healthy, timeout_s)
+
+    async def wait_until_replicated(self, timeout_s: float = TIMEOUT_S) -> None:
+        """Wait until the group is healthy, and every member has the same version on its disk.
+
+        Raises:
+            GroupUnhealthyError: That is not so within `timeout_s` seconds.
+        """
+        await self._wait_for_reports(_is_replicated, timeout_s)
+
+    async def _wait_for_reports(
+        self, is_reached: Callable[[Sequence[HealthReport], int], bool], timeout_s: float
+    ) -> None:
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
         while True:
             responses = await self.health()
-            if _is_healthy(_parsed(responses), len(self.names)):
+            if is_reached(_parsed(responses), len(self.names)):
                 return
             if loop.time() >= deadline:
                 raise GroupUnhealthyError(f"not healthy within {timeout_s:g} s: {responses}")
@@ -245,6 +258,10 @@
     ]
 
 
+def _is_replicated(reports: Sequence[HealthReport], size: int) -> bool:
+    return _is_healthy(reports, size) and len({report.version for report in reports}) == 1
+
+
 def _is_healthy(reports: Sequence[HealthReport], size: int) -> bool:
     leaders = [report for report in reports if report.role == LEADER_ROLE]
     if len(reports) != size or len(leaders) != 1:
--- a/tests/coordinator/test_replication.py
+++ b/tests/coordinator/test_replication.py
@@ -86,7 +86,9 @@
             await harness.wait_until_healthy()
             for number in range(5):
                 await put_until_done(client, b"k", b"%d" % number)
-            await harness.wait_until_healthy()
+            await harness.wait_until_replicated()
+            await put_until_done(client, b"k", b"last")  # who has it has confirmed the fifth as well
+            await harness.wait_until_replicated()
             await put_until_done(client, b"k", b"new")  # carries what each member has confirmed
             await harness.members[rolled_back].kill()
             shutil.rmtree(tmp_path / rolled_back)
