--- a/tests/balancer/test_watch_schedule.py
+++ b/tests/balancer/test_watch_schedule.py
@@ -7,6 +7,7 @@
 
 from heronreel.balancer.interface import WatchFailure
 from heronreel.balancer.watch_schedule import WatchSchedule
+from tests.support.list_service import ListService
 
 WITHIN_MS = 10_000.0
 TIMEOUT_MS = 3_000.0  # a call that would wait longer is refused
@@ -148,62 +149,19 @@
         assert wait is not None and wait <= 2_000.0
 
 
-class BacklogService:
-    """A service that takes more calls than it can complete in time, and works through abandoned ones too:
-    while all call as often as after a broken call, nobody ever gets a response (seen on `join+disco+huge`).
-    `door`: it refuses at once calls that would wait for twice as long as it lets a call wait.
-    """
-
-    def __init__(
-        self, proxies: int, all_ms: float, timeout_ms: float, door: bool, down_ms: float = 0.0
-    ) -> None:
-        self.proxies, self.call_ms, self.timeout_ms = proxies, all_ms / proxies, timeout_ms
-        self.door, self.down_ms = door, down_ms
-        self.calls, self.listed = 0, list[float]()
-
-    def play(self, seed: int, until: float) -> None:
-        draw = random.Random(seed)
-        schedules = [WatchSchedule(WITHIN_MS, self.proxies) for _ in range(self.proxies)]
-        for schedule in schedules if self.down_ms else ():
-            schedule.call_started(0.0)
-            schedule.list_received(0.0)  # they had their watches before it went down
-        free_at = 0.0
-        due = [(schedule.first_delay(draw), n, "call") for n, schedule in enumerate(schedules)]
-        heapq.heapify(due)
-        while due and len(self.listed) < self.proxies:
-            now, n, what = heapq.heappop(due)
-            assert now < until, (len(self.listed), "seed", seed)
-            if what == "listed":
-                schedules[n].list_received(now)
-                self.listed.append(now)
-            elif what == "call":
-                self.calls += 1
-                schedules[n].call_started(now)
-                if now < self.down_ms:
-                    heapq.heappush(due, (now + self.timeout_ms, n, "busy"))
-                    continue
-                if self.door and free_at - now > 2.0 * self.timeout_ms:
-                    heapq.heappush(due, (now + 1.0, n, "busy"))
-                    continue
-                free_at = max(free_at, now) + self.call_ms
-                ends_at = min(free_at, now + self.timeout_ms)
-                heapq.heappush(due, (ends_at, n, "listed" if free_at <= ends_at else "busy"))
-            else:
-                wait = schedules[n].call_failed(now, draw, WatchFailure.BUSY)
-                assert wait is not None
-                heapq.heappush(due, (now + wait, n, "call"))
+SLOW_MS = 8_000.0  # of a service's time for a call from each of SLOW_PROXIES, as seen on `join+disco+huge`
+SLOW_PROXIES = 41
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_service_that_works_through_abandoned_calls_still_catches_up(seed: int) -> None:
-    service = BacklogService(41, 8_000.0, 2_000.0, door=True)
-    service.play(seed, 90_000.0)
-    assert service.calls <= 6 * service.proxies, (service.calls, "seed", seed)
-    service = BacklogService(
-        41, 8_000.0, 2_000.0, door=False
-    )  # as the one seen; it can take a call from each in 8 s
-    service.play(seed, 90_000.0)
-    assert service.calls <= 9 * service.proxies, (service.calls, "seed", seed)
+    """While all call as often as after a broken call, nobody ever gets a response."""
+    for rejects_early, calls_each in ((True, 6), (False, 9)):  # the latter as the one seen
+        service = ListService(
+            SLOW_PROXIES, SLOW_MS / SLOW_PROXIES, timeout_ms=2_000.0, rejects_early=rejects_early
+        )
+        assert max(service.play(seed, 90_000.0)) < 90_000.0, ("seed", seed)
+        assert service.calls <= calls_each * SLOW_PROXIES, (service.calls, "seed", seed)
 
 
 @pytest.mark.parametrize("timeout_ms", [2_000.0, 3_000.0])
@@ -216,7 +174,6 @@
     each, as it was seen on days at full size and at close range.
     """
     for seed in range(10):
-        service = BacklogService(proxies, all_ms, timeout_ms, door=False, down_ms=down_ms)
-        service.play(seed, 90_000.0)
-        late = max(service.listed) - down_ms - 6_000.0
+        service = ListService(proxies, all_ms / proxies, timeout_ms=timeout_ms, down_until=down_ms)
+        late = max(service.play(seed, 90_000.0)) - down_ms - 6_000.0
         assert late <= 250.0, (late, "seed", seed)
--- /dev/null
+++ b/tests/proxy/test_shutdown_crossings.py
@@ -0,0 +1,115 @@
+"""Shutdowns that cross with signals and requests.
+
+An order is made, not waited for: by a stand-in that holds its answer, by a configuration file whose content
+is held (a named pipe), or by a process that is stopped and continued.  Nothing is drawn at random.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+from pathlib import Path
+
+import pytest
+
+from tests.support.lifecycle import (
+    SIGKILL_AFTER_S,
+    KeptConnection,
+    answer_held,
+    ended,
+    named,
+    rest_of_log,
+    stop,
+    until_health,
+    until_seen,
+)
+from tests.support.loopback import (
+    Backend,
+    Discovery,
+    configuration,
+    entry,
+    ok,
+    proxy_with_backend,
+    run,
+    running_proxy,
+)
+
+
+@pytest.mark.parametrize("second", ["SIGHUP", "SIGHUP with a malformed file", "SIGTERM", "SIGINT"])
+def test_a_signal_during_the_drain_does_not_cut_it_short(tmp_path: Path, second: str) -> None:
+    async def scenario() -> None:
+        backend = named("b")
+        async with proxy_with_backend(tmp_path, backend, True) as proxy:
+            kept = KeptConnection(proxy)
+            await kept.open("k1")
+            pending = [asyncio.create_task(proxy.send_request(ident)) for ident in ("h1", "h2")]
+            await until_seen(backend, "h1", "h2")
+            proxy.signal(signal.SIGTERM)
+            await until_health(proxy, "503")
+            if "malformed" in second:
+                proxy.path.write_text("{")
+            proxy.signal(signal.Signals[second.split()[0]])
+            if "SIGHUP" in second:
+                await proxy.log_line("reload")
+            else:
+                await until_health(proxy, "503")  # a call after the signal
+            await kept.send("k2")
+            await kept.is_answered_and_closed()
+            answer_held(backend, "h1", "h2")
+            assert await asyncio.gather(*pending) == [("200", b"held")] * 2
+            assert await ended(proxy, SIGKILL_AFTER_S) == 0
+            assert "Traceback" not in await rest_of_log(proxy)
+            assert sorted(backend.seen) == ["h1", "h2", "k1", "k2"]
+
+    run(scenario())
+
+
+def test_a_request_on_an_idle_connection_in_the_instant_of_sigterm_is_answered(tmp_path: Path) -> None:
+    """The process finds both at once: the signal, and requests in the kernel; it responds once it drains."""
+
+    async def scenario() -> None:
+        backend = named("b")
+        async with proxy_with_backend(tmp_path, backend, True) as proxy:
+            clients = [KeptConnection(proxy) for _ in range(8)]
+            idents = [f"h{number}" for number in range(8)]
+            for number, client in enumerate(clients):
+                await client.open(f"k{number}")
+            await stop(proxy)
+            for client, ident in zip(clients[:4], idents, strict=False):
+                await client.send(ident)
+            proxy.signal(signal.SIGTERM)
+            for client, ident in zip(clients[4:], idents[4:], strict=True):
+                await client.send(ident)
+            proxy.signal(signal.SIGCONT)
+            await until_seen(backend, *idents)
+            await until_health(proxy, "503")
+            answer_held(backend, *idents)
+            for client in clients:
+                await client.is_answered_and_closed()
+            assert await ended(proxy, SIGKILL_AFTER_S) == 0
+            assert len(backend.seen) == len(set(backend.seen)) == 16
+
+    run(scenario())
+
+
+def test_the_end_of_a_drain_starts_no_further_attempt(tmp_path: Path) -> None:
+    """Two backends drop each other's repeats; the one that has the request says nothing."""
+
+    async def scenario() -> None:
+        mute = Backend(lambda head, body: None if head["x-request-id"] == "h1" else ok(b"done"))
+        async with mute, Discovery() as discovery:
+            discovery.entries = [entry("b1", mute.address), entry("b2", mute.address)]
+            config = configuration(discovery.address, *discovery.entries)
+            async with running_proxy(tmp_path, config) as proxy:
+                await discovery.watched.wait()
+                for number in range(20):  # connections to both rest
+                    assert (await proxy.send_request(f"r{number}", "read"))[0] == "200"
+                held = asyncio.create_task(proxy.send_request("h1"))
+                while "h1" not in mute.seen:
+                    await asyncio.sleep(0.001)
+                proxy.signal(signal.SIGTERM)
+                status, _ = await held
+                assert await proxy.process.wait() == 0
+                assert (status, mute.seen.count("h1")) == ("504", 1)
+
+    run(scenario())
--- a/tests/support/list_service.py
+++ b/tests/support/list_service.py
@@ -15,6 +15,7 @@
 from heronreel.balancer.watch_schedule import WatchSchedule
 
 WITHIN_MS = 10_000.0  # the time within which a proxy must call
+EARLY_MS = 1.0  # after which a call is refused at once
 ENDS_SPREAD_MS = 70.0  # within which all proxies notice that their watches ended; seen on the bench
 
 
@@ -33,14 +34,18 @@
     """Works through calls in turn, abandoned ones too; a call that would wait for too long is refused.
 
     A watch that was answered before `changes_at` never brings the change: it ends at one of `ends_at`, with
-    all others and with the calls that still wait.
+    all others and with the calls that still wait.  Until `down_until` it refuses every call late, and the
+    proxies had their lists before.  With `rejects_early` it refuses at once a call that would wait for twice
+    as long as it lets a call wait.
     """
 
     proxies: int
     call_ms: float
-    changes_at: float
-    ends_at: tuple[float, ...]
+    changes_at: float = 0.0
+    ends_at: tuple[float, ...] = ()
     timeout_ms: float = 3_000.0
+    down_until: float = 0.0
+    rejects_early: bool = False
     calls: int = 0
     refused: int = 0
     free_at: float = 0.0
@@ -53,6 +58,9 @@
         """When each proxy has the change; infinity: not by then."""
         self.draw = random.Random(seed)
         group = [Proxy(WatchSchedule(WITHIN_MS, self.proxies)) for _ in range(self.proxies)]
+        for proxy in group if self.down_until else ():
+            proxy.schedule.call_started(0.0)
+            proxy.schedule.list_received(0.0)
         for proxy in group:
             self._call_in(proxy, proxy.schedule.first_delay(self.draw))
             for at in self.ends_at:
@@ -74,6 +82,12 @@
         proxy.schedule.call_started(self.now)
         self.calls += 1
         proxy.call = self.calls
+        if self.now < self.down_until:
+            self._at(self.now + self.timeout_ms, self._refuse, proxy, proxy.call)
+            return
+        if self.rejects_early and self.free_at - self.now > 2.0 * self.timeout_ms:
+            self._at(self.now + EARLY_MS, self._refuse, proxy, proxy.call)
+            return
         self.free_at = max(self.free_at, self.now) + self.call_ms
         if self.free_at <= self.now + self.timeout_ms:
             self._at(self.free_at, self._answer, proxy, proxy.call)
