--- a/bench/duty/output.py
+++ b/bench/duty/output.py
@@ -55,7 +55,7 @@
         score: The play's score.
         days: The days, in the order printed.
         gate: The judgement; none where the program gives none.
-        broken_rules: The rules told as broken, with their counts.
+        broken_rules: The rules reported as broken, with their counts.
     """
 
     score: float
--- a/bench/duty/plays.py
+++ b/bench/duty/plays.py
@@ -22,7 +22,7 @@
 class Reading(enum.Enum):
     """How the result of a play is read from what it prints."""
 
-    GATED_SCORE = "a score, and a line that tells whether the gate passed"
+    GATED_SCORE = "a score, and a line that says whether the gate passed"
     SCORE = "a score"
     ESTIMATE = "the quick estimate of the module alone"
 
@@ -109,7 +109,7 @@
 
     @property
     def name(self) -> str:
-        """The name of the play, then what tells this run from others of it."""
+        """The name of the play, then what distinguishes this run from others of it."""
         deployment = "" if self.on_first_site else f"-{self.site.name}"
         seed = "" if self.seed is None else f"-{self.seed}"
         return f"{self.play.name}{deployment}{seed}"
--- a/bench/fingerprints.py
+++ b/bench/fingerprints.py
@@ -3,7 +3,7 @@
     .venv-ci/bin/python bench/fingerprints.py [--all] [--kit ../given/kit] [--write]
 
 Prints each fingerprint of `tests/compatibility/fingerprints.py`, the scores of a quick estimate by the kit,
-and how many tests there are; tells what differs from `bench/fingerprints.json` with both values, and exits
+and how many tests there are; prints what differs from `bench/fingerprints.json` with both values, and exits
 1 if anything does.  More tests than there were are no difference.  `--all` takes the large searches too.
 Without the kit its part is left out, and that is said.  A run with the kit leaves a snapshot in `journal/`,
 to be committed. `--write` writes the file, of all searches; without the kit it keeps the kit's scores that
--- a/bench/long_bodies.py
+++ b/bench/long_bodies.py
@@ -83,13 +83,13 @@
         {"Name": "read", "HardLimitMs": 60000.0, "Effect": "idempotent"},
     ]
     member = {"name": "b1", "address": f"{host}:{port}", "status": "active"}
-    told = {
+    config = {
         "discovery": "127.0.0.1:9", "seed": "1", "limits": {"memory_mb": 80, "sockets": 256},
         "known": {"index": 1, "snapshot": True, "endpoints": [member]},
         "settings": {"Categories": classes, "Discovery": "push", "Limits": {"MostTries": 2}},
     }  # fmt: skip
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
-        json.dump(told, file)
+        json.dump(config, file)
         file.flush()
         names = {"LB_NAME": "bench", "LB_LISTEN": "127.0.0.1:0", "LB_CONFIG": file.name}
         proxy = await asyncio.create_subprocess_exec(
--- a/bench/truths.py
+++ b/bench/truths.py
@@ -1,4 +1,4 @@
-"""How well the emulator tells the truth: changes whose effect is known, played on days like the operators'.
+"""How well the emulator predicts: changes whose effect is known, played on days like the operators'.
 
     .venv-rehearse/bin/python bench/truths.py [--seeds 10] [--workers 8] [--only NAME] [--scarce]
 
