--- a/tests/proxy/test_renewed_terms.py
+++ b/tests/proxy/test_renewed_terms.py
@@ -109,7 +109,10 @@
                 backend.go.set()
                 assert await read_response(reader) == ("200", b"done")
                 (told,) = (
-                    line for data in backend.received for line in data.split(b"\r\n") if b"x-deadline-ms" in line
+                    line
+                    for data in backend.received
+                    for line in data.split(b"\r\n")
+                    if b"x-deadline-ms" in line
                 )
                 left_s = sent_at + 5.0 - time.monotonic()  # less than what was left when it began
                 assert int(told.split()[1]) / 1000.0 <= left_s + TOLD_SLACK_S
