--- a/heronreel/proxy/__main__.py
+++ b/heronreel/proxy/__main__.py
@@ -119,7 +119,7 @@
 async def _wait_for_list(dispatcher: Dispatcher, timeout_s: float, stop: asyncio.Future[float]) -> None:
     """Until discovery has sent a list with at least one backend on it, or `stop`; `timeout_s` at most."""
     ends_at = time.monotonic() + timeout_s
-    while not (dispatcher.has_list and dispatcher.is_serving()) and time.monotonic() < ends_at:
+    while not (dispatcher.has_received_list and dispatcher.is_serving()) and time.monotonic() < ends_at:
         if stop.done():
             return
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/heronreel/proxy/dispatcher.py
+++ b/heronreel/proxy/dispatcher.py
@@ -61,7 +61,9 @@
     ) -> None:
         self.loop = loop
         self.router = router
-        self.any_client = config.any_status  # not the platform's clients: they send none of its headers
+        self.accepts_any_client = (
+            config.any_status
+        )  # not the platform's clients: they send none of its headers
         self._take_settings(config.settings)
         self.balancer: Decisions = decisions or Balancer(config.settings, config.seed)
         self.epoch = time.time() - time.monotonic()  # wall clock at start; it never steps after
@@ -74,7 +76,7 @@
         self.request_ids: set[bytes] = set()  # of the same requests
         self.budget = ByteBudget(config.body_bytes)
         self.last_number = 0  # of a request
-        self.has_list = not config.discovery  # a list was received, so we know more than the file
+        self.has_received_list = not config.discovery  # a list was received, so we know more than the file
         self.events: deque[api.Event] = deque()
         self.dispatching = False
         self.decided_at = 0.0  # when the balancer was last called
@@ -142,11 +144,11 @@
         if isinstance(update, api.WatchFailure):
             self.dispatch(api.BackendList(api.ListKind.FAILED, failure=update))
         else:
-            self.has_list = True
+            self.has_received_list = True
             kind = api.ListKind.FULL if update.is_snapshot else api.ListKind.CHANGES
             self.registry.update(update, kind)
 
-    def end_by(self, send_until: float, answer_by: float) -> None:
+    def begin_shutdown(self, send_until: float, answer_by: float) -> None:
         """The process ends: nothing is sent from `send_until` on, and no deadline is after `answer_by`.
 
         Both are on the monotonic clock, in seconds.  What is under way keeps a deadline that is earlier.
--- a/heronreel/proxy/drain.py
+++ b/heronreel/proxy/drain.py
@@ -74,7 +74,7 @@
     def _begin(self) -> None:
         self.clients.draining = True
         self.clients.admit_until = self.schedule.admit_until
-        self.dispatcher.end_by(self.schedule.admit_until, self.schedule.answer_by)
+        self.dispatcher.begin_shutdown(self.schedule.admit_until, self.schedule.answer_by)
         self._record(
             "drain started",
             has_successor=self.has_successor,
--- a/heronreel/proxy/request_validation.py
+++ b/heronreel/proxy/request_validation.py
@@ -81,7 +81,7 @@
             (name, b"%d" % (int(value[:MAX_HOPS_DIGITS]) - 1) if name == b"max-forwards" else value)
             for name, value in headers
         ]
-    if dispatcher.router and dispatcher.any_client:
+    if dispatcher.router and dispatcher.accepts_any_client:
         return _read_routed(dispatcher.router, method, target, path, headers, fields, version)
     return _read_platform(dispatcher, method, target, path, headers, fields, version)
 
--- a/tests/proxy/test_dispatcher.py
+++ b/tests/proxy/test_dispatcher.py
@@ -70,7 +70,7 @@
             config = config_of(tmp_path, entry("b1", backend.address))
             dispatcher = Dispatcher(asyncio.get_running_loop(), config)
             now = time.monotonic()
-            dispatcher.end_by(send_until=now, answer_by=now + 60.0)
+            dispatcher.begin_shutdown(send_until=now, answer_by=now + 60.0)
             client = WaitingClient()
             dispatcher.submit(client, RequestHead(SENT_HEAD, class_name="read"), b"")
             assert await client.status == 503
