--- a/heronreel/proxy/__init__.py
+++ b/heronreel/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP/1.1 reverse proxy on sockets, around the decisions of `heronreel.balancer`."""
+"""The HTTP/1.1 reverse proxy on sockets; `heronreel.balancer` makes its load-balancing decisions."""
--- a/heronreel/proxy/__main__.py
+++ b/heronreel/proxy/__main__.py
@@ -1,4 +1,4 @@
-"""The proxy's process: start, reload on SIGHUP, graceful shutdown on SIGTERM, and the exit status."""
+"""The proxy's program: start, reload on SIGHUP, graceful shutdown on SIGTERM, and the exit status."""
 
 from __future__ import annotations
 
@@ -26,10 +26,12 @@
 if TYPE_CHECKING:
     from heronreel.proxy.admin_api import AdminServer
 
-SUCCESSOR_LIST_TIMEOUT_S = 3.0  # that a successor waits for discovery; it must serve within 6 s
-PUSHED_LIST_TIMEOUT_S = 1.0  # and a process whose agent has the list, which responds unless discovery is down
+# How long a successor waits for a list from discovery.  It must serve within 6 s.
+SUCCESSOR_LIST_TIMEOUT_S = 3.0
+# How long a process waits for a list from a local agent, which responds unless discovery is down.
+PUSHED_LIST_TIMEOUT_S = 1.0
 POLL_INTERVAL_S = 0.02
-EXIT_UNUSABLE = 2  # a configuration or an address that can't be used
+EXIT_UNUSABLE = 2  # the configuration or an address can't be used
 
 log = logging.getLogger(__name__)
 
@@ -42,11 +44,11 @@
     """
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(_log_exception)
-    stop: asyncio.Future[float] = loop.create_future()  # when SIGTERM came
+    stop: asyncio.Future[float] = loop.create_future()  # when the stop signal arrived
     reload = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, record_signal_time, stop)
-    # before anything else: what SIGHUP does by default is end the process
+    # Installed before the slower steps of the start: the default action of SIGHUP ends the process.
     loop.add_signal_handler(signal.SIGHUP, reload.set)
     dispatcher = Dispatcher(loop, config)
     clients = ClientListener(loop, config, dispatcher)
@@ -56,17 +58,17 @@
     if config.admin_address:
         admin = _start_admin_api(loop, config.admin_address, dispatcher, clients, shared, ready)
     if inherited is not None and shared and shared.other_processes():
-        # the predecessor serves until we know as much as it does
+        # The predecessor serves until this process has a list from discovery too.
         await _wait_for_list(dispatcher, SUCCESSOR_LIST_TIMEOUT_S, stop)
     elif config.discovery and not config.settings.watch_list:
-        # draining backends must get nothing new: what the agent has counts as notified from our first moment
-        # on, and the list of the file may be old
+        # Draining backends must get no new requests.  The agent's list counts as notified from the start of
+        # this process, and the list in the file may be old.
         await _wait_for_list(dispatcher, PUSHED_LIST_TIMEOUT_S, stop)
     log.info("listening on %s:%d", *clients.listen(config.listen, inherited), extra=NOT_RATE_LIMITED)
     ready.set()
     gc.collect()
-    gc.freeze()  # what lives as long as the process need not be searched again
-    reloading = loop.create_task(_reload_on(reload, dispatcher, clients))
+    gc.freeze()  # objects that live as long as the process need not be scanned again
+    reloading = loop.create_task(_reload_on_signal(reload, dispatcher, clients))
     signalled_at = await stop
     if shared:
         shared.unregister_process()
@@ -78,13 +80,13 @@
 
 
 def inherited_descriptor(environ: Mapping[str, str]) -> int | None:
-    """The descriptor of a listening socket that whoever started us holds open for our successors too."""
+    """Return the descriptor of an inherited listening socket, which the parent keeps open for successors."""
     number = environ.get("LB_ACCEPT_FD", "")
     return int(number) if number.isascii() and number.isdigit() else None
 
 
 def open_shared_state(environ: Mapping[str, str], config: Config) -> SharedState | None:
-    """What this proxy's processes share; only where there is an admin API, and a folder for it."""
+    """Open the state that this proxy's processes share; None without an admin API or without a folder."""
     if not config.admin_address or not environ.get("TMPDIR"):
         return None
     try:
@@ -104,11 +106,11 @@
     shared: SharedState | None,
     ready: asyncio.Event,
 ) -> AdminServer:
-    # only here: a proxy that nobody calls need not load it
+    # Imported here so that a proxy without an admin API does not load it.
     from heronreel.proxy.admin_api import AdminCommands, AdminServer
 
     commands = AdminCommands(loop, dispatcher, clients, shared)
-    commands.synchronize()  # before the first request: what was cordoned stays cordoned
+    commands.synchronize()  # cordons apply from the first request on
     server = AdminServer(
         loop, lambda: ready.is_set() and not clients.draining and dispatcher.is_serving(), commands.execute
     )
@@ -117,7 +119,7 @@
 
 
 async def _wait_for_list(dispatcher: Dispatcher, timeout_s: float, stop: asyncio.Future[float]) -> None:
-    """Until discovery has sent a list with at least one backend on it, or `stop`; `timeout_s` at most."""
+    """Wait until discovery has sent a list with a backend, until `stop`, or for `timeout_s` at most."""
     ends_at = time.monotonic() + timeout_s
     while not (dispatcher.has_received_list and dispatcher.is_serving()) and time.monotonic() < ends_at:
         if stop.done():
@@ -125,8 +127,10 @@
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def _reload_on(requested: asyncio.Event, dispatcher: Dispatcher, clients: ClientListener) -> None:
-    """Take a new configuration on SIGHUP, as a whole or not at all; signals that come together count once."""
+async def _reload_on_signal(
+    requested: asyncio.Event, dispatcher: Dispatcher, clients: ClientListener
+) -> None:
+    """Apply a new configuration on SIGHUP, whole or not at all; signals that arrive together count once."""
     while True:
         await requested.wait()
         requested.clear()
@@ -136,7 +140,7 @@
             clients.reload(config)
         except ConfigError as error:
             log.error("reload: %s; the old configuration stays in force", error, extra=NOT_RATE_LIMITED)
-        except Exception as error:  # a reload must never be what ends the service
+        except Exception as error:  # a failed reload must not end the service
             log.exception("reload: %s", error)
         else:
             log.info(
@@ -150,7 +154,7 @@
 
 
 def main() -> int:
-    """Run the proxy that the environment describes; the exit status."""
+    """Run the proxy that the environment describes, and return the exit status."""
     try:
         config = load(os.environ)
     except ConfigError as error:
--- a/heronreel/proxy/acceptor.py
+++ b/heronreel/proxy/acceptor.py
@@ -1,9 +1,9 @@
 """Accepting connections on a listening socket.
 
-The event loop's own listener resets every connection that comes while `accept` fails for want of
-descriptors, and spins while it fails otherwise.  Here a connection that can't be accepted now stays in the
-kernel's queue, `accept` is tried again after a pause that grows, and the last connections are accepted before
-the socket closes.
+The event loop's own listener resets every connection that arrives while `accept` fails for lack of
+descriptors, and loops without a pause while it fails for another reason.  Here a connection that can't be
+accepted stays in the kernel's queue, `accept` is tried again after a growing pause, and the pending
+connections are accepted before the socket closes.
 """
 
 from __future__ import annotations
@@ -18,13 +18,19 @@
 
 from heronreel.proxy.event_log import EventKind, record
 
-Opening = Coroutine[Any, Any, object]  # of a connection that was accepted
-
-MAX_ACCEPTS = 4  # in one turn of the loop: they are counted, and others closed for them, in the next one
-MIN_PAUSE_S, MAX_PAUSE_S = 0.005, 0.1  # after a failure of `accept`
-MAX_LAST_TURNS = 256  # in which the last connections are accepted, however many come
-MAX_FAILURES = 8  # in a row, of single connections; then it is no matter of theirs
-# accept(2): errors of the new connection, which is gone; the next one may be well
+Opening = Coroutine[Any, Any, object]  # hands an accepted connection to the event loop
+
+# Connections accepted in one turn of the loop.  They are counted, and others closed to make room for them,
+# only in the next turn.
+MAX_ACCEPTS_PER_TURN = 4
+# Pauses after failures of `accept`; each is twice as long as the one before it.
+MIN_PAUSE_S = 0.005
+MAX_PAUSE_S = 0.1
+# Bounds the time to accept pending connections before the close while new ones keep arriving.
+MAX_PENDING_TURNS = 256
+# After this many failures in a row, errors of single connections are taken for a failure of the listener.
+MAX_FAILURES = 8
+# Errors of accept(2) that belong to the new connection, which is lost; the next one may be accepted.
 CONNECTION_ERRORS = frozenset((
     errno.ECONNABORTED, errno.EPROTO, errno.ENOPROTOOPT, errno.ENETDOWN, errno.EHOSTDOWN, errno.ENONET,
     errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.ETIMEDOUT, errno.ECONNRESET,
@@ -32,7 +38,7 @@
 
 
 class AcceptResult(Enum):
-    """What a turn of accepting leaves."""
+    """The outcome of one turn of accepting."""
 
     MORE = "more connections may wait"
     EMPTY = "none waits"
@@ -48,35 +54,36 @@
         listener: socket.socket,
         make_protocol: Callable[[], asyncio.Protocol],
     ) -> None:
-        """Accept from now on; the socket listens already, and is this object's to close."""
+        """Start to accept on a listening socket, which this object closes."""
         self.loop = loop
         self.listener = listener
         self.make_protocol = make_protocol
         self.pause_s = MIN_PAUSE_S
-        self.failures = 0  # in a row
+        self.consecutive_failures = 0
         self.resume_timer: asyncio.TimerHandle | None = None
         self.opening: set[Opening] = set()
         listener.setblocking(False)
         loop.add_reader(listener.fileno(), self._accept)
 
-    async def accept_the_last(self, until: float) -> None:
-        """Accept what waits in the kernel's queue: closing its only socket would reset that.
+    async def accept_pending(self, until: float) -> None:
+        """Accept the connections in the kernel's queue, which closing its only socket would reset.
 
         Args:
-            until: When to give up where `accept` fails, on the monotonic clock in seconds.
+            until: When to give up while `accept` fails, in seconds on the monotonic clock.
         """
-        for _ in range(MAX_LAST_TURNS):
+        for _ in range(MAX_PENDING_TURNS):
             result = self._accept_some()
             if result is AcceptResult.EMPTY:
                 break
             if result is AcceptResult.FAILED and time.monotonic() >= until:
                 break
-            await asyncio.sleep(self.pause_s if result is AcceptResult.FAILED else 0.0)  # they are counted
+            # Gives the loop a turn to count the accepted connections.
+            await asyncio.sleep(self.pause_s if result is AcceptResult.FAILED else 0.0)
         while self.opening:
             await asyncio.sleep(0)
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening and close the socket."""
         if self.resume_timer:
             self.resume_timer.cancel()
         self.loop.remove_reader(self.listener.fileno())
@@ -86,33 +93,33 @@
         self._accept_some()
 
     def _accept_some(self) -> AcceptResult:
-        """Accept up to `MAX_ACCEPTS` connections."""
-        for _ in range(MAX_ACCEPTS):
+        """Accept up to `MAX_ACCEPTS_PER_TURN` connections."""
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 connection, _ = self.listener.accept()
             except BlockingIOError:
                 return AcceptResult.EMPTY
             except OSError as error:
                 record(EventKind.ACCEPT_FAILED, error=errno.errorcode.get(error.errno or 0, str(error)))
-                self.failures += 1
-                if error.errno in CONNECTION_ERRORS and self.failures < MAX_FAILURES:
+                self.consecutive_failures += 1
+                if error.errno in CONNECTION_ERRORS and self.consecutive_failures < MAX_FAILURES:
                     continue
                 self._pause()
                 return AcceptResult.FAILED
-            self.pause_s, self.failures = MIN_PAUSE_S, 0
+            self.pause_s, self.consecutive_failures = MIN_PAUSE_S, 0
             connection.setblocking(False)
             self._open(connection)
         return AcceptResult.MORE
 
     def _open(self, connection: socket.socket) -> None:
-        """Make the connection the event loop's.
+        """Hand the connection to the event loop.
 
-        The coroutine waits only until the loop has called `connection_made`.  It is stepped here and not by a
-        task, which would cost half as much again as the whole accept does.
+        The coroutine waits only until the loop has called `connection_made`.  It is stepped here rather than
+        by a task, which would make the whole accept 1.5 times as expensive.
         """
         opening = self.loop.connect_accepted_socket(self.make_protocol, connection)
         try:
-            made: asyncio.Future[None] = opening.send(None)
+            connected: asyncio.Future[None] = opening.send(None)
         except StopIteration:
             return
         except OSError as error:
@@ -120,9 +127,9 @@
             connection.close()
             return
         self.opening.add(opening)
-        made.add_done_callback(lambda _: self._opened(opening))
+        connected.add_done_callback(lambda _: self._finish_opening(opening))
 
-    def _opened(self, opening: Opening) -> None:
+    def _finish_opening(self, opening: Opening) -> None:
         self.opening.discard(opening)
         try:
             opening.send(None)
@@ -132,8 +139,8 @@
             record(EventKind.ACCEPT_FAILED, error=str(error))
 
     def _pause(self) -> None:
-        """Leave new connections in the kernel's queue for a while."""
-        self.failures = 0
+        """Stop accepting for a while; new connections stay in the kernel's queue."""
+        self.consecutive_failures = 0
         if self.resume_timer:
             self.resume_timer.cancel()
         self.loop.remove_reader(self.listener.fileno())
--- a/heronreel/proxy/admin_api.py
+++ b/heronreel/proxy/admin_api.py
@@ -1,8 +1,8 @@
 """The admin API on the second address: health checks and commands for a running proxy.
 
-HTTP/1.1, one call a connection.  Calls share the event loop with the clients' requests, so each is bounded:
-in bytes, in time, and all of them in number, the longest waiting going first.  Nothing a caller does or
-leaves undone delays another.
+HTTP/1.1 with one request per connection.  Admin requests share the event loop with the clients' requests, so
+their size, their time and their number are limited; the connection that has waited longest is closed when
+there are too many.  No admin client can delay another one by what it sends or fails to send.
 """
 
 from __future__ import annotations
@@ -22,11 +22,14 @@
 from heronreel.proxy.http1 import DATE_LINE, response_head
 from heronreel.proxy.shared_state import MAX_CORDONS, POLL_INTERVAL_S, Cordon, SharedState
 
-MAX_CALLERS = 12  # at once; the descriptors come out of those kept for ourselves
-CALL_TIMEOUT_S = 6.0  # from the connection to the call's last byte; slow callers take up to 4 s
-MAX_CALL_BYTES = 4 << 10
+MAX_CONNECTIONS = 12  # their descriptors are part of `config.RESERVED_DESCRIPTORS`
+# Time from the connection to the last byte of its request; slow clients take up to 4 s.
+REQUEST_TIMEOUT_S = 6.0
+MAX_REQUEST_BYTES = 4 << 10
 BACKLOG = 64
-LAST_CALLS_S, LAST_CALLS_POLL_S = 0.03, 0.005  # at the process's end
+# How long the last requests are awaited before the process ends, and how often they are checked.
+CLOSE_GRACE_S = 0.03
+CLOSE_POLL_INTERVAL_S = 0.005
 PATH_PREFIX = "/admin/"
 COMMANDS = ("cordon", "uncordon", "quiesce", "resume")
 
@@ -34,7 +37,7 @@
 
 
 class AdminCommands:
-    """Carries out commands here and, through the shared folder, in this proxy's other process."""
+    """Executes commands in this process and, through the shared folder, in the proxy's other process."""
 
     def __init__(
         self,
@@ -48,7 +51,7 @@
         self.registry = dispatcher.registry
         self.clients = clients
         self.shared = shared
-        self.descriptors_elsewhere = 0  # in use by the proxy's other process
+        self.descriptors_elsewhere = 0  # descriptors that the proxy's other process uses
         if shared is not None:
             self._poll()
 
@@ -59,11 +62,11 @@
     def _log_failure(self, step: Callable[[], None]) -> None:
         try:
             step()
-        except OSError as error:  # what was known stays in force
+        except OSError as error:  # the state read last stays in force
             log.error("shared folder: %s", error)
 
     def synchronize(self) -> None:
-        """Take over what the shared folder says.
+        """Apply the cordons and the quiesced state of the shared folder, and share the descriptor limit.
 
         Raises:
             OSError: The folder can't be read.
@@ -75,9 +78,10 @@
             self._share_descriptors()
 
     def _share_descriptors(self) -> None:
-        """Keep to what the other process leaves, and take no more from clients than has to be.
+        """Limit this process to the descriptors that the other process leaves, and to no fewer.
 
-        While there is another, each accept looks again: a crowd at both grows faster than we poll.
+        While there is another process, each accept checks again: many connections that arrive at both
+        processes use up descriptors faster than the polls notice.
         """
         if self.shared is None:
             return
@@ -90,12 +94,12 @@
             )
 
     def execute(self, command: str, backend_name: str) -> bool:
-        """Whether the command is done, and known to whoever shares the folder.
+        """Execute a command and store its effect in the shared folder; return whether it could be executed.
 
         Raises:
             OSError: The folder can't be read or written.
         """
-        self.synchronize()  # the other process may have been called since
+        self.synchronize()  # the other process may have executed commands since the last poll
         if command in ("quiesce", "resume"):
             if self.shared is not None:
                 self.shared.set_quiesced(command == "quiesce")
@@ -109,7 +113,7 @@
             return self._store(Cordon(backend_name, now_ms))
         if command == "uncordon" and previous is not None and in_force:
             return self._store(Cordon(backend_name, previous.since_ms, now_ms))
-        return True  # nothing to change: two cordons need one uncordon
+        return True  # already in the requested state: cordons are not counted
 
     def _store(self, cordon: Cordon) -> bool:
         cordons = self.registry.cordons
@@ -125,7 +129,7 @@
 
 
 class AdminServer:
-    """The listener: `is_healthy` decides the health check, `execute` carries out a command."""
+    """The admin API's server: `is_healthy` decides the health check, `execute` executes a command."""
 
     def __init__(
         self,
@@ -136,10 +140,10 @@
         self.loop = loop
         self.is_healthy = is_healthy
         self.execute = execute
-        self.connections: dict[AdminConnection, None] = {}  # the longest waiting first
+        self.connections: dict[AdminConnection, None] = {}  # ordered by when they were opened
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
-        """The address that is bound.
+        """Listen on an address, and return the bound address.
 
         Raises:
             OSError: The address can't be bound.
@@ -151,16 +155,16 @@
         return bound[0], bound[1]
 
     async def close(self) -> None:
-        """Accept no more calls, and answer for a moment those that have come."""
-        closes_at = time.monotonic() + LAST_CALLS_S
-        await self.acceptor.accept_the_last(closes_at)
+        """Stop accepting, and respond for a short time to the requests that have arrived."""
+        closes_at = time.monotonic() + CLOSE_GRACE_S
+        await self.acceptor.accept_pending(closes_at)
         self.acceptor.close()
-        await asyncio.sleep(0)  # what was accepted just now is counted
+        await asyncio.sleep(0)  # lets the loop count the connections that were accepted last
         while self.connections and time.monotonic() < closes_at:
-            await asyncio.sleep(LAST_CALLS_POLL_S)
+            await asyncio.sleep(CLOSE_POLL_INTERVAL_S)
 
     def status_of(self, method: str, path: str, body: str) -> int:
-        """Carry out one call; the status of its response."""
+        """Handle one request, and return the status of its response."""
         if path == PATH_PREFIX + "health":
             if method not in ("GET", "HEAD"):
                 return 405
@@ -171,49 +175,50 @@
         if method != "POST":
             return 405
         try:
-            done = self.execute(command, body.strip())
+            executed = self.execute(command, body.strip())
         except OSError as error:
             log.error("%s %s: %s", command, body.strip()[:80], error)
             return 503
-        log.info("%s %s: %s", command, body.strip()[:80], "yes" if done else "no")
-        return 200 if done else 404
+        log.info("%s %s: %s", command, body.strip()[:80], "yes" if executed else "no")
+        return 200 if executed else 404
 
 
 class AdminConnection(asyncio.Protocol):
-    """One call."""
+    """A connection to the admin API, which carries one request."""
 
-    __slots__ = ("body", "done", "parser", "received", "server", "target", "timer", "transport")
+    __slots__ = ("body", "parser", "received_bytes", "responded", "server", "target", "timer", "transport")
 
     def __init__(self, server: AdminServer) -> None:
         self.server = server
         self.transport: asyncio.Transport
         self.parser = httptools.HttpRequestParser(self)
         self.target = self.body = b""
-        self.received = 0  # bytes
-        self.done = False
+        self.received_bytes = 0
+        self.responded = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the caller, and close the longest waiting one if there are too many."""
+        """Register the connection, and close the one opened first if there are too many."""
         self.transport = cast(asyncio.Transport, transport)
-        self.timer = self.server.loop.call_later(CALL_TIMEOUT_S, self.transport.abort)
-        if len(self.server.connections) >= MAX_CALLERS:  # a silent caller must not keep the next one out
+        self.timer = self.server.loop.call_later(REQUEST_TIMEOUT_S, self.transport.abort)
+        # A client that sends nothing must not prevent the next one from connecting.
+        if len(self.server.connections) >= MAX_CONNECTIONS:
             oldest = next(iter(self.server.connections))
             del self.server.connections[oldest]
             oldest.transport.abort()
         self.server.connections[self] = None
 
     def data_received(self, data: bytes) -> None:
-        """Parse more of the call."""
-        self.received += len(data)
-        if self.done:
+        """Parse more of the request."""
+        self.received_bytes += len(data)
+        if self.responded:
             return
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            if not self.done:
+            if not self.responded:
                 self._respond(400)
             return
-        if self.received > MAX_CALL_BYTES and not self.done:
+        if self.received_bytes > MAX_REQUEST_BYTES and not self.responded:
             self._respond(413)
 
     def on_url(self, url: bytes) -> None:
@@ -225,21 +230,21 @@
         self.body += data
 
     def on_message_complete(self) -> None:
-        """Parser callback: carry out the call."""
-        if self.done:
-            raise UnreadableMessageError  # one call a connection
+        """Parser callback: handle the request."""
+        if self.responded:
+            raise UnreadableMessageError  # only one request per connection
         method = self.parser.get_method().decode("latin-1")
         path = self.target.partition(b"?")[0].decode("latin-1")
         self._respond(self.server.status_of(method, path, self.body.decode("utf-8", "replace")))
 
     def _respond(self, status: int) -> None:
-        self.done = True
+        self.responded = True
         body = b"yes\n" if status < 300 else b"no\n"
         self.transport.write(response_head(status, DATE_LINE.now(), len(body), True) + body)
         self.transport.close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Forget the caller."""
+        """Remove the connection from the server."""
         self.timer.cancel()
         self.server.connections.pop(self, None)
-        del self.parser  # it refers back to us
+        del self.parser  # breaks the reference cycle with this object
--- a/heronreel/proxy/client_connection.py
+++ b/heronreel/proxy/client_connection.py
@@ -1,8 +1,8 @@
-"""The reading side of a client's connection: one request at a time, with the bounds on what clients send.
+"""The reading side of a client's connection: parses one request at a time and limits what clients send.
 
-A request is handed on when its last byte is read.  What is malformed or too large is rejected here and the
-connection ends; what finds no room is rejected before anything ran.  No connection waits without end: each
-has a time by which its next step is due.
+A request is dispatched when its last byte is read.  A malformed or too large request is rejected here and its
+connection is closed.  A request for which there is no memory or no connection is rejected before any part of
+it is sent to a backend.  Each connection has a deadline for its next step, so that none waits forever.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 import httptools
 
 from heronreel.proxy.client_interface import (
-    LARGE_BODY_SHARE,
+    LARGE_BODY_BUDGET_RATIO,
     MAX_BODY_PAUSE_S,
     MAX_FRAMING_BYTES,
     MAX_HEADER_FIELDS,
@@ -60,7 +60,7 @@
 
 
 class ClientConnection(ClientWriter):
-    """One client connection."""
+    """One connection of a client."""
 
     __slots__ = (
         "admitted", "body", "body_bytes", "declared_length", "error_reason", "error_status", "head",
@@ -73,62 +73,65 @@
         self.target = b""
         self.headers: Headers = []
         self.body: bytes | bytearray = b""
-        self.head: RequestHead | None = None  # of the request being read; None: no backend is needed
-        self.error_status = 0  # of the response to the request being read, where no backend is needed
+        # Head of the request being read; None if the proxy responds to it without a backend.
+        self.head: RequestHead | None = None
+        # Status of the response to the request being read, if the proxy responds without a backend; else 0.
+        self.error_status = 0
         self.error_reason: RefusalReason | None = None
         self.header_bytes = self.body_bytes = 0
         self.requests_read = 0
-        self.declared_length = 0  # of the body; 0: unknown
+        self.declared_length = 0  # of the body; 0 if it is unknown
         self.started_at = time.monotonic()  # of the request being read; infinite between requests
         self.admitted = True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Have the connection counted."""
+        """Register the connection with the listener."""
         self.transport = cast(asyncio.Transport, transport)
         self.listener.silent[self] = None
         self.admitted = self.listener.admit(self)
 
-    # Reading.  A callback that raises ends the parsing of what came; `error_status` is the response's.
+    # Reading.  A parser callback that raises ends the parsing; the response then has `error_status`.
 
     def data_received(self, data: bytes) -> None:
-        """Parse more of the requests."""
+        """Parse received bytes, and dispatch the requests that they complete."""
         self.listener.silent.pop(self, None)
         self.progress_bytes += len(data)
         if self.phase is Phase.CLOSING:
             record(EventKind.INPUT_DROPPED, bytes=len(data), connection=self.number)
             if self.progress_bytes > MAX_LINGER_BYTES:
-                self.transport.pause_reading()  # 60 MB need not be read to be rejected
+                self.transport.pause_reading()  # a rejected body of 60 MB, say, is not read to its end
             return
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.close_after_response = True  # no other protocol is spoken here; what follows can't be read
+            # Upgrades are not supported, and the input after the request can't be parsed.
+            self.close_after_response = True
         except httptools.HttpParserError:
-            self._on_unreadable()
+            self._on_parse_error()
             return
         if self.progress_bytes > MAX_HEAD_BYTES and self.phase is Phase.HEAD:
             self._reject(431, RefusalReason.INVALID)
-        elif self.progress_bytes > MAX_HEAD_BYTES + MAX_FRAMING_BYTES:  # bounds memory
+        elif self.progress_bytes > MAX_HEAD_BYTES + MAX_FRAMING_BYTES:  # limits memory for trailers
             self._reject(400, RefusalReason.INVALID)
 
-    def _on_unreadable(self) -> None:
+    def _on_parse_error(self) -> None:
         if self._is_closing():
-            return  # its response was sent while its body was still coming
+            return  # the response was sent while the body was still being received
         if self.phase is Phase.IDLE and self.close_after_response:
-            self.transport.pause_reading()  # its last request was read; nothing that follows is wanted
+            self.transport.pause_reading()  # input after the last request is ignored
         else:
             self._reject(self.error_status or 400, self.error_reason or RefusalReason.INVALID)
 
     def _is_closing(self) -> bool:
-        """Whether nothing more is read but to be dropped."""
+        """Return whether further input is dropped."""
         return self.phase is Phase.CLOSING
 
     def on_message_begin(self) -> None:
-        """Parser callback: a request begins."""
+        """Parser callback: start a new request."""
         if self.phase is Phase.CLOSING:
             raise UnreadableMessageError
         self.listener.idle.pop(self, None)
-        if self.started_at == math.inf:  # the first request's time began with the connection
+        if self.started_at == math.inf:  # the first request's timeout starts with the connection
             self.started_at = time.monotonic()
         self.target, self.headers, self.body = b"", [], b""
         self.head, self.error_status, self.error_reason = None, 0, None
@@ -137,13 +140,13 @@
         self.due_at = self.started_at + REQUEST_TIMEOUT_S
 
     def on_url(self, url: bytes) -> None:
-        """Parser callback: more of the target."""
+        """Parser callback: add to the request target."""
         self.target += url
         if len(self.target) > MAX_TARGET_BYTES:
             self._refuse(414)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser callback: one header or trailer field."""
+        """Parser callback: add a header field, or count a trailer field, which is dropped."""
         self.header_bytes += len(name) + len(value) + 4
         if self.header_bytes > MAX_HEAD_BYTES or len(self.headers) >= MAX_HEADER_FIELDS:
             self._refuse(431)
@@ -151,52 +154,57 @@
             self.headers.append((name.lower(), value.rstrip(OPTIONAL_WHITESPACE)))
 
     def _refuse(self, status: int, reason: RefusalReason = RefusalReason.INVALID) -> None:
-        """End the parsing; the response has that status."""
+        """Set the status and reason of the response, and end the parsing.
+
+        Raises:
+            UnreadableMessageError: Always; it ends the parsing.
+        """
         self.error_status, self.error_reason = status, reason
         raise UnreadableMessageError
 
     def on_headers_complete(self) -> None:
-        """Parser callback: check the head."""
+        """Parser callback: check the head of the request."""
         self.phase = Phase.BODY
         if len(self.target) + self.header_bytes > MAX_HEAD_BYTES:
             self._refuse(431)
         self.progress_bytes = 0
         version = self.parser.get_http_version()
         if version not in VERSIONS:
-            self._refuse(505)  # RFC 9110, 15.6.6; HTTP/0.9 too, which the parser reads
+            self._refuse(505)  # RFC 9110, 15.6.6; also for HTTP/0.9, which the parser accepts
         fields = dict(self.headers)
         if not is_well_framed(self.headers, fields, version):
             self._refuse(400)
         if version == "1.0":
-            self.close_after_response = True  # RFC 9112, 9.3: no proxy keeps a connection of HTTP/1.0
+            # RFC 9112, 9.3: a proxy must not keep an HTTP/1.0 connection open.
+            self.close_after_response = True
         if absolute := absolute_form(self.target):
-            self._take_authority(*absolute)
+            self._apply_authority(*absolute)
             fields[b"host"] = absolute[0]
-        self._take_length(fields.get(b"content-length", b"0"))
+        self._check_length(fields.get(b"content-length", b"0"))
         if not self.parser.should_keep_alive():
             self.close_after_response = True
-        self._take_head(fields, version)
+        self._validate_head(fields, version)
         if version == "1.1" and fields.get(b"expect", b"").lower() == b"100-continue" and not self.request:
-            self._continue()
+            self._send_continue()
 
-    def _take_authority(self, authority: bytes, target: bytes) -> None:
-        """RFC 9112, 3.2.2: what the target names counts, whatever the Host field names."""
+    def _apply_authority(self, authority: bytes, target: bytes) -> None:
+        """Replace the Host field by the authority of an absolute target (RFC 9112, 3.2.2)."""
         if not authority or not is_host(authority):
             self._refuse(400)
         self.target = target
         self.headers = [(name, value) for name, value in self.headers if name != b"host"]
         self.headers.append((b"host", authority))
 
-    def _take_length(self, length: bytes) -> None:
+    def _check_length(self, length: bytes) -> None:
         if not length.isdigit():
             self._refuse(400)
         if len(length) > MAX_NUMBER_DIGITS or int(length) > MAX_BODY_BYTES:
             self._refuse(413)
         self.declared_length = int(length)
 
-    def _take_head(self, fields: Fields, version: str) -> None:
+    def _validate_head(self, fields: Fields, version: str) -> None:
         listener = self.listener
-        found = read_request_head(
+        result = read_request_head(
             listener.dispatcher,
             listener.is_ready,
             self.parser.get_method(),
@@ -205,16 +213,19 @@
             fields,
             version,
         )
-        if isinstance(found, RequestHead):
-            found.is_http10 = version == "1.0"
-            self.head = found
+        if isinstance(result, RequestHead):
+            result.is_http10 = version == "1.0"
+            self.head = result
             return
-        self.error_status = found
-        if 400 <= found < 500:
-            self._refuse(found)  # the body need not come
+        self.error_status = result
+        if 400 <= result < 500:
+            self._refuse(result)  # the body is not needed
 
-    def _continue(self) -> None:
-        """RFC 9110, 10.1.1: the client waits with its body; HTTP/1.0 has no interim responses."""
+    def _send_continue(self) -> None:
+        """Let the client send its body, for which it waits (RFC 9110, 10.1.1), or refuse the request.
+
+        HTTP/1.0 has no interim responses.
+        """
         if self.error_status or not self.admitted:
             self._refuse(self.error_status or 503, self.error_reason or RefusalReason.TOO_MANY_CONNECTIONS)
         self.transport.write(CONTINUE)
@@ -222,7 +233,7 @@
     def on_body(self, data: bytes) -> None:
         """Parser callback: buffer more of the body, or forward it."""
         if self.phase is Phase.CLOSING:
-            raise UnreadableMessageError  # its response was sent while it came
+            raise UnreadableMessageError  # the response was sent while the body was being received
         self.body_bytes += len(data)
         self.progress_bytes = 0
         if self.body_bytes > MAX_BODY_BYTES:
@@ -235,24 +246,24 @@
             self.upload.feed(data)
             return
         self._buffer_body(data)
-        # a body that found no memory has lost its first bytes, so its rest must not be forwarded
+        # If there was no memory for the body, its first bytes are lost and the rest must not be forwarded.
         if not self.error_status and (
             self.body_bytes > MAX_BUFFERED_REQUEST_BYTES or self.declared_length > MAX_BUFFERED_REQUEST_BYTES
         ):
             self._start_upload()
 
     def _extend_due_time(self) -> None:
-        """A large body may take as long as it comes on at the minimum rate."""
+        """Extend the deadline of a large body while it arrives at the minimum rate."""
         now = time.monotonic()
         first_due_at = self.started_at + REQUEST_TIMEOUT_S
         at_minimum_rate = first_due_at + self.body_bytes / MIN_BODY_BYTES_PER_S
         self.due_at = max(first_due_at, min(now + MAX_BODY_PAUSE_S, at_minimum_rate))
 
     def _buffer_body(self, data: bytes) -> None:
-        share = 1.0 if self.body_bytes <= SMALL_BODY_BYTES else LARGE_BODY_SHARE
-        if not self.admitted or not self.listener.dispatcher.budget.reserve(len(data), share):
-            self._drop_body()
-            # nothing of it ran; the client reads so once its body is out
+        budget_ratio = 1.0 if self.body_bytes <= SMALL_BODY_BYTES else LARGE_BODY_BUDGET_RATIO
+        if not self.admitted or not self.listener.dispatcher.budget.reserve(len(data), budget_ratio):
+            self._release_body()
+            # No part of the request was sent to a backend.  The response is sent once the whole body is read.
             self.error_status, self.error_reason = 503, RefusalReason.NO_MEMORY
         elif not self.body:
             self.body = data
@@ -261,18 +272,18 @@
                 self.body = bytearray(self.body)
             self.body += data
 
-    def _drop_body(self) -> None:
+    def _release_body(self) -> None:
         self.listener.dispatcher.budget.release(len(self.body))
         self.body = b""
 
     def _start_upload(self) -> None:
-        """A body too long to be buffered goes on to a backend while it comes."""
+        """Forward a body that is too long to be buffered to a backend while it is received."""
         dispatcher, head = self.listener.dispatcher, self.head
         duplicate = head is not None and head.request_id and head.request_id in dispatcher.request_ids
         busy = bool(self.request or self.pipelined)
         admitting = self.listener.is_admitting()
         if busy or head is None or duplicate or not admitting:
-            self._drop_body()
+            self._release_body()
             self.error_status = 400 if admitting and not busy else 503
             self.error_reason = RefusalReason.NO_MEMORY if busy else RefusalReason.DUPLICATE_ID
             if not admitting:
@@ -291,7 +302,7 @@
         self.request = request
 
     def set_reading_paused(self, paused: bool) -> None:
-        """Nobody takes what we read of a long body, or somebody does again."""
+        """Pause reading while the backend does not take more of a forwarded body, or resume it."""
         if paused == self.reading_paused or self.phase is not Phase.BODY or self.transport.is_closing():
             return
         self.reading_paused = paused
@@ -303,7 +314,7 @@
             self.transport.resume_reading()
 
     def on_message_complete(self) -> None:
-        """Parser callback: hand the request on, or keep it until the one before it has its response."""
+        """Parser callback: dispatch the request, or queue it until the previous one has its response."""
         if self.phase is Phase.CLOSING:
             raise UnreadableMessageError
         self.phase, self.progress_bytes, self.due_at, self.started_at = Phase.IDLE, 0, math.inf, math.inf
@@ -319,14 +330,16 @@
             if not self.listener.is_closing_connections():
                 self._serve(read)
                 return
-            # its response ends the connection: what was read with it is read to its end first, and answered
+            # The next response closes the connection, so the requests that were received together are all
+            # parsed first, and each gets a response.
             self.listener.loop.call_soon(self._serve_pipelined)
         kept = MAX_PIPELINED if self.request else MAX_PIPELINED + 1
-        if len(self.pipelined) >= kept:  # answered in its turn, but not kept until then
+        if len(self.pipelined) >= kept:  # refused in its turn, and its body is not kept until then
             self.listener.dispatcher.budget.release(len(read.body))
             read = TOO_MANY_PIPELINED
         self.pipelined.append(read)
-        self.transport.pause_reading()  # one at a time; so it can't be seen leaving until then
+        # One request is served at a time.  The event loop reports no disconnect until reading resumes.
+        self.transport.pause_reading()
 
     def _finish_upload(self, upload: RequestBodyStream) -> None:
         self.upload, self.head = None, None
@@ -341,7 +354,7 @@
             status, self.close_after_response = status or 503, True
             reason = reason or RefusalReason.TOO_MANY_CONNECTIONS
         if head and not status and head.request_id and head.request_id in dispatcher.request_ids:
-            # the id of an open request is what tells its response and its effect from others'
+            # The id of a request in flight identifies its response and its effect, so it must be unique.
             status, reason = 400, RefusalReason.DUPLICATE_ID
         if head and not status and not self.listener.is_admitting():
             status, reason = 503, RefusalReason.DRAINING
@@ -349,12 +362,12 @@
             dispatcher.budget.release(len(body))
             if reason:
                 self._record_refusal(status or 400, reason, head)
-            # a client that can't send a valid request need not send another one here
+            # After an invalid request, no further one of this client is served on the connection.
             invalid = 400 <= status < 500 and status != TOO_MANY_PIPELINED.error_status
             self.close_after_response = self.close_after_response or invalid
             self.respond(status or 400, DATE_LINE.now())
             return
-        # a body of the framing that backends get: always its length
+        # Buffered bodies are sent to backends with Content-Length, never in chunks.
         if body or head.is_write:
             head.data += b"content-length: %d\r\n" % len(body)
         self.is_http10 = head.is_http10
@@ -366,13 +379,16 @@
         record(EventKind.REQUEST_REFUSED, request_id, status=status, reason=reason, connection=self.number)
 
     def _reject(self, status: int, reason: RefusalReason) -> None:
-        """Reject what can't be served.  Responses owed for what came before it are sent first, and alone."""
+        """Reject the request being read and close the connection.
+
+        If responses to previous requests are still due, they are sent and this request gets none.
+        """
         self._record_refusal(status, reason, self.head)
-        self._drop_body()
+        self._release_body()
         self.target, self.headers, self.head = b"", [], None
         self.listener.idle.pop(self, None)
         self.phase, self.close_after_response, self.due_at = Phase.CLOSING, True, math.inf
-        if self.upload:  # it can't be finished, so what was sent of it never runs
+        if self.upload:  # the request can't be completed, so the backend never executes it
             self.upload, request, self.request = None, self.request, None
             if request:
                 self.listener.dispatcher.client_disconnected(request)
@@ -381,19 +397,20 @@
             self._linger()
 
     def reject_incomplete(self) -> None:
-        """No request that is complete from now on is served, so what is not complete need not come."""
+        """Reject a request that is still being received, because it would be complete too late."""
         if self.upload or self.phase in (Phase.HEAD, Phase.BODY):
             self._reject(503, RefusalReason.DRAINING)
 
     def on_overdue(self) -> None:
-        """The connection's next step was not made in time."""
+        """Close the connection, or reject its request, because its next step was not made in time."""
         if self.upload:
             self._reject(408, RefusalReason.TIMED_OUT)
         elif self.request or self.pipelined:
             if self.writing_paused:
                 self.abort(CloseReason.WRITE_TIMED_OUT)
             else:
-                self._reject(408, RefusalReason.TIMED_OUT)  # of the next one only a part came
+                # Only a part of the request after those in flight has been received.
+                self._reject(408, RefusalReason.TIMED_OUT)
         elif self.phase in (Phase.HEAD, Phase.BODY):
             self._reject(408, RefusalReason.TIMED_OUT)
         elif self.phase is Phase.IDLE and not self.transport.get_write_buffer_size():
@@ -402,13 +419,13 @@
             self.abort(CloseReason.LINGER_ENDED)
 
     def eof_received(self) -> bool:
-        """The client has ended its sending, and counts as gone."""
+        """Close the connection: a client that has shut down its sending side counts as disconnected."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Release the connection's memory, and report its request's client as gone."""
-        self.listener.forget(self)
-        self._drop_body()
+        """Release the connection's memory, and report the disconnect of its request's client."""
+        self.listener.remove(self)
+        self._release_body()
         for read in self.pipelined:
             self.listener.dispatcher.budget.release(len(read.body))
         self.pipelined.clear()
@@ -422,4 +439,4 @@
                     attempts=len(request.attempts),
                 )
             self.listener.dispatcher.client_disconnected(request)
-        del self.parser  # it refers back to us, and the collector would come late
+        del self.parser  # breaks a reference cycle, which the garbage collector would free late
--- a/heronreel/proxy/client_interface.py
+++ b/heronreel/proxy/client_interface.py
@@ -1,7 +1,4 @@
-"""What a client connection and its listener share: limits and times, phases, and calls.
-
-Times are in seconds.
-"""
+"""Limits, timeouts and types that client connections and their listener share."""
 
 from __future__ import annotations
 
@@ -13,64 +10,72 @@
 from heronreel.proxy.event_log import RefusalReason
 from heronreel.proxy.request import RequestHead
 
-MAX_HEADER_FIELDS = 100  # of a request
-MAX_FRAMING_BYTES = 256 << 10  # of trailers and chunk extensions
-SMALL_BODY_BYTES, LARGE_BODY_SHARE = 16 << 10, 0.85  # larger bodies leave part of the budget to small ones
+MAX_HEADER_FIELDS = 100  # in one request
+MAX_FRAMING_BYTES = 256 << 10  # of trailers and chunk extensions in one request
+SMALL_BODY_BYTES = 16 << 10
+# Larger bodies may only use this part of the memory budget; the rest is left for small ones.
+LARGE_BODY_BUDGET_RATIO = 0.85
 MAX_PIPELINED = 8  # requests that a client may send ahead of its responses
-MIN_BODY_BYTES_PER_S = 48e3  # that a large body comes on with
-MAX_BODY_PAUSE_S = 1.5  # between its pieces; 64 kB a second may come in large pieces
-MAX_UPLOAD_PAUSE_S = 10.0  # that a client waits for a backend to take more of its body
-REQUEST_TIMEOUT_S = 2.6  # from the connection, or a later request's first byte, to its last; slow: up to 2 s
+MIN_BODY_BYTES_PER_S = 48e3  # lowest rate at which a client may send a large body
+# Longest pause between pieces of a large body; at 64 kB a second they may arrive in large pieces.
+MAX_BODY_PAUSE_S = 1.5
+MAX_UPLOAD_PAUSE_S = 10.0  # longest time for which a backend may take nothing more of a forwarded body
+# From the accept of the connection, or from the first byte of a later request, to the request's last byte.
+# Slow clients take up to 2 s.
+REQUEST_TIMEOUT_S = 2.6
 IDLE_TIMEOUT_S = 15.0  # between requests, while few connections are open
-WRITE_TIMEOUT_S = 5.0  # a client that takes no byte of its response for so long has gone
-LINGER_S, MAX_LINGER_BYTES = 1.0, 256 << 10  # reading goes on after a last response, lest a reset overtake it
+WRITE_TIMEOUT_S = 5.0  # a client that reads nothing of its response for this long is disconnected
+# After the last response, input is read and dropped for this long and up to this size: unread input would
+# reset the connection, and the reset could destroy the response.
+LINGER_S = 1.0
+MAX_LINGER_BYTES = 256 << 10
 
 Connection = TypeVar("Connection")
 
 
 class Phase(Enum):
-    """What the connection reads next."""
+    """What a client's connection reads next."""
 
-    IDLE = 0  # nothing: it is between requests
+    IDLE = 0  # between requests
     HEAD = 1
     BODY = 2
-    CLOSING = 3  # the last response is written or owed; input is read and dropped
+    CLOSING = 3  # the last response is written or still due; further input is read and dropped
 
 
 class ReadRequest(NamedTuple):
-    """A request whose last byte was read.
+    """A request that was read completely.
 
-    `error_status`, unless 0, is the status of its response, which needs no backend.
+    If `error_status` is not 0, the proxy responds with that status and sends the request to no backend.
     """
 
     head: RequestHead | None
     error_status: int
     body: bytes | bytearray
-    reason: RefusalReason | None = None  # of an error
+    reason: RefusalReason | None = None  # why the request is refused, if it is
 
 
 TOO_MANY_PIPELINED = ReadRequest(None, 429, b"", RefusalReason.TOO_MANY_PIPELINED)
 
 
 class ConnectionRegistry(Protocol[Connection]):
-    """What a connection needs of its listener."""
+    """The part of the listener that a connection uses."""
 
     loop: asyncio.AbstractEventLoop
     dispatcher: Dispatcher
-    silent: dict[Connection, None]
-    idle: dict[Connection, None]
+    silent: dict[Connection, None]  # connections that have not sent a byte
+    idle: dict[Connection, None]  # connections between requests
 
     def admit(self, connection: Connection) -> bool:
-        """Count a new connection; False: it is only there to be rejected."""
+        """Register a new connection; False means that its requests get an error response."""
 
-    def forget(self, connection: Connection) -> None:
-        """A connection is closed."""
+    def remove(self, connection: Connection) -> None:
+        """Remove a closed connection."""
 
     def is_ready(self) -> bool:
-        """Whether requests are served and more clients may come."""
+        """Return whether requests are served and more clients may connect."""
 
     def is_closing_connections(self) -> bool:
-        """Whether each connection ends behind its next response, for a while or for good."""
+        """Return whether each connection is closed after its next response, while quiesced or draining."""
 
     def is_admitting(self) -> bool:
-        """Whether a request whose last byte is read now may still be sent to a backend."""
+        """Return whether a request whose last byte is read now may still be sent to a backend."""
--- a/heronreel/proxy/client_writer.py
+++ b/heronreel/proxy/client_writer.py
@@ -1,7 +1,8 @@
-"""The writing side of a client's connection: responses in the order of their requests, and how it ends.
+"""The writing side of a client's connection: responses in the order of their requests, and the close.
 
-Whatever ends a connection between requests ends our side first and reads on for a while: a request that
-crosses the end is read and dropped, and never resets what was written before it.
+To close a connection between requests, the proxy first shuts down its sending side and reads on for a while.
+A request that crosses the close is read and dropped; left unread, it would reset the connection and could
+destroy the response that was written before.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 
 class ClientWriter(asyncio.Protocol):
-    """Responds to a client; `ClientConnection` adds the reading side."""
+    """Sends responses to a client; `ClientConnection` adds the reading side."""
 
     __slots__ = (
         "chunked", "close_after_response", "due_at", "is_http10", "listener", "number", "phase", "pipelined",
@@ -40,31 +41,31 @@
 
     def __init__(self, listener: ConnectionRegistry[Any]) -> None:
         self.listener = listener
-        self.number = 0  # in the log
+        self.number = 0  # identifies the connection in the log
         self.transport: asyncio.Transport
         self.phase = Phase.IDLE
-        # bytes of the head, or since the body last came on; after the last response, of anything
+        # Bytes received of the current head, since the last piece of a body, or while closing.
         self.progress_bytes = 0
         self.request: Request | None = None
         self.pipelined: deque[ReadRequest] = deque()
-        self.upload: RequestBodyStream | None = None  # the body being read, where it is forwarded as it comes
-        self.reading_paused = False  # nobody takes what we read of a long body
-        self.response_source: BackendConnection | None = None  # of the response being forwarded
-        self.chunked = False  # that response is sent in chunks
-        self.is_http10 = False  # the request whose response is due is of HTTP/1.0
-        self.close_after_response = False  # no request after this one
+        self.upload: RequestBodyStream | None = None  # a body that is forwarded while it is received
+        self.reading_paused = False  # the backend does not yet take more of the forwarded body
+        self.response_source: BackendConnection | None = None  # sends the response being forwarded
+        self.chunked = False  # whether the forwarded response is sent in chunks
+        self.is_http10 = False  # whether the request being answered is an HTTP/1.0 request
+        self.close_after_response = False  # no further request is served on this connection
         self.writing_paused = False
-        self.due_at = time.monotonic() + REQUEST_TIMEOUT_S  # of the connection's next step
+        self.due_at = time.monotonic() + REQUEST_TIMEOUT_S  # deadline of the connection's next step
 
     def _serve(self, read: ReadRequest) -> None:
-        """Have a request served, or respond to it at once."""
+        """Dispatch a request, or respond to it at once."""
         raise NotImplementedError
 
-    # Responding.
+    # Responses.
 
     def _serve_pipelined(self) -> None:
         if self.writing_paused:
-            return  # until the client has taken the responses before it
+            return  # the client has not yet read the previous responses
         if self.pipelined and self.request is None and not self.transport.is_closing():
             read = self.pipelined.popleft()
             if not self.pipelined and self.phase is not Phase.CLOSING and not self.writing_paused:
@@ -72,14 +73,14 @@
             self._serve(read)
 
     def respond(self, status: int, header_lines: bytes, body: bytes = b"") -> None:
-        """Send the whole response."""
+        """Send a complete response."""
         self.close_after_response = self.close_after_response or self.listener.is_closing_connections()
-        if self.upload:  # its body still comes, and nobody wants the rest
+        if self.upload:  # the rest of the request body, still being received, is not needed
             self.upload, self.close_after_response = None, True
             self.phase = Phase.CLOSING
             if self.reading_paused:
                 self.reading_paused = False
-                self.transport.resume_reading()  # to be dropped
+                self.transport.resume_reading()  # the input is dropped
         close = self.close_after_response and not self.pipelined
         self.transport.write(response_head(status, header_lines, len(body), close) + body)
         self._on_responded()
@@ -97,7 +98,16 @@
     def begin_stream(
         self, connection: BackendConnection, start: Response, length: int | None
     ) -> ResponseBodySink | None:
-        """Take a long response as it comes; `length` None: unknown."""
+        """Begin to forward a long response while it is received.
+
+        Args:
+            connection: The backend's connection that receives the response.
+            start: The response's head and the body received so far.
+            length: The length of the body, or None if it is unknown.
+
+        Returns:
+            The sink for the rest of the body, or None if the response can't be forwarded.
+        """
         if self.transport.is_closing() or self.upload:
             return None
         self.chunked = length is None and not self.is_http10
@@ -112,31 +122,34 @@
         return self
 
     def write_body(self, data: bytes) -> None:
-        """Send more of a long response."""
+        """Send more of a forwarded response."""
         if data:
             self.transport.write(encode_chunk(data) if self.chunked else data)
 
     def finish_stream(self) -> None:
-        """The last byte of a long response was sent."""
+        """End a forwarded response after its last byte."""
         self.response_source = None
         if self.chunked:
             self.transport.write(LAST_CHUNK)
         self._on_responded()
 
     def abort_stream(self) -> None:
-        """A long response can't be finished: an end without its last byte shows it."""
+        """Close the connection, which shows the client that the forwarded response is incomplete."""
         self.response_source = None
         self.abort(CloseReason.RESPONSE_TRUNCATED)
 
     def has_disconnected(self) -> bool:
-        """Whether the client is gone: one that ends its sending is, whether the connection is read or not."""
+        """Return whether the client has disconnected, even if reading is paused, and abort its connection.
+
+        A client that has shut down its sending side counts as disconnected.
+        """
         if not peer_has_closed(self.transport):
             return False
         self.transport.abort()
         return True
 
     def pause_writing(self) -> None:
-        """The client reads too slowly: nothing more is read from it until it has caught up."""
+        """Stop reading from the client until it has read what was written to it."""
         self.writing_paused = True
         self.due_at = time.monotonic() + WRITE_TIMEOUT_S
         self.transport.pause_reading()
@@ -144,7 +157,7 @@
             self.response_source.set_reading_paused(True)
 
     def resume_writing(self) -> None:
-        """The client has caught up."""
+        """Go on after the client has read enough of what was written to it."""
         self.writing_paused = False
         self.due_at = math.inf if self.request else time.monotonic() + LINGER_S
         if not self.pipelined and not self.reading_paused:
@@ -153,27 +166,28 @@
             self.response_source.set_reading_paused(False)
         self._serve_pipelined()
 
-    # Ending.
+    # Closing.
 
     def _linger(self) -> None:
-        """End our side, and read on for a while, lest a reset overtake the response."""
+        """Shut down the sending side and read on for a while, so that no reset destroys the response."""
         self.listener.idle.pop(self, None)
         self.phase, self.progress_bytes = Phase.CLOSING, 0
         self.due_at = time.monotonic() + LINGER_S
-        self.transport.resume_reading()  # what lies unread when the connection closes would reset it
+        self.transport.resume_reading()  # input left unread at the close would reset the connection
         if self.transport.can_write_eof() and not self.transport.is_closing():
             self.transport.write_eof()
 
     def close_between_requests(self, reason: CloseReason) -> None:
-        """Close it unless a response is owed; the connection ends behind that one."""
+        """Close the connection unless a response is due, after which it is closed anyway."""
         if self.phase is Phase.IDLE and self.request is None and not self.pipelined:
             self.close(reason)
 
     def close(self, reason: CloseReason) -> None:
-        """Close a connection between requests, unless something has just come, which is read first.
+        """Close a connection between requests, unless it has unread input, which is read first.
 
-        Only our side ends: a request that crosses this is read and dropped, and its client sends it again.  A
-        connection closed over it would be reset, under the response before it too.
+        Only the sending side is shut down: a request that crosses the close is read and dropped, and its
+        client sends it again.  A full close would reset the connection, possibly before the client has read
+        the previous response.
         """
         if self.phase is Phase.CLOSING or has_unread_input(self.transport):
             return
@@ -183,13 +197,17 @@
         self._linger()
 
     def abort(self, reason: CloseReason) -> None:
-        """Close at once; the descriptor is as good as free."""
+        """Close the connection at once, and count its descriptor as free."""
         self._record_close(reason)
-        self.listener.forget(self)
+        self.listener.remove(self)
         self.transport.abort()
 
     def _record_close(self, reason: CloseReason) -> None:
-        owed = self.request.request_id if self.request else b""
+        request_id = self.request.request_id if self.request else b""
         record(
-            EventKind.CONNECTION_CLOSED, owed, reason=reason, connection=self.number, phase=self.phase.name
+            EventKind.CONNECTION_CLOSED,
+            request_id,
+            reason=reason,
+            connection=self.number,
+            phase=self.phase.name,
         )
--- a/heronreel/proxy/config.py
+++ b/heronreel/proxy/config.py
@@ -1,8 +1,8 @@
-"""The configuration read at start and at each reload: environment variables and one JSON file, checked.
+"""The configuration, read and checked at start and at each reload from the environment and a JSON file.
 
-`LB_NAME` and `LB_LISTEN` name the proxy and its address; the file that `LB_CONFIG` names holds `seed`,
-`limits`, `known`, `settings` and `discovery`, which `LB_DISCOVERY` stands in for.  Anything missing or
-malformed is a `ConfigError` whose one line names the field.
+`LB_NAME` and `LB_LISTEN` are the proxy's name and address.  `LB_CONFIG` is the path of a file with `seed`,
+`limits`, `known`, `settings` and `discovery`; `LB_DISCOVERY` is used if the file has no `discovery`.
+Anything missing or malformed raises a `ConfigError` whose one-line message names the field.
 """
 
 from __future__ import annotations
@@ -21,12 +21,16 @@
 from heronreel.proxy.errors import ConfigError, MalformedEndpointListError
 
 MB = 1 << 20
-BASE_MB = 28  # of memory for the interpreter, the code and the connections' own state
-BODY_SHARE = 0.4  # of the rest for bodies and buffered responses; parsing and garbage take their part too
-MIN_BODY_MB = 1.0  # under which too few requests could be buffered to be of use
-OWN_DESCRIPTORS = 32  # standard streams, event loop, listener, discovery, and some to spare
-BACKEND_SHARE = 0.45  # of the other descriptors; so no crowd of clients can take what backends need
-REJECTED_SHARE = 0.1  # beyond what clients may have, only to reject the newest with a response
+BASE_MB = 28  # memory of the interpreter, the code and the connections' own state
+# Part of the remaining memory for bodies and buffered responses; parsing and garbage need some of the rest.
+BODY_MEMORY_RATIO = 0.4
+MIN_BODY_MB = 1.0  # with less memory, too few requests could be buffered
+# For standard streams, event loop, listener, discovery, admin API, and a few to spare.
+RESERVED_DESCRIPTORS = 32
+# Part of the other descriptors that is reserved for backends, so that clients can't use up all of them.
+BACKEND_DESCRIPTOR_RATIO = 0.45
+# Part of them for connections beyond the clients' limit, which are only accepted to get an error response.
+REJECTED_DESCRIPTOR_RATIO = 0.1
 DEFAULT_BACKEND_IDLE_MS = 15_000.0
 DEFAULT_DRAIN_GRACE_MS = 1000.0
 
@@ -34,37 +38,38 @@
 class ResourceShares(NamedTuple):
     """How a process divides its memory and descriptors."""
 
-    body_bytes: int  # of bodies and buffered responses together
+    body_bytes: int  # for request bodies and buffered responses together
     client_sockets: int
-    rejected_sockets: int  # of clients beyond them that get a 503
+    rejected_sockets: int  # for clients beyond `client_sockets`, which get a 503
     backend_sockets: int
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """A checked configuration."""
+    """A checked configuration of the proxy."""
 
     name: str
     listen: tuple[str, int]
-    discovery: tuple[str, int] | None  # None: `endpoints` is all there is
+    discovery: tuple[str, int] | None  # None: only `endpoints` are used
     seed: int
     settings: Settings
-    endpoints: EndpointList  # known at start
-    backend_idle_ms: float  # a backend closes a connection that was idle for so long
-    drain_grace_ms: float  # nothing new may be written to it so long after its draining was reported
-    body_bytes: int  # as in `ResourceShares`, and so are the next three
+    endpoints: EndpointList  # used until discovery has sent a list
+    backend_idle_ms: float  # backends close connections that have been idle for this long
+    drain_grace_ms: float  # requests may be sent to a backend for this long after it was reported draining
+    # These four are described at `ResourceShares`.
+    body_bytes: int
     client_sockets: int
     rejected_sockets: int
     backend_sockets: int
-    endpoints_from_file: bool = False  # a reload takes `endpoints` as the file's whole list
-    admin_address: tuple[str, int] | None = None  # of the admin API; None: nowhere
-    sockets: int = 0  # of all processes of this proxy together
-    # responses other than 200 count as served, unless they are the server's failures
+    endpoints_from_file: bool = False  # a reload replaces the endpoint list with `endpoints`
+    admin_address: tuple[str, int] | None = None  # None: there is no admin API
+    sockets: int = 0  # limit on descriptors for all processes of this proxy together
+    # Responses other than 200 count as served too, unless they are server errors.
     any_status: bool = False
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read the configuration that the environment names.
+    """Read the configuration that the environment describes.
 
     Raises:
         ConfigError: A variable or a field is missing or malformed, or the file can't be read.
@@ -82,7 +87,7 @@
 def _config_of(
     environ: Mapping[str, str], name: str, listen: tuple[str, int], document: dict[str, Any]
 ) -> Config:
-    # the file is what a reload replaces, so where it names discovery the variable may be old
+    # A reload can only change the file, so its address of discovery takes precedence over the variable.
     discovery_text = document.get("discovery", environ.get("LB_DISCOVERY"))
     discovery = _host_port("discovery" if "discovery" in document else "LB_DISCOVERY", discovery_text)
     admin_text = document.get("mgmt", environ.get("LB_MGMT") or None)
@@ -113,9 +118,12 @@
 
 
 def with_descriptors_in_use(config: Config, in_use: int) -> Config:
-    """The same where other processes of this proxy use that many descriptors: the limit is for all."""
-    left = max(2 * OWN_DESCRIPTORS, config.sockets - in_use)
-    shares = resource_shares(0.0, left)
+    """Return the configuration without the descriptors that the proxy's other processes use.
+
+    The limit on descriptors is for all processes of one proxy together.
+    """
+    available = max(2 * RESERVED_DESCRIPTORS, config.sockets - in_use)
+    shares = resource_shares(0.0, available)
     return replace(
         config,
         client_sockets=shares.client_sockets,
@@ -126,9 +134,9 @@
 
 def resource_shares(memory_mb: float, sockets: int) -> ResourceShares:
     """Divide memory and descriptors between bodies, clients and backends."""
-    shared = sockets - OWN_DESCRIPTORS
-    backend, rejected = int(shared * BACKEND_SHARE), int(shared * REJECTED_SHARE)
-    body = int(max(MIN_BODY_MB, (memory_mb - BASE_MB) * BODY_SHARE) * MB)
+    shared = sockets - RESERVED_DESCRIPTORS
+    backend, rejected = int(shared * BACKEND_DESCRIPTOR_RATIO), int(shared * REJECTED_DESCRIPTOR_RATIO)
+    body = int(max(MIN_BODY_MB, (memory_mb - BASE_MB) * BODY_MEMORY_RATIO) * MB)
     return ResourceShares(body, shared - backend - rejected, rejected, backend)
 
 
@@ -145,20 +153,20 @@
 
 
 def _limits(document: dict[str, Any]) -> tuple[float, int]:
-    """Megabytes of memory, and descriptors as far as the kernel allows them."""
+    """Return the memory in MB, and the limit on descriptors, which the kernel's limit may reduce."""
     limits = _object(document, "limits")
     memory_mb = _positive(limits, "limits.memory_mb")
     sockets = int(_positive(limits, "limits.sockets"))
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != resource.RLIM_INFINITY:
         sockets = min(sockets, soft)
-    if sockets < 2 * OWN_DESCRIPTORS:
-        raise ConfigError(f"limits.sockets: at least {2 * OWN_DESCRIPTORS} are needed, not {sockets}")
+    if sockets < 2 * RESERVED_DESCRIPTORS:
+        raise ConfigError(f"limits.sockets: at least {2 * RESERVED_DESCRIPTORS} are needed, not {sockets}")
     return memory_mb, sockets
 
 
 def _settings(document: dict[str, Any]) -> tuple[Settings, float, float]:
-    """The balancer's settings, and backends' idle time-out and drain grace in ms."""
+    """Return the balancer's settings, and the backends' idle timeout and drain grace period in ms."""
     fields = Fields(0, dict(_flatten("", _object(document, "settings"))))
     try:
         settings = settings_of(fields)
@@ -182,7 +190,7 @@
 
 def _host_port(name: str, text: object) -> tuple[str, int]:
     if not isinstance(text, str):
-        raise ConfigError(f"{name}: missing or no text")
+        raise ConfigError(f"{name}: missing or not a string")
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not 0 <= int(port) < 65536:
         raise ConfigError(f"{name}: not HOST:PORT: {text[:80]!r}")
@@ -199,8 +207,8 @@
 def _positive(limits: dict[str, Any], path: str) -> float:
     value = limits.get(path.rpartition(".")[2])
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < 1e9:
-        what = "missing" if value is None else f"not a positive number: {value!r:.40}"
-        raise ConfigError(f"{path}: {what}")
+        problem = "missing" if value is None else f"not a positive number: {value!r:.40}"
+        raise ConfigError(f"{path}: {problem}")
     return value
 
 
@@ -212,14 +220,14 @@
 
 
 def _flatten(path: str, value: object) -> Iterator[tuple[str, str]]:
-    """The settings' JSON as the path=value pairs that the simulator's wire carries."""
+    """Yield the settings' JSON as path and value, the form that the simulator's wire protocol carries."""
     if isinstance(value, dict):
         for name, part in value.items():
             yield from _flatten(f"{path}.{name}" if path else name, part)
     elif isinstance(value, list) and any(isinstance(part, dict) for part in value):
         yield f"{path}.count", str(len(value))
-        for place, part in enumerate(value):
-            yield from _flatten(f"{path}.{place}", part)
+        for index, part in enumerate(value):
+            yield from _flatten(f"{path}.{index}", part)
     elif isinstance(value, list):
         yield path, ",".join(str(part) for part in value)
         if not value:
--- a/heronreel/proxy/event_log.py
+++ b/heronreel/proxy/event_log.py
@@ -30,9 +30,9 @@
     CLIENT_DISCONNECTED = "client left"
     # Bytes arrived after the proxy had ended its side of the connection.
     INPUT_DROPPED = "input dropped"
-    # The proxy responded with an error status without an attempt.
+    # The proxy rejected a request with an error status.
     REQUEST_REFUSED = "request refused"
-    # The proxy responded with an error status after attempts.
+    # The proxy responded with an error status because no attempt succeeded in time.
     REQUEST_FAILED = "request failed"
     # An attempt ended without a usable response.
     ATTEMPT_ENDED = "attempt ended"
--- a/heronreel/proxy/request_validation.py
+++ b/heronreel/proxy/request_validation.py
@@ -1,7 +1,7 @@
-"""Validation of request heads: what no backend could use is rejected here.
+"""Validation of request heads, which rejects requests that no backend could serve.
 
-That costs backends nothing, nor their health.  A rejection is the status of the response that the client
-gets.
+A request rejected here costs the backends nothing and does not affect their health.  A rejection is the
+status of the response to the client.
 """
 
 from __future__ import annotations
@@ -17,30 +17,32 @@
 METHODS = frozenset((b"GET", b"POST", b"PUT", b"PATCH", b"DELETE", b"OPTIONS"))
 WRITE_METHODS = (b"POST", b"PUT", b"PATCH")
 HEALTH_PATH = b"/_health"
-REPLACED_FIELDS = frozenset((b"x-deadline-ms",))  # a backend gets a value of our own
+REPLACED_FIELDS = frozenset((b"x-deadline-ms",))  # the proxy sends its own value to backends
 VERSIONS = ("1.1", "1.0")
 VIA = {version: b"via: %b heronreel\r\n" % version.encode() for version in VERSIONS}  # RFC 9110, 7.6.3
-SINGLETON_FIELDS = frozenset((  # heads that name two of these could be read in two ways
+# A head that has one of these fields twice is ambiguous.
+SINGLETON_FIELDS = frozenset((
     b"content-length", b"transfer-encoding", b"x-request-id", b"x-class", b"x-tenant", b"x-deadline-ms",
     b"idempotency-key", b"host",
 ))  # fmt: skip
 MAX_NUMBER_DIGITS = 12  # of a length or a deadline
 MAX_HOPS_DIGITS = 9
-MAX_COST_HINT_US = 60e6  # a dearer hint would fill the backends' estimates with one request
+# With a larger hint, a single request would dominate the cost estimates of backends.
+MAX_COST_HINT_US = 60e6
 
-Fields = dict[bytes, bytes]  # the header fields by name in lower case
+Fields = dict[bytes, bytes]  # header fields by their names in lower case
 
 
 def is_well_framed(headers: Headers, fields: Fields, version: str) -> bool:
-    """Whether a head can be read in one way only, and names a host as it must."""
+    """Return whether the head's framing is unambiguous and its Host field is valid."""
     names = [name for name, _ in headers if name in SINGLETON_FIELDS]
-    # request smuggling: a message with two lengths may hide another request in its body
+    # Request smuggling: a message with two lengths may hide another request in its body.
     if len(set(names)) < len(names) or (b"content-length" in fields and b"transfer-encoding" in fields):
         return False
     if fields.get(b"transfer-encoding", b"chunked").lower() != b"chunked":
         return False
     if version == "1.0":
-        # RFC 9112, 6.1: its framing is faulty, so the next request can't be told from this one's body
+        # RFC 9112, 6.1: the framing is faulty, so the end of the body is not known for certain.
         if b"transfer-encoding" in fields:
             return False
     elif b"host" not in fields:
@@ -49,7 +51,7 @@
 
 
 def host_name(fields: Fields) -> bytes:
-    """The Host field's name, without port and brackets."""
+    """Return the host name of the Host field, in lower case and without port and brackets."""
     host = fields.get(b"host", b"").lower()
     if not host.endswith(b"]"):
         host = host.rpartition(b":")[0] if b":" in host else host
@@ -65,9 +67,9 @@
     fields: Fields,
     version: str,
 ) -> RequestHead | int:
-    """The checked head, or the status of a response that needs no backend.
+    """Return the validated head, or the status of a response for which no backend is needed.
 
-    That is a health check's or a rejection's.  `is_ready` decides the health check.
+    Such a response answers a health check, which `is_ready` decides, or rejects the request.
     """
     path = target.partition(b"?")[0]
     if method not in METHODS:
@@ -75,7 +77,8 @@
     if path == HEALTH_PATH:
         return 200 if is_ready() else 503
     if method == b"OPTIONS" and (hops := fields.get(b"max-forwards", b"")).isdigit():
-        if not int(hops[:MAX_HOPS_DIGITS]):  # RFC 9110, 7.6.2: it is for us, the last it may reach
+        # RFC 9110, 7.6.2: with 0 hops left, the proxy is the final recipient.
+        if not int(hops[:MAX_HOPS_DIGITS]):
             return 200
         headers = [
             (name, b"%d" % (int(value[:MAX_HOPS_DIGITS]) - 1) if name == b"max-forwards" else value)
@@ -95,7 +98,7 @@
     fields: Fields,
     version: str,
 ) -> RequestHead | int:
-    """A request of the platform's clients, which send all of its headers."""
+    """Validate a request of the platform's clients, which must send the platform's headers."""
     segments = path.split(b"/")
     class_name = segments[1] if len(segments) > 1 and not segments[0] else b""
     deadline = fields.get(b"x-deadline-ms")
@@ -126,7 +129,7 @@
         fields.get(b"x-retry") == b"1",
         method != b"GET",
     )
-    if dispatcher.router:  # a class without a route keeps the platform's way
+    if dispatcher.router:  # without a matching route, the class's own settings apply
         policy = head.policy = dispatcher.router.find(host_name(fields), path, method, fields)
         if policy:
             maximum_ms = policy.request_class.deadline_ms
@@ -143,7 +146,7 @@
     fields: Fields,
     version: str,
 ) -> RequestHead | int:
-    """A request to a host with routes of its own, which requires nothing of its clients."""
+    """Validate a request that is matched to a route; its client need not send the platform's headers."""
     policy = router.find(host_name(fields), path, method, fields)
     if policy is None:
         return 404
--- a/tests/proxy/test_accepting.py
+++ b/tests/proxy/test_accepting.py
@@ -109,7 +109,7 @@
         assert listener.calls <= MAX_CALLS_PER_S * (time.monotonic() - began_at)
         assert not accepted.is_set()
         # the listener is about to close: what waits is still accepted once the fault is over
-        last = asyncio.create_task(acceptor.accept_the_last(until=math.inf))
+        last = asyncio.create_task(acceptor.accept_pending(until=math.inf))
         await asyncio.sleep(0)
         listener.error = 0
         await last
--- a/tests/proxy/test_reload_crossings.py
+++ b/tests/proxy/test_reload_crossings.py
@@ -104,7 +104,7 @@
 MALFORMED = [
     ("{", "LB_CONFIG: not JSON"),
     ('{"limits": {"memory_mb": 64}}', "limits.sockets: missing"),
-    ('{"discovery": 5}', "discovery: missing or no text"),
+    ('{"discovery": 5}', "discovery: missing or not a string"),
     ('{"settings": {}}', "settings: Categories"),
 ]
 
