--- a/bench/truths.py
+++ b/bench/truths.py
@@ -23,8 +23,8 @@
 from emulator import KINDS
 
 from heronreel.balancer import interface as api
-from heronreel.balancer.endpoints import FALLBACK, Endpoints
-from heronreel.balancer.rates import PERIOD_MS
+from heronreel.balancer.endpoints import FALLBACK_TIER, Endpoints
+from heronreel.balancer.rates import UPDATE_PERIOD_MS
 from heronreel.balancer.slow_start import CREDIT_SHARE, capacity_share
 from heronreel.emulator.model import (
     Fault,
@@ -83,10 +83,10 @@
     strength = max(1.0, len(backends) - sum(1.0 - share for _, share in cold))
     allowed = CREDIT_SHARE * settings.overload_factor * served_work * periods / strength
     for backend, share in cold:
-        if backend.tier != FALLBACK:
+        if backend.tier != FALLBACK_TIER:
             proxies_per_backend = endpoints.proxies_per_backend[backend.tier]
             earned = allowed * share * endpoints.subset.proxies / proxies_per_backend
-            most = earned * settings.overload_window_ms / PERIOD_MS
+            most = earned * settings.overload_window_ms / UPDATE_PERIOD_MS
             backend.credit_ms = min(backend.credit_ms + earned, most)
 
 
@@ -118,7 +118,7 @@
     "cold": Change("cold credit alike for all kinds, then by kind", ("join", "zone"),
                    (("alike", 1),), (), "better"),
     "attempts": Change("any number of attempts in a shortage, then few", ("shortage",),
-                       (("heronreel.balancer.rates.LOW_REJECTION", NONE),), (), "better"),
+                       (("heronreel.balancer.rates.LOW_REJECTION_SHARE", NONE),), (), "better"),
 }  # fmt: skip
 
 
--- a/heronreel/balancer/adapter.py
+++ b/heronreel/balancer/adapter.py
@@ -9,7 +9,7 @@
 from heronreel.balancer.choice import Balancer
 from heronreel.balancer.errors import WireError
 from heronreel.balancer.interface import Event
-from heronreel.balancer.wire import EVENTS, Fields, Rows, fields_of, render, settings_of
+from heronreel.balancer.wire import EVENTS, Fields, Rows, parse_fields, render, settings_from_fields
 
 
 class Adapter:
@@ -27,7 +27,7 @@
                 continue
             if head != "begin_batch":
                 raise WireError(number, f"expected begin_batch, got {head[:40]!r}")
-            yield self._batch(fields_of(number, rest).number("NowMs"), rows)
+            yield self._batch(parse_fields(number, rest).number("NowMs"), rows)
 
     def _batch(self, now: float, rows: Rows) -> str:
         reply: list[str] = []
@@ -36,14 +36,14 @@
             if head == "over_to_you":
                 reply.append("ok\n")
                 return "\n".join(reply)
-            fields = fields_of(number, rest)
+            fields = parse_fields(number, rest)
             reply += self._message(now, head, fields, rows)
         raise WireError(None, "input ended inside a batch")
 
     def _message(self, now: float, head: str, fields: Fields, rows: Rows) -> list[str]:
         who = fields.integer("Who")
         if head == "born":
-            self.hosted[who] = Balancer(settings_of(fields), fields.integer("Nonce64"))
+            self.hosted[who] = Balancer(settings_from_fields(fields), fields.integer("Nonce64"))
             return []
         if who not in self.hosted:
             raise WireError(fields.line, f"Who: no instance {who} was born")
--- a/heronreel/balancer/admission.py
+++ b/heronreel/balancer/admission.py
@@ -33,7 +33,7 @@
         """Find our share of the quotas: an even one, or more where all tenants together send more here."""
         for rate in self.demand.values():
             rate.roll(periods)
-        per_s = {name: rate.mean / (rates.PERIOD_MS / 1000.0) for name, rate in self.demand.items()}
+        per_s = {name: rate.mean / (rates.UPDATE_PERIOD_MS / 1000.0) for name, rate in self.demand.items()}
         # a busier site or restarting peers raise all tenants together; one beyond its quota rises alone
         least = min((per_s.get(name, 0.0) / quota for name, quota in self.quotas.items()), default=0.0)
         self.share = QUOTA_SLACK * max(1.0 / self.proxies, least)
@@ -82,7 +82,7 @@
         self.mean_in_flight += (in_flight - self.mean_in_flight) * IN_FLIGHT_STEP
         rate, step = self.completions.mean, MIN_RESIDENCE_STEP
         if self.completions.correction >= MIN_CORRECTION and rate:
-            residence = self.mean_in_flight * rates.PERIOD_MS / rate
+            residence = self.mean_in_flight * rates.UPDATE_PERIOD_MS / rate
             self.min_residence = min(self.min_residence, residence) * (1.0 - step) + residence * step
             self.queueing_delay = residence - self.min_residence
             # where queues are short, rejections show the overload: one residence for each attempt it takes
--- a/heronreel/balancer/choice.py
+++ b/heronreel/balancer/choice.py
@@ -53,7 +53,7 @@
                 self._attempt_ended(now_ms, event)
             case api.TimerFired():
                 self._timer_fired(now_ms, event.token)
-            case api.ClientGone():
+            case api.RequestClosed():
                 self.requests.pop(event.request, None)
             case api.BackendList():
                 self._list(now_ms, event)
@@ -85,9 +85,9 @@
                 request.backing_off = False
 
     def _update(self, now: float) -> None:
-        self.actions.append(api.SetTimer(UPDATE, rates.PERIOD_MS))
+        self.actions.append(api.SetTimer(UPDATE, rates.UPDATE_PERIOD_MS))
         began, self.updated_at = self.updated_at, now
-        periods = max(1.0, (now - began) / rates.PERIOD_MS)
+        periods = max(1.0, (now - began) / rates.UPDATE_PERIOD_MS)
         self.quotas.update(periods)
         self.rejection_rate.roll()
         self.turns.update(now, periods)
@@ -99,7 +99,7 @@
     def _list(self, now: float, event: api.BackendList) -> None:
         if not self.started:
             self.started, self.updated_at = True, now
-            self.actions.append(api.SetTimer(UPDATE, rates.PERIOD_MS * self.random.uniform(0.1, 1.0)))
+            self.actions.append(api.SetTimer(UPDATE, rates.UPDATE_PERIOD_MS * self.random.uniform(0.1, 1.0)))
             if self.settings.watch_list:
                 self.actions.append(api.SetTimer(WATCH, self.watch.first_delay(self.random)))
         if event.kind is api.ListKind.FAILED:
--- a/heronreel/balancer/endpoints.py
+++ b/heronreel/balancer/endpoints.py
@@ -14,7 +14,11 @@
 SPORADIC = (api.Outcome.ERROR, api.Outcome.RESET)  # no sign of a faulty backend unless together (ours)
 MAX_SPORADIC_SCORE = 1.0  # failure score by these up to which a backend is not ejected (ours)
 NEUTRAL = (api.Outcome.REJECTED, api.Outcome.CANCELLED, api.Outcome.NOT_SENT)  # no sign of a fault
-FAR, NEAR, FALLBACK = 0, 1, 2  # tiers: other and own zone of our subset; outside of our subset
+OTHER_ZONE_TIER, OWN_ZONE_TIER, FALLBACK_TIER = (
+    0,
+    1,
+    2,
+)  # tiers: other and own zone of our subset; outside of our subset
 
 
 @dataclass(slots=True, eq=False)
@@ -26,7 +30,7 @@
     last_turn: float  # equal weights take turns by this
     credit_ms: float  # slow start: work it may be sent; 0 or less: none
     subset_rank: int  # of this proxy among all for it
-    tier: int = FALLBACK
+    tier: int = FALLBACK_TIER
     cost_factor: float = 1.0  # learned: served time over booked cost, its own and its kind's
     speed: BackendSpeed = field(default_factory=BackendSpeed)
     weight: float = 0.0  # W_k below the top weight
@@ -44,7 +48,9 @@
             self.failure_score = min(MAX_FAILURE_SCORE, self.failure_score + 1.0)
             # some responses are spoilt at any backend: one alone must not eject it
             if outcome not in SPORADIC or self.failure_score > MAX_SPORADIC_SCORE:
-                self.ejected_until = now + rates.PERIOD_MS * 2.0**self.failure_score * draw.uniform(0.5, 1.0)
+                self.ejected_until = now + rates.UPDATE_PERIOD_MS * 2.0**self.failure_score * draw.uniform(
+                    0.5, 1.0
+                )
 
     def dedup_group(self, scope: api.DedupScope) -> object:
         """What all backends that drop repeats together with this one have in common."""
@@ -76,9 +82,9 @@
 
     def update(self, now: float, update: api.BackendList, mean_cost_ms: float) -> None:
         """Take up what a list call returned."""
-        up = [info for info in update.backends if info.state is api.State.UP]
+        up = [info for info in update.backends if info.state is api.BackendState.UP]
         listed = {info.backend for info in up}
-        gone = [info.backend for info in update.backends if info.state is not api.State.UP]
+        gone = [info.backend for info in update.backends if info.state is not api.BackendState.UP]
         if update.kind is not api.ListKind.CHANGES:
             gone += [ident for ident in self.backends if ident not in listed]
             gone += self.maintenance.missing(listed)
@@ -115,7 +121,7 @@
             return
         self.booked.pop(info.backend, None)
         # rule 4: first sends of many proxies to a cold backend must not fall together
-        credit_ms = -self.random.random() * (mean_cost_ms or rates.PERIOD_MS)
+        credit_ms = -self.random.random() * (mean_cost_ms or rates.UPDATE_PERIOD_MS)
         turn = self.random.random() - 1.0
         backend = Backend(info, Board(now), turn, credit_ms, self.subset.rank(info.backend))
         backend.cost_factor = self.speeds.factor(info.kind, backend.speed)
@@ -123,9 +129,9 @@
 
     def _regroup(self) -> None:
         zones = [(backend, self.is_near(backend.info)) for backend in self.backends.values()]
-        self.near = sum(near for _, near in zones)  # backends in our zone
-        counts = (len(zones) - self.near, self.near)  # by tier: FAR, NEAR
+        self.near_count = sum(near for _, near in zones)  # backends in our zone
+        counts = (len(zones) - self.near_count, self.near_count)  # by tier: OTHER_ZONE_TIER, OWN_ZONE_TIER
         self.proxies_per_backend = [self.subset.proxies_per_backend(count) for count in counts]
         for backend, near in zones:
-            backend.tier = near if backend.subset_rank < self.proxies_per_backend[near] else FALLBACK
+            backend.tier = near if backend.subset_rank < self.proxies_per_backend[near] else FALLBACK_TIER
         self.speeds.keep({backend.info.kind for backend in self.backends.values()})
--- a/heronreel/balancer/interface.py
+++ b/heronreel/balancer/interface.py
@@ -7,9 +7,9 @@
 * exactly one `AttemptEnded` for every `StartAttempt`, also after the request is over;
 * a `TimerFired` for every `SetTimer`, at or after its time;
 * a `BackendList` first of all (kind CACHED), before any other event;
-* `ClientGone` when a client leaves or its request gets a final response without the balancer.
+* `RequestClosed` when a client leaves or its request gets a final response without the balancer.
 
-A request is over after `Reject`, `Fail`, `ClientGone` or an `AttemptEnded` with `finished` set.
+A request is over after `Reject`, `Fail`, `RequestClosed` or an `AttemptEnded` with `finished` set.
 """
 
 from __future__ import annotations
@@ -72,12 +72,12 @@
     MOVED = "moved"  # another service is called from now on: what was known of the old one is no guide
 
 
-class State(Enum):
+class BackendState(Enum):
     """A backend's state on the list."""
 
     UP = "up"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 @dataclass(slots=True, frozen=True)
@@ -242,7 +242,7 @@
     """One line of the backend list."""
 
     backend: int
-    state: State = State.UP
+    state: BackendState = BackendState.UP
     zone: str = ""
     kind: str = ""  # compared for likeness only
     cell: int = 0  # dedup group
@@ -307,7 +307,7 @@
 
 
 @dataclass(slots=True)
-class ClientGone:
+class RequestClosed:
     """A client left, or its request got a final response without the balancer."""
 
     request: int
@@ -353,7 +353,7 @@
     | Arrival
     | StreamStarted
     | AttemptEnded
-    | ClientGone
+    | RequestClosed
     | TimerFired
     | ProbeEnded
     | BeginMaintenance
@@ -420,10 +420,20 @@
 
 
 @dataclass(slots=True)
-class CloseIdle:
+class CloseIdleConnections:
     """Close the idle connections to a backend."""
 
     backend: int
 
 
-Action = StartAttempt | CancelAttempt | Reject | Fail | SetTimer | WatchList | FetchList | Probe | CloseIdle
+Action = (
+    StartAttempt
+    | CancelAttempt
+    | Reject
+    | Fail
+    | SetTimer
+    | WatchList
+    | FetchList
+    | Probe
+    | CloseIdleConnections
+)
--- a/heronreel/balancer/pools.py
+++ b/heronreel/balancer/pools.py
@@ -63,7 +63,7 @@
                 self._list(now_ms, event)
             case api.NewSettings():
                 self._new_settings(now_ms, event)
-            case api.ClientGone():
+            case api.RequestClosed():
                 self._client_gone(now_ms, event)
             case api.BeginMaintenance() | api.EndMaintenance():
                 for name in self.balancers:  # one that has no such backend has nothing to take out
@@ -177,7 +177,7 @@
         self._forward(now, pool, replace(ended, attempt=ended.attempt - before) if before else ended)
         self._forget(ended.request, request)
 
-    def _client_gone(self, now: float, event: api.ClientGone) -> None:
+    def _client_gone(self, now: float, event: api.RequestClosed) -> None:
         request = self.requests.get(event.request)
         if request is not None and not request.over:
             self._finish(event.request)
--- a/heronreel/balancer/slow_start.py
+++ b/heronreel/balancer/slow_start.py
@@ -2,7 +2,7 @@
 
 from heronreel.balancer import interface as api
 from heronreel.balancer import rates
-from heronreel.balancer.endpoints import FALLBACK, Endpoints
+from heronreel.balancer.endpoints import FALLBACK_TIER, Endpoints
 
 CREDIT_SHARE = 0.55  # of what rule 4 allows: a cold backend's work, from its share of what we see served
 
@@ -27,11 +27,11 @@
     strength = max(full - sum((1.0 - share) / b.cost_factor for b, share in cold), 0.5 * full)
     allowed = CREDIT_SHARE * settings.overload_factor * served_work * periods / strength
     for backend, share in cold:
-        if backend.tier == FALLBACK:
+        if backend.tier == FALLBACK_TIER:
             continue
         # as fast as its kind, or slower: what makes a single one look faster may be chance
         earned = allowed * share / max(backend.cost_factor, endpoints.speeds.of_kind(backend.info.kind))
         earned *= endpoints.subset.proxies / endpoints.proxies_per_backend[backend.tier]  # all proxies' share
         # saved up over the rule's time at most, also where a stall has made this update a long one
-        limit = earned / periods * settings.overload_window_ms / rates.PERIOD_MS
+        limit = earned / periods * settings.overload_window_ms / rates.UPDATE_PERIOD_MS
         backend.credit_ms = min(backend.credit_ms + earned, limit)
--- a/heronreel/balancer/subset.py
+++ b/heronreel/balancer/subset.py
@@ -10,14 +10,14 @@
 HASH_RANGE = 2**64
 
 
-def rendezvous(one: int, other: int) -> int:
+def rendezvous_hash(one: int, other: int) -> int:
     """A number for a pair that all proxies draw alike."""
     return (one ^ other * HASH_MULTIPLIERS[0]) * HASH_MULTIPLIERS[1] % HASH_RANGE
 
 
 def proxy_hash(backend: int, index: int) -> int:
     """The hash by which a proxy ranks for a backend, mixed on as indexes are small numbers in a row."""
-    mixed = rendezvous(backend, index)
+    mixed = rendezvous_hash(backend, index)
     return (mixed ^ mixed >> 29) * HASH_MULTIPLIERS[0] % HASH_RANGE
 
 
--- a/heronreel/balancer/turns.py
+++ b/heronreel/balancer/turns.py
@@ -7,13 +7,13 @@
 from heronreel.balancer import rates, slow_start
 from heronreel.balancer.endpoints import Backend, Endpoints
 from heronreel.balancer.requests import Attempt, Request
-from heronreel.balancer.subset import rendezvous
+from heronreel.balancer.subset import rendezvous_hash
 
 BOOKED_SHARE = 0.9  # of the fleet's time that the boards of one proxy hold on average (ours)
 MAX_EJECTED_SHARE = 0.5  # of the fleet at once, lest a fault common to all empties it (ours)
 MEAN_COST_STEP = 0.05  # smoothing of the mean cost, a send (ours)
 OWNERS_PER_KEY, MAX_OWNER_EXCESS = 3, 8.0  # backends that share a key; mean costs booked over the rest (ours)
-MAX_KEYS = 4096  # keys whose owners are remembered (ours)
+MAX_REMEMBERED_KEYS = 4096  # keys whose owners are remembered (ours)
 CROSS_ZONE_SHARE = 2.0  # of the latency objective that a delay must cost, per point of the price (ours)
 OWN_ZONE_ATTEMPTS = 2  # before other zones take turns alike (ours)
 OPEN_CONNECTION_MS = 1000.0  # a connection that served lately is taken to be open for so long (ours)
@@ -44,7 +44,9 @@
         size = max(1, len(self.endpoints.backends))
         if work > 0.0:
             # boards as full as a busy fleet's do not drain between one proxy's picks
-            self.booking_scale = BOOKED_SHARE * (self.endpoints.near or size) * rates.PERIOD_MS / work
+            self.booking_scale = (
+                BOOKED_SHARE * (self.endpoints.near_count or size) * rates.UPDATE_PERIOD_MS / work
+            )
         booked = self._update_boards(now)
         loads = [backend.load for backend in booked]
         low = min(loads, default=0.0) if len(booked) == size else 0.0
@@ -128,11 +130,13 @@
 
     def _owners(self, key: int) -> list[int]:
         if key not in self.key_owners:
-            if len(self.key_owners) >= MAX_KEYS:  # keys are ever new: the oldest is worked out again
+            if (
+                len(self.key_owners) >= MAX_REMEMBERED_KEYS
+            ):  # keys are ever new: the oldest is worked out again
                 del self.key_owners[next(iter(self.key_owners))]
             is_near, backends = self.endpoints.is_near, self.endpoints.backends.items()
-            near = [i for i, b in backends if is_near(b.info) or not self.endpoints.near]
-            self.key_owners[key] = nlargest(OWNERS_PER_KEY, near, key=partial(rendezvous, key))
+            near = [i for i, b in backends if is_near(b.info) or not self.endpoints.near_count]
+            self.key_owners[key] = nlargest(OWNERS_PER_KEY, near, key=partial(rendezvous_hash, key))
         return self.key_owners[key]
 
     def next(self, now: float, request: Request, delay_ms: float) -> Backend | None:
@@ -141,7 +145,7 @@
         objective_ms = request.request_class.latency_objective_ms
         crossing_worth = self.endpoints.settings.price_cross_zone * objective_ms * CROSS_ZONE_SHARE
         spill = self.endpoints.random.uniform(1.0, 2.0) * crossing_worth < delay_ms
-        if not self.endpoints.near or spill or len(attempts) >= OWN_ZONE_ATTEMPTS:
+        if not self.endpoints.near_count or spill or len(attempts) >= OWN_ZONE_ATTEMPTS:
             tops = [self._top(near, now, attempts), self._top(far, now, attempts)]
             top = max((top for top in tops if top), key=lambda top: top.weight, default=None)
         else:
--- a/heronreel/balancer/wire.py
+++ b/heronreel/balancer/wire.py
@@ -13,9 +13,9 @@
     AttemptEnded,
     BackendInfo,
     BackendList,
+    BackendState,
     CancelAttempt,
-    ClientGone,
-    CloseIdle,
+    CloseIdleConnections,
     DedupScope,
     Effect,
     Event,
@@ -27,10 +27,10 @@
     ProbeEnded,
     Reject,
     RequestClass,
+    RequestClosed,
     SetTimer,
     Settings,
     StartAttempt,
-    State,
     StreamStarted,
     Tenant,
     TimerFired,
@@ -54,7 +54,11 @@
 EFFECTS = {"idempotent": Effect.IDEMPOTENT, "deduplicated": Effect.KEYED, "at_most_once": Effect.UNSAFE}
 SCOPES = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
 KINDS = {"C": ListKind.CACHED, "F": ListKind.FULL, "D": ListKind.CHANGES, "X": ListKind.FAILED}
-STATES = {"in_service": State.UP, "terminating": State.DRAINING, "terminated": State.GONE}
+STATES = {
+    "in_service": BackendState.UP,
+    "terminating": BackendState.DRAINING,
+    "terminated": BackendState.REMOVED,
+}
 
 
 class Fields:
@@ -117,7 +121,7 @@
         return words[text]
 
 
-def fields_of(line: int, rest: str) -> Fields:
+def parse_fields(line: int, rest: str) -> Fields:
     """The fields of a line after its first word."""
     values: dict[str, str] = {}
     for pair in rest.split(" "):
@@ -166,7 +170,7 @@
     return fields.number("Limits.MaxRetryAfterMs", 0.0)
 
 
-def settings_of(fields: Fields) -> Settings:
+def settings_from_fields(fields: Fields) -> Settings:
     """The settings of a `born` line.  What is absent falls back to the defaults of `Settings`."""
     try:
         return Settings(
@@ -222,7 +226,7 @@
         head, _, rest = line.rstrip("\n").partition(" ")
         if number is None or head != "entry":
             raise WireError(number, f"Elements: {count} entries announced, {len(update.backends)} came")
-        update.backends.append(_backend(fields_of(number, rest)))
+        update.backends.append(_backend(parse_fields(number, rest)))
     return update
 
 
@@ -280,7 +284,7 @@
     "submit": _arrival,
     "headers": _stream,
     "report_back": _ended,
-    "dropped": lambda fields, rows: ClientGone(fields.integer("Call")),
+    "dropped": lambda fields, rows: RequestClosed(fields.integer("Call")),
     "ring": lambda fields, rows: TimerFired(fields.integer("KeyBack")),
     "health": _probed,
     "whisper": lambda fields, rows: None,  # the balancers share nothing
@@ -308,5 +312,5 @@
             return f"query_all Who={who}"
         case Probe(backend):
             return f"inspect Who={who} Backend={backend}"
-        case CloseIdle(backend):
+        case CloseIdleConnections(backend):
             return f"free_links Who={who} Backend={backend}"
--- a/heronreel/emulator/policies.py
+++ b/heronreel/emulator/policies.py
@@ -19,7 +19,7 @@
 from heronreel.balancer import subset, turns
 from heronreel.balancer.choice import Balancer
 from heronreel.balancer.endpoints import Endpoints
-from heronreel.balancer.subset import Subset, rendezvous
+from heronreel.balancer.subset import Subset, rendezvous_hash
 from heronreel.balancer.turns import TurnQueue
 from heronreel.balancer.watch_schedule import WatchSchedule
 from heronreel.emulator.errors import UnknownPolicyError
@@ -91,7 +91,7 @@
                 self._go_on(now_ms, pending)
             case api.AttemptEnded():
                 self._ended(now_ms, event)
-            case api.ClientGone():
+            case api.RequestClosed():
                 self.pending.pop(event.request, None)
             case api.BackendList():
                 self._list(now_ms, event)
@@ -122,7 +122,7 @@
 
     def entry(self, info: api.BackendInfo) -> None:
         """Take over one entry of the endpoint list."""
-        if info.state is api.State.UP:
+        if info.state is api.BackendState.UP:
             self.infos[info.backend] = info
         else:
             self.infos.pop(info.backend, None)
@@ -251,7 +251,7 @@
         if key not in self.homes:
             if len(self.homes) >= MAX_CACHED_KEYS:
                 self.homes.clear()
-            self.homes[key] = nlargest(HOMES, self.order, key=lambda ident: rendezvous(key, ident))
+            self.homes[key] = nlargest(HOMES, self.order, key=lambda ident: rendezvous_hash(key, ident))
         most = LOAD_BOUND * (sum(self.load.values()) + 1) / len(self.order)
         for home in self.homes[key]:
             if home not in pending.attempted and self.load.get(home, 0) + 1 <= max(1.0, most):
@@ -314,7 +314,7 @@
 
     def entry(self, info: api.BackendInfo) -> None:
         """Take every listed node as up."""
-        super().entry(replace(info, state=api.State.UP))
+        super().entry(replace(info, state=api.BackendState.UP))
 
 
 class ColdNodePolicy(PowerOfTwoPolicy):
@@ -380,7 +380,7 @@
         found = self.tables.get((self.place, key))  # type: ignore[arg-type]
         if found is None:
             return False
-        if len(self) >= turns.MAX_KEYS:
+        if len(self) >= turns.MAX_REMEMBERED_KEYS:
             del self[next(iter(self))]
         super().__setitem__(key, found)  # type: ignore[index]
         return True
@@ -410,7 +410,9 @@
         """Find the owners of keys anew among the near backends."""
         super().rebuild()
         endpoints = self.endpoints
-        near = (i for i, b in endpoints.backends.items() if not endpoints.near or endpoints.is_near(b.info))
+        near = (
+            i for i, b in endpoints.backends.items() if not endpoints.near_count or endpoints.is_near(b.info)
+        )
         self.shared.among(frozenset(near))
 
 
--- a/heronreel/emulator/proxy.py
+++ b/heronreel/emulator/proxy.py
@@ -22,9 +22,9 @@
 from heronreel.emulator.requests import Attempt, Connection, InboundRequest, NodeAttempt
 
 BACKEND_STATES = {
-    EndpointState.UP: api.State.UP,
-    EndpointState.LEAVING: api.State.DRAINING,
-    EndpointState.LEFT: api.State.GONE,
+    EndpointState.UP: api.BackendState.UP,
+    EndpointState.LEAVING: api.BackendState.DRAINING,
+    EndpointState.LEFT: api.BackendState.REMOVED,
 }
 SWEEP_INTERVAL_MS = 500.0  # how often idle connections are looked through where nothing else happens
 AFTER_GRACE_MS = 1e-3
@@ -246,7 +246,7 @@
                 self._answer(action.request, RequestResult.FAILED, 0.0)
             elif isinstance(action, api.WatchList | api.FetchList):
                 self._call_list(now)
-            elif isinstance(action, api.CloseIdle):
+            elif isinstance(action, api.CloseIdleConnections):
                 self.connections.close_node(action.backend)
 
     def _call_list(self, now: float) -> None:
@@ -309,7 +309,7 @@
             return
         self._close_request(request)
         self.context.invariants.client_left(request.ident)
-        self.handle(api.ClientGone(request.ident))
+        self.handle(api.RequestClosed(request.ident))
         self._end_if_idle()
 
     def _close_request(self, request: InboundRequest) -> None:
@@ -340,7 +340,7 @@
             self.context.invariants.request_overdue(request.ident, self.events.now)
             self._close_request(request)
             self.clients.response_sent(request, RequestResult.LOST, 0.0)
-            self.handle(api.ClientGone(request.ident))
+            self.handle(api.RequestClosed(request.ident))
             self._end_if_idle()
 
     # The life of an attempt.
--- a/heronreel/emulator/trace.py
+++ b/heronreel/emulator/trace.py
@@ -7,7 +7,7 @@
 
 from heronreel.balancer import interface as api
 from heronreel.balancer.choice import Balancer
-from heronreel.balancer.endpoints import NEAR
+from heronreel.balancer.endpoints import OWN_ZONE_TIER
 from heronreel.emulator.client_request import RequestResult
 from heronreel.emulator.node import Node
 from heronreel.emulator.policies import BaselinePolicy, NodeOracle
@@ -160,7 +160,7 @@
             "strikes": backend.failure_score,
             "rests_ms": round(max(0.0, backend.ejected_until - now), 1),
             "credit_ms": round(backend.credit_ms, 1),
-            "near": backend.tier == NEAR,
+            "near": backend.tier == OWN_ZONE_TIER,
         }
     if isinstance(decider, BaselinePolicy):
         return {"listed": ident in decider.infos, "own_out": decider.load.get(ident, 0)}
--- a/heronreel/experiments/renamed.py
+++ b/heronreel/experiments/renamed.py
@@ -1,7 +1,7 @@
 """Earlier names of the balancer's constants: keys of then, in scripts and tables of results, still hold."""
 
 RENAMED_CONSTANTS = {
-    "choice.PERIOD_MS": "rates.PERIOD_MS",
+    "choice.PERIOD_MS": "rates.UPDATE_PERIOD_MS",
     "choice.BASE_MS": "requests.BASE_COST_MS",
     "choice.RETRY_SHARE": "requests.RETRY_BUDGET_RATIO",
     "choice.RETRY_BURST": "requests.MAX_RETRY_BUDGET",
@@ -21,7 +21,7 @@
     "choice.SHARE_SLACK": "admission.QUOTA_SLACK",
     "choice.KEY_HOMES": "turns.OWNERS_PER_KEY",
     "choice.KEY_SLACK": "turns.MAX_OWNER_EXCESS",
-    "choice.HOMES_MOST": "turns.MAX_KEYS",
+    "choice.HOMES_MOST": "turns.MAX_REMEMBERED_KEYS",
     "choice.CROSS_FOR": "turns.CROSS_ZONE_SHARE",
     "choice.NEAR_TRIES": "turns.OWN_ZONE_ATTEMPTS",
     "choice.COLD_SHARE": "slow_start.CREDIT_SHARE",
@@ -46,9 +46,9 @@
     "asking.FULL_LEAST": "watch_schedule.MIN_FULL_SHARE",
     "overload.FADE": "rates.REJECTION_DECAY",
     "overload.LEAST_SEEN": "rates.MIN_ATTEMPTS",
-    "overload.FEW_TURNED_AWAY": "rates.LOW_REJECTION",
-    "overload.MOST_TURNED_AWAY": "rates.HIGH_REJECTION",
-    "overload.TRIES": "rates.MAX_ATTEMPTS",
+    "overload.FEW_TURNED_AWAY": "rates.LOW_REJECTION_SHARE",
+    "overload.MOST_TURNED_AWAY": "rates.HIGH_REJECTION_SHARE",
+    "overload.TRIES": "rates.MAX_REJECTED_ATTEMPTS",
     "speed.FACTOR_LEAST": "speed.MIN_FACTOR",
     "speed.FACTOR_MOST": "speed.MAX_FACTOR",
     "speed.OWN_AFTER": "speed.KIND_RESPONSES",
@@ -61,5 +61,10 @@
     "routes.SAMPLES_LEAST": "routes.MIN_SAMPLES",
     "routes.SAMPLES_MOST": "routes.MAX_SAMPLES",
     "routes.STEP": "routes.BUCKET_STEP",
+    "rates.PERIOD_MS": "rates.UPDATE_PERIOD_MS",
+    "turns.MAX_KEYS": "turns.MAX_REMEMBERED_KEYS",
+    "rates.LOW_REJECTION": "rates.LOW_REJECTION_SHARE",
+    "rates.HIGH_REJECTION": "rates.HIGH_REJECTION_SHARE",
+    "rates.MAX_ATTEMPTS": "rates.MAX_REJECTED_ATTEMPTS",
 }
 """Old to new, each as module.CONSTANT below `heronreel.balancer`."""
--- a/heronreel/proxy/backend_registry.py
+++ b/heronreel/proxy/backend_registry.py
@@ -94,7 +94,7 @@
                     self._start_draining(backend)
                 # a file's list is silent on discovery's endpoints, and discovery's on the file's
                 elif (backend.pool != "") == from_file:
-                    infos.append(api.BackendInfo(backend.number, api.State.GONE, pool=backend.pool))
+                    infos.append(api.BackendInfo(backend.number, api.BackendState.REMOVED, pool=backend.pool))
                     self._start_draining(backend)
         if self.merges_file and kind is api.ListKind.FULL:
             kind = api.ListKind.CHANGES
@@ -103,7 +103,7 @@
     def _update_endpoint(self, endpoint: Endpoint) -> api.BackendInfo:
         number = self._number_for(endpoint.name)
         backend = self.backends.get(number)
-        if endpoint.state is not api.State.UP or endpoint.address is None:
+        if endpoint.state is not api.BackendState.UP or endpoint.address is None:
             if backend:
                 self._start_draining(backend)
         elif backend is None:
--- a/heronreel/proxy/config.py
+++ b/heronreel/proxy/config.py
@@ -16,7 +16,7 @@
 
 from heronreel.balancer.errors import WireError
 from heronreel.balancer.interface import Settings
-from heronreel.balancer.wire import Fields, settings_of
+from heronreel.balancer.wire import Fields, settings_from_fields
 from heronreel.proxy.endpoints import EndpointList, parse_endpoint_list
 from heronreel.proxy.errors import ConfigError, MalformedEndpointListError
 
@@ -161,7 +161,7 @@
     """The balancer's settings, and backends' idle time-out and drain grace in ms."""
     fields = Fields(0, dict(_flatten("", _object(document, "settings"))))
     try:
-        settings = settings_of(fields)
+        settings = settings_from_fields(fields)
         backend_idle_ms = fields.number("Limits.ConnIdleMs", DEFAULT_BACKEND_IDLE_MS)
         drain_grace_ms = fields.number("Rules.DrainGraceMs", DEFAULT_DRAIN_GRACE_MS)
     except WireError as error:
--- a/heronreel/proxy/dispatcher.py
+++ b/heronreel/proxy/dispatcher.py
@@ -180,7 +180,7 @@
                     continue
                 for action in actions:
                     self._carry_out(action)
-                if isinstance(event, api.AttemptEnded | api.ClientGone):
+                if isinstance(event, api.AttemptEnded | api.RequestClosed):
                     self._forget_if_done(event.request)
         finally:
             self.dispatching = False
@@ -212,7 +212,7 @@
             case api.FetchList():
                 if self.watch:
                     self.watch.fetch()
-            case api.CloseIdle(number):
+            case api.CloseIdleConnections(number):
                 if number in self.backends:
                     self.pool.close_idle(self.backends[number])
             case api.Probe(number):
@@ -292,7 +292,7 @@
         if streaming:
             self.pool.abandon_attempt(streaming, api.Outcome.CANCELLED)
             return
-        self.dispatch(api.ClientGone(request.number))
+        self.dispatch(api.RequestClosed(request.number))
         for attempt in [attempt for attempt in request.attempts if not attempt.ended]:
             unsent = attempt.connection and attempt.connection.has_unsent_bytes
             if (upload and not upload.complete) or unsent:
@@ -313,7 +313,7 @@
             self.pool.abandon_attempt(attempt, api.Outcome.TIMEOUT)
         if not request.finished:  # the balancer queues it, or failed on it
             self._finish(request.number, 504, 0.0)
-            self.dispatch(api.ClientGone(request.number))
+            self.dispatch(api.RequestClosed(request.number))
 
     def _finish(self, number: int, status: int, retry_after_ms: float) -> None:
         request = self.requests.get(number)
--- a/heronreel/proxy/endpoints.py
+++ b/heronreel/proxy/endpoints.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from heronreel.balancer.interface import State
+from heronreel.balancer.interface import BackendState
 from heronreel.proxy.errors import MalformedEndpointListError
 
-STATES = {"active": State.UP, "leaving": State.DRAINING, "left": State.GONE}
+STATES = {"active": BackendState.UP, "leaving": BackendState.DRAINING, "left": BackendState.REMOVED}
 
 
 @dataclass(slots=True, frozen=True)
@@ -21,7 +21,7 @@
     zone: str
     kind: str
     cell: int
-    state: State
+    state: BackendState
     weight: float
     since_ms: float  # when its process started, since the epoch
     pool: str = ""  # where the host has pools of its own
@@ -87,8 +87,8 @@
     return value
 
 
-def _address(entry: dict[str, Any], state: State) -> tuple[str, int] | None:
-    if "address" not in entry and state is State.GONE:
+def _address(entry: dict[str, Any], state: BackendState) -> tuple[str, int] | None:
+    if "address" not in entry and state is BackendState.REMOVED:
         return None
     text = _text(entry, "address", None)
     host, _, port = text.rpartition(":")
--- a/heronreel/serve/policies.py
+++ b/heronreel/serve/policies.py
@@ -138,7 +138,9 @@
             member.kind,
             # a member without a rack shares what it remembers with nobody
             _number(member.rack or f"?{pool.name}/{member.name}"),
-            api.State.DRAINING if member.draining or (pool.name, member.name) in down else api.State.UP,
+            api.BackendState.DRAINING
+            if member.draining or (pool.name, member.name) in down
+            else api.BackendState.UP,
             member.weight,
             0.0,
             pool.name,
--- a/tests/balancer/strict_host.py
+++ b/tests/balancer/strict_host.py
@@ -16,8 +16,8 @@
     AttemptEnded,
     BackendInfo,
     BackendList,
+    BackendState,
     CancelAttempt,
-    ClientGone,
     DedupScope,
     Effect,
     Event,
@@ -26,10 +26,10 @@
     Outcome,
     Reject,
     RequestClass,
+    RequestClosed,
     SetTimer,
     Settings,
     StartAttempt,
-    State,
     TimerFired,
 )
 
@@ -142,7 +142,7 @@
             self.usable = {}
         for info in infos:
             self.known[info.backend] = info
-            if info.state is State.UP:
+            if info.state is BackendState.UP:
                 self.usable[info.backend] = info
             else:
                 self.usable.pop(info.backend, None)
@@ -181,7 +181,7 @@
     def disconnect(self, ident: int) -> None:
         self.requests[ident].over = True
         self.pending.pop(ident, None)
-        self._do(ClientGone(ident))
+        self._do(RequestClosed(ident))
 
     def in_flight(self) -> list[tuple[int, int]]:
         return list(self.live_attempts)
--- a/tests/balancer/test_endpoint_list_changes.py
+++ b/tests/balancer/test_endpoint_list_changes.py
@@ -5,13 +5,13 @@
 
 import pytest
 
-from heronreel.balancer.interface import BackendInfo, ListKind, Outcome, State
+from heronreel.balancer.interface import BackendInfo, BackendState, ListKind, Outcome
 from tests.balancer.strict_host import Host, large
 
 SETTINGS = large(proxies=40, proxy_index=7, key_affinity=True, slow_start_ms=5_000.0)
 
 
-def line(number: int, started: float = 0.0, state: State = State.UP) -> BackendInfo:
+def line(number: int, started: float = 0.0, state: BackendState = BackendState.UP) -> BackendInfo:
     return BackendInfo(7919 * number + 1, state, kind="abc"[number % 3], cell=number // 5, started_ms=started)
 
 
@@ -37,7 +37,7 @@
     for number in range(30, 10_030):
         gone = up.pop(draw.randrange(len(up)))
         up.append(number)
-        left = line(gone, state=draw.choice((State.GONE, State.DRAINING)))
+        left = line(gone, state=draw.choice((BackendState.REMOVED, BackendState.DRAINING)))
         host.listed(ListKind.CHANGES, line(number, host.now), left)
         host.run_to(host.now + 20.0)
         ident = host.arrive(key=draw.randrange(50))
@@ -68,7 +68,7 @@
         return {key: list(host.balancer.turns.key_owners[key]) for key in range(200)}
 
     before = owners()
-    host.listed(ListKind.CHANGES, line(3, state=State.GONE), line(40))
+    host.listed(ListKind.CHANGES, line(3, state=BackendState.REMOVED), line(40))
     after, left, came = owners(), line(3).backend, line(40).backend
     moved = [key for key in before if before[key] != after[key]]
     assert moved and all(left in before[key] or came in after[key] for key in moved)
--- a/tests/balancer/test_large_fleet.py
+++ b/tests/balancer/test_large_fleet.py
@@ -6,10 +6,10 @@
 import pytest
 
 from heronreel.balancer import subset
-from heronreel.balancer.endpoints import FALLBACK
+from heronreel.balancer.endpoints import FALLBACK_TIER
 from heronreel.balancer.interface import BackendInfo, ListKind, Outcome, RequestClass
 from heronreel.balancer.subset import PROXIES_PER_BACKEND, Subset
-from heronreel.balancer.turns import MAX_KEYS
+from heronreel.balancer.turns import MAX_REMEMBERED_KEYS
 from tests.balancer.strict_host import Host, large
 
 COUNT = 1024  # of proxies, and of backends
@@ -42,7 +42,7 @@
     host = large_host(proxy_index)
     backends = host.balancer.endpoints.backends
     assert len(backends) == COUNT
-    assert sum(backend.tier != FALLBACK for backend in backends.values()) >= 2
+    assert sum(backend.tier != FALLBACK_TIER for backend in backends.values()) >= 2
     sent = serve(host, PLAYED_MS)
     assert sent == len(host.requests) > PLAYED_MS / 1000.0 * REQUESTS_PER_S / 2.0
 
@@ -55,9 +55,9 @@
 
 def test_more_keys_than_are_remembered_are_all_served() -> None:
     host = large_host(0)
-    host.balancer.turns.key_owners = {-number: [] for number in range(1, MAX_KEYS + 1)}
+    host.balancer.turns.key_owners = {-number: [] for number in range(1, MAX_REMEMBERED_KEYS + 1)}
     assert serve(host, PLAYED_MS) == len(host.requests)
-    assert len(host.balancer.turns.key_owners) == MAX_KEYS
+    assert len(host.balancer.turns.key_owners) == MAX_REMEMBERED_KEYS
 
 
 def test_each_backend_is_in_the_subsets_of_as_many_of_1024_proxies(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/balancer/test_maintenance.py
+++ b/tests/balancer/test_maintenance.py
@@ -4,12 +4,12 @@
 
 from heronreel.balancer.interface import (
     BackendInfo,
+    BackendState,
     BeginMaintenance,
     Effect,
     EndMaintenance,
     ListKind,
     Outcome,
-    State,
 )
 from tests.balancer.strict_host import Host, fleet
 from tests.balancer.test_request_lifecycle import host_of
@@ -42,7 +42,7 @@
         infos = [BackendInfo(info.backend, cell=info.cell, started_ms=started) for info in fleet(8)]
         host.listed(kind, *infos)
         assert RESTARTED not in targets(host)
-    host.listed(ListKind.CHANGES, BackendInfo(RESTARTED, State.GONE))
+    host.listed(ListKind.CHANGES, BackendInfo(RESTARTED, BackendState.REMOVED))
     host.listed(ListKind.CHANGES, BackendInfo(RESTARTED))
     assert RESTARTED not in targets(host)
 
--- a/tests/balancer/test_rejection_rate.py
+++ b/tests/balancer/test_rejection_rate.py
@@ -3,7 +3,12 @@
 from __future__ import annotations
 
 from heronreel.balancer.interface import ListKind, Outcome, Reject, RequestClass, Settings
-from heronreel.balancer.rates import HIGH_REJECTION, LOW_REJECTION, MAX_ATTEMPTS, RejectionRate
+from heronreel.balancer.rates import (
+    HIGH_REJECTION_SHARE,
+    LOW_REJECTION_SHARE,
+    MAX_REJECTED_ATTEMPTS,
+    RejectionRate,
+)
 from tests.balancer.strict_host import Host, fleet
 
 
@@ -64,8 +69,8 @@
     assert rate.share == 0.8 and rate.allows(0) and not rate.allows(1)
     period(60, 0)
     rate.roll()
-    assert rate.share < LOW_REJECTION and rate.allows(5)
+    assert rate.share < LOW_REJECTION_SHARE and rate.allows(5)
     period(40, 30)
     rate.roll()
-    assert LOW_REJECTION <= rate.share < HIGH_REJECTION
-    assert rate.allows(MAX_ATTEMPTS - 1) and not rate.allows(MAX_ATTEMPTS)
+    assert LOW_REJECTION_SHARE <= rate.share < HIGH_REJECTION_SHARE
+    assert rate.allows(MAX_REJECTED_ATTEMPTS - 1) and not rate.allows(MAX_REJECTED_ATTEMPTS)
--- a/tests/balancer/test_request_lifecycle.py
+++ b/tests/balancer/test_request_lifecycle.py
@@ -6,6 +6,7 @@
 
 from heronreel.balancer.interface import (
     BackendInfo,
+    BackendState,
     DedupScope,
     Effect,
     Fail,
@@ -17,7 +18,6 @@
     SetTimer,
     Settings,
     StartAttempt,
-    State,
     WatchList,
 )
 from tests.balancer.strict_host import Host, fleet
@@ -89,8 +89,8 @@
     assert host.log[-1] == Fail(ident) or Fail(ident) in host.log
 
 
-@pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
-def test_a_draining_backend_gets_nothing_from_that_event_on(state: State) -> None:
+@pytest.mark.parametrize("state", [BackendState.DRAINING, BackendState.REMOVED])
+def test_a_draining_backend_gets_nothing_from_that_event_on(state: BackendState) -> None:
     host = host_of(Effect.IDEMPOTENT, backends=2)
     one, other = fleet(2)
     host.listed(ListKind.CHANGES, BackendInfo(one.backend, state))
--- a/tests/balancer/test_route_policies.py
+++ b/tests/balancer/test_route_policies.py
@@ -170,7 +170,7 @@
     host = Driver(*backends(4))
     ident = host.request(replace(READ, backoff_ms=100.0))
     host.end(ident, api.Outcome.ERROR)
-    host.handle(api.ClientGone(ident))
+    host.handle(api.RequestClosed(ident))
     host.wait(500.0)
     assert len(host.sent[ident]) == 1 and not host.finals and not host.pools.requests
 
@@ -232,7 +232,11 @@
     host = Driver(*infos)
     ident = host.request(HEDGED)
     (first,) = host.backends_of(ident)
-    gone = [replace(i, state=api.State.DRAINING) for i in infos if i.backend != first and i.cell == first % 2]
+    gone = [
+        replace(i, state=api.BackendState.DRAINING)
+        for i in infos
+        if i.backend != first and i.cell == first % 2
+    ]
     host.handle(api.BackendList(api.ListKind.CHANGES, gone))
     host.wait(100.0)
     assert host.backends_of(ident) == [first]
@@ -303,7 +307,7 @@
     assert isinstance(host.finals[three], api.Reject) and not host.sent[three]
     host.end(one, api.Outcome.SERVED)
     assert host.sent[host.request(policy)]
-    host.handle(api.ClientGone(two))  # what is out still runs, but the request is over
+    host.handle(api.RequestClosed(two))  # what is out still runs, but the request is over
     assert host.sent[host.request(policy)]
 
     host = Driver(*backends(4))
@@ -453,7 +457,7 @@
         host.handle(api.BackendList(api.ListKind.CHANGES, backends(2, name, first=10)))
         policy = replace(READ, split=((name, 1.0),))
         ident = host.request(policy)
-        gone = [replace(info, state=api.State.GONE) for info in backends(2, name, first=10)]
+        gone = [replace(info, state=api.BackendState.REMOVED) for info in backends(2, name, first=10)]
         host.handle(api.BackendList(api.ListKind.CHANGES, gone))
         host.handle(api.NewSettings(SETTINGS))
         assert name in host.pools.balancers  # its request is still out
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -10,13 +10,13 @@
 from heronreel.balancer import slow_start
 from heronreel.balancer.interface import (
     BackendInfo,
+    BackendState,
     DedupScope,
     Effect,
     ListKind,
     Outcome,
     RequestClass,
     Settings,
-    State,
     Tenant,
 )
 from tests.balancer.strict_host import Host, RuleViolationError, fleet
@@ -82,7 +82,9 @@
             host.listed(draw.choice((ListKind.FULL, ListKind.CHANGES)), *some_fleet(draw, host.now))
         elif roll < 0.92 and host.known:
             ident = draw.choice(sorted(host.known))
-            ending = replace(host.known[ident], state=draw.choice((State.DRAINING, State.GONE)))
+            ending = replace(
+                host.known[ident], state=draw.choice((BackendState.DRAINING, BackendState.REMOVED))
+            )
             host.listed(ListKind.CHANGES, ending)
         elif roll < 0.93:
             host.listed(ListKind.FAILED)
--- a/tests/balancer/test_subset.py
+++ b/tests/balancer/test_subset.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from heronreel.balancer.endpoints import FALLBACK
+from heronreel.balancer.endpoints import FALLBACK_TIER
 from heronreel.balancer.interface import (
     BackendInfo,
     ListKind,
@@ -78,8 +78,8 @@
     balancer, subset = host.balancer, Subset(5, 60)
     for ident, backend in balancer.endpoints.backends.items():
         assert backend.subset_rank == subset.rank(ident)
-        assert (backend.tier == FALLBACK) == (backend.subset_rank >= subset.proxies_per_backend(30))
-    assert 0 < sum(backend.tier != FALLBACK for backend in balancer.endpoints.backends.values()) < 40
+        assert (backend.tier == FALLBACK_TIER) == (backend.subset_rank >= subset.proxies_per_backend(30))
+    assert 0 < sum(backend.tier != FALLBACK_TIER for backend in balancer.endpoints.backends.values()) < 40
 
 
 def test_what_is_outside_of_the_subset_is_used_when_nothing_else_is_left() -> None:
--- a/tests/balancer/test_weighted_turns.py
+++ b/tests/balancer/test_weighted_turns.py
@@ -13,7 +13,7 @@
     Settings,
     StartAttempt,
 )
-from heronreel.balancer.rates import PERIOD_MS
+from heronreel.balancer.rates import UPDATE_PERIOD_MS
 from tests.balancer.strict_host import Host, fleet
 
 WORK = RequestClass("work", 500.0, 20000.0, effect=Effect.IDEMPOTENT)
@@ -49,7 +49,7 @@
     host = host_of(3)
     host.arrive(hint=3000.0)
     loaded = firsts(host)[0]
-    host.run_to(host.now + 2 * PERIOD_MS)
+    host.run_to(host.now + 2 * UPDATE_PERIOD_MS)
     later = [host.requests[host.arrive(hint=50.0)].attempts[0].backend for _ in range(2)]
     assert loaded not in later
 
@@ -104,14 +104,14 @@
     balancer.turns.sends.biased_mean, balancer.turns.sends.correction = sends, 1.0
     balancer.turns.booked_work.biased_mean, balancer.turns.booked_work.correction = sends * 100.0, 1.0
     for backend, cost in zip(balancer.endpoints.backends.values(), bookings, strict=True):
-        backend.board.queue.append((host.now + PERIOD_MS, cost))
+        backend.board.queue.append((host.now + UPDATE_PERIOD_MS, cost))
         balancer.endpoints.booked[backend.info.backend] = None
     return host
 
 
 def test_a_spread_within_tdiff_is_not_compressed() -> None:
     host = loaded([0.0, 50.0, 100.0, 150.0], sends=40.0)
-    host.run_to(host.now + PERIOD_MS)
+    host.run_to(host.now + UPDATE_PERIOD_MS)
     lowered = weights(host)
     assert max(lowered) == 0.0
     loads = sorted(-backend.load for backend in host.balancer.endpoints.backends.values())
@@ -120,7 +120,7 @@
 
 def test_a_spread_beyond_tdiff_is_compressed_to_it_in_proportion() -> None:
     host = loaded([0.0, 4000.0, 8000.0], sends=3.0)
-    host.run_to(host.now + PERIOD_MS)
+    host.run_to(host.now + UPDATE_PERIOD_MS)
     tdiff = host.balancer.turns.sends.mean / 3
     lowest, middle, highest = weights(host)
     assert highest == 0.0
--- a/tests/emulator/test_fleet_scenarios.py
+++ b/tests/emulator/test_fleet_scenarios.py
@@ -258,7 +258,7 @@
                 api.BackendInfo(
                     number + 20, zone="ab"[number % 2], kind=f"k{number}", cell=number, started_ms=now
                 ),
-                api.BackendInfo(number, api.State.GONE),
+                api.BackendInfo(number, api.BackendState.REMOVED),
             ]
             balancer.handle(now, api.BackendList(api.ListKind.CHANGES, news))
             actions = balancer.handle(now, api.Arrival(number, "r", 1000.0, key=number, hint_ms=10.0))
--- a/tests/proxy/test_made_up_names.py
+++ b/tests/proxy/test_made_up_names.py
@@ -21,6 +21,7 @@
     Action,
     BackendInfo,
     BackendList,
+    BackendState,
     Effect,
     Event,
     ListKind,
@@ -29,7 +30,6 @@
     RequestClass,
     Settings,
     StartAttempt,
-    State,
     Tenant,
 )
 from heronreel.proxy.backend_registry import BackendRegistry
@@ -40,7 +40,7 @@
 
 CLASSES, TENANTS, ZONES, KINDS, BACKENDS = 4, 3, 3, 2, 10
 EFFECTS, SCOPES = ("idempotent", "deduplicated", "at_most_once"), ("zone", "cell", "all")
-STATUS = {State.UP: "active", State.DRAINING: "leaving", State.GONE: "left"}
+STATUS = {BackendState.UP: "active", BackendState.DRAINING: "leaving", BackendState.REMOVED: "left"}
 DAY_STEPS = 200
 NAMES_PER_RELOAD = 4  # new ones that a reload brings
 VERY_LONG = 3000  # characters
@@ -176,7 +176,7 @@
         assert isinstance(event, BackendList)
         self.host.listed(event.kind, *event.backends)
 
-    def update(self, kind: ListKind, *places: int, state: State = State.UP) -> None:
+    def update(self, kind: ListKind, *places: int, state: BackendState = BackendState.UP) -> None:
         """The list has these backends, in this state."""
         entries = [
             {
@@ -210,7 +210,7 @@
             places = sorted(draw.sample(range(BACKENDS), draw.randint(1, BACKENDS)))
             self.update(draw.choice((ListKind.FULL, ListKind.CHANGES)), *places)
         elif roll < 0.97:
-            state = draw.choice((State.DRAINING, State.GONE))
+            state = draw.choice((BackendState.DRAINING, BackendState.REMOVED))
             self.update(ListKind.CHANGES, draw.randrange(BACKENDS), state=state)
         host.run_to(host.now + draw.expovariate(0.05))
 
--- a/tests/routes/hostile_world.py
+++ b/tests/routes/hostile_world.py
@@ -215,4 +215,4 @@
             self.end(request, one, api.Outcome.TIMEOUT)
         if not request.finals:
             self.final(request, EventKind.FAILED)
-            self.tell(api.ClientGone(request.ident))
+            self.tell(api.RequestClosed(request.ident))
