--- a/heronreel/coordination/client.py
+++ b/heronreel/coordination/client.py
@@ -170,7 +170,9 @@
 
     # -- watches
 
-    async def watch(self, key: bytes, end: bytes = b"", start: int = 0) -> AsyncIterator[WatchEvents]:
+    async def watch(
+        self, key: bytes, end: bytes = b"", start_revision: int = 0
+    ) -> AsyncIterator[WatchEvents]:
         """The changes of a range, for as long as they are iterated over.
 
         When a member ends, the next one continues from the revision reached.
@@ -178,7 +180,7 @@
         Args:
             key: the range's first key.
             end: the range's end, as in `model.Range`.
-            start: the first revision; 0: the next one.
+            start_revision: the first revision; 0: the next one.
 
         Raises:
             RequestError: with UNAVAILABLE, no member has responded in several rounds of attempts.
@@ -187,19 +189,19 @@
         while True:
             try:
                 async with self._session.post(
-                    f"http://{self._address}{gateway.WATCH_PATH}", json=_watch_body(key, end, start)
+                    f"http://{self._address}{gateway.WATCH_PATH}", json=_watch_body(key, end, start_revision)
                 ) as response:
                     async for body in _watch_lines(response):
                         failures = 0
                         if body.get("canceled"):
-                            start = int(body["header"]["revision"]) + 1
-                            yield WatchEvents(start - 1, (), missed=True)
+                            start_revision = int(body["header"]["revision"]) + 1
+                            yield WatchEvents(start_revision - 1, (), missed=True)
                             break
                         batch = gateway_client.decode_events(body)
                         # The next member continues after what this one has reported: past events of a watch
                         # that started earlier come after its first line.
-                        if batch.events or not start:
-                            start = batch.revision + 1
+                        if batch.events or not start_revision:
+                            start_revision = batch.revision + 1
                         if batch.events or body.get("created"):
                             yield WatchEvents(batch.revision, batch.events)
             except (*_TRANSPORT_ERRORS, ValueError, KeyError):
@@ -236,11 +238,11 @@
     return RequestError(StatusCode.UNKNOWN, f"{address}: an answer that is none: {reason}")
 
 
-def _watch_body(key: bytes, end: bytes, start: int) -> gateway.Json:
+def _watch_body(key: bytes, end: bytes, start_revision: int) -> gateway.Json:
     create_request = {
         "key": gateway.encode_base64(key),
         "range_end": gateway.encode_base64(end),
-        "start_revision": str(start),
+        "start_revision": str(start_revision),
     }
     return {"create_request": create_request}
 
--- a/heronreel/coordination/consensus.py
+++ b/heronreel/coordination/consensus.py
@@ -66,8 +66,8 @@
         if self.role is not Role.LEADER:
             return self.election_deadline
         if self.round_in_flight is not None:
-            return self.round_sent_at + self.timing.retransmit_interval
-        return self.round_started_at + self.timing.heartbeat_interval
+            return self.round_sent_at + self.timing.retransmit_interval_s
+        return self.round_started_at + self.timing.heartbeat_interval_s
 
     # -- events
 
@@ -78,7 +78,7 @@
         if now < self.election_deadline:
             return []
         if self.role is Role.NEW:
-            self.reset_election_timer(now, self.timing.retransmit_interval)
+            self.reset_election_timer(now, self.timing.retransmit_interval_s)
             return membership.greet(self, now)
         return election.start_pre_vote(self, now)
 
@@ -91,7 +91,7 @@
             return membership.admit_member(self, now)
         if membership.surplus_members(self):
             return membership.remove_member(self, now)
-        if now >= self.round_started_at + self.timing.heartbeat_interval:
+        if now >= self.round_started_at + self.timing.heartbeat_interval_s:
             return replication.start_round(self, now, ())
         return []
 
--- a/heronreel/coordination/election.py
+++ b/heronreel/coordination/election.py
@@ -22,13 +22,13 @@
 def start_pre_vote(state: MemberState, now: float) -> Actions:
     """Ask the others whether a candidacy would succeed."""
     if state.name not in state.members and state.version != NO_VERSION:
-        state.reset_election_timer(now, state.timing.election_timeout)
+        state.reset_election_timer(now, state.timing.election_timeout_s)
         return []  # it was removed from the group
     state.role = Role.PRE_CANDIDATE
     state.leader = None
     state.ballot = state.new_ballot()
     state.pre_votes = frozenset((state.name,))
-    state.reset_election_timer(now, state.timing.election_timeout)
+    state.reset_election_timer(now, state.timing.election_timeout_s)
     return _count_pre_votes(state, now) or [*_prepare_messages(state, pre_vote=True)]
 
 
@@ -40,7 +40,7 @@
     state.highest_term = state.ballot.term
     state.promises = Map()
     state.newest = Snapshot(state.version, state.content)
-    state.reset_election_timer(now, state.timing.election_timeout)
+    state.reset_election_timer(now, state.timing.election_timeout_s)
     actions = state.persist((), _prepare_messages(state, pre_vote=False))
     state.own_promise_persist = state.last_persist
     return actions
@@ -145,7 +145,7 @@
     if not message.pre_vote:
         return message.ballot >= state.promised  # an equal one is a retransmission
     silence = now - state.last_leader_contact
-    has_leader = silence < state.timing.election_timeout or state.is_leader
+    has_leader = silence < state.timing.election_timeout_s or state.is_leader
     return message.ballot > state.promised and not has_leader
 
 
--- a/heronreel/coordination/follower.py
+++ b/heronreel/coordination/follower.py
@@ -48,7 +48,7 @@
     state.promised = message.ballot
     state.leader = message.sender
     state.last_leader_contact = now
-    state.reset_election_timer(now, state.timing.election_timeout)
+    state.reset_election_timer(now, state.timing.election_timeout_s)
 
 
 def _apply_round(state: MemberState, message: Accept) -> _Applied:
--- a/heronreel/coordination/gateway_server.py
+++ b/heronreel/coordination/gateway_server.py
@@ -138,11 +138,11 @@
 
 
 class WatchRequest(msgspec.Struct, frozen=True):
-    """A request to watch a range from the revision `start`, or from now on with 0."""
+    """A request to watch a range from the revision `start_revision`, or from now on with 0."""
 
     key: bytes
     end: bytes
-    start: int
+    start_revision: int
     previous: bool  # whether events have the record before
 
 
--- a/heronreel/coordination/keyspace.py
+++ b/heronreel/coordination/keyspace.py
@@ -20,9 +20,9 @@
     MAX_KEY_BYTES,
     MAX_LEASE_ID,
     MAX_LEASES,
-    MAX_OPERATIONS,
     MAX_STATE_BYTES,
     MAX_TTL_S,
+    MAX_TXN_OPERATIONS,
     MAX_VALUE_BYTES,
     Compare,
     CompareOperator,
@@ -235,8 +235,8 @@
     def transaction(self, txn: Txn) -> TxnResponse:
         """Carry out the branch that the compares choose."""
         for part, name in ((txn.compares, "compare"), (txn.success, "success"), (txn.failure, "failure")):
-            if len(part) > MAX_OPERATIONS:
-                raise _invalid(f"{name}: {len(part)} of at most {MAX_OPERATIONS}")
+            if len(part) > MAX_TXN_OPERATIONS:
+                raise _invalid(f"{name}: {len(part)} of at most {MAX_TXN_OPERATIONS}")
         for branch in (txn.success, txn.failure):
             _check_written_once(branch)
         succeeded = all(self._holds(compare) for compare in txn.compares)
--- a/heronreel/coordination/kv_service.py
+++ b/heronreel/coordination/kv_service.py
@@ -42,7 +42,7 @@
 
 
 class _PendingRequest(NamedTuple):
-    ticket: int
+    request_id: int
     request: Request
     deadline: float  # after it, nobody waits for the response
 
@@ -55,11 +55,11 @@
 class KeyValueService:
     """Requests, leases and watches of one member."""
 
-    def __init__(self, member: ConsensusMember, *, drift: float = 0.01) -> None:
-        """`drift`: how much a clock may run faster or slower than true time, as a share."""
+    def __init__(self, member: ConsensusMember, *, max_clock_drift: float = 0.01) -> None:
+        """`max_clock_drift`: how much faster or slower than true time a clock may run, as a fraction."""
         self.member = member
         self.state = Keyspace.from_content(member.content)  # committed; valid while this member leads
-        self.lease_deadlines = LeaseDeadlines(drift)
+        self.lease_deadlines = LeaseDeadlines(max_clock_drift)
         self._pending: deque[_PendingRequest] = deque()
         self._round: _RoundInFlight | None = None
         self._watches = WatchHub()
@@ -82,21 +82,21 @@
 
     # -- events
 
-    def submit(self, now: float, ticket: int, request: Request, deadline: float) -> Outputs:
+    def submit(self, now: float, request_id: int, request: Request, deadline: float) -> Outputs:
         """A client's request.  It is not begun any more from `deadline` on."""
         if not self.member.is_leader:
-            return [RequestCompleted(ticket, RequestError(StatusCode.UNAVAILABLE, NO_LEADER))]
+            return [RequestCompleted(request_id, RequestError(StatusCode.UNAVAILABLE, NO_LEADER))]
         if len(self._pending) >= MAX_PENDING_REQUESTS:
             error = RequestError(StatusCode.RESOURCE_EXHAUSTED, TOO_MANY_REQUESTS)
-            return [RequestCompleted(ticket, error)]
-        self._pending.append(_PendingRequest(ticket, request, deadline))
+            return [RequestCompleted(request_id, error)]
+        self._pending.append(_PendingRequest(request_id, request, deadline))
         return self._start_round(now)
 
-    def watch(self, watch_id: int, key: bytes, end: bytes, start: int) -> Outputs:
-        """Notify of a range's changes from the revision `start`, or from now on with 0."""
+    def watch(self, watch_id: int, key: bytes, end: bytes, start_revision: int) -> Outputs:
+        """Notify of a range's changes from the revision `start_revision`, or from now on with 0."""
         if not self.member.is_leader:
             return [WatchNotified(watch_id, 0, (), ended=True)]
-        return [self._watches.add(watch_id, key, end, start, self.state.revision)]
+        return [self._watches.add(watch_id, key, end, start_revision, self.state.revision)]
 
     def cancel_watch(self, watch_id: int) -> None:
         """Notify a watch no more."""
@@ -129,7 +129,7 @@
             outputs += map(_with_unknown_outcome, self._round.batch.completed)
             self._round = None
         not_begun = RequestError(StatusCode.UNAVAILABLE, LEADER_CHANGED)
-        outputs += [RequestCompleted(pending.ticket, not_begun) for pending in self._pending]
+        outputs += [RequestCompleted(pending.request_id, not_begun) for pending in self._pending]
         self._pending.clear()
         outputs += self._watches.end_all(self.state.revision)
         self.lease_deadlines.clear()
@@ -177,9 +177,9 @@
             pending = self._pending.popleft()
             if pending.deadline <= batch.now:
                 late = RequestError(StatusCode.UNAVAILABLE, REQUEST_TIMED_OUT)
-                outputs.append(RequestCompleted(pending.ticket, late))
+                outputs.append(RequestCompleted(pending.request_id, late))
             else:
-                batch.add(pending.ticket, pending.request)
+                batch.add(pending.request_id, pending.request)
         return outputs
 
     def _complete_round(self, now: float, number: int) -> Outputs:
--- a/heronreel/coordination/lease_deadlines.py
+++ b/heronreel/coordination/lease_deadlines.py
@@ -17,9 +17,9 @@
 class LeaseDeadlines:
     """The deadlines of all leases."""
 
-    def __init__(self, drift: float) -> None:
-        """`drift`: how much a clock may run faster or slower than true time, as a share."""
-        self.drift = drift
+    def __init__(self, max_clock_drift: float) -> None:
+        """`max_clock_drift`: how much faster or slower than true time a clock may run, as a fraction."""
+        self.max_clock_drift = max_clock_drift
         self.by_lease: Map[int, float] = Map()
         self.earliest = math.inf  # the first deadline, or a time before it
 
@@ -73,7 +73,7 @@
             self._find_earliest()
 
     def _deadline(self, now: float, ttl: int) -> float:
-        return now + ttl * (1.0 + self.drift) / (1.0 - self.drift)
+        return now + ttl * (1.0 + self.max_clock_drift) / (1.0 - self.max_clock_drift)
 
     def _find_earliest(self) -> None:
         self.earliest = min(self.by_lease.values(), default=math.inf)
--- a/heronreel/coordination/member_state.py
+++ b/heronreel/coordination/member_state.py
@@ -23,10 +23,10 @@
 class Timing(msgspec.Struct, frozen=True):
     """The protocol's time-outs, in seconds."""
 
-    heartbeat_interval: float = 0.1  # between two rounds of an idle leader
-    retransmit_interval: float = 0.1  # to members that have not responded
-    election_timeout: float = 0.6  # without a leader, before an election; up to twice as long is drawn
-    step_down_timeout: float = 1.2  # a leader without responses from a quorum steps down
+    heartbeat_interval_s: float = 0.1  # between two rounds of an idle leader
+    retransmit_interval_s: float = 0.1  # to members that have not responded
+    election_timeout_s: float = 0.6  # without a leader, before an election; up to twice as long is drawn
+    step_down_timeout_s: float = 1.2  # a leader without responses from a quorum steps down
 
 
 class DurableState(NamedTuple):
@@ -147,8 +147,8 @@
 
         self.role = Role.FOLLOWER if self.version != NO_VERSION else Role.NEW
         self.leader: str | None = None
-        self.last_leader_contact = now - self.timing.election_timeout
-        self.election_deadline = now + self.timing.election_timeout * self.jitter()
+        self.last_leader_contact = now - self.timing.election_timeout_s
+        self.election_deadline = now + self.timing.election_timeout_s * self.jitter()
         self.highest_term = self.promised.term  # of any ballot seen
 
         # an election
@@ -231,7 +231,7 @@
         self.own_accept_persist = 0
         self.own_promise_persist = 0
         self.load_group_records()  # a membership change in flight may not be in the committed map
-        self.reset_election_timer(now, self.timing.election_timeout)
+        self.reset_election_timer(now, self.timing.election_timeout_s)
         return [Deposed()] if was_leader else []
 
     def persist(self, writes: Writes, sends: tuple[Send, ...], *, replaces_all: bool = False) -> Actions:
--- a/heronreel/coordination/model.py
+++ b/heronreel/coordination/model.py
@@ -15,7 +15,7 @@
 
 MAX_KEY_BYTES = 1024  # bytes of a key
 MAX_VALUE_BYTES = 256 << 10  # bytes of a value
-MAX_OPERATIONS = 128  # in one transaction, each way, and as many compares
+MAX_TXN_OPERATIONS = 128  # in one transaction, each way, and as many compares
 MAX_STATE_BYTES = 8 << 20  # bytes of all keys, values and leases together: a whole state is one message
 MAX_LEASES = 20_000
 MAX_TTL_S = 24 * 3600  # seconds
--- a/heronreel/coordination/replication.py
+++ b/heronreel/coordination/replication.py
@@ -128,7 +128,7 @@
 
 def retransmit_round(state: MemberState, now: float) -> Actions:
     """Send the round in flight again, if its retransmit interval has passed."""
-    if now < state.round_sent_at + state.timing.retransmit_interval:
+    if now < state.round_sent_at + state.timing.retransmit_interval_s:
         return []
     state.round_sent_at = now
     return send_round(state)
@@ -139,7 +139,7 @@
     reached = 0
     for name in state.members:
         silence = now - state.last_contact.get(name, now)
-        reached += name == state.name or silence < state.timing.step_down_timeout
+        reached += name == state.name or silence < state.timing.step_down_timeout_s
     return reached >= state.quorum_size(state.members)
 
 
@@ -222,7 +222,7 @@
         return []
     name = message.sender
     sent_at = state.snapshot_sent_at.get(name)
-    if sent_at is not None and now < sent_at + state.timing.retransmit_interval:
+    if sent_at is not None and now < sent_at + state.timing.retransmit_interval_s:
         return []
     state.snapshot_sent_at = state.snapshot_sent_at.set(name, now)
     return [Send(name, _accept_message(state, name, NO_VERSION))]
--- a/heronreel/coordination/request_batch.py
+++ b/heronreel/coordination/request_batch.py
@@ -29,7 +29,7 @@
 class RequestCompleted(NamedTuple):
     """The outcome of a request."""
 
-    ticket: int
+    request_id: int
     response: ResponseOrError
 
 
@@ -68,14 +68,14 @@
         self._apply(LeaseRevoke(lease))
         self.ended.append(lease)
 
-    def add(self, ticket: int, request: Request) -> None:
+    def add(self, request_id: int, request: Request) -> None:
         """Carry out a request on the batch's state."""
         response: ResponseOrError
         try:
             response = self._carry_out(request)
         except RequestError as error:
             response = error
-        self.completed.append(RequestCompleted(ticket, response))
+        self.completed.append(RequestCompleted(request_id, response))
 
     def _carry_out(self, request: Request) -> Response:
         if isinstance(request, LeaseList):
--- a/heronreel/coordination/settings.py
+++ b/heronreel/coordination/settings.py
@@ -77,13 +77,13 @@
     @property
     def timing(self) -> Timing:
         """The consensus protocol's time-outs."""
-        heartbeat_interval = self.settings.beat_ms / 1000
-        election_timeout = self.settings.patience_ms / 1000
+        heartbeat_interval_s = self.settings.beat_ms / 1000
+        election_timeout_s = self.settings.patience_ms / 1000
         return Timing(
-            heartbeat_interval=heartbeat_interval,
-            retransmit_interval=heartbeat_interval,
-            election_timeout=election_timeout,
-            step_down_timeout=2 * election_timeout,
+            heartbeat_interval_s=heartbeat_interval_s,
+            retransmit_interval_s=heartbeat_interval_s,
+            election_timeout_s=election_timeout_s,
+            step_down_timeout_s=2 * election_timeout_s,
         )
 
 
--- a/heronreel/coordination/watches.py
+++ b/heronreel/coordination/watches.py
@@ -62,24 +62,24 @@
         self._history_bytes = 0
         self._compacted_revision = revision
 
-    def add(self, watch_id: int, key: bytes, end: bytes, start: int, revision: int) -> WatchNotified:
+    def add(self, watch_id: int, key: bytes, end: bytes, start_revision: int, revision: int) -> WatchNotified:
         """Add a watch of a range, and return its first notification, with the past events it asks for.
 
         Args:
             watch_id: names the watch in its notifications.
             key: the range's first key.
             end: the range's end, as in `model.Range`.
-            start: the first revision to notify of; 0: the next one.
+            start_revision: the first revision to notify of; 0: the next one.
             revision: the present revision.
         """
         if len(self._watches) >= MAX_WATCHES:
             return WatchNotified(watch_id, revision, (), ended=True)
-        start = start or revision + 1
-        if start <= self._compacted_revision:
+        start_revision = start_revision or revision + 1
+        if start_revision <= self._compacted_revision:
             return WatchNotified(watch_id, revision, (), compact_revision=self._compacted_revision + 1)
-        watch = _Watch(key, end, start)
+        watch = _Watch(key, end, start_revision)
         past = tuple(event for events in self._history for event in events if watch.matches(event))
-        self._watches[watch_id] = watch._replace(next_revision=max(start, revision + 1))
+        self._watches[watch_id] = watch._replace(next_revision=max(start_revision, revision + 1))
         return WatchNotified(watch_id, revision, past)
 
     def remove(self, watch_id: int) -> None:
--- a/heronreel/coordinator/compaction.py
+++ b/heronreel/coordinator/compaction.py
@@ -23,12 +23,12 @@
 class CompactionTask:
     """Compacts this member's disk whenever it is this member's turn."""
 
-    def __init__(self, group: GroupConfig, name: str, disk: MemberDisk, points: CrashPoints) -> None:
+    def __init__(self, group: GroupConfig, name: str, disk: MemberDisk, crash_points: CrashPoints) -> None:
         """Create a task that `run` performs."""
         self.group = group
         self.name = name
         self.disk = disk
-        self.points = points
+        self.crash_points = crash_points
 
     async def run(self) -> None:
         """Take part until cancelled: once a period one of the group's members compacts its disk."""
@@ -41,7 +41,7 @@
 
     async def _compact(self, work: StepContext) -> None:
         log.info("compaction started", member=self.name, step=work.step, fencing_token=work.fencing_token)
-        self.points.reach("compact")
+        self.crash_points.reach("compact")
         await asyncio.to_thread(self.disk.compact)
-        self.points.reach("compacted")
+        self.crash_points.reach("compacted")
         log.info("compaction finished", member=self.name, step=work.step, fencing_token=work.fencing_token)
--- a/heronreel/coordinator/disk_writer.py
+++ b/heronreel/coordinator/disk_writer.py
@@ -27,7 +27,7 @@
     def __init__(
         self,
         disk: MemberDisk,
-        points: CrashPoints,
+        crash_points: CrashPoints,
         *,
         on_persisted: Callable[[Persist], None],
         on_reset: Callable[[], None],
@@ -37,13 +37,13 @@
 
         Args:
             disk: Where to write.
-            points: Announces the points before and after each write.
+            crash_points: Announces the points before and after each write.
             on_persisted: Called for each request that is durable, in order.
             on_reset: Called when the core has to restart from the disk: after an erasure or a failed write.
             on_failed: Called once, when the disk can't be written any more.
         """
         self.disk = disk
-        self.points = points
+        self.crash_points = crash_points
         self.on_persisted = on_persisted
         self.on_reset = on_reset
         self.on_failed = on_failed
@@ -79,7 +79,7 @@
     async def _run(self) -> None:
         while self.pending or self.erasing:
             persists, self.pending = self.pending, []
-            self.points.reach("write")
+            self.crash_points.reach("write")
             try:
                 await self._write(persists)
             except (StoreError, OSError) as error:
@@ -90,7 +90,7 @@
                 await asyncio.sleep(RETRY_DELAY_S)
                 self.on_reset()
                 continue
-            self.points.reach("written")
+            self.crash_points.reach("written")
             if self.erasing:
                 self.erasing = False
                 self.on_reset()
--- a/heronreel/coordinator/http_listener.py
+++ b/heronreel/coordinator/http_listener.py
@@ -124,10 +124,10 @@
         parsed = gateway_server.decode_request(request.path, data)
         if not self.node.service.member.is_leader:
             return await forward_to_leader(self.node, request, data)
-        self.node.points.reach("request")
+        self.node.crash_points.reach("request")
         header = self.node.response_header()
         body = gateway_server.encode_response(header, await self.node.request(parsed))
-        self.node.points.reach("response")
+        self.node.crash_points.reach("response")
         if request.path in gateway.STREAMED_PATHS:
             body = {"result": body}
         return web.json_response(body)
--- a/heronreel/coordinator/node.py
+++ b/heronreel/coordinator/node.py
@@ -56,16 +56,16 @@
         self.name = name
         self.disk = disk
         self.clock = boot_clock()
-        self.points = CrashPoints()
+        self.crash_points = CrashPoints()
         self.random = random.Random(secrets.randbits(64))
-        self.transport = Transport(name, self.points)
-        self.tickets = itertools.count(1)  # of requests and watches
+        self.transport = Transport(name, self.crash_points)
+        self.request_ids = itertools.count(1)  # of requests and watches
         self.pending_requests = PendingRequests()
         self.watches = WatchRegistry()
-        self.claim_watch = 0  # the ticket of the watch that is logged
+        self.claim_watch = 0  # the id of the watch whose events are logged
         self.disk_writer = DiskWriter(
             disk,
-            self.points,
+            self.crash_points,
             on_persisted=self._on_persisted,
             on_reset=self._restart_core,
             on_failed=lambda: self.request_exit(EXIT_DISK_FAILED),
@@ -84,7 +84,7 @@
             timing=self.group.timing,
             jitter=self.random.random,
         )
-        return KeyValueService(member, drift=self.group.settings.clock_drift)
+        return KeyValueService(member, max_clock_drift=self.group.settings.clock_drift)
 
     # -- the life of the process
 
@@ -128,7 +128,7 @@
 
     def receive(self, message: AnyMessage) -> None:
         """Give the core a message of another member."""
-        self.points.reach("receive")
+        self.crash_points.reach("receive")
 
         def received(now: float) -> Outputs:
             return self.service.handle_actions(now, self.service.member.receive(now, message))
@@ -167,7 +167,7 @@
                 self._notify(output)
             case Elected(ballot=ballot):
                 log.info("became leader", member=self.name, term=ballot.term)
-                self.points.reach("elected")
+                self.crash_points.reach("elected")
                 self._watch_claims()
             case Deposed():
                 log.info("leadership lost", member=self.name)
@@ -184,7 +184,7 @@
             self.service.cancel_watch(notification.watch_id)
 
     def _watch_claims(self) -> None:
-        self.claim_watch = next(self.tickets)
+        self.claim_watch = next(self.request_ids)
         self._carry_out(self.service.watch(self.claim_watch, CLAIM_PREFIX, prefix_end(CLAIM_PREFIX), 0))
 
     # -- clients
@@ -203,12 +203,12 @@
             RequestError: The request was not performed, or its outcome is unknown.
         """
         self._require_running()
-        ticket = next(self.tickets)
+        request_id = next(self.request_ids)
         timeout_s = self.group.settings.request_ms / 1000
         deadline = self.clock() + timeout_s
-        self.pending_requests.add(ticket)
-        self.handle_event(lambda now: self.service.submit(now, ticket, request, deadline))
-        return await self.pending_requests.wait(ticket, timeout_s)
+        self.pending_requests.add(request_id)
+        self.handle_event(lambda now: self.service.submit(now, request_id, request, deadline))
+        return await self.pending_requests.wait(request_id, timeout_s)
 
     def open_watch(self, wanted: gateway_server.WatchRequest) -> WatchSubscription:
         """Have the core notify of events; the first notification says whether the watch was created.
@@ -217,9 +217,11 @@
             RequestError: This member is stopping.
         """
         self._require_running()
-        subscription = self.watches.open(next(self.tickets))
-        number = subscription.number
-        self.handle_event(lambda _: self.service.watch(number, wanted.key, wanted.end, wanted.start))
+        subscription = self.watches.open(next(self.request_ids))
+        watch_id = subscription.watch_id
+        self.handle_event(
+            lambda _: self.service.watch(watch_id, wanted.key, wanted.end, wanted.start_revision)
+        )
         return subscription
 
     def _require_running(self) -> None:
@@ -233,8 +235,8 @@
 
     def close_watch(self, subscription: WatchSubscription) -> None:
         """End a watch."""
-        self.watches.close(subscription.number)
-        self.service.cancel_watch(subscription.number)
+        self.watches.close(subscription.watch_id)
+        self.service.cancel_watch(subscription.watch_id)
 
     def leader_connection(self) -> PeerConnection | None:
         """The connection to the leader; None if there is no leader, or it is this member."""
--- a/heronreel/coordinator/pending_requests.py
+++ b/heronreel/coordinator/pending_requests.py
@@ -10,16 +10,16 @@
 
 
 class PendingRequests:
-    """A future for each request that the core has not completed, by its ticket."""
+    """A future for each request that the core has not completed, by its request id."""
 
     def __init__(self) -> None:
         self.futures: dict[int, asyncio.Future[ResponseOrError]] = {}
 
-    def add(self, ticket: int) -> None:
+    def add(self, request_id: int) -> None:
         """Register a request before it is given to the core; `wait` has to follow."""
-        self.futures[ticket] = asyncio.get_running_loop().create_future()
+        self.futures[request_id] = asyncio.get_running_loop().create_future()
 
-    async def wait(self, ticket: int, timeout_s: float) -> Response:
+    async def wait(self, request_id: int, timeout_s: float) -> Response:
         """Wait for the response to a registered request.
 
         Raises:
@@ -27,18 +27,18 @@
         """
         try:
             async with asyncio.timeout(timeout_s):
-                result = await self.futures[ticket]
+                result = await self.futures[request_id]
         except TimeoutError:
             raise RequestError(StatusCode.DEADLINE_EXCEEDED, "etcdserver: request timed out") from None
         finally:
-            self.futures.pop(ticket, None)
+            self.futures.pop(request_id, None)
         if isinstance(result, RequestError):
             raise result
         return result
 
     def complete(self, completed: RequestCompleted) -> None:
         """Deliver a result, if the request is still waited for."""
-        future = self.futures.get(completed.ticket)
+        future = self.futures.get(completed.request_id)
         if future is not None and not future.done():
             future.set_result(completed.response)
 
--- a/heronreel/coordinator/server.py
+++ b/heronreel/coordinator/server.py
@@ -80,7 +80,9 @@
 async def _run_until_exit(node: MemberNode) -> int:
     if not node.group.settings.upkeep_s:
         return await node.exit_code
-    compaction = asyncio.create_task(CompactionTask(node.group, node.name, node.disk, node.points).run())
+    compaction = asyncio.create_task(
+        CompactionTask(node.group, node.name, node.disk, node.crash_points).run()
+    )
     code = await node.exit_code
     compaction.cancel()
     await asyncio.gather(compaction, return_exceptions=True)
--- a/heronreel/coordinator/transport.py
+++ b/heronreel/coordinator/transport.py
@@ -45,11 +45,13 @@
     sends again whatever it needs a response to.
     """
 
-    def __init__(self, address: MemberAddress, session: aiohttp.ClientSession, points: CrashPoints) -> None:
-        """Start the task that sends to `address`; `points` announces each request."""
+    def __init__(
+        self, address: MemberAddress, session: aiohttp.ClientSession, crash_points: CrashPoints
+    ) -> None:
+        """Start the task that sends to `address`; `crash_points` announces each request."""
         self.base_url = f"http://{address.address}"
         self.session = session
-        self.points = points
+        self.crash_points = crash_points
         self.queue: deque[AnyMessage] = deque(maxlen=MAX_QUEUED_MESSAGES)
         self.queued_bytes = 0
         self.message_queued = asyncio.Event()
@@ -78,9 +80,9 @@
             messages = list(self.queue)
             self.queue.clear()
             self.queued_bytes = 0
-            self.points.reach("send")
+            self.crash_points.reach("send")
             await self._post(messages)
-            self.points.reach("sent")
+            self.crash_points.reach("sent")
 
     async def _post(self, messages: list[AnyMessage]) -> None:
         try:
@@ -99,10 +101,10 @@
             because watches last.
     """
 
-    def __init__(self, own_name: str, points: CrashPoints) -> None:
+    def __init__(self, own_name: str, crash_points: CrashPoints) -> None:
         """Open the sessions; needs a running event loop."""
         self.own_name = own_name
-        self.points = points
+        self.crash_points = crash_points
         self.addresses: dict[str, MemberAddress] = {}  # of the other members, by name
         self.peers: dict[str, PeerConnection] = {}
         self.session = aiohttp.ClientSession(
@@ -121,7 +123,7 @@
                 self.peers.pop(name).cancel()
         for name, address in addresses.items():
             if name not in self.peers:
-                self.peers[name] = PeerConnection(address, self.session, self.points)
+                self.peers[name] = PeerConnection(address, self.session, self.crash_points)
         self.addresses = addresses
 
     def send(self, name: str, message: AnyMessage) -> None:
--- a/heronreel/coordinator/watch_registry.py
+++ b/heronreel/coordinator/watch_registry.py
@@ -13,7 +13,7 @@
 class WatchSubscription(NamedTuple):
     """An open watch: its number, and the notifications that its client has not read."""
 
-    number: int
+    watch_id: int
     notifications: asyncio.Queue[WatchNotified]
 
 
@@ -23,15 +23,15 @@
     def __init__(self) -> None:
         self.queues: dict[int, asyncio.Queue[WatchNotified]] = {}
 
-    def open(self, number: int) -> WatchSubscription:
+    def open(self, watch_id: int) -> WatchSubscription:
         """Register a watch before the core creates it."""
-        subscription = WatchSubscription(number, asyncio.Queue())
-        self.queues[number] = subscription.notifications
+        subscription = WatchSubscription(watch_id, asyncio.Queue())
+        self.queues[watch_id] = subscription.notifications
         return subscription
 
-    def close(self, number: int) -> None:
+    def close(self, watch_id: int) -> None:
         """Forget a watch; nothing happens if it was forgotten already."""
-        self.queues.pop(number, None)
+        self.queues.pop(watch_id, None)
 
     def publish(self, notification: WatchNotified) -> bool:
         """Queue a notification; False if the watch has ended because its client reads too slowly.
@@ -51,5 +51,5 @@
 
     def end_all(self) -> None:
         """Notify every client that this member can't continue its watch."""
-        for number, queue in self.queues.items():
-            queue.put_nowait(WatchNotified(number, 0, (), ended=True))
+        for watch_id, queue in self.queues.items():
+            queue.put_nowait(WatchNotified(watch_id, 0, (), ended=True))
--- a/heronreel/fault_injection/group_world.py
+++ b/heronreel/fault_injection/group_world.py
@@ -42,7 +42,7 @@
 from heronreel.fault_injection.group_network import MessagePool, SentMessage, describe_delivery
 
 NO_TIME = Timing(
-    heartbeat_interval=0.0, retransmit_interval=0.0, election_timeout=0.0, step_down_timeout=math.inf
+    heartbeat_interval_s=0.0, retransmit_interval_s=0.0, election_timeout_s=0.0, step_down_timeout_s=math.inf
 )
 NOW = 0.0  # at every step
 
--- a/heronreel/fault_injection/lease_world.py
+++ b/heronreel/fault_injection/lease_world.py
@@ -138,7 +138,7 @@
 
     def _service(self, disk: DurableState) -> KeyValueService:
         member = ConsensusMember("a", ("a",), disk, 0.0, timing=Timing(0.0, 0.0, 0.0, 1e9))
-        service = KeyValueService(member, drift=self.drift if self.guards.drift_margin else 0.0)
+        service = KeyValueService(member, max_clock_drift=self.drift if self.guards.drift_margin else 0.0)
         self._run_service(service, service.tick(self.service_time()))
         return service
 
--- a/heronreel/fault_injection/virtual_group.py
+++ b/heronreel/fault_injection/virtual_group.py
@@ -62,7 +62,7 @@
             disk = DurableState(f"{name}-1")
             self.nodes[name] = Node(name, disk, self._rate(), self._service(name, disk, 0.0))
         self._responders: dict[int, Callable[[ResponseOrError], None]] = {}
-        self._last_ticket = 0
+        self._last_request_id = 0
 
     def _rate(self) -> float:
         return 1.0 + self.rng.uniform(-self.drift, self.drift)
@@ -72,12 +72,15 @@
 
     def _service(self, name: str, disk: DurableState, now: float) -> KeyValueService:
         timing = Timing(
-            heartbeat_interval=0.1, retransmit_interval=0.1, election_timeout=0.5, step_down_timeout=1.0
+            heartbeat_interval_s=0.1,
+            retransmit_interval_s=0.1,
+            election_timeout_s=0.5,
+            step_down_timeout_s=1.0,
         )
         member = ConsensusMember(
             name, self.names, disk, now, timing=timing, jitter=self.rng.random, guards=self.guards
         )
-        return KeyValueService(member, drift=self.drift)
+        return KeyValueService(member, max_clock_drift=self.drift)
 
     # -- time
 
@@ -119,7 +122,7 @@
                 if len(node.waiting) == 1:
                     self._sync_later(node)
             elif isinstance(output, RequestCompleted):
-                reply = self._responders.pop(output.ticket, None)
+                reply = self._responders.pop(output.request_id, None)
                 if reply is not None:
                     reply(output.response)
             elif isinstance(output, EraseDisk):
@@ -208,11 +211,11 @@
             if self.now < node.paused_until:
                 self.schedule(node.paused_until, lambda: arrive(node))
                 return
-            self._last_ticket += 1
-            ticket = self._last_ticket
-            self._responders[ticket] = respond
+            self._last_request_id += 1
+            request_id = self._last_request_id
+            self._responders[request_id] = respond
             now = self._node_time(node)
-            self._outputs(node, node.service.submit(now, ticket, request, now + 2.0))
+            self._outputs(node, node.service.submit(now, request_id, request, now + 2.0))
 
         leaders = [node for node in self.nodes.values() if node.up and node.service.member.is_leader]
         self.schedule(self.now + seconds, lambda: once(None))
--- a/heronreel/serve/zone_health.py
+++ b/heronreel/serve/zone_health.py
@@ -118,7 +118,7 @@
         assert isinstance(found, RangeResponse)
         for _, record in found.records:
             self._receive(record.value)
-        async for changes in client.watch(key, start=found.revision + 1):
+        async for changes in client.watch(key, start_revision=found.revision + 1):
             for event in changes.events:
                 if event.record is not None:
                     self._receive(event.record.value)
--- a/tests/coordinator/group_support.py
+++ b/tests/coordinator/group_support.py
@@ -9,13 +9,13 @@
 from heronreel.coordination.model import Put, Range, RangeResponse
 from heronreel.leases.lease import LeaseTerms
 
-THREE = ("a", "b", "c")
+MEMBER_NAMES = ("a", "b", "c")
 SHORT_TERMS = LeaseTerms(ttl_s=2, safety_margin_s=0.3, response_timeout_s=0.3)
 
 
 def other_than(leader: str) -> str:
-    """A member of THREE that is not the leader."""
-    return next(name for name in THREE if name != leader)
+    """A member of MEMBER_NAMES that is not the leader."""
+    return next(name for name in MEMBER_NAMES if name != leader)
 
 
 async def put_until_done(client: Client, key: bytes, value: bytes) -> None:
--- a/tests/coordinator/test_fleet_tasks.py
+++ b/tests/coordinator/test_fleet_tasks.py
@@ -19,7 +19,7 @@
 from heronreel.fault_injection.trial import start_resource
 from heronreel.leases import overview
 from heronreel.leases.rate_limits import BURST_S
-from tests.coordinator.group_support import THREE, other_than, put_until_done
+from tests.coordinator.group_support import MEMBER_NAMES, other_than, put_until_done
 
 TASK_PROCESS = "heronreel.fault_injection.task_process"
 
@@ -54,7 +54,7 @@
 
 def test_a_fleet_wide_task_resumes_at_its_step_through_kills_of_its_holders(tmp_path: Path) -> None:
     async def run() -> None:
-        async with Harness(tmp_path, THREE, 12) as harness, Client(harness.addresses) as client:
+        async with Harness(tmp_path, MEMBER_NAMES, 12) as harness, Client(harness.addresses) as client:
             await harness.wait_until_healthy()
             history = tmp_path / "resource.history"
             port = await start_resource(harness, tmp_path / "table", history)
@@ -143,7 +143,7 @@
     async def run() -> None:
         settings = "upkeep_s = 0.3\nlease_s = 2\nmargin_s = 0.3\nanswer_s = 0.3"
         async with (
-            Harness(tmp_path, THREE, 19, extra_settings=settings) as harness,
+            Harness(tmp_path, MEMBER_NAMES, 19, extra_settings=settings) as harness,
             Client(harness.addresses) as client,
         ):
             await harness.wait_until_healthy()
--- a/tests/coordinator/test_http_interface.py
+++ b/tests/coordinator/test_http_interface.py
@@ -16,12 +16,12 @@
     RangeResponse,
 )
 from heronreel.fault_injection.harness import Harness
-from tests.coordinator.group_support import THREE, put_until_done
+from tests.coordinator.group_support import MEMBER_NAMES, put_until_done
 
 
 def test_a_watch_continues_across_leaders_and_one_that_fell_behind_is_canceled(tmp_path: Path) -> None:
     async def run() -> None:
-        async with Harness(tmp_path, THREE, 7) as harness, Client(harness.addresses) as client:
+        async with Harness(tmp_path, MEMBER_NAMES, 7) as harness, Client(harness.addresses) as client:
             await put_until_done(client, b"w/0", b"0")
             seen: list[bytes] = []
             missed = 0
--- a/tests/coordinator/test_leases.py
+++ b/tests/coordinator/test_leases.py
@@ -24,7 +24,7 @@
 from heronreel.leases.claim import Claim
 from heronreel.leases.lease import LeaseTerms
 from heronreel.leases.session import LeaseSession
-from tests.coordinator.group_support import SHORT_TERMS, THREE, put_until_done, value_of
+from tests.coordinator.group_support import MEMBER_NAMES, SHORT_TERMS, put_until_done, value_of
 
 
 async def acquired_token(worker: ManagedProcess, after: int = 0) -> int:
@@ -69,7 +69,7 @@
 
 def test_a_lease_survives_the_leader_and_has_one_holder(tmp_path: Path) -> None:
     async def run() -> None:
-        async with Harness(tmp_path, THREE, 6) as harness:
+        async with Harness(tmp_path, MEMBER_NAMES, 6) as harness:
             async with (
                 LeaseSession(harness.addresses, "one", SHORT_TERMS) as one,
                 LeaseSession(harness.addresses, "two", SHORT_TERMS) as two,
@@ -121,7 +121,7 @@
 
 def test_a_client_and_a_holder_that_reach_only_the_minority_are_rejected_and_stop(tmp_path: Path) -> None:
     async def run() -> None:
-        async with Harness(tmp_path, THREE, 15) as harness, Client(harness.addresses) as client:
+        async with Harness(tmp_path, MEMBER_NAMES, 15) as harness, Client(harness.addresses) as client:
             await harness.wait_until_healthy()
             alone = await harness.wait_for_leader()
             minority = [harness.address(alone)]
--- a/tests/coordinator/test_membership.py
+++ b/tests/coordinator/test_membership.py
@@ -13,7 +13,7 @@
 from heronreel.leases import administration
 from heronreel.leases.lease import LeaseTerms
 from heronreel.leases.session import LeaseSession
-from tests.coordinator.group_support import THREE, other_than, put_until_done, value_of
+from tests.coordinator.group_support import MEMBER_NAMES, other_than, put_until_done, value_of
 
 
 async def change_membership(client: Client, names: Sequence[str]) -> None:
@@ -54,7 +54,7 @@
                 for name in ("b", "c"):
                     await harness.add_member(name)
                 session.client.addresses = harness.addresses
-                await change_membership(first, THREE)
+                await change_membership(first, MEMBER_NAMES)
                 first.addresses = harness.addresses
                 await harness.wait_until_healthy()
                 assert claim.fencing_token(session.now()) == number
@@ -67,7 +67,7 @@
                 await harness.wait_until_healthy()
                 survivor = other_than(await harness.wait_for_leader())  # so that the leader removes itself
                 await change_membership(first, [survivor])
-                for name in THREE:
+                for name in MEMBER_NAMES:
                     if name != survivor:
                         await harness.remove_member(name)
                 first.addresses = session.client.addresses = harness.addresses
--- a/tests/coordinator/test_replication.py
+++ b/tests/coordinator/test_replication.py
@@ -12,13 +12,13 @@
 from heronreel.coordination.errors import RequestError, StatusCode
 from heronreel.coordination.model import Put, Range
 from heronreel.fault_injection.harness import Harness
-from tests.coordinator.group_support import THREE, other_than, put_until_done, value_of
+from tests.coordinator.group_support import MEMBER_NAMES, other_than, put_until_done, value_of
 
 
 def test_the_loss_of_any_member_and_its_disk_is_tolerated_and_of_two_members_is_not(tmp_path: Path) -> None:
     async def run() -> None:
-        async with Harness(tmp_path, THREE, 1) as harness, Client(harness.addresses) as client:
-            for count, name in enumerate((*THREE, await harness.wait_for_leader())):
+        async with Harness(tmp_path, MEMBER_NAMES, 1) as harness, Client(harness.addresses) as client:
+            for count, name in enumerate((*MEMBER_NAMES, await harness.wait_for_leader())):
                 await harness.wait_until_healthy()
                 await put_until_done(client, b"k", b"%d" % count)
                 await harness.members[name].kill()
@@ -28,7 +28,7 @@
                 await harness.wait_until_healthy()
                 assert await value_of(client, b"k") == b"%d" % count
             leader = await harness.wait_for_leader()
-            for name in THREE:
+            for name in MEMBER_NAMES:
                 if name != leader:
                     await harness.members[name].kill()
             with pytest.raises(RequestError):
@@ -41,7 +41,7 @@
                     StatusCode.DEADLINE_EXCEEDED,
                     StatusCode.UNKNOWN,
                 )
-            for name in THREE:
+            for name in MEMBER_NAMES:
                 if name != leader:
                     await harness.start_member(name)
             await put_until_done(client, b"last", b"1")
@@ -54,7 +54,7 @@
     """The process announces crash points: it is killed before a write, after it, and after sending."""
 
     async def run() -> None:
-        async with Harness(tmp_path, THREE, 2) as harness, Client(harness.addresses) as client:
+        async with Harness(tmp_path, MEMBER_NAMES, 2) as harness, Client(harness.addresses) as client:
             for count in range(6):
                 await harness.wait_until_healthy()
                 leader = await harness.wait_for_leader()
@@ -76,7 +76,7 @@
 
 def test_a_disk_that_was_rolled_back_is_detected_and_erased(tmp_path: Path) -> None:
     async def run() -> None:
-        async with Harness(tmp_path, THREE, 3) as harness, Client(harness.addresses) as client:
+        async with Harness(tmp_path, MEMBER_NAMES, 3) as harness, Client(harness.addresses) as client:
             await put_until_done(client, b"k", b"old")
             await harness.wait_until_healthy()
             rolled_back = other_than(await harness.wait_for_leader())
@@ -103,7 +103,7 @@
 
 def test_one_way_partitions_and_a_paused_leader_are_tolerated(tmp_path: Path) -> None:
     async def run() -> None:
-        async with Harness(tmp_path, THREE, 4) as harness, Client(harness.addresses) as client:
+        async with Harness(tmp_path, MEMBER_NAMES, 4) as harness, Client(harness.addresses) as client:
             await harness.wait_until_healthy()
             leader = await harness.wait_for_leader()
             other = other_than(leader)
@@ -116,7 +116,7 @@
             await harness.wait_until_healthy()
             leader = await harness.wait_for_leader()
             harness.members[leader].pause()
-            away = [harness.address(name) for name in THREE if name != leader]
+            away = [harness.address(name) for name in MEMBER_NAMES if name != leader]
             async with Client(away) as rest:
                 await put_until_done(rest, b"k", b"later")
             harness.members[leader].resume()
@@ -126,7 +126,7 @@
             # elected
             await harness.wait_until_healthy()
             leader = await harness.wait_for_leader()
-            for name in THREE:
+            for name in MEMBER_NAMES:
                 if name != leader:
                     harness.network.peer_relays[name, leader].requests.partitioned = True
             await put_until_done(client, b"k", b"last")
@@ -137,7 +137,7 @@
 
 def test_a_member_with_a_full_disk_is_lost_and_one_with_a_corrupt_disk_does_not_start(tmp_path: Path) -> None:
     async def run() -> None:
-        async with Harness(tmp_path, THREE, 9) as harness, Client(harness.addresses) as client:
+        async with Harness(tmp_path, MEMBER_NAMES, 9) as harness, Client(harness.addresses) as client:
             await harness.wait_until_healthy()
             full = await harness.wait_for_leader()
             harness.fill_disk(full)
