--- a/heronreel/fault_injection/lease_world.py
+++ b/heronreel/fault_injection/lease_world.py
@@ -362,7 +362,7 @@
 def _forked(lease: LeaseClient) -> LeaseClient:
     fork = copy.copy(lease)
     fork.backoff = copy.copy(lease.backoff)
-    fork.draw_lease_id = copy.copy(lease.draw_lease_id)
+    fork.generate_lease_id = copy.copy(lease.generate_lease_id)
     fork.claims = []
     for claim in lease.claims:
         claim_fork: Claim = copy.copy(claim)
--- a/heronreel/leases/fencing.py
+++ b/heronreel/leases/fencing.py
@@ -78,14 +78,14 @@
     task, steps are counted, and a step that was written before is admitted and not written again.
     """
 
-    FENCE = b"fence/"
-    STEP = b"step/"
-    ROW = b"row/"
+    FENCE_PREFIX = b"fence/"
+    STEP_PREFIX = b"step/"
+    ROW_PREFIX = b"row/"
 
     def __init__(self, store: Store) -> None:
         self.store = store
-        rows = store.scan(self.FENCE)
-        self.guard = FencingGuard((key[len(self.FENCE) :], _decode_int(data)) for key, data in rows)
+        rows = store.scan(self.FENCE_PREFIX)
+        self.guard = FencingGuard((key[len(self.FENCE_PREFIX) :], _decode_int(data)) for key, data in rows)
 
     def register_holder(self, task: bytes, token: int) -> FencingVerdict:
         """A holder begins: from now on nothing of a previous one is admitted.
@@ -96,7 +96,7 @@
         previous = self.guard.highest_tokens.get(task, 0)
         verdict = self.guard.admit(task, token)
         if verdict.admitted and token > previous:
-            self._store(task, previous, [(self.FENCE + task, _encode(token))])
+            self._store(task, previous, [(self.FENCE_PREFIX + task, _encode(token))])
         return verdict
 
     def write(self, task: bytes, token: int, step: int, value: bytes) -> FencedWrite:
@@ -116,15 +116,15 @@
             raise StepOutOfOrderError(step, next_step)
         rows: list[tuple[bytes, bytes]] = []
         if token > previous:
-            rows.append((self.FENCE + task, _encode(token)))
+            rows.append((self.FENCE_PREFIX + task, _encode(token)))
         if step == next_step:
-            rows.append((self.STEP + task, _encode(step)))
+            rows.append((self.STEP_PREFIX + task, _encode(step)))
             rows.append((self._row_key(task, step), _encode(FencedEntry(token, value))))
         self._store(task, previous, rows)
         return FencedWrite(verdict, step == next_step)
 
     def _row_key(self, task: bytes, step: int) -> bytes:
-        return self.ROW + task + b"/" + step.to_bytes(STEP_KEY_BYTES, "big")
+        return self.ROW_PREFIX + task + b"/" + step.to_bytes(STEP_KEY_BYTES, "big")
 
     def _store(self, task: bytes, previous: int, rows: list[tuple[bytes, bytes]]) -> None:
         try:
@@ -138,12 +138,12 @@
 
     def step_count(self, task: bytes) -> int:
         """How many entries the task has."""
-        data = self.store.get(self.STEP + task)
+        data = self.store.get(self.STEP_PREFIX + task)
         return 0 if data is None else _decode_int(data)
 
     def entries(self, task: bytes) -> list[FencedEntry]:
         """The task's entries, in the order of their steps."""
-        rows = self.store.scan(self.ROW + task + b"/")
+        rows = self.store.scan(self.ROW_PREFIX + task + b"/")
         return [msgspec.msgpack.decode(data, type=FencedEntry) for _, data in rows]
 
 
--- a/heronreel/leases/lease.py
+++ b/heronreel/leases/lease.py
@@ -78,14 +78,17 @@
         self,
         terms: LeaseTerms,
         now: float,
-        draw_lease_id: Callable[[], int],
+        generate_lease_id: Callable[[], int],
         jitter: Callable[[], float] = lambda: 0.5,
     ) -> None:
-        """`draw_lease_id` returns the id of a new lease: from 1 to 2**63 - 1, never the same one twice."""
+        """Make the state of a lease that has not been requested yet.
+
+        `generate_lease_id` returns an id from 1 to 2**63 - 1, and never the same one twice.
+        """
         self.terms = terms
-        self.draw_lease_id = draw_lease_id
+        self.generate_lease_id = generate_lease_id
         self.jitter = jitter
-        self.lease_id = draw_lease_id()
+        self.lease_id = generate_lease_id()
         self.granted = False
         self.valid_until = now
         self.next_request_at = now
@@ -218,7 +221,7 @@
     def _on_not_found(self, now: float) -> Actions:
         """The lease has expired in the service; request another."""
         actions = self._lose_claims("lease expired")
-        self.lease_id = self.draw_lease_id()
+        self.lease_id = self.generate_lease_id()
         self.granted = False
         self._retry_later(now)
         return actions
--- a/heronreel/leases/rate_budget.py
+++ b/heronreel/leases/rate_budget.py
@@ -39,7 +39,7 @@
 REBALANCE_INTERVAL_S = 5.0  # at most, between two checks whether others need a share
 
 
-class BudgetPart(msgspec.Struct, frozen=True):
+class StoredShare(msgspec.Struct, frozen=True):
     """A process's share, as stored."""
 
     units: int = msgspec.field(name="share")
@@ -185,7 +185,7 @@
             elif not key.startswith(self.part_prefix):
                 waiting += 1
             else:
-                units = msgspec.json.decode(record.value, type=BudgetPart).units
+                units = msgspec.json.decode(record.value, type=StoredShare).units
                 if key != self.part_key:
                     holders += 1
                 # a part under an earlier lease of ours is free only when that has expired, as anybody's
@@ -222,7 +222,7 @@
         waiting = Put(self.waiting_key, b"", lease_id) if waits else DeleteRange(self.waiting_key)
         part: Put | DeleteRange = DeleteRange(self.part_key)
         if units:
-            part = Put(self.part_key, msgspec.json.encode(BudgetPart(units)), lease_id)
+            part = Put(self.part_key, msgspec.json.encode(StoredShare(units)), lease_id)
         # fewer units than before are used at once, more only when they are known to be ours
         self.units = min(self.units, units)
         compares = (unchanged,) if self.guarded else ()
--- a/tests/compatibility/stored_control.py
+++ b/tests/compatibility/stored_control.py
@@ -96,9 +96,9 @@
         "probe report": report_key("etna"),
         "probe task": probe_task_name("etna"),
         "probe task, no zone": probe_task_name(""),
-        "fence: number": FencedTable.FENCE,
-        "fence: step": FencedTable.STEP,
-        "fence: row": FencedTable.ROW,
+        "fence: number": FencedTable.FENCE_PREFIX,
+        "fence: step": FencedTable.STEP_PREFIX,
+        "fence: row": FencedTable.ROW_PREFIX,
         "watch": WATCH_PATH,
         "forwarded by": FORWARDED_BY_HEADER,
     }
--- a/tests/compatibility/stored_group.py
+++ b/tests/compatibility/stored_group.py
@@ -57,7 +57,7 @@
 from heronreel.leases.keys import BUDGET_PREFIX as BUDGETS
 from heronreel.leases.keys import CLAIM_PREFIX, CURSOR_PREFIX
 from heronreel.leases.lease import LeaseClient, LeaseTerms
-from heronreel.leases.rate_budget import BudgetPart, BudgetShare
+from heronreel.leases.rate_budget import BudgetShare, StoredShare
 from heronreel.leases.rate_limits import TOTAL_UNITS
 from heronreel.leases.requests import SendRequest
 from heronreel.leases.task_progress import TaskProgress
@@ -250,7 +250,7 @@
         share = BudgetShare(session(), Priority.IDLE.stored_name, "m1", lambda: 0.5)
         share.acquire(0.2)
         calls["budget-read"] = asked(share.tick(0.2))
-        part = Record(msgspec.json.encode(BudgetPart(others)), 3, 3, 1, 9)
+        part = Record(msgspec.json.encode(StoredShare(others)), 3, 3, 1, 9)
         rows = ((BUDGETS + b"idle/part/m2", part), (BUDGETS + b"idle/register", Record(b"", 2, 4, 2, 0)))
         calls[name] = asked(share.on_response(0.3, RangeResponse(4, rows, 2, False)))
     return calls
@@ -400,5 +400,5 @@
     "wish.txt": Form(frozenset("abc"), lambda: resized("cab"), parse_member_names),
     "cursor.json": Form(c := Cursor(4, 5, 2, 9, "m1", True, 1), lambda: encode_cursor(c), decode_cursor),
     "cursor-new.json": Form(Cursor(), lambda: encode_cursor(Cursor()), decode_cursor),
-    "budget-part.json": as_json(BudgetPart(240)),
+    "budget-part.json": as_json(StoredShare(240)),
 }  # fmt: skip
--- a/tests/leases/test_rate_budget.py
+++ b/tests/leases/test_rate_budget.py
@@ -36,18 +36,18 @@
         self.late_requests: list[SendRequest] = []
         self.shares: list[BudgetShare] = []
         for number in range(count):
-            lease = LeaseClient(TERMS, 0.0, self.draw_lease_id, self.rng.random)
+            lease = LeaseClient(TERMS, 0.0, self.generate_lease_id, self.rng.random)
             self.shares.append(BudgetShare(lease, "usual", f"p{number}", self.rng.random, guarded=guarded))
             self.start(self.shares[-1])
 
-    def draw_lease_id(self) -> int:
+    def generate_lease_id(self) -> int:
         self.last_lease_id += 1
         return self.last_lease_id
 
     def start(self, share: BudgetShare) -> None:
         """Under a lease that does not expire by itself: the test ends it."""
         lease = share.lease
-        lease.lease_id, lease.granted, lease.valid_until = self.draw_lease_id(), True, float("inf")
+        lease.lease_id, lease.granted, lease.valid_until = self.generate_lease_id(), True, float("inf")
         self.state = self.state.apply(LeaseGrant(6, lease.lease_id)).state
         share.acquire(self.now)
 
