--- a/heronreel/proxy/budget.py
+++ b/heronreel/proxy/budget.py
@@ -1,10 +1,10 @@
-"""The memory that all bodies and buffered responses of a process share."""
+"""A memory limit shared by all request bodies and buffered responses of a process."""
 
 from __future__ import annotations
 
 
 class ByteBudget:
-    """Counts bytes that are in memory for requests and responses against one limit."""
+    """Counts the bytes held in memory for requests and responses against one limit."""
 
     __slots__ = ("limit", "used")
 
@@ -13,12 +13,16 @@
         self.used = 0
 
     def reserve(self, size: int, share: float = 1.0) -> bool:
-        """Count `size` bytes, unless more than that share of the limit would then be in use."""
+        """Reserve `size` bytes if the total in use stays within `share` of the limit.
+
+        Returns:
+            Whether the bytes were reserved.
+        """
         if self.used + size > self.limit * share:
             return False
         self.used += size
         return True
 
     def release(self, size: int) -> None:
-        """Give back `size` bytes that were reserved."""
+        """Release `size` bytes that were reserved earlier."""
         self.used -= size
--- a/heronreel/proxy/endpoint_watch.py
+++ b/heronreel/proxy/endpoint_watch.py
@@ -1,9 +1,9 @@
-"""The watch of the endpoint list: the calls to discovery.
+"""The watch of the endpoint list: makes and repeats the calls to discovery.
 
-The platform counts a change that a silent watch misses as notified 6 s after it fell silent, and a watch may
-fall silent right after a line, or before its first.  So a call that is quiet for longer than a healthy one
-ever is gets a second one beside it while it stays open: if it was only late, it is as good as before, and
-the second one costs nothing.
+If a watch stops receiving data, the platform counts a change that it misses as notified 6 s later.  This may
+happen right after a line, or before the first line.  So when a call receives nothing for longer than a
+healthy call ever does, a second call is started while the first stays open.  If the first call was only late,
+it continues as before and the second call has cost nothing.
 """
 
 from __future__ import annotations
@@ -19,18 +19,21 @@
 from heronreel.proxy.endpoints import EndpointList
 from heronreel.proxy.list_validity import ListValidity
 
-PUSHED_RETRY_INTERVAL_S = 0.1  # between calls to an agent on this machine, which responds at once, at no cost
+# Interval between calls to an agent on this machine, which responds immediately and for which calls are
+# cheap.
+PUSHED_RETRY_INTERVAL_S = 0.1
 
-FRESH_S = 0.25  # a watch that ends so soon after its first list may have been answered by no service at all
+# If a watch ends this soon after its first list, possibly no discovery service has sent that list.
+MIN_WATCH_DURATION_S = 0.25
 
 
 class EndpointWatch:
-    """Makes the calls, and keeps the index from which the next watch resumes.
+    """Makes the calls to discovery and keeps the index from which the next watch resumes.
 
-    Where lists are polled, `watch` begins each call and a failure is reported, so that whoever paces the
-    calls of a whole fleet begins the next.  Where they are pushed (`pushed`), what the agent has counts as
-    notified at once, with a watch or without: `start` makes the first call, and each further one is made
-    here.
+    If lists are polled, `watch` starts each call.  A failure is reported to `on_update`, and the balancer,
+    which paces the calls of the whole fleet, decides when the next call starts.  If lists are pushed by a
+    local agent (`pushed`), every change that the agent has counts as notified immediately, whether or not a
+    watch is open: `start` makes the first call, and this class makes all further ones.
     """
 
     def __init__(
@@ -47,66 +50,66 @@
         self.address = address
         self.index = index
         self.on_update = on_update
-        self.on_validity = on_validity  # is told until when the list may be used, as `valid_until`
+        self.on_validity = on_validity  # Called with each new value of `valid_until()`.
         self.pushed = pushed
-        self.retry_timer: asyncio.TimerHandle | None = None  # the next call to an agent
+        self.retry_timer: asyncio.TimerHandle | None = None  # Starts the next call to an agent.
         self.calls: set[EndpointCall] = set()
         self.calls_made = 0
         self.validity = ListValidity(drain_grace_s, time.monotonic())
         self.on_validity(self.valid_until())
 
     def start(self) -> None:
-        """Begin the watch of a pushed list; a polled one waits for `watch`."""
+        """Start the watch of a pushed list.  The watch of a polled list is started by `watch`."""
         if self.pushed and not self._is_watching():
-            self._begin()
+            self._start_watch()
 
     def valid_until(self) -> float:
-        """Until when requests may be sent by the list, on the monotonic clock in seconds.
+        """Return until when requests may be sent by the list, on the monotonic clock in seconds.
 
-        An agent answers at once unless discovery is down, so a list that it pushes has no end.
+        A pushed list does not expire, because an agent answers immediately unless discovery is down.
         """
-        return math.inf if self.pushed else self.validity.ends_at
+        return math.inf if self.pushed else self.validity.expires_at
 
     def reconfigure(self, address: tuple[str, int], pushed: bool, drain_grace_s: float) -> None:
-        """Call this address from now on; at once, if there is a watch to move."""
+        """Call `address` from now on, and immediately if there is a watch to move."""
         moved, mode_changed = address != self.address, pushed != self.pushed
         self.address, self.pushed = address, pushed
         self.validity.reconfigure(drain_grace_s)
         if moved:
-            self.validity.moved(time.monotonic())
+            self.validity.service_moved(time.monotonic())
         self.on_validity(self.valid_until())
         if moved and any(call.is_watch for call in self.calls):
-            self._begin()
+            self._start_watch()
         if moved and not pushed:
-            self.on_update(WatchFailure.MOVED)  # ends a long backoff after failures of the old address
+            self.on_update(WatchFailure.MOVED)  # Ends a long backoff after failures of the old address.
         if mode_changed and pushed:
             self.start()
         elif mode_changed and not self._is_watching():
-            self.on_update(WatchFailure.ENDED)  # from now on somebody else paces the calls
+            self.on_update(WatchFailure.ENDED)  # From now on the receiver of this report paces the calls.
 
     def watch(self) -> None:
-        """Begin a watch, unless there is a good one.
+        """Start a watch unless a healthy one is open.
 
-        Late ones go on until one gets a response, so that no change is missed and no place in the service's
-        queue is lost.
+        Late watches stay open until another one gets a response, so that no change is missed and no place in
+        the service's queue is lost.
         """
         if any(call.has_response and not call.is_late for call in self._current_watches()):
-            self.on_update(EndpointList(self.index, False, []))  # it was only late
+            self.on_update(EndpointList(self.index, False, []))  # The watch was only late.
         elif not self._is_watching():
-            self._begin()
+            self._start_watch()
 
     def fetch(self) -> None:
-        """Get the list once."""
+        """Fetch the list once, without a watch."""
         self._call("", False)
 
     def close(self) -> None:
-        """End all calls."""
+        """Close all calls."""
         if self.retry_timer:
             self.retry_timer.cancel()
         for call in list(self.calls):
             call.close()
 
-    def _begin(self) -> None:
+    def _start_watch(self) -> None:
         for call in [call for call in self.calls if call.is_watch and not call.has_response]:
             if call.address != self.address:
                 call.close()
@@ -120,58 +123,60 @@
         return [call for call in self.calls if call.is_watch and call.address == self.address]
 
     def _is_watching(self) -> bool:
-        """Whether a call under way will bring the list, as far as is known."""
+        """Return whether a watch of the current address is open and not late."""
         return any(not call.is_late for call in self._current_watches())
 
     # Reports of the calls.
 
     def on_response(self, call: EndpointCall) -> None:
-        """A call's response has begun; a new watch takes the place of the others."""
+        """Handle the start of a response: a new watch replaces all others."""
         if call.is_watch:
             for other in [other for other in self.calls if other.is_watch and other is not call]:
                 other.close()
 
     def list_age_s(self) -> float:
-        """How long ago the list was last known to be current."""
+        """Return how long ago, in seconds, the list was last confirmed to be current."""
         return time.monotonic() - self.validity.current_at
 
     def on_input(self, call: EndpointCall) -> None:
-        """A call received a complete line: what it tells, or that nothing has changed, is current."""
+        """Handle a complete line: the list, including any change in the line, is current."""
         if call.address == self.address and call.lists:
-            if call.validity_before is None:
-                call.validity_before = replace(self.validity)
-            self.validity.heard(call.last_input_at)
+            if call.previous_validity is None:
+                call.previous_validity = replace(self.validity)
+            self.validity.confirm_current(call.last_input_at)
             self.on_validity(self.valid_until())
 
     def on_endpoints(self, endpoints: EndpointList) -> None:
-        """A call received a list."""
+        """Store the index of a received list and report the list."""
         self.index = endpoints.index
         self.on_update(endpoints)
 
-    def on_failure(self, call: EndpointCall, lost: WatchFailure) -> None:
-        """A call ended, or is late.  Report it, unless another is about to take its place."""
-        self._note_failure(call, lost)
+    def on_failure(self, call: EndpointCall, failure: WatchFailure) -> None:
+        """Handle a call that has ended or is late; report it unless another watch is open or starting."""
+        self._update_validity(call, failure)
         if call.is_watch and self._is_watching():
             return
         if not self.pushed:
-            self.on_update(lost)
+            self.on_update(failure)
         elif self.retry_timer is None:
             self.retry_timer = self.loop.call_later(PUSHED_RETRY_INTERVAL_S, self._retry)
 
-    def _note_failure(self, call: EndpointCall, lost: WatchFailure) -> None:
-        """What a failure says of the held list."""
+    def _update_validity(self, call: EndpointCall, failure: WatchFailure) -> None:
+        """Update the validity of the current list after a failed call."""
         if call.address != self.address:
             return
         now = time.monotonic()
-        if lost is WatchFailure.BUSY:
+        if failure is WatchFailure.BUSY:
             self.validity.call_refused(call.started_at, now)
         elif call.transport is None:
-            self.validity.call_unconnected(call.started_at)
-        elif call.lists and call.is_watch and lost is WatchFailure.ENDED:
-            is_fresh = call.validity_before is not None and now - call.listed_at < FRESH_S
-            if is_fresh and call.validity_before:
-                self.validity = call.validity_before
-            if not (is_fresh and call.was_reset):
+            self.validity.connection_failed(call.started_at)
+        elif call.lists and call.is_watch and failure is WatchFailure.ENDED:
+            ended_early = (
+                call.previous_validity is not None and now - call.first_list_at < MIN_WATCH_DURATION_S
+            )
+            if ended_early and call.previous_validity:
+                self.validity = call.previous_validity
+            if not (ended_early and call.was_reset):
                 self.validity.watch_ended(now)
         elif not call.lists:
             self.validity.call_unanswered(call.started_at)
--- a/heronreel/proxy/endpoints.py
+++ b/heronreel/proxy/endpoints.py
@@ -1,4 +1,4 @@
-"""The list of endpoints (backends) as discovery sends it, and its parser."""
+"""The endpoint list, as discovery sends it, and its parser.  Each endpoint is a backend."""
 
 from __future__ import annotations
 
@@ -9,27 +9,33 @@
 from heronreel.balancer.interface import State
 from heronreel.proxy.errors import MalformedEndpointListError
 
-STATES = {"active": State.UP, "leaving": State.DRAINING, "left": State.GONE}
+STATE_BY_STATUS = {"active": State.UP, "leaving": State.DRAINING, "left": State.GONE}
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One entry of the list."""
+    """One entry of the endpoint list.
+
+    Attributes:
+        address: Host and port.  The entry of an endpoint that has left may lack it.
+        since_ms: When the backend's process started, in ms since the epoch.
+        pool: The endpoint's pool, if the proxy's host configures pools.
+    """
 
     name: str
-    address: tuple[str, int] | None  # None: the entry of one that has left may lack it
+    address: tuple[str, int] | None
     zone: str
     kind: str
     cell: int
     state: State
     weight: float
-    since_ms: float  # when its process started, since the epoch
-    pool: str = ""  # where the host has pools of its own
+    since_ms: float
+    pool: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """One message of discovery: a snapshot of the whole list, or the entries that changed."""
+    """One message from discovery: a snapshot of the whole list, or only the entries that changed."""
 
     index: int
     is_snapshot: bool
@@ -37,60 +43,61 @@
 
 
 def parse_endpoint_list(message: object) -> EndpointList:
-    """The list that a decoded JSON message holds.
+    """Parse an endpoint list from a decoded JSON message.
 
     Raises:
-        MalformedEndpointListError: A field is missing, of a wrong type or out of range.
+        MalformedEndpointListError: A field is missing, has the wrong type or is out of range.
     """
     if not isinstance(message, dict):
-        raise MalformedEndpointListError("not an object")
+        raise MalformedEndpointListError("the message is not a JSON object")
     index, is_snapshot, entries = message.get("index"), message.get("snapshot"), message.get("endpoints")
     if isinstance(index, bool) or not isinstance(index, int):
-        raise MalformedEndpointListError(f"index: not a whole number: {index!r:.40}")
+        raise MalformedEndpointListError(f"index: not an integer: {index!r:.40}")
     if not isinstance(is_snapshot, bool):
-        raise MalformedEndpointListError(f"snapshot: neither true nor false: {is_snapshot!r:.40}")
+        raise MalformedEndpointListError(f"snapshot: not a boolean: {is_snapshot!r:.40}")
     if not isinstance(entries, list):
-        raise MalformedEndpointListError("endpoints: not a list")
+        raise MalformedEndpointListError("endpoints: not an array")
     return EndpointList(index, is_snapshot, [_parse_endpoint(entry) for entry in entries])
 
 
 def _parse_endpoint(entry: object) -> Endpoint:
     if not isinstance(entry, dict):
-        raise MalformedEndpointListError(f"endpoints: not an object: {entry!r:.40}")
-    name = _text(entry, "name", None)
-    state = STATES.get(_text(entry, "status", None))
+        raise MalformedEndpointListError(f"endpoints: an entry is not an object: {entry!r:.40}")
+    name = _parse_string(entry, "name", None)
+    state = STATE_BY_STATUS.get(_parse_string(entry, "status", None))
     if state is None:
-        raise MalformedEndpointListError(f"status: unknown: {entry.get('status')!r:.40}")
+        raise MalformedEndpointListError(f"status: unknown status {entry.get('status')!r:.40}")
     return Endpoint(
         name,
-        _address(entry, state),
-        _text(entry, "zone", ""),
-        _text(entry, "type", ""),
-        int(_number(entry, "group", 0.0)),
+        _parse_address(entry, state),
+        _parse_string(entry, "zone", ""),
+        _parse_string(entry, "type", ""),
+        int(_parse_number(entry, "group", 0.0)),
         state,
-        _number(entry, "weight", 1.0),
-        _number(entry, "since_ms", 0.0),
+        _parse_number(entry, "weight", 1.0),
+        _parse_number(entry, "since_ms", 0.0),
     )
 
 
-def _text(entry: dict[str, Any], field: str, default: str | None) -> str:
+def _parse_string(entry: dict[str, Any], field: str, default: str | None) -> str:
+    """Return a string field.  Without a default the field is required and must not be empty."""
     value = entry.get(field, default)
     if not isinstance(value, str) or (default is None and not value):
-        raise MalformedEndpointListError(f"{field}: not a name: {value!r:.40}")
+        raise MalformedEndpointListError(f"{field}: not a valid string: {value!r:.40}")
     return value
 
 
-def _number(entry: dict[str, Any], field: str, default: float) -> float:
+def _parse_number(entry: dict[str, Any], field: str, default: float) -> float:
     value = entry.get(field, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-        raise MalformedEndpointListError(f"{field}: not a number: {value!r:.40}")
+        raise MalformedEndpointListError(f"{field}: not a finite number: {value!r:.40}")
     return value
 
 
-def _address(entry: dict[str, Any], state: State) -> tuple[str, int] | None:
+def _parse_address(entry: dict[str, Any], state: State) -> tuple[str, int] | None:
     if "address" not in entry and state is State.GONE:
         return None
-    text = _text(entry, "address", None)
+    text = _parse_string(entry, "address", None)
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65536:
         raise MalformedEndpointListError(f"address: not HOST:PORT: {text[:40]!r}")
--- a/heronreel/proxy/errors.py
+++ b/heronreel/proxy/errors.py
@@ -1,19 +1,19 @@
-"""Errors of the proxy package; all of them derive from `ProxyError`."""
+"""Exceptions of the proxy package, all derived from `ProxyError`."""
 
 from __future__ import annotations
 
 
 class ProxyError(Exception):
-    """Base class of this package's errors."""
+    """Base class of the exceptions of the proxy package."""
 
 
 class ConfigError(ProxyError):
-    """The configuration is unusable; the message is one line for the operator that names the field."""
+    """The configuration is invalid.  The message is a single line that names the field for the operator."""
 
 
 class MalformedEndpointListError(ProxyError, ValueError):
-    """Data that claims to be a list of endpoints is none; the message names the field."""
+    """A message from discovery is not a valid endpoint list.  The message names the invalid field."""
 
 
 class UnreadableMessageError(ProxyError):
-    """Raised in a parser's callback to end the parsing of what was received: the rest is of no use."""
+    """Raised in a parser callback to stop parsing an HTTP message that can't be processed any further."""
--- a/heronreel/proxy/list_validity.py
+++ b/heronreel/proxy/list_validity.py
@@ -1,13 +1,16 @@
-"""Until when a proxy may send by the endpoint list that it holds, where discovery is asked for it.
+"""Computes until when a proxy may send requests by its current endpoint list, if it polls discovery.
 
-The platform counts a change of the list as notified at a certain time whether or not it has arrived, and a
-backend that drains may get nothing after that and the grace.  So a held list has an end: the earliest time at
-which any change that it may lack could count as notified.  Calls alone can't renew each list in time, as
-discovery needs longer for one call from each proxy of a fleet than some changes take to count.
+The platform counts a change of the endpoint list as notified at a certain time, whether or not the proxy has
+received it.  Once that time and the drain grace have passed, no request may start at a draining backend.  An
+endpoint list therefore expires at the earliest time at which a change that it may lack could count as
+notified, plus the grace.  Calling discovery again is not enough to renew every list in time: discovery takes
+longer to answer one call from each proxy of a fleet than some changes take to count as notified.
 
-A change can't count while discovery can't be reached, and then the held list is all there is.  A service that
-is full refuses a call at once; one that is down does it after the whole time that a call may wait, or can't
-be connected to.  Decides only; times are in seconds on the monotonic clock.
+A change does not count as notified while discovery is unreachable; the proxy then continues with the list
+that it has.  An overloaded discovery service refuses a call immediately.  During an outage, a call is refused
+only after the full time that a call may wait, or the connection fails.
+
+This module performs no I/O.  All times are in seconds on the monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,92 +18,112 @@
 import math
 from dataclasses import dataclass
 
-REACHABLE_S = 6.0  # from when discovery had a change and could be reached until it counts as notified
-WATCH_ENDED_S = 2.0  # the same from the end of a watch that ended in place of a change (measured)
-MOVED_S = 4.0  # the same from SIGHUP, for what the service at a new address had by then
-NOTICE_S = 0.2  # that we may notice what discovery did later than it did it (measured: 0.15 to 0.21)
-MAX_STALL_S = 0.15  # that the process may be held up between reading its clock and writing
-FAST_REFUSAL_S = 0.5  # a refusal within this time means that the service is full, and not down
-UNANSWERED_CALLS = 2  # in a row: then the service was down; one alone may wait at a busy one
+# A change counts as notified this long after discovery had it and was reachable.
+NOTIFIED_AFTER_REACHABLE_S = 6.0
+# A change counts as notified this long after the end of a watch that ended without delivering the change.
+NOTIFIED_AFTER_WATCH_END_S = 2.0
+# After a SIGHUP that changes discovery's address, every change that the new service had at that time counts
+# as notified this long after the signal.
+NOTIFIED_AFTER_MOVE_S = 4.0
+# The proxy notices an event at discovery up to this much later than it happened; delays of 0.15 to 0.21 s
+# occur.
+MAX_DETECTION_DELAY_S = 0.2
+# The process may be suspended for this long between reading its clock and writing a request.
+MAX_STALL_S = 0.15
+# A refusal within this time means that the service is overloaded, a later one that it is unreachable.
+FAST_REFUSAL_S = 0.5
+# This many unanswered calls in a row mean an outage; a single call may just wait at a busy service.
+OUTAGE_UNANSWERED_CALLS = 2
 
 
 @dataclass(slots=True)
 class ListValidity:
-    """What is known of the held list's currency.
+    """Tracks how long the current endpoint list stays valid.
 
     Attributes:
-        grace_s: How long after the notification requests may still begin at a draining backend.
-        current_at: When the list was last known to be current; at first the start of the process.
-        ends_at: No request may begin at a backend from then on.
+        grace_s: How long after a notification requests may still start at a draining backend.
+        current_at: When the list was last confirmed to be current; initially the start of the process.
+        expires_at: From this time on, no request may start at a backend.
+        watch_ended_at: The first end of an open watch since `current_at`.
+        moved_at: When discovery's address changed since `current_at`.
+        unreachable_at: The last time at which discovery was certainly unreachable.
+        overloaded_at: The last time at which discovery refused a call because it was overloaded.
+        unanswered_calls: Consecutive calls that got neither an answer nor a refusal.
     """
 
     grace_s: float
     current_at: float
-    ends_at: float = math.inf
-    watch_ended_at: float = math.inf  # the first end of an open watch since then
+    expires_at: float = math.inf
+    watch_ended_at: float = math.inf
     moved_at: float = math.inf
-    down_at: float = -math.inf  # the last time at which discovery surely could not be reached
-    full_at: float = -math.inf  # the last time at which it said that it is full
-    unanswered: int = 0  # calls in a row without an answer or a refusal
+    unreachable_at: float = -math.inf
+    overloaded_at: float = -math.inf
+    unanswered_calls: int = 0
 
     def __post_init__(self) -> None:
-        self._update()
+        self._update_expiry()
 
     def reconfigure(self, grace_s: float) -> None:
-        """Take a grace from new settings."""
+        """Apply the drain grace of new settings."""
         self.grace_s = grace_s
-        self._update()
+        self._update_expiry()
 
-    def heard(self, now: float) -> None:
-        """A list was received, or a sign on an open watch that nothing has changed."""
-        self.current_at, self.unanswered = now, 0
+    def confirm_current(self, now: float) -> None:
+        """Record that a list was received, or that an open watch reported no change."""
+        self.current_at, self.unanswered_calls = now, 0
         self.watch_ended_at = self.moved_at = math.inf
-        self._update()
+        self._update_expiry()
 
     def watch_ended(self, now: float) -> None:
-        """An open watch ended: it may have ended in place of a change."""
+        """Record that an open watch ended; it may have ended instead of delivering a change."""
         self.watch_ended_at = min(self.watch_ended_at, now)
-        self._update()
+        self._update_expiry()
 
-    def moved(self, now: float) -> None:
-        """Another service is called from now on."""
-        self.moved_at, self.unanswered = now, 0
-        self._update()
+    def service_moved(self, now: float) -> None:
+        """Record that another discovery service is called from now on."""
+        self.moved_at, self.unanswered_calls = now, 0
+        self._update_expiry()
 
     def call_refused(self, called_at: float, now: float) -> None:
-        """A call was refused: at once by a service that is full, late by one that is down."""
-        self.unanswered = 0
+        """Record a refused call.
+
+        A fast refusal means that the service is overloaded, a slow one that it was unreachable.
+        """
+        self.unanswered_calls = 0
         if now - called_at < FAST_REFUSAL_S:
-            self.full_at = now
+            self.overloaded_at = now
         else:
-            self._was_down(called_at)
-        self._update()
+            self._record_outage(called_at)
+        self._update_expiry()
 
-    def call_unconnected(self, called_at: float) -> None:
-        """There was no connection for a call."""
-        self.unanswered = 0
-        self._was_down(called_at)
-        self._update()
+    def connection_failed(self, called_at: float) -> None:
+        """Record that no connection could be opened for a call."""
+        self.unanswered_calls = 0
+        self._record_outage(called_at)
+        self._update_expiry()
 
     def call_unanswered(self, called_at: float) -> None:
-        """A call got no answer in time, or was reset: one alone may wait at a busy service."""
-        self.unanswered += 1
-        if self.unanswered >= UNANSWERED_CALLS:
-            self._was_down(called_at)
-        self._update()
-
-    def _was_down(self, at: float) -> None:
-        self.down_at = max(self.down_at, at)
-        # an outage explains why a watch ended, unless the service was there in between
-        if self.full_at < self.watch_ended_at <= at:
+        """Record a call that was reset or got no answer in time.
+
+        A single such call is no proof of an outage, since it may just wait at a busy service.
+        """
+        self.unanswered_calls += 1
+        if self.unanswered_calls >= OUTAGE_UNANSWERED_CALLS:
+            self._record_outage(called_at)
+        self._update_expiry()
+
+    def _record_outage(self, outage_at: float) -> None:
+        self.unreachable_at = max(self.unreachable_at, outage_at)
+        # The outage explains why the watch ended, unless the service was reachable between the two.
+        if self.overloaded_at < self.watch_ended_at <= outage_at:
             self.watch_ended_at = math.inf
-        if self.full_at < self.moved_at <= at:
+        if self.overloaded_at < self.moved_at <= outage_at:
             self.moved_at = math.inf
 
-    def _update(self) -> None:
-        notified_at = min(
-            max(self.current_at - NOTICE_S, self.down_at) + REACHABLE_S,
-            self.watch_ended_at - NOTICE_S + WATCH_ENDED_S,
-            self.moved_at - NOTICE_S + MOVED_S,
+    def _update_expiry(self) -> None:
+        earliest_notified_at = min(
+            max(self.current_at - MAX_DETECTION_DELAY_S, self.unreachable_at) + NOTIFIED_AFTER_REACHABLE_S,
+            self.watch_ended_at - MAX_DETECTION_DELAY_S + NOTIFIED_AFTER_WATCH_END_S,
+            self.moved_at - MAX_DETECTION_DELAY_S + NOTIFIED_AFTER_MOVE_S,
         )
-        self.ends_at = notified_at + self.grace_s - MAX_STALL_S
+        self.expires_at = earliest_notified_at + self.grace_s - MAX_STALL_S
