--- a/heronreel/proxy/backend_connection.py
+++ b/heronreel/proxy/backend_connection.py
@@ -1,7 +1,8 @@
 """One connection to a backend, and the attempt that it carries.
 
-What a backend responds is buffered until it is complete and within bounds, so that a malformed response is a
-failed attempt like any other and no client ever sees a part of it.  A longer one is forwarded as it comes.
+A response is buffered until it is complete, within a size limit.  A malformed response is therefore a failed
+attempt like any other, and no client ever sees a part of it.  A longer response is forwarded while it is
+being received.
 """
 
 from __future__ import annotations
@@ -27,113 +28,148 @@
     MAX_BODY_BYTES,
     MAX_BUFFERED_RESPONSE_BYTES,
     MAX_BUFFERED_UNSIZED_RESPONSE_BYTES,
-    STREAM_BYTES,
+    MAX_STREAM_BUFFER_BYTES,
     RequestBodyStream,
 )
 
-MAX_SILENCE_S = 0.3  # a backend silent for so long in the middle of a response won't finish it
-MAX_STREAM_SILENCE_S = 2.5  # the same once the client has a part of it: then nothing is gained by a reset
-# bytes of a response with interim ones and the framing of chunks, and this much for each byte of its body
+# A backend that sends nothing for this long in the middle of a response is not expected to finish it.
+MAX_SILENCE_S = 0.3
+# The same limit for a response that the client has received in part, where an early reset gains nothing.
+MAX_STREAM_SILENCE_S = 2.5
+# Limit of the bytes received for one response, including interim responses and the framing of chunks.
 MAX_RAW_BYTES = MAX_HEAD_BYTES + 2 * MAX_BUFFERED_RESPONSE_BYTES
+# The limit grows by this many bytes for each byte of the body.
 MAX_FRAMING_FACTOR = 8
-# a body up to this is joined to its head; a larger one is not worth the copy
+# A request body up to this size is joined to its head in one buffer; copying a larger one is not worthwhile.
 MAX_JOINED_BODY_BYTES = 16 << 10
-MAX_LENGTH_DIGITS = 12  # of a Content-Length
+# The maximum number of digits of a Content-Length.
+MAX_LENGTH_DIGITS = 12
 
 
 class AttemptRequest(Protocol):
-    """What an attempt needs of its request."""
+    """The part of a request that its attempts use.
+
+    Attributes:
+        head: Request line and header lines, without the deadline header.
+        upload: Replaces `body` if the body is forwarded while it is being received.
+        in_flight: The number of attempts that have not ended.
+        finished: Whether the client has its response or has disconnected.
+    """
 
     head: bytes
     body: bytes | bytearray
-    upload: RequestBodyStream | None  # in place of a body, where it is forwarded as it comes
-    in_flight: int  # attempts that have not ended
+    upload: RequestBodyStream | None
+    in_flight: int
     finished: bool
 
 
 class ResponseBodySink(Protocol):
-    """Takes a response's body as it comes, and pauses the connection when it can't take more."""
+    """Receives a response body in parts, and pauses the backend connection while it can't accept more."""
 
     def write_body(self, data: bytes) -> None:
-        """Take more of the body."""
+        """Receive the next part of the body."""
 
 
 class AttemptObserver(Protocol):
-    """Learns how attempts end."""
+    """Receives the outcomes and responses of attempts."""
 
     budget: ByteBudget
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
-        """An attempt has ended; `response` is the one to give to the client."""
+        """Handle the end of an attempt; `response`, if any, is the one to send to the client."""
 
     def is_abandoned(self, attempt: Attempt) -> bool:
-        """Whether nobody waits for an attempt that is about to be sent."""
+        """Return whether the client of an attempt that is about to be sent has disconnected."""
 
     def response_streaming(
         self, attempt: Attempt, connection: BackendConnection, start: Response, length: int | None
     ) -> ResponseBodySink | None:
-        """A long response has begun; who takes it as it comes, None: nobody."""
+        """Handle the start of a long response.
+
+        Returns the sink that its body is forwarded to, or None if no client is waiting for it.
+        """
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its pool."""
+    """The part of the connection pool that a connection uses."""
 
     loop: asyncio.AbstractEventLoop
     observer: AttemptObserver
     any_status: bool
     connections: set[BackendConnection]
-    starved: dict[BackendConnection, None]
+    waiting_for_memory: dict[BackendConnection, None]
 
     def release(self, connection: BackendConnection) -> None:
-        """Keep a connection for the next attempt, if there can be one."""
+        """Keep a connection for the next attempt, or close it."""
 
     def forget(self, connection: BackendConnection) -> None:
-        """A connection is closed or lost."""
+        """Stop counting a connection that is closed or lost."""
 
     def end_attempt(self, attempt: Attempt, outcome: Outcome, response: Response | None = None) -> None:
-        """End an attempt."""
+        """End an attempt and report its outcome."""
 
     def abandon_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
-        """End an attempt and the connection that carries it."""
+        """End an attempt and close the connection that carries it."""
 
-    def resume_starved(self) -> None:
-        """Memory has come free."""
+    def resume_waiting_for_memory(self) -> None:
+        """Resume responses that wait for memory, after memory was released."""
 
 
 @dataclass(slots=True, eq=False)
 class Backend:
-    """One backend as this proxy knows it.  It is dropped once it has left and nothing is in flight."""
+    """The state of one backend.
+
+    A backend is dropped once it has left the endpoint list and no attempt is in flight to it.
+
+    Attributes:
+        since_ms: When the backend's process started, in ms since the epoch.
+        pool: The backend's pool; empty for a backend of discovery's list.
+        listed: Whether the endpoint list has the backend as active.
+        draining_since: When a backend that is not listed was reported as draining or gone, on the monotonic
+            clock in seconds.
+        cordoned: Whether an operator has cordoned the backend.
+        in_flight: The number of attempts that have not ended.
+        idle: The idle connections, the most recently used last.
+    """
 
     number: int
     name: str
     address: tuple[str, int]
-    since_ms: float  # when its process started, since the epoch
+    since_ms: float
     pool: str = ""
     listed: bool = True
-    draining_since: float = 0.0  # when it was reported as draining or gone, if it is not listed
-    cordoned: bool = False  # by operators
-    in_flight: int = 0  # attempts that have not ended
-    idle: list[BackendConnection] = field(default_factory=list)  # the most recently used last
+    draining_since: float = 0.0
+    cordoned: bool = False
+    in_flight: int = 0
+    idle: list[BackendConnection] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt to have a request served.  Times are on the monotonic clock, in seconds."""
+    """One attempt to get a request served by a backend.
+
+    Attributes:
+        number: The index of the attempt among those of its request.
+        started_at: When the attempt was started, on the monotonic clock in seconds.
+        ends_at: When the attempt times out, on the same clock.
+        send_by: Sent after this time, the request might take effect a second time; on the same clock.
+        timer: The timer of a timeout before the request's deadline.
+    """
 
     request: AttemptRequest
     number: int
     backend: Backend
     started_at: float
     ends_at: float
-    send_by: float = math.inf  # a first byte later than this might take effect a second time
+    send_by: float = math.inf
     connection: BackendConnection | None = None
-    timer: asyncio.TimerHandle | None = None  # of a time-out before the request's deadline
+    timer: asyncio.TimerHandle | None = None
     ended: bool = False
 
 
 @dataclass(slots=True)
 class Response:
-    """A backend's response, or the start of one that is forwarded as it comes."""
+    """A backend's response, or the start of a response that is forwarded while it is being received."""
 
     status: int
     header_lines: bytes
@@ -141,7 +177,7 @@
 
 
 class BackendConnection(asyncio.Protocol):
-    """One connection to a backend."""
+    """One connection to a backend, which carries one attempt at a time."""
 
     __slots__ = (
         "abandoned", "address", "attempt", "backend", "body_parts", "complete", "declared_length",
@@ -157,33 +193,36 @@
         self.transport: asyncio.Transport
         self.parser = httptools.HttpResponseParser(self)
         self.attempt: Attempt | None = None
-        self.abandoned = False  # it came up too late
-        self.has_unsent_bytes = False  # part of the request still stands in our buffer
+        self.abandoned = False  # Connecting was given up.
+        # Part of the request is still in the write buffer, or was not received from the client yet.
+        self.has_unsent_bytes = False
         self.headers: Headers = []
         self.body_parts: list[bytes] = []
-        self.received_bytes = 0  # for this attempt
-        self.section_bytes = 0  # of the head, then of the body
-        self.reserved_bytes = 0  # of the budget
+        self.received_bytes = 0  # Bytes received for the current attempt.
+        self.section_bytes = 0  # Size of the head so far, then of the body so far.
+        self.reserved_bytes = 0  # Bytes reserved from the memory budget.
         self.status = 0
-        self.declared_length: int | None = None  # of the body, where the head says so
-        self.sink: ResponseBodySink | None = None  # of a response that is forwarded as it comes
-        self.reading_paused = False  # its silence means nothing then
-        self.complete = False  # the response's last byte was read
-        self.ends_with_connection = False  # the response is as long as the connection
+        self.declared_length: int | None = None  # The Content-Length, if the head has one.
+        # Receives a response that is forwarded while it is being received.
+        self.sink: ResponseBodySink | None = None
+        self.reading_paused = False  # While reading is paused, missing input is no sign of a stalled backend.
+        self.complete = False  # The last byte of the response was read.
+        self.ends_with_connection = False  # The response ends when the backend closes the connection.
         self.keep_alive = False
         self.idle_since = 0.0
         self.silence_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the connection."""
+        """Count the new connection in the pool."""
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=0)  # so that resume_writing means: all is written
+        # With a limit of 0, `resume_writing` is called when everything has been written.
+        self.transport.set_write_buffer_limits(high=0)
         self.pool.connections.add(self)
         if self.abandoned:
             self.transport.abort()
 
     def abandon(self) -> None:
-        """Give up connecting; success may cross this."""
+        """Give up connecting.  The connection may come up at the same moment, and is then closed."""
         self.abandoned = True
         if self in self.pool.connections:
             self.transport.abort()
@@ -191,14 +230,16 @@
     # Sending.
 
     def send(self, attempt: Attempt, now: float) -> None:
-        """Write an attempt's request."""
+        """Write the request of an attempt."""
         self.attempt, attempt.connection = attempt, self
         self.received_bytes, self.section_bytes, self.status, self.complete = 0, 0, 0, False
         request, transport = attempt.request, self.transport
-        left_ms = (attempt.ends_at - now) * 1000.0
-        if request.upload:  # its time begins with its last byte, and `ends_at` is far off until then
-            left_ms = min(left_ms, request.upload.timeout_ms)
-        timeout_ms = max(1, int(left_ms))
+        remaining_ms = (attempt.ends_at - now) * 1000.0
+        if request.upload:
+            # The timeout of an upload starts with its last byte, and `ends_at` is far in the future until
+            # then.
+            remaining_ms = min(remaining_ms, request.upload.timeout_ms)
+        timeout_ms = max(1, int(remaining_ms))
         head = b"%bx-deadline-ms: %d\r\n\r\n" % (request.head, timeout_ms)
         if request.upload:
             self.has_unsent_bytes = True
@@ -208,7 +249,7 @@
             transport.write(head + request.body)
         else:
             transport.writelines((head, request.body))
-        if transport.is_closing():  # the write itself failed, so its last byte was not written
+        if transport.is_closing():  # The write itself failed, so the last byte was not written.
             self._detach_upload()
             self.attempt = None
             self.pool.end_attempt(attempt, Outcome.UNREACHABLE)
@@ -216,27 +257,27 @@
             self.has_unsent_bytes = transport.get_write_buffer_size() > 0
 
     def write_body(self, data: bytes) -> None:
-        """Send more of a request's body."""
+        """Send the next part of a request body."""
         self.transport.write(data)
 
     def finish_body(self) -> None:
-        """The last byte of a request's body stands in our buffer at least."""
+        """Handle the end of a request body: its last byte was sent or is in the write buffer."""
         self.has_unsent_bytes = self.transport.get_write_buffer_size() > 0
 
     def pause_writing(self) -> None:
-        """The backend reads too slowly: no more of the body is read from the client."""
+        """Stop reading the request body from the client, because the backend reads too slowly."""
         if (upload := self._upload()) and not upload.complete:
             upload.source.set_reading_paused(True)
 
     def resume_writing(self) -> None:
-        """All was written."""
+        """Resume reading the request body from the client, because the write buffer is empty."""
         upload = self._upload()
         self.has_unsent_bytes = upload is not None and not upload.complete
         if self.has_unsent_bytes and upload:
             upload.source.set_reading_paused(False)
 
     def _upload(self) -> RequestBodyStream | None:
-        """The body that this connection forwards."""
+        """Return the request body that this connection forwards, if any."""
         upload = self.attempt.request.upload if self.attempt else None
         return upload if upload and upload.sink is self else None
 
@@ -244,11 +285,11 @@
         if upload := self._upload():
             upload.detach(self)
 
-    # Reading.  The parser's callbacks only note; what follows from a response follows when all of a segment
-    # is read, so that no further attempt can meet the rest of it.
+    # Reading.  The parser callbacks only record what they receive.  Responses are handled after all received
+    # bytes were parsed, so that no further attempt can receive the rest of those bytes.
 
     def set_reading_paused(self, paused: bool) -> None:
-        """The client can't take more for now, or can again."""
+        """Pause or resume reading, depending on whether the client can accept more of the response."""
         if paused != self.reading_paused and not self.transport.is_closing():
             self.reading_paused = paused
             if paused:
@@ -257,23 +298,23 @@
                 self.transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
-        """Parse more of the response, and act on what is known of it then."""
+        """Parse received bytes, then finish, fail, stream or keep waiting for the response."""
         if self.attempt is None:
-            self.transport.abort()  # no request is in flight
+            self.transport.abort()  # No request is in flight, so the bytes belong to no response.
             return
         self.received_bytes += len(data)
-        unreadable = False
+        is_malformed = False
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            unreadable = True
+            is_malformed = True
         if self.complete:
-            self._finish_response(self.keep_alive and not unreadable)
-        elif unreadable or self.received_bytes > self._max_received_bytes():
+            self._finish_response(self.keep_alive and not is_malformed)
+        elif is_malformed or self.received_bytes > self._max_received_bytes():
             self._fail_response()
         elif self._must_stream() and not self.start_streaming():
             self.set_reading_paused(True)
-            self.pool.starved[self] = None
+            self.pool.waiting_for_memory[self] = None
         elif self.silence_timer is None:
             self.silence_timer = self.pool.loop.call_later(
                 MAX_SILENCE_S, self._check_silence, self.received_bytes
@@ -283,7 +324,7 @@
         return MAX_RAW_BYTES + MAX_FRAMING_FACTOR * self.section_bytes if self.status else MAX_HEAD_BYTES
 
     def _must_stream(self) -> bool:
-        """Whether the response is to be forwarded as it comes, and is not yet."""
+        """Return whether the response has to be streamed and streaming has not started yet."""
         if self.sink is not None or self.attempt is None or self.attempt.ended:
             return False
         if self.status < 200 or not self._is_served(self.status) or not self.body_parts:
@@ -293,19 +334,22 @@
         return self.declared_length > MAX_BUFFERED_RESPONSE_BYTES
 
     def start_streaming(self) -> bool:
-        """Forward what came of a long response, and from now on what comes; False: no memory for it yet."""
+        """Start forwarding a long response to the client.
+
+        Returns False if there is not enough memory for it yet.
+        """
         attempt = self.attempt
         if attempt is None or attempt.ended:
             return True
         budget = self.pool.observer.budget
-        if not budget.reserve(STREAM_BYTES):
+        if not budget.reserve(MAX_STREAM_BUFFER_BYTES):
             return False
         budget.release(self.reserved_bytes)
-        self.reserved_bytes = STREAM_BYTES
+        self.reserved_bytes = MAX_STREAM_BUFFER_BYTES
         parts, self.body_parts = self.body_parts, []
         start = Response(self.status, self._header_lines(), b"".join(parts))
         self.sink = self.pool.observer.response_streaming(attempt, self, start, self.declared_length)
-        if self.sink is None:  # nobody is there to take it
+        if self.sink is None:  # No client is waiting for the response.
             self.pool.abandon_attempt(attempt, Outcome.CANCELLED)
         elif self.silence_timer is None:
             self.silence_timer = self.pool.loop.call_later(
@@ -314,10 +358,10 @@
         return True
 
     def _check_silence(self, received_bytes: int) -> None:
-        """Fail a response that stops half-way on a connection that stays open.
+        """Fail a response that stops half-way while its connection stays open.
 
-        The cause is a length too large, a head or a chunk without end.  A backend that pauses for long while
-        it writes fails as well.
+        Possible causes are a Content-Length that is too large, and a head or a chunk that never ends.  A
+        backend that pauses for too long while it writes a response fails as well.
         """
         self.silence_timer = None
         if self.attempt is None:
@@ -329,21 +373,23 @@
             self.silence_timer = self.pool.loop.call_later(delay_s, self._check_silence, self.received_bytes)
 
     def on_message_begin(self) -> None:
-        """Parser callback: a message begins."""
+        """Handle the start of a message (parser callback)."""
         if self.complete:
-            raise UnreadableMessageError  # more than belongs to the response
+            raise UnreadableMessageError  # More bytes follow the end of the response.
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser callback: one header field."""
+        """Handle one header field (parser callback)."""
         if self.status >= 200 and not self.complete:
-            return  # a trailer, which no client of ours requested (RFC 9110, 6.5.1); MAX_RAW_BYTES bounds it
+            # This is a trailer field.  It is dropped, since no client has requested trailers (RFC 9110,
+            # section 6.5.1).  MAX_RAW_BYTES limits its size.
+            return
         self.section_bytes += len(name) + len(value) + 4
         if self.section_bytes > MAX_HEAD_BYTES or self.complete:
             raise UnreadableMessageError
         self.headers.append((name.lower(), value.rstrip(OPTIONAL_WHITESPACE)))
 
     def on_headers_complete(self) -> None:
-        """Parser callback: check the framing, on which the reuse of the connection depends."""
+        """Check the framing, on which the reuse of the connection depends (parser callback)."""
         self.status = self.parser.get_status_code()
         self.keep_alive = self.parser.should_keep_alive()
         self.section_bytes = 0
@@ -353,7 +399,8 @@
         chunked = any(name == b"transfer-encoding" for name, _ in self.headers)
         self.ends_with_connection = not lengths and not chunked and self.status not in (204, 304)
         closes = any(name == b"connection" and value.lower() == b"close" for name, value in self.headers)
-        # a response may end with its connection only if it says so: a broken head may have lost its length
+        # A response may end with its connection only if it has `Connection: close`; otherwise a broken head
+        # may have lost its Content-Length.
         if len(lengths) + chunked > 1 or (self.ends_with_connection and not closes):
             raise UnreadableMessageError
         if lengths and (
@@ -365,32 +412,36 @@
         self.declared_length = int(lengths[0]) if lengths else None
 
     def on_body(self, data: bytes) -> None:
-        """Parser callback: buffer more of the body, or forward it."""
+        """Buffer or forward the next part of the body (parser callback)."""
         attempt = self.attempt
         self.section_bytes += len(data)
         if self.section_bytes > MAX_BODY_BYTES:
             raise UnreadableMessageError
         if attempt is None or attempt.ended or not self._is_served(self.status):
             if self.section_bytes > MAX_BUFFERED_RESPONSE_BYTES:
-                raise UnreadableMessageError  # it is not worth its bytes to keep the connection
-            return  # read and dropped
+                raise UnreadableMessageError  # Reading such a long body costs more than a new connection.
+            return  # The body is read and dropped.
         if self.sink is not None:
             self.sink.write_body(data)
             return
         if not self.pool.observer.budget.reserve(len(data)):
-            raise UnreadableMessageError  # no memory for it: like a malformed one it may have run
+            # There is no memory for the body.  As with a malformed response, the request may have run.
+            raise UnreadableMessageError
         self.reserved_bytes += len(data)
         self.body_parts.append(data)
 
     def on_message_complete(self) -> None:
-        """Parser callback: the response is complete, or an interim one is over."""
+        """Handle the end of the response or of an interim response (parser callback)."""
         if self.status == 101 or self.status >= 200:
             self.complete = True
         else:
-            self.headers, self.status = [], 0  # an interim response: the real one follows
+            self.headers, self.status = [], 0  # This was an interim response; the final one follows.
 
     def _finish_response(self, reusable: bool) -> None:
-        """End the attempt.  Only a connection whose next response has a certain start is kept."""
+        """End the attempt.
+
+        The connection is kept only if the start of its next response is certain.
+        """
         attempt, status, headers, parts = self.attempt, self.status, self.headers, self.body_parts
         streamed, header_lines = self.sink is not None, self._header_lines()
         self._clear()
@@ -405,7 +456,7 @@
         elif self._is_served(status):
             self.pool.end_attempt(attempt, Outcome.SERVED, Response(status, header_lines, b"".join(parts)))
         elif 400 <= status < 500 and not self.pool.any_status:
-            # the backend can't use what the client sent, which is no sign of the backend's health
+            # The backend rejects what the client sent, which says nothing about the backend's health.
             self.pool.end_attempt(attempt, Outcome.CANCELLED, Response(400, DATE_LINE.now(), b""))
         else:
             not_run = status in (429, 503, 504) and (b"x-not-run", b"1") in headers
@@ -414,29 +465,35 @@
     def _header_lines(self) -> bytes:
         lines = end_to_end_lines(self.headers)
         if not any(name == b"date" for name, _ in self.headers):
-            lines += DATE_LINE.now()  # RFC 9110, 6.6.1: who forwards a response without one adds it
+            # A proxy adds the missing Date field to a response that it forwards (RFC 9110, section 6.6.1).
+            lines += DATE_LINE.now()
         return lines
 
     def _is_served(self, status: int) -> bool:
-        """On the platform only a 200 serves a request; elsewhere all but a server's failure."""
+        """Return whether a response with this status serves the request.
+
+        On the platform only a 200 does; elsewhere (`any_status`) every status does that is no server failure.
+        """
         return status == 200 or (self.pool.any_status and 200 <= status < 500 and status != 429)
 
     def _fail_response(self) -> None:
-        """No response that HTTP knows, or none that ends: an error, and the request may have run."""
+        """Fail the attempt after a malformed or endless response.  The request may have run."""
         self.transport.abort()
         self._fail_attempt(Outcome.ERROR)
 
     def eof_received(self) -> bool:
-        """The backend has ended its sending, and with it a response without a length."""
+        """Finish a response without a length, which ends when the backend stops sending."""
         if self.ends_with_connection and self.attempt is not None:
             self._finish_response(False)
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fail the attempt, which never ran if its last byte was not written."""
+        """Fail the attempt; the request never ran if its last byte was not written."""
         self.pool.forget(self)
         self._fail_attempt(Outcome.UNREACHABLE if self.has_unsent_bytes else Outcome.RESET)
-        del self.parser  # it refers back to us, and the collector would come late
+        # The parser refers to this object: break the reference cycle rather than wait for the garbage
+        # collector.
+        del self.parser
 
     def _fail_attempt(self, outcome: Outcome) -> None:
         attempt = self.attempt
@@ -448,11 +505,11 @@
         self._detach_upload()
         self.attempt, self.headers, self.body_parts = None, [], []
         self.sink, self.declared_length = None, None
-        self.pool.starved.pop(self, None)
+        self.pool.waiting_for_memory.pop(self, None)
         self.set_reading_paused(False)
         self.pool.observer.budget.release(self.reserved_bytes)
         self.reserved_bytes = 0
-        self.pool.resume_starved()
+        self.pool.resume_waiting_for_memory()
         if self.silence_timer:
             self.silence_timer.cancel()
             self.silence_timer = None
--- a/heronreel/proxy/backend_registry.py
+++ b/heronreel/proxy/backend_registry.py
@@ -1,4 +1,4 @@
-"""The backends that this proxy knows, as the endpoint list and operators' cordons have them."""
+"""The known backends, according to the endpoint list and the operators' cordons."""
 
 from __future__ import annotations
 
@@ -17,33 +17,36 @@
 
 
 def stable_number(name: bytes) -> int:
-    """A number for a name, the same at all proxies; 53 bits, as the simulator's keys have."""
+    """Return a number for a name that is the same at all proxies.
+
+    It has 53 bits, like the keys of the simulator.
+    """
     return int.from_bytes(hashlib.blake2b(name, digest_size=8).digest()) >> 11
 
 
 class BackendRegistry:
-    """The backends by number.  Each change is dispatched to the balancer as an event."""
+    """The known backends, by number.  Each change is dispatched to the balancer as an event."""
 
     def __init__(
         self, pool: ConnectionPool, dispatch: Callable[[api.Event], None], merges_file: bool
     ) -> None:
         self.pool = pool
         self.dispatch = dispatch
-        self.merges_file = merges_file  # a file's endpoints stand beside those of discovery, if there are any
+        self.merges_file = merges_file  # Endpoints from a file are used in addition to discovery's.
         self.backends: dict[int, Backend] = {}
-        self.numbers: dict[str, int] = {}  # by name
-        self.cordons: dict[str, Cordon] = {}  # by name: in force, and released
+        self.numbers: dict[str, int] = {}  # The numbers of the backends by name.
+        self.cordons: dict[str, Cordon] = {}  # Cordons by backend name, including released ones.
 
     def is_serving(self) -> bool:
-        """Whether any backend may get requests."""
+        """Return whether any backend may get requests."""
         return any(backend.listed for backend in self.backends.values())
 
     def knows(self, name: str) -> bool:
-        """Whether any backend has that name, or had when it was cordoned."""
+        """Return whether a backend with this name is known or has a cordon."""
         return name in self.numbers or name in self.cordons
 
     def forget_if_unused(self, backend: Backend) -> None:
-        """Drop a backend that has left, once nothing is in flight to it."""
+        """Drop a backend that is no longer listed, unless attempts to it are in flight."""
         if not backend.listed and not backend.in_flight and self.backends.get(backend.number) is backend:
             del self.backends[backend.number], self.numbers[backend.name]
 
@@ -52,19 +55,21 @@
         if number is not None:
             return number
         number = stable_number(name.encode())
-        while number in self.backends:  # another name's number
+        while number in self.backends:  # The number is in use for another name.
             number = stable_number(b"%d" % number)
         return number
 
     # Cordons.
 
     def apply_cordons(self, cordons: dict[str, Cordon]) -> None:
-        """Carry out what operators have commanded since the last time, through this process or the other."""
+        """Apply the cordons that operators have set or released since the last call, through any process."""
         for name, cordon in cordons.items():
             if cordon != self.cordons.get(name):
                 self._apply_cordon(cordon)
         for name in [name for name, old in self.cordons.items() if old.released_ms and name not in cordons]:
-            del self.cordons[name]  # long enough ago; a cordon ends by its release alone
+            # A released cordon disappears from the shared state after a while.  A cordon in force is never
+            # dropped: it ends only by its release.
+            del self.cordons[name]
 
     def _apply_cordon(self, cordon: Cordon) -> None:
         number, in_force = self._number_for(cordon.name), not cordon.released_ms
@@ -73,7 +78,7 @@
         backend = self.backends.get(number)
         if backend:
             backend.cordoned = in_force
-            self.pool.close_idle(backend)  # cordoned, or restarted since
+            self.pool.close_idle(backend)  # The backend is cordoned, or may have been restarted meanwhile.
         if in_force:
             self.dispatch(api.BeginMaintenance(number, cordon.since_ms))
             return
@@ -84,7 +89,7 @@
     # The endpoint list.
 
     def update(self, endpoints: EndpointList, kind: api.ListKind, from_file: bool = False) -> None:
-        """Take a list, or the changes of one."""
+        """Apply an endpoint list, or changes of the list."""
         infos = [self._update_endpoint(endpoint) for endpoint in endpoints.endpoints]
         if endpoints.is_snapshot:
             listed = {info.backend for info in infos}
@@ -92,7 +97,7 @@
             for backend in missing:
                 if not self.merges_file:
                     self._start_draining(backend)
-                # a file's list is silent on discovery's endpoints, and discovery's on the file's
+                # The file does not list discovery's endpoints, and discovery does not list the file's.
                 elif (backend.pool != "") == from_file:
                     infos.append(api.BackendInfo(backend.number, api.State.GONE, pool=backend.pool))
                     self._start_draining(backend)
@@ -112,7 +117,7 @@
             backend.listed = True
             if (backend.address, backend.since_ms) != (endpoint.address, endpoint.since_ms):
                 backend.address, backend.since_ms = endpoint.address, endpoint.since_ms
-                self.pool.close_idle(backend)  # they lead to what it was before
+                self.pool.close_idle(backend)  # Its connections lead to the earlier address or process.
         return api.BackendInfo(
             number,
             endpoint.state,
--- a/heronreel/proxy/connection_pool.py
+++ b/heronreel/proxy/connection_pool.py
@@ -1,7 +1,8 @@
-"""The connections to all backends: kept for reuse, one attempt on each at a time, and how an attempt ends.
+"""Pools the connections to all backends and sends attempts on them.
 
-An attempt never ran only if its connection ended before its last byte was written; nothing is ever sent a
-second time from here.
+A connection carries one attempt at a time and is kept for reuse.  A request certainly did not run at a
+backend only if its connection ended before the last byte of the attempt was written.  The pool itself never
+sends an attempt a second time.
 """
 
 from __future__ import annotations
@@ -22,20 +23,29 @@
 from heronreel.proxy.config import Config
 from heronreel.proxy.socket_state import has_unread_input
 
-MIN_BACKEND_SHARE = 0.45  # of the backends' descriptors that clients may never have
-SPARE_DESCRIPTORS = 8  # beyond those in use that clients may not have either
-IDLE_SHARE = 0.6  # of the time after which a backend closes an idle connection; ours must close first
-# where that is long: a backend's table of connections is shared by all proxies, and a full one takes of its
-# capacity, so one not used again within this costs all of them more than a handshake costs us: in seconds,
-# and in seconds for each point that a handshake for every request costs
-MAX_IDLE_S, IDLE_S_PER_HANDSHAKE_COST = 1.0, 12.5
-SETTLE_S = 0.005  # a connection rests so long after a response, so that what comes right behind it is seen
+# The share of the backend descriptors that is never lent to clients.
+MIN_BACKEND_DESCRIPTOR_RATIO = 0.45
+# Free descriptors that are kept for backends in addition to those in use.
+SPARE_DESCRIPTORS = 8
+# An idle connection is closed after this share of the backend's idle timeout, so that the proxy always closes
+# it before the backend does.
+IDLE_TIMEOUT_RATIO = 0.6
+# Upper limits of the idle time for backends with a long idle timeout.  A backend's connection table is shared
+# by all proxies, and a full table reduces the backend's capacity.  A connection that stays unused for longer
+# than this costs all proxies more than a new handshake costs this one.
+MAX_IDLE_S = 1.0
+# The limit grows with the configured price of a handshake: seconds per point of a handshake for every
+# request.
+IDLE_S_PER_HANDSHAKE_COST = 12.5
+# A connection is not reused for this long after a response, so that unexpected bytes that follow the response
+# are noticed before the next request is sent.
+MIN_REUSE_DELAY_S = 0.005
 
 log = logging.getLogger(__name__)
 
 
 class ConnectionPool:
-    """All connections to backends.
+    """The connections to all backends.
 
     A connection is counted from `connection_made` until it is closed or lost.
     """
@@ -45,34 +55,43 @@
         self.observer = observer
         self.reconfigure(config)
         self.connections: set[BackendConnection] = set()
-        self.idle: dict[BackendConnection, None] = {}  # the longest idle first
+        self.idle: dict[BackendConnection, None] = {}  # The connection that has been idle longest is first.
         self.connecting: set[asyncio.Task[None]] = set()
-        self.lent_descriptors = 0  # of ours that clients have
-        self.send_until = math.inf  # nothing is sent from then on
-        self.list_valid_until = math.inf  # the same: by then a change that we lack may count as notified
-        self.starved: dict[BackendConnection, None] = {}  # whose responses wait for memory to be forwarded
+        self.lent_descriptors = 0  # Backend descriptors that clients may use at present.
+        # No attempt is sent from this time on, because the process is shutting down.
+        self.send_until = math.inf
+        # No attempt is sent to a listed backend after this time, because a change that the endpoint list
+        # lacks may count as notified.
+        self.list_valid_until = math.inf
+        # Connections whose responses wait for memory before they can be forwarded, the longest waiting first.
+        self.waiting_for_memory: dict[BackendConnection, None] = {}
 
     def reconfigure(self, config: Config) -> None:
-        """Take limits and times of a new configuration."""
+        """Apply the limits and timeouts of a new configuration."""
         self.max_connections = config.backend_sockets
         self.drain_grace_s = config.drain_grace_ms / 1000.0
         self.connect_timeout_s = config.settings.connect_timeout_ms / 1000.0
-        worthwhile_s = max(MAX_IDLE_S, IDLE_S_PER_HANDSHAKE_COST * config.settings.price_handshake)
-        self.max_idle_s = min(config.backend_idle_ms / 1000.0 * IDLE_SHARE, worthwhile_s)
+        max_worthwhile_s = max(MAX_IDLE_S, IDLE_S_PER_HANDSHAKE_COST * config.settings.price_handshake)
+        self.max_idle_s = min(config.backend_idle_ms / 1000.0 * IDLE_TIMEOUT_RATIO, max_worthwhile_s)
         self.any_status = config.any_status
 
     def open_count(self) -> int:
-        """Descriptors in use or about to be, so that EMFILE is never how we find out."""
+        """Return the number of descriptors in use or about to be opened.
+
+        The limit is checked with this number, so that the process never runs into EMFILE.
+        """
         return len(self.connections) + len(self.connecting)
 
     def lend_descriptors(self, wanted: int) -> int:
-        """How many of our descriptors clients may have: of those that are idle, all but a few.
+        """Lend up to `wanted` unused backend descriptors to clients and return how many are lent.
 
-        A crowd that sends its requests slowly needs connections on one side and hardly any on the other.
+        Many clients that send their requests slowly need many client connections but few backend connections.
+        All descriptors that are not in use for attempts are lent, except for a reserve.  Idle connections are
+        closed as needed.
         """
         busy = self.open_count() - len(self.idle)
-        kept = max(int(self.max_connections * MIN_BACKEND_SHARE), busy + SPARE_DESCRIPTORS)
-        self.lent_descriptors = max(0, min(wanted, self.max_connections - kept))
+        reserved = max(int(self.max_connections * MIN_BACKEND_DESCRIPTOR_RATIO), busy + SPARE_DESCRIPTORS)
+        self.lent_descriptors = max(0, min(wanted, self.max_connections - reserved))
         while self.idle and self.open_count() > self.max_connections - self.lent_descriptors:
             self.close(next(iter(self.idle)))
         return self.lent_descriptors
@@ -80,7 +99,7 @@
     # Attempts.
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Send an attempt on an idle connection, or connect first."""
+        """Send an attempt on an idle connection, or open a new connection for it."""
         backend = attempt.backend
         attempt.request.in_flight += 1
         backend.in_flight += 1
@@ -88,7 +107,7 @@
         if connection is not None:
             self._send(connection, attempt)
             return
-        # more than one where the limit has shrunk, as during an upgrade
+        # More than one connection has to be closed if the limit has shrunk, as during an upgrade.
         while self.open_count() >= self.max_connections - self.lent_descriptors and self.idle:
             self.close(next(iter(self.idle)))
         if self.open_count() >= self.max_connections - self.lent_descriptors:
@@ -99,44 +118,54 @@
         task.add_done_callback(self.connecting.discard)
 
     def _take_idle(self, backend: Backend, now: float) -> BackendConnection | None:
-        """An idle connection with nothing to be read.
+        """Return an idle connection that has no unread input, or None.
 
-        Bytes beyond a response, or an end not yet read, would meet the next request.  The check
-        covers a duplicate response, noise, and a backend that closed an idle connection early.  It costs
-        system calls, and where responses come faster than SETTLE_S on few connections, a connection more.
+        Bytes after the end of a response, or an end of the connection that was not read yet, would otherwise
+        be taken for the response to the next request.  The check covers a duplicate response, invalid bytes
+        and a backend that closed an idle connection early.  It costs system calls, and an additional
+        connection if responses follow each other faster than MIN_REUSE_DELAY_S on few connections.
         """
-        for place in range(len(backend.idle) - 1, -1, -1):
-            connection = backend.idle[place]
-            if now - connection.idle_since < SETTLE_S:
+        for index in range(len(backend.idle) - 1, -1, -1):
+            connection = backend.idle[index]
+            if now - connection.idle_since < MIN_REUSE_DELAY_S:
                 continue
             if now - connection.idle_since < self.max_idle_s and not has_unread_input(connection.transport):
-                del backend.idle[place], self.idle[connection]
+                del backend.idle[index], self.idle[connection]
                 return connection
             self.close(connection)
         return None
 
     async def _connect(self, attempt: Attempt) -> None:
-        """Whatever happens here, the attempt ends and the connection is counted or closed."""
+        """Open a connection and send the attempt on it.
+
+        Whatever fails, the attempt ends and the connection is either counted or closed.
+        """
         backend = attempt.backend
         connection = BackendConnection(self, backend)
         try:
             async with asyncio.timeout(self.connect_timeout_s):
                 await self.loop.create_connection(lambda: connection, *backend.address)
         except Exception as error:
-            connection.abandon()  # a time-out may cross success
+            connection.abandon()  # The connection may come up at the same moment as the timeout.
             if not isinstance(error, OSError | TimeoutError):
-                log.error("connecting to %s: %s: %s", backend.name, type(error).__name__, error)
+                log.error(
+                    "unexpected error while connecting to backend %s: %s: %s",
+                    backend.name,
+                    type(error).__name__,
+                    error,
+                )
             self.end_attempt(attempt, Outcome.UNREACHABLE)
             return
         if not attempt.ended and not attempt.request.finished:
             self._send(connection, attempt)
             return
-        self.release(connection)  # it is paid for: the next attempt may have it
+        self.release(connection)  # Its handshake is done, so the next attempt may use it.
         self.end_attempt(attempt, Outcome.NOT_SENT)
 
     def _send(self, connection: BackendConnection, attempt: Attempt) -> None:
         backend, now = attempt.backend, time.monotonic()
-        # draining backends get nothing new: a connect or a stall of ours may outlast the grace
+        # A draining backend gets no new requests after the grace, which a slow connect or a stall of this
+        # process may exceed.
         if backend.cordoned or (not backend.listed and now > backend.draining_since + self.drain_grace_s):
             connection.transport.abort()
             self.end_attempt(attempt, Outcome.NOT_SENT)
@@ -149,31 +178,37 @@
                 self.loop.call_later(attempt.send_by - now, self._on_send_deadline, attempt)
 
     def _must_not_send(self, attempt: Attempt, now: float) -> bool:
-        """Whether what has happened since the decision, while a connection came up, forbids to send."""
+        """Return whether the attempt may no longer be sent.
+
+        The situation may have changed since the balancer's decision, while a connection was being opened.
+        """
         upload = attempt.request.upload
-        # part of the body may have been dropped by now
+        # Part of the body may have been dropped since the decision.
         if upload and not upload.can_restart():
             return True
-        # no effect may happen twice: the backends may have forgotten the first attempt by now, and the
-        # balancer's
-        # own check came before a connect, or before a stall of this process
+        # No request may take effect twice: the backends' deduplication may already have forgotten the first
+        # attempt, and the balancer's own check was made before a connect or a stall of this process.
         if now >= min(attempt.send_by, self.send_until):
             return True
-        # the list of discovery is held against us from then on; a file's pool has no part in it
+        # From `list_valid_until` on, changes missing in discovery's list may count as notified.  Backends of
+        # a pool come from a file and are not affected.
         if not attempt.backend.pool and now >= self.list_valid_until:
             return True
-        # backends need not work for nobody: the client may have closed behind bytes that are not read yet, or
-        # while this process stood still
+        # A backend should not work on a request without a client: the client may have closed its connection
+        # after bytes that are not read yet, or while this process was stalled.
         return self.observer.is_abandoned(attempt)
 
     def _on_send_deadline(self, attempt: Attempt) -> None:
-        """Cancel a retry that would be late: it counts when its last byte arrives, which may take long."""
+        """Cancel a retry that would be late.
+
+        A backend starts the request when its last byte arrives, which may be long after the first one.
+        """
         connection = attempt.connection
         if connection and connection.attempt is attempt and connection.has_unsent_bytes:
             self.abandon_attempt(attempt, Outcome.CANCELLED)
 
     def end_attempt(self, attempt: Attempt, outcome: Outcome, response: Response | None = None) -> None:
-        """The one end of an attempt; whatever comes after it is nobody's."""
+        """End an attempt and report its outcome once; calls after the first one have no effect."""
         if attempt.ended:
             return
         attempt.ended = True
@@ -184,10 +219,13 @@
         self.observer.attempt_ended(attempt, outcome, response)
 
     def abandon_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Stop waiting.  What was not completely written can never run: the connection ends with it."""
+        """Stop waiting for an attempt and close the connection that carries it.
+
+        If the request was not written completely, the backend can never run it.
+        """
         connection = attempt.connection
         if connection is None or connection.has_unsent_bytes:
-            # cancelled by us, it is no sign of the backend's health
+            # An attempt that the proxy cancelled itself says nothing about the backend's health.
             outcome = Outcome.NOT_SENT if outcome is Outcome.CANCELLED else Outcome.UNREACHABLE
         self.end_attempt(attempt, outcome)
         if connection is not None and connection.attempt is attempt:
@@ -196,7 +234,7 @@
     # Connections.
 
     def release(self, connection: BackendConnection) -> None:
-        """Keep a connection for the next attempt, if there can be one."""
+        """Keep a connection for the next attempt, or close it if the backend may get no further attempts."""
         backend = connection.backend
         if (
             not backend.listed
@@ -211,31 +249,33 @@
         self.idle[connection] = None
 
     def close(self, connection: BackendConnection) -> None:
-        """Close a connection; its descriptor is closed before that of a later connect is opened."""
+        """Close a connection.  Its descriptor is closed before a later connect opens a new one."""
         self.forget(connection)
         connection.transport.abort()
 
     def close_idle(self, backend: Backend) -> None:
-        """Close a backend's idle connections."""
+        """Close all idle connections to a backend."""
         for connection in list(backend.idle):
             self.close(connection)
 
     def close_expired(self, now: float) -> None:
-        """Close the connections that have been idle for too long."""
+        """Close the connections that have been idle for longer than the limit."""
         for connection in list(self.idle):
             if now - connection.idle_since < self.max_idle_s:
                 break
             self.close(connection)
 
     def forget(self, connection: BackendConnection) -> None:
-        """A connection is closed or lost."""
+        """Stop counting a connection that is closed or lost."""
         self.connections.discard(connection)
         if connection in self.idle:
             del self.idle[connection]
             connection.backend.idle.remove(connection)
 
-    def resume_starved(self) -> None:
-        """Memory has come free: responses that wait for some go on, the longest waiting first."""
-        while self.starved and (connection := next(iter(self.starved))).start_streaming():
-            del self.starved[connection]
+    def resume_waiting_for_memory(self) -> None:
+        """Resume responses that wait for memory, the longest waiting first, as far as the memory suffices."""
+        while (
+            self.waiting_for_memory and (connection := next(iter(self.waiting_for_memory))).start_streaming()
+        ):
+            del self.waiting_for_memory[connection]
             connection.set_reading_paused(False)
--- a/heronreel/proxy/dispatcher.py
+++ b/heronreel/proxy/dispatcher.py
@@ -1,8 +1,8 @@
-"""Between the sockets and the balancer: ids, clock and timers, and the lives of requests and attempts.
+"""Connects the sockets with the balancer and tracks the state of requests and attempts.
 
-Events wait in a queue, so that what an action causes never re-enters the balancer.  Every request gets one
-final response: what a backend served, the balancer's Refuse or Fail, or, if there is none, a 504 at the
-deadline.
+Events are queued, so that an event caused by an action never re-enters the balancer.  Every request gets
+exactly one final response: the response of a backend, the balancer's Reject or Fail, or otherwise a 504 at
+the deadline.
 """
 
 from __future__ import annotations
@@ -34,53 +34,62 @@
 from heronreel.proxy.request import Request, RequestHead, ResponseWriter, Router
 from heronreel.proxy.streams import RequestBodyStream
 
-MAX_UPLOAD_S = 600.0  # that a body may take to come: 32 MB at 64 kB a second, and some to spare
-TIMER_RETRY_S = 0.2  # a timer that the balancer failed on comes again
-TIMER_MARGIN_S = 0.001  # the loop's clock may stand behind, and a timer must not come early
+# The time that a body may take to arrive: 32 MB at 64 kB a second take 500 s, plus a margin.
+MAX_UPLOAD_S = 600.0
+# A timer event on which the balancer raised an exception is repeated after this time.
+TIMER_RETRY_S = 0.2
+# The event loop's clock may be behind, and a timer must not fire early.
+TIMER_MARGIN_S = 0.001
+# A deadline timer that fires early by no more than this counts as on time.
 DEADLINE_TOLERANCE_S = 0.0005
 
 log = logging.getLogger(__name__)
 
 
-class Decisions(Protocol):
-    """What decides: a Balancer, or what speaks as one."""
+class BalancingPolicy(Protocol):
+    """Decides what is done after each event: a Balancer or a replacement for it."""
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        """What to do after an event."""
+        """Handle an event and return the actions to carry out."""
 
 
 class Dispatcher:
-    """The one caller of `Decisions.handle`."""
+    """Passes events to the balancer and carries out its actions.
+
+    No other class calls `BalancingPolicy.handle`.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         config: Config,
-        decisions: Decisions | None = None,
+        decisions: BalancingPolicy | None = None,
         router: Router | None = None,
     ) -> None:
         self.loop = loop
         self.router = router
-        self.accepts_any_client = (
-            config.any_status
-        )  # not the platform's clients: they send none of its headers
+        # Any clients, rather than the platform's: they send none of the platform's headers.
+        self.accepts_any_client = config.any_status
         self._take_settings(config.settings)
-        self.balancer: Decisions = decisions or Balancer(config.settings, config.seed)
-        self.epoch = time.time() - time.monotonic()  # wall clock at start; it never steps after
+        self.balancer: BalancingPolicy = decisions or Balancer(config.settings, config.seed)
+        # Added to the monotonic clock, this gives a wall clock that never steps.
+        self.epoch = time.time() - time.monotonic()
         self.pool = ConnectionPool(loop, config, self)
         self.registry = BackendRegistry(self.pool, self.dispatch, config.endpoints_from_file)
         self.backends = self.registry.backends
-        self.list_expired = False  # and the log has it
+        self.list_expired = False  # Whether the expiry of the endpoint list was logged.
         self.watch = self._make_watch(config)
-        self.requests: dict[int, Request] = {}  # those not finished, or with attempts in flight
-        self.request_ids: set[bytes] = set()  # of the same requests
+        self.requests: dict[int, Request] = {}  # Requests that are unfinished or have attempts in flight.
+        self.request_ids: set[bytes] = set()  # The clients' ids of the same requests.
         self.budget = ByteBudget(config.body_bytes)
-        self.last_number = 0  # of a request
-        self.has_received_list = not config.discovery  # a list was received, so we know more than the file
+        self.last_number = 0  # The number of the latest request.
+        # Whether a list newer than the file's was received; true from the start if there is no discovery
+        # service.
+        self.has_received_list = not config.discovery
         self.events: deque[api.Event] = deque()
         self.dispatching = False
-        self.decided_at = 0.0  # when the balancer was last called
-        self.answer_by = math.inf  # on the monotonic clock: no deadline is later
+        self.decided_at = 0.0  # When the balancer was last called, on the monotonic clock.
+        self.answer_by = math.inf  # The latest deadline of any request, on the monotonic clock.
         self.registry.update(config.endpoints, api.ListKind.CACHED)
         if self.watch:
             self.watch.start()
@@ -99,14 +108,17 @@
         )
 
     def _set_list_validity(self, valid_until: float) -> None:
-        """The endpoint list may be used until then, on the monotonic clock in seconds."""
+        """Set until when the endpoint list may be used, on the monotonic clock in seconds."""
         self.pool.list_valid_until = valid_until
         if self.list_expired and time.monotonic() < valid_until:
             self.list_expired = False
             record(EventKind.LIST_VALID)
 
     def is_list_valid(self) -> bool:
-        """Whether requests may be sent by the endpoint list that we hold; the file's endpoints always may."""
+        """Return whether requests may be sent by the current endpoint list.
+
+        Endpoints from a file never expire.  The expiry of the list is logged once.
+        """
         valid = self.registry.merges_file or time.monotonic() < self.pool.list_valid_until
         if not valid and not self.list_expired and self.watch:
             self.list_expired = True
@@ -114,10 +126,10 @@
         return valid
 
     def reload(self, config: Config) -> None:
-        """Take settings, limits and discovery of a new file, under load.
+        """Apply the settings, limits and discovery address of a changed configuration file.
 
-        What is under way goes on as it began; the file's list is passed over, since the watch has a newer
-        one.
+        Requests in progress are not affected.  The file's copy of the endpoint list is ignored, since the
+        watch has a newer one.
         """
         self._take_settings(config.settings)
         self.dispatch(api.NewSettings(config.settings))
@@ -136,11 +148,11 @@
         self.max_deadline_ms = max(request_class.deadline_ms for request_class in settings.classes)
 
     def is_serving(self) -> bool:
-        """Whether any backend may get requests."""
+        """Return whether any backend may get requests."""
         return self.registry.is_serving() and self.is_list_valid()
 
     def on_endpoints(self, update: EndpointList | api.WatchFailure) -> None:
-        """The watch received a list, or failed."""
+        """Handle a received list or a failure of the watch."""
         if isinstance(update, api.WatchFailure):
             self.dispatch(api.BackendList(api.ListKind.FAILED, failure=update))
         else:
@@ -149,9 +161,10 @@
             self.registry.update(update, kind)
 
     def begin_shutdown(self, send_until: float, answer_by: float) -> None:
-        """The process ends: nothing is sent from `send_until` on, and no deadline is after `answer_by`.
+        """Limit all requests to the remaining time of a process that is shutting down.
 
-        Both are on the monotonic clock, in seconds.  What is under way keeps a deadline that is earlier.
+        No attempt is sent from `send_until` on, and no deadline is later than `answer_by`; both are on the
+        monotonic clock, in seconds.  Requests in progress keep an earlier deadline.
         """
         self.answer_by = answer_by
         self.pool.send_until = send_until
@@ -161,9 +174,9 @@
     # Events and actions.
 
     def dispatch(self, event: api.Event) -> None:
-        """Give events to the balancer in the order they happened, and carry out what it decides.
+        """Pass events to the balancer in the order in which they happened, and carry out its actions.
 
-        One that an action causes waits until its round is over.
+        An event caused by an action is queued until all actions of the current event are carried out.
         """
         self.events.append(event)
         if self.dispatching:
@@ -175,9 +188,11 @@
                 try:
                     self.decided_at = time.monotonic()
                     actions = self.balancer.handle((self.epoch + self.decided_at) * 1000.0, event)
-                except Exception as error:  # no event may end the process; the deadline ends its request
-                    log.error("balancer: %s: %s on %.200r", type(error).__name__, error, event)
-                    if isinstance(event, api.TimerFired):  # or what the timer keeps going would stop for good
+                except Exception as error:
+                    # No event may end the process.  A request whose event failed ends at its deadline.
+                    log.error("balancer failed: %s: %s on event %.200r", type(error).__name__, error, event)
+                    if isinstance(event, api.TimerFired):
+                        # Repeat it, since the balancer sets periodic timers again only when they fire.
                         self.loop.call_later(TIMER_RETRY_S, self.dispatch, event)
                     continue
                 for action in actions:
@@ -203,10 +218,10 @@
                 if request:
                     self.pool.abandon_attempt(request.attempts[attempt_number], api.Outcome.CANCELLED)
             case _:
-                self._carry_out_rare(action)
+                self._carry_out_general(action)
 
-    def _carry_out_rare(self, action: api.Action) -> None:
-        """What concerns no single request."""
+    def _carry_out_general(self, action: api.Action) -> None:
+        """Carry out an action that does not concern a single request."""
         match action:
             case api.WatchList():
                 if self.watch:
@@ -218,10 +233,10 @@
                 if number in self.backends:
                     self.pool.close_idle(self.backends[number])
             case api.Probe(number):
-                # no health checks from here
+                # The dispatcher performs no health checks itself.
                 self.dispatch(api.ProbeEnded(number, api.Outcome.NOT_SENT))
 
-    # The life of a request.
+    # Requests.
 
     def submit(
         self,
@@ -230,15 +245,21 @@
         body: bytes | bytearray,
         upload: RequestBodyStream | None = None,
     ) -> Request:
-        """Take a request whose last byte was read, or a long one under way; it is owed one final response."""
+        """Accept a request, which gets exactly one final response.
+
+        The request is complete, or has an `upload` whose body is still being received.
+        """
         now = time.monotonic()
         timeout_ms = head.timeout_ms
         if timeout_ms is None:
             request_class = head.policy.request_class if head.policy else self.classes.get(head.class_name)
             timeout_ms = request_class.deadline_ms if request_class else self.max_deadline_ms
-        if upload:  # its time begins with its last byte; how fast it comes is its connection's to judge
+        if upload:
+            # The timeout starts with the last byte of the body.  The client connection checks how fast the
+            # body arrives.
             upload.timeout_ms, timeout_ms = timeout_ms, timeout_ms + MAX_UPLOAD_S * 1000.0
-        elif head.read_at is not None:  # it may have waited its turn since
+        elif head.read_at is not None:
+            # A pipelined request may have waited for its turn since it was read.
             timeout_ms = max(0.0, timeout_ms - (now - head.read_at) * 1000.0)
         timeout_ms = min(timeout_ms, max(0.0, self.answer_by - now) * 1000.0)
         self.last_number += 1
@@ -250,7 +271,8 @@
         if request.request_id:
             self.request_ids.add(request.request_id)
         request.timer = self.loop.call_later(timeout_ms / 1000.0, self._on_deadline, request)
-        if not self.is_list_valid():  # rather than send by a guess: a refusal promises that nothing was done
+        if not self.is_list_valid():
+            # Refuse the request rather than send it by an outdated list: it is certain that it did not run.
             self._finish(request.number, 503, 0.0)
             return request
         self.dispatch(
@@ -258,7 +280,8 @@
                 request.number,
                 head.class_name,
                 timeout_ms,
-                head.tenant if head.tenant in self.tenants else "",  # bounds the balancer's state by tenant
+                # Unknown tenants are not passed on, which limits the balancer's state by tenant.
+                head.tenant if head.tenant in self.tenants else "",
                 stable_number(head.key) if head.key else None,
                 head.cost_hint_ms,
                 head.is_retry,
@@ -270,7 +293,7 @@
         return request
 
     def upload_finished(self, request: Request) -> None:
-        """The last byte was read: from here on its time runs, and that of the backend that has it."""
+        """Start the timeouts of a request and its attempts when the last byte of its upload was read."""
         if request.finished or not request.upload:
             return
         now, timeout_s = time.monotonic(), request.upload.timeout_ms / 1000.0
@@ -282,10 +305,11 @@
             attempt.started_at, attempt.ends_at = now, min(attempt.ends_at, request.deadline)
 
     def client_disconnected(self, request: Request) -> None:
-        """Nobody waits any more.
+        """Handle the disconnection of a client that waits for a response.
 
-        What is in flight goes on to its deadline: giving up stops no backend's work, and the connection is
-        worth keeping.  What was not completely written has not begun, and never does.
+        Attempts in flight continue until their deadline: aborting them would not stop the backend's work, and
+        their connections can be reused.  An attempt that was not written completely has not started at its
+        backend; it is cancelled, so that it never starts.
         """
         if request.finished:
             return
@@ -301,19 +325,22 @@
                 self.pool.abandon_attempt(attempt, api.Outcome.CANCELLED)
 
     def _on_deadline(self, request: Request) -> None:
-        left = request.deadline - time.monotonic()
-        # the loop's clock stands still while it works, so a timer may come early
-        if left > DEADLINE_TOLERANCE_S:
-            request.timer = self.loop.call_later(left, self._on_deadline, request)
+        remaining_s = request.deadline - time.monotonic()
+        # The event loop updates its clock only between callbacks, so a timer may fire early.
+        if remaining_s > DEADLINE_TOLERANCE_S:
+            request.timer = self.loop.call_later(remaining_s, self._on_deadline, request)
             return
         self.time_out(request)
 
     def time_out(self, request: Request) -> None:
-        """Its time is over, or ours is: no further attempt is sent, whatever the balancer has time for."""
+        """End a request at its deadline or at the end of the process.
+
+        No further attempt is sent, even if the balancer would start one.
+        """
         request.deadline = min(request.deadline, time.monotonic())
         for attempt in request.attempts:
             self.pool.abandon_attempt(attempt, api.Outcome.TIMEOUT)
-        if not request.finished:  # the balancer queues it, or failed on it
+        if not request.finished:  # The balancer still queues the request, or failed on one of its events.
             self._finish(request.number, 504, 0.0)
             self.dispatch(api.ClientGone(request.number))
 
@@ -324,15 +351,15 @@
         if status == 502 and request.last_outcome is api.Outcome.TIMEOUT:
             status = 504
         client = request.client
-        self._record_own_response(request, status)
+        self._record_generated_response(request, status)
         self._mark_finished(request)
         if client:
             retry_after = b"retry-after: %.3f\r\n" % (retry_after_ms / 1000.0) if retry_after_ms else b""
             client.respond(status, retry_after + DATE_LINE.now())
         self._forget_if_done(number)
 
-    def _record_own_response(self, request: Request, status: int) -> None:
-        """Log a response that no backend made."""
+    def _record_generated_response(self, request: Request, status: int) -> None:
+        """Log a response that the proxy generates itself."""
         kind, reason = EventKind.REQUEST_REFUSED, RefusalReason.NOT_ADMITTED
         if status == 503 and not request.attempts and self.list_expired:
             reason = RefusalReason.LIST_EXPIRED
@@ -353,7 +380,7 @@
         )
 
     def _mark_finished(self, request: Request) -> None:
-        """Nothing more is sent for it, so what a retry would need is released."""
+        """Mark a request as finished and release the data that a retry would need."""
         request.finished, request.client = True, None
         self.budget.release(len(request.body))
         request.head = request.body = b""
@@ -369,21 +396,21 @@
             self.request_ids.discard(request.request_id)
             request.attempts.clear()
 
-    # The life of an attempt.
+    # Attempts.
 
     def _start_attempt(self, action: api.StartAttempt) -> None:
         number, timeout_ms = action.request, action.timeout_ms
         request, now = self.requests[number], time.monotonic()
         attempt_number, backend = len(request.attempts), self.backends.get(action.backend)
         ends_at = min(request.deadline, now + timeout_ms / 1000.0) if timeout_ms else request.deadline
-        # counted from the decision, not from here: between the two the process may have stood still
+        # The time is counted from the decision, since the process may have been stalled between the two.
         send_by = self.decided_at + action.within_ms / 1000.0 if action.within_ms else math.inf
         target = backend or Backend(action.backend, "", ("", 0), 0.0)
         attempt = Attempt(request, attempt_number, target, now, ends_at, send_by)
         request.attempts.append(attempt)
-        barred = request.finished or attempt_number >= self.settings.max_attempts
-        barred = barred or (request.upload is not None and not request.upload.can_restart())
-        if barred or backend is None or now >= ends_at:
+        must_not_start = request.finished or attempt_number >= self.settings.max_attempts
+        must_not_start = must_not_start or (request.upload is not None and not request.upload.can_restart())
+        if must_not_start or backend is None or now >= ends_at:
             attempt.ended = True
             outcome = api.Outcome.NOT_SENT
             self.dispatch(
@@ -407,7 +434,7 @@
         self.pool.start_attempt(attempt)
 
     def attempt_ended(self, attempt: Attempt, outcome: api.Outcome, response: Response | None) -> None:
-        """An attempt has ended; with the response that the client gets, if there is one."""
+        """Handle the end of an attempt; `response`, if any, is sent to the client."""
         request, backend = cast(Request, attempt.request), attempt.backend
         request.last_outcome = outcome
         if outcome is not api.Outcome.SERVED:
@@ -436,10 +463,11 @@
     def response_streaming(
         self, attempt: Attempt, connection: BackendConnection, start: Response, length: int | None
     ) -> ResponseBodySink | None:
-        """A long response goes to the client as it comes; None: nobody takes it.
+        """Start forwarding a long response to the client while it is being received.
 
-        The work is done and the decisions are over, so the balancer hears of its end here: what follows takes
-        as long as the client does.
+        Returns None if no client is waiting for it.  The balancer is informed here that the attempt has
+        ended: the backend has done its work and no decision is left, and the rest takes as long as the client
+        needs to receive the response.
         """
         request = cast(Request, attempt.request)
         sink = None
@@ -463,19 +491,19 @@
         if client and outcome is api.Outcome.SERVED:
             client.finish_stream()
         elif client:
-            client.abort_stream()  # the rest can't come; the client sees that it is incomplete
+            client.abort_stream()  # The client sees that the response is incomplete.
         self._forget_if_done(request.number)
 
     def _ended_event(
         self, request: Request, attempt: Attempt, outcome: api.Outcome, is_last: bool
     ) -> api.AttemptEnded:
-        took_ms = (time.monotonic() - attempt.started_at) * 1000.0
+        duration_ms = (time.monotonic() - attempt.started_at) * 1000.0
         return api.AttemptEnded(
-            request.number, attempt.number, attempt.backend.number, outcome, took_ms, is_last
+            request.number, attempt.number, attempt.backend.number, outcome, duration_ms, is_last
         )
 
     def is_abandoned(self, attempt: Attempt) -> bool:
-        """Whether nobody waits for an attempt that is about to be sent."""
+        """Return whether the client of an attempt that is about to be sent has disconnected."""
         request = cast(Request, attempt.request)
         client = request.client
         if client is None or not client.has_disconnected():
--- a/heronreel/proxy/request.py
+++ b/heronreel/proxy/request.py
@@ -1,4 +1,4 @@
-"""A request on its way through the proxy: its checked head, its state, and who receives the response."""
+"""A client request: its validated head, its state and the interface to the receiver of the response."""
 
 from __future__ import annotations
 
@@ -13,48 +13,62 @@
 
 
 class Router(Protocol):
-    """Where the host has routes of its own: which policy applies to a request."""
+    """Finds the policy of a request, if the proxy's host configures routes."""
 
     def find(
         self, host: bytes, path: bytes, method: bytes, headers: Mapping[bytes, bytes]
     ) -> api.RoutePolicy | None:
-        """The policy of the request's route; None: no route takes it."""
+        """Return the policy of the request's route, or None if no route matches."""
 
 
 class ResponseWriter(Protocol):
-    """Who waits for the response."""
+    """Receives the response to a request."""
 
     def respond(self, status: int, header_lines: bytes, body: bytes = b"") -> None:
-        """Send the whole response."""
+        """Send a complete response."""
 
     def begin_stream(
         self, connection: BackendConnection, start: Response, length: int | None
     ) -> ResponseBodySink | None:
-        """Take a response as it comes; None: it can't be taken so."""
+        """Start a response that is forwarded while it is being received.
+
+        Returns None if the client can't receive it that way.
+        """
         return None
 
     def finish_stream(self) -> None:
-        """That response's last byte was handed over."""
+        """End a streamed response after its last byte was written to the sink."""
         return None
 
     def abort_stream(self) -> None:
-        """That response can't be finished."""
+        """Abort a streamed response that can't be completed."""
         return None
 
     def has_disconnected(self) -> bool:
-        """Whether the client has closed its connection, read or not; nothing is sent to it from then on."""
+        """Return whether the client has closed its connection, even if the end was not read yet.
+
+        Nothing is sent to the client after that.
+        """
         return False
 
 
 @dataclass(slots=True)
 class RequestHead:
-    """A client's checked head."""
-
-    data: bytes  # request line and header lines for a backend, without the time left
-    request_id: bytes = b""  # X-Request-Id
+    """The validated head of a client request.
+
+    Attributes:
+        data: Request line and header lines as sent to a backend, without the deadline header.
+        request_id: The client's X-Request-Id.
+        key: The key of the object that the request is about.
+        read_at: When the last byte of the request was read, on the monotonic clock in seconds; None while the
+            request is still being received.
+    """
+
+    data: bytes
+    request_id: bytes = b""
     class_name: str = ""
     tenant: str = ""
-    key: bytes = b""  # of the object that the request is about
+    key: bytes = b""
     timeout_ms: float | None = None
     cost_hint_ms: float = 0.0
     is_retry: bool = False
@@ -62,25 +76,33 @@
     policy: api.RoutePolicy | None = None
     idempotency_key: bytes = b""
     is_http10: bool = False
-    read_at: float | None = (
-        None  # when the request's last byte was, on the monotonic clock; None: it still comes
-    )
+    read_at: float | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request until its last attempt has ended.  `deadline` is on the monotonic clock."""
+    """A request, which exists until its last attempt has ended.
+
+    Attributes:
+        client: Receives the response; None once it has the response or has disconnected.
+        deadline: On the monotonic clock, in seconds.
+        in_flight: The number of attempts that have not ended.
+        finished: Whether nothing more is sent to the client.
+        request_id: The client's X-Request-Id.
+        upload: Replaces `body` if the body is forwarded while it is being received.
+        streaming: The attempt whose response is forwarded to the client while it is being received.
+    """
 
     number: int
-    client: ResponseWriter | None  # None once it has its response or has disconnected
+    client: ResponseWriter | None
     head: bytes
     body: bytes | bytearray
     deadline: float
     timer: asyncio.TimerHandle | None = None
     attempts: list[Attempt] = field(default_factory=list)
-    in_flight: int = 0  # attempts that have not ended
+    in_flight: int = 0
     finished: bool = False
     last_outcome: api.Outcome = api.Outcome.NOT_SENT
-    request_id: bytes = b""  # the client's
+    request_id: bytes = b""
     upload: RequestBodyStream | None = None
-    streaming: Attempt | None = None  # whose response the client gets as it comes
+    streaming: Attempt | None = None
--- a/heronreel/proxy/streams.py
+++ b/heronreel/proxy/streams.py
@@ -1,8 +1,9 @@
-"""Bodies too long to be buffered: forwarded as they come, never faster than they are taken.
+"""Streaming of bodies that are too long to be buffered, with backpressure from the receiver to the sender.
 
-Up to `MAX_BUFFERED_REQUEST_BYTES` of a request are buffered, so that it costs its backend nothing while it
-comes and may be sent again.  A longer one is forwarded while it still comes.  What was forwarded is kept as
-long as it is no more than twice that; once part of it is dropped the request can't be sent a second time.
+A request body of up to `MAX_BUFFERED_REQUEST_BYTES` is buffered completely before it is sent, so that it
+occupies no backend while it is received and can be sent again.  A longer body is forwarded while it is still
+being received.  The forwarded bytes are kept for a retry up to twice that size; once part of them has been
+dropped, the request can't be sent again.
 """
 
 from __future__ import annotations
@@ -12,41 +13,47 @@
 
 from heronreel.proxy.budget import ByteBudget
 
-MAX_BUFFERED_REQUEST_BYTES = 512 << 10  # a longer request is forwarded while it comes
-MAX_BODY_BYTES = 33 << 20  # either way
-MAX_BUFFERED_RESPONSE_BYTES = 64 << 10  # a longer response is forwarded as it comes
-MAX_BUFFERED_UNSIZED_RESPONSE_BYTES = 16 << 10  # the same for one whose head has no length
-STREAM_BYTES = 448 << 10  # what one stream buffers at most; 402 KiB were measured (bench/long_bodies.py)
+# A longer request body is forwarded while it is being received.
+MAX_BUFFERED_REQUEST_BYTES = 512 << 10
+# The limit applies to request and response bodies.
+MAX_BODY_BYTES = 33 << 20
+# A longer response body is forwarded while it is being received.
+MAX_BUFFERED_RESPONSE_BYTES = 64 << 10
+# The same limit for a response without a Content-Length.
+MAX_BUFFERED_UNSIZED_RESPONSE_BYTES = 16 << 10
+# The memory reserved for one response stream; a stream buffers up to 402 KiB (bench/long_bodies.py).
+MAX_STREAM_BUFFER_BYTES = 448 << 10
 
 LAST_CHUNK = b"0\r\n\r\n"
 
 
 class PausableSource(Protocol):
-    """Where a body comes from: its reading can be paused."""
+    """The connection that a body is read from, whose reading can be paused."""
 
     def set_reading_paused(self, paused: bool) -> None:
-        """Stop reading for now, or go on."""
+        """Pause or resume reading."""
 
 
 class RequestBodySink(Protocol):
-    """Where a request's body goes."""
+    """The connection that a request body is written to."""
 
     def write_body(self, data: bytes) -> None:
-        """Take more of the body."""
+        """Write the next part of the body."""
 
     def finish_body(self) -> None:
-        """The last byte of the body was written."""
+        """Handle the end of the body: its last part was passed to `write_body`."""
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """One chunk of a chunked body (RFC 9112, 7.1)."""
+    """Encode one chunk of a chunked body (RFC 9112, section 7.1)."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 class RequestBodyStream:
-    """A request's body on its way from a client to one backend at a time.
+    """Forwards a request body from a client to one backend at a time.
 
-    Until it is `complete`, nothing of the request has run anywhere: a backend begins with the last byte.
+    Until the body is `complete`, no backend has started to process the request: a backend starts when it has
+    received the last byte.
     """
 
     __slots__ = ("budget", "buffer", "buffered_bytes", "chunked", "complete", "sink", "source", "timeout_ms")
@@ -54,19 +61,19 @@
     def __init__(self, source: PausableSource, budget: ByteBudget, start: bytes, chunked: bool) -> None:
         self.source = source
         self.budget = budget
-        self.buffer: list[bytes] | None = [start]  # all that came; None: part of it was dropped
-        self.buffered_bytes = len(start)  # reserved from the budget by whoever read them
+        self.buffer: list[bytes] | None = [start]  # All bytes received; None once a part was dropped.
+        self.buffered_bytes = len(start)  # The caller has reserved the bytes of `start` from the budget.
         self.chunked = chunked
         self.sink: RequestBodySink | None = None
         self.complete = False
-        self.timeout_ms = 0.0  # the request's time from the last byte on
+        self.timeout_ms = 0.0  # The request's timeout, which starts with the last byte of the body.
 
     def can_restart(self) -> bool:
-        """Whether the body can be sent from its first byte on."""
+        """Return whether the body can be sent again from its first byte."""
         return self.buffer is not None
 
     def attach(self, sink: RequestBodySink) -> None:
-        """Send what came to this sink, and from now on what comes."""
+        """Forward the bytes received so far, and all later ones, to this sink."""
         self.sink = sink
         for data in self.buffer or ():
             sink.write_body(encode_chunk(data) if self.chunked else data)
@@ -75,28 +82,32 @@
             self.source.set_reading_paused(False)
 
     def detach(self, sink: RequestBodySink) -> None:
-        """The sink's connection is gone; whether another one follows is decided elsewhere."""
+        """Stop forwarding to this sink, whose connection has ended.
+
+        The caller decides whether another sink is attached.
+        """
         if self.sink is sink:
             self.sink = None
 
     def feed(self, data: bytes) -> None:
-        """Forward what was read, and buffer it for a retry while there is room."""
+        """Forward received bytes, and buffer them for a retry as long as the limits allow."""
         if self.buffer is not None:
             fits = self.buffered_bytes + len(data) <= 2 * MAX_BUFFERED_REQUEST_BYTES
             fits = fits and self.budget.reserve(len(data))
-            # no request may be lost: what was sent nowhere yet is kept, room or not; reading stops behind it
+            # No request may be lost: bytes that were not sent to any backend yet are kept even beyond the
+            # limits.  Reading is paused after them.
             if fits or (self.sink is None and self.budget.reserve(len(data), math.inf)):
                 self.buffered_bytes += len(data)
                 self.buffer.append(data)
             else:
-                self.drop_buffer()  # bounds memory: it can't be sent again from here on
+                self.drop_buffer()  # Limits the memory; the body can't be sent again after this.
         if self.sink is not None:
             self.sink.write_body(encode_chunk(data) if self.chunked else data)
         elif self.buffer is not None and self.buffered_bytes > MAX_BUFFERED_REQUEST_BYTES:
-            self.source.set_reading_paused(True)  # until there is somewhere to send it
+            self.source.set_reading_paused(True)  # Until a sink is attached.
 
     def finish(self) -> None:
-        """The body's last byte was read."""
+        """Handle the end of the body: its last byte was received."""
         self.complete = True
         self._finish_sink()
 
@@ -107,7 +118,7 @@
             self.sink.finish_body()
 
     def drop_buffer(self) -> None:
-        """Release what was kept for a retry; none is possible from here on."""
+        """Release the bytes that were kept for a retry; the body can't be sent again after this."""
         self.buffer = None
         self.budget.release(self.buffered_bytes)
         self.buffered_bytes = 0
