--- a/heronreel/proxy/dispatcher.py
+++ b/heronreel/proxy/dispatcher.py
@@ -197,7 +197,7 @@
                     continue
                 for action in actions:
                     self._carry_out(action)
-                if isinstance(event, api.AttemptEnded | api.ClientGone):
+                if isinstance(event, api.AttemptEnded | api.RequestClosed):
                     self._forget_if_done(event.request)
         finally:
             self.dispatching = False
@@ -229,7 +229,7 @@
             case api.FetchList():
                 if self.watch:
                     self.watch.fetch()
-            case api.CloseIdle(number):
+            case api.CloseIdleConnections(number):
                 if number in self.backends:
                     self.pool.close_idle(self.backends[number])
             case api.Probe(number):
@@ -318,7 +318,7 @@
         if streaming:
             self.pool.abandon_attempt(streaming, api.Outcome.CANCELLED)
             return
-        self.dispatch(api.ClientGone(request.number))
+        self.dispatch(api.RequestClosed(request.number))
         for attempt in [attempt for attempt in request.attempts if not attempt.ended]:
             unsent = attempt.connection and attempt.connection.has_unsent_bytes
             if (upload and not upload.complete) or unsent:
@@ -342,7 +342,7 @@
             self.pool.abandon_attempt(attempt, api.Outcome.TIMEOUT)
         if not request.finished:  # The balancer still queues the request, or failed on one of its events.
             self._finish(request.number, 504, 0.0)
-            self.dispatch(api.ClientGone(request.number))
+            self.dispatch(api.RequestClosed(request.number))
 
     def _finish(self, number: int, status: int, retry_after_ms: float) -> None:
         request = self.requests.get(number)
@@ -360,16 +360,16 @@
 
     def _record_generated_response(self, request: Request, status: int) -> None:
         """Log a response that the proxy generates itself."""
-        kind, reason = EventKind.REQUEST_REFUSED, RefusalReason.NOT_ADMITTED
+        kind, reason = EventKind.REQUEST_REFUSED, RefusalReason.REJECTED_BY_BALANCER
         if status == 503 and not request.attempts and self.list_expired:
             reason = RefusalReason.LIST_EXPIRED
         if status != 503:
-            kind, reason = EventKind.REQUEST_FAILED, RefusalReason.NO_ANSWER
+            kind, reason = EventKind.REQUEST_FAILED, RefusalReason.NO_ATTEMPT_SERVED
             now = time.monotonic()
             if now >= self.answer_by:
                 reason = RefusalReason.DRAIN_ENDED
             elif now >= request.deadline - DEADLINE_TOLERANCE_S:
-                reason = RefusalReason.DEADLINE
+                reason = RefusalReason.DEADLINE_EXCEEDED
         record(
             kind,
             request.request_id,
--- a/heronreel/proxy/endpoints.py
+++ b/heronreel/proxy/endpoints.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from heronreel.balancer.interface import State
+from heronreel.balancer.interface import BackendState
 from heronreel.proxy.errors import MalformedEndpointListError
 
-STATE_BY_STATUS = {"active": State.UP, "leaving": State.DRAINING, "left": State.GONE}
+STATE_BY_STATUS = {"active": BackendState.UP, "leaving": BackendState.DRAINING, "left": BackendState.REMOVED}
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,7 +27,7 @@
     zone: str
     kind: str
     cell: int
-    state: State
+    state: BackendState
     weight: float
     since_ms: float
     pool: str = ""
@@ -95,7 +95,7 @@
 
 
 def _parse_address(entry: dict[str, Any], state: State) -> tuple[str, int] | None:
-    if "address" not in entry and state is State.GONE:
+    if "address" not in entry and state is BackendState.REMOVED:
         return None
     text = _parse_string(entry, "address", None)
     host, _, port = text.rpartition(":")
