--- a/heronreel/proxy/endpoints.py
+++ b/heronreel/proxy/endpoints.py
@@ -94,7 +94,7 @@
     return value
 
 
-def _parse_address(entry: dict[str, Any], state: State) -> tuple[str, int] | None:
+def _parse_address(entry: dict[str, Any], state: BackendState) -> tuple[str, int] | None:
     if "address" not in entry and state is BackendState.REMOVED:
         return None
     text = _parse_string(entry, "address", None)
