--- a/heronreel/proxy/admin_api.py
+++ b/heronreel/proxy/admin_api.py
@@ -101,7 +101,7 @@
                 self.shared.set_quiesced(command == "quiesce")
             self.clients.set_quiesced(command == "quiesce")
             return True
-        if not self.registry.knows(backend_name):
+        if not self.registry.is_known(backend_name):
             return False
         previous, now_ms = self.registry.cordons.get(backend_name), time.time() * 1000.0
         in_force = previous is not None and not previous.released_ms
--- a/heronreel/proxy/backend_connection.py
+++ b/heronreel/proxy/backend_connection.py
@@ -102,7 +102,7 @@
     def release(self, connection: BackendConnection) -> None:
         """Keep a connection for the next attempt, or close it."""
 
-    def forget(self, connection: BackendConnection) -> None:
+    def remove(self, connection: BackendConnection) -> None:
         """Stop counting a connection that is closed or lost."""
 
     def end_attempt(self, attempt: Attempt, outcome: Outcome, response: Response | None = None) -> None:
@@ -489,7 +489,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """Fail the attempt; the request never ran if its last byte was not written."""
-        self.pool.forget(self)
+        self.pool.remove(self)
         self._fail_attempt(Outcome.UNREACHABLE if self.has_unsent_bytes else Outcome.RESET)
         # The parser refers to this object: break the reference cycle rather than wait for the garbage
         # collector.
--- a/heronreel/proxy/backend_registry.py
+++ b/heronreel/proxy/backend_registry.py
@@ -41,11 +41,11 @@
         """Return whether any backend may get requests."""
         return any(backend.listed for backend in self.backends.values())
 
-    def knows(self, name: str) -> bool:
+    def is_known(self, name: str) -> bool:
         """Return whether a backend with this name is known or has a cordon."""
         return name in self.numbers or name in self.cordons
 
-    def forget_if_unused(self, backend: Backend) -> None:
+    def remove_if_unused(self, backend: Backend) -> None:
         """Drop a backend that is no longer listed, unless attempts to it are in flight."""
         if not backend.listed and not backend.in_flight and self.backends.get(backend.number) is backend:
             del self.backends[backend.number], self.numbers[backend.name]
@@ -84,7 +84,7 @@
             return
         self.dispatch(api.EndMaintenance(number, cordon.since_ms, cordon.released_ms))
         if backend:
-            self.forget_if_unused(backend)
+            self.remove_if_unused(backend)
 
     # The endpoint list.
 
@@ -140,4 +140,4 @@
         if backend.listed:
             backend.listed, backend.draining_since = False, time.monotonic()
             self.pool.close_idle(backend)
-            self.forget_if_unused(backend)
+            self.remove_if_unused(backend)
--- a/heronreel/proxy/client_connection.py
+++ b/heronreel/proxy/client_connection.py
@@ -280,9 +280,9 @@
             return
         body, self.body = bytes(self.body), b""
         if self.declared_length:
-            head.data += b"content-length: %d\r\n" % self.declared_length
+            head.encoded_head += b"content-length: %d\r\n" % self.declared_length
         else:
-            head.data += b"transfer-encoding: chunked\r\n"
+            head.encoded_head += b"transfer-encoding: chunked\r\n"
         self.is_http10 = head.is_http10
         self.upload = RequestBodyStream(self, dispatcher.budget, body, not self.declared_length)
         request = dispatcher.submit(self, head, b"", self.upload)
@@ -356,7 +356,7 @@
             return
         # a body of the framing that backends get: always its length
         if body or head.is_write:
-            head.data += b"content-length: %d\r\n" % len(body)
+            head.encoded_head += b"content-length: %d\r\n" % len(body)
         self.is_http10 = head.is_http10
         request = dispatcher.submit(self, head, body)
         self.request = None if request.finished else request
--- a/heronreel/proxy/connection_pool.py
+++ b/heronreel/proxy/connection_pool.py
@@ -250,7 +250,7 @@
 
     def close(self, connection: BackendConnection) -> None:
         """Close a connection.  Its descriptor is closed before a later connect opens a new one."""
-        self.forget(connection)
+        self.remove(connection)
         connection.transport.abort()
 
     def close_idle(self, backend: Backend) -> None:
@@ -265,7 +265,7 @@
                 break
             self.close(connection)
 
-    def forget(self, connection: BackendConnection) -> None:
+    def remove(self, connection: BackendConnection) -> None:
         """Stop counting a connection that is closed or lost."""
         self.connections.discard(connection)
         if connection in self.idle:
--- a/heronreel/proxy/dispatcher.py
+++ b/heronreel/proxy/dispatcher.py
@@ -198,7 +198,7 @@
                 for action in actions:
                     self._carry_out(action)
                 if isinstance(event, api.AttemptEnded | api.RequestClosed):
-                    self._forget_if_done(event.request)
+                    self._remove_if_done(event.request)
         finally:
             self.dispatching = False
 
@@ -265,7 +265,13 @@
         self.last_number += 1
         deadline = now + timeout_ms / 1000.0
         request = Request(
-            self.last_number, client, head.data, body, deadline, request_id=head.request_id, upload=upload
+            self.last_number,
+            client,
+            head.encoded_head,
+            body,
+            deadline,
+            request_id=head.request_id,
+            upload=upload,
         )
         self.requests[request.number] = request
         if request.request_id:
@@ -356,7 +362,7 @@
         if client:
             retry_after = b"retry-after: %.3f\r\n" % (retry_after_ms / 1000.0) if retry_after_ms else b""
             client.respond(status, retry_after + DATE_LINE.now())
-        self._forget_if_done(number)
+        self._remove_if_done(number)
 
     def _record_generated_response(self, request: Request, status: int) -> None:
         """Log a response that the proxy generates itself."""
@@ -389,7 +395,7 @@
         if not request.in_flight and request.timer:
             request.timer.cancel()
 
-    def _forget_if_done(self, number: int) -> None:
+    def _remove_if_done(self, number: int) -> None:
         request = self.requests.get(number)
         if request and request.finished and not request.in_flight:
             del self.requests[number]
@@ -449,7 +455,7 @@
             )
         if attempt is request.streaming:
             self._finish_stream(request, outcome)
-            self.registry.forget_if_unused(backend)
+            self.registry.remove_if_unused(backend)
             return
         if response and request.client:
             client = request.client
@@ -458,7 +464,7 @@
         if request.finished and not request.in_flight and request.timer:
             request.timer.cancel()
         self.dispatch(self._ended_event(request, attempt, outcome, request.finished))
-        self.registry.forget_if_unused(backend)
+        self.registry.remove_if_unused(backend)
 
     def response_streaming(
         self, attempt: Attempt, connection: BackendConnection, start: Response, length: int | None
@@ -492,7 +498,7 @@
             client.finish_stream()
         elif client:
             client.abort_stream()  # The client sees that the response is incomplete.
-        self._forget_if_done(request.number)
+        self._remove_if_done(request.number)
 
     def _ended_event(
         self, request: Request, attempt: Attempt, outcome: api.Outcome, is_last: bool
--- a/heronreel/proxy/request.py
+++ b/heronreel/proxy/request.py
@@ -57,14 +57,14 @@
     """The validated head of a client request.
 
     Attributes:
-        data: Request line and header lines as sent to a backend, without the deadline header.
+        encoded_head: Request line and header lines as sent to a backend, without the deadline header.
         request_id: The client's X-Request-Id.
         key: The key of the object that the request is about.
         read_at: When the last byte of the request was read, on the monotonic clock in seconds; None while the
             request is still being received.
     """
 
-    data: bytes
+    encoded_head: bytes
     request_id: bytes = b""
     class_name: str = ""
     tenant: str = ""
--- a/tests/proxy/test_large_fleet.py
+++ b/tests/proxy/test_large_fleet.py
@@ -11,7 +11,7 @@
 from heronreel.proxy.endpoint_call import MAX_LINE_BYTES
 from heronreel.proxy.endpoints import parse_endpoint_list
 from heronreel.proxy.shared_state import MAX_CORDONS, Cordon, SharedState
-from tests.proxy.test_made_up_names import NoConnections
+from tests.proxy.test_made_up_names import EmptyConnectionPool
 from tests.support.loopback import entry
 
 COUNT = 1024
@@ -24,7 +24,7 @@
     line = json.dumps({"index": 1, "snapshot": True, "endpoints": entries})
     assert len(line) < MAX_LINE_BYTES
     events: list[Event] = []
-    registry = BackendRegistry(cast(ConnectionPool, NoConnections()), events.append, False)
+    registry = BackendRegistry(cast(ConnectionPool, EmptyConnectionPool()), events.append, False)
     registry.update(parse_endpoint_list(json.loads(line)), ListKind.FULL)
     assert len(registry.backends) == len(registry.numbers) == COUNT <= MAX_CORDONS
     registry.apply_cordons({name: Cordon(name, 1.0) for name in NAMES})
--- a/tests/proxy/test_made_up_names.py
+++ b/tests/proxy/test_made_up_names.py
@@ -57,16 +57,16 @@
     backends: tuple[str, ...]
 
 
-def plain_names(word: str, count: int) -> tuple[str, ...]:
+def numbered_names(word: str, count: int) -> tuple[str, ...]:
     return tuple(f"{word}{number}" for number in range(count))
 
 
-PLAIN = Naming(
-    plain_names("class", CLASSES),
-    plain_names("tenant", TENANTS),
-    plain_names("zone", ZONES),
-    plain_names("kind", KINDS),
-    plain_names("backend", BACKENDS),
+NUMBERED_NAMING = Naming(
+    numbered_names("class", CLASSES),
+    numbered_names("tenant", TENANTS),
+    numbered_names("zone", ZONES),
+    numbered_names("kind", KINDS),
+    numbered_names("backend", BACKENDS),
 )
 
 texts = st.text(st.characters(exclude_categories=["Cs"]), min_size=1, max_size=20)
@@ -95,7 +95,7 @@
 )
 
 
-class NoConnections:
+class EmptyConnectionPool:
     """In the place of the pool: nothing is open."""
 
     def close_idle(self, backend: object) -> None:
@@ -158,7 +158,7 @@
     return config.settings, config.seed
 
 
-class NamedDay:
+class NamedSimulation:
     """A seeded day under some names: a balancer, its host and the registry of its backends."""
 
     def __init__(self, seed: int, names: Naming) -> None:
@@ -168,7 +168,7 @@
         assert tuple(each.name for each in settings.tenants) == names.tenants
         assert settings.zone == names.zones[0]
         self.host = Host(settings, balancer_seed)
-        self.registry = BackendRegistry(cast(ConnectionPool, NoConnections()), self._dispatch, False)
+        self.registry = BackendRegistry(cast(ConnectionPool, EmptyConnectionPool()), self._dispatch, False)
         self.backend_names: dict[int, str] = {}  # by number: all that were ever listed
         self.update(ListKind.CACHED, *range(BACKENDS // 2))
 
@@ -216,7 +216,7 @@
 
     def actions(self) -> list[tuple[Action, str]]:
         """What the balancer had done, each with the plain name of its backend."""
-        plain = dict(zip(self.names.backends, PLAIN.backends, strict=True))
+        plain = dict(zip(self.names.backends, NUMBERED_NAMING.backends, strict=True))
         return [
             (replace(action, backend=0), plain[self.backend_names[action.backend]])
             if isinstance(action, StartAttempt)
@@ -226,7 +226,7 @@
 
 
 def day(seed: int, names: Naming) -> list[tuple[Action, str]]:
-    played = NamedDay(seed, names)
+    played = NamedSimulation(seed, names)
     for _ in range(DAY_STEPS):
         played.step()
     return played.actions()
@@ -236,23 +236,23 @@
 @given(seed=st.integers(0, 2**32), names=namings)
 def test_the_same_day_under_other_names_has_the_same_actions(seed: int, names: Naming) -> None:
     actions = day(seed, names)
-    assert actions == day(seed, PLAIN)
+    assert actions == day(seed, NUMBERED_NAMING)
     assert any(isinstance(action, StartAttempt) for action, _ in actions)
 
 
 def test_other_figures_or_another_seed_make_another_day() -> None:
-    assert day(1, PLAIN) != day(2, PLAIN)  # what is compared is not the same for all
+    assert day(1, NUMBERED_NAMING) != day(2, NUMBERED_NAMING)  # what is compared is not the same for all
 
 
 def test_a_zone_taken_for_another_of_almost_its_name_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    alike = replace(PLAIN, zones=("Zone", "zone", "ZONE"))
-    assert all(day(seed, alike) == day(seed, PLAIN) for seed in range(5))
+    alike = replace(NUMBERED_NAMING, zones=("Zone", "zone", "ZONE"))
+    assert all(day(seed, alike) == day(seed, NUMBERED_NAMING) for seed in range(5))
 
     def near_up_to_case(self: Endpoints, info: BackendInfo) -> bool:
         return info.zone.casefold() == self.settings.zone.casefold() or not self.settings.price_cross_zone
 
     monkeypatch.setattr(Endpoints, "is_near", near_up_to_case)
-    assert any(day(seed, alike) != day(seed, PLAIN) for seed in range(5))
+    assert any(day(seed, alike) != day(seed, NUMBERED_NAMING) for seed in range(5))
 
 
 # Reloads: names come, go and change while requests are under way.
@@ -299,10 +299,10 @@
     )
 
 
-def play_with_reloads(seed: int, names: tuple[str, ...], spare: list[str], quotas: bool) -> ReloadingHost:
+def run_with_reloads(seed: int, names: tuple[str, ...], spare: list[str], quotas: bool) -> ReloadingHost:
     """Arrivals, ends of any kind and reloads, which the host judges; with quotas, some are over them."""
     draw = random.Random(seed)
-    day_names = replace(PLAIN, classes=names[:CLASSES], tenants=names[CLASSES:])
+    day_names = replace(NUMBERED_NAMING, classes=names[:CLASSES], tenants=names[CLASSES:])
     contents = document(draw, day_names)
     if not quotas:
         for tenant in contents["settings"]["Tenants"]:
@@ -330,7 +330,7 @@
 @given(seed=st.integers(0, 2**32), names=unique_names(CLASSES + TENANTS + 6 * NAMES_PER_RELOAD))
 def test_requests_under_way_keep_their_class_across_reloads(seed: int, names: tuple[str, ...]) -> None:
     own, spare = names[: CLASSES + TENANTS], list(names[CLASSES + TENANTS :])
-    host = play_with_reloads(seed, own, spare, quotas=False)
+    host = run_with_reloads(seed, own, spare, quotas=False)
     assert not host.balancer.requests  # every one got its final response
 
 
--- a/tests/proxy/test_reload_over_quota.py
+++ b/tests/proxy/test_reload_over_quota.py
@@ -17,8 +17,8 @@
     CLASSES,
     NAMES_PER_RELOAD,
     TENANTS,
-    plain_names,
-    play_with_reloads,
+    numbered_names,
+    run_with_reloads,
 )
 
 HIGH = RequestClass("high", priority_weight=9.0, effect=Effect.IDEMPOTENT)
@@ -51,6 +51,6 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_reloads_under_quotas_leave_no_request_without_its_final_response(seed: int) -> None:
-    names = plain_names("name", CLASSES + TENANTS + 6 * NAMES_PER_RELOAD)
+    names = numbered_names("name", CLASSES + TENANTS + 6 * NAMES_PER_RELOAD)
     own, spare = names[: CLASSES + TENANTS], list(names[CLASSES + TENANTS :])
-    assert not play_with_reloads(seed, own, spare, quotas=True).balancer.requests
+    assert not run_with_reloads(seed, own, spare, quotas=True).balancer.requests
