--- a/heronreel/balancer/__init__.py
+++ b/heronreel/balancer/__init__.py
@@ -1,4 +1,4 @@
-"""The load-balancing decisions of a reverse proxy that spreads requests over HTTP servers."""
+"""Load-balancing decisions of a reverse proxy that distributes requests over HTTP servers."""
 
 from heronreel.balancer.choice import Balancer
 
--- a/heronreel/balancer/adapter.py
+++ b/heronreel/balancer/adapter.py
@@ -1,4 +1,7 @@
-"""The operators' wire on standard input and output: hosts many isolated balancers and decides nothing."""
+"""Runs many isolated balancers behind the operators' line protocol on standard input and output.
+
+The adapter itself makes no load-balancing decisions.
+"""
 
 from __future__ import annotations
 
@@ -13,13 +16,17 @@
 
 
 class Adapter:
-    """The balancers of one simulator, by their number on the wire."""
+    """The balancers of one simulator, by their instance number in the protocol."""
 
     def __init__(self) -> None:
-        self.hosted: dict[int, Balancer] = {}
+        self.balancers: dict[int, Balancer] = {}
 
     def replies(self, lines: Iterable[str]) -> Iterator[str]:
-        """One reply for each batch of lines.  Raises WireError."""
+        """Yield one reply for each batch of lines.
+
+        Raises:
+            WireError: the input is malformed.
+        """
         rows = enumerate(lines, 1)
         for number, line in rows:
             head, _, rest = line.rstrip("\n").partition(" ")
@@ -41,30 +48,30 @@
         raise WireError(None, "input ended inside a batch")
 
     def _message(self, now: float, head: str, fields: Fields, rows: Rows) -> list[str]:
-        who = fields.integer("Who")
+        instance = fields.integer("Who")
         if head == "born":
-            self.hosted[who] = Balancer(settings_from_fields(fields), fields.integer("Nonce64"))
+            self.balancers[instance] = Balancer(settings_from_fields(fields), fields.integer("Nonce64"))
             return []
-        if who not in self.hosted:
-            raise WireError(fields.line, f"Who: no instance {who} was born")
+        if instance not in self.balancers:
+            raise WireError(fields.line, f"Who: no instance {instance} was born")
         if head == "kill":
-            del self.hosted[who]
+            del self.balancers[instance]
             return []
         if head not in EVENTS:
             raise WireError(fields.line, f"unknown message {head[:40]!r}")
         event = EVENTS[head](fields, rows)
-        return [] if event is None else self._handle(now, who, event)
+        return [] if event is None else self._handle(now, instance, event)
 
-    def _handle(self, now: float, who: int, event: Event) -> list[str]:
+    def _handle(self, now: float, instance: int, event: Event) -> list[str]:
         try:
-            return [render(who, action) for action in self.hosted[who].handle(now, event)]
-        except Exception as error:  # the wire's own word for a failure of the decision code
-            words = " ".join(f"{type(error).__name__}: {error}".split())
-            return [f"give_in Who={who} Words={words}"]
+            return [render(instance, action) for action in self.balancers[instance].handle(now, event)]
+        except Exception as error:  # The protocol reports a failure of the decision code as `give_in`.
+            description = " ".join(f"{type(error).__name__}: {error}".split())
+            return [f"give_in Who={instance} Words={description}"]
 
 
 def run(source: TextIO, sink: TextIO) -> int:
-    """Reply until the input ends; returns the exit status, 2 after malformed input."""
+    """Process the input until it ends and return the exit status, which is 2 after malformed input."""
     try:
         for reply in Adapter().replies(source):
             sink.write(reply)
--- a/heronreel/balancer/board.py
+++ b/heronreel/balancer/board.py
@@ -1,43 +1,52 @@
-"""The design's circular board of work booked for one backend.  Part of the decisions."""
+"""The board of one backend: a circular timetable of the work that is booked for it.
+
+The board has `SLOT_COUNT` slots, and each slot holds the work that the backend can do in `SLOT_MS`.  A booked
+cost is the estimated processing time in ms that an attempt adds to the board.
+"""
 
 from dataclasses import dataclass, field
 
-SLOT_MS = 200.0  # one slot holds this much work (ours: one slot a period keeps booking cheap)
-SLOTS = 64  # of a board, so its horizon is 12.8 s (paper: 10 s)
+# The work that one slot holds, ms.  It equals the update period, so booking stays cheap.
+SLOT_MS = 200.0
+# 64 slots give a horizon of 12.8 s; the published algorithm uses 10 s.
+SLOT_COUNT = 64
 
 
 @dataclass(slots=True)
 class Board:
-    """DESIGN 1 and 2: the queue Q_k, circular slots and cursor TC_k of one backend.  Times in ms."""
+    """The queue Q_k, the circular slots and the cursor TC_k of one backend (DESIGN 1 and 2).
+
+    All times are in ms.
+    """
 
     cursor: float
-    queue: list[tuple[float, float]] = field(default_factory=list)
-    slots: list[float] = field(default_factory=lambda: [0.0] * SLOTS)
-    head: int = 0  # slot that holds the present, counted from time 0
+    queue: list[tuple[float, float]] = field(default_factory=list)  # (time of the attempt, booked cost)
+    slots: list[float] = field(default_factory=lambda: [0.0] * SLOT_COUNT)
+    head: int = 0  # The index of the slot that contains the present, counted from time 0.
     total: float = 0.0
 
     def update(self, now: float) -> None:
-        """Clear the slots gone by, then book the queue."""
+        """Clear the slots that lie in the past, then book the queued costs."""
         head = int(now // SLOT_MS)
-        for slot in range(self.head, min(head, self.head + SLOTS)):
-            self.slots[slot % SLOTS] = 0.0
+        for slot in range(self.head, min(head, self.head + SLOT_COUNT)):
+            self.slots[slot % SLOT_COUNT] = 0.0
         self.head = max(head, self.head)
-        for stamp, cost in self.queue:
-            self.cursor = max(self.cursor, stamp)
+        for sent_at, cost in self.queue:
+            self.cursor = max(self.cursor, sent_at)
             self._book(cost)
         self.queue.clear()
         self.total = sum(self.slots)
 
     def _book(self, cost: float) -> None:
-        last = self.head + SLOTS - 1
-        slot, left = int(self.cursor // SLOT_MS), cost
+        last = self.head + SLOT_COUNT - 1
+        slot, remaining = int(self.cursor // SLOT_MS), cost
         self.cursor = min(self.cursor + cost, (last + 1) * SLOT_MS)
-        if slot < self.head:  # what would have been worked off before the present is not booked
-            left = max(0.0, min(cost, self.cursor - self.head * SLOT_MS))
+        if slot < self.head:  # Work that the backend has finished before the present is not booked.
+            remaining = max(0.0, min(cost, self.cursor - self.head * SLOT_MS))
             slot = self.head
-        while left > 0.0 and slot < last:
-            taken = min(left, max(0.0, SLOT_MS - self.slots[slot % SLOTS]))
-            self.slots[slot % SLOTS] += taken
-            left -= taken
+        while remaining > 0.0 and slot < last:
+            booked = min(remaining, max(0.0, SLOT_MS - self.slots[slot % SLOT_COUNT]))
+            self.slots[slot % SLOT_COUNT] += booked
+            remaining -= booked
             slot += 1
-        self.slots[last % SLOTS] += left  # beyond the horizon
+        self.slots[last % SLOT_COUNT] += remaining  # The last slot takes all work beyond the horizon.
--- a/heronreel/balancer/choice.py
+++ b/heronreel/balancer/choice.py
@@ -1,4 +1,4 @@
-"""The balancer of one proxy: events in, actions out.  Public interface: heronreel/balancer/interface.py."""
+"""The balancer of one proxy; heronreel/balancer/interface.py defines its events and actions."""
 
 import random
 
@@ -10,14 +10,22 @@
 from heronreel.balancer.turns import TurnQueue
 from heronreel.balancer.watch_schedule import WatchSchedule
 
-UPDATE, WATCH = 0, 1  # tokens of timers; those of backoffs and hedged requests count on from there
-MIN_TIMEOUT_SHARE = 0.9  # of an attempt's timeout after which a timeout counts against its backend (ours)
+# Tokens of the two periodic timers.  The timers of backoffs and hedged requests get the tokens that follow.
+UPDATE_TIMER = 0
+WATCH_TIMER = 1
+# A timeout counts against its backend if the attempt lasted at least this share of its timeout.
+MIN_TIMEOUT_SHARE = 0.9
 
 
 class Balancer:
-    """One proxy.  Events of ended requests are passed over; an attempt never made is a caller's KeyError."""
+    """Makes the decisions of one proxy.
 
-    endpoints_type, turns_type = Endpoints, TurnQueue  # an emulator may share tables of many proxies
+    Events of requests that have ended are ignored.  The end of an attempt that was never started is a fault
+    of the host and raises KeyError.
+    """
+
+    # An emulator replaces these types by ones that share tables between many proxies.
+    endpoints_type, turns_type = Endpoints, TurnQueue
     grant_credit = staticmethod(slow_start.grant_credit)
 
     def __init__(self, settings: api.Settings, seed: int, limits: api.RouteLimits | None = None) -> None:
@@ -29,26 +37,27 @@
         self.retries = RetryRules(settings, limits)
         self.rejection_rate, self.served_work = rates.RejectionRate(), rates.SmoothedRate()
         self._configure(settings)
-        self.timers: dict[int, tuple[int, bool]] = {}  # token: request, and whether to hedge it
+        self.timers: dict[int, tuple[int, bool]] = {}  # By token: the request, and whether to hedge it.
         self.requests: dict[int, Request] = {}
-        self.in_flight: dict[tuple[int, int], Attempt] = {}  # also of requests that are over
-        self.last_token, self.started, self.updated_at = WATCH, False, 0.0
+        # The attempts in flight, including those of requests that have ended.
+        self.in_flight: dict[tuple[int, int], Attempt] = {}
+        self.last_token, self.started, self.updated_at = WATCH_TIMER, False, 0.0
         self.actions: list[api.Action] = []
 
     def _configure(self, settings: api.Settings) -> None:
         self.settings = self.retries.settings = settings
         self.watch.within_ms, self.watch.proxies = settings.watch_within_ms, settings.proxies
-        self.classes = {each.name: each for each in settings.classes}
-        self.min_objective_ms = min(each.latency_objective_ms for each in settings.classes)
+        self.classes = {request_class.name: request_class for request_class in settings.classes}
+        self.min_objective_ms = min(request_class.latency_objective_ms for request_class in settings.classes)
         self.quotas.configure(settings)
         self.admission.configure(settings)
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        """Take an event and return what the host must do, in order."""
+        """Process an event and return the actions that the host must carry out, in order."""
         self.actions = []
         match event:
             case api.Arrival():
-                self._arrival(now_ms, event)
+                self._request_arrived(now_ms, event)
             case api.AttemptEnded():
                 self._attempt_ended(now_ms, event)
             case api.TimerFired():
@@ -56,7 +65,7 @@
             case api.RequestClosed():
                 self.requests.pop(event.request, None)
             case api.BackendList():
-                self._list(now_ms, event)
+                self._list_received(now_ms, event)
             case api.BeginMaintenance():
                 self.endpoints.begin_maintenance(event)
                 self.turns.rebuild()
@@ -70,9 +79,9 @@
         return self.actions
 
     def _timer_fired(self, now: float, token: int) -> None:
-        if token == UPDATE:
+        if token == UPDATE_TIMER:
             self._update(now)
-        elif token == WATCH:
+        elif token == WATCH_TIMER:
             self.watch.call_started(now)
             self.actions.append(api.WatchList())
         else:
@@ -81,11 +90,11 @@
             if request is not None and hedge:
                 self._hedge(now, request)
             elif request is not None:
-                self._proceed(now, request)
+                self._advance(now, request)
                 request.backing_off = False
 
     def _update(self, now: float) -> None:
-        self.actions.append(api.SetTimer(UPDATE, rates.UPDATE_PERIOD_MS))
+        self.actions.append(api.SetTimer(UPDATE_TIMER, rates.UPDATE_PERIOD_MS))
         began, self.updated_at = self.updated_at, now
         periods = max(1.0, (now - began) / rates.UPDATE_PERIOD_MS)
         self.quotas.update(periods)
@@ -96,22 +105,24 @@
         self.grant_credit(self.endpoints, now, periods, self.served_work.mean)
         self.turns.requeue_waiting()
 
-    def _list(self, now: float, event: api.BackendList) -> None:
+    def _list_received(self, now: float, event: api.BackendList) -> None:
         if not self.started:
             self.started, self.updated_at = True, now
-            self.actions.append(api.SetTimer(UPDATE, rates.UPDATE_PERIOD_MS * self.random.uniform(0.1, 1.0)))
+            self.actions.append(
+                api.SetTimer(UPDATE_TIMER, rates.UPDATE_PERIOD_MS * self.random.uniform(0.1, 1.0))
+            )
             if self.settings.watch_list:
-                self.actions.append(api.SetTimer(WATCH, self.watch.first_delay(self.random)))
+                self.actions.append(api.SetTimer(WATCH_TIMER, self.watch.first_delay(self.random)))
         if event.kind is api.ListKind.FAILED:
             delay = self.watch.call_failed(now, self.random, event.failure)
             if delay is not None:
-                self.actions.append(api.SetTimer(WATCH, delay))
+                self.actions.append(api.SetTimer(WATCH_TIMER, delay))
             return
         self.watch.list_received(now)
         self.endpoints.update(now, event, self.turns.mean_cost_ms)
         self.turns.rebuild()
 
-    def _arrival(self, now: float, arrival: api.Arrival) -> None:
+    def _request_arrived(self, now: float, arrival: api.Arrival) -> None:
         policy, name = arrival.policy, arrival.request_class
         request_class = policy.request_class if policy else self.classes.get(name) or api.RequestClass(name)
         deadline, within_quota = now + arrival.time_left_ms, self.quotas.take(now, arrival)
@@ -119,7 +130,7 @@
         self.requests[arrival.request] = request
         self.retries.add_request()
         self.admission.arrived += 1
-        self._proceed(now, request)
+        self._advance(now, request)
 
     def _attempt_ended(self, now: float, ended: api.AttemptEnded) -> None:
         attempt = self.in_flight.pop((ended.request, ended.attempt))
@@ -129,17 +140,19 @@
         self.admission.completions.current += attempt.may_have_run
         self._observe(now, attempt, ended)
         if ended.outcome is api.Outcome.SERVED and request and request.policy and self.retries.route_limits:
-            self.retries.route_limits.served(request.policy, ended.latency_ms)
+            self.retries.route_limits.record_served(request.policy, ended.latency_ms)
         if request and not ended.finished:
             request.last_outcome = ended.outcome
-            if not any(other.in_flight for other in request.attempts):  # else another one may yet be served
-                self._proceed(now, request)
+            # Another attempt that is in flight may still be served.
+            if not any(other.in_flight for other in request.attempts):
+                self._advance(now, request)
 
     def _observe(self, now: float, attempt: Attempt, ended: api.AttemptEnded) -> None:
-        """Learn of a backend from the end of an attempt."""
+        """Update the failures and the speed of a backend from the end of an attempt."""
         backend, outcome = attempt.backend, ended.outcome
-        patience_ms = MIN_TIMEOUT_SHARE * attempt.timeout_ms or self.min_objective_ms
-        if outcome is not api.Outcome.TIMEOUT or ended.latency_ms >= patience_ms:  # else it was too short
+        min_timeout_ms = MIN_TIMEOUT_SHARE * attempt.timeout_ms or self.min_objective_ms
+        # A timeout after a shorter time says nothing about the backend.
+        if outcome is not api.Outcome.TIMEOUT or ended.latency_ms >= min_timeout_ms:
             backend.record(now, outcome, self.random)
         if outcome is api.Outcome.REJECTED:
             self.rejection_rate.rejected += 1.0
@@ -151,18 +164,18 @@
             speeds.learn(kind, backend.speed, ratio, attempt.capacity_share >= 1.0)
             backend.cost_factor = speeds.factor(kind, backend.speed)
 
-    def _proceed(self, now: float, request: Request) -> None:
-        """Send a request that has no attempt in flight, back off, or end it."""
+    def _advance(self, now: float, request: Request) -> None:
+        """Start an attempt or a backoff for a request that has no attempt in flight, or end the request."""
         ident = request.arrival.request
         executed = next((attempt for attempt in request.attempts if attempt.may_have_run), None)
-        pause = self.retries.backoff(now, request, executed)
-        if pause:
+        backoff_ms = self.retries.backoff(now, request, executed)
+        if backoff_ms:
             if executed is not None:
-                self.retries.spend(request)
+                self.retries.spend_retry(request)
             request.backing_off = True
-            self._set_timer(ident, pause, False)
+            self._set_timer(ident, backoff_ms, False)
             return
-        backend = None if pause is None else self._choose(now, request, executed)
+        backend = None if backoff_ms is None else self._choose(now, request, executed)
         if backend is not None:
             self._send(now, request, backend, executed)
             return
@@ -175,14 +188,14 @@
 
     def _set_timer(self, ident: int, delay_ms: float, hedge: bool) -> None:
         self.last_token += 1
-        self.timers[self.last_token] = (ident, hedge)  # it ends when it fires
+        self.timers[self.last_token] = (ident, hedge)  # The entry is removed when the timer fires.
         self.actions.append(api.SetTimer(self.last_token, delay_ms))
 
     def _hedge(self, now: float, request: Request) -> None:
-        """Send a second attempt beside a first one that takes long."""
+        """Send a hedged request if the first attempt is still in flight."""
         policy, first = request.policy, request.attempts[0]
-        alone = len(request.attempts) == 1 and first.in_flight
-        if policy is None or not alone or not self.retries.allow(now, request, first):
+        first_in_flight = len(request.attempts) == 1 and first.in_flight
+        if policy is None or not first_in_flight or not self.retries.allow(now, request, first):
             return
         backend = self._choose_repeat(now, request, first, policy.hedge_in_group)
         if backend is not None:
@@ -190,18 +203,20 @@
 
     def _choose(self, now: float, request: Request, executed: Attempt | None) -> Backend | None:
         if executed is not None:
-            bound = bool(request.policy and request.policy.retry_in_group)
-            return self._choose_repeat(now, request, executed, bound)
+            in_group = bool(request.policy and request.policy.retry_in_group)
+            return self._choose_repeat(now, request, executed, in_group)
         if not self.rejection_rate.allows(len(request.attempts)):
             return None
-        # nothing in flight is nothing to wait behind, whatever a rare slow response made of the mean
+        # With nothing in flight there is no queue, even if a rare slow response raised the mean delay.
         admitted = not self.in_flight or self.admission.admits(now, request)
-        return self.turns.pick(now, request, self.admission.queueing_delay) if admitted else None
+        return self.turns.choose(now, request, self.admission.queueing_delay) if admitted else None
 
-    def _choose_repeat(self, now: float, request: Request, executed: Attempt, bound: bool) -> Backend | None:
-        if bound or request.request_class.effect is api.Effect.KEYED:
-            return self.turns.in_group(now, request, executed)
-        return self.turns.next(now, request, self.admission.queueing_delay)
+    def _choose_repeat(
+        self, now: float, request: Request, executed: Attempt, in_group: bool
+    ) -> Backend | None:
+        if in_group or request.request_class.effect is api.Effect.KEYED:
+            return self.turns.choose_in_group(now, request, executed)
+        return self.turns.next_backend(now, request, self.admission.queueing_delay)
 
     def _send(self, now: float, request: Request, backend: Backend, executed: Attempt | None) -> None:
         ident, policy, limits = request.arrival.request, request.policy, self.retries.route_limits
@@ -211,8 +226,9 @@
         self.rejection_rate.sent += 1.0
         within_ms = 0.0
         if executed is not None:
-            self.retries.spend(request)
-            if request.request_class.effect is api.Effect.KEYED:  # no stall may send it later
+            self.retries.spend_retry(request)
+            # The host must not send a keyed request after its repeat window, even if it stalls.
+            if request.request_class.effect is api.Effect.KEYED:
                 within_ms = executed.sent_at + request.request_class.repeat_window_ms - now
         attempt.timeout_ms = policy.attempt_timeout_ms if policy else 0.0
         self.actions.append(api.StartAttempt(ident, backend.info.backend, attempt.timeout_ms, within_ms))
--- a/heronreel/balancer/errors.py
+++ b/heronreel/balancer/errors.py
@@ -1,20 +1,23 @@
-"""The errors of this package.  Only settings, input and events that no host should send raise them."""
+"""Exceptions of this package.
+
+They are raised only for invalid settings, malformed input and events that a host must not send.
+"""
 
 
 class BalancerError(Exception):
-    """Base of all errors of `heronreel.balancer`."""
+    """Base class of all exceptions of `heronreel.balancer`."""
 
 
 class InvalidSettingsError(BalancerError, ValueError):
-    """A value that no settings can have; the message begins with the field's name."""
+    """A setting is out of range; the message begins with the name of the field."""
 
 
 class UnexpectedEventError(BalancerError, ValueError):
-    """An event that `Pools` does not take."""
+    """`Pools` does not support an event of this type."""
 
 
 class WireError(BalancerError):
-    """Malformed input of the simulator's wire."""
+    """The input of the simulator's line protocol is malformed."""
 
-    def __init__(self, line: int | None, what: str) -> None:
-        super().__init__(f"line {line}: {what}" if line else what)
+    def __init__(self, line: int | None, message: str) -> None:
+        super().__init__(f"line {line}: {message}" if line else message)
--- a/heronreel/balancer/interface.py
+++ b/heronreel/balancer/interface.py
@@ -1,15 +1,15 @@
-"""The whole public interface of heronreel.balancer: settings, events in, actions out.
+"""The public interface of heronreel.balancer: settings, input events and output actions.
 
-A host makes one `heronreel.balancer.Balancer(settings, seed)` for each proxy and calls
-`handle(now_ms, event)` from one thread, with a clock that never goes back and events in the order they
-happened.  It carries out the returned actions in order and owes the balancer:
+A host creates one `heronreel.balancer.Balancer(settings, seed)` per proxy.  It calls `handle(now_ms, event)`
+from a single thread, with a clock that never goes back and with events in the order in which they happened.
+It carries out the returned actions in order, and it must deliver:
 
-* exactly one `AttemptEnded` for every `StartAttempt`, also after the request is over;
+* exactly one `AttemptEnded` for every `StartAttempt`, even if the request has already ended;
 * a `TimerFired` for every `SetTimer`, at or after its time;
-* a `BackendList` first of all (kind CACHED), before any other event;
-* `RequestClosed` when a client leaves or its request gets a final response without the balancer.
+* a `BackendList` of kind CACHED before any other event;
+* `RequestClosed` when a client disconnects or its request gets a final response without the balancer.
 
-A request is over after `Reject`, `Fail`, `RequestClosed` or an `AttemptEnded` with `finished` set.
+A request ends with `Reject`, `Fail`, `RequestClosed` or an `AttemptEnded` whose `finished` is set.
 """
 
 from __future__ import annotations
@@ -23,15 +23,18 @@
 
 
 class Effect(Enum):
-    """What a second run of the same request would do."""
+    """What happens when a backend runs the same request a second time."""
 
-    IDEMPOTENT = "idempotent"  # no harm: retry and reject freely
-    KEYED = "keyed"  # its dedup group drops repeats for a while
-    UNSAFE = "unsafe"  # must never run twice
+    # A second run does no harm, so the request may be retried and rejected at any time.
+    IDEMPOTENT = "idempotent"
+    # The backends of a deduplication group drop repeats within the repeat window.
+    KEYED = "keyed"
+    # The request must never run twice.
+    UNSAFE = "unsafe"
 
 
 class DedupScope(Enum):
-    """Which backends together drop the repeats of a keyed request."""
+    """Which backends form a deduplication group, which drops repeats of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -39,41 +42,57 @@
 
 
 class Outcome(Enum):
-    """How one attempt ended."""
+    """How one attempt ended, and whether the request may have run at the backend."""
 
     SERVED = "served"
-    ERROR = "error"  # the backend responded with an error; it may have run
-    REJECTED = "rejected"  # queue full or draining: never ran
-    TIMEOUT = "timeout"  # no response in time; it may have run, or still run
-    UNREACHABLE = "unreachable"  # no connection: never ran
-    RESET = "reset"  # the connection broke; it may have run
-    CANCELLED = "cancelled"  # cancelled by us; it may have run
-    NOT_SENT = "not_sent"  # the host never sent it: never ran
+    # The backend responded with an error; the request may have run.
+    ERROR = "error"
+    # The backend's queue was full or it was draining; the request did not run.
+    REJECTED = "rejected"
+    # No response came in time; the request may have run or may still be running.
+    TIMEOUT = "timeout"
+    # No connection could be opened; the request did not run.
+    UNREACHABLE = "unreachable"
+    # The connection broke; the request may have run.
+    RESET = "reset"
+    # The proxy cancelled the attempt; the request may have run.
+    CANCELLED = "cancelled"
+    # The host never sent the attempt; the request did not run.
+    NOT_SENT = "not_sent"
 
 
 NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)
+"""Outcomes that prove that the request did not run at the backend."""
 
 
 class ListKind(Enum):
-    """What a `BackendList` holds."""
+    """What a `BackendList` contains."""
 
-    CACHED = "cached"  # the full list as this proxy last had it, possibly stale
-    FULL = "full"  # the full list: a backend missing from it is gone
-    CHANGES = "changes"  # only what changed
-    FAILED = "failed"  # a call failed or the watch was lost; the old list stays in force
+    # The full list that this proxy last received; it may be stale.
+    CACHED = "cached"
+    # The full list: a backend that is missing from it has been removed.
+    FULL = "full"
+    # Only the backends that changed.
+    CHANGES = "changes"
+    # A call failed or the watch was lost; the previous list remains in force.
+    FAILED = "failed"
 
 
 class WatchFailure(Enum):
-    """Why a list call or watch failed."""
+    """Why a list call or a watch failed."""
 
-    ENDED = "ended"  # unavailable, broken off or unreadable
-    LATE = "late"  # silent for longer than a healthy one: what it misses soon counts as received
-    BUSY = "busy"  # the service refused it: it has too many calls
-    MOVED = "moved"  # another service is called from now on: what was known of the old one is no guide
+    # The service was unavailable, the stream broke off, or its data was unreadable.
+    ENDED = "ended"
+    # The watch was silent for longer than a healthy one; the changes that it misses soon count as received.
+    LATE = "late"
+    # The service refused the call because it has too many calls.
+    BUSY = "busy"
+    # Calls go to another service from now on, so earlier failures say nothing about it.
+    MOVED = "moved"
 
 
 class BackendState(Enum):
-    """A backend's state on the list."""
+    """The state of a backend on the list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -82,27 +101,34 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """What requests of one class have in common.  Raises InvalidSettingsError."""
+    """The properties that all requests of one class share.
+
+    Raises:
+        InvalidSettingsError: a value is out of range.
+    """
 
     name: str
-    latency_objective_ms: float = 1000.0  # full weight when served within
+    latency_objective_ms: float = 1000.0  # A response within this time counts with its full weight.
     deadline_ms: float = 5000.0
     priority_weight: float = 1.0
-    late_weight: float = 0.0  # share of the weight after the latency objective
+    late_weight: float = 0.0  # The share of the weight that a response after the objective still has.
     effect: Effect = Effect.UNSAFE
     dedup_scope: DedupScope = DedupScope.ALL
     repeat_window_ms: float = 0.0
 
     def __post_init__(self) -> None:
-        _at_least(0.0, latency_objective_ms=self.latency_objective_ms, deadline_ms=self.deadline_ms)
-        _at_least(0.0, priority_weight=self.priority_weight, repeat_window_ms=self.repeat_window_ms)
-        _share(late_weight=self.late_weight)
+        _require_at_least(0.0, latency_objective_ms=self.latency_objective_ms, deadline_ms=self.deadline_ms)
+        _require_at_least(0.0, priority_weight=self.priority_weight, repeat_window_ms=self.repeat_window_ms)
+        _require_share(late_weight=self.late_weight)
         if not isinstance(self.effect, Effect):
             raise InvalidSettingsError(f"effect: unknown effect {self.effect!r}")
 
 
 def exponential_backoff(attempt: int, first_ms: float, max_ms: float) -> float:
-    """The backoff before attempt 1, 2, ..., ms, doubled each time; the first, 0, never waits."""
+    """Return the backoff in ms before attempt 1, 2, ...; it doubles with each attempt.
+
+    Attempt 0 is the first and starts without a backoff.
+    """
     if attempt < 1 or not first_ms:
         return 0.0
     return min(first_ms * 2.0 ** min(attempt - 1, 60), max(max_ms, first_ms))
@@ -110,101 +136,117 @@
 
 @dataclass(slots=True, frozen=True)
 class RoutePolicy:
-    """What a request's route allows.  The request keeps it to its end, also when its route is gone.
+    """The retries, hedged requests and limits that a request's route allows.
+
+    A request keeps its policy until it ends, even if its route is removed in the meantime.
 
-    Raises InvalidSettingsError.
+    Raises:
+        InvalidSettingsError: a value is out of range.
     """
 
     route: str
     request_class: RequestClass
-    max_attempts: int = 1  # hedged requests count
-    attempt_timeout_ms: float = 0.0  # 0: until the deadline
-    backoff_ms: float = 0.0  # before the second attempt; doubled before each further one
+    max_attempts: int = 1  # Hedged requests count as attempts.
+    attempt_timeout_ms: float = 0.0  # 0: an attempt may last until the request's deadline.
+    backoff_ms: float = 0.0  # The backoff before the second attempt; it doubles before each further one.
     max_backoff_ms: float = 1000.0
     retry_on: frozenset[Outcome] = frozenset(NEVER_RAN)
-    retry_budget_ratio: float = 0.2  # attempts after one that may have run, and hedged ones, per request
-    retry_in_group: bool = True  # of the first that may have run; a keyed request never leaves it
-    spills_over: bool = False  # what one pool rejects goes to the next of the split
+    # How many attempts a request adds to the retry budget.  Hedged requests and attempts that follow one that
+    # may have run are paid from it.
+    retry_budget_ratio: float = 0.2
+    # Whether a retry stays in the deduplication group of the first attempt that may have run.  A retry of a
+    # keyed request always does.
+    retry_in_group: bool = True
+    spills_over: bool = False  # Whether a request that one pool rejects goes to another pool of the split.
     hedge_after_ms: float = 0.0
-    hedge_percentile: float = 0.0  # of the route's served latency; 0: none
+    hedge_percentile: float = 0.0  # Hedge at this percentile of the route's served latency; 0: disabled.
     hedge_in_group: bool = True
-    reject_when_exhausted: bool = False  # reject, not fail, when an attempt may have run
-    requests_per_s: float = 0.0  # 0: no limit
-    concurrency: int = 0  # 0: no limit
-    window_margin_ms: float = 0.0  # of the repeat window that is left unused
-    split: tuple[tuple[str, float], ...] = ()  # pools and their weights
+    reject_when_exhausted: bool = False  # Reject instead of failing when an attempt may have run.
+    requests_per_s: float = 0.0  # 0: unlimited.
+    concurrency: int = 0  # 0: unlimited.
+    window_margin_ms: float = 0.0  # The part at the end of the repeat window in which no retry starts.
+    split: tuple[tuple[str, float], ...] = ()  # The pools and their weights.
 
     def __post_init__(self) -> None:
-        _at_least(0.0, attempt_timeout_ms=self.attempt_timeout_ms, backoff_ms=self.backoff_ms)
-        _at_least(0.0, max_backoff_ms=self.max_backoff_ms, retry_budget_ratio=self.retry_budget_ratio)
-        _at_least(0.0, hedge_after_ms=self.hedge_after_ms, hedge_percentile=self.hedge_percentile)
-        _at_least(0.0, requests_per_s=self.requests_per_s, concurrency=self.concurrency)
-        _at_least(0.0, window_margin_ms=self.window_margin_ms)
+        _require_at_least(0.0, attempt_timeout_ms=self.attempt_timeout_ms, backoff_ms=self.backoff_ms)
+        _require_at_least(0.0, max_backoff_ms=self.max_backoff_ms, retry_budget_ratio=self.retry_budget_ratio)
+        _require_at_least(0.0, hedge_after_ms=self.hedge_after_ms, hedge_percentile=self.hedge_percentile)
+        _require_at_least(0.0, requests_per_s=self.requests_per_s, concurrency=self.concurrency)
+        _require_at_least(0.0, window_margin_ms=self.window_margin_ms)
         if self.max_attempts < 1:
             raise InvalidSettingsError("max_attempts: at least one attempt is needed")
 
     def backoff_before(self, attempt: int) -> float:
-        """The backoff before attempt 1, 2, ..., ms; 0 before the first."""
+        """Return the backoff in ms before attempt 1, 2, ...; it is 0 before attempt 0, the first."""
         return exponential_backoff(attempt, self.backoff_ms, self.max_backoff_ms)
 
 
 class RouteLimits(Protocol):
-    """What a balancer needs of the limits of routes (`heronreel.balancer.routes`)."""
+    """The limits of routes that a balancer asks for; implemented in `heronreel.balancer.routes`."""
 
     def may_retry(self, policy: RoutePolicy) -> bool:
-        """Whether the retry budget has an attempt after one that may have run."""
+        """Return whether the retry budget allows an attempt after one that may have run."""
 
-    def spend(self, policy: RoutePolicy) -> None:
-        """Take such an attempt off the budget."""
+    def spend_retry(self, policy: RoutePolicy) -> None:
+        """Take one such attempt from the retry budget."""
 
-    def served(self, policy: RoutePolicy, latency_ms: float) -> None:
-        """Count the latency of a served request."""
+    def record_served(self, policy: RoutePolicy, latency_ms: float) -> None:
+        """Record the latency of a served request."""
 
     def hedge_delay(self, policy: RoutePolicy) -> float | None:
-        """When a hedged request is due after the first attempt, ms; None: none."""
+        """Return the delay in ms from the first attempt to a hedged request; None disables hedging."""
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """Who sends requests, and the tenant's quota.  Raises InvalidSettingsError."""
+    """A sender of requests and its quota.
+
+    Raises:
+        InvalidSettingsError: a value is out of range.
+    """
 
     name: str
     share: float = 1.0
-    quota_per_s: float = 0.0  # requests a second over all proxies that stay within the quota
+    quota_per_s: float = 0.0  # The requests per second, over all proxies, that are within the quota.
 
     def __post_init__(self) -> None:
-        _share(share=self.share)
-        _at_least(0.0, quota_per_s=self.quota_per_s)
+        _require_share(share=self.share)
+        _require_at_least(0.0, quota_per_s=self.quota_per_s)
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a proxy gets at start.  Prices are points of service for each unit, 0 where nothing is due.
+    """The configuration of one proxy.
+
+    Prices are deducted from the service score, in points per unit; 0 means that nothing is deducted.
 
-    Raises InvalidSettingsError.
+    Raises:
+        InvalidSettingsError: a value is out of range.
     """
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
     zone: str = ""
     zones: tuple[str, ...] = ()
-    proxies: int = 1  # how many proxies share the fleet
-    proxy_index: int | None = None  # this one's number among them, 0 and up; None: unknown
-    watch_list: bool = False  # True: the list must be watched by a call
-    watch_within_ms: float = 10000.0  # the time within which that call must be made
+    proxies: int = 1  # The number of proxies that share the fleet.
+    proxy_index: int | None = None  # The zero-based index of this proxy among them; None: unknown.
+    watch_list: bool = False  # Whether the balancer must watch the list by calling the list service.
+    watch_within_ms: float = 10000.0  # The time within which that call must be made.
     max_attempts: int = 1
     hedging: bool = False
     cancel: bool = False
     probing: bool = False
-    max_retry_after_ms: float = 0.0  # the longest Retry-After that clients follow; 0: none is passed on
+    max_retry_after_ms: float = 0.0  # The longest Retry-After that clients follow; 0: none is sent.
     connect_timeout_ms: float = 250.0
-    key_affinity: bool = False  # a backend that met a key lately needs less work for it
-    live_weights: bool = False  # a listed weight falls with the load of its backend
-    sized_weights: bool = False  # a listed weight is the size of its backend
-    slow_start_from: float = 1.0  # share of its capacity a started backend has at least
-    slow_start_ms: float = 0.0  # and it is warm after this long
-    overload_factor: float = 2.0  # slow start: more than this times its capacity ...
-    overload_window_ms: float = 1000.0  # ... for this long pushes a cold backend over
+    key_affinity: bool = False  # Whether a backend that recently served a key needs less work for it.
+    live_weights: bool = False  # Whether a listed weight falls with the load of its backend.
+    sized_weights: bool = False  # Whether a listed weight is the size of its backend.
+    # A started backend has at least this share of its capacity, and it is warm after `slow_start_ms`.
+    slow_start_from: float = 1.0
+    slow_start_ms: float = 0.0
+    # Slow start: a cold backend is overloaded by more than this multiple of its capacity during the window.
+    overload_factor: float = 2.0
+    overload_window_ms: float = 1000.0
     over_quota_weight: float = 1.0
     price_cross_zone: float = 0.0
     price_late_failure: float = 0.0
@@ -219,73 +261,80 @@
             raise InvalidSettingsError("max_attempts: at least one attempt is needed")
         if self.proxies < 1:
             raise InvalidSettingsError("proxies: at least one proxy is needed")
-        _at_least(0.0, watch_within_ms=self.watch_within_ms, slow_start_ms=self.slow_start_ms)
-        _at_least(0.0, overload_window_ms=self.overload_window_ms, overload_factor=self.overload_factor)
-        _at_least(0.0, connect_timeout_ms=self.connect_timeout_ms, max_retry_after_ms=self.max_retry_after_ms)
-        _share(slow_start_from=self.slow_start_from, over_quota_weight=self.over_quota_weight)
+        _require_at_least(0.0, watch_within_ms=self.watch_within_ms, slow_start_ms=self.slow_start_ms)
+        _require_at_least(
+            0.0, overload_window_ms=self.overload_window_ms, overload_factor=self.overload_factor
+        )
+        _require_at_least(
+            0.0, connect_timeout_ms=self.connect_timeout_ms, max_retry_after_ms=self.max_retry_after_ms
+        )
+        _require_share(slow_start_from=self.slow_start_from, over_quota_weight=self.over_quota_weight)
 
 
-def _at_least(low: float, **values: float) -> None:
+def _require_at_least(minimum: float, **values: float) -> None:
     for name, value in values.items():
-        if not value >= low:
-            raise InvalidSettingsError(f"{name}: {value!r} is below {low}")
+        if not value >= minimum:
+            raise InvalidSettingsError(f"{name}: {value!r} is below {minimum}")
 
 
-def _share(**values: float) -> None:
+def _require_share(**values: float) -> None:
     for name, value in values.items():
         if not 0.0 <= value <= 1.0:
-            raise InvalidSettingsError(f"{name}: {value!r} is not within 0 and 1")
+            raise InvalidSettingsError(f"{name}: {value!r} is not between 0 and 1")
 
 
 @dataclass(slots=True, frozen=True)
 class BackendInfo:
-    """One line of the backend list."""
+    """One entry of the backend list."""
 
     backend: int
     state: BackendState = BackendState.UP
     zone: str = ""
-    kind: str = ""  # compared for likeness only
-    cell: int = 0  # dedup group
+    kind: str = ""  # The hardware kind; kinds are only compared for equality.
+    cell: int = 0  # The deduplication group of scope CELL.
     weight: float = 1.0
-    started_ms: float = 0.0  # 0: long ago
+    started_ms: float = 0.0  # When the backend started; 0: long ago.
     pool: str = ""
 
 
 @dataclass(slots=True)
 class BackendList:
-    """What a call of the list service returned, or that it failed."""
+    """The result of a call to the list service, or the report that it failed."""
 
     kind: ListKind
     backends: list[BackendInfo] = field(default_factory=list)
-    failure: WatchFailure = WatchFailure.ENDED  # of FAILED
+    failure: WatchFailure = WatchFailure.ENDED  # Only meaningful for kind FAILED.
 
 
 @dataclass(slots=True)
 class NewSettings:
-    """Other settings from now on.  Requests under way keep their class; the list stays in force."""
+    """Settings that apply from now on.
+
+    Requests in progress keep their class, and the backend list remains in force.
+    """
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class Arrival:
-    """A client's request; the balancer owes it one final response.  Its id never comes twice."""
+    """A client's request, to which the balancer gives one final response.  Request ids are never reused."""
 
     request: int
     request_class: str
     time_left_ms: float
     tenant: str = ""
-    key: int | None = None  # of affinity
-    hint_ms: float = 0.0  # expected work; 0: unknown
+    key: int | None = None  # The affinity key.
+    hint_ms: float = 0.0  # The expected work; 0: unknown.
     is_retry: bool = False
     is_write: bool = False
-    policy: RoutePolicy | None = None  # takes the class's place where the host has routes
-    idempotency_key: int | None = None  # the same for the client's own retries
+    policy: RoutePolicy | None = None  # Takes precedence over `request_class` if the host has routes.
+    idempotency_key: int | None = None  # A client sends the same key with its own retries.
 
 
 @dataclass(slots=True)
 class StreamStarted:
-    """A streamed response began: the attempt is the client's now, its deadline is lifted."""
+    """A streamed response began: it now passes to the client, and its deadline no longer applies."""
 
     request: int
     attempt: int
@@ -295,34 +344,34 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """One attempt's end; attempts count 0, 1, 2 ... in the order of their `StartAttempt`."""
+    """The end of one attempt.  Attempts are numbered 0, 1, 2 ... in the order of their `StartAttempt`."""
 
     request: int
     attempt: int
     backend: int
     outcome: Outcome
     latency_ms: float = 0.0
-    finished: bool = False  # the request is over, by this or already before
-    load: Mapping[str, float] | None = None  # the backend's own report, late and noisy
+    finished: bool = False  # Whether the request has ended, with this attempt or before.
+    load: Mapping[str, float] | None = None  # The backend's own load report, which is late and noisy.
 
 
 @dataclass(slots=True)
 class RequestClosed:
-    """A client left, or its request got a final response without the balancer."""
+    """The client disconnected, or its request got a final response without the balancer."""
 
     request: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer of the balancer's is due."""
+    """A timer that the balancer set is due."""
 
     token: int
 
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """A health check's end."""
+    """The result of a health check."""
 
     backend: int
     outcome: Outcome
@@ -332,19 +381,19 @@
 
 @dataclass(slots=True)
 class BeginMaintenance:
-    """An operator takes a backend out of service: nothing new goes to it until the maintenance ends."""
+    """An operator takes a backend out of service: it gets no new attempts until the maintenance ends."""
 
     backend: int
-    since_ms: float  # when the operator said so
+    since_ms: float  # When the operator took it out of service.
 
 
 @dataclass(slots=True)
 class EndMaintenance:
-    """An operator gives a backend back, restarted in between as far as anybody knows."""
+    """An operator returns a backend to service; it must be assumed to have restarted in the meantime."""
 
     backend: int
-    began_ms: float  # when the maintenance began
-    at_ms: float  # when it ended
+    began_ms: float  # When the maintenance began.
+    at_ms: float  # When the maintenance ended.
 
 
 Event = (
@@ -367,13 +416,14 @@
 
     request: int
     backend: int
-    timeout_ms: float = 0.0  # 0: until the client gives up
-    within_ms: float = 0.0  # NOT_SENT if its first byte could only go out later; 0: no such limit
+    timeout_ms: float = 0.0  # 0: until the client disconnects.
+    # The host must report NOT_SENT if it cannot send the first byte within this time; 0: no limit.
+    within_ms: float = 0.0
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Give an attempt up."""
+    """Cancel an attempt."""
 
     request: int
     attempt: int
@@ -381,7 +431,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final response: rejected, a retry does no harm."""
+    """Final response: the request is rejected, and the client may safely retry it."""
 
     request: int
     retry_after_ms: float = 0.0
@@ -389,14 +439,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final response: failed; nothing is promised about the effect."""
+    """Final response: the request failed, and it is unknown whether it took effect."""
 
     request: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Return `TimerFired` with the token after a delay."""
+    """Deliver `TimerFired` with this token after the delay."""
 
     token: int
     delay_ms: float
@@ -404,12 +454,12 @@
 
 @dataclass(slots=True)
 class WatchList:
-    """Watch the list: call for its changes from now on."""
+    """Start a watch: call the list service for all changes from now on."""
 
 
 @dataclass(slots=True)
 class FetchList:
-    """Call once for the full list."""
+    """Call the list service once for the full list."""
 
 
 @dataclass(slots=True)
--- a/heronreel/balancer/pools.py
+++ b/heronreel/balancer/pools.py
@@ -1,4 +1,7 @@
-"""Several pools behind one host, a `Balancer` for each, so that one pool's overload spares the others."""
+"""Several pools of backends behind one host, with a `Balancer` for each pool.
+
+Separate balancers keep the overload of one pool from affecting the others.
+"""
 
 import hashlib
 import math
@@ -13,11 +16,12 @@
 
 @dataclass(slots=True)
 class PooledRequest:
-    """One request, until it is over and nothing of it is in flight."""
+    """A request, which is kept until it has ended and none of its attempts is in flight."""
 
     arrival: api.Arrival
     deadline: float
-    pools: list[tuple[str, int]] = field(default_factory=list)  # tried, and attempts sent before each
+    # The pools that were tried, each with the number of attempts sent before it.
+    pools: list[tuple[str, int]] = field(default_factory=list)
     sent: int = 0
     in_flight: int = 0
     over: bool = False
@@ -29,52 +33,58 @@
 
 
 def _unit_hash(pool: str, key: int) -> float:
-    """A number between 0 and 1 that all proxies draw alike for a pool and a key (weighted rendezvous)."""
+    """Return a number between 0 and 1 for weighted rendezvous hashing; it is the same in all proxies."""
     return (_hash(f"{key} {pool}") + 0.5) / 2.0**64
 
 
 class Pools:
-    """The balancers of one proxy with routes, by pool."""
+    """The balancers of a proxy with routes, by pool."""
 
     def __init__(self, settings: api.Settings, seed: int, discovered: str = "") -> None:
         self.settings, self.seed = settings, seed
-        self.discovered = discovered  # the pool that lists without a pool's name belong to
+        self.discovered = discovered  # The pool of list entries without a pool's name.
         self.random = random.Random(seed)
         self.route_limits = RouteLimiter()
         self.balancers: dict[str, Balancer] = {}
         self.requests: dict[int, PooledRequest] = {}
-        self.timers: dict[int, tuple[str, Balancer, int]] = {}  # each ends when it fires
+        # By token: the pool, its balancer and the balancer's token.  Entries are removed when timers fire.
+        self.timers: dict[int, tuple[str, Balancer, int]] = {}
         self.last_timer = 0
         self.actions: list[api.Action] = []
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        """As `Balancer.handle`.  Raises UnexpectedEventError for probes and streams."""
+        """Process an event and return the actions that the host must carry out, in order.
+
+        Raises:
+            UnexpectedEventError: the event belongs to a health check or a streamed response.
+        """
         self.actions = []
         match event:
             case api.Arrival():
-                self._arrival(now_ms, event)
+                self._request_arrived(now_ms, event)
             case api.AttemptEnded():
                 self._attempt_ended(now_ms, event)
             case api.TimerFired():
                 pool, balancer, token = self.timers.pop(event.token)
-                if self.balancers.get(pool) is balancer:  # else the pool has gone, and may have come again
+                # The pool may have been removed, or removed and added again, since the timer was set.
+                if self.balancers.get(pool) is balancer:
                     self._forward(now_ms, pool, api.TimerFired(token))
             case api.BackendList():
-                self._list(now_ms, event)
+                self._list_received(now_ms, event)
             case api.NewSettings():
                 self._new_settings(now_ms, event)
             case api.RequestClosed():
-                self._client_gone(now_ms, event)
+                self._request_closed(now_ms, event)
             case api.BeginMaintenance() | api.EndMaintenance():
-                for name in self.balancers:  # one that has no such backend has nothing to take out
+                for name in self.balancers:  # A pool without this backend is not affected.
                     self._forward(now_ms, name, event)
             case _:
-                raise UnexpectedEventError(f"no such event of pools: {event!r}")
+                raise UnexpectedEventError(f"pools do not support the event {event!r}")
         return self.actions
 
     def _new_settings(self, now: float, event: api.NewSettings) -> None:
         self.settings = event.settings
-        for name in [name for name in self.balancers if self._is_over(name)]:
+        for name in [name for name in self.balancers if self._is_unused(name)]:
             del self.balancers[name]
         for name in self.balancers:
             self._forward(now, name, api.NewSettings(self._settings_of(name)))
@@ -82,12 +92,12 @@
     def _settings_of(self, pool: str) -> api.Settings:
         return self.settings if pool == self.discovered else replace(self.settings, watch_list=False)
 
-    def _is_over(self, name: str) -> bool:
-        """A pool that no file names any more, once its last request has ended."""
+    def _is_unused(self, name: str) -> bool:
+        """Return whether a pool has no backends, and none of its requests or attempts is in progress."""
         pool = self.balancers[name]
         return name != self.discovered and not (pool.endpoints.backends or pool.requests or pool.in_flight)
 
-    def _list(self, now: float, update: api.BackendList) -> None:
+    def _list_received(self, now: float, update: api.BackendList) -> None:
         if update.kind is api.ListKind.FAILED:
             self._forward(now, self.discovered, update)
             return
@@ -106,7 +116,7 @@
             self._forward(now, name, api.BackendList(kind, by_pool.get(name, [])))
 
     def _forward(self, now: float, pool: str, event: api.Event) -> None:
-        """Hand an event to a pool's balancer and take up what it wants done."""
+        """Forward an event to a pool's balancer and collect its actions."""
         for action in self.balancers[pool].handle(now, event):
             match action:
                 case api.SetTimer(token, delay_ms):
@@ -125,7 +135,7 @@
                     self._finish(ident)
             self.actions.append(action)
 
-    def _arrival(self, now: float, arrival: api.Arrival) -> None:
+    def _request_arrived(self, now: float, arrival: api.Arrival) -> None:
         policy, ident = arrival.policy, arrival.request
         retry_after = None if policy is None else self.route_limits.admit(now, policy)
         if retry_after is not None:
@@ -134,14 +144,17 @@
         request = self.requests[ident] = PooledRequest(arrival, now + arrival.time_left_ms)
         pool = self._pool_of(request)
         if pool is None:
-            self.actions.append(api.Reject(ident))  # no pool of its split has ever been listed
+            self.actions.append(api.Reject(ident))  # No pool of its split has been listed.
             self._finish(ident)
             return
         request.pools.append((pool, 0))
         self._forward(now, pool, arrival)
 
     def _pool_of(self, request: PooledRequest) -> str | None:
-        """A pool of the split that this request has not tried, by weight; the same for a client's retry."""
+        """Return a pool of the split that this request has not tried, chosen by weight, or None.
+
+        A request with an idempotency key gets the same pool again when its client retries it.
+        """
         policy, tried = request.arrival.policy, [pool for pool, _ in request.pools]
         split = policy.split if policy and policy.split else ((self.discovered, 1.0),)
         untried = [(n, w) for n, w in split if w > 0.0 and n in self.balancers and n not in tried]
@@ -150,34 +163,41 @@
         key = request.arrival.idempotency_key
         if key is None:
             return self.random.choices([n for n, _ in untried], [w for _, w in untried])[0]
-        return max(untried, key=lambda share: -share[1] / math.log(_unit_hash(share[0], key)))[0]
+        return max(untried, key=lambda pool: -pool[1] / math.log(_unit_hash(pool[0], key)))[0]
 
     def _spill(self, now: float, request: PooledRequest) -> bool:
-        """Try the next pool, where the route allows it: a rejection says that a retry does no harm."""
+        """Send a rejected request to another pool if its route allows it; return whether that was done.
+
+        A rejection says that a retry does no harm.
+        """
         policy = request.arrival.policy
         if policy is None or not policy.spills_over or request.over or now >= request.deadline:
             return False
-        left = min(policy.max_attempts, self.settings.max_attempts) - request.sent
+        attempts_left = min(policy.max_attempts, self.settings.max_attempts) - request.sent
         idempotent = policy.request_class.effect is api.Effect.IDEMPOTENT
-        pool = self._pool_of(request) if left > 0 and (idempotent or not request.may_have_run) else None
+        pool = (
+            self._pool_of(request) if attempts_left > 0 and (idempotent or not request.may_have_run) else None
+        )
         if pool is None:
             return False
         request.pools.append((pool, request.sent))
-        policy, time_left_ms = replace(policy, max_attempts=left), request.deadline - now
+        policy, time_left_ms = replace(policy, max_attempts=attempts_left), request.deadline - now
         self._forward(now, pool, replace(request.arrival, time_left_ms=time_left_ms, policy=policy))
         return True
 
     def _attempt_ended(self, now: float, ended: api.AttemptEnded) -> None:
         request = self.requests[ended.request]
-        pool, before = next(each for each in reversed(request.pools) if each[1] <= ended.attempt)
+        pool, sent_before = next(tried for tried in reversed(request.pools) if tried[1] <= ended.attempt)
         request.in_flight -= 1
         request.may_have_run |= ended.outcome not in api.NEVER_RAN
         if ended.finished and not request.over:
             self._finish(ended.request)
-        self._forward(now, pool, replace(ended, attempt=ended.attempt - before) if before else ended)
-        self._forget(ended.request, request)
+        self._forward(
+            now, pool, replace(ended, attempt=ended.attempt - sent_before) if sent_before else ended
+        )
+        self._remove_if_done(ended.request, request)
 
-    def _client_gone(self, now: float, event: api.RequestClosed) -> None:
+    def _request_closed(self, now: float, event: api.RequestClosed) -> None:
         request = self.requests.get(event.request)
         if request is not None and not request.over:
             self._finish(event.request)
@@ -188,8 +208,8 @@
         request.over = True
         if request.arrival.policy is not None:
             self.route_limits.finished(request.arrival.policy)
-        self._forget(ident, request)
+        self._remove_if_done(ident, request)
 
-    def _forget(self, ident: int, request: PooledRequest) -> None:
+    def _remove_if_done(self, ident: int, request: PooledRequest) -> None:
         if request.over and not request.in_flight:
             self.requests.pop(ident, None)
--- a/heronreel/balancer/turns.py
+++ b/heronreel/balancer/turns.py
@@ -1,4 +1,10 @@
-"""Weights of backends and the turns they take (DESIGN 3 to 5).  Part of the decisions."""
+"""Weighted turns: selects the backend of each attempt by compressed weights (DESIGN 3 to 5).
+
+With weighted turns, each attempt goes to the backend with the greatest weight, and backends of equal weight
+take turns.  An attempt lowers the weight of its backend by its booked cost, in units of the mean booked cost.
+Compressed weights are the negated loads of the boards, scaled down so that they differ by no more than the
+mean number of attempts per backend and period.
+"""
 
 from functools import partial
 from heapq import heappop, heappush, nlargest
@@ -9,55 +15,73 @@
 from heronreel.balancer.requests import Attempt, Request
 from heronreel.balancer.subset import rendezvous_hash
 
-BOOKED_SHARE = 0.9  # of the fleet's time that the boards of one proxy hold on average (ours)
-MAX_EJECTED_SHARE = 0.5  # of the fleet at once, lest a fault common to all empties it (ours)
-MEAN_COST_STEP = 0.05  # smoothing of the mean cost, a send (ours)
-OWNERS_PER_KEY, MAX_OWNER_EXCESS = 3, 8.0  # backends that share a key; mean costs booked over the rest (ours)
-MAX_REMEMBERED_KEYS = 4096  # keys whose owners are remembered (ours)
-CROSS_ZONE_SHARE = 2.0  # of the latency objective that a delay must cost, per point of the price (ours)
-OWN_ZONE_ATTEMPTS = 2  # before other zones take turns alike (ours)
-OPEN_CONNECTION_MS = 1000.0  # a connection that served lately is taken to be open for so long (ours)
-MAX_OPEN_EXCESS, MAX_LOOKED_AT = 1.0, 3  # mean costs more booked that it may be; backends looked at (ours)
-
-Entry = tuple[float, float, int]  # weight negated, last turn and number of a backend
+# The share of the fleet's time that the boards of one proxy hold on average.
+BOOKED_SHARE = 0.9
+# The share of the fleet that may be ejected at once, so that a fault common to all does not empty the fleet.
+MAX_EJECTED_SHARE = 0.5
+# The smoothing step of the mean cost per attempt.
+MEAN_COST_STEP = 0.05
+# The number of backends that share the requests of a key.
+OWNERS_PER_KEY = 3
+# An owner is used while its load exceeds that of the next backend by at most this many mean booked costs.
+MAX_OWNER_EXCESS_TURNS = 8.0
+# The number of keys whose owners are remembered.
+MAX_REMEMBERED_KEYS = 4096
+# The share of the latency objective that the queueing delay must exceed, per point of the price of crossing
+# zones, before other zones are used.
+CROSS_ZONE_SHARE = 2.0
+# The attempts that prefer the proxy's own zone; later ones treat all zones alike.
+OWN_ZONE_ATTEMPTS = 2
+# A connection that served a response within this time is assumed to be still open.
+OPEN_CONNECTION_MS = 1000.0
+# A backend with an open connection is preferred while its weight is lower by at most this many mean costs.
+MAX_OPEN_CONNECTION_EXCESS_TURNS = 1.0
+# The number of backends that are examined for an open connection.
+MAX_EXAMINED_BACKENDS = 3
+
+# The negated weight, the last turn and the id of a backend.
+QueueEntry = tuple[float, float, int]
 
 
 class TurnQueue:
-    """Which backend gets the next attempt: the one of most weight, then the longest without a turn."""
+    """Selects the backend with the greatest weight; of equal ones, the one whose last turn is the oldest."""
 
     def __init__(self, endpoints: Endpoints) -> None:
         self.endpoints = endpoints
-        self.queues: tuple[list[Entry], ...] = ([], [], [])  # by tier, as heaps
-        self.waiting: list[Backend] = []  # cold or ejected ones that sit out until the next update
+        self.queues: tuple[list[QueueEntry], ...] = ([], [], [])  # One heap per tier.
+        self.waiting: list[Backend] = []  # Cold or ejected backends that get no turn until the next update.
         self.last_turn = 0.0
         self.key_owners: dict[int, list[int]] = {}
-        self.sends, self.booked_work = rates.SmoothedRate(), rates.SmoothedRate()  # Nr; cost before scaling
+        # The attempts per period (Nr), and their booked cost before it is scaled.
+        self.sends, self.booked_work = rates.SmoothedRate(), rates.SmoothedRate()
         self.mean_booked_cost = self.mean_cost_ms = 0.0
-        self.booking_scale = float(endpoints.settings.proxies)  # what one send stands for on a board
+        # The factor from the cost of an attempt of this proxy to the work that is booked for it on a board.
+        self.booking_scale = float(endpoints.settings.proxies)
 
     def update(self, now: float, periods: float) -> None:
-        """Work out the weights anew, once a period."""
+        """Recompute the weights, once per period."""
         self.sends.roll(periods)
         self.booked_work.roll(periods)
         sends, work = self.sends.mean, self.booked_work.mean
         self.mean_booked_cost = work / sends if sends else 0.0
-        size = max(1, len(self.endpoints.backends))
+        backend_count = max(1, len(self.endpoints.backends))
         if work > 0.0:
-            # boards as full as a busy fleet's do not drain between one proxy's picks
+            # Boards that are as full as those of a busy fleet do not drain between two attempts of one proxy.
             self.booking_scale = (
-                BOOKED_SHARE * (self.endpoints.near_count or size) * rates.UPDATE_PERIOD_MS / work
+                BOOKED_SHARE * (self.endpoints.near_count or backend_count) * rates.UPDATE_PERIOD_MS / work
             )
         booked = self._update_boards(now)
         loads = [backend.load for backend in booked]
-        low = min(loads, default=0.0) if len(booked) == size else 0.0
-        spread = max(loads, default=0.0) - low
-        squeeze = min(1.0, sends / size / spread) if spread else 1.0  # tdiff = Nr/N
+        min_load = min(loads, default=0.0) if len(booked) == backend_count else 0.0
+        spread = max(loads, default=0.0) - min_load
+        # The compressed weights differ by at most tdiff = Nr/N.
+        compression = min(1.0, sends / backend_count / spread) if spread else 1.0
         for backend in booked:
-            backend.weight = -(backend.load - low) * squeeze - backend.in_flight_cost
+            backend.weight = -(backend.load - min_load) * compression - backend.in_flight_cost
             self._push(backend)
 
     def _update_boards(self, now: float) -> list[Backend]:
-        mean_cost = self.mean_booked_cost * self.booking_scale or 1.0  # Cr
+        mean_cost = self.mean_booked_cost * self.booking_scale or 1.0  # C_r
         booked = [self.endpoints.backends[ident] for ident in self.endpoints.booked]
         for backend in booked:
             backend.board.update(now)
@@ -67,15 +91,17 @@
         return booked
 
     def requeue_waiting(self) -> None:
-        """Let those that sat out take turns again, after an update."""
+        """Let waiting backends take turns again; called after an update."""
         for backend in self.waiting:
             self._push(backend)
         self.waiting.clear()
-        if sum(map(len, self.queues)) > 4 * max(1, len(self.endpoints.backends)) + 16:  # many stale entries
+        if (
+            sum(map(len, self.queues)) > 4 * max(1, len(self.endpoints.backends)) + 16
+        ):  # Most entries are stale.
             self._queue_all()
 
     def rebuild(self) -> None:
-        """Forget the owners of keys and queue all backends anew, as they have changed."""
+        """Forget the owners of keys and queue all backends again, after a change of the backends."""
         self.key_owners.clear()
         self._queue_all()
 
@@ -88,11 +114,12 @@
         heappush(self.queues[backend.tier], (-backend.weight, backend.last_turn, backend.info.backend))
 
     def book(self, now: float, backend: Backend, cost_ms: float) -> Attempt:
-        """Book an attempt that starts now: its cost is on the board and off the weight at once."""
+        """Book an attempt that starts now: queue its cost for the board and lower the weight at once."""
         capacity_share = slow_start.capacity_share(self.endpoints.settings, now, backend.info)
-        turn_cost = cost_ms * backend.cost_factor / capacity_share  # rule 4: a cold backend is a slow one
+        # A cold backend counts as a slow one (rule 4).
+        turn_cost = cost_ms * backend.cost_factor / capacity_share
         turns = turn_cost / (self.mean_booked_cost or turn_cost)
-        backend.in_flight_cost += turns  # and once more for being in flight
+        backend.in_flight_cost += turns  # The attempt counts a second time while it is in flight.
         backend.board.queue.append((now, turn_cost * self.booking_scale))
         backend.credit_ms -= cost_ms
         self.sends.current += 1.0
@@ -106,83 +133,100 @@
         return Attempt(backend, now, cost_ms, turns, capacity_share)
 
     def release(self, attempt: Attempt, outcome: api.Outcome) -> None:
-        """Take an ended attempt off: what is in flight past its booking shows slow and hung backends."""
+        """Remove an ended attempt from the in-flight cost of its backend.
+
+        Attempts that are still in flight when their booked time is over reveal slow and hung backends.
+        """
         backend = attempt.backend
         backend.in_flight_cost -= attempt.in_flight_cost
-        if outcome is not api.Outcome.REJECTED:  # a full one is no lighter before the next update
+        if outcome is not api.Outcome.REJECTED:  # A full backend regains no weight before the next update.
             backend.weight += attempt.in_flight_cost
         if self.endpoints.backends.get(backend.info.backend) is backend:
             self._push(backend)
 
-    def pick(self, now: float, request: Request, delay_ms: float) -> Backend | None:
-        """A key's own backends first, while not much more booked than the one whose turn it is."""
-        lightest, key = self.next(now, request, delay_ms), request.arrival.key
+    def choose(self, now: float, request: Request, delay_ms: float) -> Backend | None:
+        """Return the backend for a request, or None.
+
+        An owner of the request's key is preferred while its load is not much higher than that of the backend
+        whose turn it is.
+        """
+        lightest, key = self.next_backend(now, request, delay_ms), request.arrival.key
         if lightest is None or key is None or not self.endpoints.settings.key_affinity:
             return lightest
-        # hot keys must spread, and compressed weights would hide how much a hot one's owner is booked
-        limit = lightest.load + lightest.in_flight_cost + MAX_OWNER_EXCESS
+        # Hot keys must spread, and compressed weights would hide how much is booked for a hot key's owner.
+        limit = lightest.load + lightest.in_flight_cost + MAX_OWNER_EXCESS_TURNS
         tried = [attempt.backend for attempt in request.attempts]
         for owner in (self.endpoints.backends[ident] for ident in self._owners(key)):
-            light = owner.load + owner.in_flight_cost <= limit
-            if light and owner not in tried and self._is_ready(now, owner):
+            within_limit = owner.load + owner.in_flight_cost <= limit
+            if within_limit and owner not in tried and self._is_ready(now, owner):
                 return owner
         return lightest
 
     def _owners(self, key: int) -> list[int]:
         if key not in self.key_owners:
-            if (
-                len(self.key_owners) >= MAX_REMEMBERED_KEYS
-            ):  # keys are ever new: the oldest is worked out again
+            # New keys keep coming, so the oldest one is dropped; its owners can be computed again.
+            if len(self.key_owners) >= MAX_REMEMBERED_KEYS:
                 del self.key_owners[next(iter(self.key_owners))]
             is_near, backends = self.endpoints.is_near, self.endpoints.backends.items()
             near = [i for i, b in backends if is_near(b.info) or not self.endpoints.near_count]
             self.key_owners[key] = nlargest(OWNERS_PER_KEY, near, key=partial(rendezvous_hash, key))
         return self.key_owners[key]
 
-    def next(self, now: float, request: Request, delay_ms: float) -> Backend | None:
-        """Whose turn it is: own zone first, unless the queueing delay costs more than crossing zones."""
-        (far, near, fallback), attempts = self.queues, request.attempts
+    def next_backend(self, now: float, request: Request, delay_ms: float) -> Backend | None:
+        """Return the backend whose turn it is, or None.
+
+        The proxy's own zone comes first, unless the queueing delay costs more than crossing zones.
+        """
+        (other_zone, own_zone, fallback), attempts = self.queues, request.attempts
         objective_ms = request.request_class.latency_objective_ms
-        crossing_worth = self.endpoints.settings.price_cross_zone * objective_ms * CROSS_ZONE_SHARE
-        spill = self.endpoints.random.uniform(1.0, 2.0) * crossing_worth < delay_ms
+        crossing_delay_ms = self.endpoints.settings.price_cross_zone * objective_ms * CROSS_ZONE_SHARE
+        spill = self.endpoints.random.uniform(1.0, 2.0) * crossing_delay_ms < delay_ms
         if not self.endpoints.near_count or spill or len(attempts) >= OWN_ZONE_ATTEMPTS:
-            tops = [self._top(near, now, attempts), self._top(far, now, attempts)]
+            tops = [self._top(own_zone, now, attempts), self._top(other_zone, now, attempts)]
             top = max((top for top in tops if top), key=lambda top: top.weight, default=None)
         else:
-            top = self._top(near, now, attempts) or self._top(far, now, attempts)
+            top = self._top(own_zone, now, attempts) or self._top(other_zone, now, attempts)
         return top or self._top(fallback, now, attempts)
 
-    def _top(self, queue: list[Entry], now: float, tried: list[Attempt]) -> Backend | None:
-        """The first of a queue that is ready and not tried; of near equals one whose connection is open."""
-        aside: list[Entry] = []
+    def _top(self, queue: list[QueueEntry], now: float, tried: list[Attempt]) -> Backend | None:
+        """Return the first backend of a queue that is ready and was not tried, or None.
+
+        Of backends with almost equal weights, one with an open connection is preferred.
+        """
+        examined: list[QueueEntry] = []
         first = chosen = None
-        while queue and chosen is None and (first is None or len(aside) < MAX_LOOKED_AT):
+        while queue and chosen is None and (first is None or len(examined) < MAX_EXAMINED_BACKENDS):
             weight, turn, ident = entry = heappop(queue)
             backend = self.endpoints.backends.get(ident)
             if backend is None or backend.last_turn != turn or -backend.weight != weight:
-                continue  # gone, or it has a newer entry
+                continue  # The backend was removed or has a newer entry.
             if not self._is_ready(now, backend):
                 self.waiting.append(backend)
                 continue
-            aside.append(entry)  # the chosen one's entry goes stale with the send
+            examined.append(
+                entry
+            )  # The entry of the chosen backend becomes stale when the attempt is booked.
             if tried and any(attempt.backend is backend for attempt in tried):
                 continue
             if first is None:
                 first = backend
-            elif backend.weight < first.weight - MAX_OPEN_EXCESS:
+            elif backend.weight < first.weight - MAX_OPEN_CONNECTION_EXCESS_TURNS:
                 break
             if now - backend.last_served_at < OPEN_CONNECTION_MS:
                 chosen = backend
-        for entry in aside:
+        for entry in examined:
             heappush(queue, entry)
         return chosen or first
 
-    def in_group(self, now: float, request: Request, executed: Attempt) -> Backend | None:
-        """The lightest backend that drops repeats of an attempt; while that is in flight, another one."""
+    def choose_in_group(self, now: float, request: Request, executed: Attempt) -> Backend | None:
+        """Return the backend with the greatest weight in the deduplication group of an attempt, or None.
+
+        While the attempt is in flight, its own backend is excluded.
+        """
         scope, backends = request.request_class.dedup_scope, self.endpoints.backends.values()
-        here = executed.backend.dedup_group(scope)
-        group = [b for b in backends if b.dedup_group(scope) == here and self._is_ready(now, b)]
-        if executed.in_flight:  # a hedged request would only wait behind it
+        group_id = executed.backend.dedup_group(scope)
+        group = [b for b in backends if b.dedup_group(scope) == group_id and self._is_ready(now, b)]
+        if executed.in_flight:  # A hedged request to the same backend would only wait behind the attempt.
             group = [backend for backend in group if backend is not executed.backend]
         return max(group, key=lambda backend: (backend.weight, -backend.last_turn), default=None)
 
--- a/heronreel/balancer/wire.py
+++ b/heronreel/balancer/wire.py
@@ -1,4 +1,7 @@
-"""The simulator's wire: lines to events and settings, actions to lines.  Malformed input raises WireError."""
+"""The simulator's line protocol: parses lines into events and settings, and formats actions as lines.
+
+Malformed input raises WireError.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +41,7 @@
 )
 
 Rows = Iterator[tuple[int, str]]
-Word = TypeVar("Word", bound=Enum)
+EnumValue = TypeVar("EnumValue", bound=Enum)
 Number = TypeVar("Number", int, float)
 
 OUTCOMES = {
@@ -62,7 +65,7 @@
 
 
 class Fields:
-    """The name=value pairs of one line."""
+    """The name=value pairs of one line.  Missing or malformed values raise WireError."""
 
     __slots__ = ("line", "values")
 
@@ -71,11 +74,11 @@
         self.values = values
 
     def text(self, name: str, default: str = "") -> str:
-        """A value as it stands."""
+        """Return a value unchanged."""
         return self.values.get(name, default)
 
     def number(self, name: str, default: float | None = None) -> float:
-        """A finite number; without a default it must be there."""
+        """Return a finite number; it is required if there is no default."""
         text = self.values.get(name)
         if text is None:
             return self._default(name, default)
@@ -83,12 +86,12 @@
             value = float(text)
         except ValueError:
             value = float("nan")
-        if value - value != 0.0:  # not a number, or without end
+        if value - value != 0.0:  # NaN or infinite.
             raise WireError(self.line, f"{name}: not a number: {text[:40]!r}")
         return value
 
     def integer(self, name: str, default: int | None = None) -> int:
-        """A whole number; without a default it must be there."""
+        """Return an integer; it is required if there is no default."""
         text = self.values.get(name)
         if text is None:
             return self._default(name, default)
@@ -103,7 +106,7 @@
         return default
 
     def flag(self, name: str, default: bool = False) -> bool:
-        """1 or true, 0 or false."""
+        """Return a flag, which is written as 1, true, 0 or false."""
         text = self.values.get(name)
         if text is None:
             return default
@@ -113,16 +116,16 @@
             return False
         raise WireError(self.line, f"{name}: neither 1 nor 0: {text[:40]!r}")
 
-    def word(self, name: str, words: dict[str, Word], default: str = "") -> Word:
-        """One of the known words, as what it stands for."""
+    def enum_value(self, name: str, choices: dict[str, EnumValue], default: str = "") -> EnumValue:
+        """Return the enum value for which one of the known words stands."""
         text = self.values.get(name, default)
-        if text not in words:
+        if text not in choices:
             raise WireError(self.line, f"{name}: {'missing' if not text else f'unknown word {text[:40]!r}'}")
-        return words[text]
+        return choices[text]
 
 
 def parse_fields(line: int, rest: str) -> Fields:
-    """The fields of a line after its first word."""
+    """Parse the fields of a line, which follow its first word."""
     values: dict[str, str] = {}
     for pair in rest.split(" "):
         name, equals, value = pair.partition("=")
@@ -133,29 +136,29 @@
     return Fields(line, values)
 
 
-def _request_class(fields: Fields, at: str) -> RequestClass:
+def _request_class(fields: Fields, prefix: str) -> RequestClass:
     return RequestClass(
-        name=fields.text(f"{at}Name"),
-        latency_objective_ms=fields.number(f"{at}OnTimeMs", 1000.0),
-        deadline_ms=fields.number(f"{at}HardLimitMs", 5000.0),
-        priority_weight=fields.number(f"{at}Worth", 1.0),
-        late_weight=fields.number(f"{at}LateWorth", 0.0),
-        effect=fields.word(f"{at}Effect", EFFECTS, "at_most_once"),
-        dedup_scope=fields.word(f"{at}DedupScope", SCOPES, "cell"),
-        repeat_window_ms=fields.number(f"{at}RepeatWindowMs", 0.0),
+        name=fields.text(f"{prefix}Name"),
+        latency_objective_ms=fields.number(f"{prefix}OnTimeMs", 1000.0),
+        deadline_ms=fields.number(f"{prefix}HardLimitMs", 5000.0),
+        priority_weight=fields.number(f"{prefix}Worth", 1.0),
+        late_weight=fields.number(f"{prefix}LateWorth", 0.0),
+        effect=fields.enum_value(f"{prefix}Effect", EFFECTS, "at_most_once"),
+        dedup_scope=fields.enum_value(f"{prefix}DedupScope", SCOPES, "cell"),
+        repeat_window_ms=fields.number(f"{prefix}RepeatWindowMs", 0.0),
     )
 
 
-def _tenant(fields: Fields, at: str) -> Tenant:
+def _tenant(fields: Fields, prefix: str) -> Tenant:
     return Tenant(
-        name=fields.text(f"{at}Name"),
-        share=fields.number(f"{at}Portion", 1.0),
-        quota_per_s=fields.number(f"{at}QuotaPerS", 0.0),
+        name=fields.text(f"{prefix}Name"),
+        share=fields.number(f"{prefix}Portion", 1.0),
+        quota_per_s=fields.number(f"{prefix}QuotaPerS", 0.0),
     )
 
 
 def _prefixes(fields: Fields, group: str, default: int | None = None) -> list[str]:
-    """The beginnings of the names of each member of a numbered group."""
+    """Return the prefix of the field names for each member of a numbered group."""
     return [f"{group}.{number}." for number in range(fields.integer(f"{group}.count", default))]
 
 
@@ -171,11 +174,11 @@
 
 
 def settings_from_fields(fields: Fields) -> Settings:
-    """The settings of a `born` line.  What is absent falls back to the defaults of `Settings`."""
+    """Return the settings of a `born` line; missing fields get the defaults of `Settings`."""
     try:
         return Settings(
-            classes=tuple(_request_class(fields, at) for at in _prefixes(fields, "Categories")),
-            tenants=tuple(_tenant(fields, at) for at in _prefixes(fields, "Tenants", 0)),
+            classes=tuple(_request_class(fields, prefix) for prefix in _prefixes(fields, "Categories")),
+            tenants=tuple(_tenant(fields, prefix) for prefix in _prefixes(fields, "Tenants", 0)),
             zone=fields.text("Zone"),
             zones=tuple(zone for zone in fields.text("FailureDomains").split(",") if zone),
             proxies=fields.integer("Balancers", 1),
@@ -209,7 +212,7 @@
 def _backend(entry: Fields) -> BackendInfo:
     return BackendInfo(
         backend=entry.integer("Backend"),
-        state=entry.word("Readiness", STATES),
+        state=entry.enum_value("Readiness", STATES),
         zone=entry.text("Hall"),
         kind=entry.text("Hw"),
         cell=entry.integer("Group", 0),
@@ -219,7 +222,7 @@
 
 
 def _list(fields: Fields, rows: Rows) -> BackendList:
-    update = BackendList(fields.word("Kind", KINDS))
+    update = BackendList(fields.enum_value("Kind", KINDS))
     count = fields.integer("Elements", 0)
     for _ in range(count):
         number, line = next(rows, (None, ""))
@@ -262,7 +265,7 @@
         request=fields.integer("Call"),
         attempt=fields.integer("Leg"),
         backend=fields.integer("Backend"),
-        outcome=fields.word("Verdict", OUTCOMES),
+        outcome=fields.enum_value("Verdict", OUTCOMES),
         latency_ms=fields.number("LagMs", 0.0),
         finished=fields.flag("DoneFlag"),
         load=_load(fields),
@@ -275,7 +278,7 @@
 
 
 def _probed(fields: Fields, rows: Rows) -> ProbeEnded:
-    outcome = fields.word("Verdict", OUTCOMES)
+    outcome = fields.enum_value("Verdict", OUTCOMES)
     return ProbeEnded(fields.integer("Backend"), outcome, fields.number("LagMs", 0.0), _load(fields))
 
 
@@ -287,30 +290,30 @@
     "dropped": lambda fields, rows: RequestClosed(fields.integer("Call")),
     "ring": lambda fields, rows: TimerFired(fields.integer("KeyBack")),
     "health": _probed,
-    "whisper": lambda fields, rows: None,  # the balancers share nothing
+    "whisper": lambda fields, rows: None,  # Balancers share no state, so the message is ignored.
 }
 
 
-def render(who: int, action: Action) -> str:
-    """The line of an action of one balancer."""
+def render(instance: int, action: Action) -> str:
+    """Return the line for an action of one balancer instance."""
     match action:
         case StartAttempt(request, backend, timeout):
-            limit = f" TryForMs={timeout:.3f}" if timeout else ""
-            return f"deliver Who={who} Call={request} Backend={backend}{limit}"
+            timeout_field = f" TryForMs={timeout:.3f}" if timeout else ""
+            return f"deliver Who={instance} Call={request} Backend={backend}{timeout_field}"
         case CancelAttempt(request, attempt):
-            return f"recall Who={who} Call={request} Leg={attempt}"
+            return f"recall Who={instance} Call={request} Leg={attempt}"
         case Reject(request, wait):
-            advice = f" NotBeforeForMs={wait:.3f}" if wait else ""
-            return f"turn_away Who={who} Call={request}{advice}"
+            retry_field = f" NotBeforeForMs={wait:.3f}" if wait else ""
+            return f"turn_away Who={instance} Call={request}{retry_field}"
         case Fail(request):
-            return f"drop_request Who={who} Call={request}"
+            return f"drop_request Who={instance} Call={request}"
         case SetTimer(token, delay):
-            return f"timer Who={who} KeyBack={token} InMs={delay:.3f}"
+            return f"timer Who={instance} KeyBack={token} InMs={delay:.3f}"
         case WatchList():
-            return f"watch Who={who} Want=1"
+            return f"watch Who={instance} Want=1"
         case FetchList():
-            return f"query_all Who={who}"
+            return f"query_all Who={instance}"
         case Probe(backend):
-            return f"inspect Who={who} Backend={backend}"
+            return f"inspect Who={instance} Backend={backend}"
         case CloseIdleConnections(backend):
-            return f"free_links Who={who} Backend={backend}"
+            return f"free_links Who={instance} Backend={backend}"
--- a/tests/balancer/test_maintenance.py
+++ b/tests/balancer/test_maintenance.py
@@ -78,7 +78,7 @@
     host = host_in_maintenance()
     host.listed(ListKind.FULL, *[info for info in fleet(8) if info.backend != RESTARTED])
     maintenance = host.balancer.endpoints.maintenance
-    assert not maintenance.lines
+    assert not maintenance.entries
     host.balancer.handle(host.now, EndMaintenance(RESTARTED, 1e6, host.now))
     assert RESTARTED not in host.balancer.endpoints.backends  # the list has it no more
     host.listed(ListKind.FULL, *[info for info in fleet(8) if info.backend != RESTARTED])
--- a/tests/balancer/test_speed.py
+++ b/tests/balancer/test_speed.py
@@ -4,7 +4,7 @@
 
 from heronreel.balancer.choice import Balancer
 from heronreel.balancer.interface import BackendInfo, ListKind, Outcome
-from heronreel.balancer.speed import KIND_RESPONSES, BackendSpeed, LearnedSpeeds
+from heronreel.balancer.speed import KIND_WEIGHT_RESPONSES, BackendSpeed, LearnedSpeeds
 from tests.balancer.strict_host import Host, large
 
 COST = 60.0  # ms: the fixed part and a hint of 50
@@ -54,7 +54,7 @@
     for _ in range(200):
         speeds.learn("kind", BackendSpeed(), 1.0)
     seen = []
-    for _ in range(int(8 * KIND_RESPONSES)):
+    for _ in range(int(8 * KIND_WEIGHT_RESPONSES)):
         speeds.learn("kind", odd, 4.0)
         seen.append(speeds.factor("kind", odd))
         speeds.learn("kind", BackendSpeed(), 1.0)  # the others of its kind go on as they were
--- a/tests/emulator/test_fleet_scenarios.py
+++ b/tests/emulator/test_fleet_scenarios.py
@@ -248,7 +248,7 @@
             inner = {name: len(value) for name, value in vars(part).items() if isinstance(value, dict | list)}
             found |= {f"{type(part).__name__}.{name}": size for name, size in inner.items()}
         upkeep = balancer.endpoints.maintenance
-        held = len(upkeep.began) + len(upkeep.lines) + len(upkeep.ended)
+        held = len(upkeep.began) + len(upkeep.entries) + len(upkeep.ended)
         return found | {"held": held, "kinds": len(balancer.endpoints.speeds.kinds)}
 
     def life(first: int, last: int) -> dict[str, int]:
--- a/tests/emulator/test_watches_end.py
+++ b/tests/emulator/test_watches_end.py
@@ -34,7 +34,7 @@
     def call_failed(self, now: float, draw: random.Random, failure: WatchFailure) -> float | None:
         answered = self.received_at >= self.called_at
         delay = super().call_failed(now, draw, failure)
-        if delay is None or failure is not WatchFailure.ENDED or not answered or self.resumes < 0.0:
+        if delay is None or failure is not WatchFailure.ENDED or not answered or self.saved_resumes < 0.0:
             return delay
         self.ended += 1
         return min(self.ended, 2) * draw.uniform(500.0, 1000.0)
