--- a/heronreel/balancer/adapter.py
+++ b/heronreel/balancer/adapter.py
@@ -1,4 +1,7 @@
-"""The operators' wire on standard input and output: hosts many isolated balancers and decides nothing."""
+"""Runs many isolated balancers behind the operators' line protocol on standard input and output.
+
+The adapter itself makes no load-balancing decisions.
+"""
 
 from __future__ import annotations
 
@@ -9,17 +12,21 @@
 from heronreel.balancer.choice import Balancer
 from heronreel.balancer.errors import WireError
 from heronreel.balancer.interface import Event
-from heronreel.balancer.wire import EVENTS, Fields, Rows, fields_of, render, settings_of
+from heronreel.balancer.wire import EVENTS, Fields, Rows, parse_fields, render, settings_from_fields
 
 
 class Adapter:
-    """The balancers of one simulator, by their number on the wire."""
+    """The balancers of one simulator, by their instance number in the protocol."""
 
     def __init__(self) -> None:
-        self.hosted: dict[int, Balancer] = {}
+        self.balancers: dict[int, Balancer] = {}
 
     def replies(self, lines: Iterable[str]) -> Iterator[str]:
-        """One reply for each batch of lines.  Raises WireError."""
+        """Yield one reply for each batch of lines.
+
+        Raises:
+            WireError: the input is malformed.
+        """
         rows = enumerate(lines, 1)
         for number, line in rows:
             head, _, rest = line.rstrip("\n").partition(" ")
@@ -27,7 +34,7 @@
                 continue
             if head != "begin_batch":
                 raise WireError(number, f"expected begin_batch, got {head[:40]!r}")
-            yield self._batch(fields_of(number, rest).number("NowMs"), rows)
+            yield self._batch(parse_fields(number, rest).number("NowMs"), rows)
 
     def _batch(self, now: float, rows: Rows) -> str:
         reply: list[str] = []
@@ -36,35 +43,35 @@
             if head == "over_to_you":
                 reply.append("ok\n")
                 return "\n".join(reply)
-            fields = fields_of(number, rest)
+            fields = parse_fields(number, rest)
             reply += self._message(now, head, fields, rows)
         raise WireError(None, "input ended inside a batch")
 
     def _message(self, now: float, head: str, fields: Fields, rows: Rows) -> list[str]:
-        who = fields.integer("Who")
+        instance = fields.integer("Who")
         if head == "born":
-            self.hosted[who] = Balancer(settings_of(fields), fields.integer("Nonce64"))
+            self.balancers[instance] = Balancer(settings_from_fields(fields), fields.integer("Nonce64"))
             return []
-        if who not in self.hosted:
-            raise WireError(fields.line, f"Who: no instance {who} was born")
+        if instance not in self.balancers:
+            raise WireError(fields.line, f"Who: no instance {instance} was born")
         if head == "kill":
-            del self.hosted[who]
+            del self.balancers[instance]
             return []
         if head not in EVENTS:
             raise WireError(fields.line, f"unknown message {head[:40]!r}")
         event = EVENTS[head](fields, rows)
-        return [] if event is None else self._handle(now, who, event)
+        return [] if event is None else self._handle(now, instance, event)
 
-    def _handle(self, now: float, who: int, event: Event) -> list[str]:
+    def _handle(self, now: float, instance: int, event: Event) -> list[str]:
         try:
-            return [render(who, action) for action in self.hosted[who].handle(now, event)]
-        except Exception as error:  # the wire's own word for a failure of the decision code
-            words = " ".join(f"{type(error).__name__}: {error}".split())
-            return [f"give_in Who={who} Words={words}"]
+            return [render(instance, action) for action in self.balancers[instance].handle(now, event)]
+        except Exception as error:  # The protocol reports a failure of the decision code as `give_in`.
+            description = " ".join(f"{type(error).__name__}: {error}".split())
+            return [f"give_in Who={instance} Words={description}"]
 
 
 def run(source: TextIO, sink: TextIO) -> int:
-    """Reply until the input ends; returns the exit status, 2 after malformed input."""
+    """Process the input until it ends and return the exit status, which is 2 after malformed input."""
     try:
         for reply in Adapter().replies(source):
             sink.write(reply)
