--- a/tests/proxy/__init__.py
+++ b/tests/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the HTTP/1.1 proxy on sockets."""
+"""Tests of the HTTP/1.1 reverse proxy, `heronreel.proxy`."""
--- a/tests/proxy/test_accepting.py
+++ b/tests/proxy/test_accepting.py
@@ -1,4 +1,4 @@
-"""Accepting while the system refuses descriptors, and the last connections before the listener closes."""
+"""Accepting connections while `accept` fails, and pending connections when the listener closes."""
 
 from __future__ import annotations
 
@@ -34,25 +34,26 @@
 )
 
 HEALTH_CHECK = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
-FRESH = 20  # connections while none can be accepted
-MAX_BUSY_SHARE = 0.25  # of a core, while accept fails
+NEW_CONNECTIONS = 20  # opened while none can be accepted
+MAX_CPU_RATIO = 0.25  # of one core while `accept` fails
 FAULT_S = 1.0
-SOCKETS = 160
-MAX_CALLS_PER_S = 200
+MAX_DESCRIPTORS = 160
+MAX_ACCEPT_CALLS_PER_S = 200
 
 
 def limit_descriptors(proxy: ProxyProcess, soft: int) -> None:
-    """Have the process's next descriptors refused (EMFILE), or allowed again."""
+    """Set the soft limit on descriptors of the running process; beyond it, `accept` fails with EMFILE."""
     _, hard = resource.prlimit(proxy.process.pid, resource.RLIMIT_NOFILE)
     resource.prlimit(proxy.process.pid, resource.RLIMIT_NOFILE, (soft, hard))
 
 
 def processor_time_s(proxy: ProxyProcess) -> float:
+    """Return the processor time that the process has used."""
     fields = Path(f"/proc/{proxy.process.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def test_connections_that_cannot_be_accepted_wait_and_are_served_later(tmp_path: Path) -> None:
+def test_connections_wait_while_descriptors_are_exhausted_and_are_served_afterwards(tmp_path: Path) -> None:
     async def scenario() -> None:
         backend = named("b")
         async with proxy_with_backend(tmp_path, backend) as proxy:
@@ -60,24 +61,28 @@
             await kept.open("k1")
             usual, _ = resource.prlimit(proxy.process.pid, resource.RLIMIT_NOFILE)
             limit_descriptors(proxy, 3)
-            waiting = [asyncio.create_task(proxy.send_request(f"w{number}")) for number in range(FRESH)]
+            waiting = [
+                asyncio.create_task(proxy.send_request(f"w{number}")) for number in range(NEW_CONNECTIONS)
+            ]
             assert "error=EMFILE" in await proxy.log_line("accept failed")
-            busy_before_s, began_at = processor_time_s(proxy), time.monotonic()
-            while time.monotonic() < began_at + FAULT_S:  # those that are open are answered meanwhile
-                kept.writer.write(HEALTH_CHECK)  # a backend would need a descriptor too
+            processor_time_before_s, began_at = processor_time_s(proxy), time.monotonic()
+            # Open connections are served meanwhile.  A health check is sent because a request would need a
+            # descriptor for the backend.
+            while time.monotonic() < began_at + FAULT_S:
+                kept.writer.write(HEALTH_CHECK)
                 assert (await read_response(kept.reader))[0] == "200"
                 await asyncio.sleep(FAULT_S / 10)
-            took_s = time.monotonic() - began_at
-            assert processor_time_s(proxy) - busy_before_s < MAX_BUSY_SHARE * took_s
+            elapsed_s = time.monotonic() - began_at
+            assert processor_time_s(proxy) - processor_time_before_s < MAX_CPU_RATIO * elapsed_s
             assert not any(task.done() for task in waiting)
             limit_descriptors(proxy, usual)
-            assert await asyncio.gather(*waiting) == [("200", b"b")] * FRESH
+            assert await asyncio.gather(*waiting) == [("200", b"b")] * NEW_CONNECTIONS
 
     run(scenario())
 
 
 class FailingListener(socket.socket):
-    """A listening socket whose `accept` fails for as long as `error` is set."""
+    """A listening socket whose `accept` fails while `error` is not 0, and counts its calls."""
 
     error = 0
     calls = 0
@@ -90,7 +95,7 @@
 
 
 @pytest.mark.parametrize("name", ["ENFILE", "ENOBUFS", "ENOMEM", "EPROTO", "ECONNABORTED", "ENETUNREACH"])
-def test_while_accept_fails_it_is_tried_at_a_bounded_rate_and_succeeds_afterwards(name: str) -> None:
+def test_failing_accept_is_retried_at_a_limited_rate_and_pending_connections_are_accepted(name: str) -> None:
     async def scenario() -> None:
         accepted = asyncio.Event()
 
@@ -106,13 +111,13 @@
         _, writer = await asyncio.open_connection(*listener.getsockname())
         began_at = time.monotonic()
         await asyncio.sleep(FAULT_S)
-        assert listener.calls <= MAX_CALLS_PER_S * (time.monotonic() - began_at)
+        assert listener.calls <= MAX_ACCEPT_CALLS_PER_S * (time.monotonic() - began_at)
         assert not accepted.is_set()
-        # the listener is about to close: what waits is still accepted once the fault is over
-        last = asyncio.create_task(acceptor.accept_pending(until=math.inf))
+        # Before the listener closes, pending connections are accepted as soon as the fault is over.
+        accepting = asyncio.create_task(acceptor.accept_pending(until=math.inf))
         await asyncio.sleep(0)
         listener.error = 0
-        await last
+        await accepting
         acceptor.close()
         await accepted.wait()
         writer.close()
@@ -120,7 +125,7 @@
     uvloop.run(asyncio.wait_for(scenario(), 60.0))
 
 
-def test_what_waits_for_a_successor_on_a_shared_socket_is_left_to_it(tmp_path: Path) -> None:
+def test_pending_connections_on_a_shared_socket_are_left_to_the_successor(tmp_path: Path) -> None:
     async def scenario() -> None:
         loop, config = asyncio.get_running_loop(), config_of(tmp_path)
         clients = ClientListener(loop, config, Dispatcher(loop, config))
@@ -134,28 +139,28 @@
     uvloop.run(scenario())
 
 
-def test_a_crowd_in_the_backlog_is_accepted_within_the_descriptor_limit(tmp_path: Path) -> None:
-    """It came while the process stood still, and none of it is silent or idle, so that none makes room."""
+def test_many_connections_in_the_backlog_are_accepted_within_the_descriptor_limit(tmp_path: Path) -> None:
+    """They arrive while the process is stopped.  None is silent or idle, so none can be closed."""
 
     async def scenario() -> None:
-        async with proxy_with_backend(tmp_path, named("b"), sockets=SOCKETS) as proxy:
+        async with proxy_with_backend(tmp_path, named("b"), sockets=MAX_DESCRIPTORS) as proxy:
             await stop(proxy)
-            crowd = [await proxy.connect() for _ in range(2 * SOCKETS)]
-            for _, writer in crowd:
+            connections = [await proxy.connect() for _ in range(2 * MAX_DESCRIPTORS)]
+            for _, writer in connections:
                 writer.write(b"POST /save/")
             proxy.signal(signal.SIGCONT)
             highest, ends_at = 0, time.monotonic() + FAULT_S
             while time.monotonic() < ends_at:
                 highest = max(highest, proxy.descriptors())
                 await asyncio.sleep(0)
-            assert SOCKETS / 2 < highest <= SOCKETS
+            assert MAX_DESCRIPTORS / 2 < highest <= MAX_DESCRIPTORS
 
     run(scenario())
 
 
-@pytest.mark.parametrize("count", [1, FRESH])
-def test_connections_in_the_backlog_when_the_listener_closes_are_answered(tmp_path: Path, count: int) -> None:
-    """The process stands still until no more connections are due, and finds these in the kernel's queue."""
+@pytest.mark.parametrize("count", [1, NEW_CONNECTIONS])
+def test_connections_in_the_backlog_of_a_closing_listener_get_responses(tmp_path: Path, count: int) -> None:
+    """The process is stopped past the end of accepting, and then finds these in the kernel's queue."""
 
     async def scenario() -> None:
         async with named("b") as backend, Discovery() as discovery:
@@ -169,7 +174,7 @@
                 opened = [await proxy.connect() for _ in range(count)]
                 for number, (_, writer) in enumerate(opened):
                     writer.write(request(f"w{number}"))
-                await asyncio.sleep(1.0)  # its listener's last moment has passed when it goes on
+                await asyncio.sleep(1.0)  # the listener is due to close when the process continues
                 proxy.signal(signal.SIGCONT)
                 statuses = [(await read_response(reader))[0] for reader, _ in opened]
                 assert statuses == ["503"] * count
--- a/tests/proxy/test_admin_api.py
+++ b/tests/proxy/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The admin API of the real program: cordons, quiescing, stalled callers, and upgrades on one socket."""
+"""The admin API of a running proxy: cordons, quiescing, stalled clients, and upgrades on a shared socket."""
 
 from __future__ import annotations
 
@@ -33,12 +33,13 @@
     running_proxy,
 )
 
-STALLS, STALL_S = 4, 0.7
-STALL_PROOF_MS = 60_000.0
+STALL_COUNT = 4
+STALL_S = 0.7
+LONG_OBJECTIVE_MS = 60_000.0  # a latency objective that a stall does not violate
 
 
 @asynccontextmanager
-async def two_behind(path: Path) -> AsyncIterator[tuple[ProxyProcess, Backend, Backend, Discovery]]:
+async def two_backends(path: Path) -> AsyncIterator[tuple[ProxyProcess, Backend, Backend, Discovery]]:
     async with Backend() as one, Backend() as two:
         known = [entry("b1", one.address), entry("b2", two.address)]
         async with Discovery(*known) as discovery:
@@ -49,14 +50,14 @@
                 yield proxy, one, two, discovery
 
 
-def test_a_cordoned_backend_gets_no_requests_whatever_the_list_says_until_it_is_uncordoned(
+def test_a_cordoned_backend_gets_no_requests_until_it_is_uncordoned_whatever_the_list_says(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
-        async with two_behind(tmp_path) as (proxy, one, two, discovery):
+        async with two_backends(tmp_path) as (proxy, one, two, discovery):
             assert await proxy.call("/admin/cordon", "b1\n") == "200"
-            assert await proxy.call("/admin/cordon", "b1") == "200"  # cordoned twice, uncordoned once
-            # the list goes on: it has the backend again, started anew, draining, gone and back
+            assert await proxy.call("/admin/cordon", "b1") == "200"  # two cordons need only one uncordon
+            # In later lists the backend is restarted, draining, restarted, removed, and present again.
             since = 1.0
             for status in ("active", "leaving", "active", "left", "active"):
                 since += 1.0
@@ -71,22 +72,22 @@
             for path, name in (("cordon", "b3"), ("uncordon", "b3"), ("cordon", ""), ("nothing", "b1")):
                 assert await proxy.call(f"/admin/{path}", name) == "404"
             assert await proxy.call("/admin/cordon", "b1", "GET") == "405"
-            assert await proxy.call("/admin/uncordon", "b1") == "200"  # not cordoned: it is used already
+            assert await proxy.call("/admin/uncordon", "b1") == "200"  # it is not cordoned any more
 
     run(scenario())
 
 
 def test_a_cordon_cancels_an_attempt_that_waits_for_its_connection(tmp_path: Path) -> None:
-    """What was decided before the call and would be written after it is never written."""
+    """An attempt that was decided before the cordon, but not yet written, is never written."""
 
-    class OneBackend:
-        """Decides to send every request to the one backend there is."""
+    class SingleBackendBalancer:
+        """A balancer that sends every request to the only backend."""
 
-        ends: ClassVar[list[api.Event]] = []
+        ended_attempts: ClassVar[list[api.Event]] = []
 
         def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.AttemptEnded):
-                self.ends.append(event)
+                self.ended_attempts.append(event)
                 ended.set()
             return [api.StartAttempt(event.request, number)] if isinstance(event, api.Arrival) else []
 
@@ -105,22 +106,23 @@
                 "LB_LISTEN": "127.0.0.1:0",
                 "LB_CONFIG": str(tmp_path / "config.json"),
             }
-            dispatcher = Dispatcher(asyncio.get_running_loop(), load(environ), OneBackend())
+            dispatcher = Dispatcher(asyncio.get_running_loop(), load(environ), SingleBackendBalancer())
             head = RequestHead(b"GET /read/1 HTTP/1.1\r\nx-request-id: a\r\n", b"a", "read")
-            dispatcher.submit(Client(), head, b"")  # it waits for its connection
+            dispatcher.submit(Client(), head, b"")  # the attempt waits for its connection
             dispatcher.registry.apply_cordons({"b1": Cordon("b1", 1.0)})
             await ended.wait()
-            assert [end.outcome for end in OneBackend.ends if isinstance(end, api.AttemptEnded)] == [
+            attempts = SingleBackendBalancer.ended_attempts
+            assert [end.outcome for end in attempts if isinstance(end, api.AttemptEnded)] == [
                 api.Outcome.NOT_SENT
             ]
-            assert not one.seen and not dispatcher.pool.idle  # nor is its connection kept
+            assert not one.seen and not dispatcher.pool.idle  # the connection is not kept either
 
     run(scenario())
 
 
-def test_stalled_admin_callers_delay_nobody(tmp_path: Path) -> None:
+def test_stalled_admin_clients_do_not_delay_others(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with two_behind(tmp_path) as (proxy, _one, _two, _):
+        async with two_backends(tmp_path) as (proxy, _one, _two, _):
             stalled = []
             for call in (b"", b"GET /adm", b"POST /admin/cordon HTTP/1.1\r\nContent-Length: 9\r\n\r\nb") * 10:
                 reader, writer = await asyncio.open_connection("127.0.0.1", proxy.admin_port)
@@ -137,11 +139,11 @@
     run(scenario())
 
 
-def test_a_quiesced_proxy_fails_health_checks_serves_what_comes_closes_connections_and_resumes(
+def test_a_quiesced_proxy_fails_health_checks_serves_requests_closes_connections_and_can_resume(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
-        async with two_behind(tmp_path) as (proxy, _one, _two, _):
+        async with two_backends(tmp_path) as (proxy, _one, _two, _):
             health = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
             idle, used, silent = [await proxy.connect() for _ in range(3)]
             for number, (reader, writer) in enumerate((idle, used)):
@@ -151,15 +153,16 @@
             reader, writer = await proxy.connect()
             writer.write(health)
             assert (await read_response(reader))[0] == "503"
-            assert await proxy.health() == "200"  # the process is well
+            assert await proxy.health() == "200"  # the admin health check still succeeds
             used[1].write(request("e9"))
             head = await used[0].readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 200") and b"Connection: close" in head
-            assert await idle[0].read() == b"" and await silent[0].read() == b""  # both are closed
-            assert (await proxy.send_request("late"))[0] == "200"  # the front may not have noticed yet
+            assert await idle[0].read() == b"" and await silent[0].read() == b""  # the proxy closes both
+            # The upstream load balancer may not have seen the failed health check yet.
+            assert (await proxy.send_request("late"))[0] == "200"
             assert await proxy.call("/admin/resume") == "200"
             reader, writer = await proxy.connect()
-            for _ in range(2):  # and the connection is kept
+            for _ in range(2):  # the connection is kept open
                 writer.write(health)
                 assert (await read_response(reader))[0] == "200"
 
@@ -167,16 +170,16 @@
 
 
 class SteadyClient:
-    """Asks without a pause, on a connection that it keeps as long as it may."""
+    """Sends requests without a pause, on a connection that it keeps until the proxy closes it."""
 
     def __init__(self, proxy: ProxyProcess, name: str) -> None:
         self.proxy, self.name = proxy, name
         self.sent = 0
         self.statuses: list[str] = []
 
-    async def run(self, done: asyncio.Event) -> None:
+    async def run(self, stop: asyncio.Event) -> None:
         reader, writer = await self.proxy.connect()
-        while not done.is_set():
+        while not stop.is_set():
             self.sent += 1
             ident = f"{self.name}-{self.sent}"
             sent_at = time.monotonic()
@@ -196,33 +199,37 @@
 
 
 def content_length(head: bytes) -> bytes:
-    """The value of a head's Content-Length."""
+    """Return the value of a head's Content-Length field."""
     return head.lower().split(b"content-length:")[1].split()[0]
 
 
 async def stall_clients_and_backends() -> None:
-    """Stand still a few times, as on a busy machine: what comes at once then opens further connections, and
-    while two processes share the limit there are more of them than one may have.
+    """Block the event loop of the clients and backends a few times, as on a busy machine.
+
+    The requests that then arrive together make the proxies open further connections to backends.  While two
+    processes share the limit, these are more than one of them may have.
     """
-    for _ in range(STALLS):
+    for _ in range(STALL_COUNT):
         await asyncio.sleep(0.2)
         time.sleep(STALL_S)
 
 
 def without_load_shedding(config: dict[str, Any]) -> dict[str, Any]:
-    """The same with a latency objective of a minute: a stall of this machine, which holds up clients and
-    backends alike, looks like queueing, and requests behind it would be rejected with 503.
+    """Return the configuration with a latency objective of a minute.
+
+    A stall of this machine affects clients and backends alike and looks like queueing to the balancer, which
+    would reject the requests that follow with 503.
     """
-    classes = [each | {"OnTimeMs": STALL_PROOF_MS} for each in config["settings"]["Categories"]]
+    classes = [category | {"OnTimeMs": LONG_OBJECTIVE_MS} for category in config["settings"]["Categories"]]
     return config | {"settings": config["settings"] | {"Categories": classes}}
 
 
-async def until_all_are_served(
+async def wait_for_responses(
     clients: list[SteadyClient], tasks: list[asyncio.Task[None]], count: int
 ) -> None:
-    """Until all together have so many more responses, and none of them has failed."""
-    served = sum(len(client.statuses) for client in clients) + count
-    while sum(len(client.statuses) for client in clients) < served:
+    """Wait until all clients together have `count` more responses; a failed client raises its error."""
+    target = sum(len(client.statuses) for client in clients) + count
+    while sum(len(client.statuses) for client in clients) < target:
         await asyncio.sleep(0.01)
         for task in tasks:
             if task.done():
@@ -230,7 +237,7 @@
 
 
 def test_an_upgrade_loses_no_request_and_keeps_the_cordons(tmp_path: Path) -> None:
-    """Clients ask without a pause while a second process takes the socket over and the first one goes."""
+    """Clients send requests without a pause while a second process takes over the socket of the first."""
 
     async def scenario() -> None:
         async with Backend() as one, Backend() as two, Backend() as three:
@@ -243,26 +250,26 @@
                     async with running_proxy(tmp_path, config, True, shared) as old:
                         await discovery.watched.wait()
                         assert await old.call("/admin/cordon", "b1") == "200"
-                        done = asyncio.Event()
+                        stop = asyncio.Event()
                         clients = [SteadyClient(old, str(number)) for number in range(6)]
-                        tasks = [asyncio.create_task(client.run(done)) for client in clients]
+                        tasks = [asyncio.create_task(client.run(stop)) for client in clients]
                         async with running_proxy(tmp_path, config, True, shared) as new:
                             while await new.health() != "200":
                                 await asyncio.sleep(0.01)
                             await stall_clients_and_backends()
                             assert await new.call("/admin/cordon", "b2") == "200"  # while both serve
                             await old.log_line("cordoned b2")
-                            # what was under way then may still be read by its backend
-                            under_way = {client.name: client.sent for client in clients}
+                            # Requests in flight at that time may still be read by their backend.
+                            last_sent = {client.name: client.sent for client in clients}
                             old.signal(signal.SIGTERM)
                             assert await old.process.wait() == 0
-                            await until_all_are_served(clients, tasks, 200)
-                            done.set()
+                            await wait_for_responses(clients, tasks, 200)
+                            stop.set()
                             await asyncio.gather(*tasks)
                             assert not one.seen and three.seen
                             for ident in two.seen:
                                 name, count = ident.split("-")
-                                assert int(count) <= under_way[name], (ident, under_way)
+                                assert int(count) <= last_sent[name], (ident, last_sent)
                             assert await new.call("/admin/uncordon", "b1") == "200"
                             for number in range(40):
                                 assert (await new.send_request(f"n{number}", "read"))[0] == "200"
@@ -272,7 +279,7 @@
 
 
 def test_a_request_in_flight_at_the_end_of_a_drain_gets_504(tmp_path: Path) -> None:
-    """The backend says nothing; the deadline is longer than the time before SIGKILL."""
+    """The backend does not respond, and the deadline is later than SIGKILL."""
 
     async def scenario() -> None:
         mute = Backend(lambda head, body: None)
@@ -286,13 +293,13 @@
     run(scenario())
 
 
-NO_TIME = b'{"name": "b1", "since_ms": "x", "released_ms": 0}'
+MALFORMED_TIME = b'{"name": "b1", "since_ms": "x", "released_ms": 0}'
 
 
-@pytest.mark.parametrize("odd", [b"", b"{", b'{"name": 1}', b"[]", NO_TIME])
-def test_a_malformed_file_in_the_shared_folder_is_no_cordon(tmp_path: Path, odd: bytes) -> None:
+@pytest.mark.parametrize("malformed", [b"", b"{", b'{"name": 1}', b"[]", MALFORMED_TIME])
+def test_a_malformed_file_in_the_shared_folder_is_ignored(tmp_path: Path, malformed: bytes) -> None:
     shared = SharedState(tmp_path / "s")
-    (tmp_path / "s" / "hold-odd").write_bytes(odd)
+    (tmp_path / "s" / "hold-odd").write_bytes(malformed)
     (tmp_path / "s" / "process-99999999").write_text("")
     shared.put(Cordon("b2", 5.0))
     assert shared.read() == ({"b2": Cordon("b2", 5.0)}, False)
@@ -305,7 +312,7 @@
 
 
 def test_two_processes_of_one_proxy_share_its_descriptor_limit(tmp_path: Path) -> None:
-    """A crowd meets the successor while the predecessor still holds its own."""
+    """Many clients connect to both processes while the predecessor still has connections."""
 
     async def scenario() -> None:
         async with Backend() as one:
@@ -321,13 +328,13 @@
                     ):
                         while await new.health() != "200":
                             await asyncio.sleep(0.01)
-                        highest, crowd = 0, []
+                        highest, connections = 0, []
                         for _ in range(300):
                             _, writer = await old.connect()
-                            crowd.append(writer)
-                            writer.write(b"POST /save/")  # half a head: not silent
+                            connections.append(writer)
+                            writer.write(b"POST /save/")  # an incomplete head: the connection is not silent
                             highest = max(highest, old.descriptors() + new.descriptors())
-                        # the crowd goes again after 2.6 s; until then what is open is at its highest
+                        # The connections time out after 2.6 s; until then, their number is at its highest.
                         for _ in range(100):
                             highest = max(highest, old.descriptors() + new.descriptors())
                             await asyncio.sleep(0.01)
--- a/tests/proxy/test_hand_over_crossings.py
+++ b/tests/proxy/test_hand_over_crossings.py
@@ -1,7 +1,7 @@
-"""Hand-overs between two processes on one socket that cross with requests.
+"""Races between requests and the hand-over from one process to another on a shared socket.
 
-An order is made, not waited for: by a stand-in that holds its answer, by a configuration file whose content
-is held (a named pipe), or by a process that is stopped and continued.  Nothing is drawn at random.
+The tests force the order of events and draw nothing at random: a stub holds back its response, a named pipe
+holds back the content of a configuration file, or a process is stopped and continued.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 def test_a_predecessor_serves_the_backlog_until_its_successor_has_its_list(tmp_path: Path) -> None:
-    """The successor's file names a backend that is on nobody's list; nothing may be sent there."""
+    """The successor's file has a backend that is on no list; no request may be sent there."""
 
     async def scenario() -> None:
         async with (
@@ -89,9 +89,10 @@
 
 @dataclass
 class HandOver:
-    """Two processes on one socket, and the requests that the predecessor has taken.
+    """Two processes on one socket, and the requests in flight at the predecessor.
 
-    Its backend answers h1 and h2 once it is stopped, ends the connection of hp and never answers h3.
+    After the predecessor is stopped, the backend responds to h1 and h2 and closes the connection of hp.  It
+    never responds to h3.
     """
 
     old: ProxyProcess
@@ -101,7 +102,7 @@
     held: list[asyncio.Task[tuple[str, bytes]]]
 
     async def stop_in_the_drain(self) -> None:
-        """The predecessor drains and is stopped; answers and another request wait in the kernel."""
+        """Stop the predecessor while it drains; responses and another request then wait in the kernel."""
         self.old.signal(signal.SIGTERM)
         await until_health(self.old, "503")
         await stop(self.old)
@@ -110,18 +111,18 @@
         await self.kept.send("k2")
 
     async def statuses(self) -> list[str]:
-        """What the clients got for h1, h2, h3, hp and k2."""
-        found = [status for status, _ in await asyncio.gather(*self.held)]
+        """Return the statuses that the clients got for h1, h2, h3, hp and k2."""
+        statuses = [status for status, _ in await asyncio.gather(*self.held)]
         last = (await read_response(self.kept.reader))[0]
         if last != "closed":
             assert await self.kept.reader.read() == b""
-        return [*found, last]
+        return [*statuses, last]
 
 
 @asynccontextmanager
 async def hand_over(path: Path, short_limit: bool) -> AsyncIterator[HandOver]:
     async with named("b") as backend, Discovery() as discovery:
-        # two backends as far as the proxy knows, so that there is another one for a retry of `pay`
+        # The proxy takes one backend for two, so that there is another one for a retry of `pay`.
         discovery.entries = [entry("b1", backend.address), entry("b2", backend.address, group=1)]
         config = with_unsafe_class(configuration(discovery.address, *discovery.entries))
         config = with_short_limit(config) if short_limit else config
@@ -138,23 +139,23 @@
                     yield HandOver(old, new, backend, kept, held)
 
 
-@pytest.mark.parametrize("continued", ["while it drains", "after its end"])
-def test_a_predecessor_that_is_stopped_in_its_drain_ends_what_it_had_taken(
+@pytest.mark.parametrize("continued", ["during the drain", "after the end of the drain"])
+def test_a_predecessor_stopped_during_its_drain_still_completes_its_requests(
     tmp_path: Path, continued: str
 ) -> None:
     async def scenario() -> None:
-        in_time = continued == "while it drains"
+        in_time = continued == "during the drain"
         async with hand_over(tmp_path, short_limit=not in_time) as processes:
             old, backend = processes.old, processes.backend
             await processes.stop_in_the_drain()
             meanwhile = await send_all(processes.new, *crowd("r"))
             assert meanwhile == [("200", b"b")] * CROWD
             if not in_time:
-                await asyncio.sleep(AFTER_HANDOVER_S)  # its clock runs past the drain's end
+                await asyncio.sleep(AFTER_HANDOVER_S)  # the end of the drain passes while it is stopped
             old.signal(signal.SIGCONT)
             assert await ended(old, SIGKILL_AFTER_S if in_time else END_LIMIT_S) == 0
             statuses = await processes.statuses()
-            # k2 may be rejected: the balancer takes the long times of h1 and h2 for a queue
+            # k2 may be rejected: the balancer takes the long latencies of h1 and h2 for queueing.
             assert not in_time or statuses[:-1] == ["200", "200", "504", "502"], statuses
             assert not in_time or statuses[-1] in {"200", "503"}, statuses
             assert set(statuses) <= {"200", "502", "503", "504", "closed"}, statuses
--- a/tests/proxy/test_logs.py
+++ b/tests/proxy/test_logs.py
@@ -1,4 +1,4 @@
-"""The proxy's log: its limit of lines a second, and the lines that pass it."""
+"""The proxy's log: its rate limit, and the lines that are exempt from it."""
 
 from __future__ import annotations
 
@@ -19,21 +19,23 @@
 from tests.support.loopback import Backend, configuration, entry, run
 
 NO_DISCOVERY = "127.0.0.1:9"  # nobody listens there
-STORM_LINES = 50
+BURST_LINES = 50
 
 
-def test_a_storm_of_lines_is_dropped_and_what_an_operator_waits_for_is_not() -> None:
-    limit = RateLimitFilter()
-    usual = [limit.filter(logging.makeLogRecord({"msg": "discovery: late"})) for _ in range(STORM_LINES)]
-    # the storm may lie across the end of a second
-    assert MAX_LINES_PER_S <= sum(usual) <= 2 * MAX_LINES_PER_S
-    assert limit.filter(logging.makeLogRecord({"msg": "listening on 127.0.0.1:1", **NOT_RATE_LIMITED}))
+def test_a_burst_of_lines_is_dropped_but_exempt_lines_pass() -> None:
+    rate_limit = RateLimitFilter()
+    passed = [
+        rate_limit.filter(logging.makeLogRecord({"msg": "discovery: late"})) for _ in range(BURST_LINES)
+    ]
+    # The burst may extend over the end of a second.
+    assert MAX_LINES_PER_S <= sum(passed) <= 2 * MAX_LINES_PER_S
+    assert rate_limit.filter(logging.makeLogRecord({"msg": "listening on 127.0.0.1:1", **NOT_RATE_LIMITED}))
 
 
-def test_the_limit_never_drops_where_a_proxy_listens(
+def test_the_line_with_the_listening_address_is_never_dropped(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Its calls to an agent that is down fail ten times a second, and each is a line."""
+    """Calls to an agent that is down fail ten times a second, and each failure logs a line."""
 
     async def scenario() -> None:
         async with Backend() as backend:
@@ -41,7 +43,7 @@
             config["settings"] = config["settings"] | {"Discovery": "push"}
             file = tmp_path / "config.json"
             file.write_text(json.dumps(config))
-            monkeypatch.setattr(gc, "freeze", lambda: None)  # this process lives on
+            monkeypatch.setattr(gc, "freeze", lambda: None)  # the test process continues
             environ = {"LB_NAME": "n0", "LB_LISTEN": "127.0.0.1:0", "LB_CONFIG": str(file)}
             serving = asyncio.create_task(serve(load(environ)))
             while not (lines := [record for record in caplog.records if "listening on" in record.msg]):
@@ -49,9 +51,9 @@
                 await asyncio.sleep(0.01)
             os.kill(os.getpid(), signal.SIGTERM)
             await serving
-            limit = RateLimitFilter()
-            limit.limiter.count, limit.limiter.second = MAX_LINES_PER_S, int(time.monotonic())
-            assert all(limit.filter(line) for line in lines)
+            rate_limit = RateLimitFilter()
+            rate_limit.limiter.count, rate_limit.limiter.second = MAX_LINES_PER_S, int(time.monotonic())
+            assert all(rate_limit.filter(line) for line in lines)
 
     with caplog.at_level(logging.INFO):
         run(scenario())
--- a/tests/proxy/test_pipelining.py
+++ b/tests/proxy/test_pipelining.py
@@ -1,4 +1,4 @@
-"""More pipelined requests than are kept, and pipelined ones at a shutdown: each that was read is answered."""
+"""Pipelined requests beyond the limit and during a shutdown: each that was read gets a response."""
 
 from __future__ import annotations
 
@@ -26,12 +26,13 @@
     running_proxy,
 )
 
-KEPT = 9  # one under way, and eight behind it
+KEPT = 9  # one request in flight, and eight that wait behind it
 BATCH = 30
-AFTER_ADMISSION_S = 1.0  # more than a shutdown admits requests where a class's longest time is short
+# Longer than a shutdown admits requests if the longest deadline of each class is short.
+AFTER_ADMISSION_S = 1.0
 
 
-def test_pipelined_requests_beyond_those_kept_are_refused_in_order_on_a_connection_that_stays(
+def test_pipelined_requests_beyond_the_limit_are_refused_in_order_and_the_connection_stays_open(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
@@ -50,7 +51,7 @@
     run(scenario())
 
 
-def test_each_of_a_batch_that_is_read_in_a_shutdown_is_answered_and_the_last_ends_the_connection(
+def test_pipelined_requests_during_a_shutdown_get_responses_and_the_last_closes_the_connection(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
@@ -63,9 +64,9 @@
                 proxy.signal(signal.SIGTERM)
                 await until_health(proxy, "503")
                 for number, (reader, writer) in enumerate(connections):
-                    if number:  # the second batch is read when nothing is admitted any more
+                    if number:  # the second batch is read after admission has ended
                         await stop(proxy)
-                    writer.write(b"".join(request(f"r{number}-{place}") for place in range(KEPT)))
+                    writer.write(b"".join(request(f"r{number}-{index}") for index in range(KEPT)))
                     if number:
                         await asyncio.sleep(AFTER_ADMISSION_S)
                         proxy.signal(signal.SIGCONT)
--- a/tests/proxy/test_race_conditions.py
+++ b/tests/proxy/test_race_conditions.py
@@ -1,7 +1,7 @@
-"""Two events that cross on one connection, each time in the order that hurts.
+"""Races between two events on one connection, in the order that could cause a failure.
 
-An order is made, not waited for: by what a backend has read, by a full kernel buffer, or by the program
-stopped and continued, which then finds all that came meanwhile at once, its timers first.
+The tests force the order: they wait for what a backend has read, fill a buffer of the kernel, or stop and
+continue the program, which then finds everything that arrived meanwhile at once and runs its timers first.
 """
 
 import asyncio
@@ -38,11 +38,12 @@
     running_proxy,
 )
 
-LONG = b"x" * (500 << 10)  # buffered by the proxy, and more than a backend's kernel takes unread
+# Small enough for the proxy to buffer, and larger than the kernel's receive buffer at the backend.
+LONG_BODY = b"x" * (500 << 10)
 
 
-async def serves(proxy: ProxyProcess) -> bool:
-    """What its health check says."""
+async def is_serving(proxy: ProxyProcess) -> bool:
+    """Return whether the proxy's health check succeeds."""
     reader, writer = await proxy.connect()
     writer.write(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
     status, _ = await read_response(reader)
@@ -50,14 +51,15 @@
     return status == "200"
 
 
-async def stopped(proxy: ProxyProcess) -> None:
+async def stop_process(proxy: ProxyProcess) -> None:
+    """Stop the process, and wait until it is stopped."""
     proxy.signal(signal.SIGSTOP)
     while "T (stopped)" not in Path(f"/proc/{proxy.process.pid}/status").read_text():
         await asyncio.sleep(0.001)
 
 
-async def rest_connections(proxy: ProxyProcess, backend: Backend) -> None:
-    """Three connections to the backend rest, so that further attempts are written at once."""
+async def open_idle_connections(proxy: ProxyProcess, backend: Backend) -> None:
+    """Leave three idle connections to the backend, so that further attempts are written at once."""
     backend.seen.clear()
     pending = [asyncio.create_task(proxy.send_request(f"w{number}")) for number in range(3)]
     while len(backend.seen) < 3:
@@ -66,40 +68,39 @@
         carrier.write(ok(b"done"))
     await asyncio.gather(*pending)
     backend.seen.clear()
-    await asyncio.sleep(0.02)  # each is left alone for some milliseconds after its response
+    await asyncio.sleep(0.02)  # a connection is not reused within some milliseconds after a response
 
 
 async def disconnect(writer: asyncio.StreamWriter, how: str) -> None:
-    if how == "ends its sending":
+    """Close a connection, reset it or shut down its sending side."""
+    if how == "shuts down sending":
         writer.write_eof()
         return
     if how == "closes":
         writer.close()
     else:
-        option = struct.pack("ii", 1, 0)  # on, and no time to linger: a reset
+        option = struct.pack("ii", 1, 0)  # lingering for 0 s: the close resets the connection
         writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, option)
         writer.transport.abort()
     await writer.wait_closed()
 
 
-LEAVING = pytest.mark.parametrize("how", ["closes", "resets", "ends its sending"])
+DISCONNECTS = pytest.mark.parametrize("how", ["closes", "resets", "shuts down sending"])
 
 
-@LEAVING
+@DISCONNECTS
 def test_a_pipelined_request_is_not_sent_once_its_client_has_disconnected(tmp_path: Path, how: str) -> None:
     async def scenario() -> None:
         backend = Backend(lambda head, body: None if head["x-request-id"][0] in "aw" else ok(b"done"))
         async with proxy_with_backend(tmp_path, backend) as proxy:
-            await rest_connections(proxy, backend)
+            await open_idle_connections(proxy, backend)
             _, writer = await proxy.connect()
             writer.write(request("a1") + request("a2"))
             while backend.seen != ["a1"]:
                 await asyncio.sleep(0.001)
             await disconnect(writer, how)
-            assert await proxy.send_request("b1") == (
-                "200",
-                b"done",
-            )  # what the kernel knew of has had its turn
+            # After this response, the proxy has processed all that the kernel had received before.
+            assert await proxy.send_request("b1") == ("200", b"done")
             backend.carriers["a1"].write(ok(b"done"))
             assert await proxy.send_request("b2") == ("200", b"done")
             assert backend.seen == ["a1", "b1", "b2"]
@@ -107,23 +108,23 @@
     run(scenario())
 
 
-@LEAVING
+@DISCONNECTS
 def test_a_request_that_is_read_after_its_client_has_disconnected_is_not_sent(
     tmp_path: Path, how: str
 ) -> None:
     async def scenario() -> None:
         backend = Backend(lambda head, body: None if head["x-request-id"][0] == "w" else ok(b"done"))
         async with proxy_with_backend(tmp_path, backend) as proxy:
-            resting = await proxy.connect()
-            resting[1].write(request("a1"))
-            assert await read_response(resting[0]) == ("200", b"done")
-            await rest_connections(proxy, backend)
-            await stopped(proxy)
-            resting[1].write(request("a2"))
+            idle = await proxy.connect()
+            idle[1].write(request("a1"))
+            assert await read_response(idle[0]) == ("200", b"done")
+            await open_idle_connections(proxy, backend)
+            await stop_process(proxy)
+            idle[1].write(request("a2"))
             _, fresh = await proxy.connect()
             fresh.write(request("a3"))
-            await asyncio.gather(resting[1].drain(), fresh.drain())
-            await disconnect(resting[1], how)
+            await asyncio.gather(idle[1].drain(), fresh.drain())
+            await disconnect(idle[1], how)
             await disconnect(fresh, how)
             proxy.signal(signal.SIGCONT)
             assert await proxy.send_request("b1") == ("200", b"done")
@@ -133,7 +134,7 @@
 
 
 class LateBackend:
-    """A backend whose connections come up only once `go` is set."""
+    """A backend that accepts connections only once `go` is set, and records what it receives."""
 
     def __init__(self, address: str) -> None:
         self.address, self.go, self.received = address, asyncio.Event(), list[bytes]()
@@ -154,7 +155,7 @@
 
 @asynccontextmanager
 async def late_backend() -> AsyncIterator[LateBackend]:
-    """Until `go` is set, the kernel's table of its connections is full and drops new ones."""
+    """Until `go` is set, the backlog of its listener is full and the kernel drops new connections."""
     with socket.socket() as listener, socket.socket() as filler:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
@@ -166,22 +167,22 @@
             yield late
         finally:
             task.cancel()
-            for each in late.tasks:
-                each.cancel()
+            for answering in late.tasks:
+                answering.cancel()
 
 
-def with_timeouts(made: dict[str, Any], connect_ms: float, **klass: float) -> dict[str, Any]:
-    """That configuration with another time for connections, and other figures of its classes."""
+def with_timeouts(config: dict[str, Any], connect_ms: float, **class_fields: float) -> dict[str, Any]:
+    """Return the configuration with another connect timeout, and other values for its classes."""
     limits = SETTINGS["Limits"] | {"ConnectTimeoutMs": connect_ms}
-    classes = [usual | klass for usual in SETTINGS["Categories"]]
-    return made | {"settings": SETTINGS | {"Limits": limits, "Categories": classes}}
+    classes = [category | class_fields for category in SETTINGS["Categories"]]
+    return config | {"settings": SETTINGS | {"Limits": limits, "Categories": classes}}
 
 
-@LEAVING
-def test_an_attempt_whose_connection_comes_up_late_is_not_sent_once_its_client_has_disconnected(
+@DISCONNECTS
+def test_an_attempt_whose_connection_opens_late_is_not_sent_once_its_client_has_disconnected(
     tmp_path: Path, how: str
 ) -> None:
-    """The client has another request behind it, so that the proxy does not read what it does."""
+    """The client has pipelined another request, so the proxy does not read from its connection."""
 
     async def scenario() -> None:
         async with late_backend() as backend, Discovery(entry("b1", backend.address)) as discovery:
@@ -195,17 +196,17 @@
                 await disconnect(writer, how)
                 backend.go.set()
                 assert await proxy.send_request("b1") == ("200", b"done")
-                while len(backend.tasks) < 3:  # the filler's, and those for the two requests
+                while len(backend.tasks) < 3:  # one connection fills the backlog, two are for the requests
                     await asyncio.sleep(0.005)
-                for ident in ("b2", "b3"):  # on both of them
+                for ident in ("b2", "b3"):  # on both connections
                     assert await proxy.send_request(ident) == ("200", b"done")
                 assert not any(b"a1" in data or b"a2" in data for data in backend.received)
 
     run(scenario())
 
 
-def test_an_attempt_whose_connection_comes_up_after_the_end_of_the_list_is_not_sent(tmp_path: Path) -> None:
-    """The watch ended, its service is full, and meanwhile a change may have counted as notified."""
+def test_an_attempt_whose_connection_opens_after_the_list_has_expired_is_not_sent(tmp_path: Path) -> None:
+    """The watch has ended and its service is overloaded; a change may meanwhile count as notified."""
 
     async def scenario() -> None:
         async with late_backend() as backend:
@@ -214,7 +215,7 @@
             config = with_timeouts(configuration(address, entry("b1", backend.address)), 20_000.0)
             async with running_proxy(tmp_path, config) as proxy:
                 await proxy.log_line("list call answered")
-                service.call_s = 10.0  # no call has a turn
+                service.call_s = 10.0  # no call is answered in time
                 service.end_watches()
                 reader, writer = await proxy.connect()
                 writer.write(request("a1"))
@@ -230,7 +231,7 @@
                 assert "a2" in await proxy.log_line("the endpoint list is too old")
                 backend.go.set()
                 assert (await read_response(reader))[0] == status == "503"
-                assert len(backend.tasks) == 2  # the filler's, and the one for the request
+                assert len(backend.tasks) == 2  # one connection fills the backlog, one is for the request
                 assert not any(b"a1" in data for data in backend.received)
             service.stop()
 
@@ -238,15 +239,15 @@
 
 
 class PausingBackend(Listener):
-    """Reads heads and, until `go` is set, no more; `complete` once a request's last byte came."""
+    """Reads only heads until `go` is set; sets `complete` when a request's last byte has arrived."""
 
     def __init__(self) -> None:
         super().__init__(self._pause, narrow=True)
-        self.begun, self.go, self.done, self.complete = (asyncio.Event() for _ in range(4))
+        self.head_read, self.go, self.done, self.complete = (asyncio.Event() for _ in range(4))
 
     async def _pause(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = await read_head(reader)
-        self.begun.set()
+        self.head_read.set()
         await self.go.wait()
         try:
             await reader.readexactly(int(head["content-length"]))
@@ -256,18 +257,18 @@
             self.done.set()
 
 
-@LEAVING
-def test_a_partly_written_request_never_begins_once_its_client_has_disconnected(
+@DISCONNECTS
+def test_a_partly_written_request_is_not_completed_once_its_client_has_disconnected(
     tmp_path: Path, how: str
 ) -> None:
     async def scenario() -> None:
         backend = PausingBackend()
         async with proxy_with_backend(tmp_path, backend) as proxy:
             _, writer = await proxy.connect()
-            writer.write(request("a1", body=LONG))
-            await backend.begun.wait()
+            writer.write(request("a1", body=LONG_BODY))
+            await backend.head_read.wait()
             await disconnect(writer, how)
-            await proxy.send_request("b1", "none")  # the proxy has read the end by now
+            await proxy.send_request("b1", "none")  # by now the proxy has read the disconnect
             backend.go.set()
             await backend.done.wait()
             assert not backend.complete.is_set()
@@ -275,7 +276,7 @@
     run(scenario())
 
 
-def test_a_retry_whose_last_byte_would_come_after_its_window_never_begins(tmp_path: Path) -> None:
+def test_a_retry_whose_last_byte_would_miss_the_repeat_window_is_not_completed(tmp_path: Path) -> None:
     async def scenario() -> None:
         first, second = (
             Backend(lambda head, body: b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"),
@@ -286,16 +287,16 @@
             async with Discovery(*known) as discovery:
                 config = with_timeouts(configuration(discovery.address, *known), 50.0, RepeatWindowMs=500.0)
                 async with running_proxy(tmp_path, config) as proxy:
-                    for number in range(40):  # until one begins at the first of the two
+                    for number in range(40):  # until a request is sent to the first backend before the second
                         reader, writer = await proxy.connect()
-                        writer.write(request(f"a{number}", body=LONG))
-                        await second.begun.wait()
+                        writer.write(request(f"a{number}", body=LONG_BODY))
+                        await second.head_read.wait()
                         if first.seen:
                             break
                         writer.transport.abort()
-                        second.begun.clear()
+                        second.head_read.clear()
                     assert first.seen
-                    assert (await read_response(reader))[0] == "502"  # long before its deadline
+                    assert (await read_response(reader))[0] == "502"  # long before the request's deadline
                     second.go.set()
                     await second.done.wait()
                     assert not second.complete.is_set()
@@ -303,8 +304,8 @@
     run(scenario())
 
 
-def test_a_request_on_an_idle_connection_in_the_instant_of_its_close_is_served(tmp_path: Path) -> None:
-    """After SIGTERM; the program stands still past the moment at which resting connections are closed."""
+def test_a_request_that_arrives_when_its_idle_connection_is_due_to_close_is_served(tmp_path: Path) -> None:
+    """After SIGTERM, the program is stopped past the time at which idle connections are closed."""
 
     async def scenario() -> None:
         async with proxy_with_backend(tmp_path, Backend()) as proxy:
@@ -312,11 +313,11 @@
             writer.write(request("a1"))
             assert await read_response(reader) == ("200", b"a1")
             proxy.signal(signal.SIGTERM)
-            while await serves(proxy):
+            while await is_serving(proxy):
                 pass
-            await stopped(proxy)
+            await stop_process(proxy)
             writer.write(request("a2"))
-            await asyncio.sleep(2.0)  # more than new connections are waited for
+            await asyncio.sleep(2.0)  # longer than new connections are accepted
             proxy.signal(signal.SIGCONT)
             assert await read_response(reader) == ("200", b"a2")
             assert await reader.read() == b""
@@ -326,7 +327,7 @@
 
 
 class DownDiscovery(Discovery):
-    """A list service that ends each call at once until it is back."""
+    """A list service that resets each call at once until `back` is set."""
 
     def __init__(self, *entries: dict[str, Any]) -> None:
         super().__init__(*entries)
@@ -339,10 +340,10 @@
             writer.transport.abort()
 
 
-def test_a_request_that_crosses_the_end_of_an_idle_connection_is_dropped_and_resets_nothing(
+def test_a_request_that_crosses_the_close_of_an_idle_connection_is_dropped_without_a_reset(
     tmp_path: Path,
 ) -> None:
-    """The proxy has ended its side; what comes then is read, so that no reset follows."""
+    """The proxy has shut down its side and still reads what arrives, so that no reset follows."""
 
     async def scenario() -> None:
         backend = Backend()
@@ -359,7 +360,7 @@
     run(scenario())
 
 
-def test_what_follows_a_last_request_is_read_and_dropped_behind_its_response(tmp_path: Path) -> None:
+def test_input_after_the_last_request_of_a_connection_is_read_and_dropped(tmp_path: Path) -> None:
     async def scenario() -> None:
         backend = named("b")
         async with proxy_with_backend(tmp_path, backend) as proxy:
@@ -368,7 +369,7 @@
             await until_seen(backend, "h1")
             writer.write(request("r2"))
             await writer.drain()
-            await asyncio.sleep(0.05)  # read as far as it is read, which is not needed
+            await asyncio.sleep(0.05)  # the proxy may or may not read it
             writer.write(request("r3"))
             answer_held(backend, "h1")
             assert await read_response(reader) == ("200", b"held")
@@ -378,10 +379,10 @@
     run(scenario())
 
 
-def test_idle_clients_that_fill_the_descriptors_prevent_no_call_to_discovery(
+def test_calls_to_discovery_succeed_while_idle_clients_use_up_the_descriptors(
     tmp_path: Path,
 ) -> None:
-    """The kernel holds the program to its limit, as the platform does; more come than it may ever hold."""
+    """The kernel enforces the program's limit, as on the platform; more clients connect than it allows."""
 
     async def scenario() -> None:
         async with Backend() as old, Backend() as new, DownDiscovery(entry("b1", old.address)) as discovery:
@@ -390,7 +391,7 @@
                 resource.prlimit(proxy.process.pid, resource.RLIMIT_NOFILE, (128, 128))
                 idle = [await proxy.connect() for _ in range(400)]
                 assert await proxy.send_request("a1") == ("200", b"a1")
-                await stopped(proxy)  # so that all the others come in the same instant
+                await stop_process(proxy)  # so that all the others arrive at once
                 idle += [await proxy.connect() for _ in range(400)]
                 proxy.signal(signal.SIGCONT)
                 discovery.entries = [entry("b2", new.address)]
@@ -405,27 +406,27 @@
     run(scenario())
 
 
-def test_nine_in_ten_of_many_processes_restarted_at_once_are_ready_in_time_on_a_busy_machine(
+def test_nine_in_ten_processes_restarted_at_once_on_a_busy_machine_are_ready_in_time(
     tmp_path: Path,
 ) -> None:
-    """While discovery is down, so that none of them hears from it.  10 s are the operators' figure."""
+    """Discovery is down, so that none of them gets a list from it.  The operators require 10 s."""
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         async with Backend() as backend, DownDiscovery() as discovery:
             config = configuration(discovery.address, entry("b1", backend.address))
-            spin = [sys.executable, "-c", "while True: pass"]
-            busy = [await asyncio.create_subprocess_exec(*spin) for _ in range(os.cpu_count() or 1)]
-            took = list[float]()
+            busy_loop = [sys.executable, "-c", "while True: pass"]
+            busy = [await asyncio.create_subprocess_exec(*busy_loop) for _ in range(os.cpu_count() or 1)]
+            start_times_s = list[float]()
 
             async def start(number: int) -> None:
                 began = loop.time()
                 folder = tmp_path / str(number)
                 folder.mkdir()
                 async with running_proxy(folder, config) as proxy:
-                    while not await serves(proxy):
+                    while not await is_serving(proxy):
                         pass
-                    took.append(loop.time() - began)
+                    start_times_s.append(loop.time() - began)
 
             try:
                 await asyncio.gather(*(start(number) for number in range(20)))
@@ -433,17 +434,17 @@
                 for process in busy:
                     process.kill()
                     await process.wait()
-            assert sorted(took)[17] <= 10.0, sorted(took)
+            assert sorted(start_times_s)[17] <= 10.0, sorted(start_times_s)
 
     run(scenario())
 
 
-@pytest.mark.parametrize("how", ["closes", "resets", "ends its sending"])
+@DISCONNECTS
 @pytest.mark.parametrize("together", [True, False])
 def test_a_response_without_a_length_ends_with_its_connection_and_without_a_reset(
     tmp_path: Path, how: str, together: bool
 ) -> None:
-    """`together`: its bytes and its end are read in the same instant."""
+    """With `together`, the proxy reads the response and its end at the same time."""
 
     async def scenario() -> None:
         requested, go = asyncio.Event(), asyncio.Event()
@@ -470,7 +471,7 @@
                 pending = asyncio.create_task(proxy.send_request("a1"))
                 await requested.wait()
                 if together:
-                    await stopped(proxy)
+                    await stop_process(proxy)
                 go.set()
                 if together:
                     await (one if one.opened else two).ended()
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP under load: the new file as a whole or not at all, and no gap in what discovery reports."""
+"""SIGHUP under load: the new file applies whole or not at all, and the endpoint list has no gap."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 )  # fmt: skip
 
 
-def test_sighup_moves_the_watch_and_keeps_what_is_under_way(tmp_path: Path) -> None:
+def test_sighup_moves_the_watch_and_keeps_requests_in_flight(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Backend() as old, Backend() as new, Discovery() as first, Discovery() as second:
             first.entries = [entry("b-old", old.address)]
@@ -36,31 +36,31 @@
                 proxy.path.write_text(json.dumps(config | {"discovery": second.address}))
                 proxy.signal(signal.SIGHUP)
                 await second.watched.wait()
-                await first.ended()  # only once the new one is up
+                await first.ended()  # the old watch ends only after the new one has started
                 old.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
                 assert await read_response(reader) == ("200", b"done")
                 assert await proxy.send_request("a2") == ("200", b"a2")
-                assert new.seen == ["a2"]  # the new list is in force
+                assert new.seen == ["a2"]  # the new list applies
 
     run(scenario())
 
 
-def test_a_bad_new_file_leaves_the_old_one_in_force(tmp_path: Path) -> None:
+def test_a_malformed_new_file_leaves_the_old_configuration_in_force(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Backend() as backend, Discovery() as first, Discovery() as second:
             first.entries = second.entries = [entry("b", backend.address)]
             config = configuration(first.address, *first.entries)
             async with running_proxy(tmp_path, config) as proxy:
                 await first.watched.wait()
-                wrongs: tuple[dict[str, object], ...] = ({"discovery": 5}, {"limits": {}}, {"settings": 0})
-                for text in ("{", *(json.dumps({**config, **wrong}) for wrong in wrongs)):
+                malformed: tuple[dict[str, object], ...] = ({"discovery": 5}, {"limits": {}}, {"settings": 0})
+                for text in ("{", *(json.dumps({**config, **fields}) for fields in malformed)):
                     proxy.path.write_text(text)
                     proxy.signal(signal.SIGHUP)
                     assert "stays in force" in await proxy.log_line("reload")
                 assert await proxy.send_request("a1") == ("200", b"a1")
                 assert second.opened == 0 and not first.ends[first.writers[-1]].is_set()
                 proxy.path.write_text(json.dumps(config | {"discovery": second.address}))
-                proxy.signal(signal.SIGHUP)  # and a good one is still taken
+                proxy.signal(signal.SIGHUP)  # a valid file is still applied
                 await second.watched.wait()
                 proxy.signal(signal.SIGTERM)
                 assert await proxy.process.wait() == 0
@@ -68,8 +68,8 @@
     run(scenario())
 
 
-def test_a_new_process_waits_for_its_agent_but_not_for_ever(tmp_path: Path) -> None:
-    """What the agent has counts as notified from the first moment on, and the file's list may be old."""
+def test_a_new_process_waits_for_its_agent_only_for_a_limited_time(tmp_path: Path) -> None:
+    """The agent's list counts as notified from the start of the process, and the file's list may be old."""
 
     async def scenario() -> None:
         calls: list[float] = []
--- a/tests/proxy/test_reload_crossings.py
+++ b/tests/proxy/test_reload_crossings.py
@@ -1,7 +1,7 @@
-"""Reloads that cross with each other, with malformed files and with calls of the list.
+"""Races between reloads, malformed files and calls to discovery for the endpoint list.
 
-An order is made, not waited for: by a stand-in that holds its answer, by a configuration file whose content
-is held (a named pipe), or by a process that is stopped and continued.  Nothing is drawn at random.
+The tests force the order of events and draw nothing at random: a stub holds back its response, a named pipe
+holds back the content of a configuration file, or a process is stopped and continued.
 """
 
 from __future__ import annotations
@@ -38,15 +38,15 @@
 
 
 class HeldFile:
-    """A configuration file whose reader waits for its content."""
+    """A configuration file in the form of a named pipe, whose reader waits for its content."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         path.unlink()
         os.mkfifo(path)
 
-    async def opened(self) -> None:
-        """Until the program has begun to read it."""
+    async def wait_until_opened(self) -> None:
+        """Wait until the program has opened the file to read it."""
         while True:
             try:
                 self.descriptor = os.open(self.path, os.O_WRONLY | os.O_NONBLOCK)
@@ -56,17 +56,18 @@
                 await asyncio.sleep(0.001)
 
     def replace(self, text: str) -> None:
-        """A usual file takes its place; who has opened this one still waits for its content."""
+        """Put a regular file in its place; a reader that has opened the pipe still waits for its content."""
         new = self.path.with_suffix(".new")
         new.write_text(text)
         new.replace(self.path)
 
     def release(self, text: str) -> None:
+        """Give the waiting reader its content."""
         os.write(self.descriptor, text.encode())
         os.close(self.descriptor)
 
 
-def test_the_last_of_two_reloads_wins_as_a_whole_where_the_second_comes_during_the_first(
+def test_a_reload_requested_during_another_one_applies_as_a_whole_after_it(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
@@ -81,7 +82,7 @@
                 await first.watched.wait()
                 held = HeldFile(proxy.path)
                 proxy.signal(signal.SIGHUP)
-                await held.opened()
+                await held.wait_until_opened()
                 held.replace(json.dumps(with_short_limit(config) | {"discovery": third.address}))
                 proxy.signal(signal.SIGHUP)
                 held.release(json.dumps(config | {"discovery": second.address}))
@@ -89,7 +90,7 @@
                 assert third.address in await proxy.log_line("reload: done")
                 await third.watched.wait()
                 while (await proxy.send_request("r0", "read"))[1] != b"three":
-                    pass  # its list has not been read yet
+                    pass  # the new list has not been read yet
                 answers = await send_all(proxy, *(f"r{number}" for number in range(1, 9)))
                 assert answers == [("200", b"three")] * 8
                 reader, writer = await proxy.connect()
@@ -110,7 +111,7 @@
 
 
 @pytest.mark.parametrize(("malformed", "field"), MALFORMED)
-def test_a_malformed_file_during_a_reload_leaves_that_one_in_force_and_the_next_is_taken(
+def test_a_malformed_file_during_a_reload_is_rejected_and_the_next_file_applies(
     tmp_path: Path, malformed: str, field: str
 ) -> None:
     async def scenario() -> None:
@@ -121,9 +122,9 @@
                 await first.watched.wait()
                 held = HeldFile(proxy.path)
                 proxy.signal(signal.SIGHUP)
-                await held.opened()
-                wrong = malformed if malformed == "{" else json.dumps(config | json.loads(malformed))
-                held.replace(wrong)
+                await held.wait_until_opened()
+                text = malformed if malformed == "{" else json.dumps(config | json.loads(malformed))
+                held.replace(text)
                 proxy.signal(signal.SIGHUP)
                 held.release(json.dumps(config | {"discovery": second.address}))
                 assert second.address in await proxy.log_line("reload: done")
@@ -132,7 +133,7 @@
                 assert malformed != "{" or str(proxy.path) in line
                 await second.watched.wait()
                 while (await proxy.send_request("r0", "read"))[1] != b"two":
-                    pass  # its list has not been read yet
+                    pass  # the new list has not been read yet
                 held.replace(json.dumps(config))
                 proxy.signal(signal.SIGHUP)
                 assert first.address in await proxy.log_line("reload: done")
@@ -143,7 +144,7 @@
 
 
 class RefusingDiscovery(Discovery):
-    """Rejects its first call."""
+    """A list service that refuses its first call."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -159,8 +160,8 @@
         await reader.read()
 
 
-@pytest.mark.parametrize("new_address", ["answers late", "refuses its first call"])
-def test_an_answer_of_the_old_address_after_a_move_is_not_applied(tmp_path: Path, new_address: str) -> None:
+@pytest.mark.parametrize("new_address", ["responds late", "refuses its first call"])
+def test_a_late_list_from_the_old_address_is_ignored_after_a_move(tmp_path: Path, new_address: str) -> None:
     async def scenario() -> None:
         async with (
             named("file") as file, named("old") as old, named("new") as new,
@@ -185,7 +186,7 @@
                 second.may_answer.set()
                 await second.watched.wait()
                 while (await proxy.send_request("r0", "read"))[1] != b"new":
-                    pass  # its list has not been read yet
+                    pass  # the new list has not been read yet
                 answers = await send_all(proxy, *(f"r{number}" for number in range(1, 9)))
                 assert answers == [("200", b"new")] * 8 and not old.seen
 
@@ -193,7 +194,7 @@
 
 
 def test_a_malformed_reload_is_logged_though_the_agent_is_down(tmp_path: Path) -> None:
-    """A call every 0.1 s, each with a line; the log takes 5 a second."""
+    """A call fails every 0.1 s and logs a line each time; the log writes at most 5 lines a second."""
 
     async def scenario() -> None:
         async with Backend() as backend:
@@ -211,8 +212,8 @@
     run(scenario())
 
 
-def test_a_wrong_field_is_logged_with_its_file(tmp_path: Path) -> None:
-    """The line has the field alone."""
+def test_the_path_of_a_file_with_a_malformed_field_is_logged(tmp_path: Path) -> None:
+    """The error of the field itself names only the field."""
 
     async def scenario() -> None:
         async with Backend() as backend, Discovery() as discovery:
--- a/tests/proxy/test_rfc9112.py
+++ b/tests/proxy/test_rfc9112.py
@@ -1,4 +1,4 @@
-"""What RFC 9110 and 9112 require of a proxy: what it must reject, and how it must forward the rest."""
+"""Requirements of RFC 9110 and 9112 on a proxy: requests it must reject, and how it forwards the others."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 REJECTED = {
     "no Host (9112, 3.2)": (READ.replace(b"Host: api.internal\r\n", b"") + b"\r\n", "400"),
     "two Hosts (9112, 3.2)": (READ + b"Host: b\r\n\r\n", "400"),
-    "a Host that is none (9112, 3.2)": (READ.replace(b"api.internal", b"api/internal") + b"\r\n", "400"),
+    "an invalid Host (9112, 3.2)": (READ.replace(b"api.internal", b"api/internal") + b"\r\n", "400"),
     "HTTP/2.0 (9110, 15.6.6)": (READ.replace(b"HTTP/1.1", b"HTTP/2.0") + b"\r\n", "505"),
     "HTTP/0.9": (READ.replace(b"HTTP/1.1", b"HTTP/0.9") + b"\r\n", "505"),
     "chunks in HTTP/1.0 (9112, 6.1)": (
@@ -45,8 +45,8 @@
 }
 
 
-def test_whitespace_around_a_value_is_no_part_of_it(tmp_path: Path) -> None:
-    """RFC 9110, 5.5, on both sides; lengths, codings and ids alike."""
+def test_whitespace_around_field_values_is_ignored(tmp_path: Path) -> None:
+    """RFC 9110, 5.5: before and after the value, for lengths, transfer codings and ids."""
 
     async def scenario() -> None:
         backend = Backend(lambda head, body: b"HTTP/1.1 200 OK\r\nContent-Length: \t4 \t\r\n\r\ndone")
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(("sent", "status"), REJECTED.values(), ids=REJECTED.keys())
-def test_what_must_be_rejected_is_rejected_and_the_connection_ends(
+def test_invalid_requests_are_rejected_and_the_connection_is_closed(
     tmp_path: Path, sent: bytes, status: str
 ) -> None:
     async def scenario() -> None:
@@ -79,7 +79,7 @@
     run(scenario())
 
 
-def test_what_is_forwarded_is_as_a_proxy_must_make_it(tmp_path: Path) -> None:
+def test_requests_are_forwarded_as_a_proxy_must(tmp_path: Path) -> None:
     heads: list[dict[str, str]] = []
 
     def reply(head: dict[str, str], body: bytes) -> bytes:
@@ -89,8 +89,8 @@
     async def scenario() -> None:
         async with proxy_with_backend(tmp_path, Backend(reply)) as proxy:
             reader, writer = await proxy.connect()
-            # the authority of an absolute target counts (9112, 3.2.2), Via is added (9110, 7.6.3), fields
-            # that Connection names end here (9110, 7.6.1)
+            # The authority of an absolute target replaces Host (9112, 3.2.2), Via is added (9110, 7.6.3), and
+            # fields that Connection lists are not forwarded (9110, 7.6.1).
             target = b"GET http://other.example:81/read/obj1?x=1 HTTP/1.1"
             lines = READ.replace(b"GET /read/obj1 HTTP/1.1", target) + b"Via: 1.0 a\r\n"
             writer.write(lines + b"Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\n\r\n")
@@ -100,20 +100,21 @@
             assert await reader.readexactly(4) == b"ride"
             assert heads[0][""] == "GET /read/obj1?x=1 HTTP/1.1"
             assert heads[0]["host"] == "other.example:81"
-            assert heads[0]["via"] == "1.1 heronreel" and "x-hop" not in heads[0]  # the last line wins here
-            # OPTIONS counts down and ends here at 0 (9110, 7.6.2)
-            for hops, wanted in ((b"1", 2), (b"0", 2)):
+            # `read_head` keeps the last of several lines with the same name.
+            assert heads[0]["via"] == "1.1 heronreel" and "x-hop" not in heads[0]
+            # Max-Forwards of OPTIONS is decremented; at 0 the proxy responds itself (9110, 7.6.2).
+            for hops, forwarded in ((b"1", 2), (b"0", 2)):
                 options = READ.replace(b"GET", b"OPTIONS") + b"Max-Forwards: %b\r\n\r\n" % hops
                 writer.write(options)
                 assert (await read_response(reader))[0] == "200"
-                assert len(heads) == wanted
+                assert len(heads) == forwarded
             assert heads[1]["max-forwards"] == "0"
 
     run(scenario())
 
 
-def test_a_client_of_http_1_0_gets_its_response_and_is_closed(tmp_path: Path) -> None:
-    """9112, 9.3: not kept, whatever it requests; 9110, 10.1.1: no interim response; Host may be missing."""
+def test_an_http_1_0_client_gets_its_response_and_the_connection_is_closed(tmp_path: Path) -> None:
+    """Closed even with keep-alive (9112, 9.3), no interim response (9110, 10.1.1), and no Host needed."""
 
     async def scenario() -> None:
         async with proxy_with_backend(tmp_path, Backend()) as proxy:
@@ -126,11 +127,11 @@
     run(scenario())
 
 
-def test_host_values_and_targets() -> None:
-    for good in (b"", b"a", b"a.b:80", b"[::1]:8080", b"127.0.0.1", b"x_y", b"a%41"):
-        assert is_host(good), good
-    for bad in (b"a b", b"a/b", b"a@b", b"a:b", b"[::1", b"a:123456", b"a,\x7f"):
-        assert not is_host(bad), bad
+def test_valid_and_invalid_hosts_and_absolute_targets() -> None:
+    for valid in (b"", b"a", b"a.b:80", b"[::1]:8080", b"127.0.0.1", b"x_y", b"a%41"):
+        assert is_host(valid), valid
+    for invalid in (b"a b", b"a/b", b"a@b", b"a:b", b"[::1", b"a:123456", b"a,\x7f"):
+        assert not is_host(invalid), invalid
     assert absolute_form(b"HTTP://a:1/b?c") == (b"a:1", b"/b?c")
     assert absolute_form(b"http://a?c") == (b"a", b"/?c")
     assert absolute_form(b"http://a") == (b"a", b"/")
--- a/tests/proxy/test_shutdown_admission.py
+++ b/tests/proxy/test_shutdown_admission.py
@@ -1,7 +1,7 @@
-"""Requests whose last byte comes while a shutdown ends, on connections that are not idle.
+"""Requests that are completed near the end of a shutdown, on connections that are not idle.
 
-The clients go on using what they have opened until the process ends.  Whatever reached the backend has to be
-answered, whenever it came; how the times fall is left to the machine, and the verdict does not depend on it.
+The clients use their open connections until the process ends.  Each request that reached the backend must get
+a response, whenever it was sent.  The exact timing varies between runs; the assertions don't depend on it.
 """
 
 from __future__ import annotations
@@ -27,17 +27,18 @@
     running_proxy,
 )
 
-CLIENTS = 100  # few enough that none is closed to make room
+CLIENTS = 100  # few enough that none is closed to make room for another
+# How much of its request a client has sent before the shutdown; "pipelined" sends three at once later.
 KINDS = ("silent", "head", "body", "pipelined")
-SERVICE_S = 0.01  # of the backend
-FIRST_SEND_S = SHORT_LIMIT_MS / 1000.0  # after SIGTERM, while the shutdown still admits requests
-LAST_SEND_S = SHORT_LIMIT_MS / 1000.0 + 0.7  # when SIGKILL may come at the earliest
+SERVICE_TIME_S = 0.01  # of the backend
+FIRST_SEND_S = SHORT_LIMIT_MS / 1000.0  # after SIGTERM, while requests are still admitted
+LAST_SEND_S = SHORT_LIMIT_MS / 1000.0 + 0.7  # after SIGTERM, at the earliest time of SIGKILL
 END_LIMIT_S = 10.0
 
 
 @dataclass
-class Sent:
-    """What became of a request; `status` is "closed" where its connection ended without a response."""
+class RequestResult:
+    """The result of a request; `status` is "closed" if its connection ended without a response."""
 
     ident: str
     status: str
@@ -53,11 +54,11 @@
     async def open(self, proxy: ProxyProcess) -> None:
         self.reader, self.writer = await proxy.connect()
         self.rest = b"".join(map(request, self.idents))
-        kept_back = {"silent": len(self.rest), "head": 60, "body": 2, "pipelined": len(self.rest)}
-        begun, self.rest = self.rest[: -kept_back[self.kind]], self.rest[-kept_back[self.kind] :]
-        self.writer.write(begun)
+        held_back = {"silent": len(self.rest), "head": 60, "body": 2, "pipelined": len(self.rest)}
+        first_part, self.rest = self.rest[: -held_back[self.kind]], self.rest[-held_back[self.kind] :]
+        self.writer.write(first_part)
 
-    async def send_at(self, at: float) -> list[Sent]:
+    async def send_at(self, at: float) -> list[RequestResult]:
         await asyncio.sleep(at - asyncio.get_running_loop().time())
         try:
             self.writer.write(self.rest)
@@ -65,11 +66,11 @@
         except ConnectionError:
             statuses = ["closed"] * len(self.idents)
         self.writer.close()
-        return [Sent(*row) for row in zip(self.idents, statuses, strict=True)]
+        return [RequestResult(*row) for row in zip(self.idents, statuses, strict=True)]
 
 
 class SlowBackend(Backend):
-    """Responds after SERVICE_S."""
+    """Responds after `SERVICE_TIME_S`."""
 
     def __init__(self) -> None:
         super().__init__(self._respond_later)
@@ -77,11 +78,11 @@
     def _respond_later(self, head: dict[str, str], body: bytes) -> None:
         ident = head["x-request-id"]
         asyncio.get_running_loop().call_later(
-            SERVICE_S, lambda: self.carriers[ident].write(ok(ident.encode()))
+            SERVICE_TIME_S, lambda: self.carriers[ident].write(ok(ident.encode()))
         )
 
 
-def test_a_client_that_stops_in_the_middle_of_a_request_gets_its_rejection_before_the_end(
+def test_a_client_that_never_completes_its_request_gets_a_503_before_the_shutdown_ends(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
@@ -99,8 +100,8 @@
     run(scenario())
 
 
-def test_a_silent_connection_ends_with_our_side_first(tmp_path: Path) -> None:
-    """So that its client learns of the end before the process is gone, and what it sends is still read."""
+def test_the_proxy_shuts_down_its_side_of_a_silent_connection_before_the_drain_ends(tmp_path: Path) -> None:
+    """The client sees the end before the process exits, and what it sends meanwhile is still read."""
 
     async def scenario() -> None:
         async with Backend() as backend, Discovery(entry("b1", backend.address)) as discovery:
@@ -118,7 +119,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_request_that_is_completed_while_a_shutdown_ends_is_answered_or_not_forwarded(
+def test_a_request_completed_near_the_end_of_a_shutdown_is_answered_or_not_forwarded(
     tmp_path: Path, kind: str
 ) -> None:
     async def scenario() -> None:
@@ -138,9 +139,11 @@
                     client.send_at(began_at + FIRST_SEND_S + client.number * step_s) for client in clients
                 ))  # fmt: skip
                 assert await ended(proxy, END_LIMIT_S) == 0
-                # the gate where a request's last byte is read, and not a later one, refuses what is too late
+                # Late requests are refused when their last byte is read, and not at a later check.
                 assert "received too late in the drain" in await rest_of_log(proxy)
-                unanswered = {each.ident for row in sent for each in row if each.status == "closed"}
+                unanswered = {
+                    result.ident for results in sent for result in results if result.status == "closed"
+                }
                 assert not unanswered & set(backend.seen)
 
     run(scenario())
--- a/tests/proxy/test_shutdown_crossings.py
+++ b/tests/proxy/test_shutdown_crossings.py
@@ -1,7 +1,7 @@
-"""Shutdowns that cross with signals and requests.
+"""Races between a graceful shutdown, further signals and requests.
 
-An order is made, not waited for: by a stand-in that holds its answer, by a configuration file whose content
-is held (a named pipe), or by a process that is stopped and continued.  Nothing is drawn at random.
+The tests force the order of events and draw nothing at random: a stub holds back its response, a named pipe
+holds back the content of a configuration file, or a process is stopped and continued.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
             if "SIGHUP" in second:
                 await proxy.log_line("reload")
             else:
-                await until_health(proxy, "503")  # a call after the signal
+                await until_health(proxy, "503")  # a health check after the signal
             await kept.send("k2")
             await kept.is_answered_and_closed()
             answer_held(backend, "h1", "h2")
@@ -66,8 +66,8 @@
     run(scenario())
 
 
-def test_a_request_on_an_idle_connection_in_the_instant_of_sigterm_is_answered(tmp_path: Path) -> None:
-    """The process finds both at once: the signal, and requests in the kernel; it responds once it drains."""
+def test_a_request_that_arrives_together_with_sigterm_gets_a_response(tmp_path: Path) -> None:
+    """The process finds the signal and the unread requests at the same time, and responds while it drains."""
 
     async def scenario() -> None:
         backend = named("b")
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
-def test_signals_in_a_process_s_last_moments_do_not_change_its_exit_status(
+def test_signals_while_the_process_exits_do_not_change_its_exit_status(
     tmp_path: Path, number: signal.Signals
 ) -> None:
     async def scenario() -> None:
@@ -104,7 +104,8 @@
             await proxy.log_line("drain ended")
             with suppress(ProcessLookupError):
                 while proxy.process.returncode is None:
-                    os.kill(proxy.process.pid, number)  # `send_signal` may take the exit status for itself
+                    # `send_signal` may reap the process and so consume its exit status.
+                    os.kill(proxy.process.pid, number)
                     await asyncio.sleep(0.0005)
             assert await proxy.process.wait() == 0
 
@@ -112,23 +113,23 @@
 
 
 def test_the_end_of_a_drain_starts_no_further_attempt(tmp_path: Path) -> None:
-    """Two backends drop each other's repeats; the one that has the request says nothing."""
+    """The two backends share deduplication, so a retry would be allowed; the request gets no response."""
 
     async def scenario() -> None:
-        mute = Backend(lambda head, body: None if head["x-request-id"] == "h1" else ok(b"done"))
-        async with mute, Discovery() as discovery:
-            discovery.entries = [entry("b1", mute.address), entry("b2", mute.address)]
+        silent = Backend(lambda head, body: None if head["x-request-id"] == "h1" else ok(b"done"))
+        async with silent, Discovery() as discovery:
+            discovery.entries = [entry("b1", silent.address), entry("b2", silent.address)]
             config = configuration(discovery.address, *discovery.entries)
             async with running_proxy(tmp_path, config) as proxy:
                 await discovery.watched.wait()
-                for number in range(20):  # connections to both rest
+                for number in range(20):  # both backends then have idle connections
                     assert (await proxy.send_request(f"r{number}", "read"))[0] == "200"
                 held = asyncio.create_task(proxy.send_request("h1"))
-                while "h1" not in mute.seen:
+                while "h1" not in silent.seen:
                     await asyncio.sleep(0.001)
                 proxy.signal(signal.SIGTERM)
                 status, _ = await held
                 assert await proxy.process.wait() == 0
-                assert (status, mute.seen.count("h1")) == ("504", 1)
+                assert (status, silent.seen.count("h1")) == ("504", 1)
 
     run(scenario())
--- a/tests/proxy/test_start_crossings.py
+++ b/tests/proxy/test_start_crossings.py
@@ -1,7 +1,7 @@
-"""Starts that cross with signals, with discovery and with clients that wait already.
+"""Races between the start of a process, signals, discovery and clients in the backlog.
 
-An order is made, not waited for: by a stand-in that holds its answer, by a configuration file whose content
-is held (a named pipe), or by a process that is stopped and continued.  Nothing is drawn at random.
+The tests force the order of events and draw nothing at random: a stub holds back its response, a named pipe
+holds back the content of a configuration file, or a process is stopped and continued.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 )
 
 
-def test_sigterm_while_a_start_waits_for_its_agent_ends_it_without_an_error(tmp_path: Path) -> None:
+def test_sigterm_while_a_start_waits_for_its_agent_ends_the_process_without_an_error(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Backend() as backend, Discovery() as agent:
             agent.may_answer.clear()
@@ -61,7 +61,7 @@
     run(scenario())
 
 
-def test_sigterm_while_a_successor_waits_for_discovery_leaves_all_to_its_predecessor(tmp_path: Path) -> None:
+def test_after_sigterm_to_a_waiting_successor_the_predecessor_serves_all_requests(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Backend() as backend, Discovery() as discovery, Discovery() as held:
             discovery.entries = held.entries = [entry("b", backend.address)]
@@ -89,8 +89,8 @@
     run(scenario())
 
 
-def test_sighup_while_a_start_waits_is_in_force_from_the_first_request_on(tmp_path: Path) -> None:
-    """The request waits in the backlog, so it is read as soon as the process listens."""
+def test_a_reload_while_a_start_waits_applies_to_the_first_request(tmp_path: Path) -> None:
+    """The request is in the backlog, so it is read as soon as the process listens."""
 
     async def scenario() -> None:
         async with named("old") as old, named("new") as new, Discovery() as first, Discovery() as second:
@@ -107,10 +107,11 @@
                     proxy.path.write_text(json.dumps(changed))
                     proxy.signal(signal.SIGHUP)
                     await proxy.log_line("listening")
-                    listens_at = time.monotonic()
+                    listening_at = time.monotonic()
                     assert (await read_response(reader))[0] == "504"
-                    assert time.monotonic() - listens_at < OLD_LIMIT_S / 2
-                    second.may_answer.set()  # only now, so that there was no other backend for a retry
+                    assert time.monotonic() - listening_at < OLD_LIMIT_S / 2
+                    # Set only now, so that the request had no other backend for a retry.
+                    second.may_answer.set()
                     await second.watched.wait()
                     while (await proxy.send_request("r0", "read"))[1] != b"new":
                         pass  # the new list has not been read yet
@@ -122,12 +123,13 @@
     run(scenario())
 
 
-async def serves_its_backlog_in_time(
+async def check_backlog_served_in_time(
     path: Path, config: dict[str, Any], shared: socket.socket, backend: Backend, with_admin_api: bool
 ) -> None:
+    """Start a proxy, and check that it serves each request in the backlog once and in time."""
     async with backlog_of_requests(shared) as readers:
         started_at = time.monotonic()
-        # its line "listening" may be dropped, for a log with a dead agent is full
+        # Its line "listening" may be dropped, because failing calls to the agent use up the log's limit.
         async with running_proxy(path, config, with_admin_api, shared, until_listening=False):
             answers = await asyncio.gather(*map(read_response, readers))
             assert time.monotonic() - started_at < START_LIMIT_S
@@ -135,26 +137,27 @@
             assert len(backend.seen) == len(set(backend.seen)) == CROWD
 
 
-@pytest.mark.parametrize("mode", ["asked", "pushed"])
-@pytest.mark.parametrize("failure", ["refuses", "says nothing"])
-def test_clients_in_the_backlog_are_served_in_time_though_discovery_is_down(
+@pytest.mark.parametrize("mode", ["watched", "pushed"])
+@pytest.mark.parametrize("failure", ["refuses connections", "does not respond"])
+def test_clients_in_the_backlog_are_served_in_time_while_discovery_is_down(
     tmp_path: Path, mode: str, failure: str
 ) -> None:
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
 
     async def scenario() -> None:
-        async with Backend() as backend, Listener(silent) as mute:
+        async with Backend() as backend, Listener(silent) as silent_discovery:
             with shared_socket() as shared, reserved_port() as closed_port:
-                address = mute.address if failure == "says nothing" else f"127.0.0.1:{closed_port}"
+                refusing_address = f"127.0.0.1:{closed_port}"
+                address = silent_discovery.address if failure == "does not respond" else refusing_address
                 config = configuration(address, entry("b", backend.address))
                 config = pushed(config) if mode == "pushed" else config
-                await serves_its_backlog_in_time(tmp_path, config, shared, backend, False)
+                await check_backlog_served_in_time(tmp_path, config, shared, backend, False)
 
     run(scenario())
 
 
-def test_a_successor_serves_the_backlog_in_time_though_discovery_is_down_and_its_predecessor_stopped(
+def test_a_successor_serves_the_backlog_in_time_while_discovery_is_down_and_its_predecessor_stopped(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
@@ -163,13 +166,13 @@
                 config = configuration(f"127.0.0.1:{closed_port}", entry("b", backend.address))
                 async with running_proxy(tmp_path, config, True, shared) as old:
                     await stop(old)
-                    await serves_its_backlog_in_time(tmp_path, config, shared, backend, True)
+                    await check_backlog_served_in_time(tmp_path, config, shared, backend, True)
 
     run(scenario())
 
 
-def test_a_successor_that_gets_sigterm_while_it_waits_ends_before_sigkill(tmp_path: Path) -> None:
-    """Its classes' longest time is 0.3 s, so SIGKILL comes 1.5 s after SIGTERM; it waits for 3 s."""
+def test_a_successor_that_gets_sigterm_while_it_waits_exits_before_sigkill(tmp_path: Path) -> None:
+    """The longest deadline is 0.3 s, so SIGKILL comes 1.5 s after SIGTERM; the wait is for 3 s."""
 
     async def scenario() -> None:
         async with Backend() as backend, Discovery() as discovery:
