--- a/heronreel/proxy/client_connection.py
+++ b/heronreel/proxy/client_connection.py
@@ -99,7 +99,7 @@
         if self.phase is Phase.CLOSING:
             record(EventKind.INPUT_DROPPED, bytes=len(data), connection=self.number)
             if self.progress_bytes > MAX_LINGER_BYTES:
-                self.transport.pause_reading()  # a rejected body of 60 MB, say, is not read to its end
+                self.transport.pause_reading()  # a rejected body may have 60 MB, which need not be read
             return
         try:
             self.parser.feed_data(data)
@@ -111,7 +111,9 @@
             return
         if self.progress_bytes > MAX_HEAD_BYTES and self.phase is Phase.HEAD:
             self._reject(431, RefusalReason.INVALID)
-        elif self.progress_bytes > MAX_HEAD_BYTES + MAX_FRAMING_BYTES:  # limits memory for trailers
+        elif (
+            self.progress_bytes > MAX_HEAD_BYTES + MAX_FRAMING_BYTES
+        ):  # too many trailers or chunk extensions
             self._reject(400, RefusalReason.INVALID)
 
     def _on_parse_error(self) -> None:
--- a/tests/proxy/test_admin_api.py
+++ b/tests/proxy/test_admin_api.py
@@ -40,35 +40,35 @@
 
 @asynccontextmanager
 async def two_backends(path: Path) -> AsyncIterator[tuple[ProxyProcess, Backend, Backend, Discovery]]:
-    async with Backend() as one, Backend() as two:
-        known = [entry("b1", one.address), entry("b2", two.address)]
+    async with Backend() as backend1, Backend() as backend2:
+        known = [entry("b1", backend1.address), entry("b2", backend2.address)]
         async with Discovery(*known) as discovery:
             async with running_proxy(
                 path, configuration(discovery.address, *known), with_admin_api=True
             ) as proxy:
                 await discovery.watched.wait()
-                yield proxy, one, two, discovery
+                yield proxy, backend1, backend2, discovery
 
 
 def test_a_cordoned_backend_gets_no_requests_until_it_is_uncordoned_whatever_the_list_says(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
-        async with two_backends(tmp_path) as (proxy, one, two, discovery):
+        async with two_backends(tmp_path) as (proxy, backend1, backend2, discovery):
             assert await proxy.call("/admin/cordon", "b1\n") == "200"
             assert await proxy.call("/admin/cordon", "b1") == "200"  # two cordons need only one uncordon
             # In later lists the backend is restarted, draining, restarted, removed, and present again.
             since = 1.0
             for status in ("active", "leaving", "active", "left", "active"):
                 since += 1.0
-                discovery.change(entry("b1", one.address, status) | {"since_ms": since})
+                discovery.change(entry("b1", backend1.address, status) | {"since_ms": since})
                 for number in range(4):
                     assert (await proxy.send_request(f"h{since}{number}", "read"))[0] == "200"
-            assert not one.seen and len(two.seen) == 20
+            assert not backend1.seen and len(backend2.seen) == 20
             assert await proxy.call("/admin/uncordon", "b1") == "200"
             for number in range(40):
                 assert (await proxy.send_request(f"r{number}", "read"))[0] == "200"
-            assert one.seen
+            assert backend1.seen
             for path, name in (("cordon", "b3"), ("uncordon", "b3"), ("cordon", ""), ("nothing", "b1")):
                 assert await proxy.call(f"/admin/{path}", name) == "404"
             assert await proxy.call("/admin/cordon", "b1", "GET") == "405"
@@ -98,8 +98,8 @@
     number, ended = stable_number(b"b1"), asyncio.Event()
 
     async def scenario() -> None:
-        async with Backend() as one:
-            config = configuration("127.0.0.1:1", entry("b1", one.address))
+        async with Backend() as backend1:
+            config = configuration("127.0.0.1:1", entry("b1", backend1.address))
             (tmp_path / "config.json").write_text(json.dumps(config))
             environ = {
                 "LB_NAME": "n0",
@@ -115,14 +115,14 @@
             assert [end.outcome for end in attempts if isinstance(end, api.AttemptEnded)] == [
                 api.Outcome.NOT_SENT
             ]
-            assert not one.seen and not dispatcher.pool.idle  # the connection is not kept either
+            assert not backend1.seen and not dispatcher.pool.idle  # the connection is not kept either
 
     run(scenario())
 
 
 def test_stalled_admin_clients_do_not_delay_others(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with two_backends(tmp_path) as (proxy, _one, _two, _):
+        async with two_backends(tmp_path) as (proxy, _backend1, _backend2, _):
             stalled = []
             for call in (b"", b"GET /adm", b"POST /admin/cordon HTTP/1.1\r\nContent-Length: 9\r\n\r\nb") * 10:
                 reader, writer = await asyncio.open_connection("127.0.0.1", proxy.admin_port)
@@ -143,7 +143,7 @@
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
-        async with two_backends(tmp_path) as (proxy, _one, _two, _):
+        async with two_backends(tmp_path) as (proxy, _backend1, _backend2, _):
             health = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
             idle, used, silent = [await proxy.connect() for _ in range(3)]
             for number, (reader, writer) in enumerate((idle, used)):
@@ -240,8 +240,12 @@
     """Clients send requests without a pause while a second process takes over the socket of the first."""
 
     async def scenario() -> None:
-        async with Backend() as one, Backend() as two, Backend() as three:
-            known = [entry("b1", one.address), entry("b2", two.address), entry("b3", three.address)]
+        async with Backend() as backend1, Backend() as backend2, Backend() as backend3:
+            known = [
+                entry("b1", backend1.address),
+                entry("b2", backend2.address),
+                entry("b3", backend3.address),
+            ]
             async with Discovery(*known) as discovery:
                 with socket.socket() as shared:
                     shared.bind(("127.0.0.1", 0))
@@ -266,14 +270,14 @@
                             await wait_for_responses(clients, tasks, 200)
                             stop.set()
                             await asyncio.gather(*tasks)
-                            assert not one.seen and three.seen
-                            for ident in two.seen:
+                            assert not backend1.seen and backend3.seen
+                            for ident in backend2.seen:
                                 name, count = ident.split("-")
                                 assert int(count) <= last_sent[name], (ident, last_sent)
                             assert await new.call("/admin/uncordon", "b1") == "200"
                             for number in range(40):
                                 assert (await new.send_request(f"n{number}", "read"))[0] == "200"
-                            assert one.seen
+                            assert backend1.seen
 
     run(scenario())
 
@@ -282,10 +286,10 @@
     """The backend does not respond, and the deadline is later than SIGKILL."""
 
     async def scenario() -> None:
-        mute = Backend(lambda head, body: None)
-        async with proxy_with_backend(tmp_path, mute, True) as proxy:
+        silent_backend = Backend(lambda head, body: None)
+        async with proxy_with_backend(tmp_path, silent_backend, True) as proxy:
             pending = asyncio.create_task(proxy.send_request("slow"))
-            await mute.requested.wait()
+            await silent_backend.requested.wait()
             proxy.signal(signal.SIGTERM)
             assert (await pending)[0] == "504"
             assert await proxy.process.wait() == 0
@@ -315,8 +319,8 @@
     """Many clients connect to both processes while the predecessor still has connections."""
 
     async def scenario() -> None:
-        async with Backend() as one:
-            known = [entry("b1", one.address)]
+        async with Backend() as backend1:
+            known = [entry("b1", backend1.address)]
             async with Discovery(*known) as discovery:
                 with socket.socket() as shared:
                     shared.bind(("127.0.0.1", 0))
--- a/tests/proxy/test_hand_over_crossings.py
+++ b/tests/proxy/test_hand_over_crossings.py
@@ -70,8 +70,8 @@
                         async with backlog_of_requests(shared) as readers:
                             assert await new.health() == "503"
                             old.signal(signal.SIGCONT)
-                            answers = await asyncio.gather(*map(read_response, readers))
-                        assert answers == [("200", b"old")] * CROWD
+                            responses = await asyncio.gather(*map(read_response, readers))
+                        assert responses == [("200", b"old")] * CROWD
                         second.may_answer.set()
                         await until_health(new, "200")
                         old.signal(signal.SIGTERM)
@@ -112,11 +112,11 @@
 
     async def statuses(self) -> list[str]:
         """Return the statuses that the clients got for h1, h2, h3, hp and k2."""
-        statuses = [status for status, _ in await asyncio.gather(*self.held)]
+        held_statuses = [status for status, _ in await asyncio.gather(*self.held)]
         last = (await read_response(self.kept.reader))[0]
         if last != "closed":
             assert await self.kept.reader.read() == b""
-        return [*statuses, last]
+        return [*held_statuses, last]
 
 
 @asynccontextmanager
--- a/tests/proxy/test_logs.py
+++ b/tests/proxy/test_logs.py
@@ -18,7 +18,7 @@
 from heronreel.proxy.logs import MAX_LINES_PER_S, NOT_RATE_LIMITED, RateLimitFilter
 from tests.support.loopback import Backend, configuration, entry, run
 
-NO_DISCOVERY = "127.0.0.1:9"  # nobody listens there
+UNREACHABLE_ADDRESS = "127.0.0.1:9"  # no process listens on this port
 BURST_LINES = 50
 
 
@@ -39,7 +39,7 @@
 
     async def scenario() -> None:
         async with Backend() as backend:
-            config = configuration(NO_DISCOVERY, entry("b1", backend.address))
+            config = configuration(UNREACHABLE_ADDRESS, entry("b1", backend.address))
             config["settings"] = config["settings"] | {"Discovery": "push"}
             file = tmp_path / "config.json"
             file.write_text(json.dumps(config))
--- a/tests/proxy/test_no_deployment_names.py
+++ b/tests/proxy/test_no_deployment_names.py
@@ -29,7 +29,7 @@
 EFFECTS = ("idempotent", "deduplicated", "at_most_once")
 
 
-def names_of(site: dict[str, Any]) -> set[str]:
+def defined_names(site: dict[str, Any]) -> set[str]:
     """Return all names that a deployment's site file defines."""
     tiers, net = site["tier"], site["net"]
     kinds = (kind for tier in tiers for kind in tier.get("kind", ()))
@@ -39,11 +39,11 @@
 
 def test_the_program_contains_no_name_of_a_deployment() -> None:
     assert len(SITES) >= 2
-    words = set(re.findall(r"[\w-]+", "\n".join(path.read_text() for path in PROGRAM_FILES)))
+    program_words = set(re.findall(r"[\w-]+", "\n".join(path.read_text() for path in PROGRAM_FILES)))
     for path in SITES:
         site = tomllib.loads(path.read_text())
-        assert len(names_of(site)) > 8
-        assert not names_of(site) & words, path.name
+        assert len(defined_names(site)) > 8
+        assert not defined_names(site) & program_words, path.name
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/proxy/test_race_conditions.py
+++ b/tests/proxy/test_race_conditions.py
@@ -144,9 +144,9 @@
         await self.go.wait()
         while True:
             connection, _ = await asyncio.get_running_loop().sock_accept(listener)
-            self.tasks.append(asyncio.create_task(self._answer(connection)))
+            self.tasks.append(asyncio.create_task(self._respond(connection)))
 
-    async def _answer(self, connection: socket.socket) -> None:
+    async def _respond(self, connection: socket.socket) -> None:
         reader, writer = await asyncio.open_connection(sock=connection)
         while data := await reader.read(1 << 16):
             self.received.append(data)
@@ -462,8 +462,8 @@
                 await asyncio.sleep(0.05)
             await disconnect(writer, how)
 
-        async with Listener(handle) as one, Listener(handle) as two:
-            known = [entry("b1", one.address), entry("b2", two.address)]
+        async with Listener(handle) as backend1, Listener(handle) as backend2:
+            known = [entry("b1", backend1.address), entry("b2", backend2.address)]
             async with (
                 Discovery(*known) as discovery,
                 running_proxy(tmp_path, configuration(discovery.address, *known)) as proxy,
@@ -474,7 +474,7 @@
                     await stop_process(proxy)
                 go.set()
                 if together:
-                    await (one if one.opened else two).ended()
+                    await (backend1 if backend1.opened else backend2).ended()
                     proxy.signal(signal.SIGCONT)
                 assert await pending == ("200", b"again" if how == "resets" else b"ride")
 
--- a/tests/proxy/test_reload_crossings.py
+++ b/tests/proxy/test_reload_crossings.py
@@ -72,11 +72,11 @@
 ) -> None:
     async def scenario() -> None:
         async with (
-            named("one") as one, named("two") as two, named("three") as three,
+            named("one") as backend1, named("two") as backend2, named("three") as backend3,
             Discovery() as first, Discovery() as second, Discovery() as third,
         ):  # fmt: skip
-            first.entries, second.entries = [entry("b1", one.address)], [entry("b2", two.address)]
-            third.entries = [entry("b3", three.address)]
+            first.entries, second.entries = [entry("b1", backend1.address)], [entry("b2", backend2.address)]
+            third.entries = [entry("b3", backend3.address)]
             config = configuration(first.address, *first.entries)
             async with running_proxy(tmp_path, config) as proxy:
                 await first.watched.wait()
@@ -91,8 +91,8 @@
                 await third.watched.wait()
                 while (await proxy.send_request("r0", "read"))[1] != b"three":
                     pass  # the new list has not been read yet
-                answers = await send_all(proxy, *(f"r{number}" for number in range(1, 9)))
-                assert answers == [("200", b"three")] * 8
+                responses = await send_all(proxy, *(f"r{number}" for number in range(1, 9)))
+                assert responses == [("200", b"three")] * 8
                 reader, writer = await proxy.connect()
                 sent_at = time.monotonic()
                 writer.write(request("h1", extra=WITHOUT_DEADLINE))
@@ -115,8 +115,13 @@
     tmp_path: Path, malformed: str, field: str
 ) -> None:
     async def scenario() -> None:
-        async with named("one") as one, named("two") as two, Discovery() as first, Discovery() as second:
-            first.entries, second.entries = [entry("b1", one.address)], [entry("b2", two.address)]
+        async with (
+            named("one") as backend1,
+            named("two") as backend2,
+            Discovery() as first,
+            Discovery() as second,
+        ):
+            first.entries, second.entries = [entry("b1", backend1.address)], [entry("b2", backend2.address)]
             config = configuration(first.address, *first.entries)
             async with running_proxy(tmp_path, config) as proxy:
                 await first.watched.wait()
@@ -181,14 +186,14 @@
                 await (second.refused if refuses else second.called).wait()
                 first.may_answer.set()
                 await first.watched.wait()
-                answers = await send_all(proxy, *(f"f{number}" for number in range(8)))
-                assert answers == [("200", b"file")] * 8
+                responses = await send_all(proxy, *(f"f{number}" for number in range(8)))
+                assert responses == [("200", b"file")] * 8
                 second.may_answer.set()
                 await second.watched.wait()
                 while (await proxy.send_request("r0", "read"))[1] != b"new":
                     pass  # the new list has not been read yet
-                answers = await send_all(proxy, *(f"r{number}" for number in range(1, 9)))
-                assert answers == [("200", b"new")] * 8 and not old.seen
+                responses = await send_all(proxy, *(f"r{number}" for number in range(1, 9)))
+                assert responses == [("200", b"new")] * 8 and not old.seen
 
     run(scenario())
 
--- a/tests/proxy/test_shutdown_crossings.py
+++ b/tests/proxy/test_shutdown_crossings.py
@@ -116,20 +116,20 @@
     """The two backends share deduplication, so a retry would be allowed; the request gets no response."""
 
     async def scenario() -> None:
-        silent = Backend(lambda head, body: None if head["x-request-id"] == "h1" else ok(b"done"))
-        async with silent, Discovery() as discovery:
-            discovery.entries = [entry("b1", silent.address), entry("b2", silent.address)]
+        silent_backend = Backend(lambda head, body: None if head["x-request-id"] == "h1" else ok(b"done"))
+        async with silent_backend, Discovery() as discovery:
+            discovery.entries = [entry("b1", silent_backend.address), entry("b2", silent_backend.address)]
             config = configuration(discovery.address, *discovery.entries)
             async with running_proxy(tmp_path, config) as proxy:
                 await discovery.watched.wait()
                 for number in range(20):  # both backends then have idle connections
                     assert (await proxy.send_request(f"r{number}", "read"))[0] == "200"
                 held = asyncio.create_task(proxy.send_request("h1"))
-                while "h1" not in silent.seen:
+                while "h1" not in silent_backend.seen:
                     await asyncio.sleep(0.001)
                 proxy.signal(signal.SIGTERM)
                 status, _ = await held
                 assert await proxy.process.wait() == 0
-                assert (status, silent.seen.count("h1")) == ("504", 1)
+                assert (status, silent_backend.seen.count("h1")) == ("504", 1)
 
     run(scenario())
--- a/tests/proxy/test_start_crossings.py
+++ b/tests/proxy/test_start_crossings.py
@@ -117,8 +117,8 @@
                         pass  # the new list has not been read yet
                     first.may_answer.set()
                     await first.watched.wait()
-                    answers = await send_all(proxy, *(f"r{number}" for number in range(1, 9)))
-                    assert answers == [("200", b"new")] * 8
+                    responses = await send_all(proxy, *(f"r{number}" for number in range(1, 9)))
+                    assert responses == [("200", b"new")] * 8
 
     run(scenario())
 
@@ -131,9 +131,9 @@
         started_at = time.monotonic()
         # Its line "listening" may be dropped, because failing calls to the agent use up the log's limit.
         async with running_proxy(path, config, with_admin_api, shared, until_listening=False):
-            answers = await asyncio.gather(*map(read_response, readers))
+            responses = await asyncio.gather(*map(read_response, readers))
             assert time.monotonic() - started_at < START_LIMIT_S
-            assert answers == [("200", b"w%d" % number) for number in range(CROWD)]
+            assert responses == [("200", b"w%d" % number) for number in range(CROWD)]
             assert len(backend.seen) == len(set(backend.seen)) == CROWD
 
 
