--- a/heronreel/proxy/backend_connection.py
+++ b/heronreel/proxy/backend_connection.py
@@ -95,7 +95,7 @@
 
     loop: asyncio.AbstractEventLoop
     observer: AttemptObserver
-    any_status: bool
+    accepts_any_status: bool
     connections: set[BackendConnection]
     waiting_for_memory: dict[BackendConnection, None]
 
@@ -455,7 +455,7 @@
             self.pool.end_attempt(attempt, Outcome.SERVED)
         elif self._is_served(status):
             self.pool.end_attempt(attempt, Outcome.SERVED, Response(status, header_lines, b"".join(parts)))
-        elif 400 <= status < 500 and not self.pool.any_status:
+        elif 400 <= status < 500 and not self.pool.accepts_any_status:
             # The backend rejects what the client sent, which says nothing about the backend's health.
             self.pool.end_attempt(attempt, Outcome.CANCELLED, Response(400, DATE_LINE.now(), b""))
         else:
@@ -472,9 +472,9 @@
     def _is_served(self, status: int) -> bool:
         """Return whether a response with this status serves the request.
 
-        On the platform only a 200 does; elsewhere (`any_status`) every status does that is no server failure.
+        On the platform only a 200 does.  With `accepts_any_status`, each 2xx, 3xx and 4xx does, except 429.
         """
-        return status == 200 or (self.pool.any_status and 200 <= status < 500 and status != 429)
+        return status == 200 or (self.pool.accepts_any_status and 200 <= status < 500 and status != 429)
 
     def _fail_response(self) -> None:
         """Fail the attempt after a malformed or endless response.  The request may have run."""
--- a/heronreel/proxy/config.py
+++ b/heronreel/proxy/config.py
@@ -65,7 +65,7 @@
     admin_address: tuple[str, int] | None = None  # None: there is no admin API
     sockets: int = 0  # limit on descriptors for all processes of this proxy together
     # Responses other than 200 count as served too, unless they are server errors.
-    any_status: bool = False
+    accepts_any_status: bool = False
 
 
 def load(environ: Mapping[str, str]) -> Config:
--- a/heronreel/proxy/connection_pool.py
+++ b/heronreel/proxy/connection_pool.py
@@ -73,7 +73,7 @@
         self.connect_timeout_s = config.settings.connect_timeout_ms / 1000.0
         max_worthwhile_s = max(MAX_IDLE_S, IDLE_S_PER_HANDSHAKE_COST * config.settings.price_handshake)
         self.max_idle_s = min(config.backend_idle_ms / 1000.0 * IDLE_TIMEOUT_RATIO, max_worthwhile_s)
-        self.any_status = config.any_status
+        self.accepts_any_status = config.accepts_any_status
 
     def open_count(self) -> int:
         """Return the number of descriptors in use or about to be opened.
--- a/heronreel/proxy/dispatcher.py
+++ b/heronreel/proxy/dispatcher.py
@@ -69,7 +69,7 @@
         self.loop = loop
         self.router = router
         # Any clients, rather than the platform's: they send none of the platform's headers.
-        self.accepts_any_client = config.any_status
+        self.accepts_any_client = config.accepts_any_status
         self._take_settings(config.settings)
         self.balancer: BalancingPolicy = decisions or Balancer(config.settings, config.seed)
         # Added to the monotonic clock, this gives a wall clock that never steps.
--- a/heronreel/serve/policies.py
+++ b/heronreel/serve/policies.py
@@ -168,5 +168,5 @@
         process.drain_grace_ms,
         *resource_shares(process.memory_mb, process.sockets),
         endpoints_from_file=True,
-        any_status=True,
+        accepts_any_status=True,
     )
