--- a/heronreel/health/errors.py
+++ b/heronreel/health/errors.py
@@ -1,14 +1,14 @@
-"""Errors of this package.  All derive from `HealthError`."""
+"""Errors of health checks.  All of them derive from `HealthError`."""
 
 from __future__ import annotations
 
 
 class HealthError(Exception):
-    """The base of every error that this package raises by itself."""
+    """Base class of the errors that this package defines."""
 
 
 class ProberReplacedError(HealthError):
-    """A report was rejected, because another process has become the prober of the zone."""
+    """A health report was rejected because another process has become the prober of the zone."""
 
     def __init__(self) -> None:
-        super().__init__("another process probes the zone")
+        super().__init__("another process has become the prober of the zone")
--- a/heronreel/health/prober.py
+++ b/heronreel/health/prober.py
@@ -1,4 +1,4 @@
-"""Probes over HTTP/1.1: in each round one GET to every member, several at once."""
+"""Probes members over HTTP/1.1: each round sends one GET to every member, several of them concurrently."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from heronreel.health.checks import HealthCheckConfig, HealthTracker, Member
 
 MAX_CONCURRENT_PROBES = 32
-MAX_BODY_BYTES = 4096  # read of a response's body, before its connection is given up
-KEEPALIVE_ROUNDS = 3  # for which an idle connection is kept
-MIN_ERROR_STATUS = 400  # statuses below it are healthy
+MAX_BODY_BYTES = 4096  # A connection whose response has a longer body is closed and not reused.
+KEEPALIVE_ROUNDS = 3  # An idle connection is kept open for this many probe intervals.
+MIN_ERROR_STATUS = 400  # A member that responds with a lower status is healthy.
 
-Address = tuple[str, int]  # IP address and port
+Address = tuple[str, int]  # An IP address and a port.
 
 
 class Prober:
-    """Probes the members of pools, on connections that are kept between rounds."""
+    """Probes the members of pools over connections that are reused between rounds."""
 
     def __init__(self, config: HealthCheckConfig) -> None:
         self.config = config
         self._session: aiohttp.ClientSession | None = None
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         if self._session is not None:
             await self._session.close()
 
@@ -35,26 +35,26 @@
         tracker: HealthTracker,
         acquire_budget: Callable[[], Awaitable[None]] | None = None,
     ) -> bool:
-        """Probe every member once; returns whether any went down or came up.
+        """Probe every member once; returns whether any member went down or came up.
 
-        `acquire_budget` is awaited before each probe.
+        `acquire_budget` is awaited before each probe, to keep to a rate budget.
         """
         session = self._open_session()
         tracker.retain(members.keys())
-        gate = asyncio.Semaphore(MAX_CONCURRENT_PROBES)
-        changes: list[Member] = []
+        concurrency_limit = asyncio.Semaphore(MAX_CONCURRENT_PROBES)
+        changed: list[Member] = []
 
         async def probe_member(member: Member, address: Address) -> None:
-            async with gate:
+            async with concurrency_limit:
                 if acquire_budget is not None:
                     await acquire_budget()
                 if tracker.observe(member, await self._probe(session, address)):
-                    changes.append(member)
+                    changed.append(member)
 
         async with asyncio.TaskGroup() as group:
             for member, address in members.items():
                 group.create_task(probe_member(member, address))
-        return bool(changes)
+        return bool(changed)
 
     def _open_session(self) -> aiohttp.ClientSession:
         if self._session is None:
--- a/tests/health/__init__.py
+++ b/tests/health/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of health checks."""
+"""Tests of active health checks."""
--- a/tests/health/test_health_checks.py
+++ b/tests/health/test_health_checks.py
@@ -1,4 +1,8 @@
-"""Health checks of configured members: by a proxy alone, and once a zone through kills of its prober."""
+"""Health checks of configured backends, by a standalone proxy and by one prober per zone.
+
+The tests with processes guard against backends that still get traffic although they are down, and against
+probing that stops, or is done by several proxies, after the zone's prober was killed.
+"""
 
 from __future__ import annotations
 
@@ -34,14 +38,14 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.booleans(), max_size=40), st.integers(1, 4), st.integers(1, 4))
-def test_down_after_fall_failures_in_a_row_and_up_after_rise_successes(
+def test_member_goes_down_after_fall_failures_and_up_after_rise_successes(
     results: list[bool], fall: int, rise: int
 ) -> None:
     tracker = HealthTracker(CONFIG._replace(fall=fall, rise=rise))
     down = False
-    for place, healthy in enumerate(results):
+    for index, healthy in enumerate(results):
         streak = 0
-        while streak <= place and results[place - streak] is healthy:
+        while streak <= index and results[index - streak] is healthy:
             streak += 1
         was_down = down
         down = (down and not (healthy and streak >= rise)) or (not healthy and streak >= fall)
@@ -49,20 +53,23 @@
         assert (MEMBER in tracker.down) == down
 
 
-def test_more_than_the_panic_threshold_of_a_pool_down_is_not_believed() -> None:
-    members = [Member("p", f"m{n}") for n in range(4)] + [Member("q", "one")]
+def test_no_member_is_excluded_when_more_of_its_pool_is_down_than_the_panic_threshold() -> None:
+    members = [Member("p", f"m{number}") for number in range(4)] + [Member("q", "m0")]
     assert apply_panic_threshold(members[:2], members) == set(members[:2])
     assert (
         apply_panic_threshold(members[:3], members) == set() == apply_panic_threshold([members[4]], members)
     )
-    assert apply_panic_threshold([Member("p", "gone"), members[0]], members) == {members[0]}
+    assert apply_panic_threshold([Member("p", "removed"), members[0]], members) == {members[0]}
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.integers(0, 1 << 30))
-def test_a_report_that_is_late_or_missing_is_not_believed(seed: int) -> None:
+def test_outdated_and_expired_reports_are_ignored(seed: int) -> None:
     rng = random.Random(seed)
-    received, now, newest, received_at = ReceivedReport(8.0), 0.0, (0, 0), -100.0
+    received = ReceivedReport(max_age_s=8.0)
+    now = 0.0
+    newest_version = (0, 0)
+    received_at = -100.0
     reports = [
         HealthReport(round_, "x", token, 1, (("p", f"m{token}-{round_}"),))
         for token in (5, 9, 12)
@@ -72,25 +79,25 @@
         now += rng.choice((0.1, 1.0, 9.0))
         report = rng.choice(reports)
         version = report.fencing_token, report.round
-        is_new = version > newest or (version != newest and now >= received_at + 8.0)
+        is_new = version > newest_version or (version != newest_version and now >= received_at + 8.0)
         assert received.receive(report, now) == is_new
         if is_new:
-            newest, received_at = version, now
+            newest_version, received_at = version, now
         down = received.down(now + 1.0)
         is_current = received.report is not None and now + 1.0 < received_at + 8.0
         assert down == (received.report.down_members if received.report and is_current else frozenset())
     assert decode_report(b"no report") is None and not received.receive(None, now)
 
 
-class Server(Listener):
-    """A backend that is healthy or not, and counts probes and requests."""
+class ProbedBackend(Listener):
+    """A backend whose health a test sets, and that counts its probes and its other requests."""
 
     def __init__(self) -> None:
-        super().__init__(self._talk)
+        super().__init__(self._serve_connection)
         self.healthy = True
         self.probes = self.requests = 0
 
-    async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head, _ = await read_request(reader)
             if head[""].split()[1] == "/health":
@@ -101,8 +108,8 @@
                 writer.write(ok(head.get("x-request-id", "").encode()))
 
 
-def routes(name: str, zone: str, servers: list[Server], group: list[str]) -> str:
-    fleet = f"""
+def routes_file_text(name: str, zone: str, backends: list[ProbedBackend], group: list[str]) -> str:
+    fleet_table = f"""
 [fleet]
 group = {json.dumps(group)}
 lease_s = 2
@@ -111,8 +118,8 @@
 budgets = {{ usual = {{ calls = 400, cpu = 4 }} }}
 """
     members = "".join(
-        f'[[pools.members]]\nname = "m{place}"\naddress = "{server.address}"\n'
-        for place, server in enumerate(servers)
+        f'[[pools.members]]\nname = "m{index}"\naddress = "{backend.address}"\n'
+        for index, backend in enumerate(backends)
     )
     return f"""
 [proxy]
@@ -125,7 +132,7 @@
 path = "/health"
 every_ms = 100
 timeout_ms = 100
-{fleet if group else ""}
+{fleet_table if group else ""}
 [[pools]]
 name = "p"
 {members}
@@ -147,89 +154,94 @@
         writer.close()
 
 
-async def until_unused(server: Server, ports: list[int]) -> None:
-    """Wait until each of the proxies sends it no requests."""
-    await _until_used(server, ports, False)
+async def wait_until_unused(backend: ProbedBackend, ports: list[int]) -> None:
+    """Wait until none of the proxies on `ports` sends requests to the backend."""
+    await _wait_for_use(backend, ports, expected=False)
 
 
-async def until_used(server: Server, ports: list[int]) -> None:
-    """Wait until each of the proxies sends it requests."""
-    await _until_used(server, ports, True)
+async def wait_until_used(backend: ProbedBackend, ports: list[int]) -> None:
+    """Wait until each of the proxies on `ports` sends requests to the backend."""
+    await _wait_for_use(backend, ports, expected=True)
 
 
-async def _until_used(server: Server, ports: list[int], used: bool) -> None:
+async def _wait_for_use(backend: ProbedBackend, ports: list[int], *, expected: bool) -> None:
     async with asyncio.timeout(40):
         for port in ports:
             while True:
-                before = server.requests
+                requests_before = backend.requests
                 await send_requests(port)
-                if (server.requests != before) == used:
+                if (backend.requests != requests_before) == expected:
                     break
                 await asyncio.sleep(0.05)
 
 
-def test_a_proxy_alone_sends_nothing_to_a_server_while_it_is_down(tmp_path: Path) -> None:
+def test_standalone_proxy_sends_no_requests_to_a_backend_that_is_down(tmp_path: Path) -> None:
     async def run() -> None:
-        async with Server() as one, Server() as two, Server() as three:
-            async with served(tmp_path, routes("x", "z", [one, two, three], [])) as proxy:
-                await until_used(two, [proxy.ports["in"]])
-                two.healthy = False
+        async with ProbedBackend() as first, ProbedBackend() as second, ProbedBackend() as third:
+            text = routes_file_text("x", "z", [first, second, third], [])
+            async with served(tmp_path, text) as proxy:
+                await wait_until_used(second, [proxy.ports["in"]])
+                second.healthy = False
                 await proxy.log_line("p/m1 is down")
-                await until_unused(two, [proxy.ports["in"]])
-                one.healthy = three.healthy = False  # more likely that the probes are wrong
+                await wait_until_unused(second, [proxy.ports["in"]])
+                # All members of the pool are down, which exceeds the panic threshold.
+                first.healthy = third.healthy = False
                 await proxy.log_line("p/m1 is no longer known to be down")
-                await until_used(two, [proxy.ports["in"]])
+                await wait_until_used(second, [proxy.ports["in"]])
 
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-class Zones:
-    """Proxies in two zones, on one coordinator."""
+class ZoneFleet:
+    """Proxies in several zones that share one coordination service and one pool of backends."""
 
-    def __init__(self, harness: Harness, client: Client, folder: Path, servers: list[Server]) -> None:
+    def __init__(self, harness: Harness, client: Client, folder: Path, backends: list[ProbedBackend]) -> None:
         self.harness = harness
         self.client = client
         self.folder = folder
-        self.servers = servers
+        self.backends = backends
         self.proxies: dict[str, ManagedProcess] = {}
         self.ports: dict[str, int] = {}
 
     async def start(self, name: str, zone: str) -> None:
+        """Start a proxy, and wait until it listens."""
         path = self.folder / f"{name}.toml"
-        path.write_text(routes(name, zone, self.servers, self.harness.addresses))
+        path.write_text(routes_file_text(name, zone, self.backends, self.harness.addresses))
         self.proxies[name] = await self.harness.start_process(name, "heronreel.cli", "serve", str(path))
         line = await self.proxies[name].wait_for_line("listening on")
         self.ports[name] = int(line.split("127.0.0.1:")[1].split()[0])
 
     async def report(self, zone: str, after_round: int = 0) -> HealthReport:
-        """The zone's report, once it is of a later round."""
+        """Wait for a report of the zone from a round after `after_round`, and return it."""
         async with asyncio.timeout(40):
             while True:
-                found = await self.client.call(Range(report_key(zone)), 5.0)
-                assert isinstance(found, RangeResponse)
-                report = decode_report(found.records[0][1].value) if found.records else None
+                response = await self.client.call(Range(report_key(zone)), 5.0)
+                assert isinstance(response, RangeResponse)
+                report = decode_report(response.records[0][1].value) if response.records else None
                 if report is not None and report.round > after_round:
                     return report
                 await asyncio.sleep(0.05)
 
     async def check_probe_rate(self) -> None:
-        """Each server is probed once a zone, and not once a proxy."""
-        counts, began = [server.probes for server in self.servers], time.monotonic()
+        """Check that each backend is probed once per zone and round, and not once per proxy."""
+        probes_before = [backend.probes for backend in self.backends]
+        started_at = time.monotonic()
         await self.report("x", (await self.report("x")).round + 5)
-        rounds = (time.monotonic() - began) / 0.1 + 2
-        for server, before in zip(self.servers, counts, strict=True):
-            assert server.probes - before <= 2 * rounds  # two zones, and not five proxies
+        rounds = (time.monotonic() - started_at) / 0.1 + 2
+        for backend, before in zip(self.backends, probes_before, strict=True):
+            assert backend.probes - before <= 2 * rounds  # There are two zones with five proxies.
 
     async def kill_prober(self, zone: str) -> HealthReport:
         """Kill the zone's prober; returns its last report."""
         prober = (await self.report(zone)).prober
         await self.proxies[prober].kill()
         del self.ports[prober]
-        last = await self.report(zone)
-        assert last.prober == prober
-        return last
+        last_report = await self.report(zone)
+        assert last_report.prober == prober
+        return last_report
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
+        """Stop the proxies that have not been killed, and check that they exit cleanly."""
         for name in self.ports:
             self.proxies[name].send_signal(signal.SIGTERM)
             assert await self.proxies[name].wait_for_exit() == 0
@@ -237,43 +249,48 @@
 
 def test_one_proxy_probes_for_a_zone_and_another_replaces_it_when_it_is_killed(tmp_path: Path) -> None:
     async def run() -> None:
-        async with Server() as one, Server() as two, Server() as three:
+        async with ProbedBackend() as first, ProbedBackend() as second, ProbedBackend() as third:
             async with Harness(tmp_path, ("a",), 1) as harness, Client(harness.addresses) as client:
                 await harness.wait_until_available()
-                zones = Zones(harness, client, tmp_path, [one, two, three])
+                fleet = ZoneFleet(harness, client, tmp_path, [first, second, third])
                 for name, zone in (("x1", "x"), ("x2", "x"), ("x3", "x"), ("y1", "y"), ("y2", "y")):
-                    await zones.start(name, zone)
-                await zones.report("x")
-                await zones.report("y")
-                await zones.check_probe_rate()
-                two.healthy = False
-                await until_unused(two, list(zones.ports.values()))
-                killed = await zones.kill_prober("x")
-                after = await zones.report("x", killed.round)
-                assert after.prober != killed.prober and after.fencing_token > killed.fencing_token
-                assert after.down == (("p", "m1"),)
-                ports = list(zones.ports.values())
-                await until_unused(two, ports)
-                # what the killed one would still have published is rejected by the coordinator
-                late = HealthReport(killed.round + 99, killed.prober, killed.fencing_token, 3)
-                response = await client.call(publish_request("x", late))
+                    await fleet.start(name, zone)
+                await fleet.report("x")
+                await fleet.report("y")
+                await fleet.check_probe_rate()
+                second.healthy = False
+                await wait_until_unused(second, list(fleet.ports.values()))
+                last_report = await fleet.kill_prober("x")
+                new_report = await fleet.report("x", last_report.round)
+                assert new_report.prober != last_report.prober
+                assert new_report.fencing_token > last_report.fencing_token
+                assert new_report.down == (("p", "m1"),)
+                ports = list(fleet.ports.values())
+                await wait_until_unused(second, ports)
+                # The coordination service rejects a late report of the prober that was killed.
+                late_report = HealthReport(
+                    last_report.round + 99, last_report.prober, last_report.fencing_token, 3
+                )
+                response = await client.call(publish_request("x", late_report))
                 assert isinstance(response, TxnResponse) and not response.succeeded
                 (claim,) = response.responses
                 assert isinstance(claim, RangeResponse) and claim.records
-                two.healthy = True
-                await until_used(two, ports)
-                two.healthy = False
-                await until_unused(two, ports)
-                await harness.members["a"].kill()  # there are no more reports: no member is known to be down
-                await until_used(two, ports)
-                await zones.end()
+                second.healthy = True
+                await wait_until_used(second, ports)
+                second.healthy = False
+                await wait_until_unused(second, ports)
+                # Without the coordination service the last report expires, and no member counts as down.
+                await harness.members["a"].kill()
+                await wait_until_used(second, ports)
+                await fleet.stop()
 
     asyncio.run(run())
 
 
-def test_a_report_is_bounded_and_stored_under_its_zone() -> None:
+def test_report_has_a_bounded_size_and_is_stored_under_the_key_of_its_zone() -> None:
     assert probe_task_name("") == "probe" and probe_task_name("z") == "probe-z"
     assert report_key("z") == b"probe/z"
-    request = publish_request("z", HealthReport(1, "x", 7, 3, tuple(("p", f"m{n}") for n in range(5000))))
+    down = tuple(("p", f"m{number}") for number in range(5000))
+    request = publish_request("z", HealthReport(1, "x", 7, 3, down))
     put = request.success[0]
     assert isinstance(put, Put) and len(put.value) < 64 << 10
