--- a/heronreel/leases/administration.py
+++ b/heronreel/leases/administration.py
@@ -1,4 +1,4 @@
-"""Administration by operators: claims, suspended tasks, and the members of the group."""
+"""Operations for administrators: revoke claims, restart suspended tasks, and resize the group."""
 
 from __future__ import annotations
 
@@ -25,37 +25,40 @@
 from heronreel.leases.keys import claim_key, cursor_key
 from heronreel.leases.tasks import decode_cursor, encode_cursor, restart_suspended
 
-MAX_ATTEMPTS = 5  # at a change that another one comes before
+MAX_TRANSACTION_ATTEMPTS = 5  # A transaction fails if the key was changed after it was read.
 
 
 async def revoke_claim(client: Client, task: str) -> int | None:
-    """Revoke a claim; its fencing token, which is rejected from now on, or None if nobody held it.
+    """Revoke the claim on a task.
 
-    The next grant has a higher token, and its holder registers at the resources before it acts: the previous
-    holder may go on until it checks its claim, or until then.
+    The next grant has a higher fencing token, and its holder registers at the resources before it acts.  The
+    previous holder may continue to act until it checks its claim, or until the next holder has registered.
+
+    Returns:
+        The fencing token of the revoked claim, or None if no process held the claim.
 
     Raises:
-        RequestError: the service did not respond.
+        RequestError: the coordination service did not respond.
     """
     key = claim_key(task)
-    for _ in range(MAX_ATTEMPTS):
+    for _ in range(MAX_TRANSACTION_ATTEMPTS):
         record = await _read(client, key)
         if record is None:
             return None
         unchanged = Compare(key, CompareTarget.CREATE, CompareOperator.EQUAL, record.create_revision)
-        if await _succeeds(client, unchanged, DeleteRange(key)):
+        if await _apply_if(client, unchanged, DeleteRange(key)):
             return record.create_revision
     return None
 
 
 async def restart_task(client: Client, task: str) -> bool:
-    """Have a suspended task retried; False if it is not suspended.
+    """Restart a suspended task; returns False if the task is not suspended.
 
     Raises:
-        RequestError: the service did not respond.
+        RequestError: the coordination service did not respond.
     """
     key = cursor_key(task)
-    for _ in range(MAX_ATTEMPTS):
+    for _ in range(MAX_TRANSACTION_ATTEMPTS):
         record = await _read(client, key)
         if record is None:
             return False
@@ -63,7 +66,7 @@
         if not cursor.suspended:
             return False
         unchanged = Compare(key, CompareTarget.MOD, CompareOperator.EQUAL, record.mod_revision)
-        if await _succeeds(client, unchanged, Put(key, encode_cursor(restart_suspended(cursor)))):
+        if await _apply_if(client, unchanged, Put(key, encode_cursor(restart_suspended(cursor)))):
             return True
     return False
 
@@ -74,34 +77,37 @@
     return response.records[0][1] if response.records else None
 
 
-async def _succeeds(client: Client, condition: Compare, operation: Operation) -> bool:
+async def _apply_if(client: Client, condition: Compare, operation: Operation) -> bool:
+    """Apply an operation if the condition holds; returns whether it was applied."""
     response = await client.call(Txn((condition,), (operation,)))
     assert isinstance(response, TxnResponse)
     return response.succeeded
 
 
 async def resize_group(client: Client, names: Iterable[str]) -> None:
-    """Have the group become these members.
+    """Set the desired members of the group.
 
-    New members join once they have been started with an empty folder, then members that are not among the
-    names leave, one at a time.
+    Each new member joins once it has been started with an empty data folder.  After that the members that are
+    not among `names` leave, one at a time.
 
     Raises:
-        RequestError: the service did not respond.
+        RequestError: the coordination service did not respond.
     """
     await client.call(Put(DESIRED_MEMBERS_KEY, " ".join(sorted(names)).encode()))
 
 
 async def group_overview(client: Client) -> dict[str, Any]:
-    """What each address reports of itself, and who is in the group as its leader says: the rows of `--json`.
+    """Return the state that each member reports, and the membership that the leader reports.
+
+    The result has the form of the `--json` output, whose keys are fixed.
 
     Raises:
-        RequestError: no member says that it leads.
+        RequestError: no member reports that it is the leader.
     """
     reports = await asyncio.gather(*(client.health(address) for address in client.addresses))
     leaders = [report for report in reports if report.get("role") == "leader"]
     if not leaders:
-        raise RequestError(StatusCode.UNAVAILABLE, "nobody says that it leads")
+        raise RequestError(StatusCode.UNAVAILABLE, "no member reports that it is the leader")
     newest = max(leaders, key=lambda report: report["version"])
     disks = newest["disks"]
     members = []
--- a/heronreel/leases/claim.py
+++ b/heronreel/leases/claim.py
@@ -1,8 +1,8 @@
-"""A claim: a lock that one process holds under its lease.  No I/O; time is passed in.
+"""A claim: a lock that one process holds under its lease.  No I/O; the time is passed in.
 
-A claim is a key that is created only where there is none, attached to the lease of its holder.  The revision
-at which it was created is the fencing token of the grant.  A missing response counts neither as success nor
-as failure: the request is sent again in a form that is right in both cases.
+A claim is a key that is created only if it does not exist, and that is attached to the lease of its holder.
+The revision at which the key was created is the fencing token of the grant.  If a response is missing, the
+request may or may not have been applied, so it is sent again in a form that is correct in both cases.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 
 
 class ClaimAcquired(NamedTuple):
-    """The claim is held: act under `fencing_token` while `Claim.fencing_token` returns it."""
+    """The claim is held.  The holder may act for as long as `Claim.fencing_token` returns this token."""
 
     key: bytes
     fencing_token: int
 
 
 class ClaimLost(NamedTuple):
-    """The claim is no longer held; what is in progress has to end now."""
+    """The claim is no longer held.  Actions in progress under its fencing token have to stop."""
 
     key: bytes
     fencing_token: int
@@ -50,14 +50,14 @@
 
 
 class ClaimHolder(NamedTuple):
-    """Who holds a claim, as last seen."""
+    """The holder of a claim, as last read."""
 
     value: bytes
     fencing_token: int
 
 
 class ClaimRequest(NamedTuple):
-    """A claim's request that has no response yet."""
+    """A request of a claim that has no response yet."""
 
     request_id: int
     sent_at: float
@@ -65,32 +65,35 @@
 
 
 class Claim:
-    """One key attached to the lease of this process."""
+    """A claim of this process: one key that is attached to the process's lease."""
 
     def __init__(self, lease: LeaseClient, key: bytes, value: bytes, jitter: Callable[[], float]) -> None:
         self.lease = lease
         self.key = key
         self.value = value
-        self.granted_token = 0  # fencing token of the grant; 0: not held
+        self.granted_token = 0  # The fencing token of the grant, or 0 while the claim is not held.
         self.holder: ClaimHolder | None = None
         self.next_request_at = 0.0
         self.backoff = JitteredBackoff(jitter)
         self.in_flight: ClaimRequest | None = None
-        self.wanted = True
-        self.released = False  # the service has confirmed the release
+        self.wanted = True  # False once the claim is to be released.
+        self.released = False  # True once the service has confirmed the release.
 
     def fencing_token(self, now: float) -> int:
-        """The fencing token to act under at this moment, or 0.  Call it before each action."""
+        """Return the fencing token to act under, or 0 if the process may not act.
+
+        Call this before each action, since the lease may have expired since the last call.
+        """
         return self.granted_token if self.wanted and self.lease.valid(now) else 0
 
     def next_wakeup(self) -> float:
-        """When `tick` has something to do, at the latest."""
+        """Return the latest time at which `tick` has to be called again."""
         if self.in_flight is not None:
             return self.in_flight.sent_at + self.lease.terms.response_timeout_s
         return self.next_request_at if self.lease.granted else float("inf")
 
     def tick(self, now: float) -> Actions:
-        """Time has passed."""
+        """Handle timeouts, and return the actions that are due."""
         timeout_s = self.lease.terms.response_timeout_s
         if self.in_flight is not None and now >= self.in_flight.sent_at + timeout_s:
             self.in_flight = None
@@ -108,19 +111,19 @@
             return self._release_request()
         unchanged = Compare(self.key, CompareTarget.CREATE, CompareOperator.EQUAL, self.granted_token)
         if self.granted_token:
-            # a held claim is read again as well: an operator may have revoked it
+            # A held claim is also checked regularly, because an operator may have revoked it.
             return Txn((unchanged,), (Range(self.key),), (Range(self.key),))
         put = Put(self.key, self.value, self.lease.lease_id)
         return Txn((unchanged,), (put,), (Range(self.key),))
 
     def _release_request(self) -> Request:
-        # whatever its token: a request whose response was lost may have created the key
+        # The fencing token is not compared, since a request without a response may have created the key.
         own_lease = Compare(self.key, CompareTarget.LEASE, CompareOperator.EQUAL, self.lease.lease_id)
         own_value = Compare(self.key, CompareTarget.VALUE, CompareOperator.EQUAL, self.value)
         return Txn((own_lease, own_value), (DeleteRange(self.key),))
 
     def on_response(self, now: float, response: ResponseOrError) -> Actions:
-        """The response to the request in flight."""
+        """Handle the response to the request in flight."""
         assert self.in_flight is not None
         lease_id = self.in_flight.lease_id
         self.in_flight = None
@@ -138,7 +141,7 @@
         return self._on_conflict(now, current)
 
     def _on_conflict(self, now: float, current: RangeResponse) -> Actions:
-        """The key is not as expected; `current` is how it is."""
+        """Handle a failed comparison; `current` is the state of the key that the service returned."""
         if not current.records:
             if self.granted_token:
                 return self.mark_lost("revoked")
@@ -159,7 +162,7 @@
 
     def _on_granted(self, now: float, fencing_token: int) -> Actions:
         if not self.lease.valid(now):
-            return []  # read again once the lease is renewed
+            return []  # The claim is read again once the lease is renewed.
         self.granted_token = fencing_token
         self.holder = ClaimHolder(self.value, fencing_token)
         return [ClaimAcquired(self.key, fencing_token)]
@@ -171,18 +174,18 @@
         return [ClaimLost(self.key, token, "released")] if token else []
 
     def mark_lost(self, reason: str) -> Actions:
-        """The claim can no longer be relied on by this process; requested again at the next tick."""
+        """Stop using the grant, if there is one.  The claim is requested again at the next tick."""
         token, self.granted_token = self.granted_token, 0
         self.next_request_at = 0.0
         return [ClaimLost(self.key, token, reason)] if token else []
 
     def retry_soon(self, now: float) -> None:
-        """The key was seen to change: request the claim again soon."""
+        """Request the claim again soon, because a change of its key was observed."""
         if not self.granted_token and self.in_flight is None:
-            soon = now + self.backoff.jitter() * MIN_BACKOFF_S
-            self.next_request_at = min(self.next_request_at, soon)
+            retry_at = now + self.backoff.jitter() * MIN_BACKOFF_S
+            self.next_request_at = min(self.next_request_at, retry_at)
 
     def release(self, now: float) -> None:
-        """Release the claim while the lease goes on: no action may begin from now on."""
+        """Release the claim but keep the lease.  No action may begin under the claim from now on."""
         self.wanted = False
         self.next_request_at = now
--- a/heronreel/leases/errors.py
+++ b/heronreel/leases/errors.py
@@ -1,14 +1,14 @@
-"""Errors of this package.  All derive from `LeaseError`."""
+"""Errors of leases, claims and fleet-wide tasks.  All of them derive from `LeaseError`."""
 
 from __future__ import annotations
 
 
 class LeaseError(Exception):
-    """The base of every error that this package raises by itself."""
+    """Base class of the errors that this package defines."""
 
 
 class InvalidLeaseTermsError(LeaseError, ValueError):
-    """The durations of a lease leave no time for a renewal and one retry."""
+    """The durations of a lease leave too little time for a renewal and one retry."""
 
 
 class InvalidFencingTokenError(LeaseError, ValueError):
@@ -16,13 +16,13 @@
 
 
 class FencedTaskLimitError(LeaseError, ValueError):
-    """A fencing guard already tracks as many tasks as it may.
+    """A fencing guard already tracks its maximum number of tasks.
 
-    Its tokens are never forgotten, since a forgotten one would admit a previous holder.
+    The guard never drops the token of a task, because it would then admit a previous holder of the task.
     """
 
     def __init__(self, limit: int) -> None:
-        super().__init__(f"{limit} tasks are known already")
+        super().__init__(f"the fencing guard already tracks {limit} tasks, its maximum")
         self.limit = limit
 
 
@@ -30,6 +30,6 @@
     """A write skips a step of its task."""
 
     def __init__(self, step: int, next_step: int) -> None:
-        super().__init__(f"step {step}, and the next one is {next_step}")
+        super().__init__(f"step {step} is out of order, because the next one is {next_step}")
         self.step = step
         self.next_step = next_step
--- a/heronreel/leases/keys.py
+++ b/heronreel/leases/keys.py
@@ -11,20 +11,20 @@
 
 
 def claim_key(task: str) -> bytes:
-    """The key of the claim on a task."""
+    """Return the key of the claim on a task."""
     return CLAIM_PREFIX + task.encode()
 
 
 def presence_key(name: str) -> bytes:
-    """The key by which a process announces its presence."""
+    """Return the key with which a process announces its presence."""
     return PRESENCE_PREFIX + name.encode()
 
 
 def cursor_key(task: str) -> bytes:
-    """The key of a task's cursor."""
+    """Return the key of a task's cursor."""
     return CURSOR_PREFIX + task.encode()
 
 
 def present_names(response: RangeResponse) -> list[str]:
-    """Names of the processes present, from a range over `PRESENCE_PREFIX`."""
+    """Return the names of the processes present, from the response to a range over `PRESENCE_PREFIX`."""
     return [key[len(PRESENCE_PREFIX) :].decode(errors="replace") for key, _ in response.records]
--- a/heronreel/leases/lease.py
+++ b/heronreel/leases/lease.py
@@ -1,8 +1,8 @@
-"""The lease of one process.  No I/O: events and the time are passed in, actions are returned.
+"""The lease of one process.  No I/O: events and the time are passed in, and actions are returned.
 
-The process counts the lease's time from before it sent a request, on its own clock, and stops a safety margin
-before the expiry.  Everything that belongs to the process hangs on its lease: claims, and attachments such as
-its share of a budget.
+The process measures the lease's time to live on its own clock, from the moment before it sent the request,
+and stops acting a safety margin before the lease expires.  Everything that the process holds depends on its
+lease: its claims, and attachments such as its share of a rate budget.
 """
 
 from __future__ import annotations
@@ -26,53 +26,54 @@
 from heronreel.leases.errors import InvalidLeaseTermsError
 from heronreel.leases.requests import InFlightRequest, SendRequest
 
-RENEWAL_JITTER = 0.25  # part of the renewal interval by which a renewal may come early
+RENEWAL_JITTER_RATIO = 0.25  # A renewal is sent early by up to this fraction of the renewal interval.
 
 
 class LeaseTerms(msgspec.Struct, frozen=True):
     """Durations of a lease, in seconds.
 
-    `safety_margin_s` is for what is in progress when the lease ends: an action is begun only before it.
+    An action may only begin until `safety_margin_s` before the lease expires.  Actions in progress have that
+    time to finish.
     """
 
     ttl_s: int = 6
     safety_margin_s: float = 1.0
     response_timeout_s: float = 1.0
-    stops_before_expiry: bool = True  # a guard: a test takes it out, and has to fail then
+    stops_before_expiry: bool = True  # Set to False only by tests, which check that the margin is needed.
 
     def validate(self) -> None:
-        """Check that a renewal and one retry fit in before the margin.
+        """Check that a renewal and one retry fit in before the safety margin.
 
         Raises:
-            InvalidLeaseTermsError: they do not.
+            InvalidLeaseTermsError: the time to live is too short for them.
         """
         required = 2 * self.ttl_s / 3 + self.response_timeout_s + self.safety_margin_s
         if required > self.ttl_s:
             raise InvalidLeaseTermsError(
-                f"ttl of {self.ttl_s} s: a renewal at two thirds, an answer within "
-                f"{self.response_timeout_s} s and a margin of {self.safety_margin_s} s need "
+                f"a time to live of {self.ttl_s} s is too short: a renewal at two thirds of it, a response "
+                f"timeout of {self.response_timeout_s} s and a margin of {self.safety_margin_s} s need "
                 f"{3 * (self.response_timeout_s + self.safety_margin_s):g} s"
             )
 
 
 class LeaseAttachment(Protocol):
-    """Something that belongs to the process for as long as its lease lasts, and sends requests of its own."""
+    """State that the process holds for as long as its lease lasts, and that sends its own requests."""
 
     def tick(self, now: float) -> list[SendRequest]:
-        """Time has passed."""
+        """Handle timeouts, and return the requests that are due."""
 
     def on_response(self, now: float, response: ResponseOrError) -> list[SendRequest]:
-        """The response to the request that it awaits."""
+        """Handle the response to the attachment's request in flight."""
 
     def awaits(self, request_id: int) -> bool:
-        """Whether this request is its own and in flight."""
+        """Return whether this request belongs to the attachment and is in flight."""
 
     def next_wakeup(self) -> float:
-        """When `tick` has something to do, at the latest."""
+        """Return the latest time at which `tick` has to be called again."""
 
 
 class LeaseClient:
-    """The lease of one process: granted, renewed, and revoked at the end."""
+    """The lease of one process: requests it, renews it, and revokes it at the end."""
 
     def __init__(
         self,
@@ -93,33 +94,33 @@
         self.valid_until = now
         self.next_request_at = now
         self.backoff = JitteredBackoff(jitter)
-        self.last_request_id = 0  # of the lease, its claims and its attachments
+        self.last_request_id = 0  # Shared by the lease, its claims and its attachments.
         self.in_flight: InFlightRequest | None = None
         self.claims: list[Claim] = []
         self.attachments: tuple[LeaseAttachment, ...] = ()
         self.revoking = False
 
     def valid(self, now: float) -> bool:
-        """Whether the process may act under the lease at this moment."""
+        """Return whether the process may act under the lease."""
         return self.granted and now < self.valid_until
 
     def claim(self, key: bytes, value: bytes) -> Claim:
-        """Request a claim, until it is released."""
+        """Request a claim, and hold it until it is released."""
         claim = Claim(self, key, value, self.jitter)
         self.claims.append(claim)
         return claim
 
     def attach(self, attachment: LeaseAttachment) -> None:
-        """Have something else driven along with the lease."""
+        """Add an attachment, which receives the ticks and its responses through the lease."""
         self.attachments += (attachment,)
 
     def new_request_id(self) -> int:
-        """The id for a request of the lease, of a claim or of an attachment."""
+        """Return a new id for a request of the lease, a claim or an attachment."""
         self.last_request_id += 1
         return self.last_request_id
 
     def next_wakeup(self) -> float:
-        """When `tick` has something to do, at the latest."""
+        """Return the latest time at which `tick` has to be called again."""
         times = [self._own_wakeup()]
         times += [claim.next_wakeup() for claim in self.claims]
         times += [attachment.next_wakeup() for attachment in self.attachments]
@@ -133,7 +134,7 @@
         return self.in_flight.sent_at + self.terms.response_timeout_s
 
     def tick(self, now: float) -> Actions:
-        """Time has passed."""
+        """Handle timeouts and expiry, and return the actions that are due."""
         self.claims = [claim for claim in self.claims if claim.wanted or not claim.released]
         actions = self._expire_claims(now)
         if self.in_flight is not None and now >= self.in_flight.sent_at + self.terms.response_timeout_s:
@@ -148,7 +149,11 @@
         return actions
 
     def _expire_claims(self, now: float) -> Actions:
-        """Report an expiry, also where a late renewal comes before a tick saw it: nothing acts any more."""
+        """Mark the claims as lost if the lease is no longer valid.
+
+        This is also called before a late renewal is applied, so that an expiry is reported even if no tick
+        happened between the expiry and the renewal.
+        """
         if not self.granted or now < self.valid_until:
             return []
         return self._lose_claims(f"not renewed for {self.terms.ttl_s - self.terms.safety_margin_s:.1f} s")
@@ -169,7 +174,7 @@
         self.next_request_at = now + self.backoff.next_delay()
 
     def on_response(self, now: float, request_id: int, response: ResponseOrError) -> Actions:
-        """The response to a request of this lease, of a claim or of an attachment."""
+        """Handle the response to a request of the lease, a claim or an attachment."""
         for claim in self.claims:
             if claim.in_flight is not None and claim.in_flight.request_id == request_id:
                 return claim.on_response(now, response)
@@ -177,7 +182,7 @@
             if attachment.awaits(request_id):
                 return [*attachment.on_response(now, response)]
         if self.in_flight is None or self.in_flight.request_id != request_id:
-            return []  # timed out; the lease counts from a request whose response came in time
+            return []  # The request has timed out, so its response does not extend the lease.
         sent_at = self.in_flight.sent_at
         self.in_flight = None
         if self.revoking:
@@ -198,7 +203,7 @@
         if isinstance(response, LeaseResponse) or _has_code(response, StatusCode.NOT_FOUND):
             return self._on_not_found(now)
         if _has_code(response, StatusCode.FAILED_PRECONDITION) and not self.granted:
-            # an earlier grant succeeded, and its response was lost: from now on the lease is renewed
+            # An earlier grant succeeded and its response was lost: renew the lease from now on.
             self.granted = True
             self.valid_until = now
             self.next_request_at = now
@@ -211,15 +216,16 @@
         self.backoff.reset()
         margin_s = self.terms.safety_margin_s if self.terms.stops_before_expiry else 0.0
         self.valid_until = sent_at + ttl_s - margin_s
-        # at a third at the latest: leases granted together must not be renewed together for ever
-        self.next_request_at = sent_at + ttl_s / 3 * (1.0 - RENEWAL_JITTER * self.jitter())
+        # Renew after at most a third of the time to live.  The jitter spreads the renewals of leases that
+        # were granted at the same time.
+        self.next_request_at = sent_at + ttl_s / 3 * (1.0 - RENEWAL_JITTER_RATIO * self.jitter())
         actions: Actions = []
         for claim in self.claims:
             actions += claim.tick(now)
         return actions
 
     def _on_not_found(self, now: float) -> Actions:
-        """The lease has expired in the service; request another."""
+        """Lose the claims and request a new lease, because the lease has expired in the service."""
         actions = self._lose_claims("lease expired")
         self.lease_id = self.generate_lease_id()
         self.granted = False
@@ -233,7 +239,7 @@
         return actions
 
     def revoke(self, now: float) -> Actions:
-        """Give up the lease and everything under it; done once `revoked`."""
+        """Revoke the lease and everything held under it; `revoked` becomes True once that is confirmed."""
         actions = self._lose_claims("released")
         self.claims.clear()
         self.attachments = ()
@@ -242,7 +248,7 @@
 
     @property
     def revoked(self) -> bool:
-        """Whether the service has confirmed `revoke`."""
+        """Whether the service has confirmed that the lease is revoked."""
         return self.revoking and self.in_flight is None and self.next_request_at == float("inf")
 
 
--- a/heronreel/leases/overview.py
+++ b/heronreel/leases/overview.py
@@ -1,4 +1,4 @@
-"""What operators see: who holds what, who is present, and how far each task has come.
+"""Overviews for operators: the holders of claims, the processes present, and the progress of tasks.
 
 The functions return the rows of `--json` outputs, whose keys are fixed.
 """
@@ -15,28 +15,33 @@
 Row = dict[str, Any]
 
 
-class _LeaseAge(NamedTuple):
-    """Of one lease, in seconds."""
+class _LeaseTimes(NamedTuple):
+    """The remaining time of one lease, and how long its renewal has been missing.
 
-    time_to_live_s: int | None  # None: it has expired
-    overdue_s: int | None  # since its last renewal, where the next one is overdue
+    Attributes:
+        time_to_live_s: the remaining seconds; None if the lease has expired.
+        overdue_s: the seconds since the last renewal if the next one is overdue, otherwise None.
+    """
+
+    time_to_live_s: int | None
+    overdue_s: int | None
 
 
-_UNKNOWN_AGE = _LeaseAge(None, None)
+_UNKNOWN_TIMES = _LeaseTimes(None, None)
 
 
 async def lease_overview(client: Client) -> dict[str, list[Row]]:
-    """Claims, and processes present, with what is left of their leases.
+    """Return the claims and the processes present, with the remaining times of their leases.
 
     Raises:
-        RequestError: the service did not respond.
+        RequestError: the coordination service did not respond.
     """
     claims = await _range(client, CLAIM_PREFIX)
     presences = await _range(client, PRESENCE_PREFIX)
-    ages: dict[int, _LeaseAge] = {}
+    times_by_lease: dict[int, _LeaseTimes] = {}
     for _, record in (*claims.records, *presences.records):
-        if record.lease and record.lease not in ages:
-            ages[record.lease] = await _lease_age(client, record.lease)
+        if record.lease and record.lease not in times_by_lease:
+            times_by_lease[record.lease] = await _lease_times(client, record.lease)
     return {
         "held": [
             {
@@ -44,7 +49,7 @@
                 "by": _text(record.value),
                 "number": record.create_revision,
                 "lease": str(record.lease),
-                "left_s": ages.get(record.lease, _UNKNOWN_AGE).time_to_live_s,
+                "left_s": times_by_lease.get(record.lease, _UNKNOWN_TIMES).time_to_live_s,
             }
             for key, record in claims.records
         ],
@@ -54,31 +59,31 @@
                 "what": _text(record.value),
                 "since": record.create_revision,
                 "lease": str(record.lease),
-                "left_s": ages.get(record.lease, _UNKNOWN_AGE).time_to_live_s,
-                "unknown_since_s": ages.get(record.lease, _UNKNOWN_AGE).overdue_s,
+                "left_s": times_by_lease.get(record.lease, _UNKNOWN_TIMES).time_to_live_s,
+                "unknown_since_s": times_by_lease.get(record.lease, _UNKNOWN_TIMES).overdue_s,
             }
             for key, record in presences.records
         ],
     }
 
 
-async def _lease_age(client: Client, lease_id: int) -> _LeaseAge:
+async def _lease_times(client: Client, lease_id: int) -> _LeaseTimes:
     response = await client.call(LeaseTimeToLive(lease_id))
     assert isinstance(response, LeaseResponse)
     since_renewal_s = response.granted_ttl - max(0, response.ttl)
-    # renewed at a third; the service rounds down to whole seconds
+    # A lease is renewed after a third of its time to live, and the service rounds down to whole seconds.
     is_overdue = since_renewal_s > response.granted_ttl / 3 + 1
-    return _LeaseAge(
+    return _LeaseTimes(
         time_to_live_s=response.ttl if response.ttl >= 0 else None,
         overdue_s=since_renewal_s if is_overdue else None,
     )
 
 
 async def task_overview(client: Client) -> list[Row]:
-    """How far each task has come, and who holds it.
+    """Return the progress and the holder of each task.
 
     Raises:
-        RequestError: the service did not respond.
+        RequestError: the coordination service did not respond.
     """
     cursors = await _range(client, CURSOR_PREFIX)
     claims = await _range(client, CLAIM_PREFIX)
--- a/heronreel/leases/rate_limiter.py
+++ b/heronreel/leases/rate_limiter.py
@@ -1,4 +1,4 @@
-"""What the steps of a process may use of a budget: token buckets around a `BudgetShare`, with a clock."""
+"""Limits the steps of a process to its share of a rate budget: token buckets over a `BudgetShare`."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from heronreel.leases.rate_budget import BudgetShare
 from heronreel.leases.rate_limits import RateLimits, TokenBuckets
 
-MAX_WAIT_S = 0.1  # between two checks whether the share has changed
+MAX_WAIT_S = 0.1  # The longest time between two checks whether the share has changed.
 
 
 class RateLimiter:
-    """The token buckets of one class of tasks, which follow the process's share of the class's budget."""
+    """The token buckets of one priority class, whose rates follow the process's share of the budget."""
 
     def __init__(self, limits: RateLimits, share: BudgetShare, now: Callable[[], float]) -> None:
-        """`limits` are those of the whole fleet."""
+        """`limits` are the limits of the whole fleet."""
         self.limits = limits
         self.share = share
         self.now = now
-        self.units = 0  # that the buckets are filled for
+        self.units = 0  # The units for which the buckets' rates are set.
         self.buckets = TokenBuckets(limits.share(0), now())
 
     async def acquire(self, calls: float = 0.0, bytes_: float = 0.0, cpu: float = 0.0) -> None:
-        """Take tokens, and wait until there are as many."""
+        """Take tokens, and wait until the buckets are no longer in debt."""
         wait_s = self._consume(calls, bytes_, cpu)
         while wait_s > 0.0:
             await asyncio.sleep(min(wait_s, MAX_WAIT_S))
@@ -41,14 +41,14 @@
 
 
 class CpuMeteredStep:
-    """An awaitable that runs a step, and takes tokens for its processor time whenever it yields."""
+    """An awaitable that runs a step, and takes tokens for its processor time whenever the step yields."""
 
     def __init__(self, step: Coroutine[Any, Any, None], limiter: RateLimiter) -> None:
         self.step = step
         self.limiter = limiter
 
     def __await__(self) -> Generator[Any, Any, None]:
-        """Drive the step."""
+        """Run the step to its end."""
         error: BaseException | None = None
         while True:
             started_at = time.thread_time()
@@ -61,5 +61,5 @@
             try:
                 yield awaited
                 yield from self.limiter.acquire(cpu=used_s).__await__()
-            except BaseException as raised:  # also a cancellation: the step decides what it means
+            except BaseException as raised:  # A cancellation is passed on to the step as well.
                 error = raised
--- a/heronreel/leases/rate_limits.py
+++ b/heronreel/leases/rate_limits.py
@@ -1,18 +1,20 @@
-"""Rate limits of fleet-wide tasks, and the token buckets that enforce them.  Pure; time is passed in."""
+"""Rate limits of fleet-wide tasks, and the token buckets that enforce them.  Pure; the time is passed in."""
 
 from __future__ import annotations
 
 import msgspec
 
-TOTAL_UNITS = 960  # quota units of a budget: whole numbers, so that no rounding makes more than all of it
-BURST_S = 2.0  # seconds of the rate that a bucket holds at most
+# The quota units of a budget.  Shares are whole numbers of units, so that rounding never makes their sum
+# exceed the budget.
+TOTAL_UNITS = 960
+BURST_S = 2.0  # A bucket holds at most the tokens that its rate yields in this time.
 
 
 class RateLimits(msgspec.Struct, frozen=True):
-    """Limits of a class of tasks, for the whole fleet or for one process.
+    """Limits of a priority class, for the whole fleet or for one process.
 
-    Amounts a second, of calls, of bytes, and of seconds of processor time.  0: nothing is allowed; None: no
-    limit.
+    The limits are amounts per second: of calls, of bytes, and of seconds of processor time.  With 0 nothing
+    is allowed, and with None there is no limit.
     """
 
     calls: float | None = None
@@ -20,16 +22,16 @@
     cpu: float | None = None
 
     def share(self, units: int) -> RateLimits:
-        """The limits of a process that has `units` of `TOTAL_UNITS`."""
+        """Return the limits of a process that has `units` of the `TOTAL_UNITS`."""
         rates = (self.calls, self.bytes, self.cpu)
         return RateLimits(*(None if rate is None else rate * units / TOTAL_UNITS for rate in rates))
 
 
 class TokenBucket:
-    """A token bucket that may go into debt, since what an action uses may be known only afterwards."""
+    """A token bucket that may go into debt, since the cost of an action may only be known afterwards."""
 
     def __init__(self, rate: float | None, now: float) -> None:
-        """`rate`: tokens a second; None: no limit."""
+        """`rate` is in tokens per second; None means no limit."""
         self.rate = rate
         self.tokens = 0.0 if rate is None else rate * BURST_S
         self.refilled_at = now
@@ -41,13 +43,13 @@
         self.refilled_at = now
 
     def set_rate(self, rate: float | None, now: float) -> None:
-        """Change the rate: what was saved up shrinks with it, debts stay."""
+        """Change the rate.  Saved tokens are cut to the new maximum, and a debt stays."""
         self._refill(now)
         self.rate = rate
         self.tokens = 0.0 if rate is None else min(self.tokens, rate * BURST_S)
 
     def consume(self, now: float, amount: float) -> float:
-        """Take tokens; the seconds to wait before acting, infinite where the rate is 0."""
+        """Take tokens; returns the seconds to wait before acting, which are infinite if the rate is 0."""
         if self.rate is None:
             return 0.0
         self._refill(now)
@@ -58,7 +60,7 @@
 
 
 class TokenBuckets:
-    """A bucket for each of the limits of a class of tasks in one process."""
+    """One token bucket for each limit of a priority class in one process."""
 
     def __init__(self, limits: RateLimits, now: float) -> None:
         self.calls = TokenBucket(limits.calls, now)
@@ -66,13 +68,13 @@
         self.cpu = TokenBucket(limits.cpu, now)
 
     def set_limits(self, limits: RateLimits, now: float) -> None:
-        """Change the limits."""
+        """Change the rates of all buckets."""
         self.calls.set_rate(limits.calls, now)
         self.bytes.set_rate(limits.bytes, now)
         self.cpu.set_rate(limits.cpu, now)
 
     def consume(self, now: float, calls: float = 0.0, bytes_: float = 0.0, cpu: float = 0.0) -> float:
-        """Take tokens from each bucket; the longest wait, in seconds."""
+        """Take tokens from each bucket; returns the longest wait in seconds."""
         return max(
             self.calls.consume(now, calls),
             self.bytes.consume(now, bytes_),
--- a/heronreel/leases/requests.py
+++ b/heronreel/leases/requests.py
@@ -1,4 +1,4 @@
-"""Requests to the coordination service, as actions of cores that do no I/O."""
+"""Requests to the coordination service, as actions that modules without I/O return to their callers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SendRequest(NamedTuple):
-    """Send a request, and report its response, or an error once the deadline has passed."""
+    """Send a request, and report its response, or an error if there is none until the deadline."""
 
     request_id: int
     request: Request
@@ -23,10 +23,10 @@
 
 
 class SingleRequestSender:
-    """A core that has at most one request in flight, and ignores responses that come after its timeout."""
+    """Base class with at most one request in flight, which ignores responses after their timeout."""
 
     def __init__(self, response_timeout_s: float) -> None:
-        """`response_timeout_s`: seconds after which a request counts as failed."""
+        """A request counts as failed if there is no response within `response_timeout_s` seconds."""
         self.response_timeout_s = response_timeout_s
         self.in_flight: InFlightRequest | None = None
         self.last_request_id = 0
--- a/heronreel/leases/scheduling.py
+++ b/heronreel/leases/scheduling.py
@@ -1,4 +1,4 @@
-"""Which process runs a task, and which task a process runs next.  Pure functions."""
+"""Decides which process runs a task, and which task a process runs next.  Pure functions."""
 
 from __future__ import annotations
 
@@ -9,45 +9,48 @@
 
 from heronreel.leases.tasks import Priority, Task
 
-STANDBY_DELAY_S = 0.5  # that a process waits for each one before it in a task's order
-AGEING_S = 30.0  # of waiting raise a task by one class
+STANDBY_DELAY_S = 0.5  # A process waits this long for each process before it in a task's order.
+AGEING_INTERVAL_S = 30.0  # Waiting this long raises a task by one priority class.
 
 
 class DueTask(NamedTuple):
-    """A task with a step to run, and since when."""
+    """A task that has a step to run, and the time since when it has been waiting."""
 
     task: Task
     since: float
 
 
 def rendezvous_order(task: str, present: Iterable[str]) -> list[str]:
-    """The processes present in the order in which they should run a task, by rendezvous hashing.
+    """Return the processes in the order in which they should run a task, by rendezvous hashing.
 
-    Tasks spread over the processes, and one that comes or goes moves no task but those that become or were
-    its own.
+    The tasks are spread over the processes.  A process that starts or stops only moves the tasks that it gets
+    or that it had.
     """
     return sorted(present, key=lambda name: (-xxhash.xxh3_64_intdigest(f"{task}\0{name}".encode()), name))
 
 
 def standby_delay(task: str, name: str, present: Iterable[str]) -> float:
-    """Seconds that `name` leaves to the processes before it; nobody waits for one that is not present."""
+    """Return the seconds that process `name` waits for the processes before it in the task's order.
+
+    Processes that are not present are not waited for.
+    """
     order = rendezvous_order(task, {*present, name})
     return order.index(name) * STANDBY_DELAY_S
 
 
 def next_task(due: Iterable[DueTask], now: float) -> Task | None:
-    """The task to run next: by class, raised by waiting.
+    """Return the task to run next, by priority class and waiting time.
 
-    A task that is halfway to its deadline is urgent.
+    Waiting raises the priority of a task.  A task that has waited for half of its deadline is urgent.
     """
-    ranked = [(_rank(each, now), each.since, each.task.name, each.task) for each in due]
+    ranked = [(_rank(entry, now), entry.since, entry.task.name, entry.task) for entry in due]
     return min(ranked)[-1] if ranked else None
 
 
 def _rank(due: DueTask, now: float) -> float:
-    """The lower, the sooner."""
+    """Return the rank of a task; a task with a lower rank runs sooner."""
     waited_s = now - due.since
     deadline_s = due.task.deadline_s
-    is_pressing = deadline_s and waited_s >= deadline_s / 2
-    priority = Priority.URGENT if is_pressing else due.task.priority
-    return priority - waited_s / AGEING_S
+    is_near_deadline = deadline_s and waited_s >= deadline_s / 2
+    priority = Priority.URGENT if is_near_deadline else due.task.priority
+    return priority - waited_s / AGEING_INTERVAL_S
--- a/tests/leases/test_rate_budget.py
+++ b/tests/leases/test_rate_budget.py
@@ -27,7 +27,7 @@
 class Fleet:
     """Processes that need a share, on a state that responds as one; requests may be lost or late."""
 
-    def __init__(self, seed: int, count: int, loss: float, guarded: bool = True) -> None:
+    def __init__(self, seed: int, count: int, loss: float, compares_register: bool = True) -> None:
         self.rng = random.Random(seed)
         self.loss = loss
         self.state = Keyspace.from_content(EMPTY_CONTENT)
@@ -37,7 +37,11 @@
         self.shares: list[BudgetShare] = []
         for number in range(count):
             lease = LeaseClient(TERMS, 0.0, self.generate_lease_id, self.rng.random)
-            self.shares.append(BudgetShare(lease, "usual", f"p{number}", self.rng.random, guarded=guarded))
+            self.shares.append(
+                BudgetShare(
+                    lease, "usual", f"p{number}", self.rng.random, compares_register=compares_register
+                )
+            )
             self.start(self.shares[-1])
 
     def generate_lease_id(self) -> int:
@@ -132,7 +136,7 @@
 
 def test_without_the_register_shares_exceed_the_budget() -> None:
     for seed in range(200):
-        fleet = Fleet(seed, 9, 0.2, guarded=False)
+        fleet = Fleet(seed, 9, 0.2, compares_register=False)
         try:
             for _ in range(60):
                 fleet.step()
