--- a/heronreel/leases/session.py
+++ b/heronreel/leases/session.py
@@ -1,4 +1,4 @@
-"""The lease of a process and the claims under it: `LeaseClient` with a clock and a client."""
+"""The lease of a process and its claims: `LeaseClient` with a clock and a coordination client."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 
 class LeaseSession:
-    """The lease of one process, kept alive while the context is entered.
+    """The lease of one process, which is renewed while the session's context is entered.
 
-    `claim` requests a task; `Claim.fencing_token(session.now())` is to be called before each action.
+    `claim` requests the claim on a task.  Call `Claim.fencing_token(session.now())` before each action.
     """
 
     def __init__(
@@ -41,16 +41,16 @@
         *,
         on_claim_change: Callable[[ClaimChange], None] = lambda change: None,
     ) -> None:
-        """Make a session; entering its context starts it.
+        """Make a session, which starts when its context is entered.
 
         Args:
-            addresses: the members of the coordination service.
-            identity: the holder's name, as shown to operators.
-            terms: durations of the lease.
-            on_claim_change: called at once for every claim that is acquired or lost.
+            addresses: the addresses of the coordination service's members.
+            identity: the name of this process as a holder, which operators see.
+            terms: the durations of the lease.
+            on_claim_change: called as soon as a claim is acquired or lost.
 
         Raises:
-            InvalidLeaseTermsError: the terms leave no time for a renewal and a retry.
+            InvalidLeaseTermsError: the terms leave too little time for a renewal and a retry.
         """
         self.terms = terms or LeaseTerms()
         self.terms.validate()
@@ -66,18 +66,21 @@
         self._closed = False
 
     async def __aenter__(self) -> LeaseSession:
-        """Request the lease; it need not be granted yet on return."""
+        """Request the lease, without waiting until it is granted."""
         self._handle(self.lease.tick)
         return self
 
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Close the session."""
+        """Revoke the lease, and close the session."""
         await self.close()
 
     async def close(self, timeout_s: float = REVOKE_TIMEOUT_S) -> None:
-        """Revoke the lease, if the service responds within `timeout_s`; else it expires by itself."""
+        """Revoke the lease and close the client.
+
+        If the service does not respond within `timeout_s` seconds, the lease is left to expire.
+        """
         self._handle(self.lease.revoke)
         try:
             async with asyncio.timeout(timeout_s), self._changed:
@@ -92,11 +95,14 @@
         await self.client.close()
 
     def claim(self, task: str) -> Claim:
-        """Request the claim on `task`, until it is released."""
+        """Request the claim on a task, and hold it until it is released."""
         return self._claim(claim_key(task), self.identity.encode())
 
     def announce_presence(self, name: str, value: bytes) -> Claim:
-        """Be present as `name` for as long as the lease lasts; `value` is shown to other processes."""
+        """Announce this process as present under `name` for as long as the lease lasts.
+
+        `value` can be read by other processes.
+        """
         return self._claim(presence_key(name), value)
 
     def _claim(self, key: bytes, value: bytes) -> Claim:
@@ -105,13 +111,13 @@
         return claim
 
     async def wait_acquired(self, claim: Claim) -> int:
-        """Wait until the claim is held; its fencing token."""
+        """Wait until the claim is held, and return its fencing token."""
         async with self._changed:
             await self._changed.wait_for(lambda: bool(claim.fencing_token(self.now())))
         return claim.granted_token
 
     def refresh(self) -> None:
-        """Request again soon whatever is wanted and not held: a change of it was seen."""
+        """Request all claims that are not held again soon, because a change was observed."""
 
         def retry_claims(now: float) -> Actions:
             for claim in self.lease.claims:
@@ -121,7 +127,7 @@
         self._handle(retry_claims)
 
     def _handle(self, event: Callable[[float], Actions]) -> None:
-        """Pass an event to the core, carry out its actions, and set the timer for its next wakeup."""
+        """Pass an event to the lease, carry out the resulting actions, and set the timer."""
         if self._closed:
             return
         actions = event(self.now())
@@ -158,6 +164,6 @@
             response = await self.client.call(action.request, timeout_s)
         except RequestError as error:
             response = error
-        except Exception as error:  # the outcome is unknown, whatever went wrong
+        except Exception as error:  # After any other failure the outcome of the request is unknown.
             response = RequestError(StatusCode.UNKNOWN, repr(error))
         self._handle(lambda now: self.lease.on_response(now, action.request_id, response))
--- a/heronreel/leases/step_queue.py
+++ b/heronreel/leases/step_queue.py
@@ -1,4 +1,4 @@
-"""The order in which a process runs the steps of its tasks: one at a time, by priority."""
+"""Orders the steps of a process's tasks: one step runs at a time, and the next one is chosen by priority."""
 
 from __future__ import annotations
 
@@ -12,12 +12,14 @@
 
 
 class _Waiter(NamedTuple):
+    """A task that waits for its turn, and the future that is resolved when it gets it."""
+
     since: float
     turn: asyncio.Future[None]
 
 
 class StepQueue:
-    """A lock whose waiters get it in the order of `next_task`."""
+    """A lock that is granted to its waiters in the order of `next_task`."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
@@ -26,7 +28,7 @@
 
     @asynccontextmanager
     async def turn(self, task: Task) -> AsyncIterator[None]:
-        """Wait for the task's turn, and hold it within the block."""
+        """Wait for the task's turn, and hold the lock within the block."""
         await self._acquire(task)
         try:
             yield
@@ -43,7 +45,7 @@
             with suppress(KeyError):
                 del self._waiters[task]
             if waiter.turn.done() and not waiter.turn.cancelled():
-                self._release()  # cancelled just after it got its turn
+                self._release()  # The waiter was cancelled after it had been granted the lock.
             raise
 
     def _release(self) -> None:
--- a/heronreel/leases/task_progress.py
+++ b/heronreel/leases/task_progress.py
@@ -1,8 +1,9 @@
-"""The steps of one task while this process holds the claim on it.  No I/O; time is passed in.
+"""The steps of one task while this process holds its claim.  No I/O; the time is passed in.
 
-Whoever holds the task next continues after the last confirmed step and runs a started one again: a step
-must be idempotent, or fenced at the resource that it changes.  A step that several holders started and none
-confirmed suspends the task, until an operator restarts it.
+The next holder continues after the last confirmed step, and repeats a step that was started but not
+confirmed.  Therefore a step must be idempotent, or fenced at the resource that it changes.  If several
+holders have started a step and none of them has confirmed it, the task is suspended until an operator
+restarts it.
 """
 
 from __future__ import annotations
@@ -24,13 +25,13 @@
 from heronreel.leases.requests import SendRequest, SingleRequestSender
 from heronreel.leases.tasks import Cursor, Task, decode_cursor, encode_cursor
 
-MAX_ATTEMPTS = 3  # holders that start a step and do not confirm it
+MAX_ATTEMPTS = 3  # After this many holders have started a step without confirming it, the task is suspended.
 MIN_STEP_RETRY_S = 1.0
 REQUEST_RETRY_S = 0.1
 
 
 class RunStep(NamedTuple):
-    """Run this step under this fencing token, and report `step_succeeded` or `step_failed`."""
+    """Run a step under a fencing token, then call `step_succeeded` or `step_failed`."""
 
     task: str
     step: int
@@ -38,15 +39,18 @@
 
 
 class StepConfirmed(NamedTuple):
-    """The step is confirmed: nobody runs it again."""
+    """A step is confirmed and will not be run again.
+
+    `late_s` is the time in seconds from the step's deadline to its confirmation.
+    """
 
     task: str
     step: int
-    late_s: float = 0.0  # after its deadline
+    late_s: float = 0.0
 
 
 class TaskSuspended(NamedTuple):
-    """The task is not run any more until an operator restarts it."""
+    """The task is suspended until an operator restarts it."""
 
     task: str
     step: int
@@ -54,7 +58,7 @@
 
 
 class TaskReleased(NamedTuple):
-    """Nothing more of the task is run here: another process has it, or may have it."""
+    """This process runs no more steps of the task, because another process holds it or may hold it."""
 
     task: str
     fencing_token: int
@@ -65,18 +69,18 @@
 
 
 class Phase(enum.Enum):
-    """What a holder of a task does at the moment."""
+    """The current activity of a task's holder."""
 
-    READING = "reading"  # the cursor
-    WAITING = "waiting"  # for the next step's time
-    STARTING = "starting"  # the step is being recorded
-    RUNNING = "running"
-    CONFIRMING = "confirming"
-    ENDED = "ended"
+    READING = "reading"  # The cursor is being read.
+    WAITING = "waiting"  # The next step is not due yet.
+    STARTING = "starting"  # The step is being recorded as started.
+    RUNNING = "running"  # The step is being run.
+    CONFIRMING = "confirming"  # The step is being recorded as confirmed, or the task as suspended.
+    ENDED = "ended"  # No more steps are run under this claim.
 
 
 class TaskProgress(SingleRequestSender):
-    """One task, from when its claim was acquired until it is lost."""
+    """The progress of one task, from when its claim is acquired until the claim is lost."""
 
     def __init__(
         self,
@@ -88,7 +92,17 @@
         response_timeout_s: float = 1.0,
         fenced: bool = True,
     ) -> None:
-        """`fencing_token` is the claim's.  `fenced` is a guard: a test takes it out, and has to fail then."""
+        """Begin to work on a task whose claim has been acquired.
+
+        Args:
+            task: the task.
+            fencing_token: the fencing token of the claim.
+            holder: the name of this process.
+            now: the current time.
+            response_timeout_s: the time after which a request counts as failed.
+            fenced: whether writes of the cursor are fenced by the claim.  Only a test sets this to False, to
+                show that the fence is needed.
+        """
         super().__init__(response_timeout_s)
         self.task = task
         self.fencing_token = fencing_token
@@ -97,13 +111,13 @@
         self.phase = Phase.READING
         self.phase_since = now
         self.cursor = Cursor()
-        self.cursor_revision = 0  # MOD revision of the cursor as read or written last
+        self.cursor_revision = 0  # The modification revision of the cursor as last read or written.
         self.due_at = now
-        self.unconfirmed_step = 0  # the step that was run here, and is not known to be confirmed
-        self.step_due_at = now  # when the step in progress was due
+        self.unconfirmed_step = 0  # The step that was run by this process and may not be confirmed yet.
+        self.step_due_at = now  # The time at which the step in progress was due.
 
     def next_wakeup(self) -> float:
-        """When `tick` has something to do, at the latest."""
+        """Return the latest time at which `tick` has to be called again."""
         if self.phase is Phase.ENDED:
             return float("inf")
         if self.in_flight is not None:
@@ -114,14 +128,15 @@
         return self.phase_since + self.task.step_timeout_s
 
     def trigger(self, now: float) -> None:
-        """The next step is due now."""
+        """Make the next step due now."""
         if self.phase is Phase.WAITING:
             self.due_at = now
 
     def tick(self, now: float) -> Actions:
-        """Time has passed."""
+        """Handle timeouts, and return the actions that are due."""
         if self._timed_out(now):
-            self.in_flight = None  # the outcome is unknown: the cursor tells
+            # It is unknown whether the request was applied: the cursor has to be read again.
+            self.in_flight = None
             self.phase = Phase.READING
         if self.in_flight is not None:
             return []
@@ -130,7 +145,7 @@
         if self.phase is Phase.WAITING and now >= self.due_at:
             return self._start_step(now)
         if self.phase is Phase.RUNNING and now >= self._step_timeout_at():
-            # it may be running still: another process retries it, under a higher fencing token
+            # The step may still be running.  Another process retries it under a higher fencing token.
             return self._release(now)
         return []
 
@@ -147,7 +162,11 @@
         return [TaskSuspended(self.task.name, self.cursor.started_step, self.cursor.attempts)]
 
     def _write(self, now: float, cursor: Cursor) -> Actions:
-        """Succeeds only while the claim has our token, and nobody wrote the cursor since it was read."""
+        """Write the cursor.
+
+        The transaction succeeds only while the claim has the fencing token of this holder, and if the cursor
+        has not been written since it was read.
+        """
         claim = Compare(self.task.claim_key, CompareTarget.CREATE, CompareOperator.EQUAL, self.fencing_token)
         unchanged = Compare(
             self.task.cursor_key, CompareTarget.MOD, CompareOperator.EQUAL, self.cursor_revision
@@ -175,15 +194,16 @@
         return self._write(now, started)
 
     def _next_attempts(self) -> int:
-        """Holders that will have started the next step, this one included."""
+        """Return how many holders will have started the next step, including this holder."""
         cursor = self.cursor
         if not cursor.started_step:
             return 1
-        already_counted = cursor.fencing_token == self.fencing_token  # our write, with its response lost
+        # This holder may have written the cursor before, if the response to the write was lost.
+        already_counted = cursor.fencing_token == self.fencing_token
         return cursor.attempts if already_counted else cursor.attempts + 1
 
     def step_succeeded(self, now: float, step: int) -> Actions:
-        """The step was run; it is confirmed next."""
+        """Report that the step was run; the progress confirms it next."""
         if self.phase is not Phase.RUNNING or step != self.cursor.started_step:
             return []
         self.unconfirmed_step = step
@@ -200,20 +220,24 @@
         return self._write(now, confirmed)
 
     def _late_s(self, now: float) -> float:
-        """Seconds after the deadline."""
+        """Return the seconds since the deadline of the step, or 0 before it or without one."""
         if not self.task.deadline_s:
             return 0.0
         return max(0.0, now - self.step_due_at - self.task.deadline_s)
 
     def step_failed(self, now: float, step: int) -> Actions:
-        """The step failed: it is retried here at its next time, as the same holder's attempt."""
+        """Report that the step failed.
+
+        This process retries it after the task's period, but not before `MIN_STEP_RETRY_S`.  The retry counts
+        as the same attempt, because the holder is the same.
+        """
         if self.phase is Phase.RUNNING and step == self.cursor.started_step:
             self._enter(Phase.READING, now)
             self.due_at = now + max(self.task.period_s, MIN_STEP_RETRY_S)
         return []
 
     def on_response(self, now: float, request_id: int, response: ResponseOrError) -> Actions:
-        """The response to a request."""
+        """Handle the response to a request, unless it has timed out."""
         if not self._is_in_flight(request_id):
             return []
         self.in_flight = None
@@ -255,7 +279,8 @@
         if self.cursor.suspended:
             return self._suspend(now)
         if self.unconfirmed_step and self.cursor.fencing_token == self.fencing_token:
-            # what was run here is not run again: it is confirmed already, or the confirmation is repeated
+            # This process has run the step and does not run it again.  Either the step is already confirmed,
+            # or the confirmation is repeated.
             confirmed = self.cursor.confirmed_step >= self.unconfirmed_step
             return self._on_step_confirmed(now) if confirmed else self._confirm(now)
         self._enter(Phase.WAITING, now)
@@ -263,11 +288,11 @@
         return []
 
     def _first_due_at(self, now: float) -> float:
-        """When the next step is due, after the cursor was read."""
+        """Return the time at which the next step is due after the cursor was read."""
         if self.cursor.started_step:
             return now
         if not self.task.period_s:
             return float("inf")
-        # a new holder can't know how long ago the last step was: it begins a period
+        # A new holder can't know how long ago the last step was run, so it waits for a whole period.
         starts_at_once = not self.cursor.confirmed_step or self.task.rotates
         return now if starts_at_once else now + self.task.period_s
--- a/heronreel/leases/task_runner.py
+++ b/heronreel/leases/task_runner.py
@@ -32,8 +32,8 @@
 )
 from heronreel.leases.tasks import Priority, Task
 
-SUSPENDED_POLL_S = 30.0  # between two checks of a suspended task
-CLAIM_POLL_S = 0.5  # between two checks of a task that another process holds
+SUSPENDED_POLL_S = 30.0  # The time between two checks of a suspended task.
+CLAIM_POLL_S = 0.5  # The time between two checks of a task that another process holds.
 MIN_SLEEP_S = 0.002
 MAX_SLEEP_S = 0.2
 
@@ -41,18 +41,21 @@
 
 
 class StepContext:
-    """What the function of a step gets to know, and its way to the budget."""
+    """The argument of a step function: the step, its fencing token, and access to the rate budget."""
 
     def __init__(self, step: int, fencing_token: int, limiter: RateLimiter | None = None) -> None:
-        """`fencing_token` goes with every action on a resource."""
+        """Make the context of a step.
+
+        The step function passes `fencing_token` with every action on a resource.
+        """
         self.step = step
         self.fencing_token = fencing_token
         self.limiter = limiter
 
     async def acquire(self, calls: float = 0.0, bytes_: float = 0.0) -> None:
-        """Wait for the budget of the class; to be awaited before a call is made or bytes are moved.
+        """Wait for the rate budget of the task's class; await this before making calls or transferring bytes.
 
-        Processor time that the step uses is accounted for without a call.
+        The processor time of the step is accounted for separately, without calling this.
         """
         if self.limiter is not None:
             await self.limiter.acquire(calls, bytes_)
@@ -62,7 +65,7 @@
 
 
 class TaskRunner:
-    """Competes for its tasks, and runs the steps of those it holds, one at a time and by priority."""
+    """Competes for the claims on tasks, and runs the steps of the held tasks one at a time, by priority."""
 
     def __init__(
         self,
@@ -73,14 +76,15 @@
         presence: bytes | None = b"",
         budgets: Mapping[Priority, RateLimits] | None = None,
     ) -> None:
-        """Make a runner; `run` starts it.
+        """Make a runner, which `run` starts.
 
         Args:
             session: the lease of this process.
-            name: this process's name among those present.
-            tasks: the tasks, each with the function of its steps.
-            presence: the value to announce the process's presence with; None: it is not announced.
-            budgets: limits for the whole fleet, by class, the same in all its processes.
+            name: the name under which this process is present.
+            tasks: the tasks, each with its step function.
+            presence: the value with which the process announces its presence, or None to not announce it.
+            budgets: the rate limits of the whole fleet by priority class.  They have to be the same in all
+                processes of the fleet.
         """
         self.session = session
         self.name = name
@@ -99,7 +103,7 @@
         return RateLimiter(limits, share, self.session.now)
 
     async def run(self) -> None:
-        """Run until cancelled; releasing the lease is left to the caller."""
+        """Run until cancelled.  The caller has to release the lease."""
         if self.presence is not None:
             self.session.announce_presence(self.name, self.presence)
         async with asyncio.TaskGroup() as group:
@@ -108,11 +112,14 @@
 
     @property
     def client(self) -> Client:
-        """The session's client."""
+        """The session's client of the coordination service."""
         return self.session.client
 
-    async def present(self, zone: str = "") -> list[str]:
-        """The processes present in a zone ("": in all); none if the service does not respond."""
+    async def present_processes(self, zone: str = "") -> list[str]:
+        """Return the names of the processes present in a zone, or in all zones if `zone` is empty.
+
+        The list is empty if the service does not respond.
+        """
         try:
             response = await self.client.call(
                 Range(PRESENCE_PREFIX, prefix_end(PRESENCE_PREFIX), keys_only=not zone)
@@ -124,31 +131,35 @@
         if not zone:
             return names
         zones = [_zone_of(record.value) for _, record in response.records]
-        return [name for name, its_zone in zip(names, zones, strict=True) if its_zone == zone]
+        return [name for name, process_zone in zip(names, zones, strict=True) if process_zone == zone]
 
-    async def _held_by_another(self, task: Task) -> bool:
-        """Whether another lease has the claim; one under our own lease is requested again.
+    async def _is_held_by_another(self, task: Task) -> bool:
+        """Return whether the claim is held under another lease.
 
-        A request that came late may have created it after it was released.
+        A claim under this process's own lease doesn't count, so that it is requested again: a delayed request
+        may have created it after it was released.
         """
         try:
             response = await self.client.call(Range(task.claim_key))
         except RequestError:
-            return True  # unknown: asked again soon
+            return True  # The holder is unknown, and the claim is checked again soon.
         assert isinstance(response, RangeResponse)
         return any(record.lease != self.session.lease.lease_id for _, record in response.records)
 
     async def _compete_for(self, task: Task) -> None:
         while True:
-            # the first process in rendezvous order gets the task; the others stand by in their order
-            await asyncio.sleep(standby_delay(task.name, self.name, await self.present(task.zone)))
-            if await self._held_by_another(task):
+            # The first process in rendezvous order takes the task.  The others wait longer, in that order.
+            await asyncio.sleep(standby_delay(task.name, self.name, await self.present_processes(task.zone)))
+            if await self._is_held_by_another(task):
                 await asyncio.sleep(CLAIM_POLL_S)
                 continue
             await asyncio.sleep(await self._hold_once(task))
 
     async def _hold_once(self, task: Task) -> float:
-        """Acquire the claim and run steps until it ends; the seconds to leave the task to others."""
+        """Acquire the claim and run steps until it ends.
+
+        Returns the seconds for which this process leaves the task to others.
+        """
         claim = self.session.claim(task.name)
         try:
             async with asyncio.timeout(self.session.terms.ttl_s):
@@ -159,13 +170,13 @@
             finally:
                 self._count_held(task, -1)
         except TimeoutError:
-            return CLAIM_POLL_S  # another process was faster
+            return CLAIM_POLL_S  # Another process acquired the claim first.
         finally:
             claim.release(self.session.now())
             self.session.refresh()
 
     def _count_held(self, task: Task, change: int) -> None:
-        """A share of the budget is held for as long as a task of the class is."""
+        """Count the held tasks of a class; a budget share is held while there are any."""
         self._held_tasks[task.priority] += change
         limiter = self._limiters.get(task.priority)
         if limiter is None:
@@ -177,7 +188,10 @@
         self.session.refresh()
 
     async def _run_while_held(self, task: Task, claim: Claim, fencing_token: int) -> float:
-        """Run steps for as long as the token is valid; the seconds to leave the task to others."""
+        """Run steps for as long as the fencing token is valid.
+
+        Returns the seconds for which this process leaves the task to others.
+        """
         now = self.session.now
         progress = TaskProgress(
             task, fencing_token, self.name, now(), response_timeout_s=self.session.terms.response_timeout_s
@@ -216,12 +230,12 @@
 
     async def _step_succeeds(self, task: Task, action: RunStep, claim: Claim) -> bool:
         async with self._queue.turn(task):
-            # the token is checked again, since waiting for the turn may have taken long
+            # The fencing token is checked again, because waiting for the turn may have taken a long time.
             if claim.fencing_token(self.session.now()) != action.fencing_token:
                 return False
             try:
                 await self._call_step(task, action)
-            except Exception as error:  # whatever a step raises concerns its own task alone
+            except Exception as error:  # A failing step must not stop the other tasks.
                 log.warning("step failed", task=task.name, step=action.step, error=repr(error))
                 return False
             return True
@@ -240,13 +254,13 @@
 
 
 class _PresenceValue(msgspec.Struct):
-    """What is read of a value that a process announces its presence with."""
+    """The part of a presence value that is read here."""
 
     zone: str = ""
 
 
 def _zone_of(presence: bytes) -> str:
-    """The zone that a process says it is in; "" where it does not."""
+    """Return the zone in a presence value, or "" if it has none."""
     try:
         return msgspec.json.decode(presence, type=_PresenceValue).zone
     except msgspec.DecodeError:
