--- a/heronreel/metering/__init__.py
+++ b/heronreel/metering/__init__.py
@@ -1,17 +1,24 @@
-"""Usage metering: responses counted by tenant in each proxy, and aggregated over the fleet by period.
+"""Usage metering: counts responses by tenant in each proxy, and aggregates them over the fleet by period.
 
-Each process counts in a ledger of its own, a memory-mapped file that outlives it.  Pages of a ledger are
-numbered; a page is sealed, uploaded to the coordination service, and confirmed.  A fleet-wide task aggregates
-the uploaded pages into totals and closes a period at a time.  Every page is aggregated exactly once.
+Each process counts in its own ledger, a memory-mapped file that outlives the process.  A ledger consists of
+numbered pages.  A page is sealed, uploaded to the coordination service, and confirmed.  A fleet-wide task
+aggregates the uploaded pages into totals, and closes one period after another.  Every page is aggregated
+exactly once.
+
+These modules are pure: they do no I/O, and take the time as an argument.
 
 * `counts`: the kinds of responses, and counts by tenant.
-* `ledger_format`, `ledger`: the layout of a ledger, and counting in one.
-* `upload`: the upload of one ledger, page by page, and `period_closing`: the aggregation of uploaded pages.
-* `records`: what the coordination service stores.
+* `ledger_format`: the layout of a ledger.
+* `ledger`: counting in a ledger.
+* `upload`: the upload of one ledger, page by page.
+* `period_closing`: the aggregation of uploaded pages.
+* `records`: the records that the coordination service stores.
 
-All of these are pure: they do no I/O, and take the time as an argument.  Around them:
+These modules do I/O:
 
-* `ledger_files`: ledgers on a disk, locked by their process, and adopted when it is gone.
-* `meter`: counting in a serving process; `uploader`: its ledgers and the adopted ones, uploaded.
-* `period_task`: a step of the fleet-wide task; `overview`: what operators see of the counts.
+* `ledger_files`: ledgers on a disk, which are locked by their process and adopted after it has ended.
+* `meter`: counting in a serving process.
+* `uploader`: the upload of a process's ledgers and of the ledgers that it adopted.
+* `period_task`: one step of the fleet-wide task that closes periods.
+* `overview`: what operators can see of the counts.
 """
--- a/heronreel/metering/errors.py
+++ b/heronreel/metering/errors.py
@@ -1,30 +1,30 @@
-"""Errors of this package.  All derive from `MeteringError`."""
+"""Errors of usage metering.  All of them derive from `MeteringError`."""
 
 from __future__ import annotations
 
 
 class MeteringError(Exception):
-    """The base of every error that this package raises by itself."""
+    """Base class of the errors that this package defines."""
 
 
 class InvalidLedgerError(MeteringError, ValueError):
-    """A buffer holds no ledger, or one that was truncated or overwritten."""
+    """A buffer does not contain a ledger, or the ledger was truncated or overwritten."""
 
 
 class HeaderTooLargeError(MeteringError, ValueError):
-    """The header of a new ledger does not fit: its tenants are too many, or their names too long."""
+    """The header of a new ledger is too large, because of too many tenants or too long names."""
 
     def __init__(self, size: int, limit: int) -> None:
-        super().__init__(f"a header of {size:,} bytes, and at most {limit:,} are allowed")
+        super().__init__(f"the header of a ledger has {size:,} bytes, and at most {limit:,} are allowed")
         self.size = size
         self.limit = limit
 
 
 class PagePendingError(MeteringError, ValueError):
-    """A page can't be sealed while the one before it is not confirmed."""
+    """A page can't be sealed while the page before it is not confirmed."""
 
     def __init__(self, page: int) -> None:
-        super().__init__(f"page {page} is not confirmed")
+        super().__init__(f"the previous page {page} is not confirmed")
         self.page = page
 
 
@@ -32,4 +32,4 @@
     """Another process holds the claim on the task that closes periods."""
 
     def __init__(self) -> None:
-        super().__init__("another process holds the task")
+        super().__init__("another process holds the task that closes periods")
--- a/heronreel/metering/ledger_files.py
+++ b/heronreel/metering/ledger_files.py
@@ -1,8 +1,8 @@
-"""Ledgers on a disk: one file each, mapped into memory, and locked for as long as its process lives.
+"""Ledger files: each ledger is a file that is mapped into memory and locked while its process runs.
 
-A ledger whose lock is free is an orphan: its process is gone, and the next process adopts it.  What a killed
-process stored is in the system's page cache and found at once; a machine that crashed may have lost what was
-stored since the last page was sealed, and nothing before.
+A ledger whose lock is free is an orphan: its process has ended, and another process adopts it.  Everything
+that a killed process stored is in the system's page cache, so no count is lost.  After a crash of the
+machine, counts stored since the last page was sealed may be lost, but no earlier ones.
 """
 
 from __future__ import annotations
@@ -19,26 +19,28 @@
 from heronreel.metering.ledger_format import LedgerHeader, decode_header, encode_new_ledger
 
 LEDGER_SUFFIX = ".counts"
-TEMPORARY_SUFFIX = ".fresh"  # being created
-QUARANTINE_SUFFIX = ".set-back"  # not to be uploaded: see `upload.QuarantineLedger`
-MAX_ADOPTED = 64  # at once
+TEMPORARY_SUFFIX = ".fresh"  # The file is still being created.
+QUARANTINE_SUFFIX = ".set-back"  # The file must not be uploaded: see `upload.QuarantineLedger`.
+MAX_ADOPTED_AT_ONCE = 64
 
 
 class LedgerFile:
-    """A ledger that this process owns, and the file that holds it."""
+    """A ledger that this process owns, and its file."""
 
     def __init__(self, path: Path, descriptor: int) -> None:
-        """Take over the descriptor, which holds the lock; when this raises it stays the caller's.
+        """Map a file, and take over the descriptor that holds its lock.
+
+        If this raises an error, the caller still owns the descriptor.
 
         Raises:
-            InvalidLedgerError: the file holds no ledger, or a damaged one.
+            InvalidLedgerError: the file does not contain a valid ledger.
             OSError, ValueError: the file can't be mapped.
         """
         self.path = path
         self.descriptor = descriptor
         size = os.fstat(descriptor).st_size
         if not size:
-            raise InvalidLedgerError("truncated")
+            raise InvalidLedgerError("the file is empty")
         self.map = mmap.mmap(descriptor, size)
         try:
             with memoryview(self.map) as view:
@@ -50,7 +52,7 @@
         self.ledger = Ledger(header, self.words, first_cell)  # type: ignore[arg-type]
 
     def sync(self) -> None:
-        """Make what is stored by now survive a crash of the machine.
+        """Write the file to the disk, so that its present content survives a crash of the machine.
 
         Raises:
             OSError: the file can't be written.
@@ -58,46 +60,49 @@
         self.map.flush()
 
     def close(self) -> None:
-        """Release the lock; the file stays for the process that adopts it."""
+        """Close the file and release its lock; the file stays on the disk, and a process can adopt it."""
         self.words.release()
         self.map.close()
         os.close(self.descriptor)
 
     def remove(self) -> None:
-        """Remove the file: all of it is uploaded."""
+        """Remove the file after all of its pages have been uploaded."""
         self.path.unlink(missing_ok=True)
         self.close()
 
     def quarantine(self) -> None:
-        """Keep the file for operators to look at; what is settled until this process ends is in it too."""
+        """Rename the file so that it is not uploaded, and keep it for operators to inspect.
+
+        Responses that are settled until this process ends are still counted in the file.
+        """
         self.path.rename(self.path.with_suffix(QUARANTINE_SUFFIX))
 
 
 class AdoptedLedgers(NamedTuple):
-    """Ledgers that were orphans, and newly found problems of files that hold none."""
+    """The ledgers that were adopted, and new problems with files that contain no valid ledger."""
 
     files: list[LedgerFile]
     problems: list[str]
 
 
 class LedgerDirectory:
-    """The directory that holds the ledgers of one machine's proxies."""
+    """The directory with the ledgers of one machine's proxies."""
 
     def __init__(self, path: str | Path) -> None:
-        """Create the directory where it is missing.
+        """Create the directory if it does not exist.
 
         Raises:
-            OSError: it can't be created.
+            OSError: the directory can't be created.
         """
         self.path = Path(path)
         self.path.mkdir(parents=True, exist_ok=True)
-        self._reported: set[str] = set()  # names of files whose problem was reported already
+        self._reported: set[str] = set()  # The names of files whose problem has been reported.
 
     def create(self, proxy: str, zone: str, tenants: tuple[str, ...]) -> LedgerFile:
-        """Create a ledger; it is locked before anybody else can see it.
+        """Create a ledger, which is locked before any other process can see it.
 
         Raises:
-            HeaderTooLargeError: the tenants are too many, or their names too long.
+            HeaderTooLargeError: there are too many tenants, or their names are too long.
             OSError: the file can't be created.
         """
         header = LedgerHeader(secrets.token_hex(8), proxy, zone, tenants)
@@ -106,19 +111,20 @@
         descriptor = os.open(temporary, os.O_RDWR | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            os.posix_fallocate(descriptor, 0, len(data))  # a store into a hole of a full disk is a SIGBUS
+            # Without allocated blocks, a store into the mapping raises SIGBUS when the disk is full.
+            os.posix_fallocate(descriptor, 0, len(data))
             os.pwrite(descriptor, data, 0)
             os.fsync(descriptor)
             path = temporary.with_suffix(LEDGER_SUFFIX)
             temporary.rename(path)
-            self._sync()
+            self._sync_directory()
             return LedgerFile(path, descriptor)
         except BaseException:
             os.close(descriptor)
             temporary.unlink(missing_ok=True)
             raise
 
-    def _sync(self) -> None:
+    def _sync_directory(self) -> None:
         directory = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(directory)
@@ -126,14 +132,19 @@
             os.close(directory)
 
     def adopt_orphans(self) -> AdoptedLedgers:
-        """Take over the ledgers of processes that are gone; a problem of a file is reported only once.
+        """Take over the ledgers of processes that have ended.
+
+        Each file with a problem is reported only once.
 
         Raises:
             OSError: the directory can't be read.
         """
         adopted = AdoptedLedgers([], [])
         for path in sorted(self.path.iterdir()):
-            if path.suffix not in (LEDGER_SUFFIX, TEMPORARY_SUFFIX) or len(adopted.files) >= MAX_ADOPTED:
+            if (
+                path.suffix not in (LEDGER_SUFFIX, TEMPORARY_SUFFIX)
+                or len(adopted.files) >= MAX_ADOPTED_AT_ONCE
+            ):
                 continue
             descriptor = _lock_orphan(path)
             if descriptor is not None:
@@ -141,7 +152,7 @@
         return adopted
 
     def _adopt(self, path: Path, descriptor: int, adopted: AdoptedLedgers) -> None:
-        if path.suffix == TEMPORARY_SUFFIX:  # its process was killed while it was created: it is empty
+        if path.suffix == TEMPORARY_SUFFIX:  # The process was killed while creating it, so it has no counts.
             path.unlink(missing_ok=True)
             os.close(descriptor)
             return
@@ -155,11 +166,11 @@
 
 
 def _lock_orphan(path: Path) -> int | None:
-    """A descriptor that holds the file's lock; None where a living process holds it."""
+    """Lock a file and return its descriptor; returns None if a running process holds the lock."""
     try:
         descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
     except OSError:
-        return None  # removed meanwhile, or not ours to open
+        return None  # The file has been removed, or this process may not open it.
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         if os.fstat(descriptor).st_nlink and path.exists():
--- a/heronreel/metering/ledger_format.py
+++ b/heronreel/metering/ledger_format.py
@@ -1,7 +1,8 @@
-"""The layout of a ledger: words of eight bytes, little-endian.  Pure.
+"""The layout of a ledger: little-endian words of eight bytes.  Pure: no I/O.
 
-Eight header words (`WORD_*`), then the header as JSON, padded with spaces to whole words, then the cells: for
-each tenant its responses in flight, then for each of the two pages and each tenant a row of counts by kind.
+A ledger consists of eight header words (`WORD_*`), the header as JSON, which is padded with spaces to whole
+words, and the cells.  The cells are the number of responses in flight of each tenant, followed by one row of
+counts by kind for each of the two pages and each tenant.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 MAGIC = int.from_bytes(b"hrcount1", "little")
 WORD_BYTES = 8
 MAX_HEADER_BYTES = 1 << 20
-PAGES = 2
+PAGE_COUNT = 2
 
-# Places of the header words; the rest of them is reserved.
+# The indexes of the header words.  The remaining header words are reserved.
 WORD_MAGIC = 0
 WORD_OPEN_PAGE = 1
 WORD_CONFIRMED_PAGE = 2
@@ -29,20 +30,27 @@
 
 
 class LedgerHeader(msgspec.Struct, frozen=True):
-    """Whose counts a ledger holds."""
+    """The identity of a ledger.
 
-    id: str  # unique: drawn when the ledger is created
+    Attributes:
+        id: the unique id of the ledger, which is generated at random when it is created.
+        proxy: the name of the proxy that counts in the ledger.
+        zone: the zone of the proxy.
+        tenants: the configured tenants.  In the cells, `NO_TENANT` precedes them.
+    """
+
+    id: str
     proxy: str
     zone: str
-    tenants: tuple[str, ...]  # the configured ones; `NO_TENANT` comes before them
+    tenants: tuple[str, ...]
 
 
 def _cell_count(header: LedgerHeader) -> int:
-    return (len(header.tenants) + 1) * (PAGES * len(KIND_NAMES) + 1)
+    return (len(header.tenants) + 1) * (PAGE_COUNT * len(KIND_NAMES) + 1)
 
 
 def encode_new_ledger(header: LedgerHeader) -> bytes:
-    """A ledger in which nothing is counted yet; its open page is number 1.
+    """Return the content of a new ledger without counts, whose open page is page 1.
 
     Raises:
         HeaderTooLargeError: the header exceeds `MAX_HEADER_BYTES`.
@@ -61,18 +69,18 @@
 
 
 def decode_header(buffer: bytes | memoryview) -> tuple[LedgerHeader, int]:
-    """The header of a ledger, and the index of the word at which its cells begin.
+    """Return the header of a ledger, and the index of the word at which its cells begin.
 
     Raises:
-        InvalidLedgerError: the buffer holds no ledger, or a damaged one.
+        InvalidLedgerError: the buffer does not contain a valid ledger.
     """
     words = _header_words(buffer)
     header = _decode_json(buffer, words)
     first_cell = HEADER_WORDS + words[WORD_HEADER_LENGTH] // WORD_BYTES
     if len(buffer) != WORD_BYTES * (first_cell + _cell_count(header)):
-        raise InvalidLedgerError(f"has {len(buffer):,} bytes, which does not fit its header")
+        raise InvalidLedgerError(f"the ledger's size of {len(buffer):,} bytes does not fit its header")
     open_page, confirmed_page = words[WORD_OPEN_PAGE], words[WORD_CONFIRMED_PAGE]
-    if not 1 <= open_page - confirmed_page <= PAGES:
+    if not 1 <= open_page - confirmed_page <= PAGE_COUNT:
         raise InvalidLedgerError(f"page {open_page} is open and page {confirmed_page} confirmed")
     return header, first_cell
 
@@ -80,7 +88,7 @@
 def _header_words(buffer: bytes | memoryview) -> list[int]:
     raw = bytes(buffer[: WORD_BYTES * HEADER_WORDS])
     if len(raw) < WORD_BYTES * HEADER_WORDS:
-        raise InvalidLedgerError("truncated")
+        raise InvalidLedgerError("the ledger is truncated")
     starts = range(0, WORD_BYTES * HEADER_WORDS, WORD_BYTES)
     return [int.from_bytes(raw[start : start + WORD_BYTES], "little") for start in starts]
 
@@ -92,8 +100,8 @@
     start = WORD_BYTES * HEADER_WORDS
     data = bytes(buffer[start : start + length])
     if len(data) != length or xxhash.xxh3_64_intdigest(data) != words[WORD_HEADER_CHECKSUM]:
-        raise InvalidLedgerError("its header is truncated or overwritten")
+        raise InvalidLedgerError("the header is truncated or overwritten")
     try:
         return msgspec.json.decode(data, type=LedgerHeader)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise InvalidLedgerError(f"its header: {error}") from None
+        raise InvalidLedgerError(f"the header is not valid: {error}") from None
--- a/heronreel/metering/meter.py
+++ b/heronreel/metering/meter.py
@@ -1,4 +1,4 @@
-"""Counting in a serving process: responses by tenant, as they are handed to their clients."""
+"""Counts responses by tenant in a serving process, as they are sent to their clients."""
 
 from __future__ import annotations
 
@@ -11,54 +11,59 @@
 
 
 class BegunResponse(NamedTuple):
-    """A response that is in flight, and the ledger in which it is counted."""
+    """A response in flight, and the ledger in which it will be counted."""
 
     ledger_file: LedgerFile
     tenant_index: int
 
 
 class UsageMeter:
-    """Counts the responses of one process, in its current ledger."""
+    """Counts the responses of one process in its current ledger."""
 
     def __init__(self, directory: LedgerDirectory, proxy: str, zone: str, tenants: tuple[str, ...]) -> None:
         """Create the first ledger.
 
         Raises:
-            OSError: no ledger can be created, so nothing could be served without being left out.
+            OSError: no ledger can be created, so responses could not be counted.
         """
         self.directory = directory
         self.proxy = proxy
         self.zone = zone
-        self.points = CrashPoints()
+        self.crash_points = CrashPoints()
         self.current = directory.create(proxy, zone, tenants)
-        self._handed_over: list[tuple[BegunResponse, ResponseKind]] = []
+        self._unsettled: list[tuple[BegunResponse, ResponseKind]] = []
 
     def begin(self, tenant: str) -> BegunResponse:
-        """Record that a response is about to be handed over."""
+        """Record that a response is about to be sent."""
         ledger_file = self.current
         begun = BegunResponse(ledger_file, ledger_file.ledger.begin(tenant))
-        self.points.reach("begin")
+        self.crash_points.reach("begin")
         return begun
 
     def settle(self, begun: BegunResponse, kind: ResponseKind) -> None:
-        """Count a response in the loop's next turn, when what was written has gone to the system."""
-        if not self._handed_over:
+        """Count a response in the next iteration of the event loop.
+
+        By that time the written data has been passed to the operating system.
+        """
+        if not self._unsettled:
             asyncio.get_running_loop().call_soon(self.flush)
-        self._handed_over.append((begun, kind))
+        self._unsettled.append((begun, kind))
 
     def flush(self) -> None:
-        """Count now what was handed over."""
-        handed_over, self._handed_over = self._handed_over, []
-        for begun, kind in handed_over:
+        """Count the responses that are waiting to be settled."""
+        unsettled, self._unsettled = self._unsettled, []
+        for begun, kind in unsettled:
             begun.ledger_file.ledger.settle(begun.tenant_index, kind)
-        if handed_over:
-            self.points.reach("settled")
+        if unsettled:
+            self.crash_points.reach("settled")
 
     def replace_ledger(self, tenants: tuple[str, ...]) -> LedgerFile:
-        """Go on in a new ledger, and return the old one; what began in that is still counted there.
+        """Continue in a new ledger, and return the previous one.
+
+        Responses that began in the previous ledger are still counted there.
 
         Raises:
-            OSError: no ledger can be created; the old one stays current.
+            OSError: no ledger can be created; the previous ledger stays the current one.
         """
         replaced, self.current = self.current, self.directory.create(self.proxy, self.zone, tenants)
         return replaced
--- a/heronreel/metering/overview.py
+++ b/heronreel/metering/overview.py
@@ -1,4 +1,4 @@
-"""What operators see of the counts, and abandoning a ledger whose disk is lost."""
+"""The usage overview for operators, and the operation that abandons a ledger whose disk is lost."""
 
 from __future__ import annotations
 
@@ -34,41 +34,65 @@
 
 MAX_ABANDON_ATTEMPTS = 5
 
-CountsByKind = dict[str, dict[str, int]]  # by tenant, then by the names of kinds
+CountsByKind = dict[str, dict[str, int]]  # The keys are the tenant and the name of the kind.
 
 
 class PeriodRow(TypedDict):
-    """A closed period, as `heronreel counts --json` prints it."""
+    """A closed period, as `heronreel counts --json` prints it.
+
+    Attributes:
+        step: the number of the period.
+        by: the name of the process that closed the period.
+        number: the fencing token under which the period was closed.
+        counts: the counts of the period.
+        unknown: the proxies that were absent and may have counts that are not uploaded.
+    """
 
     step: int
     by: str
     number: int
     counts: CountsByKind
-    unknown: list[str]  # proxies that are absent, and whose last counts are not uploaded
+    unknown: list[str]
 
 
 class LedgerRow(TypedDict):
-    """A ledger, as `heronreel counts --json` prints it."""
+    """A ledger, as `heronreel counts --json` prints it.
+
+    Attributes:
+        book: the id of the ledger.
+        proxy: the name of the proxy that counts in the ledger.
+        zone: the zone of the proxy.
+        page: the number of the last uploaded page.
+        there: whether the proxy is present.
+    """
 
     book: str
     proxy: str
     zone: str
     page: int
-    there: bool  # its proxy is present
+    there: bool
 
 
 class UsageOverview(TypedDict):
-    """Usage over the fleet, as `heronreel counts --json` prints it."""
+    """The usage over the fleet, as `heronreel counts --json` prints it.
+
+    Attributes:
+        ever: all counts, including uploaded pages that are not aggregated yet.
+        open: the counts of the open period, including uploaded pages that are not aggregated yet.
+        closed: the number of the last closed period.
+        periods: the last closed periods, the oldest first.
+        books: the ledgers that have a record and are not abandoned.
+    """
 
-    ever: CountsByKind  # all there is, uploaded pages that are not aggregated included
-    open: CountsByKind  # the open period, and uploaded pages that are not aggregated
-    closed: int  # the number of the last closed period
-    periods: list[PeriodRow]  # the oldest first
+    ever: CountsByKind
+    open: CountsByKind
+    closed: int
+    periods: list[PeriodRow]
     books: list[LedgerRow]
 
 
 async def usage_overview(client: Client, periods: int) -> UsageOverview:
-    """Usage at one moment, with up to `periods` of the last closed periods.
+    """Read the usage at one revision, with up to `periods` of the last closed periods.
 
     Raises:
         RequestError: the coordination service did not respond.
@@ -133,21 +157,22 @@
 
 
 async def abandon_ledger(client: Client, ledger_id: str) -> bool:
-    """Give up a ledger: what it uploaded before stays counted, and later pages are rejected.
+    """Abandon a ledger: pages that were uploaded before stay counted, and later pages are rejected.
 
     Returns:
-        False where there is no such ledger, or where its record changed at every attempt.
+        Whether the ledger was abandoned.  It is not if there is no such ledger, or if its record was changed
+        during each attempt.
 
     Raises:
         RequestError: the coordination service did not respond.
     """
     key = ledger_key(ledger_id)
     for _ in range(MAX_ABANDON_ATTEMPTS):
-        found = await client.call(Range(key))
-        assert isinstance(found, RangeResponse)
-        if not found.records:
+        range_response = await client.call(Range(key))
+        assert isinstance(range_response, RangeResponse)
+        if not range_response.records:
             return False
-        stored = found.records[0][1]
+        stored = range_response.records[0][1]
         record = msgspec.json.decode(stored.value, type=LedgerRecord)
         abandoned = msgspec.structs.replace(record, page=ABANDONED_PAGE)
         unchanged = Compare(key, CompareTarget.MOD, CompareOperator.EQUAL, stored.mod_revision)
--- a/heronreel/metering/period_closing.py
+++ b/heronreel/metering/period_closing.py
@@ -1,9 +1,10 @@
 """The aggregation of uploaded pages, and the closing of a period.  Pure: responses in, requests out.
 
-Every transaction succeeds only while the task's claim has the fencing token that it is done under, nobody
-else wrote the totals, and each record aggregated is as it was read.  A page is added to the totals and marked
-as aggregated in one of them, so the process that repeats a step, after a lost response or a kill of the
-holder, finds what is left.
+Every transaction succeeds only under three conditions: the claim on the task still has the fencing token of
+the holder, the totals have not been written since they were read, and neither have the aggregated records.  A
+page is added to the totals and marked as aggregated in the same transaction.  Therefore a process that
+repeats a step, after a lost response or after the holder was killed, finds exactly the pages that are not
+aggregated.
 """
 
 from __future__ import annotations
@@ -44,30 +45,30 @@
 )
 
 MAX_RECORDS_PER_TXN = 48
-MAX_BYTES_PER_TXN = 512 << 10  # of ledger records
+MAX_BYTES_PER_TXN = 512 << 10  # The limit for the total size of the ledger records in a transaction.
 CLAIM_KEY = CLAIM_PREFIX + TASK_NAME.encode()
 
 
 class ClosingOutcome(enum.Enum):
-    """How the closing of a period ended."""
+    """The result of an attempt to close a period."""
 
-    CLOSED = "closed"
-    TASK_LOST = "task lost"  # another process holds the task
+    CLOSED = "closed"  # The period is closed.
+    TASK_LOST = "task lost"  # Another process holds the task.
 
 
 class StoredLedger(NamedTuple):
-    """A ledger's record as it was read."""
+    """The record of a ledger as it was read."""
 
     key: bytes
     revision: int
-    size: int  # in bytes
+    size_bytes: int
     record: LedgerRecord
 
 
 class PeriodClosing:
-    """One step of the task: aggregate all uploaded pages, then close a period.
+    """One step of the task: aggregates all uploaded pages, and then closes a period.
 
-    `next_request` and `on_response` are called in turn, until there is an outcome.
+    The caller alternates between `next_request` and `on_response` until there is an outcome.
     """
 
     def __init__(
@@ -79,7 +80,16 @@
         *,
         fenced: bool = True,
     ) -> None:
-        """`fenced` is a guard: a test takes it out, and has to fail then."""
+        """Prepare to close a period as the holder of the task.
+
+        Args:
+            period: the number of the period.
+            fencing_token: the fencing token of the claim on the task.
+            closed_by: the name of this process.
+            present_proxies: the names of the proxies that are present.
+            fenced: whether transactions compare the claim, the totals and the records.  Only a test sets this
+                to False, to show that the comparisons are needed.
+        """
         self.period = period
         self.fencing_token = fencing_token
         self.closed_by = closed_by
@@ -91,7 +101,7 @@
         self.ledgers: list[StoredLedger] | None = None
 
     def next_request(self) -> Range | Txn | None:
-        """The next request; None once there is an outcome."""
+        """Return the next request, or None once there is an outcome."""
         if self.outcome is not None:
             return None
         if self.totals is None:
@@ -102,7 +112,11 @@
         return self._aggregate(self.totals, batch) if batch else self._close(self.totals, self.ledgers)
 
     def on_response(self, response: ResponseOrError) -> None:
-        """The response to that request; whatever was not done, or may have been, is read again."""
+        """Handle the response to the last request.
+
+        After a transaction, or an error that leaves the outcome of a request unknown, the totals and the
+        records are read again.
+        """
         if isinstance(response, RangeResponse) and self.totals is None:
             self._on_totals(response)
             return
@@ -112,7 +126,8 @@
         was_reading = self.totals is not None and self.ledgers is None
         self.totals = self.ledgers = None
         if isinstance(response, TxnResponse) and not response.succeeded and not was_reading:
-            # the claim shows whether the task is lost; pages that were uploaded meanwhile don't end the step
+            # The step ends only if the claim shows that the task is lost.  A transaction may also fail
+            # because a page was uploaded in the meantime.
             (claim,) = response.responses
             assert isinstance(claim, RangeResponse)
             if not claim.records or claim.records[0][1].create_revision != self.fencing_token:
@@ -155,10 +170,10 @@
         closed = ClosedPeriod(
             self.period, self.fencing_token, self.closed_by, totals.open_counts, totals.pages, missing
         )
-        fresh = Totals(self.period, {}, 0, merge_counts(totals.closed_counts, totals.open_counts))
+        new_totals = Totals(self.period, {}, 0, merge_counts(totals.closed_counts, totals.open_counts))
         operations: list[Operation] = [
             Put(closed_period_key(self.period), msgspec.json.encode(closed)),
-            Put(TOTALS_KEY, msgspec.json.encode(fresh)),
+            Put(TOTALS_KEY, msgspec.json.encode(new_totals)),
         ]
         if self.period > MAX_CLOSED_PERIODS:
             oldest_kept = self.period - MAX_CLOSED_PERIODS + 1
@@ -174,14 +189,14 @@
 
 
 def _next_batch(ledgers: list[StoredLedger]) -> list[StoredLedger]:
-    """The first ledgers with counts to aggregate, as many as fit in one transaction."""
+    """Return the first ledgers with counts to aggregate, as many as fit in one transaction."""
     batch: list[StoredLedger] = []
-    size = 0
+    size_bytes = 0
     for ledger in ledgers:
         if ledger.record.aggregated:
             continue
-        size += ledger.size
-        if batch and (len(batch) >= MAX_RECORDS_PER_TXN or size > MAX_BYTES_PER_TXN):
+        size_bytes += ledger.size_bytes
+        if batch and (len(batch) >= MAX_RECORDS_PER_TXN or size_bytes > MAX_BYTES_PER_TXN):
             break
         batch.append(ledger)
     return batch
--- a/heronreel/metering/upload.py
+++ b/heronreel/metering/upload.py
@@ -1,10 +1,10 @@
-"""The upload of one ledger, page by page.  Pure: events and time in, actions out.
+"""The upload of one ledger, page by page.  Pure: events and the time in, actions out.
 
-A page is added to the ledger's record, to the counts there that are not aggregated yet, by a transaction on
-the record's own revision.
+A page is added to the counts in the ledger's record that are not aggregated yet.  The transaction that does
+so compares the revision of the record.
 
-What the stored record says decides, and not what was responded: after every response that did not come, the
-record is read again.
+The stored record decides whether a page has been uploaded, and not the response to the transaction: after
+each write, and after each missing response, the record is read again.
 """
 
 from __future__ import annotations
@@ -32,37 +32,41 @@
 from heronreel.metering.ledger_format import LedgerHeader
 from heronreel.metering.records import TOTALS_KEY, LedgerRecord, ledger_key
 
-RETRY_BACKOFF_S = 0.5  # after a request that failed: from half of it up to one and a half, by jitter
+# The mean delay after a request that failed.  The jitter varies it from half to one and a half of this time.
+RETRY_BACKOFF_S = 0.5
 
 
 class SealPage(NamedTuple):
-    """Seal the open page, sync it to the disk, and report it to `page_sealed`."""
+    """Seal the open page, write it to the disk, and pass it to `page_sealed`.
+
+    `last` states whether it is the last page of the ledger.
+    """
 
     last: bool
 
 
 class MarkRegistered(NamedTuple):
-    """The record exists, which the ledger has to keep before a page is uploaded.
+    """Mark in the ledger that its record exists, before a page is uploaded.
 
-    A record that is missing later was then deleted together with its last page.
+    If the record is missing later, it is then certain that it was deleted together with the last page.
     """
 
 
 class ConfirmPage(NamedTuple):
-    """The page is uploaded: the ledger may clear it."""
+    """Confirm a page that has been uploaded, so that the ledger may clear it."""
 
     number: int
 
 
 class RemoveLedger(NamedTuple):
-    """All that the ledger holds is uploaded: its file may be removed."""
+    """Remove the file of the ledger, because all of its pages have been uploaded."""
 
 
 class QuarantineLedger(NamedTuple):
-    """Ledger and record contradict each other, so nothing more of the ledger is uploaded.
+    """Upload nothing more of the ledger, because it contradicts its record.
 
-    An old copy of the file was restored, the coordination service lost its state, or an operator abandoned
-    the ledger.  What it holds may have been counted already.
+    This happens if an old copy of the file was restored, if the coordination service lost its state, or if an
+    operator abandoned the ledger.  The counts in the ledger may already have been aggregated.
     """
 
     record_page: int
@@ -74,17 +78,17 @@
 
 
 class UploadPhase(enum.Enum):
-    """What an upload is doing."""
+    """The current activity of an upload."""
 
-    READING = "reading"  # the record
-    COUNTING = "counting"  # until the open page is due
-    SEALING = "sealing"
-    WRITING = "writing"  # the record
-    DONE = "done"
+    READING = "reading"  # The record is being read.
+    COUNTING = "counting"  # Responses are counted in the open page until it is due to be sealed.
+    SEALING = "sealing"  # The open page is being sealed.
+    WRITING = "writing"  # The record is being written.
+    DONE = "done"  # The ledger has been uploaded or quarantined.
 
 
 class LedgerUpload(SingleRequestSender):
-    """The upload of one ledger, from when it is opened until all of it is in its record."""
+    """The upload of one ledger, from when the ledger is opened until all of its pages are uploaded."""
 
     def __init__(
         self,
@@ -101,10 +105,22 @@
         response_timeout_s: float = 1.0,
         jitter: Callable[[], float] = lambda: 0.5,
     ) -> None:
-        """Arguments up to `pending_page`, `registered` and `pending_is_last` are the ledger's state.
-
-        The open page is sealed every `interval_s` seconds if anything is in it.  `compares_record` and
-        `compares_totals` are guards: tests take them out, and have to fail then.
+        """Begin to upload a ledger.
+
+        Args:
+            header: the header of the ledger.
+            confirmed_page: the number of the ledger's last confirmed page.
+            pending_page: the ledger's sealed page that is not confirmed, if there is one.
+            interval_s: the interval at which the open page is sealed if it has counts.
+            now: the current time.
+            registered: whether the ledger's record is known to exist.
+            pending_is_last: whether the pending page is the last page of the ledger.
+            compares_record: whether transactions compare the revision of the record.  Only a test sets this
+                to False, to show that the comparison is needed.
+            compares_totals: whether the transaction that creates the record compares the revision of the
+                totals.  Only a test sets this to False, to show that the comparison is needed.
+            response_timeout_s: the time after which a request counts as failed.
+            jitter: returns a random number from 0 to 1.
         """
         super().__init__(response_timeout_s)
         self.header = header
@@ -118,15 +134,15 @@
         self.compares_totals = compares_totals
         self.jitter = jitter
         self.phase = UploadPhase.READING
-        self.finishing = False  # nothing is counted any more
+        self.finishing = False  # True once no more responses are counted in the ledger.
         self.record = LedgerRecord(header.proxy, header.zone)
-        self.record_revision = 0  # as last read; 0: there is no record
-        self.totals_revision = 0  # when the record was read
+        self.record_revision = 0  # The revision of the record as last read, or 0 if there is no record.
+        self.totals_revision = 0  # The revision of the totals when the record was read.
         self.next_action_at = now
         self.next_seal_at = now + interval_s * (0.5 + 0.5 * jitter())
 
     def next_wakeup(self) -> float:
-        """When `tick` has something to do, at the latest."""
+        """Return the latest time at which `tick` has to be called again."""
         if self.phase is UploadPhase.DONE:
             return float("inf")
         if self.in_flight is not None:
@@ -134,14 +150,20 @@
         return float("inf") if self.phase is UploadPhase.SEALING else self.next_action_at
 
     def finish(self, now: float) -> None:
-        """Nothing is counted any more: the open page is sealed as the last one, as soon as possible."""
+        """Seal the open page as the last page as soon as possible.
+
+        No more responses may be counted in the ledger.
+        """
         self.finishing = True
         self.next_seal_at = now
         if self.in_flight is None and self.phase is UploadPhase.COUNTING:
             self.next_action_at = now
 
     def tick(self, now: float, has_counts: bool) -> Actions:
-        """Time has passed; `has_counts`: there is something in the open page."""
+        """Handle timeouts, and return the actions that are due.
+
+        `has_counts` states whether the open page has counts.
+        """
         if self._timed_out(now):
             self._read_again(now)
         if self.in_flight is not None:
@@ -161,14 +183,14 @@
         return []
 
     def page_sealed(self, now: float, page: Page, last: bool) -> None:
-        """The ledger has sealed a page, durably."""
+        """Report that the ledger has sealed a page, and that the page has been written to the disk."""
         self.pending_page, self.pending_is_last = page, last
         self.next_seal_at = now + self.interval_s
         self.phase = UploadPhase.READING
         self.next_action_at = now
 
     def on_response(self, now: float, request_id: int, response: ResponseOrError) -> Actions:
-        """The response to a request, or its error; ignored unless the request is in flight."""
+        """Handle the response to a request, or its error, unless the request is no longer in flight."""
         if not self._is_in_flight(request_id):
             return []
         if isinstance(response, TxnResponse) and self.phase is not UploadPhase.WRITING:
@@ -177,7 +199,7 @@
             assert isinstance(record, RangeResponse) and isinstance(totals, RangeResponse)
             self.totals_revision = totals.records[0][1].mod_revision if totals.records else 0
             return self._on_record(now, record)
-        self._read_again(now)  # whatever became of it, the record says
+        self._read_again(now)  # The record shows whether the write was applied.
         if isinstance(response, TxnResponse):
             self.next_action_at = now
         return []
@@ -210,7 +232,11 @@
         return actions
 
     def _on_missing_record(self, now: float) -> Actions:
-        """The record was never created, or deleted with the last page: it is deleted for no other reason."""
+        """Handle a missing record.
+
+        Either the record was never created, or it was deleted together with the last page.  A record is
+        deleted for no other reason.
+        """
         self.record_revision = 0
         if self.registered:
             return self._remove() if self.pending_is_last else self._quarantine(0)
@@ -230,7 +256,8 @@
         if self.compares_record:
             compares.append(Compare(self.key, CompareTarget.MOD, CompareOperator.EQUAL, self.record_revision))
         if not self.record_revision and self.compares_totals:
-            # a late request could create the record anew after its end: an end changes the totals
+            # A late request could create the record again after it was deleted with the last page.  That
+            # deletion also changes the totals, so comparing their revision prevents it.
             compares.append(
                 Compare(TOTALS_KEY, CompareTarget.MOD, CompareOperator.EQUAL, self.totals_revision)
             )
--- a/heronreel/metering/uploader.py
+++ b/heronreel/metering/uploader.py
@@ -1,4 +1,4 @@
-"""Uploading from a serving process: its own ledgers, and the orphans that it adopts."""
+"""Uploads ledgers from a serving process: its own ledgers and the orphans that it adopts."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
     UploadPhase,
 )
 
-ADOPTION_INTERVAL_S = 5.0  # between two looks for orphans
+ADOPTION_INTERVAL_S = 5.0  # The time between two searches for orphans.
 MIN_SLEEP_S = 0.005
-MAX_SLEEP_S = 0.1  # between two looks at whether a ledger is final
+MAX_SLEEP_S = 0.1  # The longest time between two checks whether a ledger is final.
 
 log = structlog.get_logger()
 
 
 class LedgerUploader:
-    """Uploads the ledgers of one process, and those that it adopts."""
+    """Uploads the ledgers of one process and the ledgers that it adopts."""
 
     def __init__(self, meter: UsageMeter, interval_s: float, clock: Callable[[], float]) -> None:
-        """`interval_s`: seconds between two pages of a ledger, on the given clock."""
+        """A page of each ledger is sealed every `interval_s` seconds on the given clock, if it has counts."""
         self.meter = meter
         self.directory = meter.directory
-        self.points = meter.points
+        self.crash_points = meter.crash_points
         self.interval_s = interval_s
         self.clock = clock
         self._jitter = random.Random(secrets.randbits(64)).random
@@ -51,7 +51,7 @@
         self._tasks: asyncio.TaskGroup | None = None
 
     async def run(self, client: Client) -> None:
-        """Upload ledgers until `finish` is done or this is cancelled."""
+        """Upload ledgers until `finish` has completed or this is cancelled."""
         self._client = client
         async with asyncio.TaskGroup() as self._tasks:
             self._start_upload(self.meter.current)
@@ -65,9 +65,10 @@
                     pass
 
     async def finish(self, timeout_s: float) -> bool:
-        """Nothing is counted any more: upload all there is, and return whether that was done in time.
+        """Upload all remaining counts, and return whether that was done within `timeout_s` seconds.
 
-        What was not uploaded stays on the disk for the process that adopts it.
+        No more responses may be counted.  Ledgers that are not uploaded in time stay on the disk, where
+        another process adopts them.
         """
         self.meter.flush()
         self._finishing = True
@@ -81,17 +82,17 @@
             return False
 
     def change_tenants(self, tenants: tuple[str, ...]) -> None:
-        """Go on in a new ledger where the tenants are others, and upload the old one to its end.
+        """Continue in a new ledger if the tenants have changed, and finish the upload of the previous one.
 
         Raises:
             OSError: no ledger can be created.
         """
         if self.meter.current.ledger.header.tenants == tenants:
             return
-        old = self.meter.replace_ledger(tenants)
-        new = self.meter.current
-        log.info("usage ledger replaced", old=old.ledger.header.id, new=new.ledger.header.id)
-        self._start_upload(new)
+        previous = self.meter.replace_ledger(tenants)
+        current = self.meter.current
+        log.info("usage ledger replaced", old=previous.ledger.header.id, new=current.ledger.header.id)
+        self._start_upload(current)
         self._wakeup.set()
 
     async def _adopt_orphans(self) -> None:
@@ -99,10 +100,10 @@
         for problem in adopted.problems:
             log.error("usage ledger unreadable; its counts are unknown", problem=problem)
         for ledger_file in adopted.files:
-            self.points.reach("adopt")
+            self.crash_points.reach("adopt")
             unknown = ledger_file.ledger.count_in_flight_as_unknown()
             log.info("usage ledger adopted", ledger=ledger_file.ledger.header.id, unknown=unknown)
-            self.points.reach("adopted")
+            self.crash_points.reach("adopted")
             self._start_upload(ledger_file)
 
     def _start_upload(self, ledger_file: LedgerFile) -> None:
@@ -121,7 +122,11 @@
             self._tasks.create_task(self._run_upload(ledger_file))
 
     def _is_final(self, ledger_file: LedgerFile) -> bool:
-        """Whether nothing is counted in it any more: a response is counted where it began."""
+        """Return whether no more responses will be counted in a ledger.
+
+        A response is counted in the ledger in which it began, so a replaced ledger is final once it has no
+        responses in flight.
+        """
         if ledger_file is self.meter.current:
             return self._finishing
         return not any(ledger_file.ledger.in_flight())
@@ -132,43 +137,43 @@
         while upload.phase is not UploadPhase.DONE:
             if not upload.finishing and self._is_final(ledger_file):
                 if ledger_file is self.meter.current:
-                    ledger.count_in_flight_as_unknown()  # responses to clients that are gone
+                    ledger.count_in_flight_as_unknown()  # Their clients have closed the connection.
                 upload.finish(self.clock())
-            if self.clock() >= upload.next_wakeup():  # the counts are looked through only then
+            if self.clock() >= upload.next_wakeup():  # Reading the counts is avoided while nothing is due.
                 actions = upload.tick(self.clock(), bool(ledger.open_counts()))
                 while actions:
                     actions = await self._carry_out(ledger_file, upload, actions)
-            # a short sleep: the ledger may become final meanwhile
+            # The sleep is short, because the ledger may become final in the meantime.
             await asyncio.sleep(min(max(MIN_SLEEP_S, upload.next_wakeup() - self.clock()), MAX_SLEEP_S))
         self._uploads.pop(ledger_file, None)
 
     async def _carry_out(self, ledger_file: LedgerFile, upload: LedgerUpload, actions: Actions) -> Actions:
-        """Carry out actions, and return those that follow from their results."""
-        following: Actions = []
+        """Carry out actions, and return the actions that result from them."""
+        next_actions: Actions = []
         for action in actions:
             if isinstance(action, SendRequest):
-                following += await self._send(upload, action)
+                next_actions += await self._send(upload, action)
             elif isinstance(action, SealPage):
                 await self._seal_page(ledger_file, upload, action.last)
             else:
                 await self._update_ledger(ledger_file, action)
-        return following
+        return next_actions
 
-    async def _send(self, upload: LedgerUpload, send: SendRequest) -> Actions:
+    async def _send(self, upload: LedgerUpload, action: SendRequest) -> Actions:
         assert self._client is not None
-        self.points.reach("request")
+        self.crash_points.reach("request")
         response: ResponseOrError = await self._client.call_or_error(
-            send.request, send.deadline - self.clock()
+            action.request, action.deadline - self.clock()
         )
-        self.points.reach("response")
-        return upload.on_response(self.clock(), send.request_id, response)
+        self.crash_points.reach("response")
+        return upload.on_response(self.clock(), action.request_id, response)
 
     async def _seal_page(self, ledger_file: LedgerFile, upload: LedgerUpload, last: bool) -> None:
-        self.points.reach("seal")
+        self.crash_points.reach("seal")
         if last:
             ledger_file.ledger.mark_last_page()
         page = ledger_file.ledger.seal_page()
-        self.points.reach("sealed")
+        self.crash_points.reach("sealed")
         await asyncio.to_thread(ledger_file.sync)
         upload.page_sealed(self.clock(), page, last)
 
@@ -177,11 +182,11 @@
             ledger_file.ledger.mark_registered()
             await asyncio.to_thread(ledger_file.sync)
         elif isinstance(action, ConfirmPage):
-            self.points.reach("confirm")
+            self.crash_points.reach("confirm")
             ledger_file.ledger.confirm_page(action.number)
-            self.points.reach("confirmed")
+            self.crash_points.reach("confirmed")
         elif isinstance(action, RemoveLedger):
-            self.points.reach("remove")
+            self.crash_points.reach("remove")
             ledger_file.remove()
         elif isinstance(action, QuarantineLedger):
             self._quarantine(ledger_file, action)
