--- a/tests/leases/test_rate_budget.py
+++ b/tests/leases/test_rate_budget.py
@@ -1,4 +1,8 @@
-"""Budgets of fleet-wide tasks: shares never exceed the budget, whoever comes, goes, or is cut off."""
+"""Rate budgets of fleet-wide tasks.
+
+The simulated fleet guards against shares that add up to more than the budget while processes start, stop and
+lose requests and responses.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +29,7 @@
 
 
 class Fleet:
-    """Processes that need a share, on a state that responds as one; requests may be lost or late."""
+    """Simulates processes that need a share, on one keyspace; requests may be lost, delayed or unanswered."""
 
     def __init__(self, seed: int, count: int, loss: float, compares_register: bool = True) -> None:
         self.rng = random.Random(seed)
@@ -49,17 +53,17 @@
         return self.last_lease_id
 
     def start(self, share: BudgetShare) -> None:
-        """Under a lease that does not expire by itself: the test ends it."""
+        """Start a process under a lease that lasts until the test revokes it."""
         lease = share.lease
         lease.lease_id, lease.granted, lease.valid_until = self.generate_lease_id(), True, float("inf")
         self.state = self.state.apply(LeaseGrant(6, lease.lease_id)).state
         share.acquire(self.now)
 
     def restart(self, share: BudgetShare) -> None:
-        """The holder stops, later its lease expires in the service, and it starts again."""
+        """Stop a process, expire its lease in the service, and start the process again."""
         lease_id = share.lease.lease_id
         share.lease.granted = False
-        if self.rng.random() < 0.5:  # its requests may arrive all the same
+        if self.rng.random() < 0.5:  # Its delayed requests may still arrive before the lease expires.
             self.step()
         self.state = self.state.apply(LeaseRevoke(lease_id)).state
         self.start(share)
@@ -81,27 +85,27 @@
             in_flight += [(share, action) for action in share.tick(self.now)]
         while in_flight:
             share, action = in_flight.pop(self.rng.randrange(len(in_flight)))
-            in_flight += [(share, further) for further in self.exchange(share, action)]
+            in_flight += [(share, next_action) for next_action in self.exchange(share, action)]
 
     def exchange(self, share: BudgetShare, action: SendRequest) -> list[SendRequest]:
-        """Apply a request and deliver its response, if neither is lost; the requests that follow."""
+        """Apply a request and deliver its response, unless one of them is lost; returns the next requests."""
         if self.rng.random() < self.loss:
             self.late_requests.append(action)
             return []
         response = self.apply(action)
         if self.rng.random() < self.loss:
             response = RequestError(StatusCode.UNKNOWN, "")
-        awaited = share.awaits(action.request_id)
-        further = share.on_response(self.now, response) if awaited else []
-        assert self.used_units() <= TOTAL_UNITS, [each.usable_units(self.now) for each in self.shares]
-        return further
+        is_awaited = share.awaits(action.request_id)
+        next_actions = share.on_response(self.now, response) if is_awaited else []
+        assert self.used_units() <= TOTAL_UNITS, [other.usable_units(self.now) for other in self.shares]
+        return next_actions
 
     def used_units(self) -> int:
         return sum(share.usable_units(self.now) for share in self.shares)
 
 
-def play(seed: int, count: int, loss: float) -> None:
-    """Processes come, go and lose requests and responses; then all of them settle on fair shares."""
+def run_simulation(seed: int, count: int, loss: float) -> None:
+    """Run a fleet with restarts and lost messages, and check that it then converges to fair shares."""
     fleet = Fleet(seed, count, loss)
     for _ in range(60):
         fleet.step()
@@ -123,18 +127,20 @@
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 1 << 30), st.integers(1, 9), st.sampled_from([0.0, 0.1, 0.4]))
 def test_shares_never_exceed_the_budget(seed: int, count: int, loss: float) -> None:
-    play(seed, count, loss)
+    run_simulation(seed, count, loss)
 
 
 @pytest.mark.parametrize("seed", [435, 1193, 1350])
-def test_a_share_is_not_kept_while_a_lost_transaction_may_still_shrink_it(seed: int) -> None:
-    """A process whose shrinking transaction got no response read its old share, used it again, and then the
-    transaction was applied and others took what it had given back.
+def test_share_is_not_used_while_an_unanswered_transaction_may_still_reduce_it(seed: int) -> None:
+    """Guards against a process that uses units which others have taken.
+
+    The process sent a transaction that reduces its share and got no response.  It read the old share and used
+    it again.  Then the transaction was applied, and other processes took the returned units.
     """
-    play(seed, 6, 0.4)
+    run_simulation(seed, 6, 0.4)
 
 
-def test_without_the_register_shares_exceed_the_budget() -> None:
+def test_shares_exceed_the_budget_if_transactions_do_not_compare_the_register() -> None:
     for seed in range(200):
         fleet = Fleet(seed, 9, 0.2, compares_register=False)
         try:
@@ -142,10 +148,10 @@
                 fleet.step()
         except AssertionError:
             return
-    raise AssertionError("no seed exceeded the budget")
+    raise AssertionError("the shares did not exceed the budget with any seed")
 
 
-def test_a_token_bucket_grants_its_rate_and_waits_for_debts() -> None:
+def test_token_bucket_grants_its_rate_and_waits_until_a_debt_is_paid() -> None:
     bucket = TokenBucket(10.0, 0.0)
     assert bucket.consume(0.0, 20.0) == 0.0 and bucket.consume(0.0, 5.0) == 0.5
     assert bucket.consume(0.5, 0.0) == 0.0 and bucket.consume(100.0, 21.0) == pytest.approx(0.1)
@@ -155,7 +161,7 @@
 
 
 class FixedShare:
-    """A share of as many units as a test says."""
+    """Stands in for `BudgetShare`, with a number of units that the test sets."""
 
     def __init__(self, units: int) -> None:
         self.units = units
@@ -165,12 +171,13 @@
 
 
 def use_processor(seconds: float) -> None:
+    """Use this much processor time in the calling thread."""
     started_at = time.thread_time()
     while time.thread_time() < started_at + seconds:
         pass
 
 
-def test_a_step_takes_tokens_for_its_processor_time_and_waits_without_a_share() -> None:
+def test_step_takes_tokens_for_its_processor_time_and_waits_without_a_share() -> None:
     async def run() -> None:
         now = [0.0]
         share = FixedShare(TOTAL_UNITS // 2)
@@ -188,13 +195,14 @@
                 events.append("cancelled")
                 raise
 
-        async def metered() -> None:
+        async def run_metered_step() -> None:
             await CpuMeteredStep(step(StepContext(1, 1, limiter)), limiter)
 
-        task = asyncio.ensure_future(metered())
+        task = asyncio.ensure_future(run_metered_step())
         for _ in range(20):
             await asyncio.sleep(0)
-        assert not events  # 0.2 s are two seconds' worth of its share and more
+        # The share is 0.05 s of processor time per second: the 0.2 s used exceed what its bucket can hold.
+        assert not events
         now[0] = 100.0
         while not events:
             await asyncio.sleep(0.01)
--- a/tests/leases/test_step_queue.py
+++ b/tests/leases/test_step_queue.py
@@ -1,4 +1,4 @@
-"""Steps of one process run one at a time, by priority, also where waiters are cancelled."""
+"""The steps of one process run one at a time and by priority, even if waiters are cancelled."""
 
 from __future__ import annotations
 
@@ -19,6 +19,7 @@
 
 
 async def let_tasks_run() -> None:
+    """Give the other asyncio tasks several turns of the event loop."""
     for _ in range(5):
         await asyncio.sleep(0)
 
@@ -30,7 +31,7 @@
         await let_tasks_run()
         waiting = [asyncio.ensure_future(run_step(queue, task, order, finish)) for task in (IDLE, URGENT)]
         await let_tasks_run()
-        assert order == ["normal"]  # one at a time
+        assert order == ["normal"]  # Only one step runs at a time.
         finish.set()
         await asyncio.gather(first, *waiting)
         return order
@@ -38,7 +39,7 @@
     assert asyncio.run(run()) == ["normal", "urgent", "idle"]
 
 
-def test_a_waiter_that_is_cancelled_leaves_its_turn_to_the_next() -> None:
+def test_cancelled_waiter_leaves_its_turn_to_the_next_waiter() -> None:
     async def run() -> list[str]:
         queue, order, finish = StepQueue(lambda: 0.0), list[str](), asyncio.Event()
         first = asyncio.ensure_future(run_step(queue, NORMAL, order, finish))
@@ -55,13 +56,13 @@
     assert asyncio.run(run()) == ["normal", "idle"]
 
 
-def test_a_waiter_cancelled_just_after_it_got_its_turn_passes_it_on() -> None:
+def test_waiter_cancelled_after_it_was_granted_the_lock_passes_it_to_the_next_waiter() -> None:
     async def run() -> list[str]:
         queue, order, finish = StepQueue(lambda: 0.0), list[str](), asyncio.Event()
 
         async def run_first_and_cancel_urgent() -> None:
             await run_step(queue, NORMAL, order, finish)
-            urgent.cancel()  # the turn has passed to it, and it has not run since
+            urgent.cancel()  # The lock has been granted to this waiter, which has not run since.
 
         first = asyncio.ensure_future(run_first_and_cancel_urgent())
         await let_tasks_run()
