--- a/heronreel/leases/rate_budget.py
+++ b/heronreel/leases/rate_budget.py
@@ -35,7 +35,7 @@
 from heronreel.leases.rate_limits import TOTAL_UNITS
 from heronreel.leases.requests import SendRequest
 
-MIN_DIVISOR = 4  # No process gets more than a quarter of a budget.
+MIN_SHARE_DIVISOR = 4  # No process gets more than a quarter of a budget.
 MIN_UNITS = TOTAL_UNITS // 64  # A process waits if fewer units are available to it.
 REBALANCE_INTERVAL_S = 5.0  # The longest time between two checks whether other processes need a share.
 
@@ -267,6 +267,6 @@
     If other processes wait, the process keeps no more than a fair share.  It never takes more units than are
     free.
     """
-    fair_units = TOTAL_UNITS // max(MIN_DIVISOR, usage.holder_count + usage.waiting_count)
+    fair_units = TOTAL_UNITS // max(MIN_SHARE_DIVISOR, usage.holder_count + usage.waiting_count)
     kept_units = min(usage.own_units, fair_units) if usage.waiting_count else usage.own_units
     return max(kept_units, min(fair_units, TOTAL_UNITS - usage.other_units))
--- a/heronreel/leases/task_progress.py
+++ b/heronreel/leases/task_progress.py
@@ -100,8 +100,8 @@
             holder: the name of this process.
             now: the current time.
             response_timeout_s: the time after which a request counts as failed.
-            fenced: whether writes of the cursor are fenced by the claim.  Only a test sets this to False, to
-                show that the fence is needed.
+            fenced: whether writes of the cursor compare the claim and the revision of the cursor.  Only a
+                test sets this to False, to show that the comparisons are needed.
         """
         super().__init__(response_timeout_s)
         self.task = task
--- a/tests/compatibility/fingerprints.py
+++ b/tests/compatibility/fingerprints.py
@@ -87,7 +87,7 @@
         "group: two let go at once": coordination.two_members_removed,
         "lease: all guards": coordination.with_lease_guards,
         "lease: clocks apart": coordination.clocks_apart,
-        "count: a kill": counting.with_a_kill,
+        "count: a kill": counting.world_with_a_kill,
     }
     for number, in_group in enumerate(coordination.GROUP_GUARDS, 1):
         cases[f"group: with guard {number}"] = partial(coordination.with_group_guard, *in_group)
@@ -100,9 +100,9 @@
         cases[f"account: with guard {number}"] = partial(account.with_all_guards, allowed, prefix)
         cases[f"account: without guard {number}"] = partial(account.without_guard, allowed, prefix, without)
     for number, (guard, counted, prefix) in enumerate(counting.COUNT_GUARDS, 1):
-        cases[f"count: with guard {number}"] = partial(counting.with_count_guards, counted, prefix)
+        cases[f"count: with guard {number}"] = partial(counting.guarded_world, counted, prefix)
         cases[f"count: without guard {number}"] = partial(
-            counting.without_count_guard, guard, counted, prefix
+            counting.world_without_guard, guard, counted, prefix
         )
     return cases
 
@@ -123,7 +123,7 @@
 def explored(name: str) -> Fingerprint:
     """Explore one case.  Of the random walks it records only whether one of them breaks a promise."""
     if name == WALKS:
-        return {"broken": any(counting.walks_without_the_closing_fence())}
+        return {"broken": any(counting.walks_without_closing_fence())}
     start, most = CASES[name]()
     found = explore(start, most)
     states: int | None
--- a/tests/metering/__init__.py
+++ b/tests/metering/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the metering of requests by tenant."""
+"""Tests of usage metering by tenant."""
--- a/tests/metering/test_metering_processes.py
+++ b/tests/metering/test_metering_processes.py
@@ -1,4 +1,7 @@
-"""Usage metering on real proxies, each killed at every announced crash point."""
+"""Usage metering with proxy processes that are killed at each crash point.
+
+The tests guard against counts that differ from the responses that the clients received.
+"""
 
 from __future__ import annotations
 
@@ -29,12 +32,13 @@
 FREQUENT_POINTS = (
     "begin", "settled", "seal", "sealed", "request", "response", "confirm", "confirmed", "close", "closed",
 )  # fmt: skip
-# where the first process is killed, and where the second one is
+# For each crash point under test: where the first process is killed and where the second one is, each given
+# as a point and the number of the visit.
 CRASH_POINTS = {point: (f"{point}:2", f"{point}:5") for point in FREQUENT_POINTS}
 CRASH_POINTS |= {point: ("settled:4", f"{point}:1") for point in ("adopt", "adopted", "remove")}
 
 
-def routes(folder: Path, name: str, backend: str, group: list[str], embedded: str = "") -> Path:
+def write_routes_file(folder: Path, name: str, backend: str, group: list[str], embedded: str = "") -> Path:
     path = folder / f"{name}.toml"
     path.write_text(f"""
 [proxy]
@@ -62,7 +66,7 @@
 
 
 class SingleMachine:
-    """Proxies that embed their coordination service on one disk of their machine."""
+    """Proxies on one machine that run the coordination service themselves, with one data folder."""
 
     def __init__(self, folder: Path, address: str, backend: str) -> None:
         self.folder = folder
@@ -71,13 +75,13 @@
         self.running: dict[str, ManagedProcess] = {}
 
     async def start(self, name: str) -> int:
-        """The port on which the proxy listens."""
-        path = routes(self.folder, name, self.backend, [self.address], str(self.folder / "group"))
+        """Start a proxy, and return the port on which it listens."""
+        path = write_routes_file(self.folder, name, self.backend, [self.address], str(self.folder / "group"))
         self.running[name] = await ManagedProcess.start(name, ("heronreel.cli", "serve", str(path)))
         line = await self.running[name].wait_for_line("listening on")
         return int(line.split("127.0.0.1:")[1].split()[0])
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         for process in self.running.values():
             process.send_signal(signal.SIGTERM)
             assert await process.wait_for_exit() == 0
@@ -88,7 +92,7 @@
                 await process.kill()
 
 
-async def until_present(client: Client, count: int) -> None:
+async def wait_until_present(client: Client, count: int) -> None:
     async with asyncio.timeout(40):
         while True:
             with suppress(RequestError):
@@ -97,8 +101,8 @@
             await asyncio.sleep(0.05)
 
 
-async def until_counted(client: Client, tenant: str, count: int) -> int:
-    """What is counted for the tenant, served or unknown, once it is so many."""
+async def wait_until_counted(client: Client, tenant: str, count: int) -> int:
+    """Wait until `count` responses of the tenant are counted as served or unknown; returns their number."""
     counted = 0
     async with asyncio.timeout(40):
         while counted < count:
@@ -109,8 +113,8 @@
     return counted
 
 
-def test_a_single_machine_needs_no_coordinator_beside_its_proxies(tmp_path: Path) -> None:
-    """Whichever proxy has the disk serves the group; when it is killed another goes on with its state."""
+def test_proxies_on_a_single_machine_run_the_coordination_service_themselves(tmp_path: Path) -> None:
+    """The proxy that holds the disk serves the group; if it is killed, another proxy takes over the disk."""
 
     async def run() -> None:
         clients = Clients()
@@ -123,15 +127,15 @@
                 ports = [await machine.start("one")]
                 await machine.running["one"].wait_for_line('"listening"')
                 ports.append(await machine.start("two"))
-                await until_present(client, 2)
+                await wait_until_present(client, 2)
                 for port in ports:
                     assert await clients.send(port, "etna", 10)
                 await machine.running["one"].kill()
                 await machine.running["two"].wait_for_line('"listening"')
                 await machine.start("one")
-                await until_present(client, 2)
-                assert await until_counted(client, "etna", 20) <= 21 and clients.served["etna"] == 20
-                await machine.end()
+                await wait_until_present(client, 2)
+                assert await wait_until_counted(client, "etna", 20) <= 21 and clients.served["etna"] == 20
+                await machine.stop()
             finally:
                 await machine.kill()
 
@@ -139,14 +143,14 @@
 
 
 class Clients:
-    """Clients of the proxies: by tenant, the responses they got, and the requests without a response."""
+    """Clients of the proxies; they count received responses and unanswered requests by tenant."""
 
     def __init__(self) -> None:
         self.served: Counter[str] = Counter()
         self.unanswered: Counter[str] = Counter()
 
     async def send(self, port: int, tenant: str, count: int) -> bool:
-        """Send so many requests on one connection; False where it broke."""
+        """Send `count` requests on one connection; returns False if the last one got no response."""
         in_flight = False
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -167,7 +171,7 @@
 
 
 class Fleet:
-    """Proxies of one group: what was counted is read from the group, what was served from the clients."""
+    """Proxies that use one coordination service, and their clients."""
 
     def __init__(self, harness: Harness, folder: Path, backend: str) -> None:
         self.harness = harness
@@ -175,13 +179,15 @@
         self.backend = backend
         self.clients = Clients()
 
-    async def proxy(self, name: str, **env: str) -> tuple[ManagedProcess, int]:
-        path = routes(self.folder, name, self.backend, self.harness.addresses)
+    async def start_proxy(self, name: str, **env: str) -> tuple[ManagedProcess, int]:
+        """Start a proxy, and return its process and the port on which it listens."""
+        path = write_routes_file(self.folder, name, self.backend, self.harness.addresses)
         process = await self.harness.start_process(name, "heronreel.cli", "serve", str(path), **env)
         line = await process.wait_for_line("listening on")
         return process, int(line.split("127.0.0.1:")[1].split()[0])
 
     async def usage(self, client: Client) -> UsageOverview:
+        """Return the stored usage, retrying until the coordination service responds."""
         while True:
             try:
                 return await overview.usage_overview(client, 96)
@@ -189,11 +195,12 @@
                 await asyncio.sleep(0.02)
 
     def is_counted(self, usage: UsageOverview, tenant: str) -> bool:
+        """Return whether at least the responses that the tenant's clients received are counted."""
         row = usage["ever"].get(tenant, {"served": 0, "unknown": 0})
         return row["served"] + row["unknown"] >= self.clients.served[tenant]
 
     async def settled_usage(self, client: Client) -> UsageOverview:
-        """Wait until no ledger is left but the last proxy's own, and all is in closed periods."""
+        """Wait until only the ledger of the last proxy is left, and all counts are in closed periods."""
         async with asyncio.timeout(60):
             while True:
                 usage = await self.usage(client)
@@ -205,7 +212,11 @@
 
 
 def check_usage(usage: UsageOverview, clients: Clients, *, all_in_periods: bool = True) -> None:
-    """Served is never more than what clients got, and together with unknown never less."""
+    """Check the counts of each tenant against its clients.
+
+    The served count must not exceed what the clients may have received, and the sum of the served and the
+    unknown count must not be less than what they received.
+    """
     in_periods: Counter[str] = Counter()
     for period in usage["periods"]:
         for tenant, counts in period["counts"].items():
@@ -213,30 +224,31 @@
     for tenant in TENANTS:
         row = usage["ever"].get(tenant, {"served": 0, "unknown": 0})
         served, unanswered = clients.served[tenant], clients.unanswered[tenant]
-        print(tenant, row, "clients were served", served, "and not answered", unanswered)
+        print(tenant, row, "responses received by clients:", served, "requests unanswered:", unanswered)
         assert row["served"] <= served + unanswered
         assert served <= row["served"] + row["unknown"]
-        assert row["unknown"] <= unanswered + 1  # a response that had gone out when its process was killed
+        # One unknown response may have been received, if its process was killed before it was settled.
+        assert row["unknown"] <= unanswered + 1
         if not row["unknown"]:
             assert row["served"] - unanswered <= served <= row["served"]
         if all_in_periods and usage["closed"] <= 96:
             assert in_periods[tenant] == row["served"]
 
 
-def test_every_announced_crash_point_is_tested() -> None:
+def test_crash_points_of_the_tests_are_those_in_the_code() -> None:
     texts = [path.read_text() for path in (ROOT / "heronreel" / "metering").glob("*.py")]
     assert set(re.findall(r'points\.reach\("(\w+)"\)', "".join(texts))) == set(CRASH_POINTS)
 
 
-def test_a_proxy_outside_a_fleet_loads_none_of_its_modules() -> None:
+def test_proxy_outside_a_fleet_does_not_load_the_modules_of_the_fleet() -> None:
     code = "import sys, heronreel.serve.program; print(*sys.modules)"
     loaded = subprocess.check_output([sys.executable, "-c", code], cwd=ROOT, text=True).split()
     fleet_modules = {"aiohttp", "heronreel.coordination", "heronreel.coordinator", "heronreel.leases"}
     assert "heronreel.serve" in loaded and not fleet_modules & set(loaded)
 
 
-def test_an_invalid_table_is_reported_with_its_line_and_a_remedy(tmp_path: Path) -> None:
-    text = routes(tmp_path, "one", "127.0.0.1:1", ["127.0.0.1:2"]).read_text()
+def test_invalid_fleet_table_is_reported_with_its_line_and_a_remedy(tmp_path: Path) -> None:
+    text = write_routes_file(tmp_path, "one", "127.0.0.1:1", ["127.0.0.1:2"]).read_text()
     for valid, invalid, message in (
         ('group = ["127.0.0.1:2"]', "group = []", "expected a list of 1 to 7 addresses"),
         ('group = ["127.0.0.1:2"]', 'group = ["there:2"]', "expected an IP address and a port"),
@@ -251,15 +263,15 @@
         (tmp_path / "bad.toml").write_text(text.replace(valid, invalid))
         problems = [str(finding.problem) for finding in read_report(str(tmp_path / "bad.toml")).findings]
         assert len(problems) == 1 and message in problems[0] and int(problems[0].split(":")[0]) > 0, problems
-    away = text.replace('embedded = ""', 'embedded = "x"').replace("127.0.0.1:2", "10.0.0.1:2")
-    (tmp_path / "bad.toml").write_text(away)
+    remote_address = text.replace('embedded = ""', 'embedded = "x"').replace("127.0.0.1:2", "10.0.0.1:2")
+    (tmp_path / "bad.toml").write_text(remote_address)
     (finding,) = read_report(str(tmp_path / "bad.toml")).findings
     assert "fleet.embedded" in str(finding.problem)
     assert "one address of this machine" in str(finding.problem)
 
 
 @pytest.mark.parametrize("point", CRASH_POINTS)
-def test_a_proxy_killed_at_a_crash_point_counts_what_its_clients_were_served(
+def test_counts_agree_with_the_clients_after_proxies_are_killed_at_a_crash_point(
     point: str, tmp_path: Path
 ) -> None:
     async def run() -> None:
@@ -268,15 +280,15 @@
                 await harness.wait_until_available()
                 fleet = Fleet(harness, tmp_path, backend.address)
                 for crash_at in CRASH_POINTS[point]:
-                    doomed, port = await fleet.proxy("one", HERONREEL_END_AT=crash_at)
+                    crashing, port = await fleet.start_proxy("one", HERONREEL_END_AT=crash_at)
                     async with asyncio.timeout(60):
-                        while doomed.process.returncode is None:
+                        while crashing.process.returncode is None:
                             for tenant in TENANTS:
                                 if not await fleet.clients.send(port, tenant, 3):
                                     break
                             await asyncio.sleep(0.01)
-                    assert doomed.process.returncode == -signal.SIGKILL
-                last, port = await fleet.proxy("one")
+                    assert crashing.process.returncode == -signal.SIGKILL
+                last, port = await fleet.start_proxy("one")
                 await fleet.clients.send(port, "etna", 5)
                 usage = await fleet.settled_usage(client)
                 check_usage(usage, fleet.clients)
@@ -288,8 +300,8 @@
     asyncio.run(run())
 
 
-def test_a_fleet_counts_each_response_once_through_kills_of_proxies_and_of_the_leader(tmp_path: Path) -> None:
-    """The closing task runs on the proxies themselves: its holder is killed like the rest."""
+def test_each_response_is_counted_once_while_proxies_and_the_leader_are_killed(tmp_path: Path) -> None:
+    """The task that closes periods runs on the proxies, so its holder is killed as well."""
 
     async def run() -> None:
         async with Harness(tmp_path, ("a", "b", "c"), 2) as harness, Client(harness.addresses) as client:
@@ -297,17 +309,17 @@
                 await harness.wait_until_healthy()
                 fleet = Fleet(harness, tmp_path, backend.address)
                 names = ("p", "q", "r")
-                running = {name: await fleet.proxy(name) for name in names}
-                for turn in range(4):
+                running = {name: await fleet.start_proxy(name) for name in names}
+                for round_ in range(4):
                     for name, (_, port) in running.items():
-                        assert await fleet.clients.send(port, TENANTS[turn % 2], 20), name
-                    doomed = names[turn % 3]
-                    await running[doomed][0].kill()
-                    if turn == 1:
+                        assert await fleet.clients.send(port, TENANTS[round_ % 2], 20), name
+                    killed = names[round_ % 3]
+                    await running[killed][0].kill()
+                    if round_ == 1:
                         leader = await harness.wait_for_leader()
                         await harness.members[leader].kill()
                         await harness.start_member(leader)
-                    running[doomed] = await fleet.proxy(doomed)
+                    running[killed] = await fleet.start_proxy(killed)
                 for name in names[1:]:
                     running[name][0].send_signal(signal.SIGTERM)
                     assert await running[name][0].wait_for_exit() == 0
