--- a/tests/proxy/test_bad_backends.py
+++ b/tests/proxy/test_bad_backends.py
@@ -1,4 +1,4 @@
-"""Backends whose responses are malformed, or are followed by more than belongs to them."""
+"""Backends that send malformed responses, or more bytes after the end of a response."""
 
 import asyncio
 from contextlib import suppress
@@ -23,44 +23,47 @@
 
 OK = b"HTTP/1.1 200 OK\r\n"
 HINTS = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
-LARGE = b"ffffffffff\r\n" + b"x" * 10_000  # a chunk of a terabyte
+HUGE_CHUNK = b"ffffffffff\r\n" + b"x" * 10_000  # The chunk size is one terabyte.
 MALFORMED = {
-    "noise": b"\xd9\xd7M\x15y}V\x94e\xee\r\n\r\n",
+    "random bytes": b"\xd9\xd7M\x15y}V\x94e\xee\r\n\r\n",
     "another protocol": b"ICY 200 OK\r\nContent-Length: 4\r\n\r\nride",
-    "a status that is none": b"HTTP/1.1 0x200 OK\r\nContent-Length: 4\r\n\r\nride",
+    "an invalid status": b"HTTP/1.1 0x200 OK\r\nContent-Length: 4\r\n\r\nride",
     "two lengths": OK + b"Content-Length: 3\r\nContent-Length: 4\r\n\r\nride",
     "a negative length": OK + b"Content-Length: -4\r\n\r\nride",
     "a length and chunks": OK + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-    "a chunk that is none": OK + b"Transfer-Encoding: chunked\r\n\r\n4\r\nride\r\nzz\r\nride\r\n",
+    "an invalid chunk": OK + b"Transfer-Encoding: chunked\r\n\r\n4\r\nride\r\nzz\r\nride\r\n",
     "a line without a colon": OK + b"no colon here\r\nContent-Length: 4\r\n\r\nride",
     "three gigabytes": OK + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 100_000,
-    "chunks of too much": OK + b"Transfer-Encoding: chunked\r\n\r\n" + LARGE,
-    "a field without end": OK + b"X-Pad: " + b"p" * 100_000,
-    "fields without end": OK + b"X-Pad: pppp\r\n" * 10_000,
+    "a huge chunk": OK + b"Transfer-Encoding: chunked\r\n\r\n" + HUGE_CHUNK,
+    "an endless field": OK + b"X-Pad: " + b"p" * 100_000,
+    "endless fields": OK + b"X-Pad: pppp\r\n" * 10_000,
     "half a response": OK + b"Content-Length: 400\r\n\r\nride",
     "no length": OK + b"\r\nride",
-    "another protocol's turn": b"HTTP/1.1 101 Other\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n",
+    "switching protocols": b"HTTP/1.1 101 Other\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n",
 }  # fmt: skip
-GOOD = {
+UNUSUAL = {
     "early hints": HINTS + ok(b"ride"),
-    "a load report of noise": OK + b"X-Load: %%%=,={\"\r\nContent-Length: 4\r\n\r\nride",
-    "its own end": OK + b"Connection: close\r\nContent-Length: 4\r\n\r\nride",
+    "an invalid load report": OK + b"X-Load: %%%=,={\"\r\nContent-Length: 4\r\n\r\nride",
+    "connection close": OK + b"Connection: close\r\nContent-Length: 4\r\n\r\nride",
 }  # fmt: skip
 
 
 def malformed_once(malformed: bytes, ended: asyncio.Event) -> ConnectionHandler:
-    """The first request gets `malformed` on a connection that stays open until the other side ends it."""
-    first = [malformed]
+    """Respond to the first request with `malformed`, to later ones with their id.
+
+    The connection of the first request stays open until the proxy closes it; `ended` is set then.
+    """
+    unsent = [malformed]
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head, _ = await read_request(reader)
-            if not first:
+            if not unsent:
                 writer.write(ok(head["x-request-id"].encode()))
                 continue
-            writer.write(first.pop())
+            writer.write(unsent.pop())
             with suppress(ConnectionError):
-                assert await reader.read(1) == b""  # no further request comes on this connection
+                assert await reader.read(1) == b""  # No further request is sent on this connection.
             ended.set()
             return
 
@@ -68,7 +71,9 @@
 
 
 @pytest.mark.parametrize("malformed", MALFORMED.values(), ids=MALFORMED.keys())
-def test_a_malformed_response_is_retried_and_ends_its_connection(tmp_path: Path, malformed: bytes) -> None:
+def test_a_request_with_a_malformed_response_is_retried_and_the_connection_is_closed(
+    tmp_path: Path, malformed: bytes
+) -> None:
     async def scenario() -> None:
         ended = asyncio.Event()
         async with Backend() as one, Backend() as two:
@@ -85,23 +90,25 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("good", GOOD.values(), ids=GOOD.keys())
-def test_an_unusual_but_complete_response_is_served(tmp_path: Path, good: bytes) -> None:
+@pytest.mark.parametrize("response", UNUSUAL.values(), ids=UNUSUAL.keys())
+def test_an_unusual_but_complete_response_is_served(tmp_path: Path, response: bytes) -> None:
     async def scenario() -> None:
-        async with proxy_with_backend(tmp_path, Backend(lambda head, body: good)) as proxy:
+        async with proxy_with_backend(tmp_path, Backend(lambda head, body: response)) as proxy:
             for ident in ("a1", "a2"):
                 assert await proxy.send_request(ident) == ("200", b"ride")
 
     run(scenario())
 
 
-@pytest.mark.parametrize("beyond", [ok(b"copy"), b"\x00noise\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Le"])
+@pytest.mark.parametrize("extra", [ok(b"copy"), b"\x00noise\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Le"])
 @pytest.mark.parametrize("together", [True, False])
-def test_bytes_beyond_a_response_end_its_connection(tmp_path: Path, beyond: bytes, together: bool) -> None:
+def test_a_connection_is_closed_if_bytes_follow_a_response(
+    tmp_path: Path, extra: bytes, together: bool
+) -> None:
     async def scenario() -> None:
         async with Backend() as backend:
             backend.reply = lambda head, body: (
-                ok(head["x-request-id"].encode()) + (beyond if together else b"")
+                ok(head["x-request-id"].encode()) + (extra if together else b"")
             )
             known = [entry("b1", backend.address)]
             async with (
@@ -113,14 +120,16 @@
                     writer.write(request(f"a{number}"))
                     assert await read_response(reader) == ("200", b"a%d" % number)
                     if not together:
-                        backend.writers[-1].write(beyond)
+                        backend.writers[-1].write(extra)
                         await backend.ended()
-                assert backend.opened == 4  # none of them carried a second request
+                assert backend.opened == 4  # No connection carried a second request.
 
     run(scenario())
 
 
-def test_a_request_that_backends_reject_as_bad_is_the_clients_fault(tmp_path: Path) -> None:
+def test_a_client_error_from_a_backend_is_not_retried_and_does_not_count_against_the_backend(
+    tmp_path: Path,
+) -> None:
     async def scenario() -> None:
         async with Backend() as one, Backend() as two:
             for backend in (one, two):
@@ -137,8 +146,8 @@
                     writer.write(request(f"a{number}", body=b"????"))
                     status, _ = await read_response(reader)
                     assert status == "400"
-                assert len(one.seen) + len(two.seen) == 6  # no other backend is tried
+                assert len(one.seen) + len(two.seen) == 6  # No request is retried at the other backend.
                 assert [(await proxy.send_request(f"g{number}"))[0] for number in range(8)] == ["200"] * 8
-                assert min(len(one.seen), len(two.seen)) > 3  # both go on getting requests
+                assert min(len(one.seen), len(two.seen)) > 3  # Both backends continue to receive requests.
 
     run(scenario())
--- a/tests/proxy/test_dispatcher.py
+++ b/tests/proxy/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher's state after what should not happen, and a process's start and end in little memory."""
+"""The dispatcher after unexpected errors, at shutdown, and in a process with little memory."""
 
 import asyncio
 import json
@@ -32,7 +32,7 @@
 
 
 class WaitingClient(ResponseWriter):
-    """A client that only waits for its response."""
+    """A client that waits for its response and keeps only the status."""
 
     def __init__(self) -> None:
         self.status: asyncio.Future[int] = asyncio.get_running_loop().create_future()
@@ -41,20 +41,20 @@
         self.status.set_result(status)
 
 
-def test_an_unexpected_connect_error_ends_its_attempt_and_leaks_no_count(tmp_path: Path) -> None:
+def test_an_unexpected_connect_error_ends_its_attempt_and_leaks_nothing(tmp_path: Path) -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         dispatcher = Dispatcher(
             loop, config_of(tmp_path, entry("b1", "127.0.0.1:9"), entry("b2", "127.0.0.1:9"))
         )
 
-        async def odd(*args: object, **more: object) -> None:
+        async def fail_unexpectedly(*args: object, **options: object) -> None:
             raise ValueError("no such family")
 
-        loop.create_connection = odd  # type: ignore
+        loop.create_connection = fail_unexpectedly  # type: ignore
         client = WaitingClient()
         dispatcher.submit(client, RequestHead(b"GET /read/1 HTTP/1.1\r\n", class_name="read"), b"")
-        assert await client.status == 503  # it never ran, so it is rejected, and at once
+        assert await client.status == 503  # The request never ran, so it is rejected, and immediately.
         await asyncio.sleep(0)
         assert not dispatcher.pool.connecting and not dispatcher.pool.connections
         assert not dispatcher.requests and not dispatcher.budget.used
@@ -62,8 +62,8 @@
     run(scenario())
 
 
-def test_nothing_is_sent_once_admission_has_ended(tmp_path: Path) -> None:
-    """The request is there already: its retries and attempts whose connection comes up late meet this too."""
+def test_no_attempt_is_sent_after_admission_has_ended(tmp_path: Path) -> None:
+    """The same check applies to retries and to attempts whose connection comes up late."""
 
     async def scenario() -> None:
         async with Backend() as backend:
@@ -79,7 +79,7 @@
     run(scenario())
 
 
-def test_an_idle_connection_is_closed_long_before_its_backend_would(tmp_path: Path) -> None:
+def test_an_idle_connection_is_closed_long_before_the_backend_would_close_it(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Backend() as backend:
             config = config_of(tmp_path, entry("b1", backend.address))
@@ -89,7 +89,7 @@
             dispatcher.submit(client, head, b"")
             assert await client.status == 200
             (connection,) = dispatcher.pool.idle
-            # the backend would keep it far longer
+            # The backend would keep the connection for far longer.
             assert config.backend_idle_ms >= 10.0 * MAX_IDLE_S * 1000.0
             dispatcher.pool.close_expired(connection.idle_since + 0.9 * MAX_IDLE_S)
             assert connection in dispatcher.pool.idle
@@ -99,29 +99,29 @@
     run(scenario())
 
 
-def test_a_timer_that_the_balancer_fails_on_fires_again(tmp_path: Path) -> None:
+def test_a_timer_event_that_the_balancer_fails_on_is_repeated(tmp_path: Path) -> None:
     async def scenario() -> None:
         dispatcher = Dispatcher(asyncio.get_running_loop(), config_of(tmp_path, entry("b1", "127.0.0.1:9")))
-        handle, again = dispatcher.balancer.handle, asyncio.Event()
-        failed: list[api.Event] = []
+        handle, fired_again = dispatcher.balancer.handle, asyncio.Event()
+        failed_events: list[api.Event] = []
 
-        def failing(now: float, event: api.Event) -> list[api.Action]:
+        def fail_once(now: float, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.TimerFired) and event.token == 0:
-                if not failed:
-                    failed.append(event)
+                if not failed_events:
+                    failed_events.append(event)
                     raise RuntimeError("once")
-                again.set()
+                fired_again.set()
             return handle(now, event)
 
-        dispatcher.balancer.handle = failing  # type: ignore[method-assign, assignment]
-        await again.wait()
+        dispatcher.balancer.handle = fail_once  # type: ignore[method-assign, assignment]
+        await fired_again.wait()
         assert dispatcher.watch
         dispatcher.watch.close()
 
     run(scenario())
 
 
-def test_it_starts_and_drains_in_32_mb(tmp_path: Path) -> None:
+def test_a_process_with_a_limit_of_32_mb_starts_and_drains(tmp_path: Path) -> None:
     async def scenario() -> None:
         backend = Backend(lambda head, body: None)
         async with proxy_with_backend(tmp_path, backend, memory_mb=32) as proxy:
@@ -131,7 +131,7 @@
             proxy.signal(signal.SIGTERM)
             backend.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
             assert await read_response(reader) == ("200", b"done")
-            assert await reader.read() == b""  # and the connection with it
+            assert await reader.read() == b""  # The proxy closes the connection after the response.
             assert await proxy.process.wait() == 0
 
     run(scenario())
--- a/tests/proxy/test_overload.py
+++ b/tests/proxy/test_overload.py
@@ -1,4 +1,4 @@
-"""What clients see of a fleet without the capacity for their requests."""
+"""Responses that clients get while the backends are overloaded."""
 
 import asyncio
 from copy import deepcopy
@@ -17,30 +17,34 @@
     running_proxy,
 )
 
-FULL = b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+NOT_RUN_RESPONSE = b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-def test_tenants_within_their_quotas_are_served_by_the_proxy_that_gets_all_their_requests(
+def test_a_proxy_that_gets_all_requests_of_tenants_serves_them_within_their_quotas(
     tmp_path: Path,
 ) -> None:
-    """Proxies know the quotas of all together; one whose peers restart must not take it all for too much."""
+    """Quotas apply to all proxies together.
+
+    A proxy whose peers restart receives the requests of all tenants and must not treat them as over the
+    quota.
+    """
 
     async def scenario() -> None:
         all_in_flight = asyncio.Event()
-        known_to: set[str] = set()
+        seen_ids: set[str] = set()
 
-        def full_at_first(head: dict[str, str], body: bytes) -> bytes | None:
+        def reject_first_attempt(head: dict[str, str], body: bytes) -> bytes | None:
             ident = head["x-request-id"]
-            if ident not in known_to:  # every request takes two attempts, which is a sign of overload
-                known_to.add(ident)
-                return FULL
-            if ident.startswith("h"):  # no response: what is in flight makes for long latencies
+            if ident not in seen_ids:  # Every request takes two attempts, which is a sign of overload.
+                seen_ids.add(ident)
+                return NOT_RUN_RESPONSE
+            if ident.startswith("h"):  # No response: the requests in flight cause long latencies.
                 if ident == "h99":
                     all_in_flight.set()
                 return None
             return ok(b"ride")
 
-        async with Backend(full_at_first) as one, Backend(full_at_first) as two:
+        async with Backend(reject_first_attempt) as one, Backend(reject_first_attempt) as two:
             known = [entry("b1", one.address), entry("b2", two.address)]
             async with Discovery(*known) as discovery:
                 config = configuration(discovery.address, *known, sockets=1024)
@@ -69,20 +73,24 @@
                     until = loop.time() + 2.0
                     while loop.time() < until:
                         await send("ab"[len(statuses) % 2])
-                    late = statuses[len(statuses) // 2 :]  # a rise is seen after a while
-                    assert late.count("200") > 0.8 * len(late) > 25, (late.count("200"), len(late))
+                    # The proxy recognises the higher rate only after a while.
+                    later = statuses[len(statuses) // 2 :]
+                    assert later.count("200") > 0.8 * len(later) > 25, (later.count("200"), len(later))
                     for writer in writers:
                         writer.close()
 
     run(scenario())
 
 
-def test_retry_after_is_as_long_as_the_overload_has_lasted(tmp_path: Path) -> None:
-    """Soon at first, so that a retry may be in time; later and spread out when it would be late anyway."""
+def test_retry_after_grows_with_the_duration_of_the_overload(tmp_path: Path) -> None:
+    """It is short at first, so that a retry can still meet its deadline.
+
+    When a retry would be late anyway, it is longer and spread out.
+    """
 
     async def scenario() -> None:
-        short = True
-        async with Backend(lambda head, body: FULL if short else ok(b"ride")) as one:
+        overloaded = True
+        async with Backend(lambda head, body: NOT_RUN_RESPONSE if overloaded else ok(b"ride")) as one:
             known = [entry("b1", one.address)]
             async with Discovery(*known) as discovery:
                 config = configuration(discovery.address, *known)
@@ -105,14 +113,14 @@
                     assert first is not None and 0.02 < first < 0.08
                     while (now := await retry_after()) is None or now < 1.0:
                         pass
-                    several = {await retry_after() for _ in range(20)}
-                    assert len(several) > 10
-                    short = False
+                    values = {await retry_after() for _ in range(20)}
+                    assert len(values) > 10
+                    overloaded = False
                     calm_from = asyncio.get_running_loop().time()
                     while asyncio.get_running_loop().time() < calm_from + 1.0:
                         assert await retry_after() is None
-                    short = True
-                    again = await retry_after()
-                    assert again is not None and again < 0.08
+                    overloaded = True
+                    second = await retry_after()
+                    assert second is not None and second < 0.08
 
     run(scenario())
--- a/tests/proxy/test_renewed_terms.py
+++ b/tests/proxy/test_renewed_terms.py
@@ -86,7 +86,7 @@
                 writer.write(with_deadline("a1", "read", 3000))
                 await read_response(reader)
                 assert sum(len(backend.began) for backend in backends) >= 2
-                assert [backend.told_too_much(sent_at, 3000, TOLD_SLACK_S) for backend in backends] == [
+                assert [backend.excess_deadlines_s(sent_at, 3000, TOLD_SLACK_S) for backend in backends] == [
                     [],
                     [],
                     [],
@@ -469,6 +469,6 @@
             writer.write(b"".join(with_deadline(f"a{n}", "save", 3000) for n in range(4)))
             for _ in range(4):
                 await read_response(reader)
-            assert backend.told_too_much(sent_at, 3000, TOLD_SLACK_S) == []
+            assert backend.excess_deadlines_s(sent_at, 3000, TOLD_SLACK_S) == []
 
     run(scenario())
--- a/tests/proxy/test_streams.py
+++ b/tests/proxy/test_streams.py
@@ -1,4 +1,7 @@
-"""Bodies too long to be buffered, both ways, on the real program: complete, bounded, cut off."""
+"""Request and response bodies that are too long to be buffered, sent through the proxy process.
+
+They arrive complete, take a bounded amount of memory, and are cut off if their sender stops.
+"""
 
 from __future__ import annotations
 
@@ -32,8 +35,8 @@
 SAVE = "POST /save/obj1 HTTP/1.1\r\nHost: x\r\nX-Request-Id: {}\r\nIdempotency-Key: k\r\n{}\r\n"
 
 
-def chunked(body: bytes, step: int) -> bytes:
-    parts = (body[at : at + step] for at in range(0, len(body), step))
+def chunked(body: bytes, chunk_bytes: int) -> bytes:
+    parts = (body[start : start + chunk_bytes] for start in range(0, len(body), chunk_bytes))
     return b"".join(b"%x;n=1\r\n%b\r\n" % (len(part), part) for part in parts) + b"0\r\nX-Sum: 1\r\n\r\n"
 
 
@@ -42,7 +45,11 @@
 
 
 async def read_body(reader: asyncio.StreamReader, head: dict[str, str]) -> bytes:
-    """A body of any framing; raises IncompleteReadError for one that is cut off."""
+    """Read a body of any framing.
+
+    Raises:
+        IncompleteReadError: The body is cut off.
+    """
     if "content-length" in head:
         return await reader.readexactly(int(head["content-length"]))
     if "transfer-encoding" not in head:
@@ -56,19 +63,19 @@
 
 
 class DigestBackend(Listener):
-    """Responds to a request of any length with its digest, or with what `responses` has, each once."""
+    """Responds with each of `responses` once, then with the digest of the request body, of any length."""
 
     def __init__(self, *responses: bytes) -> None:
         super().__init__(self._handle)
         self.responses = list(responses)
         self.heads: list[dict[str, str]] = []
-        self.begun = asyncio.Event()
+        self.head_received = asyncio.Event()
 
     async def _handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head = await read_head(reader)
             self.heads.append(head)
-            self.begun.set()
+            self.head_received.set()
             body = await read_body(reader, head)
             digest = hashlib.sha256(body).hexdigest().encode()
             if self.responses:
@@ -78,11 +85,14 @@
 
 
 class PiecewiseBackend(Listener):
-    """Responds with these pieces, `more` before each but the first, and ends the connection if `ends`."""
+    """Responds in pieces and closes the connection after the last one if `closes`.
+
+    Before each piece except the first, it waits for a release of `more`.
+    """
 
-    def __init__(self, *pieces: bytes, ends: bool = False) -> None:
+    def __init__(self, *pieces: bytes, closes: bool = False) -> None:
         super().__init__(self._handle)
-        self.pieces, self.ends_it, self.more = pieces, ends, asyncio.Semaphore(0)
+        self.pieces, self.closes, self.more = pieces, closes, asyncio.Semaphore(0)
 
     async def _handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -92,7 +102,7 @@
                     await self.more.acquire()
                 writer.write(piece)
                 await writer.drain()
-            if self.ends_it:
+            if self.closes:
                 writer.close()
                 return
 
@@ -117,9 +127,9 @@
             reader, writer = await proxy.connect()
             for number in range(2):
                 writer.write(request_head(f"r{number}", *lines))
-                if number:  # in pieces that cut anything anywhere
-                    for at in range(0, len(sent), 70_001):
-                        writer.write(sent[at : at + 70_001])
+                if number:  # In pieces that are not aligned with chunks.
+                    for start in range(0, len(sent), 70_001):
+                        writer.write(sent[start : start + 70_001])
                         await writer.drain()
                 else:
                     writer.write(sent)
@@ -130,16 +140,16 @@
 
 
 def test_memory_does_not_grow_with_the_length_of_a_body(tmp_path: Path) -> None:
-    """A backend that reads nothing: the client is made to wait, and the proxy stays small."""
+    """While the backend reads nothing, the client has to wait and the proxy buffers little."""
 
     async def scenario() -> None:
-        halt = asyncio.Event()
+        reading_paused = asyncio.Event()
         heads: list[bytes] = []
 
         async def read_only_head(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             heads.append(await reader.readuntil(b"\r\n\r\n"))
             writer.transport.pause_reading()  # type: ignore[attr-defined]
-            halt.set()
+            reading_paused.set()
             await asyncio.Event().wait()
 
         backend = Listener(read_only_head)
@@ -149,21 +159,23 @@
             for number, (_, writer) in enumerate(clients):
                 writer.write(request_head(f"d{number}", f"Content-Length: {30 * MB}"))
                 writer.write(b"x" * (30 * MB))
-            await halt.wait()
-            await serves_within(proxy, before + 16 * 1024)
+            await reading_paused.wait()
+            await assert_serving_within(proxy, before + 16 * 1024)
             for _, writer in clients:
                 writer.transport.abort()
 
     run(scenario())
 
 
-def test_a_long_body_without_memory_for_it_reaches_no_backend_in_part(tmp_path: Path) -> None:
+def test_a_long_body_without_memory_for_it_is_rejected_before_any_part_reaches_a_backend(
+    tmp_path: Path,
+) -> None:
     async def scenario() -> None:
         backend = DigestBackend()
-        async with proxy_with_backend(tmp_path, backend, memory_mb=30) as proxy:  # 1 MiB for bodies
+        async with proxy_with_backend(tmp_path, backend, memory_mb=30) as proxy:  # Leaves 1 MiB for bodies.
             _, first = await proxy.connect()
             first.write(request_head("r1", f"Content-Length: {len(LONG)}") + LONG[:900_000])
-            await backend.begun.wait()
+            await backend.head_received.wait()
             reader, writer = await proxy.connect()
             writer.write(request_head("r2", "Content-Length: 2000000") + LONG[:2_000_000])
             assert (await read_response(reader))[0] == "503"
@@ -173,8 +185,8 @@
     run(scenario())
 
 
-async def serves_within(proxy: ProxyProcess, max_kb: int) -> None:
-    """It still responds, and its memory is below that."""
+async def assert_serving_within(proxy: ProxyProcess, max_kb: int) -> None:
+    """Assert that the proxy responds and that its memory is below `max_kb`."""
     reader, writer = await proxy.connect()
     writer.write(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
     assert (await read_response(reader))[0] == "200"
@@ -187,13 +199,13 @@
 
 
 def test_a_rejected_upload_is_retried_from_its_first_byte(tmp_path: Path) -> None:
-    """Only as long as all that came is still there."""
-    away = b"HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+    """A body of which a part was dropped is not sent again."""
+    not_run = b"HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
     async def scenario() -> None:
         for size, expected, attempts in ((900_000, "200", 2), (len(LONG), "503", 1)):
-            one, two = DigestBackend(away), DigestBackend()
-            two.responses = one.responses  # whichever gets it first rejects it
+            one, two = DigestBackend(not_run), DigestBackend()
+            two.responses = one.responses  # The backend that gets the request first rejects it.
             async with one, two:
                 known = [entry("b1", one.address), entry("b2", two.address)]
                 async with Discovery(*known) as discovery:
@@ -210,13 +222,13 @@
 
 def test_a_client_that_disconnects_or_stalls_ends_its_upload(tmp_path: Path) -> None:
     async def scenario() -> None:
-        for leaves in (True, False):
+        for disconnects in (True, False):
             backend = DigestBackend()
             async with proxy_with_backend(tmp_path, backend) as proxy:
                 reader, writer = await proxy.connect()
                 writer.write(request_head("r", f"Content-Length: {len(LONG)}") + LONG[:MB])
-                await backend.begun.wait()
-                if leaves:
+                await backend.head_received.wait()
+                if disconnects:
                     writer.transport.abort()
                 else:
                     assert (await read_response(reader))[0] == "408"
@@ -259,10 +271,10 @@
 def test_a_long_response_arrives_complete_at_clients_of_any_version(
     tmp_path: Path, response: str, version: str
 ) -> None:
-    pieces, ends = RESPONSES[response]
+    pieces, closes = RESPONSES[response]
 
     async def scenario() -> None:
-        async with proxy_with_backend(tmp_path, PiecewiseBackend(*pieces, ends=ends)) as proxy:
+        async with proxy_with_backend(tmp_path, PiecewiseBackend(*pieces, closes=closes)) as proxy:
             for _ in range(2):
                 reader, writer = await proxy.connect()
                 writer.write(request("r", "read").replace(b"HTTP/1.1", b"HTTP/" + version.encode()))
@@ -275,7 +287,7 @@
     run(scenario())
 
 
-def test_the_first_bytes_of_a_long_response_do_not_wait_for_the_rest(tmp_path: Path) -> None:
+def test_the_first_bytes_of_a_long_response_are_forwarded_before_the_rest_arrives(tmp_path: Path) -> None:
     async def scenario() -> None:
         first = OK + b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG[:5000]
         backend = PiecewiseBackend(first, LONG[5000:])
@@ -283,8 +295,8 @@
             reader, writer = await proxy.connect()
             writer.write(request("r", "read"))
             head = await read_head(reader)
-            assert await reader.readexactly(5000) == LONG[:5000]  # and only then comes the rest
-            backend.more.release()
+            assert await reader.readexactly(5000) == LONG[:5000]
+            backend.more.release()  # The backend sends the rest only now.
             assert await reader.readexactly(len(LONG) - 5000) == LONG[5000:]
             assert int(head["content-length"]) == len(LONG)
 
@@ -293,13 +305,13 @@
 
 @pytest.mark.parametrize("form", ["length", "chunks"])
 def test_a_long_response_cut_off_by_its_backend_is_cut_off_for_its_client(tmp_path: Path, form: str) -> None:
-    """Nobody may take a part for all of it, and the proxy goes on."""
+    """The client must not mistake a part for the complete response, and the proxy continues to serve."""
     lines = b"Content-Length: 3000000\r\n" if form == "length" else b"Transfer-Encoding: chunked\r\n"
     part = LONG[:500_000] if form == "length" else chunked(LONG[:500_000], 5_000)[:-20]
 
     async def scenario() -> None:
         async with proxy_with_backend(
-            tmp_path, PiecewiseBackend(OK + lines + b"\r\n" + part, ends=True)
+            tmp_path, PiecewiseBackend(OK + lines + b"\r\n" + part, closes=True)
         ) as proxy:
             for _ in range(2):
                 reader, writer = await proxy.connect()
@@ -311,7 +323,7 @@
     run(scenario())
 
 
-def test_a_client_that_reads_nothing_costs_little_memory_and_ends_its_response_by_leaving(
+def test_a_client_that_reads_nothing_costs_little_memory_and_its_disconnection_ends_the_response(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
@@ -325,7 +337,7 @@
                 writer.write(request(f"r{number}", "read"))
             while backend.opened < 6:
                 await asyncio.sleep(0)
-            await serves_within(proxy, before + 16 * 1024)
+            await assert_serving_within(proxy, before + 16 * 1024)
             for _, writer in clients:
                 writer.transport.abort()
             for end in list(backend.ends.values()):
@@ -349,7 +361,7 @@
     run(scenario())
 
 
-def test_an_upload_keeps_what_may_be_sent_again_and_releases_its_memory() -> None:
+def test_an_upload_keeps_its_bytes_for_a_retry_up_to_a_limit_and_releases_its_memory() -> None:
     class Peer:
         def __init__(self) -> None:
             self.received, self.pauses, self.ended = b"", list[bool](), False
@@ -368,25 +380,25 @@
     assert budget.reserve(MAX_BUFFERED_REQUEST_BYTES + 1)
     upload = RequestBodyStream(client, budget, b"a" * (MAX_BUFFERED_REQUEST_BYTES + 1), chunked=False)
     upload.feed(b"b")
-    assert client.pauses == [True]  # nowhere to send it yet
+    assert client.pauses == [True]  # No sink is attached yet.
     upload.attach(first)
     assert client.pauses[-1] is False and first.received.endswith(b"ab")
     upload.detach(first)
     assert upload.can_restart()
     upload.attach(second)
     assert second.received == first.received
-    upload.feed(b"c" * MAX_BUFFERED_REQUEST_BYTES)  # more than is kept
+    upload.feed(b"c" * MAX_BUFFERED_REQUEST_BYTES)  # More than the limit for retries.
     assert not upload.can_restart() and budget.used == 0
     late = Peer()
-    tight = ByteBudget(MAX_BUFFERED_REQUEST_BYTES + 1)
-    assert tight.reserve(MAX_BUFFERED_REQUEST_BYTES + 1)
-    waits = RequestBodyStream(client, tight, b"a" * (MAX_BUFFERED_REQUEST_BYTES + 1), chunked=False)
-    waits.feed(b"b" * MAX_BUFFERED_REQUEST_BYTES)  # no room for it, and nowhere to send it
-    assert waits.can_restart() and client.pauses[-1] is True
-    waits.attach(late)
+    small_budget = ByteBudget(MAX_BUFFERED_REQUEST_BYTES + 1)
+    assert small_budget.reserve(MAX_BUFFERED_REQUEST_BYTES + 1)
+    waiting = RequestBodyStream(client, small_budget, b"a" * (MAX_BUFFERED_REQUEST_BYTES + 1), chunked=False)
+    waiting.feed(b"b" * MAX_BUFFERED_REQUEST_BYTES)  # Over the budget, and no sink is attached.
+    assert waiting.can_restart() and client.pauses[-1] is True
+    waiting.attach(late)
     assert len(late.received) == 2 * MAX_BUFFERED_REQUEST_BYTES + 1
-    waits.feed(b"c")
-    assert not waits.can_restart() and late.received.endswith(b"bc") and tight.used == 0
-    upload.detach(first)  # one that has it no more
+    waiting.feed(b"c")
+    assert not waiting.can_restart() and late.received.endswith(b"bc") and small_budget.used == 0
+    upload.detach(first)  # A sink that is not attached any more.
     upload.finish()
     assert second.ended and len(second.received) == 2 * MAX_BUFFERED_REQUEST_BYTES + 2 and not first.ended
--- a/tests/proxy/test_told_deadlines.py
+++ b/tests/proxy/test_told_deadlines.py
@@ -1,4 +1,4 @@
-"""What attempts tell their backends of the time left, where it is not what the client said."""
+"""The deadline header of attempts whose remaining time differs from the client's deadline."""
 
 from __future__ import annotations
 
@@ -21,20 +21,24 @@
     running_proxy,
 )
 
-TOLD_SLACK_S = 0.15
-FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+# How much the deadline header may exceed the client's remaining time.
+DEADLINE_SLACK_S = 0.15
+NOT_RUN_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 DEADLINE_MS = 3000
-LONG_BODY = b"x" * (600 << 10)  # forwarded as it comes, and kept for a retry
-LONGEST_COUNTED_S, KILL_MARGIN_S = 3.0, 0.7  # SIGKILL comes so long after SIGTERM
+# A body of this length is forwarded while it is being received, and is kept for a retry.
+LONG_BODY = b"x" * (600 << 10)
+# SIGKILL follows SIGTERM after the sum of these times.
+MAX_COUNTED_DEADLINE_S = 3.0
+KILL_MARGIN_S = 0.7
 
 
 def with_deadline(ident: str, deadline_ms: int, body: bytes = b"ride") -> bytes:
     return request(ident, body=body, extra=f"X-Deadline-Ms: {deadline_ms}\r\n")
 
 
-def test_a_long_body_that_is_sent_again_tells_what_is_left(tmp_path: Path) -> None:
+def test_a_retry_of_a_long_body_has_the_remaining_time_as_its_deadline(tmp_path: Path) -> None:
     async def scenario() -> None:
-        backends = [AttemptLog(after(0.4, FULL)) for _ in range(3)]
+        backends = [AttemptLog(after(0.4, NOT_RUN_RESPONSE)) for _ in range(3)]
         async with backends[0], backends[1], backends[2]:
             known = [entry(f"b{number}", backend.address) for number, backend in enumerate(backends)]
             async with Discovery(*known) as discovery:
@@ -47,13 +51,13 @@
                     await read_response(reader)
                     assert sum(len(backend.began) for backend in backends) >= 2
                     for backend in backends:
-                        assert backend.told_too_much(sent_at, DEADLINE_MS, TOLD_SLACK_S) == []
+                        assert backend.excess_deadlines_s(sent_at, DEADLINE_MS, DEADLINE_SLACK_S) == []
 
     run(scenario())
 
 
-def test_an_attempt_in_a_shutdown_tells_no_more_than_what_is_left_of_it(tmp_path: Path) -> None:
-    """The client would wait beyond the process's end."""
+def test_the_deadline_of_an_attempt_during_shutdown_is_before_the_end_of_the_process(tmp_path: Path) -> None:
+    """The client's own deadline is after the end of the process."""
 
     async def scenario() -> None:
         backend = AttemptLog(after(0.0, ok(b"done")))
@@ -65,17 +69,17 @@
             writer.write(with_deadline("a1", 5000))
             assert await read_response(reader) == ("200", b"done")
             ((began_at, head),) = backend.began
-            killed_at = signalled_at + LONGEST_COUNTED_S + KILL_MARGIN_S
+            killed_at = signalled_at + MAX_COUNTED_DEADLINE_S + KILL_MARGIN_S
             assert int(head["x-deadline-ms"]) / 1000.0 < killed_at - began_at
 
     run(scenario())
 
 
-def test_a_retry_in_a_shutdown_tells_no_more_than_what_is_left_of_it(tmp_path: Path) -> None:
-    """The request was taken before, and its client would wait beyond the process's end."""
+def test_the_deadline_of_a_retry_during_shutdown_is_before_the_end_of_the_process(tmp_path: Path) -> None:
+    """The request was accepted before the signal; its own deadline is after the end of the process."""
 
     async def scenario() -> None:
-        backends = [AttemptLog(after(0.5, FULL)) for _ in range(2)]
+        backends = [AttemptLog(after(0.5, NOT_RUN_RESPONSE)) for _ in range(2)]
         async with backends[0], backends[1]:
             known = [entry(f"b{number}", backend.address) for number, backend in enumerate(backends)]
             async with Discovery(*known) as discovery:
@@ -93,14 +97,14 @@
                         key=lambda attempt: attempt[0],
                     )
                     assert sum(len(backend.began) for backend in backends) >= 2
-                    killed_at = signalled_at + LONGEST_COUNTED_S + KILL_MARGIN_S
+                    killed_at = signalled_at + MAX_COUNTED_DEADLINE_S + KILL_MARGIN_S
                     assert int(head["x-deadline-ms"]) / 1000.0 < killed_at - began_at
 
     run(scenario())
 
 
-def test_what_was_taken_before_a_shutdown_is_answered_before_its_end(tmp_path: Path) -> None:
-    """A long body's time begins with its last byte, and would last beyond the process's end."""
+def test_a_request_accepted_before_a_shutdown_is_answered_before_its_end(tmp_path: Path) -> None:
+    """The timeout of a long body starts with its last byte, and would end after the process."""
 
     async def scenario() -> None:
         async with proxy_with_backend(tmp_path, AttemptLog(hang)) as proxy:
@@ -117,7 +121,7 @@
     run(scenario())
 
 
-def test_a_body_that_is_still_coming_when_nothing_is_admitted_any_more_is_refused_and_never_runs(
+def test_a_body_that_is_incomplete_when_admission_ends_is_refused_and_never_runs(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
--- a/tests/support/attempt_log.py
+++ b/tests/support/attempt_log.py
@@ -34,8 +34,8 @@
         """The requests of the attempts, in the order in which they began."""
         return [head["x-request-id"] for _, head in self.began]
 
-    def told_too_much(self, sent_at: float, deadline_ms: int, slack_s: float) -> list[float]:
-        """By how much each attempt told more than was left to its client, where that is over the slack."""
+    def excess_deadlines_s(self, sent_at: float, deadline_ms: int, slack_s: float) -> list[float]:
+        """Return the excess of attempts' deadlines over the client's remaining time, if over `slack_s`."""
         over = [
             int(head["x-deadline-ms"]) / 1000.0 - (sent_at + deadline_ms / 1000.0 - at)
             for at, head in self.began
