--- a/tests/proxy/test_full_discovery.py
+++ b/tests/proxy/test_full_discovery.py
@@ -1,22 +1,22 @@
-"""A fleet whose discovery is full: nobody sends to a draining backend on a list that nobody has renewed.
+"""A fleet with an overloaded discovery service: no proxy sends to a draining backend by an outdated list.
 
-What users saw: while backends were released one after the other, a few requests went to a backend that had
-been draining for more than two seconds.  It turned them away, and some were late or refused.
+The failure: while backends were released one after the other, a few requests went to a backend that had been
+draining for more than 2 s.  The backend rejected them, and some were answered late or refused.
 
-What happened, in order.  The watch of the endpoint list at a proxy ended, and the change that it should have
-brought (a backend begins to drain) never came on it.  The proxy called again at once, but discovery had more
-calls waiting than it could take a turn for within its time limit, and refused the call within milliseconds;
-so it did a second and a third time.  The change counted as notified 2 s after the end of the watch, and the
-grace of the drain passed.  The proxy went on sending on the list that it held as if it were current.
+How it came about: the watch of a proxy ended instead of delivering the change (a backend starts to drain).
+The proxy called again immediately, but more calls were waiting at discovery than it could answer within its
+time limit, so it refused the call within milliseconds, and also the second and third call.  The change
+counted as notified 2 s after the end of the watch, and then the drain grace passed.  The proxy continued to
+send by its list as if it were current.
 
-The cause: nothing ended the validity of a list that is held.  Calls alone can't make up for it, as discovery
-needs longer for one call from each proxy than a missed change may take to count as notified.
+The cause: an endpoint list never expired.  Calling discovery again can't make up for that, because discovery
+takes longer to answer one call from each proxy than a missed change may take to count as notified.
 
-Evidence: in a trace of forty proxies each break lay 2.0 s and the grace after the end of its proxy's watch,
-with no list written in between; 120 calls were refused, all of them after 27 ms; calls repeated more
-often made it worse, as refusals cost discovery time; and no break was left where a proxy whose watch had
-ended sent nothing from 2.15 s on, up to its next list.  A service that is down, in contrast, refuses calls
-after its whole time limit: then no list is to be had by anyone, and the held one is all there is.
+In a trace of 40 proxies, every violation began 2.0 s plus the grace after the end of the proxy's watch, with
+no list received in between.  120 calls were refused, each after 27 ms.  Calling more often made it worse,
+because refusals take discovery's time as well.  No violation was left when a proxy whose watch had ended sent
+nothing from 2.15 s on until its next list.  A service that is down, in contrast, refuses calls only after its
+whole time limit; then no proxy can get a list, and the current one remains in use.
 """
 
 from __future__ import annotations
@@ -56,30 +56,38 @@
 )
 
 PROXIES = 12
-CALL_S, REFUSAL_S = 0.4, 0.1  # 4.8 s for a call from each proxy, and seven at most wait their turn
-SETTINGS_OF_A_FLEET = SETTINGS | {
+# The service takes this long for a call: 4.8 s for one call from each proxy.  At most seven calls wait.
+CALL_S = 0.4
+# The service takes this long for a refusal.
+REFUSAL_S = 0.1
+FLEET_SETTINGS = SETTINGS | {
     "Balancers": PROXIES,
     "Rules": SETTINGS["Rules"] | {"MustAskInMs": 10_000.0},
 }
 GRACE_S = SETTINGS["Rules"]["DrainGraceMs"] / 1000.0
 REQUEST_INTERVAL_S = 0.03
+# The clients continue for this time after the last request that could violate the rules.
 AFTER_VERDICT_S = 0.5
-LISTS_WITHIN_S = 20.0  # that each proxy has a list again once the change is made
-SERVING_AGAIN_S = 0.3  # after its list
-SURE_S = 1.5  # after the end of its watch, for which a proxy may surely send
+# Each proxy has a new list within this time after the change.
+LISTS_WITHIN_S = 20.0
+# A proxy serves requests within this time after it has received a list.
+SERVING_AGAIN_S = 0.3
+# A proxy may certainly send for this time after the end of its watch.
+CERTAINLY_VALID_S = 1.5
 OUTAGE_S = 9.0
-STAYS, LEAVES = "b-stays", "b-leaves"
+STAYS = "b-stays"
+LEAVES = "b-leaves"
 
 
 class Answer(NamedTuple):
-    """A response to a client."""
+    """The time and status of a response to a client."""
 
     at: float
     status: str
 
 
 class Fleet:
-    """Proxies as processes of their own, each with a steady client, two backends and one list service."""
+    """Proxy processes, each with a client that sends steadily, two backends and one list service."""
 
     def __init__(self) -> None:
         self.stays, self.leaves = (Listener(self._backend(name)) for name in (STAYS, LEAVES))
@@ -102,8 +110,13 @@
         return serve
 
     @asynccontextmanager
-    async def running(self, path: Path, is_down: bool = False, is_full: bool = False) -> AsyncIterator[None]:
-        """Start all; with a list at each proxy, unless the service is down or full from the beginning."""
+    async def running(
+        self, path: Path, is_down: bool = False, is_overloaded: bool = False
+    ) -> AsyncIterator[None]:
+        """Start all processes and clients, and stop the clients at the end.
+
+        Unless the service is down or overloaded from the start, each proxy has a list when this is entered.
+        """
         async with self.stays, self.leaves, AsyncExitStack() as processes:
             entries = [
                 endpoint(name, int(listener.address.rpartition(":")[2]))
@@ -111,13 +124,15 @@
             ]
             self.service = ListService(entries, is_down=is_down)
             processes.callback(self.service.stop)
-            if is_full:
-                self.fill()
-            await asyncio.gather(*(self._start(place, path, processes) for place in range(PROXIES)))
+            if is_overloaded:
+                self.overload_service()
+            await asyncio.gather(*(self._start(number, path, processes) for number in range(PROXIES)))
             for name in self.proxies:
                 self.clients.append(asyncio.create_task(self._send_steadily(name)))
-            if not is_down and not is_full:
-                await self._until(lambda: all(each.of(ListWritten) for each in self.histories.values()))
+            if not is_down and not is_overloaded:
+                await self._wait_until(
+                    lambda: all(history.of(ListWritten) for history in self.histories.values())
+                )
             yield
             for client in self.clients:
                 client.cancel()
@@ -126,14 +141,14 @@
 
     @property
     def histories(self) -> dict[str, History]:
-        """What happened, by proxy."""
+        """The recorded events by proxy."""
         return self.service.histories
 
-    async def _start(self, place: int, path: Path, processes: AsyncExitStack) -> None:
-        name = f"n{place}"
+    async def _start(self, number: int, path: Path, processes: AsyncExitStack) -> None:
+        name = f"n{number}"
         address = await self.service.address_for(name)
         config = configuration(address, *json.loads(json.dumps(self.service.endpoints)))
-        config |= {"settings": SETTINGS_OF_A_FLEET, "seed": f"{place + 1:x}"}
+        config |= {"settings": FLEET_SETTINGS, "seed": f"{number + 1:x}"}
         folder = path / name
         folder.mkdir()
         self.proxies[name] = await processes.enter_async_context(running_proxy(folder, config))
@@ -148,77 +163,82 @@
             self.answers[name].append(Answer(time.monotonic(), status))
             await asyncio.sleep(due_at - time.monotonic())
 
-    def fill(self) -> None:
-        """From now on the service needs longer for all calls than a missed change may take."""
+    def overload_service(self) -> None:
+        """Make a call from each proxy take longer than a missed change may take to count as notified."""
         self.service.call_s, self.service.refusal_s = CALL_S, REFUSAL_S
 
-    async def _until(self, is_so: Callable[[], bool]) -> None:
-        while not is_so():
+    async def _wait_until(self, condition: Callable[[], bool]) -> None:
+        while not condition():
             await asyncio.sleep(REQUEST_INTERVAL_S)
 
     async def settle(self) -> None:
-        """Until the verdict on each proxy can't change any more."""
+        """Wait until no later event can change the verdict on any proxy."""
         ends_at = max(settled_at(history, GRACE_S) for history in self.histories.values()) + AFTER_VERDICT_S
         await asyncio.sleep(ends_at - time.monotonic())
 
-    async def until_all_have_lists(self, since: float) -> None:
-        """Until each proxy has had a list since then, and a moment to serve by it."""
+    async def wait_until_all_have_lists(self, since: float) -> None:
+        """Wait until each proxy has received a list since then and has had time to serve by it."""
         async with asyncio.timeout(LISTS_WITHIN_S):
-            await self._until(lambda: all(self.listed_at(name, since) for name in self.proxies))
+            await self._wait_until(lambda: all(self.list_received_at(name, since) for name in self.proxies))
         await asyncio.sleep(2 * SERVING_AGAIN_S)
 
-    def listed_at(self, name: str, since: float) -> float | None:
-        """When a proxy had its first list since then."""
+    def list_received_at(self, name: str, since: float) -> float | None:
+        """Return when a proxy received its first list since then, or None."""
         return next((note.at for note in self.histories[name].of(ListWritten) if note.at >= since), None)
 
     def assert_drains_kept(self) -> None:
-        """No request began at the drained backend after the grace, and each client got its answers."""
+        """Assert that no request began at the drained backend after the grace and no client got an error."""
         late = {name: late_requests(history, GRACE_S) for name, history in self.histories.items()}
-        late = {name: found for name, found in late.items() if found}
-        worst = {name: (len(found), max(each.late_s for each in found)) for name, found in late.items()}
+        late = {name: requests for name, requests in late.items() if requests}
+        worst = {
+            name: (len(requests), max(violation.late_s for violation in requests))
+            for name, requests in late.items()
+        }
         assert not worst, worst
         for name, answers in self.answers.items():
             assert {answer.status for answer in answers} <= {"200", "503"}, name
 
     def assert_serving(self, since: float, until: Callable[[str], float] | None = None) -> None:
-        """From then on each client got what it asked for."""
+        """Assert that each client got only successful responses from `since` to its proxy's `until`."""
         for name, answers in self.answers.items():
             ends_at = until(name) if until else float("inf")
             statuses = [answer.status for answer in answers if since <= answer.at < ends_at]
             assert set(statuses) == {"200"}, (name, statuses)
 
 
-def test_a_watch_that_ends_instead_of_telling_while_discovery_is_full(tmp_path: Path) -> None:
-    """Each watch ends in place of the change; the service refuses at once those it has no turn for."""
+def test_a_watch_that_ends_without_the_change_while_discovery_is_overloaded(tmp_path: Path) -> None:
+    """Each watch ends instead of delivering the change; the service refuses the calls that it can't queue."""
 
     async def scenario() -> None:
         fleet = Fleet()
         async with fleet.running(tmp_path):
-            fleet.fill()
+            fleet.overload_service()
             began_at = time.monotonic()
             fleet.service.change(LEAVES, LEAVING, is_told=False)
             fleet.service.end_watches()
             await fleet.settle()
-            await fleet.until_all_have_lists(began_at)
+            await fleet.wait_until_all_have_lists(began_at)
         assert fleet.service.refused > 0
         fleet.assert_drains_kept()
-        fleet.assert_serving(0.0, lambda name: fleet.histories[name].of(WatchEnded)[0].at + SURE_S)
+        fleet.assert_serving(0.0, lambda name: fleet.histories[name].of(WatchEnded)[0].at + CERTAINLY_VALID_S)
         for name in fleet.proxies:
-            listed_at = fleet.listed_at(name, began_at)
-            assert listed_at is not None
-            again = [each for each in fleet.answers[name] if each.at > listed_at + SERVING_AGAIN_S]
-            assert {each.status for each in again} == {"200"}, name
+            list_received_at = fleet.list_received_at(name, began_at)
+            assert list_received_at is not None
+            later = [
+                answer for answer in fleet.answers[name] if answer.at > list_received_at + SERVING_AGAIN_S
+            ]
+            assert {answer.status for answer in later} == {"200"}, name
 
     run(scenario())
 
 
-def test_a_process_that_never_had_a_list_while_discovery_is_full(tmp_path: Path) -> None:
-    """All calls of new processes are refused at once; a backend drains soon after the start."""
+def test_a_new_process_without_a_list_while_discovery_is_overloaded(tmp_path: Path) -> None:
+    """All calls of new processes are refused immediately; a backend drains soon after the start."""
 
     async def scenario() -> None:
         fleet = Fleet()
-        async with fleet.running(tmp_path, is_full=True):
-            fleet.service.call_s = 10.0  # no call has a turn
+        async with fleet.running(tmp_path, is_overloaded=True):
+            fleet.service.call_s = 10.0  # No call is answered within the test.
             fleet.service.change(LEAVES, LEAVING, is_told=False)
             await fleet.settle()
         assert fleet.service.refused > 0
@@ -227,8 +247,8 @@
     run(scenario())
 
 
-def test_a_move_of_discovery_to_a_service_that_is_full(tmp_path: Path) -> None:
-    """SIGHUP names another address, whose list lacks a backend; it refuses the calls at once."""
+def test_a_move_of_discovery_to_an_overloaded_service(tmp_path: Path) -> None:
+    """SIGHUP names another address, in whose list a backend drains and which refuses the calls."""
 
     async def scenario() -> None:
         fleet = Fleet()
@@ -253,10 +273,10 @@
 
 
 @pytest.mark.parametrize("from_the_start", [False, True])
-def test_the_held_list_serves_while_discovery_is_down(tmp_path: Path, from_the_start: bool) -> None:
-    """Its calls are refused after their whole time limit: nobody can have a list, and traffic goes on.
+def test_the_current_list_stays_in_use_while_discovery_is_down(tmp_path: Path, from_the_start: bool) -> None:
+    """The service refuses calls after its whole time limit; no proxy can get a list, and traffic continues.
 
-    A proxy whose watch ended when the service went down may refuse for a moment, until it knows.
+    A proxy whose watch ended when the service went down may reject requests until it has detected the outage.
     """
 
     async def scenario() -> None:
@@ -269,7 +289,7 @@
             fleet.service.come_back()
             fleet.service.change(LEAVES, LEAVING, is_told=False)
             await fleet.settle()
-            await fleet.until_all_have_lists(back_at)
+            await fleet.wait_until_all_have_lists(back_at)
         fleet.assert_drains_kept()
         for name, answers in fleet.answers.items():
             during = [answer.status for answer in answers if began_at <= answer.at < back_at]
@@ -278,7 +298,9 @@
     run(scenario())
 
 
-def test_the_held_list_serves_while_nobody_listens_at_discovery(tmp_path: Path) -> None:
+def test_the_current_list_stays_in_use_while_no_process_listens_at_the_address_of_discovery(
+    tmp_path: Path,
+) -> None:
     async def scenario() -> None:
         fleet = Fleet()
         async with fleet.running(tmp_path):
--- a/tests/proxy/test_made_up_names.py
+++ b/tests/proxy/test_made_up_names.py
@@ -1,7 +1,8 @@
-"""Decisions are the same whatever things are called: a short day under names and figures made up at random.
+"""The balancer's decisions do not depend on the names of classes, tenants, zones, kinds and backends.
 
-The settings come through the proxy's own configuration and the backends through its registry, so that names
-take the way that they take in service.  A strict host judges every action, also across reloads.
+A short simulation runs under random names and values.  The settings are loaded from the proxy's configuration
+file and the backends pass through its registry, so that names are processed as in production.  A strict host
+checks every action against the rules, also across reloads.
 """
 
 import json
@@ -38,17 +39,22 @@
 from heronreel.proxy.endpoints import EndpointList, parse_endpoint_list
 from tests.balancer.strict_host import Host, RuleViolationError
 
-CLASSES, TENANTS, ZONES, KINDS, BACKENDS = 4, 3, 3, 2, 10
-EFFECTS, SCOPES = ("idempotent", "deduplicated", "at_most_once"), ("zone", "cell", "all")
+CLASSES = 4
+TENANTS = 3
+ZONES = 3
+KINDS = 2
+BACKENDS = 10
+EFFECTS = ("idempotent", "deduplicated", "at_most_once")
+SCOPES = ("zone", "cell", "all")
 STATUS = {BackendState.UP: "active", BackendState.DRAINING: "leaving", BackendState.REMOVED: "left"}
-DAY_STEPS = 200
-NAMES_PER_RELOAD = 4  # new ones that a reload brings
-VERY_LONG = 3000  # characters
+SIMULATION_STEPS = 200
+NAMES_PER_RELOAD = 4  # A reload introduces this many new names.
+LONG_NAME_CHARACTERS = 3000
 
 
 @dataclass(frozen=True)
 class Naming:
-    """What things are called."""
+    """The names of classes, tenants, zones, kinds and backends in one simulation."""
 
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
@@ -57,8 +63,8 @@
     backends: tuple[str, ...]
 
 
-def numbered_names(word: str, count: int) -> tuple[str, ...]:
-    return tuple(f"{word}{number}" for number in range(count))
+def numbered_names(prefix: str, count: int) -> tuple[str, ...]:
+    return tuple(f"{prefix}{number}" for number in range(count))
 
 
 NUMBERED_NAMING = Naming(
@@ -70,11 +76,11 @@
 )
 
 texts = st.text(st.characters(exclude_categories=["Cs"]), min_size=1, max_size=20)
-unusual = st.one_of(
+unusual_names = st.one_of(
     texts,
     texts.map(str.upper),
     texts.map(lambda text: f" {text} {text} "),
-    texts.map(lambda text: (text * VERY_LONG)[:VERY_LONG]),
+    texts.map(lambda text: (text * LONG_NAME_CHARACTERS)[:LONG_NAME_CHARACTERS]),
     st.sampled_from(
         ["a", "A", "ß", "SS", "ss", "straße", "STRASSE", "0", "-1", "1e3", "true", "null", " ", "=", "İ"]
     ),
@@ -82,7 +88,7 @@
 
 
 def unique_names(count: int) -> st.SearchStrategy[tuple[str, ...]]:
-    return st.lists(unusual, min_size=count, max_size=count, unique=True).map(tuple)
+    return st.lists(unusual_names, min_size=count, max_size=count, unique=True).map(tuple)
 
 
 namings = st.builds(
@@ -96,61 +102,61 @@
 
 
 class EmptyConnectionPool:
-    """In the place of the pool: nothing is open."""
+    """Replaces the connection pool; it has no connections."""
 
     def close_idle(self, backend: object) -> None:
-        """Nothing is idle."""
+        """Do nothing, since there are no idle connections."""
 
 
-def document(draw: random.Random, names: Naming) -> dict[str, Any]:
-    """A configuration; its figures depend on the seed alone."""
+def configuration_document(rng: random.Random, names: Naming) -> dict[str, Any]:
+    """Return a configuration whose values depend only on the random generator, not on the names."""
     classes = [
         {
             "Name": name,
-            "OnTimeMs": draw.uniform(100.0, 3000.0),
-            "HardLimitMs": draw.uniform(3000.0, 9000.0),
-            "Worth": draw.uniform(0.1, 50.0),
-            "LateWorth": draw.random(),
-            "Effect": draw.choice(EFFECTS),
-            "DedupScope": draw.choice(SCOPES),
-            "RepeatWindowMs": draw.uniform(50.0, 9000.0),
+            "OnTimeMs": rng.uniform(100.0, 3000.0),
+            "HardLimitMs": rng.uniform(3000.0, 9000.0),
+            "Worth": rng.uniform(0.1, 50.0),
+            "LateWorth": rng.random(),
+            "Effect": rng.choice(EFFECTS),
+            "DedupScope": rng.choice(SCOPES),
+            "RepeatWindowMs": rng.uniform(50.0, 9000.0),
         }
         for name in names.classes
     ]
     return {
-        "seed": f"{draw.getrandbits(32):x}",
+        "seed": f"{rng.getrandbits(32):x}",
         "limits": {"memory_mb": 64, "sockets": 256},
         "discovery": "127.0.0.1:1",
         "known": {"index": 1, "snapshot": True, "endpoints": []},
         "settings": {
             "Categories": classes,
             "Tenants": [
-                {"Name": name, "Portion": 0.3, "QuotaPerS": draw.uniform(1.0, 50.0)} for name in names.tenants
+                {"Name": name, "Portion": 0.3, "QuotaPerS": rng.uniform(1.0, 50.0)} for name in names.tenants
             ],
             "Zone": names.zones[0],
             "FailureDomains": list(names.zones),
-            "Balancers": draw.choice((1, 3, 12)),
+            "Balancers": rng.choice((1, 3, 12)),
             "Limits": {
-                "MostTries": draw.randint(1, 5),
-                "SecondCopies": draw.random() < 0.5,
-                "Cancel": draw.random() < 0.5,
-                "RetryAfter": draw.random() < 0.5,
-                "MaxRetryAfterMs": draw.uniform(100.0, 2000.0),
+                "MostTries": rng.randint(1, 5),
+                "SecondCopies": rng.random() < 0.5,
+                "Cancel": rng.random() < 0.5,
+                "RetryAfter": rng.random() < 0.5,
+                "MaxRetryAfterMs": rng.uniform(100.0, 2000.0),
             },
             "Rules": {
-                "ColdFrom": draw.uniform(0.1, 0.5),
+                "ColdFrom": rng.uniform(0.1, 0.5),
                 "ColdMs": 8000.0,
                 "OverloadFactor": 3,
                 "FallMs": 900,
             },
-            "OverShareWorth": draw.random(),
-            "Deductions": {"CrossZone": draw.choice((0.0, draw.random())), "LateFail": draw.random()},
+            "OverShareWorth": rng.random(),
+            "Deductions": {"CrossZone": rng.choice((0.0, rng.random())), "LateFail": rng.random()},
         },
     }
 
 
-def settings_read_from(contents: dict[str, Any]) -> tuple[Settings, int]:
-    """What the proxy makes of a file with this content."""
+def load_settings(contents: dict[str, Any]) -> tuple[Settings, int]:
+    """Load settings and seed from a configuration file with this content, as the proxy does."""
     with TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(contents))
@@ -159,111 +165,119 @@
 
 
 class NamedSimulation:
-    """A seeded day under some names: a balancer, its host and the registry of its backends."""
+    """A seeded simulation under given names: a balancer, its host and the registry of its backends."""
 
     def __init__(self, seed: int, names: Naming) -> None:
-        self.draw, self.names = random.Random(seed), names
-        settings, balancer_seed = settings_read_from(document(self.draw, names))
-        assert tuple(each.name for each in settings.classes) == names.classes
-        assert tuple(each.name for each in settings.tenants) == names.tenants
+        self.rng, self.names = random.Random(seed), names
+        settings, balancer_seed = load_settings(configuration_document(self.rng, names))
+        assert tuple(request_class.name for request_class in settings.classes) == names.classes
+        assert tuple(tenant.name for tenant in settings.tenants) == names.tenants
         assert settings.zone == names.zones[0]
         self.host = Host(settings, balancer_seed)
         self.registry = BackendRegistry(cast(ConnectionPool, EmptyConnectionPool()), self._dispatch, False)
-        self.backend_names: dict[int, str] = {}  # by number: all that were ever listed
+        self.backend_names: dict[int, str] = {}  # The names of all backends ever listed, by number.
         self.update(ListKind.CACHED, *range(BACKENDS // 2))
 
     def _dispatch(self, event: Event) -> None:
         assert isinstance(event, BackendList)
         self.host.listed(event.kind, *event.backends)
 
-    def update(self, kind: ListKind, *places: int, state: BackendState = BackendState.UP) -> None:
-        """The list has these backends, in this state."""
+    def update(self, kind: ListKind, *indexes: int, state: BackendState = BackendState.UP) -> None:
+        """Send an endpoint list with the backends of these indexes, all in the same state."""
         entries = [
             {
-                "name": self.names.backends[place],
-                "address": f"127.0.0.1:{1000 + place}",
-                "zone": self.names.zones[place % ZONES],
-                "type": self.names.kinds[place % KINDS],
-                "group": place // 4,
+                "name": self.names.backends[index],
+                "address": f"127.0.0.1:{1000 + index}",
+                "zone": self.names.zones[index % ZONES],
+                "type": self.names.kinds[index % KINDS],
+                "group": index // 4,
                 "status": STATUS[state],
-                "since_ms": self.draw.choice((0.0, self.host.now - 100.0)),
+                "since_ms": self.rng.choice((0.0, self.host.now - 100.0)),
             }
-            for place in places
+            for index in indexes
         ]
         message = {"index": 1, "snapshot": kind is not ListKind.CHANGES, "endpoints": entries}
         parsed: EndpointList = parse_endpoint_list(json.loads(json.dumps(message)))
-        assert [each.name for each in parsed.endpoints] == [entry["name"] for entry in entries]
+        assert [endpoint.name for endpoint in parsed.endpoints] == [entry["name"] for entry in entries]
         self.registry.update(parsed, kind)
         self.backend_names |= {number: name for name, number in self.registry.numbers.items()}
 
     def step(self) -> None:
-        """One thing that happens; which one depends on the seed alone."""
-        host, draw, out = self.host, self.draw, self.host.in_flight()
-        roll = draw.random()
+        """Simulate one event, which depends on the seed alone."""
+        host, rng, in_flight = self.host, self.rng, self.host.in_flight()
+        roll = rng.random()
         if roll < 0.5:
-            request_class = draw.choice(self.names.classes)
-            tenant = draw.choice(self.names.tenants)
-            host.arrive(request_class, draw.uniform(5.0, 100.0), draw.uniform(500.0, 3000.0), tenant)
-        elif roll < 0.9 and out:
-            host.end(*draw.choice(out), draw.choice([*[Outcome.SERVED] * 5, *Outcome]))
+            request_class = rng.choice(self.names.classes)
+            tenant = rng.choice(self.names.tenants)
+            host.arrive(request_class, rng.uniform(5.0, 100.0), rng.uniform(500.0, 3000.0), tenant)
+        elif roll < 0.9 and in_flight:
+            host.end(*rng.choice(in_flight), rng.choice([*[Outcome.SERVED] * 5, *Outcome]))
         elif roll < 0.95:
-            places = sorted(draw.sample(range(BACKENDS), draw.randint(1, BACKENDS)))
-            self.update(draw.choice((ListKind.FULL, ListKind.CHANGES)), *places)
+            indexes = sorted(rng.sample(range(BACKENDS), rng.randint(1, BACKENDS)))
+            self.update(rng.choice((ListKind.FULL, ListKind.CHANGES)), *indexes)
         elif roll < 0.97:
-            state = draw.choice((BackendState.DRAINING, BackendState.REMOVED))
-            self.update(ListKind.CHANGES, draw.randrange(BACKENDS), state=state)
-        host.run_to(host.now + draw.expovariate(0.05))
+            state = rng.choice((BackendState.DRAINING, BackendState.REMOVED))
+            self.update(ListKind.CHANGES, rng.randrange(BACKENDS), state=state)
+        host.run_to(host.now + rng.expovariate(0.05))
 
     def actions(self) -> list[tuple[Action, str]]:
-        """What the balancer had done, each with the plain name of its backend."""
-        plain = dict(zip(self.names.backends, NUMBERED_NAMING.backends, strict=True))
+        """Return the balancer's actions, each with the numbered name of its backend."""
+        numbered = dict(zip(self.names.backends, NUMBERED_NAMING.backends, strict=True))
         return [
-            (replace(action, backend=0), plain[self.backend_names[action.backend]])
+            (replace(action, backend=0), numbered[self.backend_names[action.backend]])
             if isinstance(action, StartAttempt)
             else (action, "")
             for action in self.host.log
         ]
 
 
-def day(seed: int, names: Naming) -> list[tuple[Action, str]]:
-    played = NamedSimulation(seed, names)
-    for _ in range(DAY_STEPS):
-        played.step()
-    return played.actions()
+def simulated_actions(seed: int, names: Naming) -> list[tuple[Action, str]]:
+    simulation = NamedSimulation(seed, names)
+    for _ in range(SIMULATION_STEPS):
+        simulation.step()
+    return simulation.actions()
 
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(seed=st.integers(0, 2**32), names=namings)
-def test_the_same_day_under_other_names_has_the_same_actions(seed: int, names: Naming) -> None:
-    actions = day(seed, names)
-    assert actions == day(seed, NUMBERED_NAMING)
+def test_the_same_simulation_under_other_names_has_the_same_actions(seed: int, names: Naming) -> None:
+    actions = simulated_actions(seed, names)
+    assert actions == simulated_actions(seed, NUMBERED_NAMING)
     assert any(isinstance(action, StartAttempt) for action, _ in actions)
 
 
-def test_other_figures_or_another_seed_make_another_day() -> None:
-    assert day(1, NUMBERED_NAMING) != day(2, NUMBERED_NAMING)  # what is compared is not the same for all
+def test_another_seed_leads_to_other_actions() -> None:
+    assert simulated_actions(1, NUMBERED_NAMING) != simulated_actions(
+        2, NUMBERED_NAMING
+    )  # The compared actions are not the same for all seeds.
 
 
-def test_a_zone_taken_for_another_of_almost_its_name_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    alike = replace(NUMBERED_NAMING, zones=("Zone", "zone", "ZONE"))
-    assert all(day(seed, alike) == day(seed, NUMBERED_NAMING) for seed in range(5))
+def test_confusing_zones_whose_names_differ_only_in_case_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    similar_names = replace(NUMBERED_NAMING, zones=("Zone", "zone", "ZONE"))
+    assert all(
+        simulated_actions(seed, similar_names) == simulated_actions(seed, NUMBERED_NAMING)
+        for seed in range(5)
+    )
 
-    def near_up_to_case(self: Endpoints, info: BackendInfo) -> bool:
+    def is_near_ignoring_case(self: Endpoints, info: BackendInfo) -> bool:
         return info.zone.casefold() == self.settings.zone.casefold() or not self.settings.price_cross_zone
 
-    monkeypatch.setattr(Endpoints, "is_near", near_up_to_case)
-    assert any(day(seed, alike) != day(seed, NUMBERED_NAMING) for seed in range(5))
+    monkeypatch.setattr(Endpoints, "is_near", is_near_ignoring_case)
+    assert any(
+        simulated_actions(seed, similar_names) != simulated_actions(seed, NUMBERED_NAMING)
+        for seed in range(5)
+    )
 
 
-# Reloads: names come, go and change while requests are under way.
+# Reloads that add, remove and change names while requests are in progress.
 
 
 class ReloadingHost(Host):
-    """A strict host that judges each request by the class that it arrived under."""
+    """A strict host that checks each request by the rules of the class that it arrived with."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.present = self.classes  # those of the settings in force
+        self.present = self.classes  # The classes of the current settings.
         self.classes_at_arrival: dict[int, dict[str, RequestClass]] = {}
 
     def _check(self, action: Action) -> None:
@@ -271,28 +285,31 @@
             self.classes = self.classes_at_arrival[request]
         super()._check(action)
 
-    def arrive_under(self, name: str, tenant: str) -> int:
-        """A request of a class that may not be in the settings: it counts as unsafe then."""
-        under = {name: self.present.get(name, RequestClass(name))}
-        self.classes_at_arrival[self.next_id] = under
+    def arrive_with_class(self, name: str, tenant: str) -> int:
+        """Add a request of a class that may be missing in the settings, and then counts as unsafe."""
+        classes = {name: self.present.get(name, RequestClass(name))}
+        self.classes_at_arrival[self.next_id] = classes
         return self.arrive(name, 50.0, 3000.0, tenant)
 
     def reload(self, settings: Settings) -> None:
-        """Other settings from now on."""
-        self.settings, self.present = settings, {each.name: each for each in settings.classes}
+        """Apply other settings from now on."""
+        self.settings, self.present = (
+            settings,
+            {request_class.name: request_class for request_class in settings.classes},
+        )
         self._do(NewSettings(settings))
 
 
-def other_settings(draw: random.Random, old: Settings, spare: list[str], quotas: bool) -> Settings:
-    """Drop one class and tenant, rename another each, change the figures of a third, and add new ones."""
-    kept = draw.sample(old.classes, len(old.classes) - 1)
+def changed_settings(rng: random.Random, old: Settings, spare: list[str], quotas: bool) -> Settings:
+    """Remove a class and a tenant, rename one of each, change another class, and add new ones."""
+    kept = rng.sample(old.classes, len(old.classes) - 1)
     renamed = replace(kept[0], name=spare.pop())
-    changed = replace(kept[1], effect=draw.choice(list(Effect)), priority_weight=draw.uniform(0.1, 9.0))
-    added = RequestClass(spare.pop(), draw.uniform(100.0, 900.0), effect=draw.choice(list(Effect)))
-    tenants = draw.sample(old.tenants, len(old.tenants) - 1)
+    changed = replace(kept[1], effect=rng.choice(list(Effect)), priority_weight=rng.uniform(0.1, 9.0))
+    added = RequestClass(spare.pop(), rng.uniform(100.0, 900.0), effect=rng.choice(list(Effect)))
+    tenants = rng.sample(old.tenants, len(old.tenants) - 1)
     new_tenants = (
         replace(tenants[0], name=spare.pop()),
-        Tenant(spare.pop(), 0.5, draw.uniform(0.1, 9.0) * quotas),
+        Tenant(spare.pop(), 0.5, rng.uniform(0.1, 9.0) * quotas),
     )
     return replace(
         old, classes=(renamed, changed, *kept[2:], added), tenants=(*tenants[1:], *new_tenants), hedging=False
@@ -300,70 +317,78 @@
 
 
 def run_with_reloads(seed: int, names: tuple[str, ...], spare: list[str], quotas: bool) -> ReloadingHost:
-    """Arrivals, ends of any kind and reloads, which the host judges; with quotas, some are over them."""
-    draw = random.Random(seed)
-    day_names = replace(NUMBERED_NAMING, classes=names[:CLASSES], tenants=names[CLASSES:])
-    contents = document(draw, day_names)
+    """Simulate arrivals, attempts with any outcome and reloads, which the host checks.
+
+    With `quotas`, some requests exceed the quota of their tenant.
+    """
+    rng = random.Random(seed)
+    first_names = replace(NUMBERED_NAMING, classes=names[:CLASSES], tenants=names[CLASSES:])
+    contents = configuration_document(rng, first_names)
     if not quotas:
         for tenant in contents["settings"]["Tenants"]:
             tenant["QuotaPerS"] = 0.0
-    first, balancer_seed = settings_read_from(contents)
-    host = ReloadingHost(replace(first, max_attempts=4, hedging=False), balancer_seed)
-    host.listed(ListKind.CACHED, *(BackendInfo(100 + place, cell=place // 4) for place in range(BACKENDS)))
+    first_settings, balancer_seed = load_settings(contents)
+    host = ReloadingHost(replace(first_settings, max_attempts=4, hedging=False), balancer_seed)
+    host.listed(ListKind.CACHED, *(BackendInfo(100 + index, cell=index // 4) for index in range(BACKENDS)))
     known_classes, known_tenants = list(names[:CLASSES]), list(names[CLASSES:])
-    for _ in range(DAY_STEPS):
-        out, roll = host.in_flight(), draw.random()
+    for _ in range(SIMULATION_STEPS):
+        in_flight, roll = host.in_flight(), rng.random()
         if roll < 0.5:
-            host.arrive_under(draw.choice(known_classes), draw.choice(known_tenants))
-        elif roll < 0.9 and out:
-            host.end(*draw.choice(out), draw.choice([Outcome.SERVED, *Outcome]))
+            host.arrive_with_class(rng.choice(known_classes), rng.choice(known_tenants))
+        elif roll < 0.9 and in_flight:
+            host.end(*rng.choice(in_flight), rng.choice([Outcome.SERVED, *Outcome]))
         elif roll < 0.95 and len(spare) >= NAMES_PER_RELOAD:
-            host.reload(other_settings(draw, host.settings, spare, quotas))
-            known_classes += [each.name for each in host.settings.classes]
-            known_tenants += [each.name for each in host.settings.tenants]
-        host.run_to(host.now + draw.expovariate(0.05))
+            host.reload(changed_settings(rng, host.settings, spare, quotas))
+            known_classes += [request_class.name for request_class in host.settings.classes]
+            known_tenants += [known.name for known in host.settings.tenants]
+        host.run_to(host.now + rng.expovariate(0.05))
     host.run_to(host.now + 20_000.0)
     return host
 
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(seed=st.integers(0, 2**32), names=unique_names(CLASSES + TENANTS + 6 * NAMES_PER_RELOAD))
-def test_requests_under_way_keep_their_class_across_reloads(seed: int, names: tuple[str, ...]) -> None:
-    own, spare = names[: CLASSES + TENANTS], list(names[CLASSES + TENANTS :])
-    host = run_with_reloads(seed, own, spare, quotas=False)
-    assert not host.balancer.requests  # every one got its final response
+def test_requests_in_progress_keep_their_class_across_reloads(seed: int, names: tuple[str, ...]) -> None:
+    initial, spare = names[: CLASSES + TENANTS], list(names[CLASSES + TENANTS :])
+    host = run_with_reloads(seed, initial, spare, quotas=False)
+    assert not host.balancer.requests  # Every request got its final response.
+
 
+def attempts_after_an_error(before: Effect, after: RequestClass | None, name: str) -> int:
+    """Return the number of attempts of a request whose class changes before its first attempt fails.
 
-def sends_after_an_error(before: Effect, after: RequestClass | None, name: str) -> int:
-    """Attempts of a request whose class is changed, or dropped, before its first one ends in an error."""
+    The class is replaced by `after`, or removed if that is None.
+    """
     old = RequestClass(name, 400.0, 2000.0, effect=before)
     host = ReloadingHost(Settings((old,), max_attempts=3), 1)
-    host.listed(ListKind.CACHED, *(BackendInfo(100 + place) for place in range(3)))
-    request = host.arrive_under(name, "")
+    host.listed(ListKind.CACHED, *(BackendInfo(100 + index) for index in range(3)))
+    request = host.arrive_with_class(name, "")
     host.reload(Settings((after or RequestClass(name + "'"),), max_attempts=3))
     host.end(request, 0, Outcome.ERROR)
     return len(host.requests[request].attempts)
 
 
-@given(name=unusual)
-def test_a_class_changed_or_dropped_is_kept_by_requests_under_way(name: str) -> None:
-    assert sends_after_an_error(Effect.IDEMPOTENT, RequestClass(name, effect=Effect.UNSAFE), name) == 2
-    assert sends_after_an_error(Effect.IDEMPOTENT, None, name) == 2
-    assert sends_after_an_error(Effect.UNSAFE, RequestClass(name, effect=Effect.IDEMPOTENT), name) == 1
-    assert sends_after_an_error(Effect.UNSAFE, None, name) == 1
+@given(name=unusual_names)
+def test_requests_in_progress_keep_a_class_that_is_changed_or_removed(name: str) -> None:
+    assert attempts_after_an_error(Effect.IDEMPOTENT, RequestClass(name, effect=Effect.UNSAFE), name) == 2
+    assert attempts_after_an_error(Effect.IDEMPOTENT, None, name) == 2
+    assert attempts_after_an_error(Effect.UNSAFE, RequestClass(name, effect=Effect.IDEMPOTENT), name) == 1
+    assert attempts_after_an_error(Effect.UNSAFE, None, name) == 1
 
 
-def test_a_class_looked_up_anew_at_a_reload_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_looking_up_the_class_of_a_request_again_at_a_reload_is_detected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     configure = Balancer._configure
 
-    def configure_requests_too(self: Balancer, changed: Settings) -> None:
+    def configure_including_requests(self: Balancer, changed: Settings) -> None:
         configure(self, changed)
         for request in getattr(self, "requests", {}).values():
             name = request.arrival.request_class
             request.request_class = self.classes.get(name) or RequestClass(name)
 
-    monkeypatch.setattr(Balancer, "_configure", configure_requests_too)
-    assert sends_after_an_error(Effect.IDEMPOTENT, None, "a") == 1
+    monkeypatch.setattr(Balancer, "_configure", configure_including_requests)
+    assert attempts_after_an_error(Effect.IDEMPOTENT, None, "a") == 1
     changed = RequestClass("a", effect=Effect.IDEMPOTENT)
     with pytest.raises(RuleViolationError, match="rule 2"):
-        sends_after_an_error(Effect.UNSAFE, changed, "a")
+        attempts_after_an_error(Effect.UNSAFE, changed, "a")
