--- a/tests/proxy/test_notified_over_connections.py
+++ b/tests/proxy/test_notified_over_connections.py
@@ -1,7 +1,8 @@
-"""What ends, leaves out or moves over real connections: no request begins at a backend that counts as gone.
+"""No request begins at a backend whose departure counts as notified, however the watch of the list fails.
 
-The program is a process of its own; the list service fails in the ways of the operators' pages, and a judge
-that shares no code with the program says from when on a departure counts as notified.
+The proxy runs as a separate process with real connections.  The list service fails in the ways that the
+operators' documentation names.  A checker that shares no code with the proxy decides from when on a departure
+counts as notified.
 """
 
 import asyncio
@@ -50,26 +51,35 @@
 from tests.support.turn_list_service import Plan, TurnListService, members_of
 
 GRACE_S = SETTINGS["Rules"]["DrainGraceMs"] / 1000.0
-CALL_S = 0.39  # that the operators' service takes for one call on their short days
-MUST_ASK_MS = 10_000.0  # the time for asking of the operators' deployments
+# The time that the operators' service takes for one call in their short runs.
+CALL_S = 0.39
+# The polling time of the operators' deployments.
+MUST_ASK_MS = 10_000.0
 REQUEST_INTERVAL_S = 0.02
-MIN_REQUESTS_PER_S = 10.0  # that the client must have got through, for a verdict to mean something
-AFTER_VERDICT_S = 0.4  # for which the client goes on once no request may begin at the departed backend
+# The client must have sent at this rate for the verdict to be meaningful.
+MIN_REQUESTS_PER_S = 10.0
+# The client continues for this time after the last time at which a request may begin at the departed backend.
+AFTER_VERDICT_S = 0.4
 HEARTBEAT_S = 2.0
-SURE_S = 1.9  # after a watch was lost, for which a proxy may surely send, and must not refuse
-SERVING_AGAIN_S = 0.3  # after a list was written
+# For this time after the loss of a watch, a proxy may certainly send and must not refuse requests.
+CERTAINLY_VALID_S = 1.9
+# A proxy serves requests within this time after a list was sent to it.
+SERVING_AGAIN_S = 0.3
 MOVES_WITHIN_S = 0.8
-SHORT_REFUSAL_S = 0.6  # and yet not at once
-SEEDS = (1, 2)  # of each way
-FIRST_LIST_S, RETURN_S = (
-    20.0,
-    5.0,
-)  # until a list has come at the start; until a backend that is back gets traffic
-STAYS, LEAVES = "b-stays", "b-leaves"
+# A short time after which a call is refused, but not immediately.
+SHORT_REFUSAL_S = 0.6
+# Each kind of fault runs with each of these seeds.
+SEEDS = (1, 2)
+# The first list arrives within this time after the start.
+FIRST_LIST_S = 20.0
+# A backend that has returned receives requests within this time.
+RETURN_S = 5.0
+STAYS = "b-stays"
+LEAVES = "b-leaves"
 
 
 class RecordingBackend(Listener):
-    """Notes each request's first byte, and answers at once."""
+    """Records the time of the first byte of each request, and responds immediately."""
 
     def __init__(self, name: str, history: History) -> None:
         super().__init__(self._serve_requests)
@@ -81,64 +91,71 @@
             await reader.readexactly(1)
             self.history.note(RequestBegan(time.monotonic(), self.name))
             self.began.set()
-            await read_request(reader)  # its first line lacks a letter now, which nobody needs
+            await read_request(
+                reader
+            )  # The first byte of the request line is missing here, which has no effect.
             writer.write(ok(b"done"))
 
 
-class Scene:
-    """One proxy of two backends, of which one departs, and two list services, of which it knows the first."""
+class ProxySetup:
+    """One proxy, two backends, one of which departs, and two list services.
 
-    def __init__(self, path: Path, way: str, seed: int, whole_lists: bool) -> None:
-        self.path, self.draw = path, random.Random(f"{way} {seed}")
-        self.label = f"{way}, seed {seed}"
+    The proxy initially calls the first service.
+    """
+
+    def __init__(self, path: Path, fault_name: str, seed: int, whole_lists: bool) -> None:
+        self.path, self.rng = path, random.Random(f"{fault_name} {seed}")
+        self.label = f"{fault_name}, seed {seed}"
         self.seed = seed
         self.history = History("first")
         self.stays = RecordingBackend(STAYS, self.history)
         self.leaves = RecordingBackend(LEAVES, self.history)
         self.whole_lists = whole_lists
-        self.answers: list[tuple[float, str]] = []  # when each response came, and its status
+        self.answers: list[tuple[float, str]] = []  # The time and status of each response.
         self.proxy: ProxyProcess
         self.first: TurnListService
         self.second: TurnListService
 
     @asynccontextmanager
-    async def playing(self, *first_plans: Plan) -> AsyncIterator[None]:
-        """Bring the scene up to a drawn phase of its watch, go on until the verdict is sure, and judge.
+    async def running(self, *first_plans: Plan) -> AsyncIterator[None]:
+        """Start all processes, let the caller cause a fault, wait until the verdict is final, and check it.
 
-        `first_plans`: for the calls of the new process; then the scene begins with the first of them.
+        The caller continues at a random time of an open watch.  With `first_plans` for the calls of the new
+        process, it continues at the first of these calls.
         """
-        async with self._backends(), self._services(), self._running(first_plans):
+        async with self._backends(), self._services(), self._running_proxy(first_plans):
             client = asyncio.create_task(self._send_steadily())
             async with asyncio.timeout(FIRST_LIST_S):
                 await (self.first.called if first_plans else self.first.answered).wait()
                 await self.leaves.began.wait()
             if not first_plans:
-                await asyncio.sleep(self.draw.uniform(0.0, HEARTBEAT_S))
+                await asyncio.sleep(self.rng.uniform(0.0, HEARTBEAT_S))
             began_at, count = time.monotonic(), len(self.answers)
             yield
             await self.settle()
-            took_s = time.monotonic() - began_at
+            duration_s = time.monotonic() - began_at
             client.cancel()
             with suppress(asyncio.CancelledError):
                 await client
-        self._assert_kept(len(self.answers) - count, took_s, began_at)
+        self._assert_rules_kept(len(self.answers) - count, duration_s, began_at)
 
-    def _assert_kept(self, requests: int, took_s: float, began_at: float) -> None:
+    def _assert_rules_kept(self, requests: int, duration_s: float, began_at: float) -> None:
+        """Assert that no request began too late, and that no request was refused without need."""
         late = late_requests(self.history, GRACE_S)
-        assert not late, (len(late), max(late, key=lambda each: each.late_s), self.label)
-        assert requests >= MIN_REQUESTS_PER_S * took_s, (requests, took_s, self.label)
+        assert not late, (len(late), max(late, key=lambda violation: violation.late_s), self.label)
+        assert requests >= MIN_REQUESTS_PER_S * duration_s, (requests, duration_s, self.label)
         statuses = {status for _, status in self.answers}
         assert statuses <= {"200", "503"}, (statuses, self.label)
         refused = [at for at, status in self.answers if status == "503"]
-        needless = [at for at in refused if not self._may_refuse(at)]
-        assert not needless, (len(needless), len(refused), needless[0] - began_at, self.label)
+        unjustified = [at for at in refused if not self._may_refuse(at)]
+        assert not unjustified, (len(unjustified), len(refused), unjustified[0] - began_at, self.label)
 
     def _may_refuse(self, at: float) -> bool:
-        """Whether the list that the proxy held then could be held against it: none came for a while."""
-        notes = (WatchEnded, WatchFellSilent, Moved)
+        """Return whether the list of the proxy may have expired, as its watch was lost long enough before."""
+        losses = (WatchEnded, WatchFellSilent, Moved)
         listed = [note.at for note in self.history.of(ListWritten) if note.at <= at - SERVING_AGAIN_S]
-        lost = [note.at for kind in notes for note in self.history.of(kind) if note.at > max(listed)]
-        return bool(lost) and at - min(lost) >= SURE_S
+        lost = [note.at for kind in losses for note in self.history.of(kind) if note.at > max(listed)]
+        return bool(lost) and at - min(lost) >= CERTAINLY_VALID_S
 
     @asynccontextmanager
     async def _backends(self) -> AsyncIterator[None]:
@@ -156,7 +173,7 @@
             yield
 
     @asynccontextmanager
-    async def _running(self, first_plans: tuple[Plan, ...]) -> AsyncIterator[None]:
+    async def _running_proxy(self, first_plans: tuple[Plan, ...]) -> AsyncIterator[None]:
         self.first.plans.extend(first_plans)
         self.config = configuration(self.first.address, *self.members)
         rules = SETTINGS["Rules"] | {"MustAskInMs": MUST_ASK_MS}
@@ -167,7 +184,7 @@
             yield
 
     def move(self) -> None:
-        """SIGHUP with a file that names the second service."""
+        """Change the address of discovery to the second service by SIGHUP."""
         self.proxy.path.write_text(json.dumps(self.config | {"discovery": self.second.address}))
         self.history.note(Moved(time.monotonic(), self.second.name))
         self.proxy.signal(signal.SIGHUP)
@@ -182,89 +199,89 @@
             await asyncio.sleep(due_at - time.monotonic())
 
     async def settle(self) -> None:
-        """Until the verdict can't change any more; a list that is written meanwhile makes it come sooner."""
+        """Wait until the verdict is final.  A list that is sent meanwhile shortens the wait."""
         while time.monotonic() < settled_at(self.history, GRACE_S) + AFTER_VERDICT_S:
             await asyncio.sleep(REQUEST_INTERVAL_S)
 
 
-# The ways in which a watch misses a change.  Each leaves the scene right after the fault.
+# Faults by which a watch misses a change.  Each function returns right after it has caused the fault.
 
 
-async def ends_with_nothing(scene: Scene) -> None:
-    """The watch ends instead of telling, the next one is answered with nothing and ends too."""
-    scene.first.plans.append(Plan.NOTHING_AND_END)
-    scene.first.drain(LEAVES, told=False)
-    scene.first.reset_watches()
+async def ends_with_nothing(setup: ProxySetup) -> None:
+    """The watch ends without the change; the next watch gets an empty answer and ends too."""
+    setup.first.plans.append(Plan.NOTHING_AND_END)
+    setup.first.drain(LEAVES, told=False)
+    setup.first.reset_watches()
 
 
-async def ends_before_and_instead(scene: Scene) -> None:
-    """Watches end once, and while they are opened again a backend drains and they end instead of telling."""
-    scene.first.plans.append(Plan.NOTHING_AND_END)
-    scene.first.reset_watches()
-    scene.first.called.clear()
-    await scene.first.called.wait()
-    scene.first.drain(LEAVES, told=False)
+async def ends_before_and_instead(setup: ProxySetup) -> None:
+    """The watch ends; a backend drains while it is reopened, and the new watch ends without the change."""
+    setup.first.plans.append(Plan.NOTHING_AND_END)
+    setup.first.reset_watches()
+    setup.first.called.clear()
+    await setup.first.called.wait()
+    setup.first.drain(LEAVES, told=False)
 
 
-async def ends_in_the_instant_of_its_answer(scene: Scene) -> None:
-    """The answer brings the change, and its end comes with it."""
-    scene.first.plans.append(Plan.ANSWER_AND_END)
-    scene.first.reset_watches()
-    scene.first.drain(LEAVES, told=False)
+async def ends_in_the_instant_of_its_answer(setup: ProxySetup) -> None:
+    """The answer contains the change, and the watch ends at the same moment."""
+    setup.first.plans.append(Plan.ANSWER_AND_END)
+    setup.first.reset_watches()
+    setup.first.drain(LEAVES, told=False)
 
 
-async def ends_in_the_instant_before_the_change(scene: Scene) -> None:
-    """The answer ends in its instant, and right behind it the backend drains."""
-    scene.first.plans.append(Plan.ANSWER_AND_END)
-    scene.first.reset_watches()
-    scene.first.answered.clear()
-    await scene.first.answered.wait()
-    scene.first.drain(LEAVES, told=False)
+async def ends_in_the_instant_before_the_change(setup: ProxySetup) -> None:
+    """The watch ends at the moment of its answer, and the backend drains immediately after."""
+    setup.first.plans.append(Plan.ANSWER_AND_END)
+    setup.first.reset_watches()
+    setup.first.answered.clear()
+    await setup.first.answered.wait()
+    setup.first.drain(LEAVES, told=False)
 
 
-async def never_answers(scene: Scene) -> None:
-    """The watch is opened again and gets no answer, and a backend drains meanwhile."""
-    scene.first.plans.append(Plan.NEVER)
-    scene.first.called.clear()
-    scene.first.reset_watches()
-    await scene.first.called.wait()
-    scene.first.drain(LEAVES, told=False)
+async def never_answers(setup: ProxySetup) -> None:
+    """The watch is opened again and gets no answer; a backend drains meanwhile."""
+    setup.first.plans.append(Plan.NEVER)
+    setup.first.called.clear()
+    setup.first.reset_watches()
+    await setup.first.called.wait()
+    setup.first.drain(LEAVES, told=False)
 
 
-async def ends_unanswered(scene: Scene) -> None:
-    """The same, and it is reset at any time."""
-    await never_answers(scene)
-    await asyncio.sleep(scene.draw.uniform(0.0, 2.5))
-    scene.first.reset_watches()
+async def ends_unanswered(setup: ProxySetup) -> None:
+    """As in `never_answers`, and the watch is reset at a random time."""
+    await never_answers(setup)
+    await asyncio.sleep(setup.rng.uniform(0.0, 2.5))
+    setup.first.reset_watches()
 
 
-async def falls_silent(scene: Scene) -> None:
-    """The watch stays open and silent, and a backend drains soon after."""
-    scene.first.silence_watches()
-    await asyncio.sleep(scene.draw.uniform(0.0, 1.0))
-    scene.first.drain(LEAVES, told=True)
+async def falls_silent(setup: ProxySetup) -> None:
+    """The watch stays open without receiving data, and a backend drains soon after."""
+    setup.first.silence_watches()
+    await asyncio.sleep(setup.rng.uniform(0.0, 1.0))
+    setup.first.drain(LEAVES, told=True)
 
 
-def refused(plan: Plan) -> Callable[[Scene], Awaitable[None]]:
-    """The service is down for a while and refuses calls; the backend drains while it is."""
+def refused(plan: Plan) -> Callable[[ProxySetup], Awaitable[None]]:
+    """Return a fault: the service is down for a while and refuses calls; the backend drains meanwhile."""
 
-    async def fault(scene: Scene) -> None:
-        scene.first.go_down(plan)
-        scene.first.drain(LEAVES, told=False)
-        await asyncio.sleep(scene.draw.uniform(0.2, 1.5))
-        scene.first.come_back()
+    async def cause_fault(setup: ProxySetup) -> None:
+        setup.first.go_down(plan)
+        setup.first.drain(LEAVES, told=False)
+        await asyncio.sleep(setup.rng.uniform(0.2, 1.5))
+        setup.first.come_back()
 
-    return fault
+    return cause_fault
 
 
-Fault = Callable[[Scene], Awaitable[None]]
-ENDS: dict[str, Fault] = {
+Fault = Callable[[ProxySetup], Awaitable[None]]
+WATCH_END_FAULTS: dict[str, Fault] = {
     "ends with nothing": ends_with_nothing,
     "ends before and instead": ends_before_and_instead,
     "ends in the instant of its answer": ends_in_the_instant_of_its_answer,
     "ends in the instant before the change": ends_in_the_instant_before_the_change,
 }
-FAILS: dict[str, Fault] = {
+CALL_FAULTS: dict[str, Fault] = {
     "is never answered": never_answers,
     "ends unanswered": ends_unanswered,
     "falls silent": falls_silent,
@@ -273,135 +290,137 @@
 }
 
 
-async def play(scene: Scene, fault: Fault, moves: bool) -> None:
-    """`moves`: discovery is moved by SIGHUP soon after the fault, to a service that knows what it missed."""
-    async with scene.playing():
-        await fault(scene)
+async def run_fault(setup: ProxySetup, cause_fault: Fault, moves: bool) -> None:
+    """Run one fault; if discovery `moves`, SIGHUP names another service with the change soon after."""
+    async with setup.running():
+        await cause_fault(setup)
         if moves:
-            scene.second.drain(LEAVES)
-            await asyncio.sleep(scene.draw.uniform(0.0, MOVES_WITHIN_S))
-            scene.move()
+            setup.second.drain(LEAVES)
+            await asyncio.sleep(setup.rng.uniform(0.0, MOVES_WITHIN_S))
+            setup.move()
 
 
-def play_all(path: Path, ways: dict[str, Fault], whole_lists: bool | None, moves: bool = False) -> None:
-    """Each way with each seed, side by side; `whole_lists` None: with one seed of two."""
+def run_faults(path: Path, faults: dict[str, Fault], whole_lists: bool | None, moves: bool = False) -> None:
+    """Run each fault with each seed concurrently; `whole_lists` None means for even seeds only."""
 
     async def scenario() -> None:
-        scenes = [(way, seed) for way in ways for seed in SEEDS]
-        plays = []
-        for way, seed in scenes:
+        cases = [(fault_name, seed) for fault_name in faults for seed in SEEDS]
+        runs = []
+        for fault_name, seed in cases:
             whole = seed % 2 == 0 if whole_lists is None else whole_lists
-            scene = Scene(path / f"{way} {seed}", f"{way}, whole lists: {whole}", seed, whole)
-            plays.append(play(scene, ways[way], moves))
-        await asyncio.gather(*plays)
+            setup = ProxySetup(
+                path / f"{fault_name} {seed}", f"{fault_name}, whole lists: {whole}", seed, whole
+            )
+            runs.append(run_fault(setup, faults[fault_name], moves))
+        await asyncio.gather(*runs)
 
     run(scenario())
 
 
 @pytest.mark.parametrize("whole_lists", [False, True])
-def test_no_request_begins_at_a_backend_that_an_ended_watch_should_have_told_of(
+def test_no_request_begins_at_a_backend_whose_departure_an_ended_watch_missed(
     tmp_path: Path, whole_lists: bool
 ) -> None:
-    play_all(tmp_path, ENDS, whole_lists)
+    run_faults(tmp_path, WATCH_END_FAULTS, whole_lists)
 
 
-def test_no_request_begins_at_a_backend_that_a_failed_call_should_have_told_of(tmp_path: Path) -> None:
-    play_all(tmp_path, FAILS, None)
+def test_no_request_begins_at_a_backend_whose_departure_a_failed_call_missed(tmp_path: Path) -> None:
+    run_faults(tmp_path, CALL_FAULTS, None)
 
 
-@pytest.mark.parametrize("ways", [ENDS, FAILS], ids=["ends", "fails"])
-def test_no_request_begins_at_a_backend_that_discovery_has_dropped_where_it_moved_to(
-    tmp_path: Path, ways: dict[str, Fault]
+@pytest.mark.parametrize("faults", [WATCH_END_FAULTS, CALL_FAULTS], ids=["ends", "fails"])
+def test_no_request_begins_at_a_backend_that_is_draining_at_the_new_address_of_discovery(
+    tmp_path: Path, faults: dict[str, Fault]
 ) -> None:
-    play_all(tmp_path, ways, None, moves=True)
+    run_faults(tmp_path, faults, None, moves=True)
 
 
-async def drain_at_first_call(scene: Scene, *plans: Plan) -> None:
-    async with scene.playing(*plans):
-        scene.first.drain(LEAVES, told=False)
+async def drain_at_first_call(setup: ProxySetup, *plans: Plan) -> None:
+    async with setup.running(*plans):
+        setup.first.drain(LEAVES, told=False)
 
 
-def test_no_request_begins_at_a_backend_that_refused_first_calls_should_have_told_of(
+def test_no_request_begins_at_a_backend_whose_departure_refused_first_calls_missed(
     tmp_path: Path,
 ) -> None:
-    """At once; those refused after a while are in KNOWN-RED.txt."""
+    """The calls are refused immediately; the case of calls refused after a while is in KNOWN-RED.txt."""
 
     async def scenario() -> None:
-        plays = []
+        runs = []
         for refusals, seed in product((1, 2), SEEDS):
-            scene = Scene(tmp_path / f"{refusals} {seed}", f"{refusals} refusals", seed, seed % 2 == 0)
-            plays.append(drain_at_first_call(scene, *([Plan.REFUSE_AT_ONCE] * refusals)))
-        await asyncio.gather(*plays)
+            setup = ProxySetup(tmp_path / f"{refusals} {seed}", f"{refusals} refusals", seed, seed % 2 == 0)
+            runs.append(drain_at_first_call(setup, *([Plan.REFUSE_AT_ONCE] * refusals)))
+        await asyncio.gather(*runs)
 
     run(scenario())
 
 
-async def move_after_a_refusal(scene: Scene) -> None:
-    """The first call of all is refused late, which makes for a long backoff; SIGHUP comes soon after."""
-    async with scene.playing(Plan.REFUSE_LATE):
-        scene.first.refusal_s = SHORT_REFUSAL_S
-        await asyncio.sleep(SHORT_REFUSAL_S + CALL_S + scene.draw.uniform(0.05, MOVES_WITHIN_S))
-        scene.second.drain(LEAVES)
-        scene.move()
+async def move_after_a_refusal(setup: ProxySetup) -> None:
+    """Refuse the first call late, which causes a long backoff, and send SIGHUP soon after."""
+    async with setup.running(Plan.REFUSE_LATE):
+        setup.first.refusal_s = SHORT_REFUSAL_S
+        await asyncio.sleep(SHORT_REFUSAL_S + CALL_S + setup.rng.uniform(0.05, MOVES_WITHIN_S))
+        setup.second.drain(LEAVES)
+        setup.move()
 
 
-def test_a_move_of_discovery_counts_also_in_a_long_backoff(tmp_path: Path) -> None:
+def test_a_move_of_discovery_takes_effect_during_a_long_backoff(tmp_path: Path) -> None:
     async def scenario() -> None:
-        scenes = [Scene(tmp_path / str(seed), "moves", seed, seed % 2 == 0) for seed in range(1, 7)]
-        await asyncio.gather(*(move_after_a_refusal(scene) for scene in scenes))
+        setups = [ProxySetup(tmp_path / str(seed), "moves", seed, seed % 2 == 0) for seed in range(1, 7)]
+        await asyncio.gather(*(move_after_a_refusal(setup) for setup in setups))
 
     run(scenario())
 
 
-async def return_and_serve(scene: Scene, reset: bool) -> None:
-    """The backend drains, and is named again once nothing is sent to it; `reset`: on a watch that is new."""
-    async with scene.playing():
-        scene.first.drain(LEAVES)
-        await scene.settle()
-        scene.leaves.began.clear()
+async def return_and_serve(setup: ProxySetup, reset: bool) -> None:
+    """Drain the backend and list it again once nothing is sent to it; with `reset`, on a new watch."""
+    async with setup.running():
+        setup.first.drain(LEAVES)
+        await setup.settle()
+        setup.leaves.began.clear()
         if reset:
-            scene.first.reset_watches()
-        scene.first.name_again(LEAVES)
+            setup.first.reset_watches()
+        setup.first.name_again(LEAVES)
         async with asyncio.timeout(RETURN_S):
-            await scene.leaves.began.wait()
+            await setup.leaves.began.wait()
 
 
-def test_a_backend_that_is_named_again_gets_requests_again(tmp_path: Path) -> None:
+def test_a_backend_that_is_listed_again_gets_requests_again(tmp_path: Path) -> None:
     async def scenario() -> None:
-        plays = []
+        runs = []
         for reset, whole_lists, seed in product((False, True), (False, True), SEEDS):
             label = f"reset: {reset}, whole lists: {whole_lists}"
-            scene = Scene(tmp_path / f"{label} {seed}", label, seed, whole_lists)
-            plays.append(return_and_serve(scene, reset))
-        await asyncio.gather(*plays)
+            setup = ProxySetup(tmp_path / f"{label} {seed}", label, seed, whole_lists)
+            runs.append(return_and_serve(setup, reset))
+        await asyncio.gather(*runs)
 
     run(scenario())
 
 
-# The judge itself: histories that keep to a term by a little, and that break it by as little.
+# The checker itself, with requests just before and just after the time that a rule allows.
 
 DEPARTED = Departed(100.0, "first", LEAVES)
-LITTLE_S = 0.01
-TERMS: dict[str, tuple[Sequence[Note], float]] = {
-    "written": ([ListWritten(100.2, "first", frozenset([LEAVES]))], 100.2),
-    "a watch ended instead": ([WatchEnded(100.3, "first", True)], 100.3 + AFTER_END_S),
-    "the service had it and could be reached": ([], 100.0 + AFTER_REACHABLE_S),
-    "it is reachable again": ([Reachable(103.0, "first")], 103.0 + AFTER_REACHABLE_S),
-    "an end without an answer tells nothing": (
+MARGIN_S = 0.01
+RULES: dict[str, tuple[Sequence[Note], float]] = {
+    "the list was sent": ([ListWritten(100.2, "first", frozenset([LEAVES]))], 100.2),
+    "a watch ended without the change": ([WatchEnded(100.3, "first", True)], 100.3 + AFTER_END_S),
+    "the service had the change and was reachable": ([], 100.0 + AFTER_REACHABLE_S),
+    "the service is reachable again": ([Reachable(103.0, "first")], 103.0 + AFTER_REACHABLE_S),
+    "the end of an unanswered call has no effect": (
         [WatchEnded(100.3, "first", False)],
         100.0 + AFTER_REACHABLE_S,
     ),
-    "an end before the change tells nothing": (
+    "the end of a watch before the change has no effect": (
         [WatchEnded(99.9, "first", True)],
         100.0 + AFTER_REACHABLE_S,
     ),
-    "a list without it tells nothing": (
+    "a list without the change has no effect": (
         [ListWritten(100.2, "first", frozenset())],
         100.0 + AFTER_REACHABLE_S,
     ),
-    "a watch fell silent": ([WatchFellSilent(97.0, "first")], 97.0 + AFTER_SILENCE_S),
-    "a watch fell silent long before": ([WatchFellSilent(80.0, "first")], 100.0),
-    "a new watch after the silent one": (
+    "a watch stopped receiving data": ([WatchFellSilent(97.0, "first")], 97.0 + AFTER_SILENCE_S),
+    "a watch stopped receiving data long before": ([WatchFellSilent(80.0, "first")], 100.0),
+    "a new watch replaced the stalled one": (
         (WatchFellSilent(97.0, "first"), ListWritten(98.0, "first")),
         100.0 + AFTER_REACHABLE_S,
     ),
@@ -412,32 +431,32 @@
 }
 
 
-@pytest.mark.parametrize("term", TERMS)
-def test_the_judge_reports_a_request_that_begins_too_late_and_no_other(term: str) -> None:
-    notes, notified_at = TERMS[term]
+@pytest.mark.parametrize("rule", RULES)
+def test_the_checker_reports_only_a_request_that_begins_too_late(rule: str) -> None:
+    notes, notified_at = RULES[rule]
     allowed_until = notified_at + GRACE_S + SLACK_S
-    for begins_at, is_late in ((allowed_until - LITTLE_S, False), (allowed_until + LITTLE_S, True)):
+    for begins_at, is_late in ((allowed_until - MARGIN_S, False), (allowed_until + MARGIN_S, True)):
         begun = RequestBegan(begins_at, LEAVES)
-        beside = RequestBegan(begins_at, STAYS)
-        history = History("first", [DEPARTED, *notes, begun, beside])
+        other = RequestBegan(begins_at, STAYS)
+        history = History("first", [DEPARTED, *notes, begun, other])
         late = late_requests(history, GRACE_S)
-        assert {each.request for each in late} == ({begun} if is_late else set())
+        assert {violation.request for violation in late} == ({begun} if is_late else set())
 
 
-def test_the_judge_allows_requests_to_a_backend_that_is_back_and_not_after_it_departs_anew() -> None:
-    told = frozenset([LEAVES])
-    back: list[Note] = [Returned(105.0, "first", LEAVES), RequestBegan(106.0, LEAVES)]
-    history = History("first", [DEPARTED, ListWritten(100.1, "first", told), *back])
+def test_the_checker_allows_requests_to_a_returned_backend_until_it_departs_again() -> None:
+    departed = frozenset([LEAVES])
+    returned: list[Note] = [Returned(105.0, "first", LEAVES), RequestBegan(106.0, LEAVES)]
+    history = History("first", [DEPARTED, ListWritten(100.1, "first", departed), *returned])
     assert not late_requests(history, GRACE_S)
-    history.notes += [Departed(107.0, "first", LEAVES), ListWritten(107.1, "first", told)]
-    begun = RequestBegan(107.1 + GRACE_S + SLACK_S + LITTLE_S, LEAVES)
+    history.notes += [Departed(107.0, "first", LEAVES), ListWritten(107.1, "first", departed)]
+    begun = RequestBegan(107.1 + GRACE_S + SLACK_S + MARGIN_S, LEAVES)
     history.note(begun)
     (late,) = late_requests(history, GRACE_S)
-    assert late.request is begun and late.late_s == pytest.approx(LITTLE_S)
+    assert late.request is begun and late.late_s == pytest.approx(MARGIN_S)
 
 
-def test_a_service_answers_calls_in_turn() -> None:
-    """The second call is answered a call's time after the first, however close together they came."""
+def test_the_service_answers_one_call_at_a_time() -> None:
+    """The second call is answered one call duration after the first, however soon it follows the first."""
 
     async def scenario() -> None:
         history = History("first")
