--- a/heronreel/proxy/connection_pool.py
+++ b/heronreel/proxy/connection_pool.py
@@ -1,8 +1,8 @@
 """Pools the connections to all backends and sends attempts on them.
 
-A connection carries one attempt at a time and is kept for reuse.  A request certainly did not run at a
-backend only if its connection ended before the last byte of the attempt was written.  The pool itself never
-sends an attempt a second time.
+A connection carries one attempt at a time and is kept for reuse.  It is certain that an attempt never ran
+only if its connection ended before the last byte of the request was written.  The pool itself never sends an
+attempt a second time.
 """
 
 from __future__ import annotations
--- a/heronreel/proxy/dispatcher.py
+++ b/heronreel/proxy/dispatcher.py
@@ -332,7 +332,7 @@
 
     def _on_deadline(self, request: Request) -> None:
         remaining_s = request.deadline - time.monotonic()
-        # The event loop updates its clock only between callbacks, so a timer may fire early.
+        # The event loop updates its clock only once per iteration, so a timer may fire early.
         if remaining_s > DEADLINE_TOLERANCE_S:
             request.timer = self.loop.call_later(remaining_s, self._on_deadline, request)
             return
--- a/heronreel/proxy/endpoint_call.py
+++ b/heronreel/proxy/endpoint_call.py
@@ -43,7 +43,7 @@
     def on_response(self, call: EndpointCall) -> None:
         """Handle the start of a successful response."""
 
-    def on_input(self, call: EndpointCall) -> None:
+    def on_line(self, call: EndpointCall) -> None:
         """Handle a complete line: a list, or an empty line, which means that nothing has changed."""
 
     def on_endpoints(self, endpoints: EndpointList) -> None:
@@ -67,7 +67,7 @@
         self.is_watch = is_watch
         self.closed = False
         self.has_response = False
-        self.lists = 0  # Number of lists received by this call.
+        self.list_count = 0  # Number of lists received by this call.
         self.first_list_at = math.inf  # When the first of these lists was received.
         self.was_reset = False
         # The validity as it was before the first list of this call renewed it.
@@ -136,9 +136,9 @@
             line = bytes(self.buffer[:end])
             del self.buffer[: end + 1]
             if line.strip():
-                self._take_list(line)
+                self._receive_list(line)
             else:
-                self.owner.on_input(self)
+                self.owner.on_line(self)
             end = self.buffer.find(b"\n")
         self.searched_bytes = len(self.buffer)
         # Limit the memory, so that a faulty discovery service can't make the proxy run out of it.
@@ -151,7 +151,7 @@
             return
         if self.is_watch:
             self._fail("the watch response ended")
-        elif self._take_list(bytes(self.buffer)):
+        elif self._receive_list(bytes(self.buffer)):
             self.close()
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -160,18 +160,18 @@
         self._fail(f"connection lost: {error or 'closed by discovery'}")
         del self.parser  # The parser refers to this object: break the reference cycle.
 
-    def _take_list(self, text: bytes) -> bool:
+    def _receive_list(self, text: bytes) -> bool:
         """Parse a list and report it; on malformed data fail the call and return False."""
         try:
             endpoints = parse_endpoint_list(json.loads(text))
         except (ValueError, RecursionError) as error:
             self._fail(f"malformed endpoint list: {error}")
             return False
-        if not self.lists:
+        if not self.list_count:
             self.first_list_at = self.last_input_at
             self._record(EventKind.LIST_RECEIVED, new_index=endpoints.index, snapshot=endpoints.is_snapshot)
-        self.lists += 1
-        self.owner.on_input(self)
+        self.list_count += 1
+        self.owner.on_line(self)
         self.owner.on_endpoints(endpoints)
         return True
 
@@ -182,7 +182,7 @@
             b"",
             call=self.number,
             after_ms=round((time.monotonic() - self.started_at) * 1000.0, 1),
-            lists=self.lists,
+            lists=self.list_count,
             index=self.owner.index,
             list_age_s=round(self.owner.list_age_s(), 3),
             **fields,
--- a/heronreel/proxy/endpoint_watch.py
+++ b/heronreel/proxy/endpoint_watch.py
@@ -90,8 +90,8 @@
     def watch(self) -> None:
         """Start a watch unless a healthy one is open.
 
-        Late watches stay open until another one gets a response, so that no change is missed and no place in
-        the service's queue is lost.
+        Late watches stay open until one of the watches gets a response, so that no change is missed and no
+        place in the service's queue is lost.
         """
         if any(call.has_response and not call.is_late for call in self._current_watches()):
             self.on_update(EndpointList(self.index, False, []))  # The watch was only late.
@@ -138,9 +138,9 @@
         """Return how long ago, in seconds, the list was last confirmed to be current."""
         return time.monotonic() - self.validity.current_at
 
-    def on_input(self, call: EndpointCall) -> None:
+    def on_line(self, call: EndpointCall) -> None:
         """Handle a complete line: the list, including any change in the line, is current."""
-        if call.address == self.address and call.lists:
+        if call.address == self.address and call.list_count:
             if call.previous_validity is None:
                 call.previous_validity = replace(self.validity)
             self.validity.confirm_current(call.last_input_at)
@@ -170,7 +170,7 @@
             self.validity.call_refused(call.started_at, now)
         elif call.transport is None:
             self.validity.connection_failed(call.started_at)
-        elif call.lists and call.is_watch and failure is WatchFailure.ENDED:
+        elif call.list_count and call.is_watch and failure is WatchFailure.ENDED:
             ended_early = (
                 call.previous_validity is not None and now - call.first_list_at < MIN_WATCH_DURATION_S
             )
@@ -178,7 +178,7 @@
                 self.validity = call.previous_validity
             if not (ended_early and call.was_reset):
                 self.validity.watch_ended(now)
-        elif not call.lists:
+        elif not call.list_count:
             self.validity.call_unanswered(call.started_at)
         self.on_validity(self.valid_until())
 
