--- a/heronreel/coordination/actions.py
+++ b/heronreel/coordination/actions.py
@@ -1,4 +1,4 @@
-"""What a consensus member wants done: messages to send, writes to make durable, and changes to report."""
+"""The actions that a consensus member requests: sends, durable writes, and changes to report."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Send(NamedTuple):
-    """Send a message to the member of that name.  It may be lost, delayed or duplicated."""
+    """Send a message to the member `to`.  The message may be lost, delayed or duplicated."""
 
     to: str
     message: AnyMessage
@@ -23,19 +23,19 @@
     group_id: str
     promised: Ballot
     version: Version
-    writes: Writes  # to the map
-    replaces_all: bool  # the map is emptied before the writes
-    sends: tuple[Send, ...]  # messages that rely on this write
+    writes: Writes  # writes to the map
+    replaces_all: bool  # whether the map is emptied before the writes
+    sends: tuple[Send, ...]  # messages that may be sent only after this write is durable
 
 
 class Elected(NamedTuple):
-    """This member leads, and its map is committed."""
+    """This member has become the leader, and its map is committed."""
 
     ballot: Ballot
 
 
 class Deposed(NamedTuple):
-    """This member no longer leads: the round in flight may have been committed or not."""
+    """This member no longer leads.  It is unknown whether the round in flight was committed."""
 
 
 class RoundCommitted(NamedTuple):
@@ -45,7 +45,7 @@
 
 
 class EraseDisk(NamedTuple):
-    """The disk holds an older copy: erase it and start again with a new incarnation."""
+    """The disk was rolled back to an older copy: erase it and restart with a new incarnation."""
 
     reason: str
 
--- a/heronreel/coordination/ballots.py
+++ b/heronreel/coordination/ballots.py
@@ -1,4 +1,4 @@
-"""Ballots and versions: the order of attempts to lead, and of the states of the replicated map."""
+"""Ballots and versions, which order the attempts to lead and the states of the replicated map."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class Ballot(NamedTuple):
-    """An attempt to lead.  Ballots are ordered by term, then by proposer; no two attempts share one."""
+    """The identifier of one attempt to lead.  Ballots are ordered by term, then by proposer."""
 
     term: int
-    proposer: str  # name/incarnation of the member that attempts to lead
+    proposer: str  # "NAME/INCARNATION" of the member that attempts to lead
 
 
 class Version(NamedTuple):
-    """A state of the map: the ballot it was written under, and the number of the write within that ballot."""
+    """The identifier of a state of the map: its ballot, and the number of the write under that ballot."""
 
     term: int
     proposer: str
--- a/heronreel/coordination/client.py
+++ b/heronreel/coordination/client.py
@@ -1,8 +1,8 @@
-"""A client of a group: sends requests to its members, one after the other, until one responds in time.
+"""A client of a group, which sends a request to the members in turn until one responds in time.
 
-A response that says that the request was not begun (503, a refused connection) sends it to the next member.
-If the request may have been begun, only an idempotent one is sent again; any other fails with a
-`RequestError` whose `outcome_unknown` is set.
+If a response shows that the request was not started (status 503, or a refused connection), the request is
+sent to the next member.  If the request may have been started, it is only sent again if it is idempotent;
+otherwise it fails with a `RequestError` whose `outcome_unknown` is set.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 
 CONNECT_TIMEOUT_S = 0.5
 MAX_CONNECTIONS_PER_MEMBER = 64
-BACKOFF_S = 0.05  # before the second round of attempts, doubled with each further one
+BACKOFF_S = 0.05  # The pause before the second round of attempts; it doubles with each further round.
 MAX_BACKOFF_DOUBLINGS = 5
 MIN_REQUEST_S = 0.01
-WATCH_ATTEMPT_ROUNDS = 3  # over all members, before a watch fails
+WATCH_ATTEMPT_ROUNDS = 3  # A watch fails after this many unsuccessful rounds over all members.
 
 _IDEMPOTENT_REQUESTS = (Range, LeaseKeepAlive, LeaseTimeToLive, LeaseList)
 _TRANSPORT_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
@@ -44,7 +44,7 @@
 class WatchEvents(NamedTuple):
     """A notification of a watch: the events up to a revision.
 
-    With `missed`, some events are no longer kept, and the range has to be read again.
+    If `missed` is set, the group no longer keeps some of the events, and the range has to be read again.
     """
 
     revision: int
@@ -53,23 +53,23 @@
 
 
 def _is_idempotent(request: Request) -> bool:
-    """Whether a request may be sent again when its outcome is unknown."""
+    """Return whether a request may be sent again when its outcome is unknown."""
     return not request.writes if isinstance(request, Txn) else isinstance(request, _IDEMPOTENT_REQUESTS)
 
 
 class Client:
-    """A client of one event loop.  A connection serves one request at a time and is kept for the next."""
+    """A client for use in one event loop.  Connections are kept alive and reused."""
 
     def __init__(self, addresses: Iterable[str], *, response_timeout_s: float = 1.0) -> None:
-        """Opens a session.
+        """Open an HTTP session.
 
         Args:
-            addresses: of the members, as "127.0.0.1:9001".
-            response_timeout_s: how many seconds one member may take to respond.
+            addresses: the addresses of the members, for example "127.0.0.1:9001".
+            response_timeout_s: the seconds that one member may take to respond.
         """
         self.addresses = list(addresses)
         self.response_timeout_s = response_timeout_s
-        self._current = 0  # the index of the member that responded last, modulo their number
+        self._current = 0  # the index of the member to use, modulo the number of members
         timeout = aiohttp.ClientTimeout(total=None, connect=CONNECT_TIMEOUT_S)
         connector = aiohttp.TCPConnector(limit=0, limit_per_host=MAX_CONNECTIONS_PER_MEMBER)
         self._session = aiohttp.ClientSession(timeout=timeout, connector=connector)
@@ -96,19 +96,19 @@
         """Send a request, and retry it on other members as long as that is safe.
 
         Args:
-            request: what to send.
-            seconds: for all attempts together.
+            request: the request to send.
+            seconds: the time limit of all attempts together.
 
         Raises:
             RequestError: the request failed, or its outcome is unknown.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + seconds
-        last_error = RequestError(StatusCode.UNAVAILABLE, "no member answers")
+        last_error = RequestError(StatusCode.UNAVAILABLE, "no member responds")
         attempts = 0
-        while (left := deadline - loop.time()) > 0:
+        while (remaining_s := deadline - loop.time()) > 0:
             try:
-                return await self._attempt(self._address, request, min(left, self.response_timeout_s))
+                return await self._attempt(self._address, request, min(remaining_s, self.response_timeout_s))
             except RequestError as error:
                 if not _may_retry(request, error):
                     if error.outcome_unknown:
@@ -123,7 +123,7 @@
         raise last_error
 
     async def call_or_error(self, request: Request, seconds: float) -> ResponseOrError:
-        """As `call`, for a core that takes an error as it takes any other response."""
+        """Like `call`, but return an error instead of raising it."""
         try:
             return await self.call(request, max(MIN_REQUEST_S, seconds))
         except RequestError as error:
@@ -132,10 +132,11 @@
             return RequestError(StatusCode.UNKNOWN, repr(error))
 
     def _backoff(self, attempts: int, seconds: float) -> float:
-        """The pause in seconds after all members were tried.
+        """Return the pause in seconds after all members were tried.
 
-        It has a random part, so that hundreds of clients that lost the group do not return at once, and is
-        never longer than a quarter of the request's time, so that no request spends its time asleep.
+        The pause is randomised, so that hundreds of clients that lost the group do not return at the same
+        time.  Before that it is limited to a quarter of the request's time limit, but not below `BACKOFF_S`,
+        so that a request does not spend its time waiting.
         """
         doublings = min(attempts // len(self.addresses) - 1, MAX_BACKOFF_DOUBLINGS)
         longest: float = min(BACKOFF_S * 2**doublings, max(BACKOFF_S, seconds / 4))
@@ -152,14 +153,14 @@
         except aiohttp.ClientConnectorError as error:
             raise RequestError(StatusCode.UNAVAILABLE, f"{address}: {error.strerror or error}") from None
         except TimeoutError:
-            message = f"{address}: no answer within {seconds:.2f} s"
+            message = f"{address}: no response within {seconds:.2f} s"
             raise RequestError(StatusCode.DEADLINE_EXCEEDED, message) from None
         except (aiohttp.ClientError, OSError) as error:
             raise RequestError(StatusCode.UNKNOWN, f"{address}: {error}") from None
         return _read_response(address, request, status, data)
 
     async def health(self, address: str) -> dict[str, Any]:
-        """A member's report of its state; empty if it does not respond."""
+        """Return a member's report of its state; it is empty if the member does not respond."""
         try:
             async with asyncio.timeout(self.response_timeout_s):
                 async with self._session.get(f"http://{address}/health") as response:
@@ -173,14 +174,15 @@
     async def watch(
         self, key: bytes, end: bytes = b"", start_revision: int = 0
     ) -> AsyncIterator[WatchEvents]:
-        """The changes of a range, for as long as they are iterated over.
+        """Iterate over the changes of a range.
 
-        When a member ends, the next one continues from the revision reached.
+        When the connection to a member ends, the watch continues at the next member after the last revision
+        that was reported.
 
         Args:
             key: the range's first key.
             end: the range's end, as in `model.Range`.
-            start_revision: the first revision; 0: the next one.
+            start_revision: the first revision; 0: the next revision.
 
         Raises:
             RequestError: with UNAVAILABLE, no member has responded in several rounds of attempts.
@@ -198,8 +200,8 @@
                             yield WatchEvents(start_revision - 1, (), missed=True)
                             break
                         batch = gateway_client.decode_events(body)
-                        # The next member continues after what this one has reported: past events of a watch
-                        # that started earlier come after its first line.
+                        # The next member continues after the last reported revision.  The first line has no
+                        # events and does not count if a start revision is given: past events follow it.
                         if batch.events or not start_revision:
                             start_revision = batch.revision + 1
                         if batch.events or body.get("created"):
@@ -208,7 +210,7 @@
                 pass
             failures += 1
             if failures > WATCH_ATTEMPT_ROUNDS * len(self.addresses):
-                raise RequestError(StatusCode.UNAVAILABLE, "no member answers")
+                raise RequestError(StatusCode.UNAVAILABLE, "no member responds")
             self._current += 1
             await asyncio.sleep(BACKOFF_S * failures)
 
@@ -235,7 +237,7 @@
 
 
 def _malformed(address: str, reason: str) -> RequestError:
-    return RequestError(StatusCode.UNKNOWN, f"{address}: an answer that is none: {reason}")
+    return RequestError(StatusCode.UNKNOWN, f"{address}: malformed response: {reason}")
 
 
 def _watch_body(key: bytes, end: bytes, start_revision: int) -> gateway.Json:
@@ -248,7 +250,7 @@
 
 
 async def _watch_lines(response: aiohttp.ClientResponse) -> AsyncIterator[gateway.Json]:
-    """The lines of a watch; none if it was rejected."""
+    """Iterate over the lines of a watch's response; there are none if the watch was rejected."""
     if response.status != 200:
         return
     async for line in response.content:
--- a/heronreel/coordination/consensus.py
+++ b/heronreel/coordination/consensus.py
@@ -1,21 +1,23 @@
-"""How the members of a group agree on one map of records.  Pure: events and time in, actions out.
+"""The consensus protocol by which the members of a group agree on one map of records.
 
-One register holds the whole map, and quorums agree on its versions: Paxos on a single register with a
-standing proposer (`docs/coordination-design.md` compares it with a replicated log).  A *ballot* is one
-member's attempt to lead.  A quorum that promises a ballot accepts nothing under a lower one any more, and
-reports the newest version it has; the leader writes that version again under its ballot and continues from
-there, one *round* after the other.  A round either carries writes, and is committed once a quorum has them
-on its disks, or carries nothing and shows that the leader still led when the round began.
+The protocol does no I/O: it receives events and the time, and returns actions.
 
-A lost disk is recognised by its *incarnation*, a name drawn when the disk was initialised: the map says
-which incarnation of each member counts, so no member votes against promises it has forgotten.  A disk that
-was rolled back to an older copy is recognised by the versions that members have confirmed, which the map
-holds as well.
+The whole map is one register, and quorums agree on its versions: this is single-register Paxos with a
+long-lived leader (`docs/coordination-design.md` compares it with a replicated log).  A *ballot* is one
+member's attempt to lead.  A quorum that has promised a ballot accepts nothing under a lower ballot any more,
+and reports the newest version it has.  The leader writes that version again under its own ballot and
+continues from there, one *round* at a time.  A round with writes is committed once a quorum has them on disk.
+A round without writes proves that the leader still led when the round began.
 
-What a response relies on is durable before it is sent: `Persist.sends` go out once that write and all
-before it are on the disk.
+A lost disk is detected by its *incarnation*, a random name that is drawn when the disk is initialised.  The
+map records the valid incarnation of each member, so a member that has lost its promises cannot vote against
+them.  A disk that was rolled back to an older copy is detected by the versions that members have confirmed,
+which the map records as well.
 
-The protocol's parts are functions on the member's state (`member_state`): `election`, `replication` (the
+The state that a response depends on is durable before the response is sent: `Persist.sends` are sent once
+that write and all earlier ones are on disk.
+
+The parts of the protocol are functions on the member's state (`member_state`): `election`, `replication` (the
 leader's side), `follower`, and `membership`.  `ConsensusMember` dispatches events to them.
 """
 
@@ -41,28 +43,28 @@
 
 
 class ConsensusMember(MemberState):
-    """One member of a group.  Every event returns the actions it leads to, in the order to take them in."""
+    """One member of a group.  Each event returns the resulting actions in the order of their execution."""
 
     def fork(self) -> ConsensusMember:
-        """A copy that goes on independently."""
+        """Return an independent copy."""
         return copy.copy(self)
 
     @property
     def has_round_in_flight(self) -> bool:
-        """Whether a round is in flight, so that no other may begin."""
+        """Whether a round is in flight, so that no other round may start."""
         return self.round_in_flight is not None
 
     @property
     def has_membership_change(self) -> bool:
-        """Whether this leader has a member to admit or to remove, by a round of its own."""
+        """Whether this member leads and has to start a round that admits or removes a member."""
         return self.is_leader and bool(self.joining or membership.surplus_members(self))
 
     def set_configured_members(self, names: Iterable[str]) -> None:
-        """Take the names of a reloaded configuration file.  Who is a member is the map's to say."""
+        """Use the names of a reloaded configuration file; membership itself is decided by the map."""
         self.configured_members = tuple(sorted(names))
 
     def next_wakeup(self) -> float:
-        """When `tick` has something to do, unless another event comes first."""
+        """Return the time at which `tick` has work to do, unless another event occurs first."""
         if self.role is not Role.LEADER:
             return self.election_deadline
         if self.round_in_flight is not None:
@@ -72,14 +74,14 @@
     # -- events
 
     def tick(self, now: float) -> Actions:
-        """Time has passed."""
+        """Handle the passing of time: time-outs, retransmissions, heartbeats and membership changes."""
         if self.role is Role.LEADER:
             return self._tick_leader(now)
         if now < self.election_deadline:
             return []
         if self.role is Role.NEW:
             self.reset_election_timer(now, self.timing.retransmit_interval_s)
-            return membership.greet(self, now)
+            return membership.send_hello(self, now)
         return election.start_pre_vote(self, now)
 
     def _tick_leader(self, now: float) -> Actions:
@@ -96,16 +98,16 @@
         return []
 
     def start_election(self, now: float) -> Actions:
-        """Become a candidate at once, without pre-votes."""
+        """Become a candidate immediately, without pre-votes."""
         return election.start_election(self, now)
 
     def propose(self, now: float, writes: Writes) -> Actions:
-        """Begin a leader's next round, with writes or without; none may be in flight."""
+        """Start the next round of a leader, with writes or without; no round may be in flight."""
         assert self.is_leader and self.round_in_flight is None
         return replication.start_round(self, now, writes)
 
     def persisted(self, now: float, number: int) -> Actions:
-        """The Persist of that number, and all before it, are durable."""
+        """Handle the report that the Persist `number` and all earlier ones are durable."""
         self.synced_persist = number
         if self.role is Role.CANDIDATE and number == self.own_promise_persist:
             return election.record_own_promise(self, now)
@@ -115,7 +117,7 @@
         return []
 
     def receive(self, now: float, message: AnyMessage) -> Actions:
-        """A message has arrived, however late and however often."""
+        """Handle a message, which may be delayed or duplicated."""
         if message.sender == self.name or message.sender not in self.configured_members:
             return []
         match message:
--- a/heronreel/coordination/election.py
+++ b/heronreel/coordination/election.py
@@ -1,8 +1,9 @@
 """Elections: pre-votes, promises, and how a candidate becomes the leader.
 
-A member that would disturb a working leader is kept from it by pre-votes: it first asks whether it would be
-granted promises, and nothing is promised by a response to that.  A quorum of promises makes a candidate the
-leader: it knows the newest version that was reported with them, and nothing is accepted under a lower ballot.
+Pre-votes keep a member from disturbing a working leader: before an election, a member asks the others whether
+they would grant promises; a response to a pre-vote promises nothing.  A quorum of promises makes a candidate
+the leader: it then knows the newest version that was reported with them, and the quorum accepts nothing under
+a lower ballot any more.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 
 
 def start_pre_vote(state: MemberState, now: float) -> Actions:
-    """Ask the others whether a candidacy would succeed."""
+    """Ask the other members whether they would grant a promise."""
     if state.name not in state.members and state.version != NO_VERSION:
         state.reset_election_timer(now, state.timing.election_timeout_s)
-        return []  # it was removed from the group
+        return []  # This member was removed from the group.
     state.role = Role.PRE_CANDIDATE
     state.leader = None
     state.ballot = state.new_ballot()
@@ -33,13 +34,13 @@
 
 
 def start_election(state: MemberState, now: float) -> Actions:
-    """Become a candidate: this member's own promise is durable before any other is asked for."""
+    """Become a candidate.  Other members are asked once this member's own promise is durable."""
     state.role = Role.CANDIDATE
     state.leader = None
     state.ballot = state.promised = state.new_ballot()
     state.highest_term = state.ballot.term
     state.promises = Map()
-    state.newest = Snapshot(state.version, state.content)
+    state.newest_snapshot = Snapshot(state.version, state.content)
     state.reset_election_timer(now, state.timing.election_timeout_s)
     actions = state.persist((), _prepare_messages(state, pre_vote=False))
     state.own_promise_persist = state.last_persist
@@ -47,14 +48,14 @@
 
 
 def record_own_promise(state: MemberState, now: float) -> Actions:
-    """This member's own promise is durable."""
+    """Count this member's own promise, which is durable now."""
     own = PromiseRecord(state.incarnation, state.version)
     state.promises = state.promises.set(state.name, own)
     return _count_promises(state, now)
 
 
 def receive_promise(state: MemberState, now: float, message: Promise) -> Actions:
-    """A response to a request for promises, or to a pre-vote."""
+    """Handle the response to a request for a promise or a pre-vote."""
     state.highest_term = max(state.highest_term, message.promised.term)
     if message.ballot != state.ballot or not message.granted:
         return []
@@ -64,8 +65,12 @@
         return []
     promise = PromiseRecord(message.incarnation, message.version)
     state.promises = state.promises.set(message.sender, promise)
-    if message.content is not None and message.version > state.newest.version and state.guards.newest_version:
-        state.newest = Snapshot(message.version, Map(message.content))
+    if (
+        message.content is not None
+        and message.version > state.newest_snapshot.version
+        and state.guards.newest_version
+    ):
+        state.newest_snapshot = Snapshot(message.version, Map(message.content))
     return _count_promises(state, now)
 
 
@@ -83,18 +88,21 @@
 
 
 def _count_promises(state: MemberState, now: float) -> Actions:
-    """Lead, if the promises make a quorum by the newest map's word on members and their versions."""
+    """Start to lead if the promises make a quorum.
+
+    The newest reported map decides who is a member, and which versions the members have confirmed.
+    """
     if state.name not in state.promises:
         return []
-    members = decode_membership(state.newest.content, state.members)
-    confirmed_versions = decode_confirmed_versions(state.newest.content, state.confirmed_versions)
+    members = decode_membership(state.newest_snapshot.content, state.members)
+    confirmed_versions = decode_confirmed_versions(state.newest_snapshot.content, state.confirmed_versions)
     count = 0
     for name, promise in state.promises.items():
         is_member = members.get(name) == promise.incarnation or not state.guards.incarnation
         rolled_back = promise.version < confirmed_versions.get(name, NO_VERSION) and state.guards.rollback
         count += is_member and not rolled_back
     if members.get(state.name) != state.incarnation and state.guards.incarnation:
-        return []  # another disk has taken its place
+        return []  # A new disk was admitted under the name of this member.
     if count < state.quorum_size(members):
         return []
     state.members = members
@@ -124,7 +132,7 @@
 
 
 def receive_prepare(state: MemberState, now: float, message: Prepare) -> Actions:
-    """A candidate's request for a promise, or for a pre-vote."""
+    """Handle a candidate's request for a promise or a pre-vote."""
     granted = False
     if state.is_addressed_by(message):
         state.highest_term = max(state.highest_term, message.ballot.term)
@@ -143,14 +151,14 @@
 
 def _grants(state: MemberState, now: float, message: Prepare) -> bool:
     if not message.pre_vote:
-        return message.ballot >= state.promised  # an equal one is a retransmission
+        return message.ballot >= state.promised  # An equal ballot means that the request is a retransmission.
     silence = now - state.last_leader_contact
     has_leader = silence < state.timing.election_timeout_s or state.is_leader
     return message.ballot > state.promised and not has_leader
 
 
 def _response(state: MemberState, message: Prepare, *, granted: bool) -> Promise:
-    """The promise or its refusal; a promise carries the map if it is newer than the candidate's."""
+    """Return the promise or its refusal.  A promise includes the map if it is newer than the candidate's."""
     content = None
     if granted and not message.pre_vote and state.version > message.version:
         content = tuple(sorted(state.content.items()))
--- a/heronreel/coordination/errors.py
+++ b/heronreel/coordination/errors.py
@@ -1,4 +1,4 @@
-"""The errors of coordination."""
+"""The errors of the coordination package."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class StatusCode(enum.IntEnum):
-    """Why a request failed: the numbers are gRPC's codes, as the gateway sends them."""
+    """The reason why a request failed.  The numbers are gRPC status codes, which the gateway sends."""
 
     INVALID_ARGUMENT = 3
-    DEADLINE_EXCEEDED = 4  # it may have been carried out
+    DEADLINE_EXCEEDED = 4  # the request may have been executed
     NOT_FOUND = 5
     ALREADY_EXISTS = 6
     RESOURCE_EXHAUSTED = 8
     FAILED_PRECONDITION = 9
     OUT_OF_RANGE = 11
-    UNKNOWN = 2  # it was begun, and may have been carried out
-    UNAVAILABLE = 14  # it was not carried out
+    UNKNOWN = 2  # the request was started, and may have been executed
+    UNAVAILABLE = 14  # the request was not executed
 
 
 class CoordinationError(Exception):
@@ -24,23 +24,23 @@
 
 
 class RequestError(CoordinationError):
-    """A request that failed, or whose outcome is not known (`outcome_unknown`)."""
+    """A request failed, or its outcome is not known (see `outcome_unknown`)."""
 
     def __init__(self, code: StatusCode, message: str) -> None:
-        """Takes the gRPC code, and the reason in words."""
+        """Create an error from a gRPC code and a human-readable reason."""
         super().__init__(message)
         self.code = code
         self.message = message
 
     @property
     def outcome_unknown(self) -> bool:
-        """Whether the request may have been carried out."""
+        """Whether the request may have been executed."""
         return self.code in (StatusCode.DEADLINE_EXCEEDED, StatusCode.UNKNOWN)
 
 
 class MalformedResponseError(CoordinationError, ValueError):
-    """A response that is not in the gateway's form."""
+    """A response does not have the format of the gateway."""
 
 
 class InvalidAddressError(CoordinationError, ValueError):
-    """A network address that is not HOST:PORT."""
+    """A network address does not have the form HOST:PORT."""
--- a/heronreel/coordination/follower.py
+++ b/heronreel/coordination/follower.py
@@ -15,8 +15,8 @@
 _GROUP_RECORDS = (MEMBERSHIP_KEY, CONFIRMED_VERSIONS_KEY)
 
 
-class _Applied(NamedTuple):
-    """What a round changed in the map."""
+class _AppliedRound(NamedTuple):
+    """The changes that a round made to the map."""
 
     changed: bool
     writes: Writes = ()
@@ -24,7 +24,7 @@
 
 
 def receive_accept(state: MemberState, now: float, message: Accept) -> Actions:
-    """A leader's round: accept it, unless a higher ballot was promised."""
+    """Accept a leader's round, unless this member has promised a higher ballot."""
     if not state.is_addressed_by(message):
         return []
     state.highest_term = max(state.highest_term, message.ballot.term)
@@ -39,7 +39,7 @@
     accepted = state.version >= message.version
     response = Send(message.sender, _response(state, message, accepted=accepted))
     if not (applied.changed or newly_promised) and state.synced_persist == state.last_persist:
-        return [*actions, response]  # it relies on nothing that is on its way to the disk
+        return [*actions, response]  # The response does not depend on any write that is still pending.
     return actions + state.persist(applied.writes, (response,), replaces_all=applied.replaces_all)
 
 
@@ -51,11 +51,11 @@
     state.reset_election_timer(now, state.timing.election_timeout_s)
 
 
-def _apply_round(state: MemberState, message: Accept) -> _Applied:
-    """Bring the map to the round's version, if the round has what that takes."""
+def _apply_round(state: MemberState, message: Accept) -> _AppliedRound:
+    """Bring the map to the round's version, if the round has the writes that this requires."""
     older = state.version.ballot != message.ballot or state.version.step < message.version.step
     if state.version == message.version or not (older or not state.guards.promise):
-        return _Applied(changed=False)
+        return _AppliedRound(changed=False)
     writes = message.writes
     replaces_all = message.base is None
     if replaces_all:
@@ -63,12 +63,12 @@
     elif message.base == state.version:
         state.content = apply_writes(state.content, writes)
     else:
-        return _Applied(changed=False)
+        return _AppliedRound(changed=False)
     state.version = message.version
     state.role = Role.FOLLOWER
     if replaces_all or any(key in _GROUP_RECORDS for key, _ in writes):
         state.load_group_records()
-    return _Applied(True, writes, replaces_all)
+    return _AppliedRound(True, writes, replaces_all)
 
 
 def _response(state: MemberState, message: Accept, *, accepted: bool) -> Accepted:
--- a/heronreel/coordination/gateway.py
+++ b/heronreel/coordination/gateway.py
@@ -1,8 +1,8 @@
-"""What both sides of the gateway share: its paths, its HTTP statuses, and the encoding of values.
+"""The parts of the gateway that its two sides share: paths, HTTP statuses, and the encoding of values.
 
-The form is the published one of etcd's v3 gateway (grpc-gateway over rpc.proto).  Requests and responses
-are JSON.  Keys and values are base64, 64-bit numbers are strings, and fields with default values may be
-left out.  `gateway_server` reads requests and writes responses, `gateway_client` the other way round.
+The format is that of etcd's v3 gateway (grpc-gateway over rpc.proto).  Requests and responses are JSON.  Keys
+and values are base64, 64-bit numbers are strings, and fields with default values may be omitted.
+`gateway_server` decodes requests and encodes responses; `gateway_client` does the reverse.
 """
 
 from __future__ import annotations
@@ -38,9 +38,8 @@
     LeaseList: "/v3/lease/leases",
 }
 WATCH_PATH = "/v3/watch"
-STREAMED_PATHS = frozenset(
-    (REQUEST_PATHS[LeaseKeepAlive],)
-)  # their responses are under "result", as a stream's
+# The responses of these paths are wrapped in "result", like the lines of a stream.
+STREAMED_PATHS = frozenset((REQUEST_PATHS[LeaseKeepAlive],))
 
 HTTP_STATUS = {
     StatusCode.INVALID_ARGUMENT: 400,
@@ -56,22 +55,22 @@
 
 
 class ErrorResponse(NamedTuple):
-    """A failed request's HTTP status and body."""
+    """The HTTP status and body of the response to a failed request."""
 
     status: int
     body: Json
 
 
 def request_path(request: Request) -> str:
-    """The path that a request is posted to."""
+    """Return the path that a request is posted to."""
     return REQUEST_PATHS[type(request)]
 
 
 def encode_base64(data: bytes) -> str:
-    """Bytes as JSON has them here."""
+    """Encode bytes as the base64 string that JSON bodies contain."""
     return base64.b64encode(data).decode()
 
 
 def without_defaults(body: Json) -> Json:
-    """A body without the fields that have their default value."""
+    """Return a body without the fields that have their default value."""
     return {name: value for name, value in body.items() if value not in ("0", "", 0, False, None, [], ())}
--- a/heronreel/coordination/gateway_client.py
+++ b/heronreel/coordination/gateway_client.py
@@ -1,4 +1,4 @@
-"""The client's side of the gateway: writes requests, and reads responses, errors and events."""
+"""The client's side of the gateway: encodes requests, and decodes responses, errors and events."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     TxnResponse,
 )
 
-# -- writing requests
+# -- encoding requests
 
 _COMPARE_FIELDS = {
     CompareTarget.VERSION: "version",
@@ -48,7 +48,7 @@
 
 
 def encode_request(request: Request) -> Json:
-    """A request's body."""
+    """Return the JSON body of a request."""
     if isinstance(request, (Range, Put, DeleteRange)):
         return _encode_operation(request)
     if isinstance(request, Txn):
@@ -110,21 +110,21 @@
     }
 
 
-# -- reading responses
+# -- decoding responses
 
 
 class WatchBatch(NamedTuple):
-    """The events of one notification of a watch, up to a revision."""
+    """The events of one line of a watch's response, up to a revision."""
 
     revision: int
     events: tuple[Event, ...]
 
 
 def decode_response(request: Request, body: Any) -> Response:
-    """The response to a request.
+    """Decode the response to a request.
 
     Raises:
-        MalformedResponseError: the body is not such a response.
+        MalformedResponseError: the body is not a response to `request`.
     """
     try:
         return _decode_response(request, body)
@@ -194,10 +194,10 @@
 
 
 def decode_events(body: Json) -> WatchBatch:
-    """The events of one line of a watch (its "result").
+    """Decode the events of one line of a watch's response; `body` is the "result" of the line.
 
     Raises:
-        MalformedResponseError: the body is no such line.
+        MalformedResponseError: the body is malformed.
     """
     try:
         return WatchBatch(_revision(body), tuple(map(_decode_event, body.get("events", ()))))
@@ -212,7 +212,7 @@
 
 
 def decode_error(status: int, body: Any) -> RequestError:
-    """The error that a response with another HTTP status than 200 reports."""
+    """Decode the error in a response with an HTTP status other than 200."""
     message = f"status {status}"
     if isinstance(body, dict):
         message = str(body.get("message") or body.get("error") or message)
@@ -223,7 +223,7 @@
 
 
 def _code_of_status(status: int) -> StatusCode:
-    """The code of an HTTP status; the last of several that share it."""
+    """Return the code of an HTTP status; of several codes with that status, the last one."""
     found = StatusCode.UNKNOWN
     for code, code_status in HTTP_STATUS.items():
         if code_status == status and code is not StatusCode.UNKNOWN:
--- a/heronreel/coordination/gateway_server.py
+++ b/heronreel/coordination/gateway_server.py
@@ -1,7 +1,8 @@
-"""The server's side of the gateway: reads requests, and writes responses, errors and events.
+"""The server's side of the gateway: decodes requests, and encodes responses, errors and events.
 
-Fields come as `range_end` or `rangeEnd`.  What the group does not support (older revisions, sort orders,
-filters, nested transactions) is rejected as `INVALID_ARGUMENT` and named; no field is silently ignored.
+Field names may be in snake case (`range_end`) or camel case (`rangeEnd`).  Features that the group does not
+support (older revisions, sort orders, filters, nested transactions) are rejected as `INVALID_ARGUMENT` with a
+message that names them; no field is silently ignored.
 """
 
 from __future__ import annotations
@@ -52,7 +53,7 @@
 
 F = TypeVar("F")
 
-# -- forms of requests
+# -- JSON schemas of requests
 
 
 class _Form(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -66,7 +67,7 @@
     revision: int = 0
     sort_order: Literal["NONE", "ASCEND", 0, 1] = "NONE"
     sort_target: Literal["KEY", 0] = "KEY"
-    serializable: bool = False  # treated as false: no older state is read
+    serializable: bool = False  # accepted but treated as false: reads are always linearizable
     keys_only: bool = False
     count_only: bool = False
 
@@ -138,31 +139,31 @@
 
 
 class WatchRequest(msgspec.Struct, frozen=True):
-    """A request to watch a range from the revision `start_revision`, or from now on with 0."""
+    """A request to watch a range from `start_revision` on; 0 means the next revision."""
 
     key: bytes
     end: bytes
     start_revision: int
-    previous: bool  # whether events have the record before
+    previous: bool  # whether events include the previous record
 
 
-# -- reading requests
+# -- decoding requests
 
 
 def decode_request(path: str, data: bytes) -> Request:
-    """The request that is posted to `path`, which is one of `REQUEST_PATHS`.
+    """Decode the request that was posted to `path`, which is one of `REQUEST_PATHS`.
 
     Raises:
-        RequestError: the body is malformed, or asks for what is not supported.
+        RequestError: the body is malformed, or requests an unsupported feature.
     """
     return _DECODERS[path](data)
 
 
 def decode_watch_request(data: bytes) -> WatchRequest:
-    """The request that is posted to `WATCH_PATH`.
+    """Decode the request that was posted to `WATCH_PATH`.
 
     Raises:
-        RequestError: the body is malformed, or asks for what is not supported.
+        RequestError: the body is malformed, or requests an unsupported feature.
     """
     form = _parse(data, _WatchForm).create_request
     if not form.key:
@@ -171,7 +172,7 @@
 
 
 def _parse(data: bytes, form: type[F]) -> F:
-    """A body in the given form."""
+    """Decode a body into the schema `form`."""
     try:
         raw = msgspec.json.decode(data or b"{}")
         return msgspec.convert(_snake_case(raw), form, strict=False)
@@ -180,7 +181,7 @@
 
 
 def _snake_case(raw: Any) -> Any:
-    """Rename fields as `rangeEnd` to `range_end`, at all depths."""
+    """Convert field names from camel case to snake case, at all depths."""
     if isinstance(raw, dict):
         return {
             name if name in _UPPER_CASE_FIELDS else _CAMEL.sub("_", name).lower(): _snake_case(value)
@@ -258,18 +259,18 @@
     REQUEST_PATHS[LeaseList]: lambda data: _to_lease_list(_parse(data, _LeaseListForm)),
 }
 
-# -- writing responses
+# -- encoding responses
 
 
 class ResponseHeader(msgspec.Struct, frozen=True):
-    """Who responds: the group, the member, and the term of its ballot."""
+    """The sender of a response: the group, the member, and the term of its ballot."""
 
     cluster_id: int
     member_id: int
     term: int
 
     def at_revision(self, revision: int) -> Json:
-        """The header of a response that shows the state at a revision."""
+        """Return the header of a response about the state at a revision."""
         return {
             "cluster_id": str(self.cluster_id),
             "member_id": str(self.member_id),
@@ -279,12 +280,12 @@
 
 
 def encode_response(header: ResponseHeader, response: Response) -> Json:
-    """A response's body."""
+    """Return the JSON body of a response."""
     return {"header": header.at_revision(response.revision)} | without_defaults(_body(header, response))
 
 
 def _body(header: ResponseHeader, response: Response) -> Json:
-    """A response's body without its header."""
+    """Return the JSON body of a response without its header."""
     if isinstance(response, RangeResponse):
         records = [_encode_record(*row) for row in response.records]
         return {"kvs": records, "more": response.more, "count": str(response.total)}
@@ -308,7 +309,7 @@
 
 
 def _field_name(response: OperationResponse) -> str:
-    """The field that an operation's response has in that of its transaction."""
+    """Return the field name of an operation's response within the response to its transaction."""
     if isinstance(response, RangeResponse):
         return "response_range"
     return "response_put" if isinstance(response, PutResponse) else "response_delete_range"
@@ -330,7 +331,7 @@
 def encode_events(
     header: ResponseHeader, revision: int, events: tuple[Event, ...], *, with_previous: bool
 ) -> Json:
-    """A watch's notification of events, up to a revision."""
+    """Return the JSON body that notifies a watch of events up to a revision."""
     rows = [_encode_event(event, with_previous=with_previous) for event in events]
     return {"header": header.at_revision(revision), "events": rows}
 
@@ -348,6 +349,6 @@
 
 
 def encode_error(error: RequestError) -> ErrorResponse:
-    """The HTTP status and the body of a failed request."""
+    """Return the HTTP status and body for a failed request."""
     body = {"error": error.message, "code": int(error.code), "message": error.message}
     return ErrorResponse(HTTP_STATUS[error.code], body)
--- a/heronreel/coordination/group_records.py
+++ b/heronreel/coordination/group_records.py
@@ -10,22 +10,23 @@
 from heronreel.coordination.ballots import Version
 from heronreel.coordination.keyspace import Content
 
-MEMBERSHIP_KEY = b"g"  # the incarnation of each member, by name
-CONFIRMED_VERSIONS_KEY = b"c"  # the version that each member is known to have on its disk, by name
+MEMBERSHIP_KEY = b"g"  # The record maps the name of each member to its incarnation.
+# The record maps the name of each member to the newest version that is known to be on its disk.
+CONFIRMED_VERSIONS_KEY = b"c"
 
 
 def encode_membership(members: Mapping[str, str]) -> bytes:
-    """The membership record: incarnations by name, in the order given."""
+    """Encode the membership record: incarnations by member name, in the given order."""
     return msgspec.msgpack.encode(dict(members))
 
 
 def encode_confirmed_versions(versions: Mapping[str, Version]) -> bytes:
-    """The record of confirmed versions by name, in the order given."""
+    """Encode the record of confirmed versions by member name, in the given order."""
     return msgspec.msgpack.encode(dict(versions))
 
 
 def decode_membership(content: Content, default: Map[str, str]) -> Map[str, str]:
-    """The incarnations of a map by name, or `default` if it has no such record.
+    """Return the incarnations by member name, or `default` if the map has no membership record.
 
     Raises:
         msgspec.DecodeError: the record is malformed.
@@ -35,7 +36,7 @@
 
 
 def decode_confirmed_versions(content: Content, default: Map[str, Version]) -> Map[str, Version]:
-    """The confirmed versions of a map by name, or `default` if it has no such record.
+    """Return the confirmed versions by member name, or `default` if the map has no such record.
 
     Raises:
         msgspec.DecodeError: the record is malformed.
--- a/heronreel/coordination/keyspace.py
+++ b/heronreel/coordination/keyspace.py
@@ -1,8 +1,8 @@
-"""Keys, revisions and leases, and what a request does to them.
+"""Keys, revisions and leases, and how requests change them.
 
-The replicated map is flat, bytes by bytes, as the members agree on it and as a store keeps it; a `Keyspace`
-is the state that one holds.  Nothing here is changed in place: a request makes a list of writes to the map
-and the state after them, so that one which is never committed leaves no trace.
+The replicated map is a flat mapping from bytes to bytes, which the members agree on and which a store keeps.
+A `Keyspace` is the state decoded from such a map.  States are immutable: a request yields a list of writes to
+the map and the state after them, so a request that is never committed has no effect.
 """
 
 from __future__ import annotations
@@ -48,12 +48,12 @@
 )
 
 Content = Map[bytes, bytes]
-Writes = tuple[tuple[bytes, bytes | None], ...]  # None: the record is deleted
+Writes = tuple[tuple[bytes, bytes | None], ...]  # None as the value deletes the record
 
-HEADER_KEY = b"h"  # the record of revision, lease counter and size
-KEY_PREFIX = b"k"  # and the key
-LEASE_PREFIX = b"l"  # and the lease's id in 8 bytes
-RECORD_OVERHEAD_BYTES = 64  # counted for a record beside its key and value
+HEADER_KEY = b"h"  # The record holds revision, lease counter and size.
+KEY_PREFIX = b"k"  # The prefix is followed by the key.
+LEASE_PREFIX = b"l"  # The prefix is followed by the lease's id as 8 bytes.
+RECORD_OVERHEAD_BYTES = 64  # added to the size of a record's key and value
 EMPTY_CONTENT: Content = Map()
 
 
@@ -61,12 +61,12 @@
     """The record of the state as a whole."""
 
     revision: int = 1
-    lease_counter: int = 0  # ids given to leases so far
-    size: int = 0  # bytes counted
+    lease_counter: int = 0  # the last lease id that the group chose
+    size: int = 0  # the size of all records in bytes, as limited by `MAX_STATE_BYTES`
 
 
 class _StoredRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The stored form of a `Record`."""
+    """The stored encoding of a `Record`."""
 
     value: bytes
     create_revision: int
@@ -84,7 +84,7 @@
 
 
 class AppliedRequest(NamedTuple):
-    """The outcome of a request: its response, the state after it, and the writes to the map for that."""
+    """The outcome of a request: its response, the state after it, and the writes that lead to that state."""
 
     response: Response
     state: Keyspace
@@ -93,7 +93,7 @@
 
 
 class Keyspace:
-    """The state that a map holds.  Immutable; `apply` makes the next."""
+    """The state decoded from a map.  It is immutable; `apply` returns the next state."""
 
     __slots__ = ("_sorted_keys", "header", "keys", "lease_keys", "leases")
 
@@ -105,20 +105,20 @@
         lease_keys: Map[int, frozenset[bytes]],
         sorted_keys: list[bytes] | None = None,
     ) -> None:
-        """Takes the parts of a state.
+        """Create a state from its parts.
 
         Args:
             header: the record of the state as a whole.
             keys: records by key.
             leases: seconds to live by lease id.
-            lease_keys: the keys attached to each lease that has any.
+            lease_keys: attached keys by lease id; leases without keys are missing.
             sorted_keys: the keys in order, if they are known already.
         """
         self.header = header
         self.keys = keys
         self.leases = leases
         self.lease_keys = lease_keys
-        self._sorted_keys = sorted_keys  # sorted when first needed
+        self._sorted_keys = sorted_keys  # None: sorted on first use
 
     @classmethod
     def from_content(cls, content: Content) -> Keyspace:
@@ -144,11 +144,11 @@
 
     @property
     def revision(self) -> int:
-        """The number of the newest change."""
+        """The revision of this state."""
         return self.header.revision
 
     def keys_in_range(self, first: bytes, end: bytes) -> list[bytes]:
-        """The keys of a range, in order."""
+        """Return the keys of a range, in order."""
         if not end:
             return [first] if first in self.keys else []
         if self._sorted_keys is None:
@@ -158,14 +158,14 @@
         return self._sorted_keys[start:stop]
 
     def keys_of_lease(self, lease: int) -> frozenset[bytes]:
-        """The keys that are attached to a lease."""
+        """Return the keys that are attached to a lease."""
         return self.lease_keys.get(lease, frozenset())
 
     def apply(self, request: StateRequest) -> AppliedRequest:
-        """Carry out a request.
+        """Execute a request.
 
         Raises:
-            RequestError: the request is invalid or cannot be carried out, and nothing has changed.
+            RequestError: the request is invalid or cannot be executed, and nothing has changed.
         """
         execution = _Execution(self)
         response: Response
@@ -188,33 +188,33 @@
         *,
         same_keys: bool,
     ) -> Keyspace:
-        """The state that follows; with `same_keys` no key was created or deleted."""
+        """Return the next state; `same_keys` means that no key was created or deleted."""
         return Keyspace(header, keys, leases, lease_keys, self._sorted_keys if same_keys else None)
 
 
 class _Execution:
-    """One request being carried out."""
+    """The execution of one request."""
 
     def __init__(self, state: Keyspace) -> None:
-        """Starts from `state`, which stays as it is."""
+        """Start from `state`, which is not modified."""
         self.before = state
         self.keys = state.keys
         self.leases = state.leases
         self.lease_keys = state.lease_keys
         self.size = state.header.size
         self.lease_counter = state.header.lease_counter
-        self.changed: dict[bytes, Record | None] = {}  # keys that were written or deleted
+        self.changed: dict[bytes, Record | None] = {}  # new records by key; None: the key was deleted
         self.lease_writes: list[tuple[bytes, bytes | None]] = []
-        self.same_keys = True  # none was created or deleted
-        self.next_revision = state.revision + 1  # of whatever this request writes
+        self.same_keys = True  # whether no key was created or deleted
+        self.next_revision = state.revision + 1  # the revision of this request's writes
 
     @property
     def revision(self) -> int:
-        """The revision of the state as it is now, in the middle of the request."""
+        """The revision of the state after the operations executed so far."""
         return self.next_revision if self.changed else self.next_revision - 1
 
     def finish(self, response: Response) -> AppliedRequest:
-        """The outcome, with this response."""
+        """Return the outcome of the request, with the given response."""
         if not self.changed and not self.lease_writes:
             return AppliedRequest(response, self.before, (), ())
         header = Header(self.revision, self.lease_counter, self.size)
@@ -233,10 +233,10 @@
     # -- keys
 
     def transaction(self, txn: Txn) -> TxnResponse:
-        """Carry out the branch that the compares choose."""
-        for part, name in ((txn.compares, "compare"), (txn.success, "success"), (txn.failure, "failure")):
-            if len(part) > MAX_TXN_OPERATIONS:
-                raise _invalid(f"{name}: {len(part)} of at most {MAX_TXN_OPERATIONS}")
+        """Execute the branch that the compares select."""
+        for items, name in ((txn.compares, "compare"), (txn.success, "success"), (txn.failure, "failure")):
+            if len(items) > MAX_TXN_OPERATIONS:
+                raise _invalid(f"{name}: {len(items)} of at most {MAX_TXN_OPERATIONS}")
         for branch in (txn.success, txn.failure):
             _check_written_once(branch)
         succeeded = all(self._holds(compare) for compare in txn.compares)
@@ -251,7 +251,7 @@
             if not isinstance(compare.value, bytes):
                 raise _invalid("compare: a value is bytes")
             if record is None:
-                return False  # as in etcd: a missing key has no value to compare
+                return False  # A missing key has no value to compare, as in etcd.
             return _compare(record.value, compare.relation, compare.value)
         if not isinstance(compare.value, int):
             raise _invalid("compare: expected a number")
@@ -266,7 +266,7 @@
         return _compare(found, compare.relation, compare.value)
 
     def operation(self, operation: Operation) -> OperationResponse:
-        """Carry out one operation."""
+        """Execute one operation."""
         if isinstance(operation, Put):
             return self._put(operation)
         if isinstance(operation, DeleteRange):
@@ -278,8 +278,8 @@
         _check_key(end, may_be_empty=True)
         if self.same_keys:
             return self.before.keys_in_range(first, end)
-        now = Keyspace(self.before.header, self.keys, self.leases, self.lease_keys)
-        return now.keys_in_range(first, end)
+        current = Keyspace(self.before.header, self.keys, self.leases, self.lease_keys)
+        return current.keys_in_range(first, end)
 
     def _range(self, request: Range) -> RangeResponse:
         if request.revision < 0 or request.limit < 0:
@@ -319,14 +319,19 @@
         return PutResponse(self.next_revision, previous if request.previous else None)
 
     def _grow(self, request: Put, previous: Record | None) -> None:
-        """Count a put's bytes; a state at its limit can still shrink."""
+        """Add the size of a put to that of the state.
+
+        A state at its limit still accepts puts that do not increase its size.
+        """
         size = self.size + len(request.value)
         if previous is None:
             size += len(request.key) + RECORD_OVERHEAD_BYTES
         else:
             size -= len(previous.value)
         if size > MAX_STATE_BYTES and size > self.size:
-            raise RequestError(StatusCode.RESOURCE_EXHAUSTED, f"the state would pass {MAX_STATE_BYTES} bytes")
+            raise RequestError(
+                StatusCode.RESOURCE_EXHAUSTED, f"the state would exceed {MAX_STATE_BYTES} bytes"
+            )
         self.size = size
 
     def _delete(self, request: DeleteRange) -> DeleteRangeResponse:
@@ -373,7 +378,7 @@
         return LeaseResponse(self.revision, lease, request.ttl, request.ttl)
 
     def revoke(self, request: LeaseRevoke) -> LeaseResponse:
-        """End a lease, and delete its keys."""
+        """End a lease, and delete the keys attached to it."""
         if request.id not in self.leases:
             raise RequestError(StatusCode.NOT_FOUND, "requested lease not found")
         for key in sorted(self.lease_keys.get(request.id, frozenset())):
@@ -384,12 +389,12 @@
 
 
 def lease_key(lease: int) -> bytes:
-    """The key of a lease's record in the map."""
+    """Return the key of a lease's record in the map."""
     return LEASE_PREFIX + lease.to_bytes(8, "big")
 
 
 def apply_writes(content: Content, writes: Iterable[tuple[bytes, bytes | None]]) -> Content:
-    """The map after the writes."""
+    """Return the map after the writes."""
     change = content.mutate()
     for name, data in writes:
         if data is not None:
--- a/heronreel/coordination/kv_service.py
+++ b/heronreel/coordination/kv_service.py
@@ -1,9 +1,12 @@
-"""A member's service to clients: requests in rounds, lease expiry, watches.  Pure, as the consensus core is.
+"""The key-value service of a member: requests in rounds, lease expiry, and watches.
 
-Requests that arrive while a round is in flight wait for the next one.  A round's requests are applied one
-after the other, and are answered once a quorum has accepted the round.  Reads and renewals take part in a
-round as writes do, so whatever is answered was so while this member led.  Only the leader counts the time
-of leases: from after it granted or renewed them, and whoever becomes the leader counts all of them anew.
+Like the consensus core, it does no I/O.
+
+Requests that arrive while a round is in flight wait for the next one.  The requests of a round are applied
+one after the other, and are answered once a quorum has accepted the round.  Reads and renewals are part of a
+round as writes are, so every response was correct at a time when this member led.  Only the leader measures
+the time of leases, starting after it has granted or renewed them; a new leader restarts the time of all
+leases.
 """
 
 from __future__ import annotations
@@ -21,9 +24,10 @@
 from heronreel.coordination.request_batch import RequestBatch, RequestCompleted
 from heronreel.coordination.watches import WatchHub, WatchNotified
 
-DESIRED_MEMBERS_KEY = b"group/members"  # the names of the desired members; without it: the present ones
+# The key holds the names of the desired members; without it, the present members are the desired ones.
+DESIRED_MEMBERS_KEY = b"group/members"
 MAX_MEMBERS = 7
-MAX_PENDING_REQUESTS = 20_000  # that wait for a round
+MAX_PENDING_REQUESTS = 20_000  # Limits the requests that wait for a round.
 
 NO_LEADER = "etcdserver: no leader"
 TOO_MANY_REQUESTS = "etcdserver: too many requests"
@@ -32,7 +36,7 @@
 
 
 class LeaseExpired(NamedTuple):
-    """The group ends a lease that was not renewed; for the log."""
+    """The group ends a lease that was not renewed.  The server process logs this."""
 
     lease: int
 
@@ -44,7 +48,7 @@
 class _PendingRequest(NamedTuple):
     request_id: int
     request: Request
-    deadline: float  # after it, nobody waits for the response
+    deadline: float  # the time after which the client no longer waits for the response
 
 
 class _RoundInFlight(NamedTuple):
@@ -53,19 +57,20 @@
 
 
 class KeyValueService:
-    """Requests, leases and watches of one member."""
+    """The requests, leases and watches of one member."""
 
     def __init__(self, member: ConsensusMember, *, max_clock_drift: float = 0.01) -> None:
         """`max_clock_drift`: how much faster or slower than true time a clock may run, as a fraction."""
         self.member = member
-        self.state = Keyspace.from_content(member.content)  # committed; valid while this member leads
+        # The committed state, which is valid while this member leads.
+        self.state = Keyspace.from_content(member.content)
         self.lease_deadlines = LeaseDeadlines(max_clock_drift)
         self._pending: deque[_PendingRequest] = deque()
         self._round: _RoundInFlight | None = None
         self._watches = WatchHub()
 
     def fork(self) -> KeyValueService:
-        """A copy that goes on independently."""
+        """Return an independent copy."""
         forked = copy.copy(self)
         forked.member = self.member.fork()
         forked.lease_deadlines = self.lease_deadlines.fork()
@@ -74,7 +79,7 @@
         return forked
 
     def next_wakeup(self) -> float:
-        """When `tick` has something to do, unless another event comes first."""
+        """Return the time at which `tick` has work to do, unless another event occurs first."""
         wakeup = self.member.next_wakeup()
         if self.member.is_leader and self._round is None:
             wakeup = min(wakeup, self.lease_deadlines.earliest)
@@ -83,7 +88,7 @@
     # -- events
 
     def submit(self, now: float, request_id: int, request: Request, deadline: float) -> Outputs:
-        """A client's request.  It is not begun any more from `deadline` on."""
+        """Queue a client's request.  It is not started at `deadline` or later."""
         if not self.member.is_leader:
             return [RequestCompleted(request_id, RequestError(StatusCode.UNAVAILABLE, NO_LEADER))]
         if len(self._pending) >= MAX_PENDING_REQUESTS:
@@ -93,21 +98,21 @@
         return self._start_round(now)
 
     def watch(self, watch_id: int, key: bytes, end: bytes, start_revision: int) -> Outputs:
-        """Notify of a range's changes from the revision `start_revision`, or from now on with 0."""
+        """Watch the changes of a range from `start_revision` on; 0 means the next revision."""
         if not self.member.is_leader:
             return [WatchNotified(watch_id, 0, (), ended=True)]
         return [self._watches.add(watch_id, key, end, start_revision, self.state.revision)]
 
     def cancel_watch(self, watch_id: int) -> None:
-        """Notify a watch no more."""
+        """Remove a watch."""
         self._watches.remove(watch_id)
 
     def tick(self, now: float) -> Outputs:
-        """Time has passed."""
+        """Handle the passing of time."""
         return self.handle_actions(now, self.member.tick(now))
 
     def handle_actions(self, now: float, actions: Actions) -> Outputs:
-        """What the member did on an event of its own: `receive` or `persisted`."""
+        """Process the actions that the member returned for an event, for example `receive` or `persisted`."""
         outputs: Outputs = []
         for action in actions:
             if isinstance(action, Elected):
@@ -123,13 +128,13 @@
         return outputs + self._start_round(now)
 
     def stop_leading(self) -> Outputs:
-        """Fail all requests and end all watches: this member no longer leads, or stops."""
+        """Fail all requests and end all watches, because this member no longer leads or is stopping."""
         outputs: Outputs = []
         if self._round is not None:
             outputs += map(_with_unknown_outcome, self._round.batch.completed)
             self._round = None
-        not_begun = RequestError(StatusCode.UNAVAILABLE, LEADER_CHANGED)
-        outputs += [RequestCompleted(pending.request_id, not_begun) for pending in self._pending]
+        not_started = RequestError(StatusCode.UNAVAILABLE, LEADER_CHANGED)
+        outputs += [RequestCompleted(pending.request_id, not_started) for pending in self._pending]
         self._pending.clear()
         outputs += self._watches.end_all(self.state.revision)
         self.lease_deadlines.clear()
@@ -148,7 +153,7 @@
         self.member.desired_members = None if record is None else parse_member_names(record.value)
 
     def _start_round(self, now: float) -> Outputs:
-        """Begin a round, if there is something for one to do and none is in flight."""
+        """Start a round if requests are pending or leases have expired, and no round is in flight."""
         if not self._may_start_round(now):
             return []
         batch = RequestBatch(now, self.state, self.lease_deadlines)
@@ -165,10 +170,12 @@
             return False
         if not self._pending and self.lease_deadlines.earliest > now:
             return False
-        return not member.has_membership_change  # such a round goes first: a tick begins it
+        return (
+            not member.has_membership_change
+        )  # The next tick starts the round of a membership change first.
 
     def _fill(self, batch: RequestBatch) -> Outputs:
-        """Put expired leases and pending requests into a batch."""
+        """Add expired leases and pending requests to a batch."""
         outputs: Outputs = []
         for lease in self.lease_deadlines.expired(batch.now):
             batch.expire(lease)
@@ -176,14 +183,14 @@
         while self._pending and not batch.is_full:
             pending = self._pending.popleft()
             if pending.deadline <= batch.now:
-                late = RequestError(StatusCode.UNAVAILABLE, REQUEST_TIMED_OUT)
-                outputs.append(RequestCompleted(pending.request_id, late))
+                timed_out = RequestError(StatusCode.UNAVAILABLE, REQUEST_TIMED_OUT)
+                outputs.append(RequestCompleted(pending.request_id, timed_out))
             else:
                 batch.add(pending.request_id, pending.request)
         return outputs
 
     def _complete_round(self, now: float, number: int) -> Outputs:
-        """A round is committed: take over its state, and answer its requests."""
+        """Adopt the state of a committed round, and answer its requests."""
         if self._round is None or self._round.number != number:
             return []
         batch = self._round.batch
@@ -196,13 +203,16 @@
 
 
 def _with_unknown_outcome(completed: RequestCompleted) -> RequestCompleted:
-    """The outcome of a request whose round may have been committed or not; one that failed has failed."""
+    """Return the outcome of a request if it is unknown whether its round was committed.
+
+    A request that had failed in the round has failed in either case.
+    """
     if isinstance(completed.response, RequestError):
         return completed
     return completed._replace(response=RequestError(StatusCode.UNKNOWN, LEADER_CHANGED))
 
 
 def parse_member_names(data: bytes) -> frozenset[str] | None:
-    """The names in a value of `DESIRED_MEMBERS_KEY`; None for an invalid one, which changes nothing."""
+    """Return the names in a value of `DESIRED_MEMBERS_KEY`; None if it is invalid, and has no effect."""
     names = frozenset(data.decode(errors="replace").split())
     return names if 0 < len(names) <= MAX_MEMBERS else None
--- a/heronreel/coordination/lease_deadlines.py
+++ b/heronreel/coordination/lease_deadlines.py
@@ -1,8 +1,8 @@
-"""When leases expire, on the clock of the member that leads.
+"""The expiry times of leases, on the clock of the leader.
 
-A holder counts its lease from before it sent the request; the group counts it from after it received the
-request, and longer by what two clocks may differ.  So a lease never expires here before its holder has
-stopped using it, as long as neither clock is off by more than the drift allowed for.
+A holder measures its lease from before it sent the request.  The group measures it from after it received
+the request, and extends it by the maximum drift of two clocks.  A lease therefore never expires in the group
+before its holder has stopped using it, as long as neither clock drifts by more than the configured maximum.
 """
 
 from __future__ import annotations
@@ -15,36 +15,36 @@
 
 
 class LeaseDeadlines:
-    """The deadlines of all leases."""
+    """The deadlines of all leases, in seconds of the leader's clock."""
 
     def __init__(self, max_clock_drift: float) -> None:
         """`max_clock_drift`: how much faster or slower than true time a clock may run, as a fraction."""
         self.max_clock_drift = max_clock_drift
         self.by_lease: Map[int, float] = Map()
-        self.earliest = math.inf  # the first deadline, or a time before it
+        self.earliest = math.inf  # a lower bound of all deadlines
 
     def fork(self) -> LeaseDeadlines:
-        """A copy that goes on independently."""
+        """Return an independent copy."""
         return copy.copy(self)
 
     def restart(self, now: float, leases: Mapping[int, int]) -> None:
-        """Count all leases anew from now; `leases` has their seconds to live by number."""
+        """Restart the time of all leases at `now`; `leases` maps their ids to their seconds to live."""
         self.by_lease = Map({lease: self._deadline(now, ttl) for lease, ttl in leases.items()})
         self._find_earliest()
 
     def clear(self) -> None:
-        """Forget all leases: this member no longer leads."""
+        """Remove all deadlines, because this member no longer leads."""
         self.by_lease = Map()
         self.earliest = math.inf
 
     def expired(self, now: float) -> list[int]:
-        """The leases whose deadline has passed."""
+        """Return the leases whose deadline has passed."""
         if self.earliest > now:
             return []
         return [lease for lease, deadline in self.by_lease.items() if deadline <= now]
 
     def remaining(self, lease: int, now: float, ttl: int) -> int:
-        """The whole seconds that a lease has left; `ttl` if it is not counted yet."""
+        """Return the remaining time of a lease in whole seconds; `ttl` if it has no deadline yet."""
         return max(0, int(self.by_lease.get(lease, now + ttl) - now))
 
     def update(
@@ -54,7 +54,7 @@
         ended: Iterable[int],
         leases: Mapping[int, int],
     ) -> None:
-        """Apply a committed round.
+        """Apply the lease changes of a committed round.
 
         Args:
             now: the time in seconds.
--- a/heronreel/coordination/logs.py
+++ b/heronreel/coordination/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: lines of JSON on standard error, for every process that talks to a group."""
+"""Structured logs as JSON lines on standard error, for every process that uses a group."""
 
 from __future__ import annotations
 
--- a/heronreel/coordination/membership.py
+++ b/heronreel/coordination/membership.py
@@ -1,7 +1,7 @@
 """Membership: founding a group, admitting members with new disks, adding and removing members.
 
-Members are added, removed or readmitted one at a time, by a round of an established leader: any quorum before
-the change has a member in common with any quorum after it.
+An established leader adds, removes or readmits one member at a time, each by a round.  Any quorum before such
+a change therefore has a member in common with any quorum after it.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 # -- founding a group
 
 
-def greet(state: MemberState, now: float) -> Actions:
-    """Announce a new disk to all configured members, or found a group of one."""
+def send_hello(state: MemberState, now: float) -> Actions:
+    """Announce a new disk to all configured members; a sole configured member founds a group of one."""
     if state.configured_members == (state.name,):
         return _found_group(state, now)
     hello = Hello(state.name, state.incarnation)
@@ -34,7 +34,7 @@
 
 
 def receive_hello(state: MemberState, message: Hello) -> Actions:
-    """A member with a new disk: a leader admits it at its next tick."""
+    """Handle the announcement of a member with a new disk, which a leader admits at its next tick."""
     name = message.sender
     belongs = name in state.members or name in (state.desired_members or ())
     if state.role is Role.LEADER and belongs and state.members.get(name) != message.incarnation:
@@ -44,9 +44,10 @@
 
 
 def receive_status(state: MemberState, now: float, message: Status) -> Actions:
-    """The response to a greeting.
+    """Handle the response to a `Hello`.
 
-    Only the first member by name founds a group, and only if the disks of all others are new as well.
+    Only the configured member whose name sorts first founds a group, and only if the disks of all others are
+    new as well.
     """
     if state.role is not Role.NEW or state.group_id or state.name != state.configured_members[0]:
         return []
@@ -59,12 +60,12 @@
 
 
 def _found_group(state: MemberState, now: float) -> Actions:
-    """Lead a new group: its first version names all members, and each accepts it only if it is named."""
+    """Lead a new group.  Its first version names all members; a member accepts it only if it is named."""
     members = dict(sorted({**state.joining, state.name: state.incarnation}.items()))
     state.group_id = state.incarnation
     state.ballot = state.promised = Ballot(_FIRST_TERM, state.proposer_id())
     state.highest_term = _FIRST_TERM
-    state.newest = NO_SNAPSHOT
+    state.newest_snapshot = NO_SNAPSHOT
     state.joining = Map()
     state.members = Map(members)
     return lead(state, now, ((MEMBERSHIP_KEY, encode_membership(members)),))
@@ -74,10 +75,10 @@
 
 
 def admit_member(state: MemberState, now: float) -> Actions:
-    """Admit the first by name of the members with new disks.
+    """Admit the member with a new disk whose name sorts first.
 
-    A readmitted member does not count towards the quorum of this round, since it has forgotten what it
-    promised.  An added member does.
+    A readmitted member does not count towards the quorum of this round, since it has lost its promises.  An
+    added member does.
     """
     name, incarnation = min(state.joining.items())
     state.joining = state.joining.delete(name)
@@ -89,13 +90,13 @@
     if not state.guards.single_change:
         members |= state.joining
     state.last_contact = state.last_contact.set(name, now)
-    return _change_members(state, now, members, uncounted="" if is_added else name)
+    return _change_members(state, now, members, excluded_voter="" if is_added else name)
 
 
 def surplus_members(state: MemberState) -> list[str]:
-    """The members to be removed, in this order, once all desired ones are present.
+    """Return the members to remove, in order; none until all desired members have been added.
 
-    Those that have been silent for longest come first, and this member comes last.
+    The members that have not responded for the longest time come first, and this member comes last.
     """
     present = frozenset(state.members)
     if not state.desired_members or not state.desired_members <= present:
@@ -105,7 +106,7 @@
 
 
 def remove_member(state: MemberState, now: float) -> Actions:
-    """Remove the first of the surplus members."""
+    """Remove the first surplus member."""
     surplus = surplus_members(state)
     removed = surplus[:1] if state.guards.single_change else surplus
     members = {name: incarnation for name, incarnation in state.members.items() if name not in removed}
@@ -113,7 +114,7 @@
 
 
 def _change_members(
-    state: MemberState, now: float, members: Mapping[str, str], *, uncounted: str = ""
+    state: MemberState, now: float, members: Mapping[str, str], *, excluded_voter: str = ""
 ) -> Actions:
     members = dict(sorted(members.items()))
     changed = [name for name, incarnation in state.members.items() if members.get(name) != incarnation]
@@ -121,19 +122,21 @@
     for name in changed:
         state.acknowledgements = _without(state.acknowledgements, name)
         state.confirmed_versions = _without(state.confirmed_versions, name)
-    return start_round(state, now, ((MEMBERSHIP_KEY, encode_membership(members)),), uncounted=uncounted)
+    return start_round(
+        state, now, ((MEMBERSHIP_KEY, encode_membership(members)),), excluded_voter=excluded_voter
+    )
 
 
-def _without(rows: Map[str, V], name: str) -> Map[str, V]:
-    return rows.delete(name) if name in rows else rows
+def _without(entries: Map[str, V], name: str) -> Map[str, V]:
+    return entries.delete(name) if name in entries else entries
 
 
 # -- a disk that was rolled back
 
 
 def receive_reset_disk(state: MemberState, message: ResetDisk) -> Actions:
-    """A leader knows that this disk held a newer version than it does."""
-    is_ours = message.group_id == state.group_id and message.receiver_incarnation == state.incarnation
-    if not is_ours or message.ballot < state.promised:
+    """Handle a leader's report that this disk has confirmed a newer version than it holds now."""
+    is_addressed = message.group_id == state.group_id and message.receiver_incarnation == state.incarnation
+    if not is_addressed or message.ballot < state.promised:
         return []
-    return [EraseDisk(f"{message.sender} knows that this disk held more")]
+    return [EraseDisk(f"{message.sender} reports that this disk has confirmed a newer version than it holds")]
--- a/heronreel/coordination/model.py
+++ b/heronreel/coordination/model.py
@@ -1,7 +1,7 @@
 """The requests to a group and its responses.  The names are those of etcd's v3 interface.
 
-Keys and values are bytes.  A revision counts the changes of the whole state, from 1 for the empty one.
-Times to live are whole seconds.
+Keys and values are bytes.  A revision is the number of a state: the empty state has revision 1, and each
+request that changes keys adds one.  Times to live are whole seconds.
 """
 
 from __future__ import annotations
@@ -13,42 +13,46 @@
 
 from heronreel.coordination.errors import RequestError
 
-MAX_KEY_BYTES = 1024  # bytes of a key
-MAX_VALUE_BYTES = 256 << 10  # bytes of a value
-MAX_TXN_OPERATIONS = 128  # in one transaction, each way, and as many compares
-MAX_STATE_BYTES = 8 << 20  # bytes of all keys, values and leases together: a whole state is one message
+MAX_KEY_BYTES = 1024
+MAX_VALUE_BYTES = 256 << 10
+MAX_TXN_OPERATIONS = 128  # Limits each of a transaction's compares, success branch and failure branch.
+# Limits the size of all keys and values together, because a snapshot of the state is sent as one message.
+MAX_STATE_BYTES = 8 << 20
 MAX_LEASES = 20_000
-MAX_TTL_S = 24 * 3600  # seconds
+MAX_TTL_S = 24 * 3600
 MAX_LEASE_ID = (1 << 63) - 1
 
 
-ALL_FOLLOWING_KEYS = b"\0"  # as the end of a range
+ALL_FOLLOWING_KEYS = b"\0"  # As the end of a range, this means that the range has no upper bound.
 
 
 def prefix_end(prefix: bytes) -> bytes:
-    """The end of the range of keys that begin with `prefix`."""
+    """Return the end of the range of keys that begin with `prefix`.
+
+    The last byte of `prefix` must be below 0xFF.
+    """
     return prefix[:-1] + bytes([prefix[-1] + 1])
 
 
 def key_in_range(key: bytes, first: bytes, end: bytes) -> bool:
-    """Whether a key is in the range from `first` up to `end`, in the notation of `Range`."""
+    """Return whether a key is in the range from `first` to `end`, which are given as in `Range`."""
     if not end:
         return key == first
     return key >= first and (end == ALL_FOLLOWING_KEYS or key < end)
 
 
 class Record(NamedTuple):
-    """What a key holds."""
+    """The value of a key and its metadata."""
 
     value: bytes
-    create_revision: int  # that created the key
-    mod_revision: int  # that last wrote it
-    version: int  # writes since it was created, from 1
-    lease: int  # the lease that it is deleted with; 0: none
+    create_revision: int  # the revision at which the key was created
+    mod_revision: int  # the revision of the last write
+    version: int  # the number of writes since the key was created, starting at 1
+    lease: int  # the id of the lease whose end deletes the key; 0: none
 
 
 class CompareTarget(enum.Enum):
-    """What of a record is compared."""
+    """The field of a record that a transaction compares."""
 
     VERSION = "VERSION"
     CREATE = "CREATE"
@@ -58,7 +62,7 @@
 
 
 class CompareOperator(enum.Enum):
-    """How the record's part, on the left, is compared with the given value."""
+    """The comparison of a record's field (left operand) with the given value (right operand)."""
 
     EQUAL = "EQUAL"
     GREATER = "GREATER"
@@ -67,7 +71,10 @@
 
 
 class Compare(msgspec.Struct, frozen=True):
-    """A condition on a key's record.  A missing key has 0 of everything, and no value."""
+    """A condition on a key's record.
+
+    All numeric fields of a missing key are 0; a comparison of its value is false.
+    """
 
     key: bytes
     target: CompareTarget
@@ -76,15 +83,15 @@
 
 
 class Range(msgspec.Struct, frozen=True):
-    """The keys from `key` up to, and without, `end`.
+    """Read the keys from `key` (inclusive) to `end` (exclusive).
 
-    An empty `end` means the one key, and `ALL_FOLLOWING_KEYS` all from `key` on.
+    An empty `end` selects only `key`, and `ALL_FOLLOWING_KEYS` selects every key from `key` on.
     """
 
     key: bytes
     end: bytes = b""
-    limit: int = 0  # of records in the response; 0: none
-    revision: int = 0  # 0: the newest; older ones are not kept
+    limit: int = 0  # the maximum number of records in the response; 0: no limit
+    revision: int = 0  # the revision to read; 0: the newest.  Older revisions are not kept.
     keys_only: bool = False
     count_only: bool = False
 
@@ -95,7 +102,7 @@
     key: bytes
     value: bytes
     lease: int = 0
-    previous: bool = False  # whether the response has the record before
+    previous: bool = False  # whether the response includes the replaced record
 
 
 class DeleteRange(msgspec.Struct, frozen=True):
@@ -103,14 +110,14 @@
 
     key: bytes
     end: bytes = b""
-    previous: bool = False  # whether the response has the deleted records
+    previous: bool = False  # whether the response includes the deleted records
 
 
 Operation = Range | Put | DeleteRange
 
 
 class Txn(msgspec.Struct, frozen=True):
-    """Carry out `success` if all compares hold, and `failure` otherwise; atomically either way."""
+    """Execute the operations of `success` if all compares are true, else those of `failure`, atomically."""
 
     compares: tuple[Compare, ...] = ()
     success: tuple[Operation, ...] = ()
@@ -118,52 +125,57 @@
 
     @property
     def writes(self) -> bool:
-        """Whether it may change anything."""
+        """Whether the transaction contains an operation that may change the state."""
         return any(not isinstance(each, Range) for each in (*self.success, *self.failure))
 
 
 class LeaseGrant(msgspec.Struct, frozen=True):
-    """Grant a lease of `ttl` seconds.  With `id` 0 the group chooses one; a given one must not exist."""
+    """Grant a lease of `ttl` seconds.
+
+    With `id` 0 the group chooses an id.  No lease with a given id may exist already.
+    """
 
     ttl: int
     id: int = 0
 
 
 class LeaseRevoke(msgspec.Struct, frozen=True):
-    """End a lease, and delete its keys."""
+    """End a lease, and delete the keys attached to it."""
 
     id: int
 
 
 class LeaseKeepAlive(msgspec.Struct, frozen=True):
-    """Renew a lease for its granted time."""
+    """Renew a lease for its granted time to live."""
 
     id: int
 
 
 class LeaseTimeToLive(msgspec.Struct, frozen=True):
-    """The time a lease has left, and with `keys` the keys attached to it."""
+    """Read the remaining time of a lease, and with `keys` also the keys attached to it."""
 
     id: int
     keys: bool = False
 
 
 class LeaseList(msgspec.Struct, frozen=True):
-    """The ids of all leases, in ascending order."""
+    """Read the ids of all leases, in ascending order."""
 
 
-StateRequest = Range | Put | DeleteRange | Txn | LeaseGrant | LeaseRevoke  # the state alone decides these
-LeaseTimeRequest = LeaseKeepAlive | LeaseTimeToLive | LeaseList  # only the leader knows the time of leases
+# The response to these requests depends on the replicated state only.
+StateRequest = Range | Put | DeleteRange | Txn | LeaseGrant | LeaseRevoke
+# These requests are answered by the leader, which alone measures the time of leases.
+LeaseTimeRequest = LeaseKeepAlive | LeaseTimeToLive | LeaseList
 Request = StateRequest | LeaseTimeRequest
 
 
 class RangeResponse(NamedTuple):
-    """The records of a range, in the order of their keys."""
+    """The response to `Range`: the records, in the order of their keys."""
 
     revision: int
     records: tuple[tuple[bytes, Record], ...]
-    total: int  # of keys in the range, whatever the limit
-    more: bool  # whether the limit cut some off
+    total: int  # the number of keys in the range, regardless of the limit
+    more: bool  # whether the limit excluded keys of the range
 
 
 class PutResponse(NamedTuple):
@@ -177,7 +189,7 @@
     """The response to `DeleteRange`."""
 
     revision: int
-    deleted: int  # how many keys
+    deleted: int  # the number of deleted keys
     previous: tuple[tuple[bytes, Record], ...]
 
 
@@ -185,7 +197,7 @@
 
 
 class TxnResponse(NamedTuple):
-    """The response to `Txn`: which branch was carried out, and the responses to its operations."""
+    """The response to `Txn`: which branch was executed, and the responses to its operations."""
 
     revision: int
     succeeded: bool
@@ -193,9 +205,9 @@
 
 
 class LeaseResponse(NamedTuple):
-    """The response to grant, revoke, keep-alive and time-to-live.
+    """The response to `LeaseGrant`, `LeaseRevoke`, `LeaseKeepAlive` and `LeaseTimeToLive`.
 
-    The `ttl` is 0 or below if the lease has ended.
+    The `ttl` is 0 or negative if the lease does not exist any more.
     """
 
     revision: int
@@ -217,9 +229,9 @@
 
 
 class Event(NamedTuple):
-    """One change of one key, as watches report it."""
+    """A change of one key, as reported to watches."""
 
     key: bytes
-    record: Record | None  # None: the key was deleted
-    previous: Record | None
+    record: Record | None  # the record after the change; None: the key was deleted
+    previous: Record | None  # the record before the change; None: the key did not exist
     revision: int
--- a/heronreel/coordination/replication.py
+++ b/heronreel/coordination/replication.py
@@ -1,8 +1,8 @@
 """The leader's side of replication: one round at a time, until a quorum has accepted it.
 
-A round with writes makes the next version of the map.  A round without writes changes nothing: once a
-quorum has accepted it, the leader is known to have still led when it began, so it may answer reads and
-renewals.
+A round with writes creates the next version of the map.  A round without writes changes nothing: its
+acceptance by a quorum proves that the leader still led when the round began, so the leader may answer reads
+and lease renewals.
 """
 
 from __future__ import annotations
@@ -29,63 +29,64 @@
 
 
 def lead(state: MemberState, now: float, writes: Writes) -> Actions:
-    """Begin to lead: the first round of a ballot writes the newest reported snapshot under that ballot."""
+    """Start to lead: the first round of a ballot writes the newest reported snapshot under that ballot."""
     state.role = Role.LEADER
     state.leader = state.name
     state.established = False
     state.round_number = 0
-    # Versions confirmed under earlier ballots: whoever responds to this ballot has them, or has lost them.
+    # These versions were confirmed under earlier ballots.  A member that responds to this ballot with an
+    # older version has lost the confirmed one.
     state.acknowledgements = Map(
         {name: Acknowledgement(version, 0) for name, version in state.confirmed_versions.items()}
     )
     state.last_contact = Map({name: now for name in state.members})
-    replaces_all = state.newest.version != state.version
-    state.version, state.content = state.newest
+    replaces_all = state.newest_snapshot.version != state.version
+    state.version, state.content = state.newest_snapshot
     reported = {
         name: promise.version
         for name, promise in state.promises.items()
         if state.members.get(name) == promise.incarnation
     }
     state.promises = Map()
-    state.newest = NO_SNAPSHOT
+    state.newest_snapshot = NO_SNAPSHOT
     _begin_round(state, now)
     return _replicate(state, writes, replaces_all=replaces_all, reported=reported)
 
 
-def start_round(state: MemberState, now: float, writes: Writes, *, uncounted: str = "") -> Actions:
-    """Begin the next round, with writes or without.
+def start_round(state: MemberState, now: float, writes: Writes, *, excluded_voter: str = "") -> Actions:
+    """Start the next round, with writes or without.
 
-    `uncounted` names a member whose response does not count towards the quorum.
+    `excluded_voter` names a member whose response does not count towards the quorum.
     """
-    _begin_round(state, now, uncounted)
+    _begin_round(state, now, excluded_voter)
     if writes:
-        return _replicate(state, writes, uncounted=uncounted)
+        return _replicate(state, writes, excluded_voter=excluded_voter)
     committed_alone = _count_acceptance(state, now, state.name)
     return committed_alone or send_round(state)
 
 
-def _begin_round(state: MemberState, now: float, uncounted: str = "") -> None:
+def _begin_round(state: MemberState, now: float, excluded_voter: str = "") -> None:
     state.round_number += 1
     state.round_sent_at = now
     state.round_started_at = now
-    state.round_in_flight = Round(state.round_number, None, (), frozenset(), uncounted)
+    state.round_in_flight = Round(state.round_number, None, (), frozenset(), excluded_voter)
 
 
 def _replicate(
     state: MemberState,
     writes: Writes,
     *,
-    uncounted: str = "",
+    excluded_voter: str = "",
     replaces_all: bool = False,
     reported: Mapping[str, Version] | None = None,
 ) -> Actions:
-    """Make the next version of the map, and send it to the others while this member's own disk writes it."""
+    """Create the next version of the map, and send it to the others while this member's disk writes it."""
     base = state.version
     writes = _with_confirmed_versions(state, writes)
     step = state.version.step + 1 if state.version.ballot == state.ballot else 1
     state.version = Version(*state.ballot, step)
     state.content = apply_writes(state.content, writes)
-    state.round_in_flight = Round(state.round_number, base, writes, frozenset(), uncounted)
+    state.round_in_flight = Round(state.round_number, base, writes, frozenset(), excluded_voter)
     sends = send_round(state, reported)
     durable_writes = tuple(sorted(state.content.items())) if replaces_all else writes
     persist = state.persist(durable_writes, (), replaces_all=replaces_all)
@@ -94,7 +95,7 @@
 
 
 def _with_confirmed_versions(state: MemberState, writes: Writes) -> Writes:
-    """The writes, and the record of confirmed versions if it has changed."""
+    """Return the writes, with the record of confirmed versions added if it has changed."""
     versions = {name: known.version for name, known in sorted(state.acknowledgements.items())}
     if state.version != NO_VERSION:
         versions[state.name] = state.version
@@ -110,8 +111,9 @@
 def send_round(state: MemberState, reported: Mapping[str, Version] | None = None) -> Actions:
     """Send the round in flight to all members that have not accepted it.
 
-    `reported` has the versions that members are known to hold.  A member that has reported none gets the
-    writes alone: its response reports its version, which is checked before it is sent the whole map.
+    `reported` maps member names to the versions that the members have reported.  A member without a reported
+    version gets only the writes: its response reports its version, which is checked before the whole map is
+    sent to it.
     """
     assert state.round_in_flight is not None
     sends: Actions = []
@@ -127,7 +129,7 @@
 
 
 def retransmit_round(state: MemberState, now: float) -> Actions:
-    """Send the round in flight again, if its retransmit interval has passed."""
+    """Retransmit the round in flight, if the retransmit interval has passed."""
     if now < state.round_sent_at + state.timing.retransmit_interval_s:
         return []
     state.round_sent_at = now
@@ -135,7 +137,7 @@
 
 
 def has_quorum_contact(state: MemberState, now: float) -> bool:
-    """Whether a quorum, this member included, has responded recently enough to go on leading."""
+    """Return whether a quorum, including this member, has responded within the step-down timeout."""
     reached = 0
     for name in state.members:
         silence = now - state.last_contact.get(name, now)
@@ -144,7 +146,7 @@
 
 
 def _confirmed_version(state: MemberState, name: str) -> Version:
-    """The newest version that a member has confirmed to this leader, as far as it is known here."""
+    """Return the newest version that a member is known to have confirmed."""
     if not state.guards.rollback:
         return NO_VERSION
     return state.acknowledgements.get(name, NO_ACKNOWLEDGEMENT).version
@@ -155,7 +157,7 @@
 
 
 def _accept_message(state: MemberState, name: str, reported: Version | None) -> Accept:
-    """The round for one member: the writes alone, or the whole map if it is known to need that."""
+    """Return the round for one member: the writes, or the whole map if its version is not the base."""
     current = state.round_in_flight
     base: Version | None = state.version
     writes: Writes = ()
@@ -182,7 +184,7 @@
 
 
 def receive_accepted(state: MemberState, now: float, message: Accepted) -> Actions:
-    """A response to a round."""
+    """Handle a response to a round."""
     state.highest_term = max(state.highest_term, message.promised.term)
     if state.role is not Role.LEADER or message.ballot != state.ballot:
         return []
@@ -195,7 +197,7 @@
     known = state.acknowledgements.get(name, NO_ACKNOWLEDGEMENT)
     if state.guards.rollback:
         if message.version < known.version and message.round_number > known.round_number:
-            # The response was given after the newer version was confirmed: the disk was rolled back.
+            # The member sent this response after it had confirmed a newer version: its disk was rolled back.
             return [_reset_disk(state, name, message.incarnation)]
         if message.version > known.version:
             acknowledgement = Acknowledgement(message.version, state.round_number)
@@ -208,15 +210,16 @@
 
 
 def record_own_acceptance(state: MemberState, now: float) -> Actions:
-    """This member's own part in the round in flight is durable."""
+    """Count this member's own acceptance of the round in flight, which is durable now."""
     return _count_acceptance(state, now, state.name)
 
 
 def _send_snapshot(state: MemberState, now: float, message: Accepted) -> Actions:
     """Send the whole map to a member that could not apply the writes of a round.
 
-    A member that has accepted an earlier round is on its way.  Whether the response is to the newest round
-    says nothing: a leader at work is always some rounds ahead.
+    A member that has accepted an earlier round does not need it: the later rounds are on their way to it.
+    The round number of the response is not a criterion, because a leader under load is always some rounds
+    ahead of the responses.
     """
     if message.accepted:
         return []
@@ -229,18 +232,18 @@
 
 
 def _count_acceptance(state: MemberState, now: float, name: str) -> Actions:
-    """One more member has accepted the round in flight."""
+    """Record that a member has accepted the round in flight, and commit it if a quorum has."""
     current = state.round_in_flight
     assert current is not None
     accepted_by = current.accepted_by | {name}
     state.round_in_flight = current._replace(accepted_by=accepted_by)
-    counted = (accepted_by & frozenset(state.members)) - {current.uncounted}
+    counted = (accepted_by & frozenset(state.members)) - {current.excluded_voter}
     if len(counted) < state.quorum_size(state.members):
         return []
     state.round_in_flight = None
     committed = RoundCommitted(current.number)
     if state.name not in state.members:
-        return [committed, *state.step_down(now)]  # its last round: it was removed
+        return [committed, *state.step_down(now)]  # This round has removed this member from the group.
     if not state.established:
         state.established = True
         return [Elected(state.ballot), committed]
--- a/heronreel/coordination/request_batch.py
+++ b/heronreel/coordination/request_batch.py
@@ -1,4 +1,4 @@
-"""The requests of one round: each is applied to the state that the one before it left."""
+"""The requests of one round, each applied to the state after the previous one."""
 
 from __future__ import annotations
 
@@ -23,34 +23,34 @@
 from heronreel.coordination.watches import Events
 
 MAX_BATCH_REQUESTS = 2_000
-MAX_BATCH_BYTES = 1 << 20  # of its writes; the last request may exceed it
+MAX_BATCH_BYTES = 1 << 20  # Limits the size of the writes; the last request may exceed the limit.
 
 
 class RequestCompleted(NamedTuple):
-    """The outcome of a request."""
+    """The response to a request, or the error that it failed with."""
 
     request_id: int
     response: ResponseOrError
 
 
 class RequestBatch:
-    """The requests of one round, and what they come to once it is committed."""
+    """The requests of one round, and their effects, which apply once the round is committed."""
 
     def __init__(self, now: float, state: Keyspace, deadlines: LeaseDeadlines) -> None:
-        """Starts empty, on the committed state."""
+        """Create an empty batch on the committed state."""
         self.now = now
-        self.state = state  # after the batch
+        self.state = state  # the state after the requests added so far
         self.deadlines = deadlines
         self.completed: list[RequestCompleted] = []
-        self.events: list[Events] = []  # one element a revision
-        self.renewed: list[tuple[int, int]] = []  # granted or renewed leases, with their seconds to live
-        self.ended: list[int] = []  # revoked or expired leases
+        self.events: list[Events] = []  # one element for each revision
+        self.renewed: list[tuple[int, int]] = []  # granted or renewed leases: id and seconds to live
+        self.ended: list[int] = []  # ids of revoked or expired leases
         self._writes: dict[bytes, bytes | None] = {}
         self._bytes = 0
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is nothing for a round to do."""
+        """Whether no request was added and no lease expired, so that no round is needed."""
         return not self.completed and not self.ended
 
     @property
@@ -60,7 +60,7 @@
 
     @property
     def writes(self) -> Writes:
-        """What the round writes to the map."""
+        """The writes of the round to the map."""
         return tuple(self._writes.items())
 
     def expire(self, lease: int) -> None:
@@ -69,15 +69,15 @@
         self.ended.append(lease)
 
     def add(self, request_id: int, request: Request) -> None:
-        """Carry out a request on the batch's state."""
+        """Execute a request on the state of the batch."""
         response: ResponseOrError
         try:
-            response = self._carry_out(request)
+            response = self._execute(request)
         except RequestError as error:
             response = error
         self.completed.append(RequestCompleted(request_id, response))
 
-    def _carry_out(self, request: Request) -> Response:
+    def _execute(self, request: Request) -> Response:
         if isinstance(request, LeaseList):
             return LeaseListResponse(self.state.revision, tuple(sorted(self.state.leases)))
         if isinstance(request, LeaseKeepAlive):
--- a/heronreel/coordination/settings.py
+++ b/heronreel/coordination/settings.py
@@ -1,7 +1,7 @@
-"""The configuration file of a group: its members, its time-outs, and how far clocks may differ.
+"""The configuration file of a group: its members, time-outs and maximum clock drift.
 
-`docs/coordination.md` shows one.  All problems of a file are reported together, each with its line and what
-would be right.  The fields of the tables are named as the keys of the file.
+`docs/coordination.md` has an example.  All problems of a file are reported together, each with its line and
+the expected value.  The fields of the tables have the names of the keys in the file.
 """
 
 from __future__ import annotations
@@ -25,11 +25,12 @@
 Name = Annotated[
     str,
     msgspec.Meta(
-        pattern=rf"\A{NAME.pattern}\Z", description="a name of small letters, digits and -, up to 63"
+        pattern=rf"\A{NAME.pattern}\Z",
+        description="a name of lower-case letters, digits and -, at most 63 characters",
     ),
 ]
 Address = Annotated[
-    str, msgspec.Meta(pattern=r"\A[0-9.]+:[0-9]{1,5}\Z", description='an address as "127.0.0.1:9001"')
+    str, msgspec.Meta(pattern=r"\A[0-9.]+:[0-9]{1,5}\Z", description='an address such as "127.0.0.1:9001"')
 ]
 Milliseconds = Annotated[
     int, msgspec.Meta(ge=10, le=60_000, description="whole milliseconds from 10 to 60,000")
@@ -37,7 +38,7 @@
 
 
 class MemberAddress(msgspec.Struct, frozen=True):
-    """One member, under [[members]]."""
+    """One member: a table under [[members]]."""
 
     name: Name
     address: Address
@@ -45,19 +46,19 @@
 
 
 class GroupSettings(msgspec.Struct, frozen=True):
-    """The table [group].  Names that end in `_ms` are in milliseconds, in `_s` in seconds."""
+    """The table [group].  Fields that end in `_ms` are in milliseconds, those in `_s` in seconds."""
 
     beat_ms: Milliseconds = 100  # the heartbeat interval of an idle leader
-    patience_ms: Milliseconds = 600  # the election timeout; up to twice as long is drawn
+    patience_ms: Milliseconds = 600  # the minimum election timeout; the maximum is twice as long
     request_ms: Milliseconds = 3000  # the time limit of a request
     clock_drift: Annotated[
-        float, msgspec.Meta(ge=0.0, le=0.2, description="a share from 0 to 0.2, as 0.01 for one in a hundred")
+        float, msgspec.Meta(ge=0.0, le=0.2, description="a share from 0 to 0.2, such as 0.01 for 1 %")
     ] = 0.01
     upkeep_s: Annotated[
-        float, msgspec.Meta(ge=0.0, le=30 * 86_400.0, description="seconds, or 0 for none")
-    ] = 0.0  # the period of the disks' compaction
+        float, msgspec.Meta(ge=0.0, le=30 * 86_400.0, description="seconds, or 0 for no compaction")
+    ] = 0.0  # the period of disk compaction
     even: Annotated[bool, msgspec.Meta(description="true or false")] = (
-        False  # accept an even number of members
+        False  # whether an even number of members is accepted
     )
     lease_s: Annotated[int, msgspec.Meta(ge=1, le=86_400, description="whole seconds from 1 to 86,400")] = 6
     margin_s: Annotated[float, msgspec.Meta(ge=0.0, le=3600.0, description="seconds from 0 to 3,600")] = 1.0
@@ -65,13 +66,13 @@
 
 
 class GroupConfig(msgspec.Struct, frozen=True):
-    """A group as its file, or a command line, describes it."""
+    """The configuration of a group, from its file or from a command line."""
 
     members: tuple[MemberAddress, ...]
     settings: GroupSettings = GroupSettings()
 
     def member(self, name: str) -> MemberAddress | None:
-        """The member of that name."""
+        """Return the member with that name, or None."""
         return next((member for member in self.members if member.name == name), None)
 
     @property
@@ -91,7 +92,7 @@
     """Read a group from TOML.
 
     Raises:
-        BadFile: with all problems found.
+        ConfigFileError: the file has problems; the error lists all of them.
     """
     raw, lines = parse_toml(data)
     reader = TableReader(raw, lines)
@@ -123,7 +124,10 @@
     if not members and not reader.problems:
         reader.wrong(("members",), "none", "at least one table under [[members]]")
     if members and len(members) % 2 == 0 and not settings.even:
-        right = f"{len(members) - 1} bear as many losses; even = true in [group] if it has to be"
+        right = (
+            f"an odd number: {len(members) - 1} tolerate as many failures; "
+            "set even = true in [group] to accept an even number"
+        )
         reader.wrong(("members",), f"{len(members)} members", right, "even")
 
 
@@ -131,7 +135,9 @@
     least = MIN_HEARTBEATS_PER_ELECTION_TIMEOUT * settings.beat_ms
     if settings.patience_ms < least:
         wrong = f"is {settings.patience_ms}"
-        reader.wrong(("group", "patience_ms"), wrong, f"at least {least}, three beats", "timing")
+        reader.wrong(
+            ("group", "patience_ms"), wrong, f"at least {least}, three heartbeat intervals", "timing"
+        )
     reader.lease(("group", "lease_s"), settings.lease_s, settings.answer_s, settings.margin_s)
 
 
@@ -139,16 +145,16 @@
     """Read a group from a file.
 
     Raises:
-        BadFile: with all problems found, or because the file can't be read.
+        ConfigFileError: the file can't be read or has problems; the error lists all of them.
     """
     return parse_group(read_file(path))
 
 
 def read_file(path: str) -> bytes:
-    """A file's bytes, up to one more than a valid file may have.
+    """Read a file, up to one byte more than a valid file may have.
 
     Raises:
-        BadFile: the file can't be read.
+        ConfigFileError: the file can't be read.
     """
     try:
         with Path(path).open("rb") as file:
@@ -159,14 +165,14 @@
 
 
 def group_from_addresses(option: str, folder: str) -> GroupConfig:
-    """The group of a command line's `--members a=ADDRESS,b=ADDRESS`.
+    """Return the group that the command-line option `--members a=ADDRESS,b=ADDRESS` describes.
 
     Raises:
-        BadFile: with all problems found.
+        ConfigFileError: the option has problems; the error lists all of them.
     """
     tables: list[str] = []
-    for word in option.split(","):
-        name, _, address = word.strip().partition("=")
+    for member in option.split(","):
+        name, _, address = member.strip().partition("=")
         fields = {"name": name, "address": address, "folder": folder}
         lines = [f"{field} = {_quoted(value)}" for field, value in fields.items()]
         tables.append("\n".join(["[[members]]", *lines]))
@@ -174,24 +180,24 @@
 
 
 def _quoted(text: str) -> str:
-    """A TOML string."""
+    """Return the text as a TOML string."""
     return msgspec.json.encode(text).decode()
 
 
-def parse_addresses(words: Iterable[str]) -> list[tuple[str, int]]:
-    """The hosts and ports of addresses as "127.0.0.1:9001".
+def parse_addresses(texts: Iterable[str]) -> list[tuple[str, int]]:
+    """Return the hosts and ports of addresses such as "127.0.0.1:9001".
 
     Raises:
-        InvalidAddressError: one of them is not in that form.
+        InvalidAddressError: an address is not of the form HOST:PORT.
     """
     addresses: list[tuple[str, int]] = []
-    for word in words:
-        host, _, port = word.rpartition(":")
+    for text in texts:
+        host, _, port = text.rpartition(":")
         try:
             number = int(port) if host else -1
         except ValueError as error:
             raise InvalidAddressError(str(error)) from None
         if not 0 <= number <= MAX_PORT:
-            raise InvalidAddressError(f"{word!r} is no address as 127.0.0.1:9001")
+            raise InvalidAddressError(f"{text!r} is not an address of the form 127.0.0.1:9001")
         addresses.append((host, number))
     return addresses
--- a/heronreel/coordination/watches.py
+++ b/heronreel/coordination/watches.py
@@ -1,4 +1,4 @@
-"""Watches: the recent history of changes, and who is notified of new ones."""
+"""Watches: the recent history of changes, and the notification of watches about new changes."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 
 from heronreel.coordination.model import Event, key_in_range
 
-MAX_HISTORY_REVISIONS = 20_000  # kept for watches that start in the past
+# The history is kept for watches that start at an earlier revision.
+MAX_HISTORY_REVISIONS = 20_000
 MAX_HISTORY_BYTES = 16 << 20
 MAX_WATCHES = 5_000
-EVENT_OVERHEAD_BYTES = 200  # counted for an event beside its key and values
+EVENT_OVERHEAD_BYTES = 200  # added to the size of an event's key and values
 
-Events = tuple[Event, ...]  # of one revision
+Events = tuple[Event, ...]  # the events of one revision
 
 
 class WatchNotified(NamedTuple):
-    """Events of a watch, up to and including a revision.
+    """The events of a watch, up to and including a revision.
 
-    With `compact_revision` above 0 the changes before that revision are no longer kept, and the watch has
-    ended. With `ended` this member can notify it no more.
+    If `compact_revision` is above 0, the changes before that revision are no longer kept and the watch has
+    ended.  If `ended` is set, this member cannot continue the watch.
     """
 
     watch_id: int
@@ -34,42 +35,42 @@
 class _Watch(NamedTuple):
     key: bytes
     end: bytes
-    next_revision: int  # the first revision it has not been notified of
+    next_revision: int  # the first revision that the watch has not been notified of
 
     def matches(self, event: Event) -> bool:
         return event.revision >= self.next_revision and key_in_range(event.key, self.key, self.end)
 
 
 class WatchHub:
-    """The watches of one member while it leads, and the changes since it does."""
+    """The watches of one member while it leads, and the changes since it started to lead."""
 
     def __init__(self) -> None:
         self._history: deque[Events] = deque()
         self._history_bytes = 0
-        self._compacted_revision = 0  # the history begins after it
+        self._compacted_revision = 0  # the history begins after this revision
         self._watches: dict[int, _Watch] = {}
 
     def fork(self) -> WatchHub:
-        """A copy that goes on independently."""
+        """Return an independent copy."""
         forked = copy.copy(self)
         forked._history = self._history.copy()
         forked._watches = self._watches.copy()
         return forked
 
     def reset(self, revision: int) -> None:
-        """Forget the history: it begins after `revision`."""
+        """Clear the history; the new one begins after `revision`."""
         self._history.clear()
         self._history_bytes = 0
         self._compacted_revision = revision
 
     def add(self, watch_id: int, key: bytes, end: bytes, start_revision: int, revision: int) -> WatchNotified:
-        """Add a watch of a range, and return its first notification, with the past events it asks for.
+        """Add a watch of a range, and return its first notification with the past events it requests.
 
         Args:
-            watch_id: names the watch in its notifications.
+            watch_id: identifies the watch in its notifications.
             key: the range's first key.
             end: the range's end, as in `model.Range`.
-            start_revision: the first revision to notify of; 0: the next one.
+            start_revision: the first revision to notify of; 0: the next revision.
             revision: the present revision.
         """
         if len(self._watches) >= MAX_WATCHES:
@@ -93,7 +94,7 @@
         return ended
 
     def publish(self, changes: Iterable[Events], revision: int) -> list[WatchNotified]:
-        """Add changes, one element a revision, to the history, and notify the watches that match them."""
+        """Add changes (one element for each revision) to the history, and notify the matching watches."""
         published = [event for events in changes for event in events]
         if not published:
             return []
@@ -117,7 +118,7 @@
 
 
 def _size(events: Events) -> int:
-    """The bytes that the events of a revision are counted with."""
+    """Return the size in bytes of the events of a revision, including the overhead of each event."""
     size = 0
     for event in events:
         records = (event.record, event.previous)
--- a/heronreel/coordinator/claim_log.py
+++ b/heronreel/coordinator/claim_log.py
@@ -1,4 +1,4 @@
-"""A log line for each change of a claim's holder, as the leader sees it."""
+"""Logs each change of a claim's holder; only the leader does so."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from heronreel.coordination.watches import WatchNotified
 from heronreel.leases.keys import CLAIM_PREFIX
 
-MAX_HOLDER_CHARACTERS = 200  # a value may be of any size
+MAX_HOLDER_CHARACTERS = 200  # Longer names are cut, because a value may be large.
 
 log = structlog.get_logger()
 
 
 def log_claim_changes(member: str, notification: WatchNotified) -> None:
-    """Log the events of a watch on all claims."""
+    """Log the events in a notification of the watch on all claims."""
     for event in notification.events:
         _log_change(member, event)
 
--- a/heronreel/coordinator/connections.py
+++ b/heronreel/coordinator/connections.py
@@ -1,4 +1,4 @@
-"""A bound on the number of client connections, and on how long one may be idle."""
+"""Limits the number of client connections, and the time that a connection may be idle."""
 
 from __future__ import annotations
 
@@ -6,24 +6,25 @@
 from collections.abc import Callable
 
 MAX_CONNECTIONS = 4096
-MAX_IDLE_S = 30.0  # without a request in flight
+MAX_IDLE_S = 30.0  # A connection without a request in flight is idle.
 SWEEP_INTERVAL_S = 1.0
 
 ProtocolFactory = Callable[[], asyncio.Protocol]
 
 
 class ConnectionTracker:
-    """Knows which connections are idle, and closes those that are idle for too long.
+    """Tracks which connections are idle, and aborts those that are idle for too long.
 
-    A connection is known by its protocol.  One whose request is still being received counts as idle.
+    A connection is identified by its protocol.  A connection whose request is still being received counts as
+    idle.
     """
 
     def __init__(self) -> None:
-        self.in_flight: dict[object, int] = {}  # requests, by connection
-        self.idle_since: dict[object, float] = {}  # event loop's time, by connection
+        self.in_flight: dict[object, int] = {}  # the number of requests in flight, by connection
+        self.idle_since: dict[object, float] = {}  # the event loop's time, by connection
 
-    def tracked(self, factory: ProtocolFactory) -> ProtocolFactory:
-        """A protocol factory whose connections are known to this tracker."""
+    def track(self, factory: ProtocolFactory) -> ProtocolFactory:
+        """Return a protocol factory whose connections this tracker registers."""
 
         def connected() -> asyncio.Protocol:
             protocol = factory()
@@ -33,24 +34,29 @@
         return connected
 
     def request_started(self, protocol: object) -> None:
-        """A connection's request has arrived."""
+        """Record that a request has arrived on a connection."""
         self.in_flight[protocol] = self.in_flight.get(protocol, 0) + 1
 
     def request_finished(self, protocol: object) -> None:
-        """A connection's request has got its response."""
+        """Record that a connection's request has been answered."""
         self.in_flight.pop(protocol, None)
         self.idle_since[protocol] = _now()
 
     async def run(self) -> None:
-        """Sweep until cancelled."""
+        """Abort idle connections regularly until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             self._sweep(_now())
 
     def _sweep(self, now: float) -> None:
-        """Abort idle connections; where there are too many, those that are idle for longest go first."""
-        idle = [(since, each) for each, since in self.idle_since.items() if each not in self.in_flight]
-        idle.sort(key=lambda row: row[0])
+        """Abort connections that are idle for too long.
+
+        If there are too many connections, those that have been idle for the longest time are aborted too.
+        """
+        idle = [
+            (since, protocol) for protocol, since in self.idle_since.items() if protocol not in self.in_flight
+        ]
+        idle.sort(key=lambda entry: entry[0])
         excess = len(self.idle_since) - MAX_CONNECTIONS
         for position, (since, protocol) in enumerate(idle):
             transport = getattr(protocol, "transport", None)
--- a/heronreel/coordinator/disk.py
+++ b/heronreel/coordinator/disk.py
@@ -1,7 +1,7 @@
 """The durable state of a member, kept in a store.
 
-One record holds the member's identity and its promises to other members; each key of the replicated map has a
-record of its own.
+One record holds the member's identity and its promises to other members; each key of the replicated map has
+its own record.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from heronreel.coordinator.errors import WrongMemberError
 from heronreel.store import Limits, Store
 
-MEMBER_KEY = b"M"  # the key of the MemberRecord
-CONTENT_PREFIX = b"R"  # before each key of the replicated map
+MEMBER_KEY = b"M"  # The key of the `MemberRecord`.
+CONTENT_PREFIX = b"R"  # Precedes each key of the replicated map.
 STORE_LIMITS = Limits(memtable_bytes=2 << 20, segment_bytes=2 << 20, log_bytes=8 << 20)
-INCARNATION_BYTES = 8  # drawn at random
+INCARNATION_BYTES = 8
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -31,7 +31,7 @@
 
     name: str
     incarnation: str
-    group: str = ""
+    group_id: str = ""
     promised: Ballot = NO_BALLOT
     version: Version = NO_VERSION
 
@@ -42,14 +42,14 @@
     The methods that write may be called from a thread, one call at a time.
 
     Attributes:
-        durable: What the disk holds; it changes only after a write has succeeded.
+        durable: The state on the disk; it changes only after a write has succeeded.
     """
 
     def __init__(self, path: str | os.PathLike[str], name: str) -> None:
-        """Open the store at `path`, or create it with a new incarnation.
+        """Open the store at `path`, or create it with a new incarnation of the member `name`.
 
         Raises:
-            WrongMemberError: The folder belongs to a member of another name.
+            WrongMemberError: The folder belongs to a member with another name.
             StoreError: The store can't be opened.
             OSError: As the system reports it.
         """
@@ -69,11 +69,11 @@
             return durable
         record = msgspec.msgpack.decode(data, type=MemberRecord)
         if record.name != self.name:
-            raise WrongMemberError(f"the folder is of member {record.name!r}, and not of {self.name!r}")
+            raise WrongMemberError(f"the folder belongs to member {record.name!r}, and not to {self.name!r}")
         content: Content = Map(
             {key[len(CONTENT_PREFIX) :]: value for key, value in self.store.scan(CONTENT_PREFIX)}
         )
-        return DurableState(record.incarnation, record.group, record.promised, record.version, content)
+        return DurableState(record.incarnation, record.group_id, record.promised, record.version, content)
 
     def _encode_record(self, durable: DurableState) -> bytes:
         record = MemberRecord(
@@ -82,7 +82,7 @@
         return msgspec.msgpack.encode(record)
 
     def persist(self, persists: Iterable[Persist]) -> None:
-        """Make all of `persists` durable, in order and atomically.
+        """Make all of `persists` durable, in order and in one atomic write.
 
         Raises:
             StoreError: Nothing was written.
@@ -110,7 +110,7 @@
         self.durable = durable
 
     def erase(self) -> None:
-        """Delete the map and every promise, and start a new incarnation.
+        """Delete the map and all promises, and start a new incarnation.
 
         Raises:
             StoreError: Nothing was written.
@@ -124,7 +124,7 @@
         self.durable = durable
 
     def compact(self) -> None:
-        """Reclaim the space of overwritten records, beside writes that go on.
+        """Reclaim the space of overwritten records; writes may go on at the same time.
 
         Raises:
             StoreError: As the store reports it.
--- a/heronreel/coordinator/disk_writer.py
+++ b/heronreel/coordinator/disk_writer.py
@@ -1,7 +1,7 @@
 """The task that writes a member's disk.
 
-It is the only place that writes the disk and that has the core restarted from it, so that the core and the
-disk never disagree.
+Only this task writes the disk and triggers a restart of the core from the disk, so that the core and the disk
+never disagree.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from heronreel.coordinator.disk import MemberDisk
 from heronreel.store import StoreError, WriteFailedError
 
-RETRY_DELAY_S = 0.1  # after a write that failed and may succeed later
+RETRY_DELAY_S = 0.1  # The delay after a failed write that may succeed later.
 
 log = structlog.get_logger()
 
 
 class DiskWriter:
-    """Writes in the background; requests that come during a write go together into the next one."""
+    """Writes in the background; requests that arrive during a write are combined in the next write."""
 
     def __init__(
         self,
@@ -33,14 +33,14 @@
         on_reset: Callable[[], None],
         on_failed: Callable[[], None],
     ) -> None:
-        """Create a writer that is idle.
+        """Create an idle writer.
 
         Args:
-            disk: Where to write.
-            crash_points: Announces the points before and after each write.
-            on_persisted: Called for each request that is durable, in order.
+            disk: The disk to write.
+            crash_points: Records the crash points before and after each write.
+            on_persisted: Called for each durable request, in order.
             on_reset: Called when the core has to restart from the disk: after an erasure or a failed write.
-            on_failed: Called once, when the disk can't be written any more.
+            on_failed: Called once, when the disk can no longer be written.
         """
         self.disk = disk
         self.crash_points = crash_points
@@ -49,17 +49,16 @@
         self.on_failed = on_failed
         self.pending: list[Persist] = []
         self.erasing = False
-        self.task: asyncio.Task[None] | None = (
-            None  # stays set after a final failure: nothing is written then
-        )
+        # The task remains set after a final failure, so that nothing is written any more.
+        self.task: asyncio.Task[None] | None = None
 
     def persist(self, persist: Persist) -> None:
-        """Queue a request."""
+        """Queue a write request."""
         self.pending.append(persist)
         self._ensure_running()
 
     def erase(self) -> None:
-        """Have the disk erased; requests that are queued by then are dropped."""
+        """Erase the disk; requests that are still queued at that time are dropped."""
         self.erasing = True
         self._ensure_running()
 
--- a/heronreel/coordinator/embedded.py
+++ b/heronreel/coordinator/embedded.py
@@ -1,4 +1,4 @@
-"""A group of one member inside the processes of one machine."""
+"""A group of one member that runs inside one of several processes on a machine."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from heronreel.coordinator.node import MemberNode
 from heronreel.store import StoreError, StoreLockedError
 
-MEMBER_NAME = "embedded"  # stored on its disk
-LOCK_RETRY_S = 0.3  # while another process has the disk
-FAILURE_RETRY_S = 3.0
+MEMBER_NAME = "embedded"  # The name is stored on the member's disk.
+LOCK_RETRY_S = 0.3  # The retry interval while another process holds the lock of the disk.
+FAILURE_RETRY_S = 3.0  # The delay before the next attempt after the start has failed.
 
 log = structlog.get_logger()
 
 
 class EmbeddedServer:
-    """One of several processes that may run the member.
+    """The server in one of several processes that may run the member.
 
-    Whichever process holds the lock of the disk serves the others; when it ends, another one takes over.
+    The process that holds the lock of the disk serves the others; when it ends, another one takes over.
     """
 
     def __init__(self, address: str, folder: str) -> None:
@@ -31,7 +31,7 @@
         self.folder = folder
 
     async def run(self) -> None:
-        """Serve whenever the disk is free, until cancelled."""
+        """Serve whenever this process obtains the lock of the disk, until cancelled."""
         while True:
             try:
                 disk = await asyncio.to_thread(MemberDisk, self.folder, MEMBER_NAME)
@@ -47,7 +47,7 @@
     async def _serve(self, disk: MemberDisk) -> None:
         (address,) = parse_addresses([self.group.members[0].address])
         try:
-            bound = bind_socket(address)
+            listening_socket = bind_socket(address)
         except OSError as error:
             log.error("start failed", member=MEMBER_NAME, error=str(error))
             await asyncio.to_thread(disk.close)
@@ -56,10 +56,10 @@
         node = MemberNode(self.group, MEMBER_NAME, disk)
         listener = HttpListener(node)
         await node.start()
-        await listener.listen(bound)
-        log.info("listening", member=MEMBER_NAME, port=bound.getsockname()[1])
+        await listener.listen(listening_socket)
+        log.info("listening", member=MEMBER_NAME, port=listening_socket.getsockname()[1])
         try:
-            await node.exit_code  # only if the disk fails
+            await node.exit_code  # Completes only if the disk fails.
         finally:
             await node.stop()
             await listener.close()
--- a/heronreel/coordinator/errors.py
+++ b/heronreel/coordinator/errors.py
@@ -8,8 +8,8 @@
 
 
 class WrongMemberError(CoordinatorError):
-    """The data folder belongs to a member of another name."""
+    """The data folder belongs to a member with another name."""
 
 
 class UnknownMemberError(CoordinatorError, ValueError):
-    """The group's configuration names no such member."""
+    """The group's configuration does not contain the member."""
--- a/heronreel/coordinator/forwarding.py
+++ b/heronreel/coordinator/forwarding.py
@@ -12,16 +12,18 @@
 from heronreel.coordinator.node import MemberNode
 
 FORWARDED_BY_HEADER = "X-Heronreel-Via"
-LEADER_GRACE_S = 0.5  # beyond the time that the leader gives a request
+LEADER_GRACE_S = 0.5  # Added to the leader's own time limit for a request.
 
 _CONTENT_TYPE = "application/json"
 
 
 async def forward_to_leader(node: MemberNode, request: web.Request, body: bytes) -> web.StreamResponse:
-    """Have the leader respond.  A request is forwarded once: a member that is not the leader rejects it then.
+    """Forward a request to the leader, and relay its response.
+
+    A request is forwarded at most once: a member that is not the leader rejects a forwarded request.
 
     Raises:
-        RequestError: There is no leader, or it can't be reached, or its response was lost.
+        RequestError: There is no leader, it is unreachable, or its response was lost.
     """
     leader = node.leader_connection()
     if leader is None or FORWARDED_BY_HEADER in request.headers:
@@ -35,30 +37,30 @@
                 return await forwarding.stream(response)
             return await forwarding.relay(response)
     except aiohttp.ClientConnectorError:
-        raise RequestError(StatusCode.UNAVAILABLE, "etcdserver: the leader is not reached") from None
+        raise RequestError(StatusCode.UNAVAILABLE, "etcdserver: the leader is unreachable") from None
     except (aiohttp.ClientError, TimeoutError, OSError):
         if forwarding.streamed is not None:
             request.protocol.force_close()
             return forwarding.streamed
-        raise RequestError(StatusCode.UNKNOWN, "etcdserver: the leader did not answer") from None
+        raise RequestError(StatusCode.UNKNOWN, "etcdserver: the leader did not respond") from None
 
 
 class _Forwarding:
-    """One request's response from the leader on its way to the client."""
+    """Relays the leader's response to one request to the client."""
 
     def __init__(self, node: MemberNode, request: web.Request) -> None:
         self.timeout_s = node.group.settings.request_ms / 1000 + LEADER_GRACE_S
         self.request = request
-        self.streamed: web.StreamResponse | None = None  # the response to the client, once it has begun
+        self.streamed: web.StreamResponse | None = None  # the response to the client, once it has started
 
     async def relay(self, response: aiohttp.ClientResponse) -> web.Response:
-        """The complete response."""
+        """Return the complete response."""
         async with asyncio.timeout(self.timeout_s):
             body = await response.read()
         return web.Response(body=body, status=response.status, content_type=_CONTENT_TYPE)
 
     async def stream(self, response: aiohttp.ClientResponse) -> web.StreamResponse:
-        """A watch's response, which goes on until either side ends it."""
+        """Stream the response to a watch until either side ends it."""
         self.streamed = web.StreamResponse(status=response.status, headers={"Content-Type": _CONTENT_TYPE})
         await self.streamed.prepare(self.request)
         async for chunk in response.content.iter_any():
--- a/heronreel/coordinator/health.py
+++ b/heronreel/coordinator/health.py
@@ -12,18 +12,19 @@
     """A member's own view of itself and of its group."""
 
     member: str
-    leader: str  # empty if none is known
+    leader: str  # empty if no leader is known
     role: str
     incarnation: str = msgspec.field(name="disk")
     version: Version
-    incarnations: dict[str, str] = msgspec.field(name="disks")  # of the group's members, by name
-    desired_members: list[str] | None = msgspec.field(name="wish")  # None: as they are
+    incarnations: dict[str, str] = msgspec.field(name="disks")  # incarnations by member name
+    # None: the present members are the desired ones.
+    desired_members: list[str] | None = msgspec.field(name="wish")
     configured_members: list[str] = msgspec.field(name="listed")
     promised: Ballot
 
 
 def health_report(name: str, member: ConsensusMember) -> HealthReport:
-    """The report of the member `name`."""
+    """Return the health report of the member `name`."""
     return HealthReport(
         member=name,
         leader=member.leader or "",
--- a/heronreel/coordinator/http_listener.py
+++ b/heronreel/coordinator/http_listener.py
@@ -1,8 +1,8 @@
-"""The HTTP interface of a member: clients' requests, messages of other members, and health.
+"""The HTTP interface of a member: clients' requests, messages of other members, and health checks.
 
 One address serves clients (the paths of etcd's v3 gateway) and the other members (`MESSAGES_PATH`).  A
-member that is not the leader forwards clients' requests.  Whatever a peer sends is bounded in bytes, time and
-number.
+member that is not the leader forwards clients' requests.  Requests are limited in size and time, and
+connections in number.
 """
 
 from __future__ import annotations
@@ -25,35 +25,35 @@
 from heronreel.coordinator.watch_stream import stream_watch
 
 HEALTH_PATH = "/health"
-MAX_REQUEST_BYTES = 1 << 20  # of a client's request
-MAX_MESSAGES_BYTES = 24 << 20  # of one request between members: a snapshot and the messages beside it
+MAX_REQUEST_BYTES = 1 << 20  # Limits the body of a client's request.
+MAX_MESSAGES_BYTES = 24 << 20  # Limits a request between members: a snapshot and other messages.
 LISTEN_BACKLOG = 512
-SHUTDOWN_TIMEOUT_S = 1.0  # for requests in flight
+SHUTDOWN_TIMEOUT_S = 1.0  # The time that requests in flight have to complete.
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 def bind_socket(address: tuple[str, int]) -> socket.socket:
-    """A socket bound to `address`.
+    """Return a socket bound to `address`.
 
     Raises:
-        OSError: The address can't be used.
+        OSError: The socket can't be bound to the address.
     """
-    bound = socket.socket()
-    bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listening_socket = socket.socket()
+    listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
-        bound.bind(address)
+        listening_socket.bind(address)
     except OSError:
-        bound.close()
+        listening_socket.close()
         raise
-    return bound
+    return listening_socket
 
 
 class HttpListener:
     """The HTTP server of a member."""
 
     def __init__(self, node: MemberNode) -> None:
-        """Create a server that `listen` starts."""
+        """Create a server; `listen` starts it."""
         self.node = node
         self.connections = ConnectionTracker()
         app = web.Application(client_max_size=MAX_MESSAGES_BYTES, middlewares=[self._handle_errors])
@@ -72,13 +72,13 @@
         self.server: asyncio.Server | None = None
         self.sweeper: asyncio.Task[None] | None = None
 
-    async def listen(self, bound: socket.socket) -> None:
+    async def listen(self, listening_socket: socket.socket) -> None:
         """Accept connections on a bound socket."""
         await self.runner.setup()
         assert self.runner.server is not None
-        factory = self.connections.tracked(self.runner.server)
+        factory = self.connections.track(self.runner.server)
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(factory, sock=bound, backlog=LISTEN_BACKLOG)
+        self.server = await loop.create_server(factory, sock=listening_socket, backlog=LISTEN_BACKLOG)
         self.sweeper = asyncio.create_task(self.connections.run())
 
     async def close(self) -> None:
@@ -134,7 +134,7 @@
 
     async def _handle_watch(self, request: web.Request) -> web.StreamResponse:
         data = await read_body(request, MAX_REQUEST_BYTES)
-        wanted = gateway_server.decode_watch_request(data)
+        watch_request = gateway_server.decode_watch_request(data)
         if not self.node.service.member.is_leader:
             return await forward_to_leader(self.node, request, data)
-        return await stream_watch(self.node, request, wanted)
+        return await stream_watch(self.node, request, watch_request)
--- a/heronreel/coordinator/node.py
+++ b/heronreel/coordinator/node.py
@@ -1,7 +1,7 @@
-"""A member at work: the core with its clock, its timer, its disk and the other members.
+"""A running member: the core, connected to the clock, a timer, the disk and the other members.
 
-The core (`KeyValueService` around `ConsensusMember`) decides everything and performs no I/O: `MemberNode`
-gives it events, one at a time, and carries out what it returns.
+The core (`KeyValueService` around `ConsensusMember`) makes all decisions and does no I/O.  `MemberNode`
+passes events to the core, one at a time, and executes the outputs that it returns.
 """
 
 from __future__ import annotations
@@ -46,12 +46,12 @@
     """One member of a group, without its HTTP interface.
 
     Attributes:
-        service: The core; replaced when it restarts from the disk.
-        exit_code: Done once the process should end, with its exit code.
+        service: The core; it is replaced when it restarts from the disk.
+        exit_code: Completes with the exit code when the process should end.
     """
 
     def __init__(self, group: GroupConfig, name: str, disk: MemberDisk) -> None:
-        """Create a member that `start` sets to work; needs a running event loop."""
+        """Create a member; `start` starts it.  An event loop must be running."""
         self.group = group
         self.name = name
         self.disk = disk
@@ -59,7 +59,7 @@
         self.crash_points = CrashPoints()
         self.random = random.Random(secrets.randbits(64))
         self.transport = Transport(name, self.crash_points)
-        self.request_ids = itertools.count(1)  # of requests and watches
+        self.request_ids = itertools.count(1)  # the ids of requests and watches
         self.pending_requests = PendingRequests()
         self.watches = WatchRegistry()
         self.claim_watch = 0  # the id of the watch whose events are logged
@@ -86,15 +86,18 @@
         )
         return KeyValueService(member, max_clock_drift=self.group.settings.clock_drift)
 
-    # -- the life of the process
+    # -- start and stop
 
     async def start(self) -> None:
-        """Connect to the other members and begin to take part."""
+        """Connect to the other members, and start to take part in the group."""
         self.transport.update(self.group.members)
         self.handle_event(self.service.tick)
 
     def reload(self, group: GroupConfig) -> None:
-        """Use other addresses.  Membership itself is decided by the group, not by the file."""
+        """Use the addresses of a reloaded configuration.
+
+        The group decides its membership itself; the file does not change it.
+        """
         self.group = group
         self.transport.update(group.members)
         names = [address.name for address in group.members]
@@ -102,12 +105,12 @@
         log.info("configuration reloaded", member=self.name, listed=names)
 
     def request_exit(self, code: int) -> None:
-        """Have the process end with this exit code; the first request counts."""
+        """Request that the process ends with this exit code; only the first request counts."""
         if not self.exit_code.done():
             self.exit_code.set_result(code)
 
     async def stop(self) -> None:
-        """Fail the requests and end the watches that are open, and close the disk."""
+        """Fail all open requests, end all open watches, and close the disk."""
         self.stopping = True
         self.timer.cancel()
         self.pending_requests.fail_all(RequestError(StatusCode.UNKNOWN, "etcdserver: server stopped"))
@@ -117,17 +120,17 @@
         await self.transport.close()
         await asyncio.to_thread(self.disk.close)
 
-    # -- events for the core, and its outputs
+    # -- events and outputs of the core
 
     def handle_event(self, event: Callable[[float], Outputs]) -> None:
-        """Give the core one event, carry out its outputs, and set the timer for the next tick."""
+        """Pass an event to the core, execute its outputs, and set the timer for the next tick."""
         if self.stopping:
             return
-        self._carry_out(event(self.clock()))
+        self._execute_outputs(event(self.clock()))
         self.timer.set(self.service.next_wakeup() - self.clock())
 
     def receive(self, message: AnyMessage) -> None:
-        """Give the core a message of another member."""
+        """Pass a message of another member to the core."""
         self.crash_points.reach("receive")
 
         def received(now: float) -> Outputs:
@@ -145,17 +148,17 @@
         self.handle_event(persisted)
 
     def _restart_core(self) -> None:
-        """Start again from the disk, as after a crash: what is not durable is forgotten."""
+        """Restart the core from the disk, as after a crash: state that is not durable is lost."""
         outputs = self.service.stop_leading()
         self.disk_writer.discard_pending()
         self.service = self._load_core()
-        self._carry_out(outputs)
+        self._execute_outputs(outputs)
 
-    def _carry_out(self, outputs: Outputs) -> None:
+    def _execute_outputs(self, outputs: Outputs) -> None:
         for output in outputs:
-            self._carry_out_one(output)
+            self._execute_output(output)
 
-    def _carry_out_one(self, output: Output) -> None:
+    def _execute_output(self, output: Output) -> None:
         match output:
             case Send(to=to, message=message):
                 self.transport.send(to, message)
@@ -185,22 +188,22 @@
 
     def _watch_claims(self) -> None:
         self.claim_watch = next(self.request_ids)
-        self._carry_out(self.service.watch(self.claim_watch, CLAIM_PREFIX, prefix_end(CLAIM_PREFIX), 0))
+        self._execute_outputs(self.service.watch(self.claim_watch, CLAIM_PREFIX, prefix_end(CLAIM_PREFIX), 0))
 
     # -- clients
 
     def response_header(self) -> gateway_server.ResponseHeader:
-        """The header of every response of this member."""
+        """Return the header of this member's responses."""
         member = self.service.member
         return gateway_server.ResponseHeader(
             _numeric_id(member.group_id), _numeric_id(self.name), member.ballot.term
         )
 
     async def request(self, request: Request) -> Response:
-        """Have the group perform a client's request.
+        """Have the group execute a client's request.
 
         Raises:
-            RequestError: The request was not performed, or its outcome is unknown.
+            RequestError: The request was not executed, or its outcome is unknown.
         """
         self._require_running()
         request_id = next(self.request_ids)
@@ -210,8 +213,8 @@
         self.handle_event(lambda now: self.service.submit(now, request_id, request, deadline))
         return await self.pending_requests.wait(request_id, timeout_s)
 
-    def open_watch(self, wanted: gateway_server.WatchRequest) -> WatchSubscription:
-        """Have the core notify of events; the first notification says whether the watch was created.
+    def open_watch(self, watch_request: gateway_server.WatchRequest) -> WatchSubscription:
+        """Open a watch; its first notification tells whether the core created it.
 
         Raises:
             RequestError: This member is stopping.
@@ -220,12 +223,14 @@
         subscription = self.watches.open(next(self.request_ids))
         watch_id = subscription.watch_id
         self.handle_event(
-            lambda _: self.service.watch(watch_id, wanted.key, wanted.end, wanted.start_revision)
+            lambda _: self.service.watch(
+                watch_id, watch_request.key, watch_request.end, watch_request.start_revision
+            )
         )
         return subscription
 
     def _require_running(self) -> None:
-        """Nothing is admitted once the open requests were failed: nobody would complete it.
+        """Reject requests once `stop` has failed the open ones, since nothing would complete a later one.
 
         Raises:
             RequestError: This member is stopping.
@@ -239,11 +244,11 @@
         self.service.cancel_watch(subscription.watch_id)
 
     def leader_connection(self) -> PeerConnection | None:
-        """The connection to the leader; None if there is no leader, or it is this member."""
+        """Return the connection to the leader; None if there is no leader or this member is the leader."""
         name = self.service.member.leader
         return self.transport.peers.get(name) if name is not None else None
 
 
 def _numeric_id(name: str) -> int:
-    """A number for a name, where etcd's interface has numbers."""
+    """Return a numeric id for a name, because ids are numbers in etcd's interface."""
     return zlib.crc32(name.encode())
--- a/heronreel/coordinator/pending_requests.py
+++ b/heronreel/coordinator/pending_requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients that wait for the core."""
+"""Clients' requests that wait for the core."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class PendingRequests:
-    """A future for each request that the core has not completed, by its request id."""
+    """Holds a future for each request that the core has not completed, by request id."""
 
     def __init__(self) -> None:
         self.futures: dict[int, asyncio.Future[ResponseOrError]] = {}
 
     def add(self, request_id: int) -> None:
-        """Register a request before it is given to the core; `wait` has to follow."""
+        """Register a request before it is passed to the core; the caller must call `wait` afterwards."""
         self.futures[request_id] = asyncio.get_running_loop().create_future()
 
     async def wait(self, request_id: int, timeout_s: float) -> Response:
         """Wait for the response to a registered request.
 
         Raises:
-            RequestError: What the core completed it with, or DEADLINE_EXCEEDED after `timeout_s` seconds.
+            RequestError: The error that the core reported, or DEADLINE_EXCEEDED after `timeout_s` seconds.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -37,13 +37,13 @@
         return result
 
     def complete(self, completed: RequestCompleted) -> None:
-        """Deliver a result, if the request is still waited for."""
+        """Deliver a result, unless the client has stopped waiting for it."""
         future = self.futures.get(completed.request_id)
         if future is not None and not future.done():
             future.set_result(completed.response)
 
     def fail_all(self, error: RequestError) -> None:
-        """Complete every request with `error`."""
+        """Fail every request with `error`."""
         for future in self.futures.values():
             if not future.done():
                 future.set_result(error)
--- a/heronreel/coordinator/request_body.py
+++ b/heronreel/coordinator/request_body.py
@@ -1,4 +1,4 @@
-"""Reading a request's body within bounds of size and time."""
+"""Reads the body of a request, with limits of size and time."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 MAX_BODY_S = 5.0
 
-_UNREAD = "unread"  # set on a request whose body was not read to its end
+_UNREAD = "unread"  # The key is set on a request whose body was not read completely.
 
 
 async def read_body(request: web.Request, max_bytes: int) -> bytes:
-    """The whole body.
+    """Read the whole body.
 
     Raises:
-        RequestError: It is larger than `max_bytes`, or did not arrive in time.
+        RequestError: The body is larger than `max_bytes`, or did not arrive within `MAX_BODY_S` seconds.
     """
     declared = request.content_length or 0
     if declared > max_bytes:
@@ -34,13 +34,16 @@
                     raise _rejected(request, StatusCode.RESOURCE_EXHAUSTED, f"body: over {max_bytes} bytes")
                 chunks.append(chunk)
     except TimeoutError:
-        reason = f"body: not here within {MAX_BODY_S:g} s"
+        reason = f"body: not received within {MAX_BODY_S:g} s"
         raise _rejected(request, StatusCode.INVALID_ARGUMENT, reason) from None
     return b"".join(chunks)
 
 
 def has_unread_body(request: web.Request) -> bool:
-    """Whether `read_body` gave up, so that the connection can't be used for another request."""
+    """Return whether `read_body` rejected the request before its end.
+
+    The connection can't be used for another request then.
+    """
     return _UNREAD in request
 
 
--- a/heronreel/coordinator/server.py
+++ b/heronreel/coordinator/server.py
@@ -1,4 +1,4 @@
-"""The process behind `heronreel coordinate`."""
+"""The process of the command `heronreel coordinate`."""
 
 from __future__ import annotations
 
@@ -30,30 +30,30 @@
 
     Args:
         group: The group's configuration.
-        name: The member to be.
-        disk: Its open disk, which is closed at the end.
-        listen: The address to listen on, if it is not the one in the configuration.
-        on_listening: Called with the port.
-        load_group: Called at SIGHUP for the new configuration; None if there is no usable one.
+        name: The name of the member to run.
+        disk: The open disk of the member, which is closed at the end.
+        listen: The address to listen on; None means the address in the configuration.
+        on_listening: Called with the port once the server listens.
+        load_group: Called on SIGHUP; returns the new configuration, or None if it is invalid.
 
     Returns:
         The process's exit code.
 
     Raises:
-        UnknownMemberError: The configuration has no member `name`.
-        OSError: The address can't be listened on; the disk is still open.
+        UnknownMemberError: The configuration does not contain the member `name`.
+        OSError: The socket can't be bound to the address; the disk is still open then.
     """
     member = group.member(name)
     if member is None:
         raise UnknownMemberError(f"{name!r} is not a member of the group")
     (address,) = parse_addresses([listen or member.address])
-    bound = bind_socket(address)
+    listening_socket = bind_socket(address)
     node = MemberNode(group, name, disk)
     listener = HttpListener(node)
     await node.start()
-    await listener.listen(bound)
+    await listener.listen(listening_socket)
     _handle_signals(node, load_group)
-    on_listening(bound.getsockname()[1])
+    on_listening(listening_socket.getsockname()[1])
     code = await _run_until_exit(node)
     await node.stop()
     await listener.close()
--- a/heronreel/coordinator/timers.py
+++ b/heronreel/coordinator/timers.py
@@ -1,4 +1,4 @@
-"""A timer that is set again after each event."""
+"""The timer of a member, which is set again after each event."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 from collections.abc import Callable
 
 MIN_DELAY_S = 0.001
-MAX_DELAY_S = 1.0  # the core's clock may run at another rate than the event loop's
+MAX_DELAY_S = 1.0  # Bounded because the core's clock may run at another rate than the event loop's.
 
 
 class EventTimer:
-    """At most one pending call; setting it replaces the one before."""
+    """A timer with at most one pending call; setting the timer replaces the pending call."""
 
     def __init__(self, callback: Callable[[], None]) -> None:
-        """Create a timer that is not set."""
+        """Create a timer that is not set yet."""
         self.callback = callback
         self.handle: asyncio.TimerHandle | None = None
 
     def set(self, delay_s: float) -> None:
-        """Call the callback after `delay_s` seconds, within MIN_DELAY_S and MAX_DELAY_S."""
+        """Call the callback after `delay_s` seconds, limited to MIN_DELAY_S to MAX_DELAY_S."""
         self.cancel()
         delay_s = min(max(MIN_DELAY_S, delay_s), MAX_DELAY_S)
         self.handle = asyncio.get_running_loop().call_later(delay_s, self.callback)
 
     def cancel(self) -> None:
-        """Drop the pending call."""
+        """Cancel the pending call."""
         if self.handle is not None:
             self.handle.cancel()
             self.handle = None
--- a/heronreel/coordinator/transport.py
+++ b/heronreel/coordinator/transport.py
@@ -1,4 +1,4 @@
-"""Messages from this member to the others, over HTTP."""
+"""Sends messages from this member to the others over HTTP."""
 
 from __future__ import annotations
 
@@ -14,23 +14,25 @@
 from heronreel.coordination.settings import MemberAddress
 
 MESSAGES_PATH = "/member"
-MAX_QUEUED_MESSAGES = 256  # for one member
-MAX_QUEUED_BYTES = 16 << 20  # of the writes in the messages for one member
+MAX_QUEUED_MESSAGES = 256  # Limits the messages that are queued for one member.
+MAX_QUEUED_BYTES = 16 << 20  # Limits the size of the writes in the messages queued for one member.
 REQUEST_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 0.5
-RETRY_DELAY_S = 0.02  # after a failed request, so that an unreachable member does not cause a busy loop
+RETRY_DELAY_S = (
+    0.02  # The delay after a failed request; without it, an unreachable member causes a busy loop.
+)
 
 _encode = msgspec.msgpack.Encoder().encode
 _decoder = msgspec.msgpack.Decoder(list[AnyMessage])
 
 
 def encode_messages(messages: list[AnyMessage]) -> bytes:
-    """The body of a request between members."""
+    """Encode messages as the body of a request between members."""
     return _encode(messages)
 
 
 def decode_messages(data: bytes) -> list[AnyMessage]:
-    """The messages of a request's body.
+    """Decode the messages in the body of a request.
 
     Raises:
         msgspec.MsgspecError: The body is malformed.
@@ -41,14 +43,14 @@
 class PeerConnection:
     """The queue of messages for one other member, and the task that sends them.
 
-    All queued messages go together in one request.  Messages that can't be sent are dropped, since the core
-    sends again whatever it needs a response to.
+    All queued messages are sent together in one request.  Messages that can't be sent are dropped, since the
+    core retransmits every message that it needs a response to.
     """
 
     def __init__(
         self, address: MemberAddress, session: aiohttp.ClientSession, crash_points: CrashPoints
     ) -> None:
-        """Start the task that sends to `address`; `crash_points` announces each request."""
+        """Start the task that sends to `address`; `crash_points` records the points around each request."""
         self.base_url = f"http://{address.address}"
         self.session = session
         self.crash_points = crash_points
@@ -61,9 +63,10 @@
         """Queue a message."""
         if isinstance(message, Accept):
             if self.queue and self.queue[-1] == message:
-                return  # a retransmission of a message that is still queued
+                return  # The message is a retransmission of one that is still queued.
             self.queued_bytes += sum(len(value or b"") for _, value in message.writes)
-        if self.queued_bytes > MAX_QUEUED_BYTES:  # a member that far behind gets a snapshot once it responds
+        if self.queued_bytes > MAX_QUEUED_BYTES:
+            # A member that is this far behind gets a snapshot once it responds.
             self.queue.clear()
             self.queued_bytes = 0
         self.queue.append(message)
@@ -97,15 +100,15 @@
     """The connections to all other members.
 
     Attributes:
-        forwarding_session: For requests of clients that are forwarded to the leader; it has no total timeout,
-            because watches last.
+        forwarding_session: Forwards clients' requests to the leader.  It has no total timeout, because a
+            watch has no time limit.
     """
 
     def __init__(self, own_name: str, crash_points: CrashPoints) -> None:
-        """Open the sessions; needs a running event loop."""
+        """Open the HTTP sessions; an event loop must be running."""
         self.own_name = own_name
         self.crash_points = crash_points
-        self.addresses: dict[str, MemberAddress] = {}  # of the other members, by name
+        self.addresses: dict[str, MemberAddress] = {}  # the other members, by name
         self.peers: dict[str, PeerConnection] = {}
         self.session = aiohttp.ClientSession(
             timeout=aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S, connect=CONNECT_TIMEOUT_S),
@@ -116,7 +119,7 @@
         )
 
     def update(self, members: Iterable[MemberAddress]) -> None:
-        """Connect to these members, and drop the connections to members that left or moved."""
+        """Connect to these members, and close connections to members that were removed or changed address."""
         addresses = {member.name: member for member in members if member.name != self.own_name}
         for name in list(self.peers):
             if addresses.get(name) != self.addresses[name]:
@@ -127,7 +130,7 @@
         self.addresses = addresses
 
     def send(self, name: str, message: AnyMessage) -> None:
-        """Queue a message; it is dropped if the configuration has no address for `name`."""
+        """Queue a message for a member; it is dropped if the configuration has no address for `name`."""
         if name in self.peers:
             self.peers[name].send(message)
 
--- a/heronreel/coordinator/watch_registry.py
+++ b/heronreel/coordinator/watch_registry.py
@@ -1,4 +1,4 @@
-"""The watches of clients: events of the core on their way to the responses that stream them."""
+"""Clients' watches: queues of notifications from the core to the responses that stream them."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 from heronreel.coordination.watches import WatchNotified
 
-MAX_QUEUED_NOTIFICATIONS = 1000  # for one watch
+MAX_QUEUED_NOTIFICATIONS = 1000  # Limits the notifications that are queued for one watch.
 
 
 class WatchSubscription(NamedTuple):
-    """An open watch: its number, and the notifications that its client has not read."""
+    """An open watch: its id, and the notifications that have not been sent to its client."""
 
     watch_id: int
     notifications: asyncio.Queue[WatchNotified]
 
 
 class WatchRegistry:
-    """A queue of notifications for each open watch, by its number."""
+    """Holds a queue of notifications for each open watch, by watch id."""
 
     def __init__(self) -> None:
         self.queues: dict[int, asyncio.Queue[WatchNotified]] = {}
@@ -30,13 +30,13 @@
         return subscription
 
     def close(self, watch_id: int) -> None:
-        """Forget a watch; nothing happens if it was forgotten already."""
+        """Remove a watch, if it exists."""
         self.queues.pop(watch_id, None)
 
     def publish(self, notification: WatchNotified) -> bool:
-        """Queue a notification; False if the watch has ended because its client reads too slowly.
+        """Queue a notification; return False if the watch was ended because its client reads too slowly.
 
-        Such a client gets a last notification that it missed events, as if they had been compacted.
+        Such a client gets a last notification that it has missed events, as if they had been compacted.
         """
         queue = self.queues.get(notification.watch_id)
         if queue is None:
--- a/heronreel/coordinator/watch_stream.py
+++ b/heronreel/coordinator/watch_stream.py
@@ -1,4 +1,4 @@
-"""The response to a watch: a line of JSON for each batch of events."""
+"""The response to a watch: one line of JSON for each batch of events."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 async def stream_watch(
-    node: MemberNode, request: web.Request, wanted: gateway_server.WatchRequest
+    node: MemberNode, request: web.Request, watch_request: gateway_server.WatchRequest
 ) -> web.StreamResponse:
     """Stream a watch's events until the client or this member ends it.
 
     Raises:
         RequestError: The watch was not created.
     """
-    watch = node.open_watch(wanted)
+    watch = node.open_watch(watch_request)
     response = web.StreamResponse(headers={"Content-Type": "application/json"})
     try:
         first = await watch.notifications.get()
@@ -31,28 +31,30 @@
         await response.write(encode_line(created))
         notification = first
         while not notification.ended:
-            if line := _next_line(node.response_header(), notification, wanted):
+            if line := _next_line(node.response_header(), notification, watch_request):
                 await response.write(encode_line(line))
             if notification.compact_revision:
                 return response
             notification = await watch.notifications.get()
         request.protocol.force_close()
     except (ConnectionError, OSError):
-        pass  # the client has gone
+        pass  # The client has disconnected.
     finally:
         node.close_watch(watch)
     return response
 
 
 def _next_line(
-    header: gateway_server.ResponseHeader, notification: WatchNotified, wanted: gateway_server.WatchRequest
+    header: gateway_server.ResponseHeader,
+    notification: WatchNotified,
+    watch_request: gateway_server.WatchRequest,
 ) -> gateway.Json | None:
-    """What the client is sent about a notification, if anything."""
+    """Return the line to send for a notification; None if there is nothing to send."""
     if notification.compact_revision:
         return _canceled(header, notification)
     if notification.events:
         return gateway_server.encode_events(
-            header, notification.revision, notification.events, with_previous=wanted.previous
+            header, notification.revision, notification.events, with_previous=watch_request.previous
         )
     return None
 
@@ -66,5 +68,5 @@
 
 
 def encode_line(result: gateway.Json) -> bytes:
-    """One line of a streamed response."""
+    """Encode one line of a streamed response."""
     return json.dumps({"result": result}, separators=(",", ":")).encode() + b"\n"
--- a/heronreel/fault_injection/group_world.py
+++ b/heronreel/fault_injection/group_world.py
@@ -49,7 +49,7 @@
 # what two equal states of a member have in common; the numbers of its Persists are compared as differences
 _STATE_FIELDS = (
     "incarnation", "group_id", "promised", "version", "content", "members", "confirmed_versions", "role",
-    "highest_term", "ballot", "promises", "newest", "round_number", "round_in_flight", "established",
+    "highest_term", "ballot", "promises", "newest_snapshot", "round_number", "round_in_flight", "established",
     "acknowledgements", "joining",
 )  # fmt: skip
 
--- a/tests/coordination/test_keyspace.py
+++ b/tests/coordination/test_keyspace.py
@@ -120,7 +120,7 @@
 def test_the_size_of_the_state_is_limited_and_can_shrink_at_the_limit() -> None:
     state = Keyspace.from_content(EMPTY_CONTENT)
     value = bytes(256 << 10)
-    with pytest.raises(RequestError, match="would pass") as refused:
+    with pytest.raises(RequestError, match="would exceed") as refused:
         for number in range(40):
             state = state.apply(Put(b"k%d" % number, value)).state
     assert refused.value.code is StatusCode.RESOURCE_EXHAUSTED
--- a/tests/coordination/test_settings.py
+++ b/tests/coordination/test_settings.py
@@ -23,7 +23,7 @@
         ("[group]\npatience_ms = 200\n" + THREE, 2, "group.patience_ms", "at least 300"),
         ("[group]\nclock_drift = 0.5\n" + THREE, 2, "group.clock_drift", "a share from 0 to 0.2"),
         ("[group]\nlaese_s = 9\n" + THREE, 2, "group.laese_s", "did you mean 'lease_s'"),
-        ("[[members]]\nname = \"A b\"\naddress = \"x\"\n", 2, "members.A b.name", "small letters"),
+        ("[[members]]\nname = \"A b\"\naddress = \"x\"\n", 2, "members.A b.name", "lower-case letters"),
         ("", 0, "members", "at least one"),
     ],
 )  # fmt: skip
--- a/tests/coordinator/test_components.py
+++ b/tests/coordinator/test_components.py
@@ -101,7 +101,7 @@
 
     async def run() -> None:
         tracker = ConnectionTracker()
-        connect = tracker.tracked(FakeProtocol)
+        connect = tracker.track(FakeProtocol)
         idle, busy = connect(), connect()
         tracker.request_started(busy)
         sweeping = asyncio.create_task(tracker.run())
@@ -224,7 +224,7 @@
 
 def test_a_disk_of_another_member_and_an_unknown_name_are_rejected(tmp_path: Path) -> None:
     MemberDisk(tmp_path, "a").close()
-    with pytest.raises(WrongMemberError, match="'a', and not of 'b'"):
+    with pytest.raises(WrongMemberError, match="'a', and not to 'b'"):
         MemberDisk(tmp_path, "b")
     disk = MemberDisk(tmp_path, "a")
     group = GroupConfig((MemberAddress("b", "127.0.0.1:1"),))
