--- a/heronreel/coordination/kv_service.py
+++ b/heronreel/coordination/kv_service.py
@@ -170,9 +170,8 @@
             return False
         if not self._pending and self.lease_deadlines.earliest > now:
             return False
-        return (
-            not member.has_membership_change
-        )  # The next tick starts the round of a membership change first.
+        # A membership change goes first: the next tick starts its round.
+        return not member.has_membership_change
 
     def _fill(self, batch: RequestBatch) -> Outputs:
         """Add expired leases and pending requests to a batch."""
--- a/heronreel/coordination/settings.py
+++ b/heronreel/coordination/settings.py
@@ -57,9 +57,8 @@
     upkeep_s: Annotated[
         float, msgspec.Meta(ge=0.0, le=30 * 86_400.0, description="seconds, or 0 for no compaction")
     ] = 0.0  # the period of disk compaction
-    even: Annotated[bool, msgspec.Meta(description="true or false")] = (
-        False  # whether an even number of members is accepted
-    )
+    # Whether an even number of members is accepted.
+    even: Annotated[bool, msgspec.Meta(description="true or false")] = False
     lease_s: Annotated[int, msgspec.Meta(ge=1, le=86_400, description="whole seconds from 1 to 86,400")] = 6
     margin_s: Annotated[float, msgspec.Meta(ge=0.0, le=3600.0, description="seconds from 0 to 3,600")] = 1.0
     answer_s: Annotated[float, msgspec.Meta(ge=0.05, le=60.0, description="seconds from 0.05 to 60")] = 1.0
--- a/heronreel/coordinator/connections.py
+++ b/heronreel/coordinator/connections.py
@@ -54,7 +54,9 @@
         If there are too many connections, those that have been idle for the longest time are aborted too.
         """
         idle = [
-            (since, protocol) for protocol, since in self.idle_since.items() if protocol not in self.in_flight
+            (since, connection)
+            for connection, since in self.idle_since.items()
+            if connection not in self.in_flight
         ]
         idle.sort(key=lambda entry: entry[0])
         excess = len(self.idle_since) - MAX_CONNECTIONS
--- a/heronreel/coordinator/transport.py
+++ b/heronreel/coordinator/transport.py
@@ -18,9 +18,8 @@
 MAX_QUEUED_BYTES = 16 << 20  # Limits the size of the writes in the messages queued for one member.
 REQUEST_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 0.5
-RETRY_DELAY_S = (
-    0.02  # The delay after a failed request; without it, an unreachable member causes a busy loop.
-)
+# The delay after a failed request, so that an unreachable member does not cause a busy loop.
+RETRY_DELAY_S = 0.02
 
 _encode = msgspec.msgpack.Encoder().encode
 _decoder = msgspec.msgpack.Decoder(list[AnyMessage])
--- a/tests/compatibility/fingerprints.py
+++ b/tests/compatibility/fingerprints.py
@@ -82,11 +82,11 @@
 def _cases() -> dict[str, Start]:
     cases: dict[str, Start] = {
         "group: a crash of each": coordination.crash_of_each_member,
-        "group: grows": partial(coordination.resized_group, coordination.GROWS),
-        "group: shrinks": partial(coordination.resized_group, coordination.SHRINKS),
+        "group: grows": partial(coordination.resized_group, coordination.GROUP_GROWS),
+        "group: shrinks": partial(coordination.resized_group, coordination.GROUP_SHRINKS),
         "group: two let go at once": coordination.two_members_removed,
         "lease: all guards": coordination.with_lease_guards,
-        "lease: clocks apart": coordination.clocks_apart,
+        "lease: clocks apart": coordination.clocks_beyond_drift_bound,
         "count: a kill": counting.with_a_kill,
     }
     for number, in_group in enumerate(coordination.GROUP_GUARDS, 1):
--- a/tests/coordination/test_exhaustive.py
+++ b/tests/coordination/test_exhaustive.py
@@ -1,4 +1,8 @@
-"""Exhaustive exploration of small worlds around the real cores; without each guard, a counterexample."""
+"""Exhaustive exploration of small models that run the real protocol code.
+
+With all guards, no reachable state violates an invariant.  With one guard disabled, the exploration finds a
+counterexample.
+"""
 
 from __future__ import annotations
 
@@ -14,14 +18,16 @@
 from heronreel.fault_injection.lease_world import LeaseGuards, LeaseWorld, Limits
 
 NAMES = ("a", "b", "c")
-A_LEADS = (  # a leads with c's help, and c has not heard of anything else
+# Member a leads with the promise of c, and c has received no other messages.
+A_LEADS = (
     "a: starts",
     "c: receives from a: prepare",
     "a: receives from c: promise",
     "c: receives from a: round 2.1",
     "a: receives from c: at version 2.1, for round 1",
 )
-B_IS_CANDIDATE = ("b: starts", "c: receives from b: prepare")  # and c's promise is on its way to b
+# Member b is a candidate, and the promise of c is in transit to b.
+B_IS_CANDIDATE = ("b: starts", "c: receives from b: prepare")
 NEW_DISK = "c: crashes, and restarts with a new disk"
 
 
@@ -33,7 +39,7 @@
     return group(Budget(elections="a", writes=1, reads=1, crashes="abc"), 400_000, rollback=False)
 
 
-def test_no_confirmed_write_is_lost_in_any_order_with_a_crash_of_each_member() -> None:
+def test_no_confirmed_write_is_lost_in_any_order_of_events_with_a_crash_of_each_member() -> None:
     found = explore(*crash_of_each_member())
     print(found)
     assert found.complete and found.violation is None and found.states > 1_000
@@ -74,8 +80,8 @@
     assert found.violation is not None and "confirmed write" in found.violation
 
 
-GROWS: dict[str, tuple[str, ...]] = {"founders": ("a",), "desired_members": NAMES}
-SHRINKS: dict[str, tuple[str, ...]] = {"desired_members": ("a",)}
+GROUP_GROWS: dict[str, tuple[str, ...]] = {"founders": ("a",), "desired_members": NAMES}
+GROUP_SHRINKS: dict[str, tuple[str, ...]] = {"desired_members": ("a",)}
 
 
 def resized(budget: Budget, change: dict[str, tuple[str, ...]], **guards: bool) -> GroupWorld:
@@ -83,14 +89,14 @@
 
 
 def resized_group(change: dict[str, tuple[str, ...]]) -> tuple[GroupWorld, int]:
-    return resized(Budget(elections="a" if change is GROWS else "ab", writes=1), change), 25_000
+    return resized(Budget(elections="a" if change is GROUP_GROWS else "ab", writes=1), change), 25_000
 
 
 def two_members_removed() -> tuple[GroupWorld, int]:
-    return resized(Budget(elections="ab", writes=1), SHRINKS, single_change=False), 60_000
+    return resized(Budget(elections="ab", writes=1), GROUP_SHRINKS, single_change=False), 60_000
 
 
-@pytest.mark.parametrize("change", [GROWS, SHRINKS], ids=["grows", "shrinks"])
+@pytest.mark.parametrize("change", [GROUP_GROWS, GROUP_SHRINKS], ids=["grows", "shrinks"])
 def test_no_confirmed_write_is_lost_while_the_group_is_resized(change: dict[str, tuple[str, ...]]) -> None:
     found = explore(*resized_group(change))
     print(found)
@@ -104,7 +110,7 @@
 
 
 @settings(max_examples=30, deadline=None)
-@given(st.integers(0, 1 << 30), st.sampled_from([GROWS, SHRINKS]))
+@given(st.integers(0, 1 << 30), st.sampled_from([GROUP_GROWS, GROUP_SHRINKS]))
 def test_no_confirmed_write_is_lost_in_random_walks_of_a_resized_group(
     seed: int, change: dict[str, tuple[str, ...]]
 ) -> None:
@@ -130,24 +136,26 @@
     return LeaseWorld(LEASE_LIMITS, guarded), 150_000
 
 
-def clocks_apart() -> tuple[LeaseWorld, int]:
+def clocks_beyond_drift_bound() -> tuple[LeaseWorld, int]:
     return LeaseWorld(LEASE_LIMITS, LeaseGuards(), drift=0.01, true_drift=0.3), 100_000
 
 
-def test_at_most_one_holder_acts_in_any_order() -> None:
+def test_at_most_one_holder_acts_in_any_order_of_events() -> None:
     found = explore(*with_lease_guards())
     print(found)
     assert found.violation is None and found.states > 10_000
 
 
-@pytest.mark.parametrize(("guard", "others", "words"), LEASE_GUARDS)
-def test_two_holders_act_without_a_guard(guard: str, others: dict[str, bool], words: str) -> None:
+@pytest.mark.parametrize(("guard", "others", "expected_violation"), LEASE_GUARDS)
+def test_without_a_lease_guard_an_invariant_is_violated(
+    guard: str, others: dict[str, bool], expected_violation: str
+) -> None:
     found = explore(*without_lease_guard(guard, others))
     print(guard, found)
-    assert found.violation is not None and words in found.violation
+    assert found.violation is not None and expected_violation in found.violation
 
 
-def test_two_hold_when_clocks_drift_beyond_the_bound_and_the_fence_still_rejects() -> None:
-    found = explore(*clocks_apart())
+def test_clock_drift_beyond_the_bound_allows_two_holders_but_fencing_rejects_the_earlier_one() -> None:
+    found = explore(*clocks_beyond_drift_bound())
     print(found)
     assert found.violation == "two act at once"
--- a/tests/coordination/test_gateway.py
+++ b/tests/coordination/test_gateway.py
@@ -1,4 +1,4 @@
-"""Calls that the gateway or the state rejects."""
+"""Requests that the gateway or the keyspace rejects."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "body", "code", "words"),
+    ("path", "body", "code", "expected_message"),
     [
         (
             "/v3/kv/put",
@@ -42,8 +42,8 @@
     ],
 )
 def test_invalid_requests_are_rejected_with_a_code_and_a_reason(
-    path: str, body: object, code: StatusCode, words: str
+    path: str, body: object, code: StatusCode, expected_message: str
 ) -> None:
-    with pytest.raises(RequestError, match=words) as refused:
+    with pytest.raises(RequestError, match=expected_message) as raised:
         Keyspace.from_content(EMPTY_CONTENT).apply(decode_request(path, json.dumps(body).encode()))  # type: ignore[arg-type]
-    assert refused.value.code is code
+    assert raised.value.code is code
--- a/tests/coordination/test_virtual_time.py
+++ b/tests/coordination/test_virtual_time.py
@@ -1,4 +1,7 @@
-"""Groups and holders in virtual time: invariants hold for any seed, and are violated without a guard."""
+"""Groups and lease holders in virtual time.
+
+The invariants hold for any seed; with a guard disabled, some seed violates one.
+"""
 
 from __future__ import annotations
 
@@ -18,24 +21,28 @@
 
 
 def test_the_same_seed_gives_the_same_run() -> None:
-    plays = [VirtualWorld(5) for _ in range(2)]
-    for play in plays:
-        play.run()
-    assert plays[0].calls == plays[1].calls and plays[0].accepted == plays[1].accepted and plays[0].accepted
+    worlds = [VirtualWorld(5) for _ in range(2)]
+    for world in worlds:
+        world.run()
+    assert (
+        worlds[0].calls == worlds[1].calls and worlds[0].accepted == worlds[1].accepted and worlds[0].accepted
+    )
 
 
 @pytest.mark.parametrize(
-    ("without", "seeds"),
+    ("disabled_guard", "seeds"),
     [
         ({"guards": Guards(quorum=False)}, 40),
         ({"guards": Guards(newest_version=False)}, 60),
         ({"fenced": False}, 60),
     ],
 )
-def test_a_seed_violates_an_invariant_without_a_guard(without: dict[str, object], seeds: int) -> None:
+def test_some_seed_violates_an_invariant_without_a_guard(
+    disabled_guard: dict[str, object], seeds: int
+) -> None:
     for seed in range(seeds):
-        world = VirtualWorld(seed, faults=12, **without)  # type: ignore[arg-type]
+        world = VirtualWorld(seed, faults=12, **disabled_guard)  # type: ignore[arg-type]
         if problems := world.run():
-            print(without, seed, problems)
+            print(disabled_guard, seed, problems)
             return
-    raise AssertionError(f"{seeds} seeds broke nothing without {without}")
+    raise AssertionError(f"none of {seeds} seeds violated an invariant with {disabled_guard}")
