--- a/tests/coordinator/__init__.py
+++ b/tests/coordinator/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the coordinator server, between processes."""
+"""Tests of the coordinator server, with real processes."""
--- a/tests/coordinator/group_support.py
+++ b/tests/coordinator/group_support.py
@@ -1,4 +1,4 @@
-"""What the tests of groups of processes share."""
+"""Helpers for the tests of groups of processes."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def other_than(leader: str) -> str:
-    """A member of MEMBER_NAMES that is not the leader."""
+    """Return the first of MEMBER_NAMES that is not the leader."""
     return next(name for name in MEMBER_NAMES if name != leader)
 
 
 async def put_until_done(client: Client, key: bytes, value: bytes) -> None:
-    """Write, whichever member leads by then; a write with an unknown outcome is repeated."""
+    """Write a key, and retry until a leader confirms it; a write with an unknown outcome is repeated."""
     async with asyncio.timeout(20):
         while True:
             try:
@@ -30,7 +30,7 @@
 
 
 async def value_of(client: Client, key: bytes) -> bytes | None:
-    """The value of a key; None if it does not exist."""
+    """Return the value of a key; None if the key does not exist."""
     response = await client.call(Range(key), 10.0)
     assert isinstance(response, RangeResponse)
     return response.records[0][1].value if response.records else None
--- a/tests/coordinator/test_components.py
+++ b/tests/coordinator/test_components.py
@@ -1,4 +1,4 @@
-"""The parts of a member's server, each alone."""
+"""The components of a member's server, each in isolation."""
 
 from __future__ import annotations
 
@@ -44,7 +44,8 @@
         ]
         assert [notifications.get_nowait().revision for _ in range(2)] == [1, 2]
         assert notifications.get_nowait() == WatchNotified(7, 3, (), compact_revision=3)
-        assert registry.publish(WatchNotified(7, 4, ())) and notifications.empty()  # it is forgotten
+        # The watch has been removed.
+        assert registry.publish(WatchNotified(7, 4, ())) and notifications.empty()
 
     asyncio.run(run())
 
@@ -53,7 +54,8 @@
     async def run() -> None:
         requests = PendingRequests()
         requests.add(1)
-        requests.complete(RequestCompleted(1, PutResponse(5, None)))  # before anybody waits
+        # The core completes the request before `wait` is called.
+        requests.complete(RequestCompleted(1, PutResponse(5, None)))
         assert await requests.wait(1, 1.0) == PutResponse(5, None)
         requests.add(2)
         with pytest.raises(RequestError) as late:
@@ -63,21 +65,21 @@
         requests.fail_all(RequestError(StatusCode.UNKNOWN, "stopped"))
         with pytest.raises(RequestError, match="stopped"):
             await requests.wait(3, 1.0)
-        requests.complete(RequestCompleted(3, PutResponse(6, None)))  # nobody waits any more
+        requests.complete(RequestCompleted(3, PutResponse(6, None)))  # A late completion is ignored.
 
     asyncio.run(run())
 
 
-def test_nothing_is_admitted_once_a_member_is_stopping(tmp_path: Path) -> None:
-    """The open requests were failed, so a later one would wait for nobody."""
+def test_a_stopping_member_rejects_requests_and_watches(tmp_path: Path) -> None:
+    """The open requests have been failed already, so a later request would never be completed."""
 
     async def run() -> None:
         node = MemberNode(GroupConfig((MemberAddress("a", "127.0.0.1:1"),)), "a", MemberDisk(tmp_path, "a"))
         await node.start()
         await node.stop()
-        with pytest.raises(RequestError, match="stopped") as refused:
+        with pytest.raises(RequestError, match="stopped") as raised:
             await node.request(Range(b"key"))
-        assert refused.value.code is StatusCode.UNAVAILABLE
+        assert raised.value.code is StatusCode.UNAVAILABLE
         with pytest.raises(RequestError, match="stopped"):
             node.open_watch(WatchRequest(b"key", b"", 0, False))
 
@@ -106,7 +108,7 @@
         tracker.request_started(busy)
         sweeping = asyncio.create_task(tracker.run())
         async with asyncio.timeout(5):
-            while idle in tracker.idle_since:  # aborted, and then forgotten
+            while idle in tracker.idle_since:  # It is first aborted and then removed.
                 await asyncio.sleep(0.01)
         assert isinstance(idle, FakeProtocol) and idle.aborted
         assert isinstance(busy, FakeProtocol) and not busy.aborted
@@ -128,20 +130,20 @@
         return Accept("a", "aa", "aa", "bb", NO_BALLOT, 1, NO_VERSION, None, ((b"k", value),))
 
     async def run() -> None:
-        connected = Transport("a", CrashPoints())
-        connected.update([MemberAddress("a", "127.0.0.1:1"), MemberAddress("b", "127.0.0.1:2")])
-        assert list(connected.peers) == ["b"]
-        connected.send("nobody", Hello("a", "aa"))  # dropped
-        peer = connected.peers["b"]
+        outgoing = Transport("a", CrashPoints())
+        outgoing.update([MemberAddress("a", "127.0.0.1:1"), MemberAddress("b", "127.0.0.1:2")])
+        assert list(outgoing.peers) == ["b"]
+        outgoing.send("unknown", Hello("a", "aa"))  # The message is dropped.
+        peer = outgoing.peers["b"]
         for value in (b"x" * 60, b"x" * 60, b"y" * 30):
-            connected.send("b", accept(value))
+            outgoing.send("b", accept(value))
         assert list(peer.queue) == [accept(b"x" * 60), accept(b"y" * 30)]
-        connected.send("b", accept(b"z" * 11))
+        outgoing.send("b", accept(b"z" * 11))
         assert list(peer.queue) == [accept(b"z" * 11)]
-        connected.update([MemberAddress("b", "127.0.0.1:3")])
-        assert connected.peers["b"] is not peer  # another address
-        connected.cancel()
-        await connected.close()
+        outgoing.update([MemberAddress("b", "127.0.0.1:3")])
+        assert outgoing.peers["b"] is not peer  # The address of the member has changed.
+        outgoing.cancel()
+        await outgoing.close()
 
     asyncio.run(run())
 
@@ -165,7 +167,7 @@
 
 
 def failing_once(error: Exception, write: Callable[..., None]) -> Callable[..., None]:
-    """A write that fails the first time."""
+    """Return a write function that fails the first time."""
     errors = [error]
 
     def attempt(*arguments: object) -> None:
@@ -200,7 +202,7 @@
     [
         (WriteFailedError("no space", final=False), ["reset", "persisted 2"]),
         (WriteFailedError("fsync", final=True), ["failed"]),
-        (OSError("gone"), ["failed"]),
+        (OSError("no such device"), ["failed"]),
     ],
 )
 def test_a_failed_write_resets_the_core_or_ends_the_member(
--- a/tests/coordinator/test_fleet_tasks.py
+++ b/tests/coordinator/test_fleet_tasks.py
@@ -1,4 +1,4 @@
-"""Fleet-wide tasks, their budgets, and compaction of the members' disks as one of them."""
+"""Fleet-wide tasks, their rate budgets, and the compaction of the members' disks as such a task."""
 
 from __future__ import annotations
 
@@ -25,19 +25,22 @@
 
 
 def written_steps(history: Path) -> list[Operation]:
-    """The steps that the guarded resource accepted."""
+    """Return the steps that the guarded resource accepted."""
     operations = read_histories([history])
     return [operation for operation in operations if operation.kind == ResourceEvent.WRITTEN]
 
 
 def compactions(process: ManagedProcess) -> list[dict[str, Any]]:
-    """The log lines of a member about the compaction of its disk."""
+    """Return the log lines of a member about the compaction of its disk."""
     rows = [json.loads(line) for line in process.lines if line.startswith("{")]
     return [row for row in rows if row["event"].startswith("compaction")]
 
 
 def check_one_at_a_time(rows: Sequence[dict[str, Any]]) -> None:
-    """Assert that no two compactions overlap; one that was killed is followed under a greater token."""
+    """Assert that compactions do not overlap, except that one may start under a greater fencing token.
+
+    That happens when the process of the earlier compaction was killed.
+    """
     token = 0
     in_progress: dict[str, Any] | None = None
     for row in rows:
@@ -52,7 +55,7 @@
             in_progress = None
 
 
-def test_a_fleet_wide_task_resumes_at_its_step_through_kills_of_its_holders(tmp_path: Path) -> None:
+def test_a_fleet_wide_task_resumes_at_its_step_after_its_holders_are_killed(tmp_path: Path) -> None:
     async def run() -> None:
         async with Harness(tmp_path, MEMBER_NAMES, 12) as harness, Client(harness.addresses) as client:
             await harness.wait_until_healthy()
@@ -81,7 +84,7 @@
                 doomed = [await start(f"d{count}{number}", HERONREEL_END_AT=point) for number in range(2)]
                 await wait_for_step(before + 4)
                 leader = await harness.wait_for_leader()
-                await harness.members[leader].kill()  # and the group's leader beside them
+                await harness.members[leader].kill()  # The group's leader is killed as well.
                 await wait_for_step(before + 8)
                 await harness.start_member(leader)
                 await harness.wait_until_healthy()
@@ -97,7 +100,7 @@
     asyncio.run(run())
 
 
-def test_a_priority_class_keeps_to_the_fleet_budget_and_a_killed_process_releases_its_share(
+def test_a_priority_class_stays_within_the_fleet_budget_and_a_killed_process_releases_its_share(
     tmp_path: Path,
 ) -> None:
     rate = 40.0
@@ -125,21 +128,22 @@
 
             await all_make_progress([f"d{number}" for number in range(5)])
             for number in (0, 1, 2):
-                await processes[number].kill()  # its share is released when its lease has expired
+                await processes[number].kill()  # Its share is released when its lease expires.
             await all_make_progress(["d3", "d4"])
             times = [operation.start for operation in written_steps(history)]
         worst = 0.0
         for first, start in enumerate(times):
             for last in range(first, len(times)):
                 budget = rate * (times[last] - start + BURST_S)
-                worst = max(worst, (last - first + 1) / (budget + 5))  # one step of each may be in flight
+                # One step of each of the five processes may be in flight.
+                worst = max(worst, (last - first + 1) / (budget + 5))
         print(f"{len(times)} steps, at worst {worst:.2f} of the budget")
         assert worst <= 1.0
 
     asyncio.run(run())
 
 
-def test_disks_are_compacted_by_one_member_at_a_time_through_kills(tmp_path: Path) -> None:
+def test_disks_are_compacted_by_one_member_at_a_time_although_one_is_killed(tmp_path: Path) -> None:
     async def run() -> None:
         settings = "upkeep_s = 0.3\nlease_s = 2\nmargin_s = 0.3\nanswer_s = 0.3"
         async with (
@@ -160,7 +164,7 @@
             doomed = other_than(await harness.wait_for_leader())
             await harness.members[doomed].kill()
             killed = await harness.start_member(doomed, HERONREEL_END_AT="compact:2")
-            # during a compaction: the others continue once its lease has expired
+            # The member crashes during a compaction; the others continue once its lease has expired.
             await killed.wait_for_exit(60)
             seen += compactions(killed)
             await harness.start_member(doomed)
--- a/tests/coordinator/test_http_interface.py
+++ b/tests/coordinator/test_http_interface.py
@@ -74,7 +74,7 @@
             writer.close()
             reader, writer = await asyncio.open_connection(*harness.network.client_relays["a"].target)
             writer.write(head % 500 + b"{")
-            async with asyncio.timeout(20):  # the rest never arrives
+            async with asyncio.timeout(20):  # The rest of the body never arrives.
                 assert b" 400 " in await reader.readline()
             writer.close()
 
@@ -97,7 +97,7 @@
             dripping = asyncio.create_task(drip())
             async with asyncio.timeout(30):
                 head = await reader.readline()
-                # and the connection is closed
+                # The server closes the connection, so the client reads to the end.
                 assert b" 400 " in head and b"not received within" in await reader.read()
             dripping.cancel()
             await harness.wait_until_available()
--- a/tests/coordinator/test_leases.py
+++ b/tests/coordinator/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases of processes whose group, clocks and network fail."""
+"""Leases held by processes under failures of the group, the clocks and the network."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 async def acquired_token(worker: ManagedProcess, after: int = 0) -> int:
-    """The first fencing token above `after` that the worker acquires."""
+    """Wait for the first fencing token above `after` that the worker acquires."""
     async with asyncio.timeout(30):
         while True:
             if tokens := [token for token in acquired_tokens(worker.lines) if token > after]:
@@ -36,7 +36,7 @@
             await asyncio.sleep(0.01)
 
 
-def test_a_holder_paused_during_an_action_is_rejected_and_notices(tmp_path: Path) -> None:
+def test_a_holder_paused_during_an_action_is_rejected_and_notices_the_loss(tmp_path: Path) -> None:
     async def run() -> None:
         async with Harness(tmp_path, ("a",), 5) as harness:
             history = tmp_path / "resource.history"
@@ -44,30 +44,31 @@
 
             async def worker(name: str) -> ManagedProcess:
                 path = str(tmp_path / f"{name}.history")
-                words = ("heronreel.fault_injection.worker", name, path, f"127.0.0.1:{port}", "2")
-                return await harness.start_process(name, *words, *harness.addresses)
+                arguments = ("heronreel.fault_injection.worker", name, path, f"127.0.0.1:{port}", "2")
+                return await harness.start_process(name, *arguments, *harness.addresses)
 
             first = await worker("w1")
-            number = await acquired_token(first)
+            token = await acquired_token(first)
             second = await worker("w2")
             await second.wait_for_line("started")
-            first.pause()  # anywhere between the check of its lease and the write
-            later = await acquired_token(second, number)
+            first.pause()  # This may be at any point between the check of its lease and the write.
+            later = await acquired_token(second, token)
             first.resume()
-            await first.wait_for_line(LOST, str(number))
-            async with asyncio.timeout(20):  # the second releases the task, and the first acquires it again
+            await first.wait_for_line(LOST, str(token))
+            # The second worker releases the task, and the first acquires it again.
+            async with asyncio.timeout(20):
                 second.send_signal(signal.SIGTERM)
                 assert await second.wait_for_exit() == 0
             assert await acquired_token(first, later) > later
             async with aiohttp.ClientSession() as session:
                 resource = ResourceClient(f"127.0.0.1:{port}", session)
-                response = await resource.write(ResourceRequest(TASK, number, 1, "w1"))
+                response = await resource.write(ResourceRequest(TASK, token, 1, "w1"))
             assert not response.admitted and response.highest_token >= later
 
     asyncio.run(run())
 
 
-def test_a_lease_survives_the_leader_and_has_one_holder(tmp_path: Path) -> None:
+def test_a_lease_survives_the_loss_of_the_leader_and_has_one_holder(tmp_path: Path) -> None:
     async def run() -> None:
         async with Harness(tmp_path, MEMBER_NAMES, 6) as harness:
             async with (
@@ -75,14 +76,14 @@
                 LeaseSession(harness.addresses, "two", SHORT_TERMS) as two,
             ):
                 claim, other = one.claim("task"), two.claim("task")
-                number = await one.wait_acquired(claim) if await is_first(one, claim, two, other) else 0
-                number = number or await two.wait_acquired(other)
+                token = await one.wait_acquired(claim) if await is_first(one, claim, two, other) else 0
+                token = token or await two.wait_acquired(other)
                 await harness.members[await harness.wait_for_leader()].kill()
                 async with Client(harness.addresses) as client:
                     await put_until_done(client, b"k", b"1")
                     holder, mine = (one, claim) if claim.granted_token else (two, other)
                     await holder.wait_acquired(mine)
-                    assert mine.granted_token == number  # the new leader counts its time anew
+                    assert mine.granted_token == token  # The new leader restarts the time of the lease.
                     left = await client.call(LeaseTimeToLive(holder.lease.lease_id, True), 5.0)
                     assert isinstance(left, LeaseResponse) and left.keys == (b"held/task",) and left.ttl >= 0
                     assert not (claim.fencing_token(one.now()) and other.fencing_token(two.now()))
@@ -104,13 +105,14 @@
             relay = harness.network.client_relays["a"]
             async with LeaseSession(harness.addresses, "one", SHORT_TERMS) as holder:
                 claim = holder.claim("t")
-                number = await holder.wait_acquired(claim)
-                relay.responses.partitioned = True  # renewals go through, their responses do not
+                token = await holder.wait_acquired(claim)
+                # Renewals arrive at the member, but their responses are lost.
+                relay.responses.partitioned = True
                 async with asyncio.timeout(20):
                     while claim.fencing_token(holder.now()):
                         await asyncio.sleep(0.01)
                 relay.heal()
-                assert await holder.wait_acquired(claim) >= number
+                assert await holder.wait_acquired(claim) >= token
                 again = await client.call(LeaseKeepAlive(holder.lease.lease_id), 5.0)
                 assert isinstance(again, LeaseResponse) and again.ttl == 2
                 with pytest.raises(RequestError, match="exists"):
@@ -127,7 +129,7 @@
             minority = [harness.address(alone)]
             async with LeaseSession(minority, "one", SHORT_TERMS) as holder, Client(minority) as isolated:
                 claim = holder.claim("t")
-                number = await holder.wait_acquired(claim)
+                token = await holder.wait_acquired(claim)
                 harness.network.partition(alone)
                 with pytest.raises(RequestError):
                     await isolated.call(Put(b"k", b"minority"), 2.0)
@@ -136,21 +138,18 @@
                         await asyncio.sleep(0.01)
                     others = [address for address in harness.addresses if address not in minority]
                     async with LeaseSession(others, "two", SHORT_TERMS) as second:
-                        assert (
-                            await second.wait_acquired(second.claim("t")) > number
-                        )  # the majority continues
+                        # The majority grants the claim under a greater fencing token.
+                        assert await second.wait_acquired(second.claim("t")) > token
                         assert not claim.fencing_token(holder.now())
                 harness.network.heal(alone)
                 await harness.wait_until_healthy()
-                assert await value_of(client, b"k") is None  # a rejected write has no effect
+                assert await value_of(client, b"k") is None  # The rejected write had no effect.
 
     asyncio.run(run())
 
 
-def test_a_wall_clock_that_jumps_an_hour_affects_no_lease(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """The clocks of the holder and of the member jump: Python runs `sitecustomize` when the member starts."""
+def test_jumps_of_the_wall_clock_affect_no_lease(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The wall clocks of the holder and of the member jump; the member's through a `sitecustomize` module."""
     (tmp_path / "jump").mkdir()
     (tmp_path / "jump" / "sitecustomize.py").write_text(
         "import time\n_real, _began = time.time, time.monotonic()\n"
@@ -164,18 +163,18 @@
             await harness.wait_until_available()
             async with LeaseSession(harness.addresses, "one", SHORT_TERMS) as holder:
                 claim = holder.claim("t")
-                number = await holder.wait_acquired(claim)
+                token = await holder.wait_acquired(claim)
                 real = time.time
                 for jump in (3600.0, -3600.0, 7200.0):
                     monkeypatch.setattr(time, "time", lambda jump=jump: real() + jump)
                     await asyncio.sleep(1.2)
-                    assert claim.fencing_token(holder.now()) == number
+                    assert claim.fencing_token(holder.now()) == token
                 monkeypatch.undo()
 
     asyncio.run(run())
 
 
-def test_two_hundred_holders_reconnect_without_a_thundering_herd(tmp_path: Path) -> None:
+def test_200_holders_reconnect_without_a_thundering_herd(tmp_path: Path) -> None:
     holders = 200
 
     async def run() -> None:
@@ -197,11 +196,11 @@
                 for holder, _ in claims:
                     call = holder.client.call
 
-                    async def counted(request: Any, seconds: float, call: Any = call) -> Any:
+                    async def recording_call(request: Any, seconds: float, call: Any = call) -> Any:
                         request_times.append(loop.time())
                         return await call(request, seconds)
 
-                    monkey.setattr(holder.client, "call", counted)
+                    monkey.setattr(holder.client, "call", recording_call)
                 async with asyncio.timeout(60):
                     while any(claim.fencing_token(holder.now()) for holder, claim in claims):
                         await asyncio.sleep(0.02)
@@ -214,7 +213,8 @@
                 worst = max(Counter(int(at / 0.1) for at in request_times).values())
                 load = f"{len(request_times)} requests, at most {worst} in 0.1 s"
                 print(f"{load}, all hold their leases again after {loop.time() - restarted:.2f} s")
-            assert worst <= 0.75 * holders  # a thundering herd is two requests of each: a lease and a claim
+            # In a thundering herd, each holder sends two requests at once: for its lease and for its claim.
+            assert worst <= 0.75 * holders
 
     with pytest.MonkeyPatch.context() as monkey:
         asyncio.run(run())
--- a/tests/coordinator/test_membership.py
+++ b/tests/coordinator/test_membership.py
@@ -1,4 +1,4 @@
-"""A group that changes its members while it serves."""
+"""Membership changes of a group that serves requests."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 async def change_membership(client: Client, names: Sequence[str]) -> None:
-    """Have the group consist of these members, and wait until it does."""
+    """Change the members of the group, and wait until the change is complete."""
     async with asyncio.timeout(60):
         while True:
             try:
@@ -29,8 +29,8 @@
             await asyncio.sleep(0.05)
 
 
-def test_a_group_grows_to_three_members_and_shrinks_to_another_one_while_serving(tmp_path: Path) -> None:
-    """Writes go on, a lease is kept, and nothing that was written is lost, although the leader is killed."""
+def test_a_group_grows_to_three_members_and_shrinks_to_a_different_one_while_serving(tmp_path: Path) -> None:
+    """Writes continue, a lease is kept, and no confirmed write is lost, although a member is killed."""
 
     async def run() -> None:
         async with Harness(tmp_path, ("a",), 14) as harness, Client([harness.address("a")]) as first:
@@ -50,29 +50,30 @@
             terms = LeaseTerms(ttl_s=6, safety_margin_s=0.5, response_timeout_s=0.5)
             async with LeaseSession([harness.address("a")], "one", terms) as session:
                 claim = session.claim("t")
-                number = await session.wait_acquired(claim)
+                token = await session.wait_acquired(claim)
                 for name in ("b", "c"):
                     await harness.add_member(name)
                 session.client.addresses = harness.addresses
                 await change_membership(first, MEMBER_NAMES)
                 first.addresses = harness.addresses
                 await harness.wait_until_healthy()
-                assert claim.fencing_token(session.now()) == number
-                await harness.members["a"].kill()  # three members tolerate the loss of one
+                assert claim.fencing_token(session.now()) == token
+                await harness.members["a"].kill()  # A group of three members tolerates the loss of one.
                 count = len(written)
                 async with asyncio.timeout(30):
                     while len(written) < count + 20:
                         await asyncio.sleep(0.01)
                 await harness.start_member("a")
                 await harness.wait_until_healthy()
-                survivor = other_than(await harness.wait_for_leader())  # so that the leader removes itself
+                # The remaining member is not the leader, so the leader has to remove itself.
+                survivor = other_than(await harness.wait_for_leader())
                 await change_membership(first, [survivor])
                 for name in MEMBER_NAMES:
                     if name != survivor:
                         await harness.remove_member(name)
                 first.addresses = session.client.addresses = harness.addresses
                 await harness.wait_until_healthy()
-                assert claim.fencing_token(session.now()) == number
+                assert claim.fencing_token(session.now()) == token
                 count = len(written)
                 async with asyncio.timeout(30):
                     while len(written) < count + 20:
@@ -83,7 +84,7 @@
                 assert await value_of(first, key) == b"1", key
             rows = json.loads(await asyncio.to_thread(harness.run_command, "members", "--json"))
             assert list(rows["disks"]) == [survivor] == rows["wish"]
-            bad = await asyncio.to_thread(harness.run_command, "members", "--set", "z", expected_code=78)
-            assert "'z' is none of" in bad
+            rejected = await asyncio.to_thread(harness.run_command, "members", "--set", "z", expected_code=78)
+            assert "'z' is none of" in rejected
 
     asyncio.run(run())
--- a/tests/coordinator/test_replication.py
+++ b/tests/coordinator/test_replication.py
@@ -1,4 +1,4 @@
-"""Groups of processes that lose members, disks and connections."""
+"""Groups of processes under the loss of members, disks and connections."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.coordinator.group_support import MEMBER_NAMES, other_than, put_until_done, value_of
 
 
-def test_the_loss_of_any_member_and_its_disk_is_tolerated_and_of_two_members_is_not(tmp_path: Path) -> None:
+def test_the_loss_of_one_member_and_its_disk_is_tolerated_and_the_loss_of_two_is_not(tmp_path: Path) -> None:
     async def run() -> None:
         async with Harness(tmp_path, MEMBER_NAMES, 1) as harness, Client(harness.addresses) as client:
             for count, name in enumerate((*MEMBER_NAMES, await harness.wait_for_leader())):
@@ -23,7 +23,7 @@
                 await put_until_done(client, b"k", b"%d" % count)
                 await harness.members[name].kill()
                 shutil.rmtree(tmp_path / name)
-                await put_until_done(client, b"other", b"%d" % count)  # the others continue
+                await put_until_done(client, b"other", b"%d" % count)  # The other members continue.
                 await harness.start_member(name)
                 await harness.wait_until_healthy()
                 assert await value_of(client, b"k") == b"%d" % count
@@ -35,7 +35,8 @@
                 await client.call(Put(b"k", b"lost"), 2.0)
             async with Client([harness.address(leader)]) as alone:
                 with pytest.raises(RequestError) as raised:
-                    await alone.call(Range(b"k"), 2.5)  # also a read: another member may be the leader by now
+                    # A read fails as well, because another member may have become the leader.
+                    await alone.call(Range(b"k"), 2.5)
                 assert raised.value.code in (
                     StatusCode.UNAVAILABLE,
                     StatusCode.DEADLINE_EXCEEDED,
@@ -50,8 +51,8 @@
     asyncio.run(run())
 
 
-def test_a_leader_killed_at_any_write_loses_no_acknowledged_write(tmp_path: Path) -> None:
-    """The process announces crash points: it is killed before a write, after it, and after sending."""
+def test_a_leader_that_crashes_around_a_write_loses_no_acknowledged_write(tmp_path: Path) -> None:
+    """The process crashes at a crash point: before a disk write, after it, or after sending messages."""
 
     async def run() -> None:
         async with Harness(tmp_path, MEMBER_NAMES, 2) as harness, Client(harness.addresses) as client:
@@ -87,9 +88,11 @@
             for number in range(5):
                 await put_until_done(client, b"k", b"%d" % number)
             await harness.wait_until_replicated()
-            await put_until_done(client, b"k", b"last")  # who has it has confirmed the fifth as well
+            # A member that has this write has confirmed the fifth write as well.
+            await put_until_done(client, b"k", b"last")
             await harness.wait_until_replicated()
-            await put_until_done(client, b"k", b"new")  # carries what each member has confirmed
+            # This write contains the record of the versions that each member has confirmed.
+            await put_until_done(client, b"k", b"new")
             await harness.members[rolled_back].kill()
             shutil.rmtree(tmp_path / rolled_back)
             shutil.copytree(tmp_path / "backup", tmp_path / rolled_back)
@@ -108,22 +111,23 @@
             leader = await harness.wait_for_leader()
             other = other_than(leader)
             link = harness.network.peer_relays[leader, other]
-            link.requests.partitioned = True  # the other receives nothing from the leader
+            link.requests.partitioned = True  # The other member receives nothing from the leader.
             for number in range(20):
                 await client.call(Put(b"k", b"%d" % number), 3.0)
-            assert await harness.wait_for_leader() == leader  # and the other disrupts nothing
+            # The isolated member does not disrupt the leader.
+            assert await harness.wait_for_leader() == leader
             link.heal()
             await harness.wait_until_healthy()
             leader = await harness.wait_for_leader()
             harness.members[leader].pause()
-            away = [harness.address(name) for name in MEMBER_NAMES if name != leader]
-            async with Client(away) as rest:
-                await put_until_done(rest, b"k", b"later")
+            other_addresses = [harness.address(name) for name in MEMBER_NAMES if name != leader]
+            async with Client(other_addresses) as others:
+                await put_until_done(others, b"k", b"later")
             harness.members[leader].resume()
-            async with Client([harness.address(leader)]) as woken:
-                assert await value_of(woken, b"k") == b"later"  # never a stale value
-            # the leader receives nothing, while all receive from it: it steps down, and another one is
-            # elected
+            async with Client([harness.address(leader)]) as resumed:
+                assert await value_of(resumed, b"k") == b"later"  # The resumed leader returns no stale value.
+            # The leader receives nothing, while the others receive its messages.  It steps down, and another
+            # member is elected.
             await harness.wait_until_healthy()
             leader = await harness.wait_for_leader()
             for name in MEMBER_NAMES:
@@ -135,7 +139,7 @@
     asyncio.run(run())
 
 
-def test_a_member_with_a_full_disk_is_lost_and_one_with_a_corrupt_disk_does_not_start(tmp_path: Path) -> None:
+def test_a_member_with_a_full_disk_fails_and_one_with_a_corrupt_disk_does_not_start(tmp_path: Path) -> None:
     async def run() -> None:
         async with Harness(tmp_path, MEMBER_NAMES, 9) as harness, Client(harness.addresses) as client:
             await harness.wait_until_healthy()
--- a/tests/coordinator/test_trials.py
+++ b/tests/coordinator/test_trials.py
@@ -1,4 +1,4 @@
-"""Whole trials: workers under a lease, seeded faults between processes, and the checkers."""
+"""Complete trials: workers that hold a lease, seeded faults in processes, and the checkers."""
 
 from __future__ import annotations
 
@@ -33,7 +33,8 @@
             assert result.steps > 10
             if name == "within":
                 assert not result.problems
-            # two may believe that they hold the lease; the resource accepts steps in order all the same
+            # Two workers may both believe that they hold the lease; the resource still accepts steps in
+            # order.
             assert all("was started while" in problem for problem in result.problems), result.problems
 
     asyncio.run(run())
