--- a/heronreel/coordination/consensus.py
+++ b/heronreel/coordination/consensus.py
@@ -74,7 +74,7 @@
     # -- events
 
     def tick(self, now: float) -> Actions:
-        """Handle the passing of time: time-outs, retransmissions, heartbeats and membership changes."""
+        """Handle the passing of time: timeouts, retransmissions, heartbeats and membership changes."""
         if self.role is Role.LEADER:
             return self._tick_leader(now)
         if now < self.election_deadline:
--- a/heronreel/coordination/follower.py
+++ b/heronreel/coordination/follower.py
@@ -53,8 +53,8 @@
 
 def _apply_round(state: MemberState, message: Accept) -> _AppliedRound:
     """Bring the map to the round's version, if the round has the writes that this requires."""
-    older = state.version.ballot != message.ballot or state.version.step < message.version.step
-    if state.version == message.version or not (older or not state.guards.promise):
+    is_behind = state.version.ballot != message.ballot or state.version.step < message.version.step
+    if state.version == message.version or not (is_behind or not state.guards.promise):
         return _AppliedRound(changed=False)
     writes = message.writes
     replaces_all = message.base is None
--- a/heronreel/coordination/gateway_server.py
+++ b/heronreel/coordination/gateway_server.py
@@ -203,17 +203,17 @@
 
 
 def _to_operation(form: _OperationForm) -> Operation:
-    given: list[Operation] = []
+    operations: list[Operation] = []
     if form.request_range is not None:
-        given.append(_to_range(form.request_range))
+        operations.append(_to_range(form.request_range))
     if form.request_put is not None:
-        given.append(_to_put(form.request_put))
+        operations.append(_to_put(form.request_put))
     if form.request_delete_range is not None:
-        given.append(_to_delete_range(form.request_delete_range))
-    if len(given) != 1:
+        operations.append(_to_delete_range(form.request_delete_range))
+    if len(operations) != 1:
         message = "operation: expected one of a range, a put and a delete"
         raise RequestError(StatusCode.INVALID_ARGUMENT, message)
-    return given[0]
+    return operations[0]
 
 
 def _to_compare(form: _CompareForm) -> Compare:
--- a/heronreel/coordination/member_state.py
+++ b/heronreel/coordination/member_state.py
@@ -21,7 +21,7 @@
 
 
 class Timing(msgspec.Struct, frozen=True):
-    """The protocol's time-outs, in seconds."""
+    """The protocol's timeouts, in seconds."""
 
     heartbeat_interval_s: float = 0.1  # the time between two rounds of an idle leader
     retransmit_interval_s: float = 0.1  # the time before a round is sent again to members without a response
@@ -126,8 +126,8 @@
             configured_members: the names of the members in the group's configuration file.
             durable: the state on the disk.
             now: the time in seconds, on the clock that is used for all later events.
-            timing: the time-outs; None means the defaults.
-            jitter: returns a random number from 0 up to 1, for election time-outs.
+            timing: the timeouts; None means the defaults.
+            jitter: returns a random number from 0 up to 1, for election timeouts.
             guards: the enabled safeguards; all of them outside of tests.
         """
         self.name = name
--- a/heronreel/coordination/replication.py
+++ b/heronreel/coordination/replication.py
@@ -138,11 +138,11 @@
 
 def has_quorum_contact(state: MemberState, now: float) -> bool:
     """Return whether a quorum, including this member, has responded within the step-down timeout."""
-    reached = 0
+    in_contact = 0
     for name in state.members:
         silence = now - state.last_contact.get(name, now)
-        reached += name == state.name or silence < state.timing.step_down_timeout_s
-    return reached >= state.quorum_size(state.members)
+        in_contact += name == state.name or silence < state.timing.step_down_timeout_s
+    return in_contact >= state.quorum_size(state.members)
 
 
 def _confirmed_version(state: MemberState, name: str) -> Version:
--- a/heronreel/coordination/settings.py
+++ b/heronreel/coordination/settings.py
@@ -1,4 +1,4 @@
-"""The configuration file of a group: its members, time-outs and maximum clock drift.
+"""The configuration file of a group: its members, timeouts and maximum clock drift.
 
 `docs/coordination.md` has an example.  All problems of a file are reported together, each with its line and
 the expected value.  The fields of the tables have the names of the keys in the file.
@@ -51,6 +51,7 @@
     beat_ms: Milliseconds = 100  # the heartbeat interval of an idle leader
     patience_ms: Milliseconds = 600  # the minimum election timeout; the maximum is twice as long
     request_ms: Milliseconds = 3000  # the time limit of a request
+    # The maximum drift of a member's clock, as a share of the elapsed time.
     clock_drift: Annotated[
         float, msgspec.Meta(ge=0.0, le=0.2, description="a share from 0 to 0.2, such as 0.01 for 1 %")
     ] = 0.01
@@ -59,6 +60,7 @@
     ] = 0.0  # the period of disk compaction
     # Whether an even number of members is accepted.
     even: Annotated[bool, msgspec.Meta(description="true or false")] = False
+    # The lease under which a member compacts its disk: time to live, safety margin, and response timeout.
     lease_s: Annotated[int, msgspec.Meta(ge=1, le=86_400, description="whole seconds from 1 to 86,400")] = 6
     margin_s: Annotated[float, msgspec.Meta(ge=0.0, le=3600.0, description="seconds from 0 to 3,600")] = 1.0
     answer_s: Annotated[float, msgspec.Meta(ge=0.05, le=60.0, description="seconds from 0.05 to 60")] = 1.0
@@ -76,7 +78,7 @@
 
     @property
     def timing(self) -> Timing:
-        """The consensus protocol's time-outs."""
+        """The consensus protocol's timeouts."""
         heartbeat_interval_s = self.settings.beat_ms / 1000
         election_timeout_s = self.settings.patience_ms / 1000
         return Timing(
@@ -123,19 +125,19 @@
     if not members and not reader.problems:
         reader.wrong(("members",), "none", "at least one table under [[members]]")
     if members and len(members) % 2 == 0 and not settings.even:
-        right = (
+        expected = (
             f"an odd number: {len(members) - 1} tolerate as many failures; "
             "set even = true in [group] to accept an even number"
         )
-        reader.wrong(("members",), f"{len(members)} members", right, "even")
+        reader.wrong(("members",), f"{len(members)} members", expected, "even")
 
 
 def _check_times(reader: TableReader, settings: GroupSettings) -> None:
-    least = MIN_HEARTBEATS_PER_ELECTION_TIMEOUT * settings.beat_ms
-    if settings.patience_ms < least:
-        wrong = f"is {settings.patience_ms}"
+    minimum_ms = MIN_HEARTBEATS_PER_ELECTION_TIMEOUT * settings.beat_ms
+    if settings.patience_ms < minimum_ms:
+        problem = f"is {settings.patience_ms}"
         reader.wrong(
-            ("group", "patience_ms"), wrong, f"at least {least}, three heartbeat intervals", "timing"
+            ("group", "patience_ms"), problem, f"at least {minimum_ms}, three heartbeat intervals", "timing"
         )
     reader.lease(("group", "lease_s"), settings.lease_s, settings.answer_s, settings.margin_s)
 
@@ -159,8 +161,8 @@
         with Path(path).open("rb") as file:
             return file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        wrong = f"can't be read: {error.strerror or error}"
-        raise ConfigFileError([Problem(0, "file", wrong, "a readable file", "unreadable")]) from None
+        problem = f"can't be read: {error.strerror or error}"
+        raise ConfigFileError([Problem(0, "file", problem, "a readable file", "unreadable")]) from None
 
 
 def group_from_addresses(option: str, folder: str) -> GroupConfig:
--- a/heronreel/coordinator/connections.py
+++ b/heronreel/coordinator/connections.py
@@ -26,12 +26,12 @@
     def track(self, factory: ProtocolFactory) -> ProtocolFactory:
         """Return a protocol factory whose connections this tracker registers."""
 
-        def connected() -> asyncio.Protocol:
+        def create_protocol() -> asyncio.Protocol:
             protocol = factory()
             self.idle_since[protocol] = _now()
             return protocol
 
-        return connected
+        return create_protocol
 
     def request_started(self, protocol: object) -> None:
         """Record that a request has arrived on a connection."""
