--- a/heronreel/coordination/keyspace.py
+++ b/heronreel/coordination/keyspace.py
@@ -186,10 +186,10 @@
         leases: Map[int, int],
         lease_keys: Map[int, frozenset[bytes]],
         *,
-        same_keys: bool,
+        key_set_unchanged: bool,
     ) -> Keyspace:
-        """Return the next state; `same_keys` means that no key was created or deleted."""
-        return Keyspace(header, keys, leases, lease_keys, self._sorted_keys if same_keys else None)
+        """Return the next state; `key_set_unchanged` means that no key was created or deleted."""
+        return Keyspace(header, keys, leases, lease_keys, self._sorted_keys if key_set_unchanged else None)
 
 
 class _Execution:
@@ -205,7 +205,7 @@
         self.lease_counter = state.header.lease_counter
         self.changed: dict[bytes, Record | None] = {}  # new records by key; None: the key was deleted
         self.lease_writes: list[tuple[bytes, bytes | None]] = []
-        self.same_keys = True  # whether no key was created or deleted
+        self.key_set_unchanged = True  # whether no key was created or deleted
         self.next_revision = state.revision + 1  # the revision of this request's writes
 
     @property
@@ -226,7 +226,7 @@
             if record is not None or previous is not None:
                 events.append(Event(key, record, previous, self.next_revision))
         state = self.before.successor(
-            header, self.keys, self.leases, self.lease_keys, same_keys=self.same_keys
+            header, self.keys, self.leases, self.lease_keys, key_set_unchanged=self.key_set_unchanged
         )
         return AppliedRequest(response, state, tuple(writes), tuple(events))
 
@@ -276,7 +276,7 @@
     def _keys_in_range(self, first: bytes, end: bytes) -> list[bytes]:
         _check_key(first)
         _check_key(end, may_be_empty=True)
-        if self.same_keys:
+        if self.key_set_unchanged:
             return self.before.keys_in_range(first, end)
         current = Keyspace(self.before.header, self.keys, self.leases, self.lease_keys)
         return current.keys_in_range(first, end)
@@ -306,7 +306,7 @@
         self._grow(request, previous)
         if previous is None:
             record = Record(request.value, self.next_revision, self.next_revision, 1, request.lease)
-            self.same_keys = False
+            self.key_set_unchanged = False
         else:
             created, version = previous.create_revision, previous.version + 1
             record = Record(request.value, created, self.next_revision, version, request.lease)
@@ -346,7 +346,7 @@
         self.keys = self.keys.delete(key)
         self.changed[key] = None
         self.size -= len(key) + len(record.value) + RECORD_OVERHEAD_BYTES
-        self.same_keys = False
+        self.key_set_unchanged = False
 
     def _detach(self, key: bytes, record: Record) -> None:
         if not record.lease:
--- a/heronreel/coordination/kv_service.py
+++ b/heronreel/coordination/kv_service.py
@@ -157,7 +157,7 @@
         if not self._may_start_round(now):
             return []
         batch = RequestBatch(now, self.state, self.lease_deadlines)
-        outputs = self._fill(batch)
+        outputs = self._fill_batch(batch)
         if batch.is_empty:
             return outputs
         actions = self.member.propose(now, batch.writes)
@@ -173,7 +173,7 @@
         # A membership change goes first: the next tick starts its round.
         return not member.has_membership_change
 
-    def _fill(self, batch: RequestBatch) -> Outputs:
+    def _fill_batch(self, batch: RequestBatch) -> Outputs:
         """Add expired leases and pending requests to a batch."""
         outputs: Outputs = []
         for lease in self.lease_deadlines.expired(batch.now):
--- a/heronreel/coordinator/node.py
+++ b/heronreel/coordinator/node.py
@@ -62,7 +62,7 @@
         self.request_ids = itertools.count(1)  # the ids of requests and watches
         self.pending_requests = PendingRequests()
         self.watches = WatchRegistry()
-        self.claim_watch = 0  # the id of the watch whose events are logged
+        self.claim_watch_id = 0  # the id of the watch whose events are logged
         self.disk_writer = DiskWriter(
             disk,
             self.crash_points,
@@ -181,14 +181,16 @@
                 self.disk_writer.erase()
 
     def _notify(self, notification: WatchNotified) -> None:
-        if notification.watch_id == self.claim_watch:
+        if notification.watch_id == self.claim_watch_id:
             log_claim_changes(self.name, notification)
         elif not self.watches.publish(notification):
             self.service.cancel_watch(notification.watch_id)
 
     def _watch_claims(self) -> None:
-        self.claim_watch = next(self.request_ids)
-        self._execute_outputs(self.service.watch(self.claim_watch, CLAIM_PREFIX, prefix_end(CLAIM_PREFIX), 0))
+        self.claim_watch_id = next(self.request_ids)
+        self._execute_outputs(
+            self.service.watch(self.claim_watch_id, CLAIM_PREFIX, prefix_end(CLAIM_PREFIX), 0)
+        )
 
     # -- clients
 
--- a/tests/coordinator/group_support.py
+++ b/tests/coordinator/group_support.py
@@ -10,7 +10,7 @@
 from heronreel.leases.lease import LeaseTerms
 
 MEMBER_NAMES = ("a", "b", "c")
-SHORT_TERMS = LeaseTerms(ttl_s=2, safety_margin_s=0.3, response_timeout_s=0.3)
+SHORT_LEASE_TERMS = LeaseTerms(ttl_s=2, safety_margin_s=0.3, response_timeout_s=0.3)
 
 
 def other_than(leader: str) -> str:
--- a/tests/coordinator/test_leases.py
+++ b/tests/coordinator/test_leases.py
@@ -24,7 +24,7 @@
 from heronreel.leases.claim import Claim
 from heronreel.leases.lease import LeaseTerms
 from heronreel.leases.session import LeaseSession
-from tests.coordinator.group_support import MEMBER_NAMES, SHORT_TERMS, put_until_done, value_of
+from tests.coordinator.group_support import MEMBER_NAMES, SHORT_LEASE_TERMS, put_until_done, value_of
 
 
 async def acquired_token(worker: ManagedProcess, after: int = 0) -> int:
@@ -72,8 +72,8 @@
     async def run() -> None:
         async with Harness(tmp_path, MEMBER_NAMES, 6) as harness:
             async with (
-                LeaseSession(harness.addresses, "one", SHORT_TERMS) as one,
-                LeaseSession(harness.addresses, "two", SHORT_TERMS) as two,
+                LeaseSession(harness.addresses, "one", SHORT_LEASE_TERMS) as one,
+                LeaseSession(harness.addresses, "two", SHORT_LEASE_TERMS) as two,
             ):
                 claim, other = one.claim("task"), two.claim("task")
                 token = await one.wait_acquired(claim) if await is_first(one, claim, two, other) else 0
@@ -103,7 +103,7 @@
         async with Harness(tmp_path, ("a",), 11) as harness, Client(harness.addresses) as client:
             await harness.wait_until_available()
             relay = harness.network.client_relays["a"]
-            async with LeaseSession(harness.addresses, "one", SHORT_TERMS) as holder:
+            async with LeaseSession(harness.addresses, "one", SHORT_LEASE_TERMS) as holder:
                 claim = holder.claim("t")
                 token = await holder.wait_acquired(claim)
                 # Renewals arrive at the member, but their responses are lost.
@@ -127,7 +127,10 @@
             await harness.wait_until_healthy()
             alone = await harness.wait_for_leader()
             minority = [harness.address(alone)]
-            async with LeaseSession(minority, "one", SHORT_TERMS) as holder, Client(minority) as isolated:
+            async with (
+                LeaseSession(minority, "one", SHORT_LEASE_TERMS) as holder,
+                Client(minority) as isolated,
+            ):
                 claim = holder.claim("t")
                 token = await holder.wait_acquired(claim)
                 harness.network.partition(alone)
@@ -137,7 +140,7 @@
                     while claim.fencing_token(holder.now()):
                         await asyncio.sleep(0.01)
                     others = [address for address in harness.addresses if address not in minority]
-                    async with LeaseSession(others, "two", SHORT_TERMS) as second:
+                    async with LeaseSession(others, "two", SHORT_LEASE_TERMS) as second:
                         # The majority grants the claim under a greater fencing token.
                         assert await second.wait_acquired(second.claim("t")) > token
                         assert not claim.fencing_token(holder.now())
@@ -161,7 +164,7 @@
             await harness.members["a"].kill()
             await harness.start_member("a", PYTHONPATH=f"{tmp_path / 'jump'}:{ROOT}")
             await harness.wait_until_available()
-            async with LeaseSession(harness.addresses, "one", SHORT_TERMS) as holder:
+            async with LeaseSession(harness.addresses, "one", SHORT_LEASE_TERMS) as holder:
                 claim = holder.claim("t")
                 token = await holder.wait_acquired(claim)
                 real = time.time
