--- a/heronreel/coordination/client.py
+++ b/heronreel/coordination/client.py
@@ -123,7 +123,7 @@
         raise last_error
 
     async def call_or_error(self, request: Request, seconds: float) -> ResponseOrError:
-        """Like `call`, but return an error instead of raising it."""
+        """Like `call`, but return an error, for callers that handle it like any other response."""
         try:
             return await self.call(request, max(MIN_REQUEST_S, seconds))
         except RequestError as error:
@@ -200,8 +200,9 @@
                             yield WatchEvents(start_revision - 1, (), missed=True)
                             break
                         batch = gateway_client.decode_events(body)
-                        # The next member continues after the last reported revision.  The first line has no
-                        # events and does not count if a start revision is given: past events follow it.
+                        # If this member ends, the next one continues after the last reported revision.  The
+                        # first line of a watch has no events; past events follow it if a start revision was
+                        # given, so it must not advance that revision.
                         if batch.events or not start_revision:
                             start_revision = batch.revision + 1
                         if batch.events or body.get("created"):
