--- a/heronreel/fleet/agent_client.py
+++ b/heronreel/fleet/agent_client.py
@@ -20,23 +20,24 @@
 from heronreel.fleet.model import Instance
 from heronreel.leases.keys import PRESENCE_PREFIX
 
-DECIDED_STATUSES = (200, 409)  # accepted, or an older command than one that was accepted
+# 200: the command is accepted; 409: it is older than a command that was already accepted
+DECIDED_STATUSES = (200, 409)
 
 
 class AgentClient:
-    """Finds the agent of an instance by its presence in the group, and sends commands to it."""
+    """Finds the agent of an instance by its presence key in the group, and sends commands to the agent."""
 
     def __init__(self, client: Client, session: aiohttp.ClientSession) -> None:
-        """The session's timeout limits each command."""
+        """The timeout of `session` applies to each command."""
         self.client = client
         self.session = session
 
     async def send(self, instance: Instance | None, command: Command) -> CommandResult:
-        """Send a command to the instance's agent; None stands for an instance without a report.
+        """Send a command to the instance's agent; `instance` is None if no agent has reported it.
 
         Raises:
-            CommandFailedError: The agent can't carry it out.
-            AgentUnavailableError: Whether the command was accepted is unknown.
+            CommandFailedError: The agent can't execute the command.
+            AgentUnavailableError: It is unknown whether the agent accepted the command.
         """
         if instance is None or not instance.owner:
             raise AgentUnavailableError("it has no agent")
@@ -66,10 +67,10 @@
             raise CommandFailedError(failure.error or f"status {response.status}")
 
     async def _address(self, agent: str) -> str:
-        """Where an agent accepts commands.
+        """Look up the address at which an agent accepts commands.
 
         Raises:
-            AgentUnavailableError: The agent is not present.
+            AgentUnavailableError: The agent has no presence key.
             RequestError: The group does not respond.
         """
         response = await self.client.call(Range(PRESENCE_PREFIX + agent.encode()))
--- a/heronreel/fleet/agent_protocol.py
+++ b/heronreel/fleet/agent_protocol.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of an agent: paths and message bodies, all of them JSON."""
+"""The HTTP interface of an agent: its paths, and the message bodies, which are JSON."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 COMMAND_PATH = "/order"
 STATUS_PATH = "/status"
-AGENT_KIND = "agent"  # of its presence
+AGENT_KIND = "agent"  # value of `AgentPresence.kind`
 
 
 class CommandRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -23,15 +23,16 @@
 
 
 class CommandResponse(msgspec.Struct, frozen=True):
-    """The body of the response to a command, with status 200 if it is accepted, else 409."""
+    """The body of the response to a command: status 200 if the command is accepted, else 409."""
 
     accepted: bool = msgspec.field(name="taken")
-    fencing_token: int = msgspec.field(name="number")  # the greatest known
-    observation: int = msgspec.field(name="looked")  # observations up to this one preceded the command
+    fencing_token: int = msgspec.field(name="number")  # the greatest fencing token that the agent knows
+    # observations up to this number were made before the command took effect
+    observation: int = msgspec.field(name="looked")
 
 
 class AgentPresence(msgspec.Struct, frozen=True):
-    """The value of an agent's presence key, by which controllers find its address."""
+    """The value of an agent's presence key, in which controllers look up its address."""
 
     kind: str
     version: str
@@ -39,7 +40,7 @@
 
 
 class ErrorResponse(msgspec.Struct, frozen=True):
-    """The body of the response to a command that the agent can't carry out, with status 400 or 404."""
+    """The body of the response to a command that the agent can't execute, with status 400 or 404."""
 
     error: str = ""
 
--- a/heronreel/fleet/agent_server.py
+++ b/heronreel/fleet/agent_server.py
@@ -1,4 +1,4 @@
-"""The process of an agent: its supervisors, the HTTP server for commands, and its reports to the group."""
+"""The agent process: instance supervisors, an HTTP server for commands, and reports to the group."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from heronreel.leases.session import LeaseSession
 from heronreel.store import Store
 
-REPORT_INTERVAL_S = 1.0  # while nothing changes
+REPORT_INTERVAL_S = 1.0  # longest time between two reports of an instance that does not change
 SHUTDOWN_TIMEOUT_S = 1.0
 MAX_REQUEST_BYTES = 16 << 10
 FENCING_TOKEN_LIMIT = 1 << 63  # exclusive
@@ -46,10 +46,10 @@
 
 
 class AgentServer:
-    """Serves `POST /order` and `GET /status` for the instances of one machine."""
+    """HTTP server for `POST /order` and `GET /status` of the instances of one machine."""
 
     def __init__(self, settings: AgentSettings, store: Store) -> None:
-        """The store holds the persisted state of all instances."""
+        """`store` holds the persisted state of all instances."""
         self.settings = settings
         self.supervisors = {
             instance.name: ProcessSupervisor(settings, instance, store) for instance in settings.instances
@@ -68,8 +68,8 @@
             OSError: The address can't be bound.
         """
         stop = asyncio.Event()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            asyncio.get_running_loop().add_signal_handler(number, stop.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            asyncio.get_running_loop().add_signal_handler(signal_number, stop.set)
         await self.runner.setup()
         await self._listen()
         agent = self.settings.agent
@@ -81,7 +81,8 @@
             tasks = [asyncio.ensure_future(supervisor.run()) for supervisor in supervisors]
             tasks += [asyncio.ensure_future(self._report(session, supervisor)) for supervisor in supervisors]
             await stop.wait()
-            # commands first: one that is accepted while nothing carries it out any more has no result
+            # The HTTP server stops before the supervisors: a command that is accepted when no supervisor
+            # executes it any more would get no result.
             await self.runner.cleanup()
             for task in tasks:
                 task.cancel()
@@ -95,7 +96,10 @@
         log.info("listening", agent=agent.name, port=bound_port)
 
     async def _report(self, session: LeaseSession, supervisor: ProcessSupervisor) -> None:
-        """Report each observation; without the group it waits, and nothing else changes."""
+        """Report observations to the group until cancelled.
+
+        While the group is unreachable only the reports wait; the supervisor continues.
+        """
         while True:
             supervisor.changed.clear()
             await report_instance(session.client, supervisor.observe())
@@ -106,7 +110,11 @@
     # -- HTTP handlers
 
     async def _handle_command(self, request: web.Request) -> web.Response:
-        """200 if the command is accepted, 409 if a newer one was, 404 for an unknown instance, else 400."""
+        """Execute a command.
+
+        The status is 200 if the command is accepted, 409 if a newer command was accepted before, 404 for an
+        unknown instance, and 400 for an invalid command.
+        """
         try:
             command = self._parse_command(await request.read())
         except (msgspec.MsgspecError, InvalidCommandError) as error:
@@ -131,7 +139,7 @@
         return command
 
     async def _handle_status(self, request: web.Request) -> web.Response:
-        """The state of each instance, by name."""
+        """Respond with the state of each instance, by name."""
         supervisors = self.supervisors.items()
         return _json_response({name: _status_of(supervisor) for name, supervisor in supervisors})
 
--- a/heronreel/fleet/agent_settings.py
+++ b/heronreel/fleet/agent_settings.py
@@ -3,12 +3,12 @@
 [agent]
 name = "m1"
 folder = "/var/lib/heronreel/agent"
-address = "127.0.0.1:9100"       # for commands
+address = "127.0.0.1:9100"       # where it accepts commands
 group = ["127.0.0.1:9001"]
 
 [[versions]]
 name = "1"
-run = ["bin/heronreel", "serve", "/etc/heronreel/{name}.toml"]   # {listen} too
+run = ["bin/heronreel", "serve", "/etc/heronreel/{name}.toml"]   # {listen} is replaced as well
 
 [[instances]]
 name = "p1"
@@ -25,7 +25,7 @@
 from heronreel.coordination.settings import read_file
 from heronreel.routes.reader import TableReader, parse_toml
 
-MAX_TABLES = 4096  # of one kind
+MAX_TABLES = 4096  # largest number of [[versions]] or of [[instances]] tables
 TABLE_NAMES = ("agent", "versions", "instances")
 
 Name = Annotated[
@@ -55,9 +55,9 @@
     lease_s: Annotated[int, msgspec.Meta(ge=1, le=3600, description="whole seconds from 1 to 3,600")] = 6
     margin_s: Seconds = 1.0
     answer_s: Seconds = 1.0
-    start_s: Seconds = 30.0  # until an instance is ready
-    drain_s: Seconds = 60.0  # until a quiesced instance is terminated
-    end_s: Seconds = 10.0  # from SIGTERM to SIGKILL
+    start_s: Seconds = 30.0  # limit for a started instance to become ready
+    drain_s: Seconds = 60.0  # time after which a quiesced instance is terminated
+    end_s: Seconds = 10.0  # time from SIGTERM to SIGKILL
 
 
 class VersionTable(msgspec.Struct, frozen=True):
@@ -89,10 +89,10 @@
 
 
 def load(data: bytes) -> AgentSettings:
-    """The settings of a TOML text.
+    """Parse the settings from a TOML text.
 
     Raises:
-        BadFile: The text has problems; the error holds all of them.
+        ConfigFileError: The text has problems; the error holds all of them.
     """
     raw, lines = parse_toml(data)
     reader = TableReader(raw, lines)
@@ -101,7 +101,7 @@
             expected = f"known here: {', '.join(TABLE_NAMES)}"
             reader.wrong((name,), "no such table", expected, "unknown-field")
     agent = reader.table(raw.get("agent", {}), ("agent",), AgentTable)
-    # the table may have problems, so that there is no `AgentTable` yet whose defaults apply
+    # The table may have problems, so the defaults of `AgentTable` are repeated here.
     lease_terms = agent.get("lease_s", 6), agent.get("answer_s", 1.0), agent.get("margin_s", 1.0)
     reader.lease(("agent", "lease_s"), *lease_terms)
     versions = _tables(reader, raw, "versions", VersionTable)
@@ -121,7 +121,7 @@
 def _tables(
     reader: TableReader, raw: dict[str, Any], name: str, table_type: type[NamedTable]
 ) -> list[tuple[tuple[Any, ...], NamedTable]]:
-    """All tables of one kind with their paths; at least one is expected."""
+    """The valid tables of one kind with their paths; it is a problem if there is none."""
     required = [field.name for field in msgspec.structs.fields(table_type) if field.required]
     found: list[tuple[tuple[Any, ...], NamedTable]] = []
     for path, table in reader.tables(raw.get(name), (name,), MAX_TABLES):
@@ -135,9 +135,9 @@
 
 
 def load_file(path: str) -> AgentSettings:
-    """The settings of a file.
+    """Read the settings from a file.
 
     Raises:
-        BadFile: The file can't be read or has problems.
+        ConfigFileError: The file can't be read or has problems.
     """
     return load(read_file(path))
--- a/heronreel/fleet/budget_client.py
+++ b/heronreel/fleet/budget_client.py
@@ -1,4 +1,4 @@
-"""Access to the disruption budget over the network: snapshots, reports, rules, the halt, and claims."""
+"""Network access to the disruption budget: snapshots, reports, rules, the halt, and claims."""
 
 from __future__ import annotations
 
@@ -16,8 +16,10 @@
 from heronreel.fleet.model import BudgetRule, Halt, Instance
 from heronreel.leases.requests import SendRequest
 
-MIN_SLEEP_S = 0.002  # between two ticks of a requester that waits
+# limits of the sleep between two ticks of a claim requester
+MIN_SLEEP_S = 0.002
 MAX_SLEEP_S = 1.0
+# range of the random delay before a report is retried
 MIN_REPORT_RETRY_S = 0.005
 MAX_REPORT_RETRY_S = 0.05
 
@@ -28,7 +30,7 @@
     def __init__(
         self, client: Client, operation_id: str, operator: str, reason: str, fencing_token: int
     ) -> None:
-        """`operation_id` is drawn once: after a crash the operation finds its claims by it."""
+        """`operation_id` has to stay the same over a crash, so that the operation finds its claims again."""
         self.client = client
         self.operation_id = operation_id
         self.operator = operator
@@ -38,7 +40,7 @@
         self.jitter = random.Random(secrets.randbits(64)).random
 
     async def acquire(self, instance_ids: tuple[str, ...]) -> ClaimOutcome:
-        """Request claims on all of these or on none; retried until the records show the outcome."""
+        """Request claims on all of the instances or none; retry until the records show the outcome."""
         requester = self._requester(instance_ids)
         return await self._drive(requester, requester.acquire(self.now()))
 
@@ -59,7 +61,7 @@
         )
 
     async def _drive(self, requester: ClaimRequester, actions: Actions) -> ClaimOutcome:
-        """Carry out the requester's actions until one of them is an outcome."""
+        """Execute the requester's actions until one of them is an outcome."""
         while True:
             if not actions:
                 delay = requester.wake() - self.now()
@@ -86,7 +88,7 @@
 
 
 async def report_instance(client: Client, instance: Instance) -> None:
-    """Store an observation; retried until it is stored or the records hold a later one.
+    """Store an observation; retry until it is stored or the records hold the same or a later one.
 
     Raises:
         msgspec.DecodeError: A record is malformed.
@@ -106,7 +108,7 @@
 
 
 async def replace_rules(client: Client, rules: tuple[BudgetRule, ...]) -> None:
-    """Put other budget rules in force; claims that were granted before stay, even if too many for them.
+    """Replace the budget rules; claims that were granted before stay, even if they violate the new rules.
 
     Raises:
         RequestError: The group does not respond.
@@ -115,7 +117,7 @@
 
 
 async def halt_fleet(client: Client, operator: str, reason: str) -> None:
-    """Have no claim granted until `resume_fleet`.
+    """Halt the fleet: no claim is granted until `resume_fleet`.
 
     Raises:
         RequestError: The group does not respond.
--- a/heronreel/fleet/budget_settings.py
+++ b/heronreel/fleet/budget_settings.py
@@ -1,14 +1,14 @@
-"""The settings file of the disruption budget, which `heronreel fleet allow` puts in force.
+"""The settings file of the disruption budget, which `heronreel fleet allow` applies.
 
     [[allow]]
     name = "one a zone"
     kind = "proxy"        # or "backend"
-    scope = "zone"        # each zone by itself; or "fleet", "group", "pool"
-    only = ""             # only this zone; "": each one
+    scope = "zone"        # evaluated for each zone; or "fleet", "group", "pool"
+    only = ""             # the only zone that the rule applies to; "" for every zone
     most_out = 1          # instances that may be unavailable
-    least_serving = 0.5   # fraction of the scope's capacity that stays available
+    least_serving = 0.5   # fraction of the scope's capacity that has to stay available
 
-All problems are reported at once, each with its line and what is expected.
+All problems are reported together, each with its line and the expected value.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 MAX_RULES = 100
 MAX_NAME_LENGTH = 64
 TABLE_NAME = "allow"
-LIMIT_FIELDS = ("most_out", "least_serving")  # of which at least one has to be set
+LIMIT_FIELDS = ("most_out", "least_serving")  # a rule has to set at least one of these
 
 
 class AllowTable(msgspec.Struct, frozen=True):
@@ -51,10 +51,10 @@
 
 
 def load(data: bytes) -> tuple[BudgetRule, ...]:
-    """The budget rules of a TOML text.
+    """Parse the budget rules from a TOML text.
 
     Raises:
-        BadFile: The text has problems; the error holds all of them.
+        ConfigFileError: The text has problems; the error holds all of them.
     """
     raw, lines = parse_toml(data)
     reader = TableReader(raw, lines)
@@ -77,9 +77,9 @@
 
 
 def load_file(path: str) -> tuple[BudgetRule, ...]:
-    """The budget rules of a file.
+    """Read the budget rules from a file.
 
     Raises:
-        BadFile: The file can't be read or has problems.
+        ConfigFileError: The file can't be read or has problems.
     """
     return load(read_file(path))
--- a/heronreel/fleet/budget_transactions.py
+++ b/heronreel/fleet/budget_transactions.py
@@ -1,7 +1,7 @@
 """Transactions that change the records of the disruption budget.
 
-Each of them also writes the revision key, so that a transaction which depends on the records as they were
-read before fails.  The value written there names the change, for whoever reads the store.
+Each of them also writes the revision key, so that any other transaction fails that is based on an earlier
+read.  The value of the revision key names the change and is meant for people who inspect the store.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 def update_transaction(expected_revision: int | None, change: bytes, *operations: Operation) -> Txn:
-    """A change that succeeds only while the revision is the expected one; with None it always succeeds."""
+    """Build a change that succeeds only at the expected revision, or always if that is None."""
     conditions = (
         ()
         if expected_revision is None
@@ -47,28 +47,30 @@
 
 
 def halt_transaction(halt: Halt | None) -> Txn:
-    """Create the halt, or delete it with None; claims that rest on earlier reads are not granted."""
+    """Build the transaction that creates the halt, or deletes it if `halt` is None.
+
+    It changes the revision, so no claim is granted that is based on an earlier read.
+    """
     operation = DeleteRange(HALT_KEY) if halt is None else Put(HALT_KEY, encode_record(halt))
     return update_transaction(None, HALT_CHANGE, operation)
 
 
 def rules_transaction(rules: tuple[BudgetRule, ...]) -> Txn:
-    """Replace all budget rules."""
+    """Build the transaction that replaces all budget rules."""
     return update_transaction(None, RULES_CHANGE, Put(RULES_KEY, encode_rules(rules)))
 
 
 def observation_transaction(expected_revision: int, instance: Instance) -> Txn:
-    """Store an owner's observation of its instance.
+    """Build the transaction that stores an owner's observation of its instance.
 
-    It succeeds only while the revision is the one from before the observation, so that an observation never
-    overwrites a later one.
+    It succeeds only at the expected revision, so that an observation never overwrites a later one.
     """
     write = Put(instance.key, encode_record(instance))
     return update_transaction(expected_revision, OBSERVATION_CHANGE, write)
 
 
 def transfer_transaction(expected_revision: int, claim: DisruptionClaim) -> Txn:
-    """Store a claim that `transfer_claim` assigned to another operation."""
+    """Build the transaction that stores a claim which `transfer_claim` assigned to another operation."""
     write = Put(claim.key, encode_record(claim))
     return update_transaction(expected_revision, TRANSFER_CHANGE, write)
 
@@ -76,7 +78,7 @@
 def transfer_claim(
     claim: DisruptionClaim, operation_id: str, operator: str, fencing_token: int
 ) -> DisruptionClaim:
-    """The claim of a dead operation, assigned to the operation that takes over.
+    """Assign the claim of an operation that has ended to the operation that takes over.
 
     Raises:
         StaleFencingTokenError: The fencing token is not greater than that of the claim.
--- a/heronreel/fleet/claim_requester.py
+++ b/heronreel/fleet/claim_requester.py
@@ -1,12 +1,13 @@
 """The protocol by which one operation obtains claims on the disruption budget and releases them.
 
-Pure: it takes events and the time, and returns actions.
-
-A claim is granted before anything is done to its instance, by a transaction on the revision that was read.
-It is released only on evidence that the instance serves: an observation that the owner made after the last
-command, when it knew the fencing token under which the claim is released, so that no older operation can
-still act on the instance.  Claims do not expire.  A claim whose operation died stays until a successor
-finds out the state of the instance and takes the claim over.
+This module performs no I/O: it takes events and the time, and returns actions.
+
+A claim is granted before any command is sent to its instance, by a transaction that succeeds only at the
+revision that was read.  It is released only on evidence that the instance serves: an observation that the
+owner made after the last command, and at a time when the owner already knew the fencing token under which the
+claim is released.  No older operation can then still act on the instance.  Claims do not expire.  If an
+operation dies, its claim stays until a successor has determined the state of the instance and takes the claim
+over.
 """
 
 from __future__ import annotations
@@ -30,10 +31,10 @@
 class ClaimGuards(NamedTuple):
     """The safety checks of the protocol; tests disable them one by one and expect a violation."""
 
-    revision_checked: bool = True  # a claim is granted only if nothing has changed since the read
+    revision_checked: bool = True  # a claim is granted only if no record has changed since the read
     losses_counted: bool = True  # failed and unknown instances count as unavailable
     evidence_required: bool = True  # a claim is released only on an observation after the last command
-    fencing_observed: bool = True  # and only if the owner knew the fencing token by then
+    fencing_observed: bool = True  # that observation has to show the fencing token of the operation
     halt_checked: bool = True  # no claim is granted during a halt
 
 
@@ -47,10 +48,10 @@
 
 
 class ClaimDenied(NamedTuple):
-    """The claims can't be granted at present."""
+    """The claims can't be granted in the current state of the fleet."""
 
     violations: tuple[RuleStatus, ...]
-    conflicting_claims: tuple[DisruptionClaim, ...]  # of other operations
+    conflicting_claims: tuple[DisruptionClaim, ...]  # claims that other operations hold
     unreported: tuple[str, ...]  # instances that no owner has reported
     halt: Halt | None = None
 
@@ -80,7 +81,7 @@
 
 
 class ClaimFenced(NamedTuple):
-    """A newer operation holds the claim: this one must not act any more."""
+    """A newer operation holds the claim, so this operation must not act any more."""
 
     claim: DisruptionClaim
 
@@ -91,7 +92,7 @@
 
 
 class RequestPhase(enum.Enum):
-    """What the request under way does."""
+    """The purpose of the request that is in flight."""
 
     IDLE = "idle"
     READING = "reading"
@@ -99,7 +100,7 @@
 
 
 class ClaimIntent(enum.Enum):
-    """What the operation asked for and has no outcome yet."""
+    """The request of the operation that has no outcome yet."""
 
     NONE = "none"
     ACQUIRE = "acquire"
@@ -107,7 +108,7 @@
 
 
 class ClaimRequester(SingleRequestSender):
-    """One operation's claims on some instances: they are granted together or not at all."""
+    """Acquires and releases one operation's claims; all of them are granted together or none is."""
 
     def __init__(
         self,
@@ -121,7 +122,18 @@
         jitter: Callable[[], float] = lambda: 0.5,
         guards: ClaimGuards = ALL_GUARDS,
     ) -> None:
-        """`response_timeout_s`: until a request counts as lost; `jitter`: draws from 0 to 1."""
+        """Create a requester that has no request in flight.
+
+        Args:
+            operation_id: The operation that holds the claims.
+            operator: The operator's name, stored with each claim.
+            reason: The reason that is stored with each claim.
+            fencing_token: The fencing token of the operation.
+            instance_ids: The instances to claim.
+            response_timeout_s: The time after which a request counts as lost.
+            jitter: Returns random numbers from 0 to 1.
+            guards: The safety checks, which tests disable.
+        """
         self.operation_id = operation_id
         self.operator = operator
         self.reason = reason
@@ -133,26 +145,26 @@
         self.phase = RequestPhase.IDLE
         self.intent = ClaimIntent.NONE
         self.releasing = ""  # the instance whose claim is to be released
-        self.last_command_observation = 0  # observations up to this one are no evidence
+        self.last_command_observation = 0  # observations up to this number are no evidence
         self.due = 0.0
 
     def wake(self) -> float:
-        """When `tick` has to be called next."""
+        """The time by which `tick` has to be called next."""
         if self.in_flight is not None:
             return self.in_flight.sent_at + self.response_timeout_s
         return float("inf") if self.intent is ClaimIntent.NONE else self.due
 
     def acquire(self, now: float) -> Actions:
-        """Request claims on all instances; ends with ClaimGranted, ClaimDenied or ClaimFenced."""
+        """Request claims on all instances; the outcome is ClaimGranted, ClaimDenied or ClaimFenced."""
         self.intent = ClaimIntent.ACQUIRE
         self.due = now
         return self.tick(now)
 
     def release(self, now: float, instance_id: str, last_command_observation: int = 0) -> Actions:
-        """Release one claim; ends with ClaimReleased, ReleasePending or ClaimFenced.
+        """Release one claim; the outcome is ClaimReleased, ReleasePending or ClaimFenced.
 
-        Only an observation with a greater count than `last_command_observation`, the owner's count when it
-        accepted the last command, is evidence.
+        `last_command_observation` is the owner's observation count when it accepted the last command.  Only
+        an observation with a greater count is evidence that the instance serves.
         """
         self.intent = ClaimIntent.RELEASE
         self.releasing = instance_id
@@ -161,7 +173,7 @@
         return self.tick(now)
 
     def tick(self, now: float) -> Actions:
-        """Time has passed."""
+        """Time out the request in flight, and start a read if one is due."""
         if self._timed_out(now):
             self._schedule_retry(now)
         if self.in_flight is not None:
@@ -172,26 +184,26 @@
         return [self._send(now, READ_SNAPSHOT)]
 
     def _schedule_retry(self, now: float) -> None:
-        """Start again with a read: the records show whether a lost request was carried out."""
+        """Schedule a new read, because the records show whether a lost request was executed."""
         self.in_flight = None
         self.phase = RequestPhase.IDLE
         self.due = now + self.backoff.next_delay()
 
-    def response_received(self, now: float, number: int, response: ResponseOrError) -> Actions:
-        """The response to the request with this number; a late one is ignored."""
-        if not self._is_in_flight(number):
+    def response_received(self, now: float, request_id: int, response: ResponseOrError) -> Actions:
+        """Handle the response to a request; a late response is ignored."""
+        if not self._is_in_flight(request_id):
             return []
         was_read = self.phase is RequestPhase.READING
         self._schedule_retry(now)
         if not isinstance(response, TxnResponse):
             return []
         if not was_read:
-            self.due = now  # whether it succeeded or conflicted, the next read shows
+            self.due = now  # the next read shows whether the write succeeded or conflicted
             return []
         try:
             snapshot = parse_snapshot(response)
         except msgspec.DecodeError:
-            return []  # no claim may be based on records that can't be read
+            return []  # no claim may be granted on records that can't be decoded
         self.backoff.reset()
         if self.intent is ClaimIntent.ACQUIRE:
             return self._acquire(now, snapshot)
@@ -207,25 +219,25 @@
         return claim.fencing_token <= self.fencing_token
 
     def _acquire(self, now: float, snapshot: BudgetSnapshot) -> Actions:
-        claims = [snapshot.claims.get(each) for each in self.instance_ids]
+        claims = [snapshot.claims.get(instance_id) for instance_id in self.instance_ids]
         if all(self._is_own(claim) for claim in claims):
             return self._finish(ClaimGranted(self.instance_ids))
         existing = [claim for claim in claims if claim is not None]
         newer = [claim for claim in existing if claim.fencing_token > self.fencing_token]
         if newer:
             return self._finish(ClaimFenced(newer[0]))
-        unclaimed = [each for each in self.instance_ids if each not in snapshot.claims]
+        unclaimed = [instance_id for instance_id in self.instance_ids if instance_id not in snapshot.claims]
         conflicting = tuple(claim for claim in existing if claim.operation_id != self.operation_id)
         denial = self._denial(snapshot, unclaimed, conflicting)
         if denial is not None:
             return self._finish(denial)
-        return self._write(now, snapshot, [self._grant(snapshot, each) for each in unclaimed])
+        return self._write(now, snapshot, [self._grant(snapshot, instance_id) for instance_id in unclaimed])
 
     def _denial(
         self, snapshot: BudgetSnapshot, unclaimed: list[str], conflicting: tuple[DisruptionClaim, ...]
     ) -> ClaimDenied | None:
-        counted = snapshot if self.guards.losses_counted else _without_losses(snapshot)
-        violations = tuple(counted.violations(unclaimed))
+        evaluated = snapshot if self.guards.losses_counted else _without_losses(snapshot)
+        violations = tuple(evaluated.violations(unclaimed))
         unreported = tuple(snapshot.unreported(unclaimed))
         halt = snapshot.halt if self.guards.halt_checked else None
         if conflicting or violations or unreported or halt:
@@ -262,17 +274,17 @@
         return self._write(now, snapshot, [DeleteRange(claim.key)])
 
     def _has_evidence(self, instance: Instance | None, claim: DisruptionClaim) -> bool:
-        """Whether the owner observed the instance serving after everything that was done to it."""
+        """Whether the owner observed the instance as serving after the last command to it."""
         if instance is None or not instance.condition.is_serving:
             return False
-        last_act = max(claim.observation, self.last_command_observation)
-        if self.guards.evidence_required and instance.observation <= last_act:
+        last_effect = max(claim.observation, self.last_command_observation)
+        if self.guards.evidence_required and instance.observation <= last_effect:
             return False
         return instance.fencing_token >= self.fencing_token or not self.guards.fencing_observed
 
 
 def _without_losses(snapshot: BudgetSnapshot) -> BudgetSnapshot:
-    """As if every instance without a claim served; only for tests that disable `losses_counted`."""
+    """Treat every instance without a claim as serving, for tests that disable `losses_counted`."""
     serving = {
         instance_id: msgspec.structs.replace(instance, condition=Condition.SERVING)
         for instance_id, instance in snapshot.instances.items()
--- a/heronreel/fleet/controller.py
+++ b/heronreel/fleet/controller.py
@@ -1,8 +1,9 @@
 """The controller of an operation on many instances.
 
-At most one controller is the leader of the fleet, and its fencing token goes with every claim, command and
-recorded outcome.  The operation and its outcomes are stored by the group, so a successor continues after the
-last recorded outcome; a controller that was suspended meanwhile is rejected everywhere.
+At most one controller is the leader of the fleet, and every claim, command and recorded outcome carries its
+fencing token.  The group stores the operation and its outcomes, so a successor continues after the last
+recorded outcome.  A former leader that was suspended in the meantime is rejected by the group and by every
+agent.
 """
 
 from __future__ import annotations
@@ -29,20 +30,22 @@
 from heronreel.fleet.leadership import FleetLeadership, describe, read_operation, sleep_before_retry
 from heronreel.fleet.model import FleetOperation, OperationKind
 
-COMMAND_TIMEOUT_S = 2.0  # for an agent's response to one command
-COMPLETED_STATUS = "done"  # values of `FleetOperation.final_status`, which are stored
+COMMAND_TIMEOUT_S = 2.0  # limit for an agent's response to one command
+
+# stored values of `FleetOperation.final_status`
+COMPLETED_STATUS = "done"
 ABANDONED_STATUS = "given up"
 
 
 def _ignore_progress(instance_id: str, text: str) -> None:
-    """No output."""
+    """Discard the progress message."""
 
 
 class Controller:
-    """Runs one operation to its end, or until the fleet is halted.
+    """Runs one operation until it has ended or the fleet is halted.
 
-    Each of `run`, `resume` and `abandon` raises FleetBusyError, OperationRejectedError, LeadershipLostError,
-    or RequestError if the group does not respond.
+    `run`, `resume` and `abandon` raise FleetBusyError, OperationRejectedError or LeadershipLostError, and
+    RequestError if the group does not respond.
     """
 
     def __init__(
@@ -52,7 +55,7 @@
         timeouts: OperationTimeouts | None = None,
         on_progress: Callable[[str, str], None] = _ignore_progress,
     ) -> None:
-        """`on_progress` is called with an instance's ID and a text for people on each change."""
+        """`on_progress` is called on each change, with an instance ID and a message for operators."""
         self.operator = operator
         self.timeouts = timeouts
         self.on_progress = on_progress
@@ -64,7 +67,7 @@
     async def run(
         self, kind: OperationKind, selectors: Iterable[str], version: str, max_parallel: int, wait_s: float
     ) -> FleetOperation:
-        """Start an operation, once the leadership was acquired within `wait_s` seconds."""
+        """Acquire the leadership within `wait_s` seconds, then run a new operation."""
         async with self.leadership:
             await self.leadership.acquire(wait_s)
             previous = await read_operation(self.leadership.client)
@@ -82,17 +85,17 @@
             return await self._run_all()
 
     async def resume(self, wait_s: float) -> FleetOperation:
-        """Continue the operation that another controller left."""
+        """Continue the unfinished operation of another controller."""
         async with self.leadership:
             operation = await self._take_over(wait_s)
             self.view = FleetView(await read_snapshot(self.leadership.client))
-            await self._record(operation)  # from here on the other controller can't record any more
+            await self._record(operation)  # after this the other controller can't record outcomes any more
             return await self._run_all()
 
     async def abandon(self, wait_s: float) -> FleetOperation:
-        """End the operation that another controller left.
+        """Abandon the unfinished operation of another controller.
 
-        Instances that it took out of service stay so until they are started or undrained.
+        Instances that it took out of service stay out of service until they are started or undrained.
         """
         async with self.leadership:
             operation = await self._take_over(wait_s)
@@ -134,7 +137,7 @@
         return self.operation
 
     async def _run_pending(self, agents: AgentClient) -> None:
-        """Start with every pending instance, as many at a time as allowed, until the fleet is halted."""
+        """Process the pending instances, at most `max_parallel` at a time, until the fleet is halted."""
         free_slots = asyncio.Semaphore(self.operation.max_parallel)
         async with asyncio.TaskGroup() as tasks:
             for instance_id in self.operation.pending:
@@ -156,11 +159,11 @@
         )
         outcome = await runner.run()
         self.on_progress(instance_id, outcome)
-        if outcome != NOT_STARTED_OUTCOME:  # which is no outcome: a controller that resumes starts with it
+        if outcome != NOT_STARTED_OUTCOME:  # not recorded, so that the instance stays pending
             await self._record_outcome(instance_id, outcome)
 
     async def _record_outcome(self, instance_id: str, outcome: str) -> None:
-        """Record an outcome; any but the desired one halts the fleet."""
+        """Record an outcome; an unsuccessful outcome halts the fleet."""
         async with self.record_lock:
             outcomes = self.operation.outcomes | {instance_id: outcome}
             await self._record(msgspec.structs.replace(self.operation, outcomes=outcomes))
--- a/heronreel/fleet/disruption_budget.py
+++ b/heronreel/fleet/disruption_budget.py
@@ -1,11 +1,11 @@
 """The disruption budget: which instances are unavailable, and how many more may become so.
 
-Pure: it evaluates one consistent read of the records.
+This module performs no I/O: it evaluates one consistent read of the records.
 
-An instance is unavailable if an operation has a claim on it, whatever it does at the moment, or if it is not
-known to serve: crashed, stopped and unknown instances count as unavailable, and those that warm up count with
-the capacity they provide.  So an unplanned loss uses up the same budget as a drain, at once; planned
-operations yield to it, and no rule forces an instance out of service.
+An instance is unavailable if an operation holds a claim on it, whatever its condition, or if it is not known
+to serve.  Crashed, stopped and unknown instances count as unavailable, and an instance that warms up counts
+with the capacity that it provides.  An unplanned loss therefore uses up the same budget as a drain, and does
+so immediately.  Planned operations yield to losses, and no rule forces an instance out of service.
 """
 
 from __future__ import annotations
@@ -30,9 +30,10 @@
 )
 from heronreel.leases.keys import PRESENCE_PREFIX, present_names
 
-ROUNDING_TOLERANCE = 1e-9  # relative, for sums of capacities; far below any single instance
+# relative tolerance for sums of capacities; far below the share of any single instance
+ROUNDING_TOLERANCE = 1e-9
 
-# one transaction, so that all records are of the same moment; `parse_snapshot` relies on this order
+# One transaction reads all records at the same revision.  `parse_snapshot` relies on the order of the ranges.
 READ_SNAPSHOT = Txn(
     (),
     (
@@ -50,26 +51,29 @@
     """One budget rule evaluated for one scope value."""
 
     rule: BudgetRule
-    scope_value: str  # the name of a zone, group or pool; "": the fleet
+    scope_value: str  # the name of a zone, group or pool; "" for the whole fleet
     unavailable: tuple[str, ...]  # instance IDs
     available_capacity: float
     total_capacity: float
 
     @property
     def disruptions_allowed(self) -> int | None:
-        """How many more instances may become unavailable; negative if too many are; None without a limit."""
+        """How many more instances may become unavailable; None if the rule has no such limit.
+
+        The number is negative if more instances are unavailable than the rule permits.
+        """
         if self.rule.max_unavailable is None:
             return None
         return self.rule.max_unavailable - len(self.unavailable)
 
     @property
     def min_available_capacity(self) -> float:
-        """The capacity that has to stay available."""
+        """The capacity that has to remain available."""
         return self.total_capacity * (self.rule.min_available or 0.0)
 
     @property
     def violated(self) -> bool:
-        """Whether too many instances or too much capacity are unavailable."""
+        """Whether too many instances are unavailable or too little capacity is available."""
         if self.disruptions_allowed is not None and self.disruptions_allowed < 0:
             return True
         if self.rule.min_available is None:
@@ -92,7 +96,7 @@
 class BudgetSnapshot(NamedTuple):
     """All records of the disruption budget, read at one moment."""
 
-    revision: int  # of the revision key; 0: nothing was ever written
+    revision: int  # modification revision of the revision key; 0 if it was never written
     rules: tuple[BudgetRule, ...]
     instances: Mapping[str, Instance]  # by ID
     claims: Mapping[str, DisruptionClaim]  # by instance ID
@@ -106,7 +110,11 @@
         return instance is None or not instance.condition.is_serving
 
     def rule_statuses(self, claimed: Collection[str] = ()) -> list[RuleStatus]:
-        """Every rule for every value of its scope, as it would be if these instances were claimed as well."""
+        """The status of every rule for every value of its scope.
+
+        Args:
+            claimed: Instances that are treated as claimed in addition to those with a claim.
+        """
         return [
             self._rule_status(rule, scope_value, members, claimed)
             for rule in self.rules
@@ -124,57 +132,61 @@
     def _rule_status(
         self, rule: BudgetRule, scope_value: str, members: list[Instance], claimed: Collection[str]
     ) -> RuleStatus:
-        unavailable = {each.id for each in members if each.id in claimed or self.is_unavailable(each.id)}
-        available_capacity = sum(each.available_capacity for each in members if each.id not in unavailable)
-        total_capacity = sum(each.capacity for each in members)
+        unavailable = {
+            member.id for member in members if member.id in claimed or self.is_unavailable(member.id)
+        }
+        available_capacity = sum(
+            member.available_capacity for member in members if member.id not in unavailable
+        )
+        total_capacity = sum(member.capacity for member in members)
         return RuleStatus(rule, scope_value, tuple(sorted(unavailable)), available_capacity, total_capacity)
 
     def violations(self, claimed: Collection[str]) -> list[RuleStatus]:
-        """The rules that forbid claims on these instances; empty: the claims may be granted.
+        """The rules that forbid claims on these instances; if there are none, the claims may be granted.
 
-        A rule that is violated already forbids every claim in its scope, even one that would not change its
-        figures: planned operations yield to a loss.
+        A rule that is already violated forbids every claim in its scope, even a claim that would not change
+        the number of unavailable instances or the capacity: planned operations yield to a loss.
         """
-        concerned: set[tuple[str, str]] = set()
+        affected_scopes: set[tuple[str, str]] = set()
         for rule in self.rules:
             for instance_id in claimed:
                 instance = self.instances.get(instance_id)
                 scope_value = None if instance is None else rule.scope_of(instance)
                 if scope_value is not None:
-                    concerned.add((rule.name, scope_value))
+                    affected_scopes.add((rule.name, scope_value))
         return [
             status
             for status in self.rule_statuses(claimed)
-            if status.violated and (status.rule.name, status.scope_value) in concerned
+            if status.violated and (status.rule.name, status.scope_value) in affected_scopes
         ]
 
     def unreported(self, instance_ids: Iterable[str]) -> list[str]:
-        """Those that no owner has reported, so that the effect of claiming them is unknown."""
-        return sorted(each for each in instance_ids if each not in self.instances)
+        """The IDs that no owner has reported, so that the effect of a claim on them is unknown."""
+        return sorted(instance_id for instance_id in instance_ids if instance_id not in self.instances)
 
 
 def parse_snapshot(response: TxnResponse) -> BudgetSnapshot:
-    """The snapshot in the response to `READ_SNAPSHOT`.
+    """Decode the response to `READ_SNAPSHOT`.
 
     Raises:
-        msgspec.DecodeError: A record is malformed; no claim may be based on such a response.
+        msgspec.DecodeError: A record is malformed; no claim may be granted on such a response.
     """
-    *ranges, presence = (each for each in response.responses if isinstance(each, RangeResponse))
-    revision, rules, instances, claims, halt = (each.records for each in ranges)
+    *ranges, presence = (result for result in response.responses if isinstance(result, RangeResponse))
+    revision, rules, instances, claims, halt = (result.records for result in ranges)
     present_owners = set(present_names(presence))
     reported = [msgspec.json.decode(record.value, type=Instance) for _, record in instances]
     granted = [msgspec.json.decode(record.value, type=DisruptionClaim) for _, record in claims]
     return BudgetSnapshot(
         _modification_revision(revision),
         msgspec.json.decode(rules[0][1].value, type=tuple[BudgetRule, ...]) if rules else (),
-        {each.id: _with_known_condition(each, present_owners) for each in reported},
-        {each.instance_id: each for each in granted},
+        {instance.id: _with_known_condition(instance, present_owners) for instance in reported},
+        {claim.instance_id: claim for claim in granted},
         msgspec.json.decode(halt[0][1].value, type=Halt) if halt else None,
     )
 
 
 def _with_known_condition(instance: Instance, present_owners: Collection[str]) -> Instance:
-    """The report of an owner that is no longer present says nothing about the present."""
+    """Set the condition to UNKNOWN if the owner is absent, because its last report may be out of date."""
     if not instance.owner or instance.owner in present_owners:
         return instance
     return msgspec.structs.replace(instance, condition=Condition.UNKNOWN)
--- a/heronreel/fleet/errors.py
+++ b/heronreel/fleet/errors.py
@@ -8,23 +8,23 @@
 
 
 class FleetBusyError(FleetError):
-    """Another operation is in progress; the message says whose it is and what it does."""
+    """Another operation is in progress; the message says who started it and what it does."""
 
 
 class LeadershipLostError(FleetError):
-    """This controller no longer holds the claim on the fleet and must not act any more."""
+    """This controller no longer holds the leadership claim on the fleet and must send no further commands."""
 
 
 class OperationRejectedError(FleetError, ValueError):
-    """The requested operation can't be started, resumed or abandoned in the present state of the fleet."""
+    """The requested operation can't be started, resumed or abandoned in the current state of the fleet."""
 
 
 class InvalidSelectorError(OperationRejectedError):
-    """A word that selects instances is not understood."""
+    """An instance selector names a field that does not exist."""
 
 
 class StaleFencingTokenError(FleetError, ValueError):
-    """A fencing token is not greater than the one it has to supersede."""
+    """A fencing token is not greater than the token that it has to supersede."""
 
 
 class InvalidCommandError(FleetError, ValueError):
@@ -32,12 +32,12 @@
 
 
 class UnknownVersionError(FleetError):
-    """A version is not configured on the machine."""
+    """The agent has no command line configured for a version."""
 
 
 class AgentUnavailableError(FleetError):
-    """The agent that owns an instance is unknown, not registered, or gives no usable response."""
+    """The agent that owns an instance is unknown or absent, or returned no usable response."""
 
 
 class CommandFailedError(FleetError):
-    """An agent responded that it can't carry out a command; the message is its reason."""
+    """An agent responded that it can't execute a command; the message is the reason that it gave."""
--- a/heronreel/fleet/fleet_status.py
+++ b/heronreel/fleet/fleet_status.py
@@ -1,4 +1,4 @@
-"""The status of the fleet as `heronreel fleet status --json` prints it."""
+"""The status of the fleet in the form that `heronreel fleet status --json` prints."""
 
 from __future__ import annotations
 
@@ -13,15 +13,17 @@
 
 
 def budget_status(snapshot: BudgetSnapshot) -> Row:
-    """Every budget rule with its figures, and every instance with the claim on it."""
+    """Every budget rule with its current values, and every instance with the claim on it."""
     return {
         "rules": [_rule_row(status) for status in snapshot.rule_statuses()],
-        "instances": [_instance_row(snapshot, each) for _, each in sorted(snapshot.instances.items())],
+        "instances": [
+            _instance_row(snapshot, instance) for _, instance in sorted(snapshot.instances.items())
+        ],
     }
 
 
 def operation_status(snapshot: BudgetSnapshot, operation: FleetOperation | None) -> Row:
-    """The halt, and the operation that is in progress or was the last one."""
+    """The halt, and the current or last operation."""
     status: Row = {"halted": msgspec.to_builtins(snapshot.halt), "work": None}
     if operation is not None:
         status["work"] = msgspec.to_builtins(operation) | {"left": list(operation.pending)}
--- a/heronreel/fleet/instance_lifecycle.py
+++ b/heronreel/fleet/instance_lifecycle.py
@@ -1,14 +1,14 @@
-"""The lifecycle of one instance: the commands that its agent accepts, and the way to the desired state.
+"""The lifecycle of one instance: which commands its agent accepts, and how it reaches the desired state.
 
-Pure: it takes events and the time, and returns actions.
+This module performs no I/O: it takes events and the time, and returns actions.
 
-A command is durable before anything is done and before it is acknowledged: fencing token and sequence number
-of the last command accepted, and the desired state.  An older command is rejected with the greatest fencing
-token known; so is one that a later command of the same token has overtaken.  Without the group nothing
-changes: the last desired state stays in force, and a process that exits is started again.
+A command is made durable before it is executed and before it is acknowledged; the fencing token and sequence
+number of the last accepted command and the desired state are stored.  An older command is rejected with the
+greatest known fencing token, and so is a command that a later command of the same token has overtaken.  While
+the group is unreachable, the last desired state stays in force, and a process that exits is restarted.
 
-A process is identified by its pid and its start time, so that an agent that was killed and restarted takes
-over its own process and never one that was given the same pid later.
+A process is identified by its pid and its start time.  An agent that was killed and restarted therefore takes
+over its own process, and never a later process that was given the same pid.
 """
 
 from __future__ import annotations
@@ -33,9 +33,11 @@
 )
 from heronreel.fleet.model import Condition
 
-MIN_RESTART_BACKOFF_S = 0.5  # before a process that exited unexpectedly is started again
+# limits of the delay before a process that exited unexpectedly is restarted
+MIN_RESTART_BACKOFF_S = 0.5
 MAX_RESTART_BACKOFF_S = 60.0
-STABLE_AFTER_S = 60.0  # of one stage; the backoff then starts again from its minimum
+# a process that stays in one stage for this long resets the backoff to its minimum
+STABLE_AFTER_S = 60.0
 
 OUT_OF_SERVICE_STAGES = (
     ProcessStage.DRAINING,
@@ -48,8 +50,9 @@
 class InstanceLifecycle:
     """The state machine of one instance.
 
-    The caller carries out the actions and reports events: `command`, `persisted`, `started`, `ready`,
-    `drained`, `exited`, and `tick` no later than at `wake`.  All times are seconds of one monotonic clock.
+    The caller executes the actions and reports events: `command`, `persisted`, `started`, `ready`, `drained`
+    and `exited`.  It calls `tick` no later than the time that `wake` returns.  All times are seconds on one
+    monotonic clock.
     """
 
     def __init__(
@@ -61,24 +64,33 @@
         alive: bool = False,
         guards: LifecycleGuards | None = None,
     ) -> None:
-        """`alive`: the process of the persisted state exists, by pid and start time."""
+        """Restore the lifecycle from the persisted state.
+
+        Args:
+            state: The persisted state.
+            now: The current time.
+            timeouts: The limits of the stages.
+            alive: Whether the process of the persisted state, by pid and start time, still exists.
+            guards: The safety checks, which tests disable.
+        """
         self.timeouts = timeouts or LifecycleTimeouts()
         self.guards = guards or LifecycleGuards()
         self.durable_state = state
         self.observation_count = 0
-        self.failures = 0  # unexpected exits in a row
+        self.failures = 0  # number of consecutive unexpected exits
         self.start_due = now
         self.stage_since = now
-        self.failure_reason = ""  # of the last unexpected exit
-        self.unpersisted: list[PersistedState] = []  # on their way to the disk, oldest first
-        self.pending_result: CommandResult | None = None  # until the command is durable
+        self.failure_reason = ""  # reason of the last unexpected exit
+        self.unpersisted: list[PersistedState] = []  # states that are not durable yet, oldest first
+        # the result of an accepted command, held back until the command is durable
+        self.pending_result: CommandResult | None = None
         self.stage = ProcessStage.NONE
         if state.process is not None and alive and self.guards.single_process:
-            self.stage = ProcessStage.STARTING  # until it reports that it is ready
+            self.stage = ProcessStage.STARTING  # until the process reports that it is ready
 
     @property
     def process(self) -> ProcessIdentity | None:
-        """The process, as far as it is durable."""
+        """The process in the durable state."""
         return self.durable_state.process
 
     @property
@@ -93,16 +105,17 @@
         return Condition.FAILED if self.failures else Condition.UNKNOWN
 
     def observe(self) -> Observation:
-        """A new observation to report.
+        """Make a new observation to report.
 
-        Its count grows only while everything is durable: what is reported has to hold after a crash as well.
+        The count increases only while every state is durable, because what is reported has to hold after a
+        crash as well.
         """
         if not self.unpersisted:
             self.observation_count += 1
         return Observation(self.observation_count, self.condition, self.durable_state.fencing_token)
 
     def wake(self) -> float:
-        """When `tick` has to be called next."""
+        """The time by which `tick` has to be called next."""
         if self.unpersisted:
             return float("inf")
         if self.stage is ProcessStage.NONE:
@@ -118,14 +131,14 @@
     # -- events
 
     def command(self, now: float, command: Command) -> Actions:
-        """A command, however late or often it is sent; acknowledged once what it changes is durable."""
+        """Handle a command, which may be late or a duplicate; acknowledge it once its state is durable."""
         latest = self._latest_state()
         position = (command.fencing_token, command.sequence)
         latest_position = (latest.fencing_token, latest.sequence)
         is_old = position < latest_position and self.guards.ordered
         if is_old or self.pending_result is not None:
             return [CommandResult(False, latest.fencing_token, self.observation_count)]
-        if position == latest_position:  # a retry
+        if position == latest_position:  # a retry of the last accepted command
             return [CommandResult(True, latest.fencing_token, self.observation_count)]
         version = command.version or latest.version
         state = PersistedState(*position, command.desired_state, version, latest.process)
@@ -136,22 +149,22 @@
         return self._persist(state)
 
     def persisted(self, now: float) -> Actions:
-        """The oldest state on its way to the disk is durable."""
+        """The oldest unpersisted state has become durable."""
         self.durable_state = self.unpersisted.pop(0)
         actions: Actions = []
         if self.pending_result is not None and not self.unpersisted:
-            # observations up to here do not show the effect of this command
+            # observations up to this count may not show the effect of the command
             actions.append(self.pending_result._replace(observation=self.observation_count))
             self.pending_result = None
         return actions + self.tick(now)
 
     def started(self, now: float, process: ProcessIdentity) -> Actions:
-        """The process was started; once persisted it is found again after a crash of the agent."""
+        """The process was started; its identity is persisted so that a restarted agent finds it."""
         self._enter(ProcessStage.STARTING, now)
         return self._persist(msgspec.structs.replace(self._latest_state(), process=process))
 
     def ready(self, now: float, version: str) -> Actions:
-        """The process of this version reports that it serves."""
+        """The process, which runs this version, reports that it serves."""
         is_current = self.process is not None and self.process.version == version
         if self.stage is not ProcessStage.STARTING or not is_current:
             return []
@@ -178,14 +191,14 @@
         return self._persist(msgspec.structs.replace(self._latest_state(), process=None))
 
     def tick(self, now: float) -> Actions:
-        """Proceed toward the desired state; nothing is started while a state is on its way to the disk."""
+        """Take the next step toward the desired state; no step is taken while a state is not durable."""
         if self.unpersisted:
             return []
         if self.stage is ProcessStage.NONE:
             return self._start_if_due(now)
         process = self.process
         if process is None:
-            return []  # it is being started
+            return []  # the process is being started
         if self.stage is ProcessStage.STARTING:
             return self._tick_starting(process, now)
         if self.stage is ProcessStage.READY:
@@ -224,11 +237,11 @@
 
     def _tick_draining(self, process: ProcessIdentity, now: float) -> Actions:
         if self._is_desired(process):
-            self._enter(ProcessStage.STARTING, now)  # until it reports that it serves again
+            self._enter(ProcessStage.STARTING, now)  # until the process reports that it serves again
             return [SetQuiesced(False)]
         timed_out = now >= self.stage_since + self.timeouts.drain
-        is_over = self.stage is ProcessStage.DRAINED or timed_out
-        if is_over and not self._stays_drained(process):
+        drain_ended = self.stage is ProcessStage.DRAINED or timed_out
+        if drain_ended and not self._stays_drained(process):
             return self._terminate(process, now)
         return []
 
@@ -252,7 +265,7 @@
         self.stage_since = now
 
     def _latest_state(self) -> PersistedState:
-        """The state that will be durable once everything on its way is."""
+        """The state that is durable once all pending writes have completed."""
         return self.unpersisted[-1] if self.unpersisted else self.durable_state
 
     def _persist(self, state: PersistedState) -> Actions:
--- a/heronreel/fleet/instance_operation.py
+++ b/heronreel/fleet/instance_operation.py
@@ -1,11 +1,11 @@
-"""How an operation takes one instance from its first claim to an outcome.
+"""The steps of an operation on one instance, from acquiring the claim to the outcome.
 
-Pure: it takes events and the time, and returns actions.
+This module performs no I/O: it takes events and the time, and returns actions.
 
-A claim on the disruption budget is acquired before the first command.  It is kept until the instance was
-observed to serve, or for good if the instance is to stay out of service.  Each command is durable at the
-agent before it is acknowledged, and counts as done only once a later observation shows the desired state:
-nothing is reported as done because it was requested.
+A claim on the disruption budget is acquired before the first command.  It is held until the instance was
+observed to serve; if the operation leaves the instance out of service, the claim is not released.  The agent
+makes each command durable before it acknowledges it.  An acknowledgement alone is not success: a command
+counts as complete only once a later observation shows the desired state.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 from heronreel.fleet.lifecycle_messages import CommandResult, DesiredState
 from heronreel.fleet.model import Condition, Instance, OperationKind
 
-RETRY_DELAY_S = 0.5  # after a request that was denied or got no response
+RETRY_DELAY_S = 0.5  # delay after a request that was denied or got no response
 
-# the desired states that an operation commands, one after the other
+# the desired states that an operation sends to the agent, in this order
 COMMAND_SEQUENCES = {
     OperationKind.DRAIN: (DesiredState.DRAINED,),
     OperationKind.STOP: (DesiredState.STOPPED,),
@@ -35,15 +35,15 @@
     OperationKind.UNDRAIN: (DesiredState.RUNNING,),
 }
 
-# Outcomes are stored and printed.  Other ones are `running VERSION` and `refused:`, `failed:` or `unknown:`
-# with a reason.
+# Outcomes are stored and printed.  The outcomes without a constant are `running VERSION`, and `refused:`,
+# `failed:` or `unknown:` followed by a reason.
 DRAINED_OUTCOME = "drained"
 STOPPED_OUTCOME = "stopped"
 NOT_STARTED_OUTCOME = "not begun"
 SUCCESSFUL_OUTCOME_PREFIXES = ("running ", DRAINED_OUTCOME, STOPPED_OUTCOME)
 UNKNOWN_OUTCOME_PREFIX = "unknown"
 
-# operations that leave the instance out of service, with their claim
+# operations that leave the instance out of service and keep their claim
 OUT_OF_SERVICE_OUTCOMES = {
     OperationKind.DRAIN: DRAINED_OUTCOME,
     OperationKind.STOP: STOPPED_OUTCOME,
@@ -55,7 +55,7 @@
 
 
 class AdoptClaim(NamedTuple):
-    """Take over the claim that another operation left, if there is one, then call `claim_adopted`."""
+    """Take over a claim that another operation left on the instance, then call `claim_adopted`."""
 
 
 class SendCommand(NamedTuple):
@@ -67,7 +67,7 @@
 
 
 class ReleaseClaim(NamedTuple):
-    """Release the claim on an observation later than the given one, then call `release_decided`."""
+    """Release the claim if a later observation shows the instance serving, then call `release_decided`."""
 
     last_command_observation: int
 
@@ -83,10 +83,10 @@
 
 
 class OperationTimeouts(NamedTuple):
-    """Limits, in seconds."""
+    """Time limits, in seconds."""
 
-    claim: float = 600.0  # for a claim, while other instances are unavailable
-    command: float = 150.0  # for one command: a drain, a termination and a start
+    claim: float = 600.0  # wait for a claim while other instances are unavailable
+    command: float = 150.0  # time for one command to take effect: a drain, a termination and a start
 
 
 class OperationGuards(NamedTuple):
@@ -97,7 +97,7 @@
 
 
 class OperationPhase(enum.Enum):
-    """What the operation does at present; the values are printed to operators."""
+    """The current phase of the operation; the values are printed to operators."""
 
     ACQUIRING = "acquiring a claim"
     COMMANDING = "sending a command"
@@ -107,10 +107,10 @@
 
 
 class InstanceOperation:
-    """The state machine of one operation on one instance, with at most one request under way.
+    """The state machine of one operation on one instance, with at most one request in flight.
 
-    The caller carries out the actions and reports events; `request_failed` reports that an action had no
-    response.  Every action may be repeated.
+    The caller executes the actions and reports events; `request_failed` reports that an action got no
+    response.  Every action is idempotent and may be retried.
     """
 
     def __init__(
@@ -122,7 +122,7 @@
         timeouts: OperationTimeouts | None = None,
         guards: OperationGuards | None = None,
     ) -> None:
-        """`version`: the version that is to run; empty: unchanged."""
+        """`version` is the version to run; if it is empty, the version does not change."""
         self.kind = kind
         self.fencing_token = fencing_token
         self.version = version
@@ -133,28 +133,28 @@
         self.due = now
         self.request_pending = False
         self.command_index = 0
-        self.last_command_observation = 0  # observations up to this one preceded the command
+        self.last_command_observation = 0  # observations up to this number were made before the command
         self.holds_claim = False
-        self.delay_reason = ""  # why the phase takes so long, for people
+        self.delay_reason = ""  # why the phase has not ended yet, for operators
         self.last_seen: Instance | None = None
-        self.running_version = ""  # that was observed to serve
+        self.running_version = ""  # the version that was observed to serve
         if not self.guards.claim_first:
             self.phase = OperationPhase.COMMANDING
 
     @property
     def desired_state(self) -> DesiredState:
-        """The state that the present command demands."""
+        """The desired state of the current command."""
         return COMMAND_SEQUENCES[self.kind][self.command_index]
 
     @property
     def progress(self) -> str:
-        """The phase, and why it takes so long, for people."""
+        """The phase and why it has not ended yet, for operators."""
         return f"{self.phase.value}: {self.delay_reason}" if self.delay_reason else self.phase.value
 
     # -- events
 
     def tick(self, now: float) -> Actions:
-        """Time has passed."""
+        """Time out the current phase, or return the request that is due."""
         if self.request_pending or self.phase is OperationPhase.FINISHED:
             return []
         if self._timed_out(now):
@@ -169,9 +169,9 @@
         return [ReleaseClaim(self.last_command_observation)]
 
     def halt(self, now: float) -> Actions:
-        """The fleet is halted: an operation without its claim ends here, any other continues to its outcome.
+        """Handle a halt of the fleet: an operation without a claim ends, any other runs to its outcome.
 
-        If a request for the claim is under way, its response decides.
+        If a request for the claim is in flight, its response decides whether the operation ends.
         """
         acquiring = self.phase is OperationPhase.ACQUIRING and not self.request_pending
         if acquiring and not self.kind.restores_service:
@@ -189,7 +189,7 @@
         return self._finish(NOT_STARTED_OUTCOME, now) if outcome.halt else []
 
     def claim_adopted(self, now: float, holds_claim: bool) -> Actions:
-        """The response to `AdoptClaim`: whether there was a claim, which is held now."""
+        """The response to `AdoptClaim`: whether there was a claim, which this operation then holds."""
         self.holds_claim = holds_claim
         return self._next_command(now, 0)
 
@@ -203,17 +203,17 @@
         return []
 
     def command_failed(self, now: float, reason: str) -> Actions:
-        """The agent can't carry out the command."""
+        """The agent can't execute the command."""
         self.request_pending = False
         return self._finish(f"refused: {reason}", now)
 
     def observed(self, now: float, instance: Instance | None) -> Actions:
-        """What the group's records say about the instance; None: nothing."""
+        """Handle the last reported state of the instance; None if the group has no record of it."""
         self.last_seen = instance
         if self.phase is not OperationPhase.OBSERVING or instance is None:
             return []
         if self.guards.later_observation and instance.observation <= self.last_command_observation:
-            return []  # any later one is by an agent that knows our fencing token
+            return []  # only later observations are sure to follow the acceptance of this fencing token
         if not self._is_desired(instance):
             self.delay_reason = f"is {instance.condition.value}"
             return []
@@ -238,7 +238,7 @@
         return []
 
     def request_failed(self, now: float, reason: str) -> Actions:
-        """The last action had no response; whether it was carried out is unknown."""
+        """The last action got no response, so it is unknown whether it was executed."""
         self.request_pending = False
         self._retry_later(now, reason)
         return self.tick(now)
--- a/heronreel/fleet/instance_runner.py
+++ b/heronreel/fleet/instance_runner.py
@@ -1,4 +1,4 @@
-"""Runs an operation on one instance: carries out the actions of `InstanceOperation` over the network."""
+"""Runs an operation on one instance: executes the actions of `InstanceOperation` over the network."""
 
 from __future__ import annotations
 
@@ -35,20 +35,20 @@
 from heronreel.fleet.lifecycle_messages import Command
 from heronreel.fleet.model import FleetOperation
 
-SNAPSHOT_INTERVAL_S = 0.2  # between two reads of the records
+SNAPSHOT_INTERVAL_S = 0.2  # time between two reads of the records
 IDLE_SLEEP_S = SNAPSHOT_INTERVAL_S / 2
 
 
 class FleetView:
-    """What the controller knows of the fleet: the last snapshot, and whether the operation is halted."""
+    """The controller's view of the fleet: the last snapshot, and whether the operation is halted."""
 
     def __init__(self, snapshot: BudgetSnapshot) -> None:
-        """The snapshot is the one to begin with."""
+        """`snapshot` is the initial snapshot."""
         self.snapshot = snapshot
-        self.halted = False  # once set, no further instance is started with, also if the halt is lifted
+        self.halted = False  # once set, no further instance is processed, even if the halt is lifted
 
     async def refresh(self, leadership: FleetLeadership, operation: FleetOperation) -> None:
-        """Read the records again and again, until cancelled."""
+        """Read the records periodically until cancelled."""
         while True:
             try:
                 self.snapshot = await read_snapshot(leadership.client)
@@ -60,7 +60,7 @@
 
 
 class InstanceRunner:
-    """One instance's part of an operation on the fleet."""
+    """Runs a fleet operation on one instance."""
 
     def __init__(
         self,
@@ -72,10 +72,10 @@
         agents: AgentClient,
         on_progress: Callable[[str, str], None],
     ) -> None:
-        """`on_progress` is called with the instance's ID and a text for people.
+        """`on_progress` is called with the instance ID and a message for operators.
 
         Raises:
-            LeadershipLostError: This process is not the leader any more.
+            LeadershipLostError: This process is no longer the leader.
         """
         self.instance_id = instance_id
         self.operation = operation
@@ -84,9 +84,9 @@
         self.agents = agents
         self.on_progress = on_progress
         self.now = leadership.now
-        self.points = leadership.points
+        self.crash_points = leadership.crash_points
         self.fencing_token = leadership.fencing_token()
-        self.steps = InstanceOperation(
+        self.state_machine = InstanceOperation(
             operation.kind, self.fencing_token, self.now(), operation.version, timeouts
         )
         self.claims = ClaimClient(
@@ -98,18 +98,18 @@
         )
 
     async def run(self) -> str:
-        """Run to the outcome.
+        """Run the operation and return its outcome.
 
         Raises:
-            LeadershipLostError: This process is not the leader any more.
+            LeadershipLostError: This process is no longer the leader.
         """
         printed = ""
         actions: Actions = []
         while True:
             actions = actions or self._next_actions()
             finished = bool(actions) and isinstance(actions[0], Finish)
-            if not finished and self.steps.progress != printed:
-                printed = self.steps.progress
+            if not finished and self.state_machine.progress != printed:
+                printed = self.state_machine.progress
                 self.on_progress(self.instance_id, printed)
             if not actions:
                 await asyncio.sleep(IDLE_SLEEP_S)
@@ -123,9 +123,9 @@
     def _next_actions(self) -> Actions:
         now = self.now()
         instance = self.view.snapshot.instances.get(self.instance_id)
-        actions = self.steps.tick(now) or self.steps.observed(now, instance)
+        actions = self.state_machine.tick(now) or self.state_machine.observed(now, instance)
         if not actions and self.view.halted:
-            actions = self.steps.halt(now)
+            actions = self.state_machine.halt(now)
         return actions
 
     async def _carry_out(self, action: Action) -> Actions:
@@ -139,21 +139,21 @@
         return await self._release_claim(action)
 
     async def _acquire_claim(self) -> Actions:
-        self.points.reach("claim")
+        self.crash_points.reach("claim")
         outcome = await self.claims.acquire((self.instance_id,))
         assert isinstance(outcome, ClaimGranted | ClaimDenied | ClaimFenced)
-        self.points.reach("claimed")
-        return self.steps.claim_decided(self.now(), outcome)
+        self.crash_points.reach("claimed")
+        return self.state_machine.claim_decided(self.now(), outcome)
 
     async def _adopt_claim(self) -> Actions:
         try:
             holds_claim = await self._take_over_claim()
         except RequestError as error:
-            return self.steps.request_failed(self.now(), error.message)
-        return self.steps.claim_adopted(self.now(), holds_claim)
+            return self.state_machine.request_failed(self.now(), error.message)
+        return self.state_machine.claim_adopted(self.now(), holds_claim)
 
     async def _take_over_claim(self) -> bool:
-        """Whether there is a claim on the instance, which is this operation's by now."""
+        """Transfer an existing claim on the instance to this operation; return whether there is one."""
         operation_id = self.operation.id
         while True:
             snapshot = await read_snapshot(self.leadership.client)
@@ -166,9 +166,9 @@
             await self.leadership.client.call(transfer_transaction(snapshot.revision, transferred))
 
     async def _send_command(self, action: SendCommand) -> Actions:
-        self.points.reach("command")
+        self.crash_points.reach("command")
         actions = await self._send(action)
-        self.points.reach("commanded")
+        self.crash_points.reach("commanded")
         return actions
 
     async def _send(self, action: SendCommand) -> Actions:
@@ -177,14 +177,14 @@
         try:
             result = await self.agents.send(instance, command)
         except AgentUnavailableError as error:
-            return self.steps.request_failed(self.now(), str(error))
+            return self.state_machine.request_failed(self.now(), str(error))
         except CommandFailedError as error:
-            return self.steps.command_failed(self.now(), str(error))
-        return self.steps.command_acknowledged(self.now(), result)
+            return self.state_machine.command_failed(self.now(), str(error))
+        return self.state_machine.command_acknowledged(self.now(), result)
 
     async def _release_claim(self, action: ReleaseClaim) -> Actions:
-        self.points.reach("release")
+        self.crash_points.reach("release")
         outcome = await self.claims.release(self.instance_id, action.last_command_observation)
         assert isinstance(outcome, ClaimReleased | ReleasePending | ClaimFenced)
-        self.points.reach("released")
-        return self.steps.release_decided(self.now(), outcome)
+        self.crash_points.reach("released")
+        return self.state_machine.release_decided(self.now(), outcome)
--- a/heronreel/fleet/instance_selector.py
+++ b/heronreel/fleet/instance_selector.py
@@ -1,4 +1,4 @@
-"""Selection of the instances that an operation is about, by words that an operator gives."""
+"""Selection of the instances of an operation by the selectors that an operator enters."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from heronreel.fleet.errors import InvalidSelectorError
 from heronreel.fleet.model import Instance, InstanceKind
 
-# the value of an instance that `FIELD=VALUE` is compared with
+# functions that return the instance's value for the selector `FIELD=VALUE`
 SELECTABLE_FIELDS: dict[str, Callable[[Instance], str]] = {
     "zone": lambda instance: instance.zone,
     "group": lambda instance: instance.group,
@@ -18,17 +18,19 @@
 
 
 def select_instances(instances: Iterable[Instance], selectors: Iterable[str]) -> tuple[str, ...]:
-    """IDs of the proxies that match every selector, in the order in which an operation starts with them.
+    """IDs of the proxies that match every selector, in the order in which an operation processes them.
 
-    A selector is a name (`p*`) or `zone=`, `group=`, `state=` or `version=` with a value.  Zones alternate,
-    so that a halt leaves no zone with many more instances changed than the others.
+    A selector is a name pattern (`p*`), or `zone=`, `group=`, `state=` or `version=` with a value.  The order
+    alternates between the zones, so that a halted operation has changed similar numbers of instances in each.
 
     Raises:
-        InvalidSelectorError: A selector has an unknown field.
+        InvalidSelectorError: A selector names an unknown field.
     """
     matchers = [_matcher(selector) for selector in selectors]
-    proxies = [each for each in instances if each.kind is InstanceKind.PROXY]
-    return _alternating_zones(each for each in proxies if all(matches(each) for matches in matchers))
+    proxies = [instance for instance in instances if instance.kind is InstanceKind.PROXY]
+    return _alternating_zones(
+        instance for instance in proxies if all(matches(instance) for matches in matchers)
+    )
 
 
 def _matcher(selector: str) -> Callable[[Instance], bool]:
@@ -43,10 +45,10 @@
 
 
 def _alternating_zones(instances: Iterable[Instance]) -> tuple[str, ...]:
-    """IDs with the first instance of each zone before the second of any."""
+    """IDs ordered by rank within the zone: the first instance of each zone, then the second of each, ..."""
     counts: dict[str, int] = {}
     ranked: list[tuple[int, str]] = []
-    for instance in sorted(instances, key=lambda each: each.name):
+    for instance in sorted(instances, key=lambda unranked: unranked.name):
         rank = counts.get(instance.zone, 0) + 1
         counts[instance.zone] = rank
         ranked.append((rank, instance.id))
--- a/heronreel/fleet/leadership.py
+++ b/heronreel/fleet/leadership.py
@@ -29,13 +29,14 @@
 from heronreel.leases.keys import CLAIM_PREFIX
 from heronreel.leases.session import LeaseSession
 
-LEADERSHIP_NAME = "fleet"  # of the claim that the controller holds
+LEADERSHIP_NAME = "fleet"  # name of the claim that the leader holds
+# range of the random delay before a request to the group is retried
 MIN_RETRY_DELAY_S = 0.05
 MAX_RETRY_DELAY_S = 0.2
 
 
 async def read_operation(client: Client) -> FleetOperation | None:
-    """The operation that is in progress, or the last one.
+    """Read the current or last operation.
 
     Raises:
         RequestError: The group does not respond.
@@ -49,25 +50,25 @@
 
 
 def describe(operation: FleetOperation) -> str:
-    """An operation and its progress, for people."""
+    """Describe an operation and its progress, for operators."""
     progress = f"{len(operation.outcomes)} of {len(operation.instance_ids)}"
     return f"{operation.kind.value} {operation.id} by {operation.operator}, {progress}"
 
 
 async def sleep_before_retry() -> None:
-    """Wait for a random time, so that controllers do not retry in step."""
+    """Wait for a random time, so that controllers do not retry at the same moment."""
     await asyncio.sleep(random.uniform(MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S))
 
 
 class FleetLeadership:
-    """Leadership under one lease, as an asynchronous context manager that gives it up at the end."""
+    """Leadership under one lease; an asynchronous context manager that releases it on exit."""
 
-    def __init__(self, addresses: Iterable[str], operator: str, points: CrashPoints) -> None:
-        """The addresses are those of the group's members."""
+    def __init__(self, addresses: Iterable[str], operator: str, crash_points: CrashPoints) -> None:
+        """`addresses` are the addresses of the group's members."""
         self.operator = operator
         self.session = LeaseSession(addresses, f"{operator} ({secrets.token_hex(3)})")
         self.now = self.session.now
-        self.points = points
+        self.crash_points = crash_points
         self.claim: Claim
 
     async def __aenter__(self) -> FleetLeadership:
@@ -85,10 +86,10 @@
         return self.session.client
 
     async def acquire(self, wait_s: float) -> None:
-        """Become the leader within so many seconds.
+        """Wait at most `wait_s` seconds to become the leader.
 
         Raises:
-            FleetBusyError: Another controller kept the leadership.
+            FleetBusyError: Another controller held the leadership for all this time.
             RequestError: The group does not respond.
         """
         self.claim = self.session.claim(LEADERSHIP_NAME)
@@ -107,10 +108,10 @@
         return f"{name} leads the fleet, with {describe(operation)}"
 
     def fencing_token(self) -> int:
-        """The token to act under; to be called again before each action.
+        """The current fencing token; it has to be checked before each action.
 
         Raises:
-            LeadershipLostError: This process is not the leader any more.
+            LeadershipLostError: This process is no longer the leader.
         """
         token = self.claim.fencing_token(self.session.now())
         if not token:
@@ -118,16 +119,16 @@
         return token
 
     async def record(self, operation: FleetOperation) -> None:
-        """Store the operation, on the condition that this process is still the leader.
+        """Store the operation if this process is still the leader.
 
         Raises:
-            LeadershipLostError: It is not.
+            LeadershipLostError: This process is no longer the leader.
         """
         claim_key = CLAIM_PREFIX + LEADERSHIP_NAME.encode()
         is_leader = Compare(claim_key, CompareTarget.CREATE, CompareOperator.EQUAL, self.fencing_token())
         transaction = Txn((is_leader,), (Put(OPERATION_KEY, encode_record(operation)),))
         while True:
-            self.points.reach("record")
+            self.crash_points.reach("record")
             try:
                 response = await self.client.call(transaction)
             except RequestError:
@@ -136,5 +137,5 @@
                 continue
             if not (isinstance(response, TxnResponse) and response.succeeded):
                 raise LeadershipLostError("another controller leads the fleet")
-            self.points.reach("recorded")
+            self.crash_points.reach("recorded")
             return
--- a/heronreel/fleet/lifecycle_messages.py
+++ b/heronreel/fleet/lifecycle_messages.py
@@ -1,4 +1,4 @@
-"""Inputs and outputs of the lifecycle of an instance: commands, persisted state, timeouts and actions."""
+"""Inputs and outputs of an instance's lifecycle: commands, persisted state, timeouts and actions."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class DesiredState(enum.Enum):
-    """What an instance is to be."""
+    """The state that an operation wants an instance to be in."""
 
     RUNNING = "running"
-    DRAINED = "drained"  # runs, and accepts no new clients
+    DRAINED = "drained"  # the process runs but accepts no new clients
     STOPPED = "stopped"
 
 
 class ProcessStage(enum.Enum):
-    """How far the process of an instance is."""
+    """The stage of the process of an instance."""
 
     NONE = "none"
     STARTING = "starting"
@@ -27,50 +27,50 @@
     DRAINING = "draining"
     DRAINED = "drained"
     TERMINATING = "ending"  # SIGTERM was sent
-    KILLED = "killed"  # SIGKILL was sent, and its exit is not known yet
+    KILLED = "killed"  # SIGKILL was sent, and the process has not exited yet
 
 
 class ProcessIdentity(msgspec.Struct, frozen=True):
-    """One process of the operating system; the pid alone may be reused."""
+    """Identifies one process of the operating system; the pid alone does not, because pids are reused."""
 
     pid: int
-    start_time: int = msgspec.field(name="began")  # clock ticks from the machine's boot to its start
+    start_time: int = msgspec.field(name="began")  # clock ticks from the boot of the machine
     version: str
 
 
 class PersistedState(msgspec.Struct, frozen=True):
-    """What an agent keeps on its disk about an instance."""
+    """The state of an instance that an agent keeps on disk."""
 
-    fencing_token: int = msgspec.field(default=0, name="number")  # of the last command accepted
-    sequence: int = msgspec.field(default=0, name="order")  # of that command, under its token
+    fencing_token: int = msgspec.field(default=0, name="number")  # fencing token of the last accepted command
+    sequence: int = msgspec.field(default=0, name="order")  # sequence number of that command
     desired_state: DesiredState = msgspec.field(default=DesiredState.STOPPED, name="want")
-    version: str = ""  # that is to run
+    version: str = ""  # the version to run
     process: ProcessIdentity | None = None
 
 
 class Command(NamedTuple):
-    """What an operation commands an agent to do with an instance."""
+    """A command of an operation to an agent: the desired state of one instance."""
 
     fencing_token: int
-    sequence: int  # counts the commands under one fencing token, from 1
+    sequence: int  # numbers the commands under one fencing token, starting at 1
     desired_state: DesiredState
-    version: str = ""  # "": unchanged
+    version: str = ""  # "" leaves the version unchanged
 
 
 class LifecycleTimeouts(NamedTuple):
-    """Limits, in seconds."""
+    """Time limits, in seconds."""
 
-    start: float = 30.0  # until a started process is ready
-    drain: float = 60.0  # until a draining process is terminated although it has clients left
-    termination: float = 10.0  # from SIGTERM to SIGKILL
+    start: float = 30.0  # limit for a started process to become ready
+    drain: float = 60.0  # a draining process that still has clients is terminated after this time
+    termination: float = 10.0  # time from SIGTERM to SIGKILL
 
 
 class LifecycleGuards(NamedTuple):
     """The safety checks of the lifecycle; tests disable them one by one and expect a violation."""
 
-    durable: bool = True  # a command is acknowledged only once it is on the disk
+    durable: bool = True  # a command is acknowledged only once it is durable
     ordered: bool = True  # an older command is rejected
-    single_process: bool = True  # a process that is alive is not started again
+    single_process: bool = True  # no second process is started while one is alive
 
 
 class Persist(NamedTuple):
@@ -83,8 +83,8 @@
     """The response to the last command."""
 
     accepted: bool
-    fencing_token: int  # the greatest known
-    observation: int  # observations up to this one were made before the command
+    fencing_token: int  # the greatest known fencing token
+    observation: int  # observations up to this number were made before the command
 
 
 class StartProcess(NamedTuple):
@@ -94,14 +94,14 @@
 
 
 class SignalProcess(NamedTuple):
-    """Send SIGTERM or SIGKILL to the process, if it is still the same one."""
+    """Send SIGTERM or SIGKILL to the process, unless its pid belongs to another process by now."""
 
     process: ProcessIdentity
     kill: bool
 
 
 class SetQuiesced(NamedTuple):
-    """Have the process accept no new clients, or accept them again."""
+    """Make the process stop or resume accepting new clients."""
 
     quiesced: bool
 
@@ -111,8 +111,8 @@
 
 
 class Observation(NamedTuple):
-    """What is reported about an instance."""
+    """The report of an instance's state to the group."""
 
-    sequence: int  # grows with each observation
+    sequence: int  # increases with each observation
     condition: Condition
-    fencing_token: int  # the greatest known by then
+    fencing_token: int  # the greatest fencing token known at that time
--- a/heronreel/fleet/model.py
+++ b/heronreel/fleet/model.py
@@ -1,9 +1,9 @@
 """The records that the group stores about the fleet: instances, budget rules, claims, halt and operation.
 
-Every write of a rule, an instance, a claim or the halt also writes the revision key, so a transaction that
-compares the revision key depends on all of them as they were read.
+Every write of a rule, an instance, a claim or the halt also writes the revision key.  A transaction that
+compares the revision key therefore succeeds only if none of these records changed since they were read.
 
-Where a field's name differs from its stored name, the stored name is given with `msgspec.field`.
+Where a field's name differs from its stored name, `msgspec.field` gives the stored name.
 """
 
 from __future__ import annotations
@@ -24,20 +24,20 @@
 
 
 class InstanceKind(enum.Enum):
-    """What an instance is."""
+    """The type of process that an instance is."""
 
     PROXY = "proxy"
     BACKEND = "backend"
 
 
 class Condition(enum.Enum):
-    """What the owner of an instance observed last."""
+    """The state of an instance, as its owner last observed it."""
 
     SERVING = "serving"
-    WARMING_UP = "cold"  # serves with `capacity_fraction` of its capacity
-    OUT_OF_SERVICE = "out"  # drained or stopped on purpose
-    FAILED = "failed"  # crashed, rejects requests, or does not become ready
-    UNKNOWN = "unknown"  # nobody can observe it
+    WARMING_UP = "cold"  # serves requests with `capacity_fraction` of its full capacity
+    OUT_OF_SERVICE = "out"  # drained or stopped by a command
+    FAILED = "failed"  # the process crashed, rejects requests, or does not become ready
+    UNKNOWN = "unknown"  # no owner currently observes the instance
 
     @property
     def is_serving(self) -> bool:
@@ -46,21 +46,23 @@
 
 
 class Instance(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One proxy or backend, as its owner reported it last."""
+    """One proxy or backend, as its owner last reported it."""
 
     kind: InstanceKind
     name: str
     zone: str = ""
     group: str = ""
     pool: str = ""
-    capacity: float = 1.0  # when warm; any unit, as long as it is the same for all
+    capacity: float = 1.0  # when warm; the unit is arbitrary, but the same for all instances
     condition: Condition = Condition.UNKNOWN
-    capacity_fraction: Fraction = msgspec.field(default=1.0, name="share")  # while it warms up
-    owner: str = ""  # the agent that reports it, by the name of its presence; "": reported by hand
-    incarnation: str = msgspec.field(default="", name="start")  # of its process
-    observation: int = msgspec.field(default=0, name="looked")  # grows with each observation of the owner
-    fencing_token: int = msgspec.field(default=0, name="number")  # the greatest that its owner knew then
-    version: str = ""  # that its process runs; "": there is no process, or the version is unknown
+    # fraction of `capacity` that is available while the instance warms up
+    capacity_fraction: Fraction = msgspec.field(default=1.0, name="share")
+    owner: str = ""  # presence name of the agent that reports the instance; "" if reported manually
+    incarnation: str = msgspec.field(default="", name="start")  # identifies one run of its process
+    observation: int = msgspec.field(default=0, name="looked")  # increases with each observation
+    # the greatest fencing token that the owner had accepted when it made the observation
+    fencing_token: int = msgspec.field(default=0, name="number")
+    version: str = ""  # version of the running process; "" without a process or if it is unknown
 
     @property
     def key(self) -> bytes:
@@ -69,19 +71,22 @@
 
     @property
     def id(self) -> str:
-        """Kind and name, as `proxy/p1`."""
+        """Kind and name, such as `proxy/p1`."""
         return f"{self.kind.value}/{self.name}"
 
     @property
     def available_capacity(self) -> float:
-        """The capacity that it provides at present."""
+        """The capacity that the instance currently provides."""
         if self.condition is Condition.SERVING:
             return self.capacity
         return self.capacity * self.capacity_fraction if self.condition is Condition.WARMING_UP else 0.0
 
 
 class Scope(enum.Enum):
-    """What a budget rule is evaluated over; except for FLEET the value names a field of `Instance`."""
+    """The grouping that a budget rule is evaluated over.
+
+    Every value except that of FLEET names a field of `Instance`.
+    """
 
     FLEET = "fleet"
     ZONE = "zone"
@@ -95,12 +100,13 @@
     name: str
     kind: InstanceKind
     scope: Scope = Scope.FLEET
-    scope_value: str = msgspec.field(default="", name="only")  # only this zone, group or pool; "": each one
+    scope_value: str = msgspec.field(default="", name="only")  # limits the rule to one zone, group or pool
     max_unavailable: int | None = msgspec.field(default=None, name="most_out")
-    min_available: Fraction | None = msgspec.field(default=None, name="least_serving")  # of all capacity
+    # fraction of the total capacity in the scope
+    min_available: Fraction | None = msgspec.field(default=None, name="least_serving")
 
     def scope_of(self, instance: Instance) -> str | None:
-        """The scope value that an instance counts under; None if the rule does not apply to it."""
+        """The zone, group or pool that the rule counts an instance under; None if the rule does not apply."""
         if instance.kind is not self.kind:
             return None
         value = "" if self.scope is Scope.FLEET else str(getattr(instance, self.scope.value))
@@ -108,15 +114,17 @@
 
 
 class DisruptionClaim(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One operation's granted claim on the disruption budget, for one instance."""
+    """A claim on the disruption budget that was granted to one operation for one instance."""
 
     instance_id: str = msgspec.field(name="ident")
-    operation_id: str = msgspec.field(name="operation")  # a retry after a crash finds its claim by it
-    operator: str = msgspec.field(name="by")  # for people
-    reason: str = msgspec.field(name="why")  # for people: drain, restart, upgrade ...
+    operation_id: str = msgspec.field(name="operation")  # identifies the claim to a retry after a crash
+    operator: str = msgspec.field(name="by")  # shown to operators only
+    reason: str = msgspec.field(name="why")  # shown to operators only: drain, restart, upgrade ...
     fencing_token: int = msgspec.field(name="number")
-    observation: int = msgspec.field(default=0, name="looked")  # the instance's last one before the grant
-    granted_revision: int = msgspec.field(default=0, name="taken")  # the revision that was read before it
+    # the last observation of the instance before the claim was granted
+    observation: int = msgspec.field(default=0, name="looked")
+    # the revision of the snapshot that the grant is based on
+    granted_revision: int = msgspec.field(default=0, name="taken")
 
     @property
     def key(self) -> bytes:
@@ -125,14 +133,17 @@
 
 
 class Halt(msgspec.Struct, frozen=True):
-    """While this record exists no claim is granted, whichever processes end or start in between."""
+    """A halt of the fleet: while this record exists, no claim is granted.
+
+    The record persists across restarts of every process.
+    """
 
     operator: str = msgspec.field(name="by")
     reason: str = msgspec.field(name="why")
 
 
 class OperationKind(enum.Enum):
-    """What an operation does to each of its instances."""
+    """The change that an operation makes to each of its instances."""
 
     DRAIN = "drain"
     UNDRAIN = "undrain"
@@ -143,29 +154,32 @@
 
     @property
     def restores_service(self) -> bool:
-        """Whether it only returns instances to service: it needs no claim and ignores a halt."""
+        """Whether the operation only returns instances to service.
+
+        Such an operation needs no claim, and a halt does not stop it.
+        """
         return self in (OperationKind.START, OperationKind.UNDRAIN)
 
 
 class FleetOperation(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The operation on the fleet, with the outcomes recorded so far.
+    """The current or last operation on the fleet, with the outcomes recorded so far.
 
     A controller that takes over continues with the instances that have no outcome.
     """
 
-    id: str = msgspec.field(name="name")  # drawn at random; claims are requested under it
+    id: str = msgspec.field(name="name")  # random; the `operation_id` of the operation's claims
     kind: OperationKind = msgspec.field(name="verb")
     operator: str = msgspec.field(name="by")
-    instance_ids: tuple[str, ...] = msgspec.field(name="idents")  # in the order of their start
+    instance_ids: tuple[str, ...] = msgspec.field(name="idents")  # in the order of processing
     version: str = ""
     max_parallel: int = msgspec.field(default=1, name="at_once")
     outcomes: dict[str, str] = {}  # by instance ID
-    final_status: str = msgspec.field(default="", name="ended")  # "": in progress or halted
+    final_status: str = msgspec.field(default="", name="ended")  # "" while in progress or halted
 
     @property
     def pending(self) -> tuple[str, ...]:
         """IDs of the instances that have no outcome yet."""
-        return tuple(each for each in self.instance_ids if each not in self.outcomes)
+        return tuple(instance_id for instance_id in self.instance_ids if instance_id not in self.outcomes)
 
 
 def encode_record(record: Instance | DisruptionClaim | Halt | FleetOperation) -> bytes:
--- a/heronreel/fleet/process_supervisor.py
+++ b/heronreel/fleet/process_supervisor.py
@@ -1,4 +1,4 @@
-"""Supervision of one instance: carries out the actions of its lifecycle on the disk and on its process."""
+"""Supervision of one instance: executes the actions of its lifecycle on the disk and on its process."""
 
 from __future__ import annotations
 
@@ -37,13 +37,14 @@
 from heronreel.fleet.model import Instance, InstanceKind
 from heronreel.store import Store, StoreError
 
-HEALTH_CHECK_INTERVAL_S = 0.1  # while a process is starting
+HEALTH_CHECK_INTERVAL_S = 0.1  # health checks run while a process is starting
 HTTP_TIMEOUT_S = 1.0
 PERSIST_RETRY_S = 0.5
-EXIT_POLL_S = 0.002  # while an orphan process is being killed
+EXIT_POLL_S = 0.002  # interval of checks whether a killed orphan process has exited
 MIN_TICK_DELAY_S = 0.01
 MAX_TICK_DELAY_S = 1.0
-EPOCH_BITS = 32  # observations are counted from the number of starts, shifted by this
+# The observation count starts at the number of agent starts, shifted left by this number of bits.
+EPOCH_BITS = 32
 
 log = structlog.get_logger()
 
@@ -51,19 +52,20 @@
 class ProcessSupervisor:
     """Drives the lifecycle of one instance.
 
-    All events happen in the event loop; states are written to the store one after the other.
+    All events are handled in the event loop; states are written to the store one after the other.
     """
 
     def __init__(self, settings: AgentSettings, instance: InstanceTable, store: Store) -> None:
-        """Find the instance's process, and kill those that an agent started and did not record."""
+        """Restore the instance's process, and kill processes that an agent started but did not record."""
         self.settings = settings
         self.instance = instance
         self.store = store
         self.key = f"instance/{instance.name}".encode()
-        # by the folder, which only one agent can have open: processes of another agent are not ours to kill
+        # The folder identifies the agent, because only one agent can have it open: an agent must not kill
+        # processes of another agent.
         self.owner = f"{Path(settings.agent.folder).resolve()}/{instance.name}"
         self.now = boot_clock()
-        self.points = CrashPoints()
+        self.crash_points = CrashPoints()
         self.results: deque[asyncio.Future[CommandResult]] = deque()
         self.unpersisted: deque[PersistedState] = deque()
         self.persisting = False
@@ -73,7 +75,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.timer: asyncio.TimerHandle | None = None
         self.closed = False
-        self.session: aiohttp.ClientSession  # while it runs
+        self.session: aiohttp.ClientSession  # set by `run`
         self.lifecycle = self._restore()
 
     async def run(self) -> None:
@@ -101,16 +103,16 @@
     async def command(self, command: Command) -> CommandResult:
         """Pass a command to the lifecycle; returns once its result is durable."""
         async with self.command_lock:
-            self.points.reach("command")
+            self.crash_points.reach("command")
             result: asyncio.Future[CommandResult] = asyncio.get_running_loop().create_future()
             self.results.append(result)
             self._carry_out(self.lifecycle.command(self.now(), command))
             await result
-            self.points.reach("commanded")
+            self.crash_points.reach("commanded")
             return result.result()
 
     def observe(self) -> Instance:
-        """A new observation to report to the group."""
+        """Make a new observation to report to the group."""
         observation = self.lifecycle.observe()
         process = self.lifecycle.process
         return Instance(
@@ -130,7 +132,7 @@
     # -- restoring the state of an earlier agent
 
     def _restore(self) -> InstanceLifecycle:
-        """The lifecycle of the persisted state, once every orphan process is gone."""
+        """Restore the lifecycle from the persisted state, after every orphan process has exited."""
         data = self.store.get(self.key)
         state = PersistedState() if data is None else msgspec.msgpack.decode(data, type=PersistedState)
         self._kill_orphans(state.process)
@@ -142,7 +144,10 @@
         return lifecycle
 
     def _kill_orphans(self, recorded: ProcessIdentity | None) -> None:
-        """Kill processes of this instance that an earlier agent started and was killed before recording."""
+        """Kill processes of this instance that are not recorded.
+
+        They are left by an earlier agent that was killed between starting a process and recording it.
+        """
         recorded_identity = None if recorded is None else (recorded.pid, recorded.start_time)
         for process in processes.owned_by(self.owner):
             if (process.pid, process.start_time) == recorded_identity:
@@ -150,10 +155,11 @@
             log.warning("orphan process killed", instance=self.instance.name, pid=process.pid)
             processes.send_signal(process, signal.SIGKILL)
             while processes.is_alive(process):
-                time.sleep(EXIT_POLL_S)  # it exits within moments, and nothing may be started beside it
+                # the process exits within moments, and no second one may be started beside it
+                time.sleep(EXIT_POLL_S)
 
     def _next_epoch(self) -> int:
-        """Count a start of the agent, so that observations keep growing over its restarts."""
+        """Count the starts of the agent, so that observation counts increase across its restarts."""
         key = self.key + b"/epochs"
         stored = self.store.get(key)
         epoch = 1 + (0 if stored is None else int(stored))
@@ -190,9 +196,14 @@
         elif isinstance(action, StartProcess):
             self._start(action.version)
         elif isinstance(action, SignalProcess):
-            number = signal.SIGKILL if action.kill else signal.SIGTERM
-            log.info("signal sent", instance=self.instance.name, pid=action.process.pid, signal=number.name)
-            processes.send_signal(action.process, number)
+            signal_number = signal.SIGKILL if action.kill else signal.SIGTERM
+            log.info(
+                "signal sent",
+                instance=self.instance.name,
+                pid=action.process.pid,
+                signal=signal_number.name,
+            )
+            processes.send_signal(action.process, signal_number)
         elif isinstance(action, SetQuiesced):
             self._spawn(self._set_quiesced(action.quiesced))
 
@@ -211,9 +222,9 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _persist_all(self) -> None:
-        """Write the states that wait for the disk, in order; a failed write is retried."""
+        """Write the unpersisted states in order; a failed write is retried."""
         while self.unpersisted:
-            self.points.reach("persist")
+            self.crash_points.reach("persist")
             try:
                 data = msgspec.msgpack.encode(self.unpersisted[0])
                 await asyncio.to_thread(self.store.put, self.key, data)
@@ -221,7 +232,7 @@
                 log.error("write failed", instance=self.instance.name, error=str(error))
                 await asyncio.sleep(PERSIST_RETRY_S)
                 continue
-            self.points.reach("persisted")
+            self.crash_points.reach("persisted")
             self.unpersisted.popleft()
             self._carry_out(self.lifecycle.persisted(self.now()))
         self.persisting = False
@@ -229,14 +240,14 @@
     # -- the process
 
     def _start(self, version: str) -> None:
-        self.points.reach("start")
+        self.crash_points.reach("start")
         try:
             process = processes.start(self._command_line(version), self.owner, version, self._log_file())
         except (OSError, UnknownVersionError) as error:
             log.error("start failed", instance=self.instance.name, version=version, error=str(error))
             asyncio.get_running_loop().call_soon(self._exited, str(error))
             return
-        self.points.reach("started")
+        self.crash_points.reach("started")
         log.info("process started", instance=self.instance.name, version=version, pid=process.pid)
         self._carry_out(self.lifecycle.started(self.now(), process))
         self._watch(process)
@@ -245,13 +256,16 @@
         """The command line of a version for this instance.
 
         Raises:
-            UnknownVersionError: It is not configured.
+            UnknownVersionError: The version is not configured.
         """
-        words = self.settings.commands.get(version)
-        if words is None:
+        arguments = self.settings.commands.get(version)
+        if arguments is None:
             raise UnknownVersionError(f"version {version!r} is not configured on this machine")
         instance = self.instance
-        return [word.replace("{name}", instance.name).replace("{listen}", instance.listen) for word in words]
+        return [
+            argument.replace("{name}", instance.name).replace("{listen}", instance.listen)
+            for argument in arguments
+        ]
 
     def _log_file(self) -> Path:
         return Path(self.settings.agent.folder) / f"{self.instance.name}.log"
@@ -269,7 +283,7 @@
         self._carry_out(self.lifecycle.exited(self.now(), reason))
 
     async def _check_health(self) -> None:
-        """Report a process that is starting as ready once its health check succeeds."""
+        """Report a starting process as ready once its health check succeeds."""
         process = self.lifecycle.process
         if self.lifecycle.stage is not ProcessStage.STARTING or process is None:
             return
@@ -283,7 +297,8 @@
     async def _set_quiesced(self, quiesced: bool) -> None:
         """Quiesce or resume the process through its management address.
 
-        An instance without one counts as drained at once: its graceful shutdown drains it.
+        An instance without a management address counts as drained immediately, because its graceful shutdown
+        drains it.
         """
         if not self.instance.mgmt:
             if quiesced:
--- a/heronreel/fleet/processes.py
+++ b/heronreel/fleet/processes.py
@@ -1,4 +1,4 @@
-"""Processes of the operating system, identified by pid and start time, as an agent handles them."""
+"""Operating system processes, identified by pid and start time: start, watch, signal and list them."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 
 from heronreel.fleet.lifecycle_messages import ProcessIdentity
 
-OWNER_VARIABLE = "HERONREEL_AGENT"  # environment variable that marks each process that an agent starts
+OWNER_VARIABLE = "HERONREEL_AGENT"  # environment variable that marks the processes of an agent
 EXIT_REASON_UNKNOWN = "gone"
 
 PROC_FOLDER = Path("/proc")
-STATE_FIELD = 0  # of /proc/PID/stat, counted from behind the name of the program
+# indexes of the fields in /proc/PID/stat after the program name
+STATE_FIELD = 0
 START_TIME_FIELD = 19
 DEAD_STATES = ("Z", "X")  # zombie, dead
 
@@ -35,9 +36,9 @@
 
 
 def owned_by(owner: str) -> list[ProcessIdentity]:
-    """Every process that was started for this owner, without those that it started itself.
+    """The processes that were started for this owner, without their child processes.
 
-    Their version is not known and stays empty.
+    The version of each process is unknown and left empty.
     """
     marker = f"{OWNER_VARIABLE}={owner}".encode()
     found: list[ProcessIdentity] = []
@@ -47,21 +48,22 @@
         pid = int(path.name)
         with suppress(OSError):
             is_marked = marker in (path / "environ").read_bytes().split(b"\0")
-            # `start` makes each process the leader of a session; its children inherit the marker
+            # `start` makes each process a session leader; its children inherit only the variable
             if is_marked and os.getsid(pid) == pid and (started_at := start_time(pid)):
                 found.append(ProcessIdentity(pid, started_at, ""))
     return found
 
 
-def send_signal(process: ProcessIdentity, number: int) -> None:
-    """Send a signal to this process, and never to one that was given its pid later."""
+def send_signal(process: ProcessIdentity, signal_number: int) -> None:
+    """Send a signal to this process, and never to a later process with the same pid."""
     try:
         descriptor = os.pidfd_open(process.pid)
     except OSError:
         return
     try:
-        if is_alive(process):  # the descriptor refers to whichever process has the pid now, for good
-            signal.pidfd_send_signal(descriptor, number)
+        # The descriptor keeps referring to the process that has the pid now, so the check stays valid.
+        if is_alive(process):
+            signal.pidfd_send_signal(descriptor, signal_number)
     except OSError:
         pass
     finally:
@@ -69,7 +71,7 @@
 
 
 def start(command: Sequence[str], owner: str, version: str, log_file: Path) -> ProcessIdentity:
-    """Start a process in a session of its own, so that it outlives the agent.
+    """Start a process in its own session, so that it outlives the agent.
 
     Its output is appended to the log file.
 
@@ -81,7 +83,7 @@
             command[0],
             list(command),
             {**os.environ, OWNER_VARIABLE: owner},
-            file_actions=[(os.POSIX_SPAWN_DUP2, output.fileno(), number) for number in (1, 2)],
+            file_actions=[(os.POSIX_SPAWN_DUP2, output.fileno(), descriptor) for descriptor in (1, 2)],
             setsid=True,
         )
     return ProcessIdentity(pid, start_time(pid), version)
@@ -90,7 +92,7 @@
 def watch(
     loop: asyncio.AbstractEventLoop, process: ProcessIdentity, on_exit: Callable[[str], None]
 ) -> Callable[[], None]:
-    """Call `on_exit` with the reason when the process exits, whether or not it is a child of this one.
+    """Call `on_exit` with the reason when the process exits, whether or not it is a child process.
 
     Returns:
         A function that stops watching.
@@ -121,7 +123,7 @@
 
 
 def _exit_reason(pid: int) -> str:
-    """How a child exited; a process that is no child leaves no status."""
+    """The exit reason of a child process; the status of any other process is not available."""
     try:
         _, status = os.waitpid(pid, os.WNOHANG)
     except ChildProcessError:
