--- a/heronreel/fault_injection/lease_world.py
+++ b/heronreel/fault_injection/lease_world.py
@@ -138,7 +138,7 @@
 
     def _service(self, disk: DurableState) -> KeyValueService:
         member = ConsensusMember("a", ("a",), disk, 0.0, timing=Timing(0.0, 0.0, 0.0, 1e9))
-        service = KeyValueService(member, drift=self.drift if self.guards.drift_margin else 0.0)
+        service = KeyValueService(member, max_clock_drift=self.drift if self.guards.drift_margin else 0.0)
         self._run_service(service, service.tick(self.service_time()))
         return service
 
@@ -362,7 +362,7 @@
 def _forked(lease: LeaseClient) -> LeaseClient:
     fork = copy.copy(lease)
     fork.backoff = copy.copy(lease.backoff)
-    fork.draw_lease_id = copy.copy(lease.draw_lease_id)
+    fork.generate_lease_id = copy.copy(lease.generate_lease_id)
     fork.claims = []
     for claim in lease.claims:
         claim_fork: Claim = copy.copy(claim)
