--- a/heronreel/balancer/pools.py
+++ b/heronreel/balancer/pools.py
@@ -24,7 +24,7 @@
     pools: list[tuple[str, int]] = field(default_factory=list)
     sent: int = 0
     in_flight: int = 0
-    over: bool = False
+    has_ended: bool = False
     may_have_run: bool = False
 
 
@@ -163,7 +163,7 @@
         key = request.arrival.idempotency_key
         if key is None:
             return self.random.choices([n for n, _ in untried], [w for _, w in untried])[0]
-        return max(untried, key=lambda pool: -pool[1] / math.log(_unit_hash(pool[0], key)))[0]
+        return max(untried, key=lambda entry: -entry[1] / math.log(_unit_hash(entry[0], key)))[0]
 
     def _spill(self, now: float, request: PooledRequest) -> bool:
         """Send a rejected request to another pool if its route allows it; return whether that was done.
@@ -171,7 +171,7 @@
         A rejection says that a retry does no harm.
         """
         policy = request.arrival.policy
-        if policy is None or not policy.spills_over or request.over or now >= request.deadline:
+        if policy is None or not policy.spills_over or request.has_ended or now >= request.deadline:
             return False
         attempts_left = min(policy.max_attempts, self.settings.max_attempts) - request.sent
         idempotent = policy.request_class.effect is api.Effect.IDEMPOTENT
@@ -190,7 +190,7 @@
         pool, sent_before = next(tried for tried in reversed(request.pools) if tried[1] <= ended.attempt)
         request.in_flight -= 1
         request.may_have_run |= ended.outcome not in api.NEVER_RAN
-        if ended.finished and not request.over:
+        if ended.finished and not request.has_ended:
             self._finish(ended.request)
         self._forward(
             now, pool, replace(ended, attempt=ended.attempt - sent_before) if sent_before else ended
@@ -199,17 +199,17 @@
 
     def _request_closed(self, now: float, event: api.RequestClosed) -> None:
         request = self.requests.get(event.request)
-        if request is not None and not request.over:
+        if request is not None and not request.has_ended:
             self._finish(event.request)
             self._forward(now, request.pools[-1][0], event)
 
     def _finish(self, ident: int) -> None:
         request = self.requests[ident]
-        request.over = True
+        request.has_ended = True
         if request.arrival.policy is not None:
             self.route_limits.finished(request.arrival.policy)
         self._remove_if_done(ident, request)
 
     def _remove_if_done(self, ident: int, request: PooledRequest) -> None:
-        if request.over and not request.in_flight:
+        if request.has_ended and not request.in_flight:
             self.requests.pop(ident, None)
--- a/heronreel/balancer/turns.py
+++ b/heronreel/balancer/turns.py
@@ -95,9 +95,8 @@
         for backend in self.waiting:
             self._push(backend)
         self.waiting.clear()
-        if (
-            sum(map(len, self.queues)) > 4 * max(1, len(self.endpoints.backends)) + 16
-        ):  # Most entries are stale.
+        # Most entries are stale.
+        if sum(map(len, self.queues)) > 4 * max(1, len(self.endpoints.backends)) + 16:
             self._queue_all()
 
     def rebuild(self) -> None:
@@ -203,9 +202,8 @@
             if not self._is_ready(now, backend):
                 self.waiting.append(backend)
                 continue
-            examined.append(
-                entry
-            )  # The entry of the chosen backend becomes stale when the attempt is booked.
+            # The entry of the chosen backend becomes stale when the attempt is booked.
+            examined.append(entry)
             if tried and any(attempt.backend is backend for attempt in tried):
                 continue
             if first is None:
--- a/tests/balancer/strict_host.py
+++ b/tests/balancer/strict_host.py
@@ -1,6 +1,7 @@
-"""A strict host for tests: it keeps its own record of what happened and checks the rules on every action.
+"""A host for tests that checks the rules on every action of a balancer.
 
-Nothing here looks inside the balancer.  Attempts end only when a test says so.
+It keeps its own record of all events and does not look inside the balancer.  An attempt ends only when a test
+ends it or its deadline passes.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 @dataclass
 class SentAttempt:
-    """An attempt as the host sees it."""
+    """An attempt that the host sent."""
 
     backend: int
     at: float
@@ -47,37 +48,37 @@
 
 @dataclass
 class HostedRequest:
-    """A request, and the attempts that the balancer made of it."""
+    """A request and the attempts that the balancer started for it."""
 
     arrival: Arrival
     deadline: float
     attempts: list[SentAttempt] = field(default_factory=list)
-    over: bool = False
+    has_ended: bool = False
 
 
 class RuleViolationError(AssertionError):
-    """An action that a rule forbids."""
+    """The balancer returned an action that a rule forbids, or missed a deadline."""
 
 
 class Host:
-    """One balancer, its clock, timers and requests."""
+    """Hosts one balancer, with its clock, timers and requests."""
 
     def __init__(self, settings: Settings, seed: int = 1, now: float = 1000.0) -> None:
         self.settings = settings
         self.balancer = Balancer(settings, seed)
-        self.classes = {each.name: each for each in settings.classes}
+        self.classes = {request_class.name: request_class for request_class in settings.classes}
         self.now = now
         self.requests: dict[int, HostedRequest] = {}
         self.usable: dict[int, BackendInfo] = {}
         self.known: dict[int, BackendInfo] = {}
         self.timers: list[tuple[float, int]] = []
         self.log: list[Action] = []
-        self.cold_work: dict[int, list[tuple[float, float]]] = {}
+        self.sent_work: dict[int, list[tuple[float, float]]] = {}
         self.next_id = 0
         self.live_attempts: dict[tuple[int, int], SentAttempt] = {}
         self.pending: dict[int, HostedRequest] = {}
 
-    def _do(self, event: Event) -> list[Action]:
+    def _handle(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             self._check(action)
@@ -89,16 +90,16 @@
             self._check_send(action)
         elif isinstance(action, Reject | Fail):
             request = self.requests[action.request]
-            if request.over:
-                raise RuleViolationError("rule 1: a second final response")
+            if request.has_ended:
+                raise RuleViolationError("rule 1: the request got a second final response")
             if self.now > request.deadline + 20.0:
-                raise RuleViolationError("rule 1: final response too late")
+                raise RuleViolationError("rule 1: the final response came after the deadline")
             if isinstance(action, Reject) and any(a.may_have_run for a in request.attempts):
                 request_class = self.classes[request.arrival.request_class]
                 shared = request_class.effect is Effect.KEYED and request_class.dedup_scope is DedupScope.ALL
                 if request_class.effect is not Effect.IDEMPOTENT and not shared:
-                    raise RuleViolationError("rule 2: rejected though it may have run")
-            request.over = True
+                    raise RuleViolationError("rule 2: a request that may have run was rejected")
+            request.has_ended = True
             self.pending.pop(action.request, None)
         elif isinstance(action, SetTimer):
             assert action.delay_ms >= 0.0
@@ -108,36 +109,36 @@
 
     def _check_send(self, action: StartAttempt) -> None:
         request = self.requests[action.request]
-        if request.over:
-            raise RuleViolationError("rule 1: sent after the end")
+        if request.has_ended:
+            raise RuleViolationError("rule 1: an attempt started after the request had ended")
         if action.backend not in self.usable:
-            raise RuleViolationError("rule 3: sent to a backend that drains or is gone")
+            raise RuleViolationError("rule 3: an attempt went to a draining or removed backend")
         request_class = self.classes[request.arrival.request_class]
         if len(request.attempts) >= self.settings.max_attempts:
-            raise RuleViolationError("more attempts than allowed")
+            raise RuleViolationError("the request got more attempts than max_attempts")
         if not self.settings.hedging and any(a.in_flight for a in request.attempts):
-            raise RuleViolationError("rule 2: two attempts in flight")
+            raise RuleViolationError("rule 2: two attempts of a request are in flight without hedging")
         executed = [a for a in request.attempts if a.may_have_run]
         if executed and request_class.effect is Effect.UNSAFE:
-            raise RuleViolationError("rule 2: an unsafe request sent again")
+            raise RuleViolationError("rule 2: an unsafe request that may have run was sent again")
         if executed and request_class.effect is Effect.KEYED:
-            here, there = self.known[action.backend], self.known[executed[0].backend]
-            same = {
+            retried, first = self.known[action.backend], self.known[executed[0].backend]
+            same_group = {
                 DedupScope.ALL: True,
-                DedupScope.ZONE: here.zone == there.zone,
-                DedupScope.CELL: here.cell == there.cell,
+                DedupScope.ZONE: retried.zone == first.zone,
+                DedupScope.CELL: retried.cell == first.cell,
             }[request_class.dedup_scope]
-            if not same:
-                raise RuleViolationError("rule 2: a retry outside its group")
+            if not same_group:
+                raise RuleViolationError("rule 2: a retry left its deduplication group")
             if self.now > executed[0].at + request_class.repeat_window_ms:
-                raise RuleViolationError("rule 2: a retry outside its window")
+                raise RuleViolationError("rule 2: a retry started after its repeat window")
         limit = action.timeout_ms or float("inf")
         sent = SentAttempt(action.backend, self.now, min(request.deadline, self.now + limit))
         self.live_attempts[action.request, len(request.attempts)] = sent
         request.attempts.append(sent)
-        self.cold_work.setdefault(action.backend, []).append((self.now, request.arrival.hint_ms))
+        self.sent_work.setdefault(action.backend, []).append((self.now, request.arrival.hint_ms))
 
-    def listed(self, kind: ListKind, *infos: BackendInfo) -> list[Action]:
+    def receive_list(self, kind: ListKind, *infos: BackendInfo) -> list[Action]:
         if kind in (ListKind.FULL, ListKind.CACHED):
             self.usable = {}
         for info in infos:
@@ -146,26 +147,28 @@
                 self.usable[info.backend] = info
             else:
                 self.usable.pop(info.backend, None)
-        return self._do(BackendList(kind, list(infos)))
+        return self._handle(BackendList(kind, list(infos)))
 
-    def arrive(
+    def start_request(
         self,
         request_class: str = "",
-        hint: float = 50.0,
-        left: float = 2000.0,
+        hint_ms: float = 50.0,
+        time_left_ms: float = 2000.0,
         tenant: str = "",
         key: int | None = None,
-        retry: bool = False,
+        is_retry: bool = False,
     ) -> int:
         ident = self.next_id
         self.next_id += 1
         name = request_class or self.settings.classes[0].name
-        arrival = Arrival(ident, name, left, tenant, key, hint, retry)
-        self.requests[ident] = self.pending[ident] = HostedRequest(arrival, self.now + left)
-        self._do(arrival)
+        arrival = Arrival(ident, name, time_left_ms, tenant, key, hint_ms, is_retry)
+        self.requests[ident] = self.pending[ident] = HostedRequest(arrival, self.now + time_left_ms)
+        self._handle(arrival)
         return ident
 
-    def end(self, ident: int, attempt: int, outcome: Outcome, latency: float | None = None) -> list[Action]:
+    def end_attempt(
+        self, ident: int, attempt: int, outcome: Outcome, latency: float | None = None
+    ) -> list[Action]:
         request = self.requests[ident]
         sent = request.attempts[attempt]
         assert sent.in_flight
@@ -173,35 +176,37 @@
         del self.live_attempts[ident, attempt]
         sent.may_have_run = outcome not in NEVER_RAN
         if outcome is Outcome.SERVED:
-            request.over = True
+            request.has_ended = True
             self.pending.pop(ident, None)
-        took = self.now - sent.at if latency is None else latency
-        return self._do(AttemptEnded(ident, attempt, sent.backend, outcome, took, request.over))
+        latency_ms = self.now - sent.at if latency is None else latency
+        return self._handle(
+            AttemptEnded(ident, attempt, sent.backend, outcome, latency_ms, request.has_ended)
+        )
 
-    def disconnect(self, ident: int) -> None:
-        self.requests[ident].over = True
+    def disconnect_client(self, ident: int) -> None:
+        self.requests[ident].has_ended = True
         self.pending.pop(ident, None)
-        self._do(RequestClosed(ident))
+        self._handle(RequestClosed(ident))
 
     def in_flight(self) -> list[tuple[int, int]]:
         return list(self.live_attempts)
 
-    def run_to(self, now: float) -> None:
-        """Let time pass: timers and the timeouts of attempts come due in order."""
+    def advance_to(self, now: float) -> None:
+        """Advance the clock, firing timers and ending attempts at their deadlines in order."""
         while True:
-            due = min((at for at, _ in self.timers), default=float("inf"))
-            late = [(sent.ends_by, i, n) for (i, n), sent in self.live_attempts.items()]
-            first = min(late, default=(float("inf"), 0, 0))
-            if min(due, first[0]) > now:
+            timer_at = min((at for at, _ in self.timers), default=float("inf"))
+            deadlines = [(sent.ends_by, i, n) for (i, n), sent in self.live_attempts.items()]
+            first_deadline = min(deadlines, default=(float("inf"), 0, 0))
+            if min(timer_at, first_deadline[0]) > now:
                 break
-            if first[0] <= due:
-                self.now = max(self.now, first[0])
-                self.end(first[1], first[2], Outcome.TIMEOUT)
+            if first_deadline[0] <= timer_at:
+                self.now = max(self.now, first_deadline[0])
+                self.end_attempt(first_deadline[1], first_deadline[2], Outcome.TIMEOUT)
             else:
                 timer = min(self.timers)
                 self.timers.remove(timer)
                 self.now = max(self.now, timer[0])
-                self._do(TimerFired(timer[1]))
+                self._handle(TimerFired(timer[1]))
             self.check_deadlines()
         self.now = now
         self.check_deadlines()
@@ -209,15 +214,15 @@
     def check_deadlines(self) -> None:
         for request in self.pending.values():
             if self.now > request.deadline + 20.0:
-                raise RuleViolationError("rule 1: no final response in time")
+                raise RuleViolationError("rule 1: the request got no final response by its deadline")
 
 
-def fleet(count: int) -> list[BackendInfo]:
+def backend_fleet(count: int) -> list[BackendInfo]:
     return [BackendInfo(100 + n, zone=f"z{n % 2}", cell=n // 4) for n in range(count)]
 
 
-def large(**changes: Any) -> Settings:
-    """The settings of a proxy of a large fleet, and what a test changes of them."""
+def large_fleet_settings(**changes: Any) -> Settings:
+    """Return the settings of a proxy of a large fleet, with the given changes."""
     request_class = RequestClass("read", 400.0, 2000.0, effect=Effect.IDEMPOTENT)
     base = Settings(
         (request_class,),
--- a/tests/balancer/test_adapter.py
+++ b/tests/balancer/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter through its real standard input and output, started as deploy/balancer.toml says."""
+"""Tests the adapter over its standard input and output, started by the command in deploy/balancer.toml."""
 
 import os
 import subprocess
@@ -10,7 +10,7 @@
 
 ROOT = Path(__file__).parents[2]
 DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
-CONF = (
+SETTINGS = (
     "Balancers=2 Categories.count=1 Categories.0.Name=work Categories.0.Effect=idempotent"
     " Categories.0.OnTimeMs=500.0 Categories.0.HardLimitMs=2000.0 Limits.MostTries=3 Discovery=push"
     " FailureDomains=a,b Zone=a Some.New.Key=1"
@@ -18,7 +18,7 @@
 
 
 def born(who: int) -> str:
-    return f"born Who={who} Nonce64={77 + who} {CONF}\n" + announce(who)
+    return f"born Who={who} Nonce64={77 + who} {SETTINGS}\n" + announce(who)
 
 
 def announce(who: int, count: int = 6) -> str:
@@ -34,7 +34,7 @@
     return f"submit Who={who} Call={call} Lane=work TimeLeftMs=1500.0 HintMs={10.0 + call % 7}\n"
 
 
-def talk(text: str, command: str | None = None, **env: str) -> subprocess.CompletedProcess[str]:
+def run_adapter(text: str, command: str | None = None, **env: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         ["/bin/sh", "-c", command or f"exec {sys.executable} -m heronreel.balancer.adapter"],
         input=text,
@@ -47,7 +47,7 @@
     )
 
 
-def script(instances: list[int]) -> str:
+def batches_for(instances: list[int]) -> str:
     parts = [batch(100.0, *[born(who) for who in instances])]
     for n in range(30):
         parts.append(batch(200.0 + 7 * n, *[submit(who, n) for who in instances]))
@@ -55,29 +55,35 @@
     return "".join(parts)
 
 
-def lines_of(who: int, output: str) -> list[str]:
+def lines_for(who: int, output: str) -> list[str]:
     return [line for line in output.splitlines() if f" Who={who} " in line]
 
 
-@pytest.mark.skipif(not (ROOT / ".venv").exists(), reason="the build line of the deploy file has not run")
-def test_the_deploy_command_starts_and_answers() -> None:
-    done = talk(batch(1.0) + batch(2.0, born(3)) + batch(3.0, submit(3, 1)), DEPLOY["sim"])
-    assert done.returncode == 0, done.stderr
-    replies = done.stdout.splitlines()
+@pytest.mark.skipif(
+    not (ROOT / ".venv").exists(), reason="the build command of deploy/balancer.toml has not been run"
+)
+def test_the_deploy_command_starts_and_responds() -> None:
+    result = run_adapter(batch(1.0) + batch(2.0, born(3)) + batch(3.0, submit(3, 1)), DEPLOY["sim"])
+    assert result.returncode == 0, result.stderr
+    replies = result.stdout.splitlines()
     assert replies[0] == "ok"
     assert replies[1].startswith("timer Who=3 ")
     assert replies[3].startswith("deliver Who=3 Call=1 Backend=")
     assert DEPLOY["policy"][0] == "heronreel/balancer/choice.py"
 
 
-def test_same_actions_whatever_hash_seed_process_split_or_order() -> None:
-    together = talk(script([1, 2, 3]), PYTHONHASHSEED="1")
+def test_actions_do_not_depend_on_hash_seed_process_or_order_of_instances() -> None:
+    together = run_adapter(batches_for([1, 2, 3]), PYTHONHASHSEED="1")
     assert together.returncode == 0, together.stderr
-    assert talk(script([1, 2, 3]), PYTHONHASHSEED="99").stdout == together.stdout
-    turned = talk(script([3, 1, 2]))
+    assert run_adapter(batches_for([1, 2, 3]), PYTHONHASHSEED="99").stdout == together.stdout
+    reordered = run_adapter(batches_for([3, 1, 2]))
     for who in (1, 2, 3):
-        alone = talk(script([who]))
-        assert lines_of(who, together.stdout) == lines_of(who, alone.stdout) == lines_of(who, turned.stdout)
+        alone = run_adapter(batches_for([who]))
+        assert (
+            lines_for(who, together.stdout)
+            == lines_for(who, alone.stdout)
+            == lines_for(who, reordered.stdout)
+        )
     assert "deliver Who=2" in together.stdout
 
 
@@ -95,31 +101,33 @@
         (batch(1.0, born(1), "submit Who=1 Call=1 Lane=w TimeLeftMs=nan\n"), ["line 10", "TimeLeftMs"]),
         (batch(1.0, born(1), "announce Who=1 Gen=2 Kind=Q Elements=0\n"), ["line 10", "Kind"]),
         (batch(1.0, born(1), "announce Who=1 Gen=2 Kind=F Elements=1\n"), ["Elements"]),
-        (batch(1.0, f"born Who=1 Nonce64=1 {CONF} Limits.MostTries=0\n"), ["line 2", "max_attempts"]),
-        (batch(1.0, f"born Who=1 Nonce64=1 {CONF} Categories.0.Effect=odd\n"), ["Categories.0.Effect"]),
+        (batch(1.0, f"born Who=1 Nonce64=1 {SETTINGS} Limits.MostTries=0\n"), ["line 2", "max_attempts"]),
+        (batch(1.0, f"born Who=1 Nonce64=1 {SETTINGS} Categories.0.Effect=odd\n"), ["Categories.0.Effect"]),
         (batch(1.0, born(1), "report_back Who=1 Call=1 Leg=0 Backend=1 Verdict=fine\n"), ["Verdict"]),
     ],
 )  # fmt: skip
-def test_malformed_input_gets_one_plain_line_and_a_non_zero_exit(text: str, names: list[str]) -> None:
-    done = talk(text)
-    assert done.returncode != 0
-    (line,) = done.stderr.splitlines()
+def test_malformed_input_prints_one_line_and_exits_with_an_error(text: str, names: list[str]) -> None:
+    result = run_adapter(text)
+    assert result.returncode != 0
+    (line,) = result.stderr.splitlines()
     assert all(name in line for name in names), line
 
 
-def test_end_of_input_is_a_clean_exit() -> None:
-    done = talk("")
-    assert (done.returncode, done.stdout, done.stderr) == (0, "", "")
+def test_end_of_input_exits_without_an_error() -> None:
+    result = run_adapter("")
+    assert (result.returncode, result.stdout, result.stderr) == (0, "", "")
 
 
-def test_an_exception_in_the_decision_code_becomes_give_in() -> None:
-    # an outcome for an attempt that was never made is the host's own bug
-    done = talk(batch(1.0, born(4), "report_back Who=4 Call=9 Leg=0 Backend=1 Verdict=served LagMs=3\n"))
-    assert "give_in Who=4 Words=" in done.stdout
+def test_an_exception_in_the_decision_code_is_reported_as_give_in() -> None:
+    # The outcome of an attempt that was never started is a fault of the host and raises an exception.
+    result = run_adapter(
+        batch(1.0, born(4), "report_back Who=4 Call=9 Leg=0 Backend=1 Verdict=served LagMs=3\n")
+    )
+    assert "give_in Who=4 Words=" in result.stdout
 
 
-def test_a_killed_instance_is_removed_and_may_be_born_again() -> None:
+def test_a_killed_instance_is_removed_and_its_number_can_be_used_again() -> None:
     text = batch(1.0, born(1)) + batch(2.0, submit(1, 5)) + batch(3.0, "kill Who=1\n", born(1))
-    done = talk(text + batch(4.0, submit(1, 6)))
-    assert done.returncode == 0, done.stderr
-    assert "Call=6" in done.stdout
+    result = run_adapter(text + batch(4.0, submit(1, 6)))
+    assert result.returncode == 0, result.stderr
+    assert "Call=6" in result.stdout
--- a/tests/balancer/test_board.py
+++ b/tests/balancer/test_board.py
@@ -1,9 +1,9 @@
-"""DESIGN 1 and 2, worked by hand: slots of 200 ms, 64 of them."""
+"""Tests the board (DESIGN 1 and 2) with 64 slots of 200 ms, against results calculated by hand."""
 
 from heronreel.balancer.board import SLOT_COUNT, SLOT_MS, Board
 
 
-def test_cursor_jumps_to_a_later_task() -> None:
+def test_the_cursor_advances_to_a_later_cost() -> None:
     board = Board(0.0)
     board.queue.append((1000.0, 50.0))
     board.update(1000.0)
@@ -11,20 +11,20 @@
     assert board.total == 50.0
 
 
-def test_a_task_behind_the_cursor_queues_after_it_and_spills() -> None:
+def test_a_cost_behind_the_cursor_is_booked_after_it_and_fills_the_next_slot() -> None:
     board = Board(0.0)
     board.queue.append((1000.0, 150.0))
     board.queue.append((1000.0, 150.0))
     board.update(1000.0)
     assert board.cursor == 1300.0
-    assert board.slots[5] == 200.0  # 150 and 50 of the second
+    assert board.slots[5] == 200.0  # 150 of the first cost and 50 of the second.
     assert board.slots[6] == 100.0
     assert board.total == 300.0
 
 
 def test_work_done_before_the_update_is_not_booked() -> None:
     board = Board(0.0)
-    board.queue.append((900.0, 150.0))  # 100 ms of it lie before slot 5
+    board.queue.append((900.0, 150.0))  # 100 ms of it lie before slot 5, which starts at 1000 ms.
     board.update(1000.0)
     assert board.total == 50.0
     board.queue.append((1001.0, 10.0))
@@ -32,7 +32,7 @@
     assert board.total == 0.0
 
 
-def test_slots_wrap_around() -> None:
+def test_slots_wrap_around_at_the_end_of_the_board() -> None:
     board = Board(0.0)
     start = SLOT_MS * (SLOT_COUNT - 1)
     board.queue.append((start, 500.0))
@@ -44,7 +44,7 @@
     assert board.total == 300.0
 
 
-def test_work_past_the_horizon_goes_to_the_last_slot() -> None:
+def test_work_beyond_the_horizon_is_booked_in_the_last_slot() -> None:
     board = Board(0.0)
     board.queue.append((0.0, SLOT_MS * SLOT_COUNT + 700.0))
     board.update(0.0)
@@ -55,7 +55,7 @@
     assert board.slots[SLOT_COUNT - 1] == 1000.0
 
 
-def test_an_idle_gap_longer_than_the_board_leaves_nothing() -> None:
+def test_an_idle_time_longer_than_the_board_clears_all_slots() -> None:
     board = Board(0.0)
     board.queue.append((0.0, 5000.0))
     board.update(0.0)
--- a/tests/balancer/test_fleet_slow_start.py
+++ b/tests/balancer/test_fleet_slow_start.py
@@ -1,8 +1,9 @@
-"""Slow start over a whole fleet, in virtual time: what all proxies together send to a cold backend.
+"""Tests slow start over a whole fleet, in virtual time: the work that all proxies send to a cold backend.
 
-A cold backend falls when it gets more than N + 2 roots of N + 2 requests of mean work in `FallMs`
-(`tests/support/cold_start_judge.py`); no such fall may come by over two thirds from proxies that had been
-told of its start.  The traffic is uneven, and there is a burst of half as much again.
+A cold backend is overloaded if it gets more than N + 2 sqrt(N) + 2 requests of mean work within `fall_ms`
+(`tests/support/cold_start_judge.py`).  Of the requests of such an overload, at most two thirds may come from
+proxies that were notified of the backend's start.  The traffic is uneven, and it includes a burst of 1.5
+times the load.
 """
 
 import random
@@ -24,41 +25,51 @@
 
 Case = Callable[[FleetWorld], None]
 
-BACKENDS = {1: 8, 5: 12, 30: 20, 230: 60}  # by proxies
-WARM_UP_MS, WATCHED_MS = 3000.0, 5000.0
-SLOTS = (1, 2, 4, 8)  # of a backend: requests that it runs at once
-BURST, BURST_MS = 1.5, 3500.0
-BUSY = (0.5, 0.95)  # of the fleet's capacity, without the burst
-NEWS_MS = 300.0  # within which a change of the list reaches all proxies
-LATE_NEWS_MS, LATE_SHARE = 4000.0, 0.3  # the same where it is late at some
-DOWN_MS = 800.0  # between a process's end and the next one's start
+# The number of backends, by that of the proxies.
+BACKENDS = {1: 8, 5: 12, 30: 20, 230: 60}
+WARM_UP_MS = 3000.0
+OBSERVED_MS = 5000.0
+# The numbers of requests that a backend can process at once.
+CONCURRENCY = (1, 2, 4, 8)
+# The load during a burst, as a multiple of the normal load.
+BURST_RATIO = 1.5
+BURST_MS = 3500.0
+# The range of the normal load, as a share of the fleet's capacity.
+LOAD_RANGE = (0.5, 0.95)
+# The time within which a change of the list reaches all proxies.
+NOTIFICATION_MS = 300.0
+# A share of the proxies may receive a change as late as this.
+LATE_NOTIFICATION_MS = 4000.0
+LATE_SHARE = 0.3
+# The time from the end of a backend process to the start of the next one.
+DOWN_MS = 800.0
 NEW_BACKEND = 900
 
 
 @pytest.fixture(autouse=True)
 def shared_hashes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The same hashes, worked out once for all proxies: 230 real ones would each work out all of them."""
+    """Compute each hash once for all proxies; 230 separate proxies would each compute all of them."""
     monkeypatch.setattr(subset, "proxy_hash", lru_cache(maxsize=None)(subset.proxy_hash))
 
 
-def rules_of(draw: random.Random) -> ColdStartRules:
+def rules_of(rng: random.Random) -> ColdStartRules:
     return ColdStartRules(
-        cold_from=draw.uniform(0.13, 0.3),
-        cold_ms=draw.uniform(6000.0, 20000.0),
-        overload_factor=float(draw.choice((2, 3, 4))),
-        fall_ms=draw.uniform(500.0, 2000.0),
-        warm_capacity=float(draw.choice(SLOTS)),
+        cold_from=rng.uniform(0.13, 0.3),
+        cold_ms=rng.uniform(6000.0, 20000.0),
+        overload_factor=float(rng.choice((2, 3, 4))),
+        fall_ms=rng.uniform(500.0, 2000.0),
+        warm_capacity=float(rng.choice(CONCURRENCY)),
         mean_work_ms=MEAN_WORK_MS,
     )
 
 
-def prompt(world: FleetWorld) -> Callable[[Proxy], float]:
-    return lambda proxy: world.random.uniform(0.0, NEWS_MS)
+def promptly(world: FleetWorld) -> Callable[[Proxy], float]:
+    return lambda proxy: world.random.uniform(0.0, NOTIFICATION_MS)
 
 
-def late_at_some(world: FleetWorld) -> Callable[[Proxy], float]:
+def late_at_some_proxies(world: FleetWorld) -> Callable[[Proxy], float]:
     return lambda proxy: world.random.uniform(
-        0.0, LATE_NEWS_MS if world.random.random() < LATE_SHARE else NEWS_MS
+        0.0, LATE_NOTIFICATION_MS if world.random.random() < LATE_SHARE else NOTIFICATION_MS
     )
 
 
@@ -70,29 +81,29 @@
 
 
 def a_new_one_joins(world: FleetWorld) -> None:
-    world.tell([world.start(NEW_BACKEND)], prompt(world))
+    world.tell([world.start(NEW_BACKEND)], promptly(world))
 
 
 def one_comes_back_cold(world: FleetWorld) -> None:
-    come_back_cold(world, [100], prompt(world))
+    come_back_cold(world, [100], promptly(world))
 
 
 def several_at_once(world: FleetWorld) -> None:
     count = max(2, len(world.servers) // 3)
-    world.tell([world.start(NEW_BACKEND + number) for number in range(count // 2)], prompt(world))
-    come_back_cold(world, [100 + number for number in range(count - count // 2)], prompt(world))
+    world.tell([world.start(NEW_BACKEND + number) for number in range(count // 2)], promptly(world))
+    come_back_cold(world, [100 + number for number in range(count - count // 2)], promptly(world))
 
 
 def a_restarted_proxy_meets_cold_ones(world: FleetWorld) -> None:
-    world.tell([world.start(NEW_BACKEND + number) for number in range(2)], prompt(world))
+    world.tell([world.start(NEW_BACKEND + number) for number in range(2)], promptly(world))
     world.run_for(500.0)
     shares = sorted(world.proxies, key=lambda proxy: -proxy.share)
-    for proxy in shares[: max(1, len(shares) // 4)]:  # those with most of the traffic
+    for proxy in shares[: max(1, len(shares) // 4)]:  # Restart the proxies with the most traffic.
         world.restart_proxy(proxy.index)
 
 
 def the_news_is_late_at_some(world: FleetWorld) -> None:
-    come_back_cold(world, [100, 101], late_at_some(world))
+    come_back_cold(world, [100, 101], late_at_some_proxies(world))
 
 
 def one_is_handed_back_before_its_line_comes(world: FleetWorld) -> None:
@@ -102,18 +113,19 @@
     world.run_for(DOWN_MS)
     line = world.start(100)
     world.run_for(200.0)
-    world.release(100, began, NEWS_MS)
-    world.tell([stale], prompt(world))  # a list that has not heard of the restart yet
-    world.run_for(NEWS_MS)
-    world.tell([line], lambda proxy: world.random.uniform(1000.0, LATE_NEWS_MS))
+    world.release(100, began, NOTIFICATION_MS)
+    world.tell([stale], promptly(world))  # This list does not show the restart yet.
+    world.run_for(NOTIFICATION_MS)
+    world.tell([line], lambda proxy: world.random.uniform(1000.0, LATE_NOTIFICATION_MS))
 
 
 def one_is_out_of_reach_for_a_while(world: FleetWorld) -> None:
-    world.tell([world.start(NEW_BACKEND)], prompt(world))
+    world.tell([world.start(NEW_BACKEND)], promptly(world))
     world.run_for(500.0)
     world.cut_off(NEW_BACKEND, 2500.0)
 
 
+# The names of these functions are part of the random seeds.
 CASES: tuple[Case, ...] = (
     a_new_one_joins,
     one_comes_back_cold,
@@ -126,20 +138,20 @@
 
 
 def play(seed: int, proxies: int, case: Case, rules: ColdStartRules | None = None) -> ColdStartJudge:
-    """One seeded world: warm up, the case, and a burst that begins with it."""
-    draw = random.Random(f"{seed} {proxies} {case.__name__}")
-    rules = rules or rules_of(draw)
-    world = FleetWorld(draw.getrandbits(32), proxies, BACKENDS[proxies], rules, draw.uniform(*BUSY))
+    """Play one seeded world: warm up, then the case and a burst that start together."""
+    rng = random.Random(f"{seed} {proxies} {case.__name__}")
+    rules = rules or rules_of(rng)
+    world = FleetWorld(rng.getrandbits(32), proxies, BACKENDS[proxies], rules, rng.uniform(*LOAD_RANGE))
     world.run_for(WARM_UP_MS)
-    world.burst(BURST, BURST_MS)
+    world.burst(BURST_RATIO, BURST_MS)
     case(world)
-    world.run_for(WATCHED_MS)
+    world.run_for(OBSERVED_MS)
     print(
         f"{case.__name__} proxies={proxies} seed={seed} factor={rules.overload_factor:g} "
         f"slots={rules.warm_capacity:g} from={rules.cold_from:.2f} fall_ms={rules.fall_ms:.0f} "
         f"sends={world.judge.sends} worst={world.judge.worst_told_ratio:.2f} falls={len(world.judge.falls)}"
     )
-    assert world.judge.sends  # cold ones do take a part
+    assert world.judge.sends  # Cold backends get some work.
     return world.judge
 
 
@@ -166,7 +178,7 @@
     assert_rule_kept(play(seed, 230, case))
 
 
-# The guards, each taken out: the judge must see it.
+# Each of the following tests disables one safeguard, and the judge must detect that the rule is broken.
 
 TIGHT = ColdStartRules(
     cold_from=0.13,
@@ -180,12 +192,12 @@
 
 
 def breaking_seeds(case: Case, rules: ColdStartRules = TIGHT, proxies: int = 30) -> int:
-    """How many of a few seeds break the rule."""
+    """Return how many of the seeds break the rule."""
     return sum(bool(play(seed, proxies, case, rules).breaches()) for seed in GUARD_SEEDS)
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_with_all_guards_the_tight_rules_are_kept(case: Case) -> None:
+def test_with_all_safeguards_the_tight_rules_are_kept(case: Case) -> None:
     assert breaking_seeds(case) == 0
 
 
@@ -194,40 +206,44 @@
     assert breaking_seeds(one_comes_back_cold) == len(GUARD_SEEDS)
 
 
-def test_with_credit_whatever_the_settings_allow_the_rule_is_broken(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(slow_start, "CREDIT_SHARE", 2.2)  # as it once was, for a factor of 4 alone
+def test_with_credit_above_what_the_settings_allow_the_rule_is_broken(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # An earlier value, which suits only an overload factor of 4.
+    monkeypatch.setattr(slow_start, "CREDIT_SHARE", 2.2)
     assert breaking_seeds(the_news_is_late_at_some)
 
 
-def test_with_credit_without_end_the_rule_is_broken(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_with_almost_unlimited_credit_the_rule_is_broken(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(slow_start, "CREDIT_SHARE", 50.0)
     assert breaking_seeds(a_new_one_joins) == len(GUARD_SEEDS)
 
 
-def test_without_a_drawn_first_credit_the_rule_is_broken(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_a_random_first_credit_the_rule_is_broken(monkeypatch: pytest.MonkeyPatch) -> None:
     add = Endpoints._add
 
-    def add_alike(self: Endpoints, now: float, info: BackendInfo, mean_cost_ms: float) -> None:
+    def add_without_drawn_credit(self: Endpoints, now: float, info: BackendInfo, mean_cost_ms: float) -> None:
         known = self.backends.get(info.backend)
         add(self, now, info, mean_cost_ms)
         if self.backends[info.backend] is not known:
             self.backends[info.backend].credit_ms = 0.0
 
-    monkeypatch.setattr(Endpoints, "_add", add_alike)
+    monkeypatch.setattr(Endpoints, "_add", add_without_drawn_credit)
     assert breaking_seeds(several_at_once) == len(GUARD_SEEDS)
 
 
-def test_without_a_cold_return_from_an_operators_hold_the_rule_is_broken(
+def test_if_a_backend_returns_warm_from_maintenance_the_rule_is_broken(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(maintenance, "replace", lambda line, started_ms: line)  # the list's line as it stands
+    # Keep the start time of the list entry.
+    monkeypatch.setattr(maintenance, "replace", lambda line, started_ms: line)
     assert breaking_seeds(one_is_handed_back_before_its_line_comes)
 
 
-def test_a_cold_backend_booked_as_a_warm_one_is_held_by_its_credit_alone(
+def test_credit_alone_protects_a_cold_backend_that_is_booked_as_a_warm_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Booked by its cold share it gets fewer turns, a second guard: the rule is broken without both."""
+    """Booking by the capacity share also reduces turns; the rule is broken only without both safeguards."""
     book = TurnQueue.book
 
     def book_as_warm(self: TurnQueue, now: float, backend: Backend, cost_ms: float) -> Attempt:
@@ -243,7 +259,7 @@
 
 
 def judged(told: int, untold: int) -> ColdStartJudge:
-    """So many requests of mean work at once, from proxies that had been told and then from others."""
+    """Return a judge that saw simultaneous requests of mean work, from notified proxies and from others."""
     judge = ColdStartJudge(ColdStartRules(0.2, 10_000.0, 3.0, 1000.0, warm_capacity=2.0, mean_work_ms=50.0))
     judge.started(0.0, 1)
     for number in range(told + untold):
@@ -251,15 +267,15 @@
     return judge
 
 
-def test_the_judge_counts_as_the_rule_says() -> None:
+def test_the_judge_applies_the_rule() -> None:
     rules = judged(0, 0).rules
-    assert rules.allowed(0.0) == pytest.approx(24.0)  # 3 times 0.2 of 40 requests a second
+    assert rules.allowed(0.0) == pytest.approx(24.0)  # 3 times 0.2 of 40 requests per second.
     assert rules.limit(10_000.0) == pytest.approx(120.0 + 2.0 * 120.0**0.5 + 2.0)
-    assert not judged(35, 0).falls  # 24 + 2 roots of 24 + 2 = 35.8
+    assert not judged(35, 0).falls  # 24 + 2 sqrt(24) + 2 = 35.8.
     assert judged(36, 0).breaches()
     assert judged(25, 11).breaches()
-    excused = judged(24, 12)  # two thirds, and not more
+    excused = judged(24, 12)  # Exactly two thirds came from notified proxies.
     assert excused.falls and not excused.breaches()
     later = judged(35, 0)
-    later.sent(1000.0, 1, 0, 50.0, told=True)  # the first ones are out of the window
+    later.sent(1000.0, 1, 0, 50.0, told=True)  # The first requests are no longer in the window.
     assert not later.falls
--- a/tests/balancer/test_rejection_rate.py
+++ b/tests/balancer/test_rejection_rate.py
@@ -1,4 +1,4 @@
-"""A fleet that rejects most attempts gets fewer retries, and as many as before once it has capacity."""
+"""Tests that a fleet that rejects most attempts gets fewer retries until it has capacity again."""
 
 from __future__ import annotations
 
@@ -9,54 +9,54 @@
     MAX_REJECTED_ATTEMPTS,
     RejectionRate,
 )
-from tests.balancer.strict_host import Host, fleet
+from tests.balancer.strict_host import Host, backend_fleet
 
 
-def attempts_of(host: Host, outcome: Outcome) -> int:
-    """A request whose attempts all end so, at once; it must be over then."""
-    ident = host.arrive(hint=5.0)
+def count_attempts(host: Host, outcome: Outcome) -> int:
+    """Return the number of attempts of a request whose attempts all have this outcome, after 1 ms each."""
+    ident = host.start_request(hint_ms=5.0)
     while any(request == ident for request, _ in host.in_flight()):
         number = len(host.requests[ident].attempts) - 1
         host.now += 1.0
-        host.end(ident, number, outcome)
-    assert host.requests[ident].over
+        host.end_attempt(ident, number, outcome)
+    assert host.requests[ident].has_ended
     return len(host.requests[ident].attempts)
 
 
-def test_attempts_fall_with_the_rejection_rate_and_recover_after_it() -> None:
+def test_attempts_decrease_with_the_rejection_rate_and_recover_after_it() -> None:
     host = Host(Settings((RequestClass("read"),), max_attempts=6))
-    host.listed(ListKind.FULL, *fleet(12))
-    assert attempts_of(host, Outcome.REJECTED) == 6  # one request alone is no sign of a shortage
+    host.receive_list(ListKind.FULL, *backend_fleet(12))
+    assert count_attempts(host, Outcome.REJECTED) == 6  # One request alone does not indicate a shortage.
     attempts = []
     for _ in range(60):
-        attempts.append(attempts_of(host, Outcome.REJECTED))
-        host.run_to(host.now + 20.0)
-    assert attempts[-1] == 1  # and never fewer, or free capacity would go unnoticed
+        attempts.append(count_attempts(host, Outcome.REJECTED))
+        host.advance_to(host.now + 20.0)
+    assert attempts[-1] == 1  # The first attempt is always made, to detect free capacity.
     rejections = [action for action in host.log if isinstance(action, Reject)]
-    assert len(rejections) == 61  # each of them at once, in the event that rejected its last attempt
-    calm_after = 0
-    while attempts_of(host, Outcome.REJECTED) < 6:
+    assert len(rejections) == 61  # Each one is sent in the event that rejected its last attempt.
+    calm_rounds = 0
+    while count_attempts(host, Outcome.REJECTED) < 6:
         for _ in range(20):
-            assert attempts_of(host, Outcome.SERVED) == 1
-            host.run_to(host.now + 10.0)
-        calm_after += 1
-    assert calm_after < 15  # 3 s
+            assert count_attempts(host, Outcome.SERVED) == 1
+            host.advance_to(host.now + 10.0)
+        calm_rounds += 1
+    assert calm_rounds < 15  # One round takes 200 ms, so this is 3 s.
 
 
-def test_one_full_backend_among_many_costs_no_request_its_retry() -> None:
+def test_one_full_backend_does_not_prevent_retries() -> None:
     host = Host(Settings((RequestClass("read"),), max_attempts=6))
-    host.listed(ListKind.FULL, *fleet(8))
+    host.receive_list(ListKind.FULL, *backend_fleet(8))
     full = 100
     for _ in range(300):
-        ident = host.arrive(hint=5.0)
+        ident = host.start_request(hint_ms=5.0)
         while any(request == ident for request, _ in host.in_flight()):
             number = len(host.requests[ident].attempts) - 1
             rejected = host.requests[ident].attempts[number].backend == full
-            host.end(ident, number, Outcome.REJECTED if rejected else Outcome.SERVED, 10.0)
+            host.end_attempt(ident, number, Outcome.REJECTED if rejected else Outcome.SERVED, 10.0)
         assert not any(isinstance(action, Reject) for action in host.log)
 
 
-def test_a_burst_shorter_than_a_period_is_no_shortage_and_a_mixed_second_allows_two() -> None:
+def test_a_short_burst_does_not_limit_retries_and_a_medium_rejection_rate_allows_two_attempts() -> None:
     rate = RejectionRate()
 
     def period(sent: int, rejected: int) -> None:
@@ -64,7 +64,7 @@
         rate.rejected += rejected
 
     period(50, 40)
-    assert rate.allows(5)  # until the period is over
+    assert rate.allows(5)  # The rate changes only at the end of the period.
     rate.roll()
     assert rate.share == 0.8 and rate.allows(0) and not rate.allows(1)
     period(60, 0)
--- a/tests/proxy/test_made_up_names.py
+++ b/tests/proxy/test_made_up_names.py
@@ -174,7 +174,7 @@
 
     def _dispatch(self, event: Event) -> None:
         assert isinstance(event, BackendList)
-        self.host.listed(event.kind, *event.backends)
+        self.host.receive_list(event.kind, *event.backends)
 
     def update(self, kind: ListKind, *places: int, state: BackendState = BackendState.UP) -> None:
         """The list has these backends, in this state."""
@@ -203,16 +203,16 @@
         if roll < 0.5:
             request_class = draw.choice(self.names.classes)
             tenant = draw.choice(self.names.tenants)
-            host.arrive(request_class, draw.uniform(5.0, 100.0), draw.uniform(500.0, 3000.0), tenant)
+            host.start_request(request_class, draw.uniform(5.0, 100.0), draw.uniform(500.0, 3000.0), tenant)
         elif roll < 0.9 and out:
-            host.end(*draw.choice(out), draw.choice([*[Outcome.SERVED] * 5, *Outcome]))
+            host.end_attempt(*draw.choice(out), draw.choice([*[Outcome.SERVED] * 5, *Outcome]))
         elif roll < 0.95:
             places = sorted(draw.sample(range(BACKENDS), draw.randint(1, BACKENDS)))
             self.update(draw.choice((ListKind.FULL, ListKind.CHANGES)), *places)
         elif roll < 0.97:
             state = draw.choice((BackendState.DRAINING, BackendState.REMOVED))
             self.update(ListKind.CHANGES, draw.randrange(BACKENDS), state=state)
-        host.run_to(host.now + draw.expovariate(0.05))
+        host.advance_to(host.now + draw.expovariate(0.05))
 
     def actions(self) -> list[tuple[Action, str]]:
         """What the balancer had done, each with the plain name of its backend."""
@@ -275,12 +275,12 @@
         """A request of a class that may not be in the settings: it counts as unsafe then."""
         under = {name: self.present.get(name, RequestClass(name))}
         self.classes_at_arrival[self.next_id] = under
-        return self.arrive(name, 50.0, 3000.0, tenant)
+        return self.start_request(name, 50.0, 3000.0, tenant)
 
     def reload(self, settings: Settings) -> None:
         """Other settings from now on."""
         self.settings, self.present = settings, {each.name: each for each in settings.classes}
-        self._do(NewSettings(settings))
+        self._handle(NewSettings(settings))
 
 
 def other_settings(draw: random.Random, old: Settings, spare: list[str], quotas: bool) -> Settings:
@@ -309,20 +309,22 @@
             tenant["QuotaPerS"] = 0.0
     first, balancer_seed = settings_read_from(contents)
     host = ReloadingHost(replace(first, max_attempts=4, hedging=False), balancer_seed)
-    host.listed(ListKind.CACHED, *(BackendInfo(100 + place, cell=place // 4) for place in range(BACKENDS)))
+    host.receive_list(
+        ListKind.CACHED, *(BackendInfo(100 + place, cell=place // 4) for place in range(BACKENDS))
+    )
     known_classes, known_tenants = list(names[:CLASSES]), list(names[CLASSES:])
     for _ in range(DAY_STEPS):
         out, roll = host.in_flight(), draw.random()
         if roll < 0.5:
             host.arrive_under(draw.choice(known_classes), draw.choice(known_tenants))
         elif roll < 0.9 and out:
-            host.end(*draw.choice(out), draw.choice([Outcome.SERVED, *Outcome]))
+            host.end_attempt(*draw.choice(out), draw.choice([Outcome.SERVED, *Outcome]))
         elif roll < 0.95 and len(spare) >= NAMES_PER_RELOAD:
             host.reload(other_settings(draw, host.settings, spare, quotas))
             known_classes += [each.name for each in host.settings.classes]
             known_tenants += [each.name for each in host.settings.tenants]
-        host.run_to(host.now + draw.expovariate(0.05))
-    host.run_to(host.now + 20_000.0)
+        host.advance_to(host.now + draw.expovariate(0.05))
+    host.advance_to(host.now + 20_000.0)
     return host
 
 
@@ -338,10 +340,10 @@
     """Attempts of a request whose class is changed, or dropped, before its first one ends in an error."""
     old = RequestClass(name, 400.0, 2000.0, effect=before)
     host = ReloadingHost(Settings((old,), max_attempts=3), 1)
-    host.listed(ListKind.CACHED, *(BackendInfo(100 + place) for place in range(3)))
+    host.receive_list(ListKind.CACHED, *(BackendInfo(100 + place) for place in range(3)))
     request = host.arrive_under(name, "")
     host.reload(Settings((after or RequestClass(name + "'"),), max_attempts=3))
-    host.end(request, 0, Outcome.ERROR)
+    host.end_attempt(request, 0, Outcome.ERROR)
     return len(host.requests[request].attempts)
 
 
--- a/tests/proxy/test_reload_over_quota.py
+++ b/tests/proxy/test_reload_over_quota.py
@@ -29,24 +29,24 @@
 def busy_host(*classes: RequestClass) -> Host:
     """A host whose tenant has used up its quota, with a request in flight."""
     host = Host(Settings(classes, tenants=QUOTA, max_attempts=3))
-    host.listed(ListKind.CACHED, *(BackendInfo(100 + place) for place in range(3)))
-    host.arrive(LOW.name, tenant="t")
+    host.receive_list(ListKind.CACHED, *(BackendInfo(100 + place) for place in range(3)))
+    host.start_request(LOW.name, tenant="t")
     return host
 
 
 def test_a_reload_may_drop_the_class_of_highest_weight_under_a_request_over_its_quota() -> None:
     host = busy_host(LOW, HIGH)
-    request = host.arrive(HIGH.name, tenant="t")
-    host._do(NewSettings(Settings((LOW,), tenants=QUOTA, max_attempts=3)))
-    host.end(request, 0, Outcome.UNREACHABLE)
-    assert len(host.requests[request].attempts) == 2 or host.requests[request].over
+    request = host.start_request(HIGH.name, tenant="t")
+    host._handle(NewSettings(Settings((LOW,), tenants=QUOTA, max_attempts=3)))
+    host.end_attempt(request, 0, Outcome.UNREACHABLE)
+    assert len(host.requests[request].attempts) == 2 or host.requests[request].has_ended
 
 
 def test_a_request_over_its_quota_of_a_class_that_no_settings_name_is_decided() -> None:
     host = busy_host(LOW)
     host.classes["dropped"] = RequestClass("dropped")
-    request = host.arrive("dropped", tenant="t")
-    assert host.requests[request].attempts or host.requests[request].over
+    request = host.start_request("dropped", tenant="t")
+    assert host.requests[request].attempts or host.requests[request].has_ended
 
 
 @pytest.mark.parametrize("seed", range(20))
