--- a/heronreel/balancer/admission.py
+++ b/heronreel/balancer/admission.py
@@ -124,8 +124,8 @@
         objectives = [c.latency_objective_ms for c in self.classes if c.priority_weight >= weight]
         # There is no objective if a reload removed the request's class.
         limit = min(objectives, default=slack)
-        rank = 0.5 + 0.5 * weight / (self.max_weight or 1.0)
-        tolerated_delay = max(min(slack, limit), late_weight * limit) * rank
+        priority_factor = 0.5 + 0.5 * weight / (self.max_weight or 1.0)
+        tolerated_delay = max(min(slack, limit), late_weight * limit) * priority_factor
         return self.retried_delay <= tolerated_delay * (
             DELAY_SHARE if request.within_quota else OVER_QUOTA_SHARE
         )
--- a/heronreel/balancer/pools.py
+++ b/heronreel/balancer/pools.py
@@ -29,6 +29,7 @@
 
 
 def _hash(text: str) -> int:
+    """Return a 64-bit hash of a text; it is the same in all processes."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest())
 
 
@@ -87,9 +88,9 @@
         for name in [name for name in self.balancers if self._is_unused(name)]:
             del self.balancers[name]
         for name in self.balancers:
-            self._forward(now, name, api.NewSettings(self._settings_of(name)))
+            self._forward(now, name, api.NewSettings(self._pool_settings(name)))
 
-    def _settings_of(self, pool: str) -> api.Settings:
+    def _pool_settings(self, pool: str) -> api.Settings:
         return self.settings if pool == self.discovered else replace(self.settings, watch_list=False)
 
     def _is_unused(self, name: str) -> bool:
@@ -110,7 +111,7 @@
         for name in dict.fromkeys([*by_pool, *(self.balancers if complete else ())]):
             kind = update.kind
             if name not in self.balancers:
-                settings, seed = self._settings_of(name), self.seed ^ _hash(name)
+                settings, seed = self._pool_settings(name), self.seed ^ _hash(name)
                 self.balancers[name] = Balancer(settings, seed, self.route_limits)
                 kind = api.ListKind.CACHED
             self._forward(now, name, api.BackendList(kind, by_pool.get(name, [])))
@@ -142,7 +143,7 @@
             self.actions.append(api.Reject(ident, min(retry_after, self.settings.max_retry_after_ms)))
             return
         request = self.requests[ident] = PooledRequest(arrival, now + arrival.time_left_ms)
-        pool = self._pool_of(request)
+        pool = self._choose_pool(request)
         if pool is None:
             self.actions.append(api.Reject(ident))  # No pool of its split has been listed.
             self._finish(ident)
@@ -150,7 +151,7 @@
         request.pools.append((pool, 0))
         self._forward(now, pool, arrival)
 
-    def _pool_of(self, request: PooledRequest) -> str | None:
+    def _choose_pool(self, request: PooledRequest) -> str | None:
         """Return a pool of the split that this request has not tried, chosen by weight, or None.
 
         A request with an idempotency key gets the same pool again when its client retries it.
@@ -176,7 +177,9 @@
         attempts_left = min(policy.max_attempts, self.settings.max_attempts) - request.sent
         idempotent = policy.request_class.effect is api.Effect.IDEMPOTENT
         pool = (
-            self._pool_of(request) if attempts_left > 0 and (idempotent or not request.may_have_run) else None
+            self._choose_pool(request)
+            if attempts_left > 0 and (idempotent or not request.may_have_run)
+            else None
         )
         if pool is None:
             return False
--- a/heronreel/balancer/turns.py
+++ b/heronreel/balancer/turns.py
@@ -95,7 +95,7 @@
         for backend in self.waiting:
             self._push(backend)
         self.waiting.clear()
-        # Most entries are stale.
+        # With many more entries than backends, most of them are stale.
         if sum(map(len, self.queues)) > 4 * max(1, len(self.endpoints.backends)) + 16:
             self._queue_all()
 
--- a/heronreel/balancer/watch_schedule.py
+++ b/heronreel/balancer/watch_schedule.py
@@ -99,8 +99,8 @@
         if failure is WatchFailure.BUSY and elapsed_ms < FAST_REFUSAL_MS:
             self.fast_refusals += 1
             max_backoff = max(MIN_OVERLOAD_BACKOFF_MS, self.within_ms * MAX_OVERLOAD_BACKOFF_SHARE)
-            first = min(max(MIN_OVERLOAD_BACKOFF_MS, OVERLOAD_SPACING_MS * self.proxies), max_backoff)
-            backoff = exponential_backoff(self.fast_refusals, first, max_backoff)
+            first_backoff = min(max(MIN_OVERLOAD_BACKOFF_MS, OVERLOAD_SPACING_MS * self.proxies), max_backoff)
+            backoff = exponential_backoff(self.fast_refusals, first_backoff, max_backoff)
             return backoff * rng.uniform(0.5, 1.0)
         if failure is WatchFailure.BUSY:
             self.first_refused_at = self.first_refused_at if self.late_refusals else now
@@ -124,6 +124,8 @@
     def _late_refusal_backoff(self, now: float, held_ms: float, rng: random.Random) -> float:
         """Return the delay after a late refusal, which comes from a service that is down or overloaded.
 
+        `held_ms` is the time for which the service held the call before it refused it.
+
         While the service is down, calls cost nothing, and once it is back, all proxies need its list soon.
         While it is overloaded, no proxy gets a response as long as all of them call faster than the service
         works through the calls, including abandoned ones.  A proxy that has had no response yet takes the
--- a/tests/balancer/test_fleet_slow_start.py
+++ b/tests/balancer/test_fleet_slow_start.py
@@ -191,19 +191,19 @@
 GUARD_SEEDS = range(3)
 
 
-def breaking_seeds(case: Case, rules: ColdStartRules = TIGHT, proxies: int = 30) -> int:
+def count_breaking_seeds(case: Case, rules: ColdStartRules = TIGHT, proxies: int = 30) -> int:
     """Return how many of the seeds break the rule."""
     return sum(bool(play(seed, proxies, case, rules).breaches()) for seed in GUARD_SEEDS)
 
 
 @pytest.mark.parametrize("case", CASES)
 def test_with_all_safeguards_the_tight_rules_are_kept(case: Case) -> None:
-    assert breaking_seeds(case) == 0
+    assert count_breaking_seeds(case) == 0
 
 
 def test_without_slow_start_the_rule_is_broken(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(slow_start, "capacity_share", lambda settings, now, info: 1.0)
-    assert breaking_seeds(one_comes_back_cold) == len(GUARD_SEEDS)
+    assert count_breaking_seeds(one_comes_back_cold) == len(GUARD_SEEDS)
 
 
 def test_with_credit_above_what_the_settings_allow_the_rule_is_broken(
@@ -211,12 +211,12 @@
 ) -> None:
     # An earlier value, which suits only an overload factor of 4.
     monkeypatch.setattr(slow_start, "CREDIT_SHARE", 2.2)
-    assert breaking_seeds(the_news_is_late_at_some)
+    assert count_breaking_seeds(the_news_is_late_at_some)
 
 
 def test_with_almost_unlimited_credit_the_rule_is_broken(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(slow_start, "CREDIT_SHARE", 50.0)
-    assert breaking_seeds(a_new_one_joins) == len(GUARD_SEEDS)
+    assert count_breaking_seeds(a_new_one_joins) == len(GUARD_SEEDS)
 
 
 def test_without_a_random_first_credit_the_rule_is_broken(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -229,7 +229,7 @@
             self.backends[info.backend].credit_ms = 0.0
 
     monkeypatch.setattr(Endpoints, "_add", add_without_drawn_credit)
-    assert breaking_seeds(several_at_once) == len(GUARD_SEEDS)
+    assert count_breaking_seeds(several_at_once) == len(GUARD_SEEDS)
 
 
 def test_if_a_backend_returns_warm_from_maintenance_the_rule_is_broken(
@@ -237,7 +237,7 @@
 ) -> None:
     # Keep the start time of the list entry.
     monkeypatch.setattr(maintenance, "replace", lambda line, started_ms: line)
-    assert breaking_seeds(one_is_handed_back_before_its_line_comes)
+    assert count_breaking_seeds(one_is_handed_back_before_its_line_comes)
 
 
 def test_credit_alone_protects_a_cold_backend_that_is_booked_as_a_warm_one(
@@ -253,29 +253,29 @@
 
     monkeypatch.setattr(TurnQueue, "book", book_as_warm)
     wide = replace(TIGHT, warm_capacity=8.0, fall_ms=1000.0)
-    assert breaking_seeds(one_is_handed_back_before_its_line_comes, wide, 5) == 0
+    assert count_breaking_seeds(one_is_handed_back_before_its_line_comes, wide, 5) == 0
     monkeypatch.setattr(slow_start, "CREDIT_SHARE", 2.2)
-    assert breaking_seeds(one_is_handed_back_before_its_line_comes, wide, 5) == len(GUARD_SEEDS)
+    assert count_breaking_seeds(one_is_handed_back_before_its_line_comes, wide, 5) == len(GUARD_SEEDS)
 
 
-def judged(told: int, untold: int) -> ColdStartJudge:
+def judge_of_requests(notified: int, others: int) -> ColdStartJudge:
     """Return a judge that saw simultaneous requests of mean work, from notified proxies and from others."""
     judge = ColdStartJudge(ColdStartRules(0.2, 10_000.0, 3.0, 1000.0, warm_capacity=2.0, mean_work_ms=50.0))
     judge.started(0.0, 1)
-    for number in range(told + untold):
-        judge.sent(0.0, 1, number % 5, 50.0, told=number < told)
+    for number in range(notified + others):
+        judge.sent(0.0, 1, number % 5, 50.0, told=number < notified)
     return judge
 
 
 def test_the_judge_applies_the_rule() -> None:
-    rules = judged(0, 0).rules
+    rules = judge_of_requests(0, 0).rules
     assert rules.allowed(0.0) == pytest.approx(24.0)  # 3 times 0.2 of 40 requests per second.
     assert rules.limit(10_000.0) == pytest.approx(120.0 + 2.0 * 120.0**0.5 + 2.0)
-    assert not judged(35, 0).falls  # 24 + 2 sqrt(24) + 2 = 35.8.
-    assert judged(36, 0).breaches()
-    assert judged(25, 11).breaches()
-    excused = judged(24, 12)  # Exactly two thirds came from notified proxies.
+    assert not judge_of_requests(35, 0).falls  # 24 + 2 sqrt(24) + 2 = 35.8.
+    assert judge_of_requests(36, 0).breaches()
+    assert judge_of_requests(25, 11).breaches()
+    excused = judge_of_requests(24, 12)  # Exactly two thirds came from notified proxies.
     assert excused.falls and not excused.breaches()
-    later = judged(35, 0)
+    later = judge_of_requests(35, 0)
     later.sent(1000.0, 1, 0, 50.0, told=True)  # The first requests are no longer in the window.
     assert not later.falls
--- a/tests/balancer/test_watch_ends.py
+++ b/tests/balancer/test_watch_ends.py
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("broken_off", [0, 100])
 def test_watches_that_last_are_always_resumed_at_once(broken_off: int) -> None:
-    """Also after many in a row that broke off with their response."""
+    """This holds even after many watches in a row that ended with their first response."""
     schedule, rng, now = WatchSchedule(10_000.0, 6), random.Random(1), 0.0
     for number in range(broken_off + 20):
         schedule.call_started(now)
--- a/tests/balancer/test_watch_schedule.py
+++ b/tests/balancer/test_watch_schedule.py
@@ -78,9 +78,8 @@
 def test_a_service_that_fails_for_long_is_called_at_a_rate_that_it_can_serve(fault: str, seed: int) -> None:
     proxies, ends = 40, 120_000.0
     service = Service(
-        call_ms=5_000.0 / proxies
-        if fault == "down"
-        else 5.0,  # A watch that breaks off costs the service little.
+        # A watch that breaks off costs the service little.
+        call_ms=5_000.0 / proxies if fault == "down" else 5.0,
         breaks_until=ends if fault == "breaks" else 0.0,
         down_until=ends if fault == "down" else 0.0,
     )
@@ -163,7 +162,10 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_service_that_works_through_abandoned_calls_still_catches_up(seed: int) -> None:
     """If all proxies called as often as after a broken call, none of them would ever get a response."""
-    for rejects_early, calls_each in ((True, 6), (False, 9)):  # The second service behaves like the one seen.
+    for rejects_early, calls_each in (
+        (True, 6),
+        (False, 9),
+    ):  # The second service is like the one in that run.
         service = ListService(
             SLOW_PROXIES, SLOW_MS / SLOW_PROXIES, timeout_ms=2_000.0, rejects_early=rejects_early
         )
