--- a/heronreel/proxy/connection_pool.py
+++ b/heronreel/proxy/connection_pool.py
@@ -1,8 +1,8 @@
 """Pools the connections to all backends and sends attempts on them.
 
-A connection carries one attempt at a time and is kept for reuse.  A request certainly did not run at a
-backend only if its connection ended before the last byte of the attempt was written.  The pool itself never
-sends an attempt a second time.
+A connection carries one attempt at a time and is kept for reuse.  It is certain that an attempt never ran
+only if its connection ended before the last byte of the request was written.  The pool itself never sends an
+attempt a second time.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
         self.connect_timeout_s = config.settings.connect_timeout_ms / 1000.0
         max_worthwhile_s = max(MAX_IDLE_S, IDLE_S_PER_HANDSHAKE_COST * config.settings.price_handshake)
         self.max_idle_s = min(config.backend_idle_ms / 1000.0 * IDLE_TIMEOUT_RATIO, max_worthwhile_s)
-        self.any_status = config.any_status
+        self.accepts_any_status = config.accepts_any_status
 
     def open_count(self) -> int:
         """Return the number of descriptors in use or about to be opened.
--- a/heronreel/proxy/dispatcher.py
+++ b/heronreel/proxy/dispatcher.py
@@ -69,7 +69,7 @@
         self.loop = loop
         self.router = router
         # Any clients, rather than the platform's: they send none of the platform's headers.
-        self.accepts_any_client = config.any_status
+        self.accepts_any_client = config.accepts_any_status
         self._take_settings(config.settings)
         self.balancer: BalancingPolicy = decisions or Balancer(config.settings, config.seed)
         # Added to the monotonic clock, this gives a wall clock that never steps.
@@ -332,7 +332,7 @@
 
     def _on_deadline(self, request: Request) -> None:
         remaining_s = request.deadline - time.monotonic()
-        # The event loop updates its clock only between callbacks, so a timer may fire early.
+        # The event loop updates its clock only once per iteration, so a timer may fire early.
         if remaining_s > DEADLINE_TOLERANCE_S:
             request.timer = self.loop.call_later(remaining_s, self._on_deadline, request)
             return
