--- a/heronreel/proxy/client_listener.py
+++ b/heronreel/proxy/client_listener.py
@@ -86,7 +86,9 @@
         self.max_connections, self.max_rejected = config.client_sockets, config.rejected_sockets
         # If the endpoints come from a file, the embedding program reports changes of its listeners.
         if config.listen != self.address and not config.endpoints_from_file:
-            log.error("reload: listen: a new address needs a restart; %s:%d stays", *self.address)
+            log.error(
+                "reload: listen: a new address needs a restart; still listening on %s:%d", *self.address
+            )
 
     def listen(self, address: tuple[str, int], inherited: int | None = None) -> tuple[str, int]:
         """Listen on an address, or on an inherited socket that is shared with successors.
--- a/tests/proxy/test_admin_api.py
+++ b/tests/proxy/test_admin_api.py
@@ -181,17 +181,17 @@
         reader, writer = await self.proxy.connect()
         while not stop.is_set():
             self.sent += 1
-            ident = f"{self.name}-{self.sent}"
+            request_id = f"{self.name}-{self.sent}"
             sent_at = time.monotonic()
-            writer.write(request(ident, "read"))
+            writer.write(request(request_id, "read"))
             try:
                 head = await reader.readuntil(b"\r\n\r\n")
                 body = await reader.readexactly(int(content_length(head)))
             except (asyncio.IncompleteReadError, ConnectionError) as error:
                 waited_s = time.monotonic() - sent_at
-                raise AssertionError(f"{ident}: cut off after {waited_s:.3f} s: {error!r}") from error
+                raise AssertionError(f"{request_id}: cut off after {waited_s:.3f} s: {error!r}") from error
             self.statuses.append(head.split()[1].decode())
-            assert self.statuses[-1] == "200" and body == ident.encode(), (ident, head, body)
+            assert self.statuses[-1] == "200" and body == request_id.encode(), (request_id, head, body)
             if b"Connection: close" in head:
                 writer.close()
                 reader, writer = await self.proxy.connect()
@@ -271,9 +271,9 @@
                             stop.set()
                             await asyncio.gather(*tasks)
                             assert not backend1.seen and backend3.seen
-                            for ident in backend2.seen:
-                                name, count = ident.split("-")
-                                assert int(count) <= last_sent[name], (ident, last_sent)
+                            for request_id in backend2.seen:
+                                name, count = request_id.split("-")
+                                assert int(count) <= last_sent[name], (request_id, last_sent)
                             assert await new.call("/admin/uncordon", "b1") == "200"
                             for number in range(40):
                                 assert (await new.send_request(f"n{number}", "read"))[0] == "200"
--- a/tests/proxy/test_hand_over_crossings.py
+++ b/tests/proxy/test_hand_over_crossings.py
@@ -62,7 +62,7 @@
             with shared_socket() as shared:
                 async with running_proxy(tmp_path, config, True, shared) as old:
                     await first.watched.wait()
-                    held = [asyncio.create_task(old.send_request(ident)) for ident in ("h1", "h2")]
+                    held = [asyncio.create_task(old.send_request(request_id)) for request_id in ("h1", "h2")]
                     await until_seen(old_backend, "h1", "h2")
                     async with running_proxy(tmp_path, waiting, True, shared, until_listening=False) as new:
                         await second.called.wait()
--- a/tests/proxy/test_race_conditions.py
+++ b/tests/proxy/test_race_conditions.py
@@ -198,8 +198,8 @@
                 assert await proxy.send_request("b1") == ("200", b"done")
                 while len(backend.tasks) < 3:  # one connection fills the backlog, two are for the requests
                     await asyncio.sleep(0.005)
-                for ident in ("b2", "b3"):  # on both connections
-                    assert await proxy.send_request(ident) == ("200", b"done")
+                for request_id in ("b2", "b3"):  # on both connections
+                    assert await proxy.send_request(request_id) == ("200", b"done")
                 assert not any(b"a1" in data or b"a2" in data for data in backend.received)
 
     run(scenario())
--- a/tests/proxy/test_shutdown_admission.py
+++ b/tests/proxy/test_shutdown_admission.py
@@ -40,7 +40,7 @@
 class RequestResult:
     """The result of a request; `status` is "closed" if its connection ended without a response."""
 
-    ident: str
+    request_id: str
     status: str
 
 
@@ -49,11 +49,11 @@
 
     def __init__(self, number: int, kind: str) -> None:
         self.number, self.kind = number, kind
-        self.idents = [f"{kind}-{number}-{part}" for part in range(3 if kind == "pipelined" else 1)]
+        self.request_ids = [f"{kind}-{number}-{part}" for part in range(3 if kind == "pipelined" else 1)]
 
     async def open(self, proxy: ProxyProcess) -> None:
         self.reader, self.writer = await proxy.connect()
-        self.rest = b"".join(map(request, self.idents))
+        self.rest = b"".join(map(request, self.request_ids))
         held_back = {"silent": len(self.rest), "head": 60, "body": 2, "pipelined": len(self.rest)}
         first_part, self.rest = self.rest[: -held_back[self.kind]], self.rest[-held_back[self.kind] :]
         self.writer.write(first_part)
@@ -62,11 +62,11 @@
         await asyncio.sleep(at - asyncio.get_running_loop().time())
         try:
             self.writer.write(self.rest)
-            statuses = [(await read_response(self.reader))[0] for _ in self.idents]
+            statuses = [(await read_response(self.reader))[0] for _ in self.request_ids]
         except ConnectionError:
-            statuses = ["closed"] * len(self.idents)
+            statuses = ["closed"] * len(self.request_ids)
         self.writer.close()
-        return [RequestResult(*row) for row in zip(self.idents, statuses, strict=True)]
+        return [RequestResult(*row) for row in zip(self.request_ids, statuses, strict=True)]
 
 
 class SlowBackend(Backend):
@@ -76,9 +76,9 @@
         super().__init__(self._respond_later)
 
     def _respond_later(self, head: dict[str, str], body: bytes) -> None:
-        ident = head["x-request-id"]
+        request_id = head["x-request-id"]
         asyncio.get_running_loop().call_later(
-            SERVICE_TIME_S, lambda: self.carriers[ident].write(ok(ident.encode()))
+            SERVICE_TIME_S, lambda: self.carriers[request_id].write(ok(request_id.encode()))
         )
 
 
@@ -142,7 +142,7 @@
                 # Late requests are refused when their last byte is read, and not at a later check.
                 assert "received too late in the drain" in await rest_of_log(proxy)
                 unanswered = {
-                    result.ident for results in sent for result in results if result.status == "closed"
+                    result.request_id for results in sent for result in results if result.status == "closed"
                 }
                 assert not unanswered & set(backend.seen)
 
--- a/tests/proxy/test_shutdown_crossings.py
+++ b/tests/proxy/test_shutdown_crossings.py
@@ -44,7 +44,7 @@
         async with proxy_with_backend(tmp_path, backend, True) as proxy:
             kept = KeptConnection(proxy)
             await kept.open("k1")
-            pending = [asyncio.create_task(proxy.send_request(ident)) for ident in ("h1", "h2")]
+            pending = [asyncio.create_task(proxy.send_request(request_id)) for request_id in ("h1", "h2")]
             await until_seen(backend, "h1", "h2")
             proxy.signal(signal.SIGTERM)
             await until_health(proxy, "503")
@@ -73,19 +73,19 @@
         backend = named("b")
         async with proxy_with_backend(tmp_path, backend, True) as proxy:
             clients = [KeptConnection(proxy) for _ in range(8)]
-            idents = [f"h{number}" for number in range(8)]
+            request_ids = [f"h{number}" for number in range(8)]
             for number, client in enumerate(clients):
                 await client.open(f"k{number}")
             await stop(proxy)
-            for client, ident in zip(clients[:4], idents, strict=False):
-                await client.send(ident)
+            for client, request_id in zip(clients[:4], request_ids, strict=False):
+                await client.send(request_id)
             proxy.signal(signal.SIGTERM)
-            for client, ident in zip(clients[4:], idents[4:], strict=True):
-                await client.send(ident)
+            for client, request_id in zip(clients[4:], request_ids[4:], strict=True):
+                await client.send(request_id)
             proxy.signal(signal.SIGCONT)
-            await until_seen(backend, *idents)
+            await until_seen(backend, *request_ids)
             await until_health(proxy, "503")
-            answer_held(backend, *idents)
+            answer_held(backend, *request_ids)
             for client in clients:
                 await client.is_answered_and_closed()
             assert await ended(proxy, SIGKILL_AFTER_S) == 0
