--- a/heronreel/proxy/drain.py
+++ b/heronreel/proxy/drain.py
@@ -16,7 +16,7 @@
 from heronreel.proxy.event_log import CloseReason, printable_ids, record_state
 
 POLL_INTERVAL_S = 0.02
-READ_S = 0.002  # enough for a turn of the event loop in which it reads from its sockets
+READ_TURN_S = 0.002  # enough for a turn of the event loop in which it reads from its sockets
 MIN_LINGER_S = 0.05  # shortest time between the last responses and the end, however late they were
 
 
@@ -65,16 +65,18 @@
         await self.clients.stop_listening(self.has_successor, self.schedule.answer_by)
         self._record("listener closed")
         if self.has_successor:
-            await self._until(self.schedule.handover_until, _leave_open)
-        await self._until(self.schedule.admit_until, self._close_idle)
+            await self._repeat_until(self.schedule.handover_until, _leave_open)
+        await self._repeat_until(self.schedule.admit_until, self._close_idle)
         self._record("admission ended")
-        await self._until(self.schedule.answer_by, self._reject_incomplete)
+        await self._repeat_until(self.schedule.answer_by, self._reject_incomplete)
         # After a stall, input that arrived meanwhile is read before its request is timed out.
-        await asyncio.sleep(READ_S)
+        await asyncio.sleep(READ_TURN_S)
         self._time_out_remaining()
-        answered_at = time.monotonic()
-        await self._until(max(self.schedule.end_by, answered_at + MIN_LINGER_S), self._close_remaining)
-        await asyncio.sleep(READ_S)
+        responded_at = time.monotonic()
+        await self._repeat_until(
+            max(self.schedule.end_by, responded_at + MIN_LINGER_S), self._close_remaining
+        )
+        await asyncio.sleep(READ_TURN_S)
         self._abort_remaining()
         self._record("drain ended")
 
@@ -95,7 +97,7 @@
         while self.schedule.accepts_at(time.monotonic(), self.clients.accepted_at):
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _until(self, ends_at: float, step: Callable[[], None]) -> None:
+    async def _repeat_until(self, ends_at: float, step: Callable[[], None]) -> None:
         """Repeat `step` until `ends_at` or until no connection is open."""
         while self.clients.connections and (left_s := ends_at - time.monotonic()) > 0.0:
             step()
