--- a/heronreel/balancer/pools.py
+++ b/heronreel/balancer/pools.py
@@ -24,11 +24,12 @@
     pools: list[tuple[str, int]] = field(default_factory=list)
     sent: int = 0
     in_flight: int = 0
-    over: bool = False
+    has_ended: bool = False
     may_have_run: bool = False
 
 
 def _hash(text: str) -> int:
+    """Return a 64-bit hash of a text; it is the same in all processes."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest())
 
 
@@ -87,9 +88,9 @@
         for name in [name for name in self.balancers if self._is_unused(name)]:
             del self.balancers[name]
         for name in self.balancers:
-            self._forward(now, name, api.NewSettings(self._settings_of(name)))
+            self._forward(now, name, api.NewSettings(self._pool_settings(name)))
 
-    def _settings_of(self, pool: str) -> api.Settings:
+    def _pool_settings(self, pool: str) -> api.Settings:
         return self.settings if pool == self.discovered else replace(self.settings, watch_list=False)
 
     def _is_unused(self, name: str) -> bool:
@@ -110,7 +111,7 @@
         for name in dict.fromkeys([*by_pool, *(self.balancers if complete else ())]):
             kind = update.kind
             if name not in self.balancers:
-                settings, seed = self._settings_of(name), self.seed ^ _hash(name)
+                settings, seed = self._pool_settings(name), self.seed ^ _hash(name)
                 self.balancers[name] = Balancer(settings, seed, self.route_limits)
                 kind = api.ListKind.CACHED
             self._forward(now, name, api.BackendList(kind, by_pool.get(name, [])))
@@ -142,7 +143,7 @@
             self.actions.append(api.Reject(ident, min(retry_after, self.settings.max_retry_after_ms)))
             return
         request = self.requests[ident] = PooledRequest(arrival, now + arrival.time_left_ms)
-        pool = self._pool_of(request)
+        pool = self._choose_pool(request)
         if pool is None:
             self.actions.append(api.Reject(ident))  # No pool of its split has been listed.
             self._finish(ident)
@@ -150,7 +151,7 @@
         request.pools.append((pool, 0))
         self._forward(now, pool, arrival)
 
-    def _pool_of(self, request: PooledRequest) -> str | None:
+    def _choose_pool(self, request: PooledRequest) -> str | None:
         """Return a pool of the split that this request has not tried, chosen by weight, or None.
 
         A request with an idempotency key gets the same pool again when its client retries it.
@@ -163,7 +164,7 @@
         key = request.arrival.idempotency_key
         if key is None:
             return self.random.choices([n for n, _ in untried], [w for _, w in untried])[0]
-        return max(untried, key=lambda pool: -pool[1] / math.log(_unit_hash(pool[0], key)))[0]
+        return max(untried, key=lambda entry: -entry[1] / math.log(_unit_hash(entry[0], key)))[0]
 
     def _spill(self, now: float, request: PooledRequest) -> bool:
         """Send a rejected request to another pool if its route allows it; return whether that was done.
@@ -171,12 +172,14 @@
         A rejection says that a retry does no harm.
         """
         policy = request.arrival.policy
-        if policy is None or not policy.spills_over or request.over or now >= request.deadline:
+        if policy is None or not policy.spills_over or request.has_ended or now >= request.deadline:
             return False
         attempts_left = min(policy.max_attempts, self.settings.max_attempts) - request.sent
         idempotent = policy.request_class.effect is api.Effect.IDEMPOTENT
         pool = (
-            self._pool_of(request) if attempts_left > 0 and (idempotent or not request.may_have_run) else None
+            self._choose_pool(request)
+            if attempts_left > 0 and (idempotent or not request.may_have_run)
+            else None
         )
         if pool is None:
             return False
@@ -190,7 +193,7 @@
         pool, sent_before = next(tried for tried in reversed(request.pools) if tried[1] <= ended.attempt)
         request.in_flight -= 1
         request.may_have_run |= ended.outcome not in api.NEVER_RAN
-        if ended.finished and not request.over:
+        if ended.finished and not request.has_ended:
             self._finish(ended.request)
         self._forward(
             now, pool, replace(ended, attempt=ended.attempt - sent_before) if sent_before else ended
@@ -199,17 +202,17 @@
 
     def _request_closed(self, now: float, event: api.RequestClosed) -> None:
         request = self.requests.get(event.request)
-        if request is not None and not request.over:
+        if request is not None and not request.has_ended:
             self._finish(event.request)
             self._forward(now, request.pools[-1][0], event)
 
     def _finish(self, ident: int) -> None:
         request = self.requests[ident]
-        request.over = True
+        request.has_ended = True
         if request.arrival.policy is not None:
             self.route_limits.finished(request.arrival.policy)
         self._remove_if_done(ident, request)
 
     def _remove_if_done(self, ident: int, request: PooledRequest) -> None:
-        if request.over and not request.in_flight:
+        if request.has_ended and not request.in_flight:
             self.requests.pop(ident, None)
--- a/tests/proxy/test_made_up_names.py
+++ b/tests/proxy/test_made_up_names.py
@@ -180,7 +180,7 @@
 
     def _dispatch(self, event: Event) -> None:
         assert isinstance(event, BackendList)
-        self.host.listed(event.kind, *event.backends)
+        self.host.receive_list(event.kind, *event.backends)
 
     def update(self, kind: ListKind, *indexes: int, state: BackendState = BackendState.UP) -> None:
         """Send an endpoint list with the backends of these indexes, all in the same state."""
@@ -209,16 +209,16 @@
         if roll < 0.5:
             request_class = rng.choice(self.names.classes)
             tenant = rng.choice(self.names.tenants)
-            host.arrive(request_class, rng.uniform(5.0, 100.0), rng.uniform(500.0, 3000.0), tenant)
+            host.start_request(request_class, rng.uniform(5.0, 100.0), rng.uniform(500.0, 3000.0), tenant)
         elif roll < 0.9 and in_flight:
-            host.end(*rng.choice(in_flight), rng.choice([*[Outcome.SERVED] * 5, *Outcome]))
+            host.end_attempt(*rng.choice(in_flight), rng.choice([*[Outcome.SERVED] * 5, *Outcome]))
         elif roll < 0.95:
             indexes = sorted(rng.sample(range(BACKENDS), rng.randint(1, BACKENDS)))
             self.update(rng.choice((ListKind.FULL, ListKind.CHANGES)), *indexes)
         elif roll < 0.97:
             state = rng.choice((BackendState.DRAINING, BackendState.REMOVED))
             self.update(ListKind.CHANGES, rng.randrange(BACKENDS), state=state)
-        host.run_to(host.now + rng.expovariate(0.05))
+        host.advance_to(host.now + rng.expovariate(0.05))
 
     def actions(self) -> list[tuple[Action, str]]:
         """Return the balancer's actions, each with the numbered name of its backend."""
@@ -289,7 +289,7 @@
         """Add a request of a class that may be missing in the settings, and then counts as unsafe."""
         classes = {name: self.present.get(name, RequestClass(name))}
         self.classes_at_arrival[self.next_id] = classes
-        return self.arrive(name, 50.0, 3000.0, tenant)
+        return self.start_request(name, 50.0, 3000.0, tenant)
 
     def reload(self, settings: Settings) -> None:
         """Apply other settings from now on."""
@@ -297,7 +297,7 @@
             settings,
             {request_class.name: request_class for request_class in settings.classes},
         )
-        self._do(NewSettings(settings))
+        self._handle(NewSettings(settings))
 
 
 def changed_settings(rng: random.Random, old: Settings, spare: list[str], quotas: bool) -> Settings:
@@ -329,20 +329,22 @@
             tenant["QuotaPerS"] = 0.0
     first_settings, balancer_seed = load_settings(contents)
     host = ReloadingHost(replace(first_settings, max_attempts=4, hedging=False), balancer_seed)
-    host.listed(ListKind.CACHED, *(BackendInfo(100 + index, cell=index // 4) for index in range(BACKENDS)))
+    host.receive_list(
+        ListKind.CACHED, *(BackendInfo(100 + index, cell=index // 4) for index in range(BACKENDS))
+    )
     known_classes, known_tenants = list(names[:CLASSES]), list(names[CLASSES:])
     for _ in range(SIMULATION_STEPS):
         in_flight, roll = host.in_flight(), rng.random()
         if roll < 0.5:
             host.arrive_with_class(rng.choice(known_classes), rng.choice(known_tenants))
         elif roll < 0.9 and in_flight:
-            host.end(*rng.choice(in_flight), rng.choice([Outcome.SERVED, *Outcome]))
+            host.end_attempt(*rng.choice(in_flight), rng.choice([Outcome.SERVED, *Outcome]))
         elif roll < 0.95 and len(spare) >= NAMES_PER_RELOAD:
             host.reload(changed_settings(rng, host.settings, spare, quotas))
             known_classes += [request_class.name for request_class in host.settings.classes]
             known_tenants += [known.name for known in host.settings.tenants]
-        host.run_to(host.now + rng.expovariate(0.05))
-    host.run_to(host.now + 20_000.0)
+        host.advance_to(host.now + rng.expovariate(0.05))
+    host.advance_to(host.now + 20_000.0)
     return host
 
 
@@ -361,10 +363,10 @@
     """
     old = RequestClass(name, 400.0, 2000.0, effect=before)
     host = ReloadingHost(Settings((old,), max_attempts=3), 1)
-    host.listed(ListKind.CACHED, *(BackendInfo(100 + index) for index in range(3)))
+    host.receive_list(ListKind.CACHED, *(BackendInfo(100 + index) for index in range(3)))
     request = host.arrive_with_class(name, "")
     host.reload(Settings((after or RequestClass(name + "'"),), max_attempts=3))
-    host.end(request, 0, Outcome.ERROR)
+    host.end_attempt(request, 0, Outcome.ERROR)
     return len(host.requests[request].attempts)
 
 
