--- a/heronreel/cli/__init__.py
+++ b/heronreel/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line.  Nothing of it is imported by the platform's `run`."""
+"""The `heronreel` command line.  The platform's entry point `run` imports none of these modules."""
--- a/heronreel/cli/__main__.py
+++ b/heronreel/cli/__main__.py
@@ -21,7 +21,7 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="heronreel")
 def main() -> None:
-    """A load-balancing reverse proxy that loses no request and repeats no effect."""
+    """A load-balancing reverse proxy that loses no request and never repeats a side effect."""
 
 
 for command in (
--- a/heronreel/cli/agent.py
+++ b/heronreel/cli/agent.py
@@ -13,9 +13,9 @@
 @click.command("agent")
 @click.argument("file")
 def agent_command(file: str) -> None:
-    """Start, monitor, drain and stop the instances of a machine as commanded. SIGTERM ends only the agent.
+    """Start, monitor, drain and stop the instances of a machine on command. SIGTERM ends only the agent.
 
-    Exit codes: 0 ended by a signal, 74 the folder or the address can't be used, 78 a bad file.
+    Exit codes: 0 ended by a signal, 74 the folder or the address can't be used, 78 invalid settings file.
     """
     from heronreel.coordination.logs import log_to_stderr
     from heronreel.fleet.agent_server import serve
--- a/heronreel/cli/check.py
+++ b/heronreel/cli/check.py
@@ -1,4 +1,4 @@
-"""The command `heronreel check FILE...`: every way the files could break a rule."""
+"""`heronreel check FILE...`: find every violation of the safety rules in files of routes."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 @click.command("check")
 @click.argument("files", nargs=-1, required=True)
-@click.option("--json", "as_json", is_flag=True, help="One JSON object on standard output.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object to standard output.")
 def check_command(files: tuple[str, ...], as_json: bool) -> None:
-    """Check files of routes: exit 0 if all are safe, 1 with every error otherwise."""
+    """Check files of routes: exit 0 if all are safe, else print every error and exit 1."""
     reports = {path: check_file(path) for path in files}
     if as_json:
         rows = [report_row(path, report) for path, report in reports.items()]
@@ -37,13 +37,13 @@
 
 
 def report_row(path: str, report: Report) -> dict[str, Any]:
-    """One file's report as `--json` has it."""
+    """One file's report in the form that `--json` prints."""
     findings = [finding_row(finding) for finding in report.findings]
     return {"file": path, "safe": report.safe, "findings": findings}
 
 
 def finding_row(finding: Finding) -> dict[str, Any]:
-    """One finding as `--json` has it."""
+    """One finding in the form that `--json` prints."""
     problem, witness = finding.problem, finding.witness
     row: dict[str, Any] = {
         "line": problem.line,
--- a/heronreel/cli/coordinate.py
+++ b/heronreel/cli/coordinate.py
@@ -1,4 +1,4 @@
-"""`heronreel coordinate`: the process of one member of a group."""
+"""`heronreel coordinate`: run one member of a coordination group."""
 
 from __future__ import annotations
 
@@ -16,23 +16,25 @@
     print_problems,
 )
 
-if TYPE_CHECKING:  # imported when the command runs, so that others start quickly
+if TYPE_CHECKING:  # at run time each command imports what it needs, so that the others start quickly
     from heronreel.coordination.settings import GroupConfig
     from heronreel.coordinator.disk import MemberDisk
 
 
 @click.command("coordinate")
 @group_options
-@click.option("--name", required=True, help="Which of the members this is.")
-@click.option("--folder", default="", help="Where this member keeps its disk, if not as the file says.")
-@click.option("--listen", help="Another address to listen on than the one that the others connect to.")
+@click.option("--name", required=True, help="The name of this member.")
+@click.option("--folder", default="", help="The folder of this member's data; overrides the file.")
+@click.option(
+    "--listen", help="The address to listen on, if it differs from the one that the others connect to."
+)
 def coordinate_command(
     file: str | None, name: str, members: str | None, folder: str, listen: str | None
 ) -> None:
     """Run one member of a group. SIGTERM ends it, SIGHUP reloads the file.
 
-    Exit codes: 0 ended by a signal, 74 the disk can't be used (corrupt, in use, of another member), 78 a bad
-    file.
+    Exit codes: 0 ended by a signal, 74 the disk can't be used (corrupt, in use, or of another member), 78
+    invalid file.
     """
     import structlog
 
@@ -66,7 +68,7 @@
 
 
 def _configured_folder(group: GroupConfig, name: str, source: str) -> str:
-    """The folder of a member as its configuration has it; ends the process if it has none."""
+    """The folder of a member in the configuration; ends the process if none is configured."""
     member = group.member(name)
     if member is None or not member.folder:
         click.echo(f"{source}: no folder for {name!r}, and --folder is not given", err=True)
@@ -75,7 +77,7 @@
 
 
 def _open_disk(path: str, name: str, log: Any) -> MemberDisk:
-    """A member's disk; ends the process if it can't be used."""
+    """Open a member's disk; end the process if it can't be used."""
     from heronreel.coordinator.disk import MemberDisk
     from heronreel.coordinator.errors import WrongMemberError
     from heronreel.store import StoreError
@@ -97,7 +99,11 @@
 
 
 def _reload_group(file: str | None) -> GroupConfig | None:
-    """The group as its file has it by now; None if there is no valid one, whose problems are printed."""
+    """Read the group's file again.
+
+    Returns:
+        The group, or None without a file or if the file is invalid; its problems are printed.
+    """
     from heronreel.coordination.settings import load_group
     from heronreel.routes.reader import ConfigFileError
 
--- a/heronreel/cli/counts.py
+++ b/heronreel/cli/counts.py
@@ -1,4 +1,4 @@
-"""`heronreel counts`: usage by tenant, over the fleet and by period."""
+"""`heronreel counts`: the number of requests of each tenant, over all proxies and by period."""
 
 from __future__ import annotations
 
@@ -17,15 +17,17 @@
 @click.command("counts")
 @click.argument("file", required=False)
 @click.option("--members", help="Without a FILE: a=ADDRESS,b=ADDRESS,c=ADDRESS.")
-@click.option("--periods", type=click.IntRange(0, 96), default=1, help="How many of the last closed ones.")
-@click.option("--forget", help="Abandon a ledger whose disk is lost: nothing more of it is counted.")
-@click.option("--json", "as_json", is_flag=True, help="JSON on standard output.")
+@click.option(
+    "--periods", type=click.IntRange(0, 96), default=1, help="The number of closed periods to print."
+)
+@click.option("--forget", help="Abandon a ledger whose disk is lost: no more of its usage is counted.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON to standard output.")
 def counts_command(
     file: str | None, members: str | None, periods: int, forget: str | None, as_json: bool
 ) -> None:
-    """Requests by tenant over all proxies: ever, in the open period, and in the last closed ones.
+    """Print requests by tenant over all proxies: in total, in the open period, and in closed periods.
 
-    Exit codes: 0 printed or done, 1 no such ledger, 2 the group does not respond, 78 a bad file.
+    Exit codes: 0 success, 1 no such ledger, 2 the group does not respond, 78 invalid file.
     """
     from heronreel.metering import overview
 
--- a/heronreel/cli/demo.py
+++ b/heronreel/cli/demo.py
@@ -1,4 +1,4 @@
-"""The command `heronreel demo`."""
+"""`heronreel demo`: run a proxy with stub servers and faults for some seconds, and print the results."""
 
 from __future__ import annotations
 
@@ -22,12 +22,18 @@
 
 @click.command("demo")
 @click.option(
-    "--seconds", default=20.0, show_default=True, type=click.FloatRange(2.0, 600.0), help="How long."
+    "--seconds",
+    default=20.0,
+    show_default=True,
+    type=click.FloatRange(2.0, 600.0),
+    help="The duration of the demo.",
 )
-@click.option("--seed", default=1, show_default=True, help="Of the servers' and the clients' draws.")
-@click.option("--json", "as_json", is_flag=True, help="No table; one JSON object as the last line.")
+@click.option(
+    "--seed", default=1, show_default=True, help="The seed of the servers' and the clients' random numbers."
+)
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object as the last line, and no table.")
 def demo_command(seconds: float, seed: int, as_json: bool) -> None:
-    """A proxy, six stub servers with faults and a steady client, on loopback; exit 1 if a rule broke."""
+    """Run a proxy, six faulty stub servers and a steady client on loopback; exit 1 on a rule violation."""
     from heronreel.demo.runner import DemoError
 
     try:
@@ -65,9 +71,9 @@
 def _table(state: DemoState) -> Table:
     from rich.table import Table
 
-    now_s = min(time.monotonic() - state.began, state.seconds) if state.began else 0.0
+    elapsed_s = min(time.monotonic() - state.began, state.seconds) if state.began else 0.0
     totals = ", ".join(f"{name} {count}" for name, count in state.result().items())
-    table = Table(title=f"{now_s:4.1f} of {state.seconds:g} s   {totals}")
+    table = Table(title=f"{elapsed_s:4.1f} of {state.seconds:g} s   {totals}")
     for name in COLUMNS:
         table.add_column(name, justify="left" if name in TEXT_COLUMNS else "right")
     for index, server in enumerate(state.servers):
--- a/heronreel/cli/explain.py
+++ b/heronreel/cli/explain.py
@@ -1,4 +1,4 @@
-"""The command `heronreel explain FILE METHOD URL`: the route of one request and its policy in force."""
+"""`heronreel explain FILE METHOD URL`: print the route of one request and the policy that applies to it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from heronreel.routes.findings import Report
 from heronreel.serve.files import check_file
 
-SHOWN_ALTERNATIVES = 10  # less specific routes that are printed
+MAX_SHOWN_ALTERNATIVES = 10  # largest number of less specific routes that are printed
 
 
 @click.command("explain")
@@ -21,27 +21,27 @@
 @click.argument("method")
 @click.argument("url")
 @click.option(
-    "-H", "--header", "headers", multiple=True, metavar="'NAME: VALUE'", help="A header; repeatable."
+    "-H", "--header", "headers", multiple=True, metavar="'NAME: VALUE'", help="A request header; repeatable."
 )
-@click.option("--json", "as_json", is_flag=True, help="One JSON object on standard output.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object to standard output.")
 def explain_command(file: str, method: str, url: str, headers: tuple[str, ...], as_json: bool) -> None:
-    """Say which route takes a request, what it may do, and where each value came from."""
+    """Print the route of a request, its policy, and where each policy value is set."""
     report = check_file(file)
     if report.file is None:
         for finding in report.findings:
             click.echo(f"{file}:{finding}", err=True)
         sys.exit(1)
     try:
-        found = explain(report.file, method.upper(), url, _parse_headers(headers))
+        explanation = explain(report.file, method.upper(), url, _parse_headers(headers))
     except ValueError as error:
         raise click.BadParameter(f"{url!r}: {error}", param_hint="URL") from None
     if as_json:
-        click.echo(json.dumps(_explanation_row(found, report), indent=2))
-    elif found.route is None:
+        click.echo(json.dumps(_explanation_row(explanation, report), indent=2))
+    elif explanation.route is None:
         click.echo("no route takes this request: it is answered 404")
     else:
-        _print_explanation(found, file, report)
-    sys.exit(0 if found.route else 1)
+        _print_explanation(explanation, file, report)
+    sys.exit(0 if explanation.route else 1)
 
 
 def _parse_headers(headers: Iterable[str]) -> dict[str, str]:
@@ -54,29 +54,34 @@
     return parsed
 
 
-def _explanation_row(found: Explanation, report: Report) -> dict[str, Any]:
-    route = found.route
+def _explanation_row(explanation: Explanation, report: Report) -> dict[str, Any]:
+    route = explanation.route
     return {
         "route": route.name if route else None,
-        "line": found.line,
+        "line": explanation.line,
         "safe": report.safe,
         "pools": {share.pool: share.weight for share in route.split} if route else {},
-        "also": [other.name for other in found.others],
+        "also": [other.name for other in explanation.others],
         "policy": {
-            each.field: {"value": each.value, "from": each.origin, "line": each.line} for each in found.values
+            policy_value.field: {
+                "value": policy_value.value,
+                "from": policy_value.origin,
+                "line": policy_value.line,
+            }
+            for policy_value in explanation.values
         },
     }
 
 
-def _print_explanation(found: Explanation, file: str, report: Report) -> None:
-    assert found.route is not None
-    click.echo(f"route {found.route.name} ({file}:{found.line})")
-    pools = ", ".join(f"{share.pool} ({share.weight:g})" for share in found.route.split)
+def _print_explanation(explanation: Explanation, file: str, report: Report) -> None:
+    assert explanation.route is not None
+    click.echo(f"route {explanation.route.name} ({file}:{explanation.line})")
+    pools = ", ".join(f"{share.pool} ({share.weight:g})" for share in explanation.route.split)
     click.echo(f"  pools: {pools}")
-    for each in found.values:
-        click.echo(f"  {each.field:24} {_value_text(each)}  [{_origin_text(each)}]")
-    if found.others:
-        names = ", ".join(other.name for other in found.others[:SHOWN_ALTERNATIVES])
+    for policy_value in explanation.values:
+        click.echo(f"  {policy_value.field:24} {_value_text(policy_value)}  [{_origin_text(policy_value)}]")
+    if explanation.others:
+        names = ", ".join(other.name for other in explanation.others[:MAX_SHOWN_ALTERNATIVES])
         click.echo(f"  less specific: {names}")
     if not report.safe:
         count = len(report.findings)
--- a/heronreel/cli/fleet.py
+++ b/heronreel/cli/fleet.py
@@ -19,15 +19,16 @@
     print_problems,
 )
 
-# exit codes besides 0 for success and those of `heronreel.cli.coordinate`
-NOT_AS_WANTED = 1
-REJECTED = 3
-UNKNOWN_STATE = 4
+# exit codes in addition to 0 for success and those of `heronreel.cli.group_client`
+EXIT_INCOMPLETE = 1
+EXIT_REJECTED = 3
+EXIT_UNKNOWN_STATE = 4
 
 OPERATION_EXIT_CODES = """
 
-    Exit codes: 0 success, 1 halted or not as wanted, 2 the group does not respond, 3 rejected (who leads the
-    fleet, or what is wrong), 4 the state of an instance is unknown, 78 a bad file.
+    Exit codes: 0 success, 1 halted or not successful on every instance, 2 the group does not respond, 3
+    rejected (the message names the leader or the error), 4 the state of an instance is unknown, 78 invalid
+    file.
     """
 DEFAULT_WAIT_S = 15.0
 DEFAULT_CLAIM_TIMEOUT_S = 600.0
@@ -39,7 +40,7 @@
 
 
 class GroupOptions(NamedTuple):
-    """Which group a command connects to."""
+    """The options that select the group that a command connects to."""
 
     file: str | None
     members: str | None
@@ -47,26 +48,26 @@
 
 def _group_options(command: ClickCommand) -> ClickCommand:
     command = click.option("--members", help="Without a file: a=ADDRESS,b=ADDRESS,c=ADDRESS.")(command)
-    return click.option("--group", "file", help="The group's file.")(command)
+    return click.option("--group", "file", help="The configuration file of the group.")(command)
 
 
 _operator_option = click.option(
-    "--by", default=getpass.getuser, help="Who you are, for others.", show_default="your name"
+    "--by", default=getpass.getuser, help="Your name, shown to other operators.", show_default="your name"
 )
 
 
 @click.group("fleet")
 def fleet_command() -> None:
-    """The disruption budget of the fleet, and operations within it."""
+    """Manage the disruption budget of the fleet, and run operations within it."""
 
 
 @fleet_command.command("allow")
 @click.argument("allowances")
 @_group_options
 def allow_command(allowances: str, file: str | None, members: str | None) -> None:
-    """Put a file of budget rules in force, completely or not at all.
+    """Replace the budget rules by those of a file, completely or not at all.
 
-    Exit codes: 0 success, 2 the group does not respond, 78 a bad file.
+    Exit codes: 0 success, 2 the group does not respond, 78 invalid file.
     """
     from heronreel.fleet.budget_client import replace_rules
     from heronreel.fleet.budget_settings import load_file
@@ -83,11 +84,11 @@
 
 @fleet_command.command("status")
 @_group_options
-@click.option("--json", "as_json", is_flag=True, help="JSON on standard output.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON to standard output.")
 def status_command(file: str | None, members: str | None, as_json: bool) -> None:
-    """Every budget rule with its use, the operation, and every instance with the claim on it.
+    """Print the budget rules with their use, the operation, and the instances with their claims.
 
-    Exit codes: 0 success, 2 the group does not respond, 78 a bad file.
+    Exit codes: 0 success, 2 the group does not respond, 78 invalid file.
     """
     status = call_group(file, members, _read_status)
     if as_json:
@@ -128,12 +129,12 @@
 
 
 def _rule_line(rule: Json) -> str:
-    where = f"{rule['scope']} {rule['value']}".strip()
+    scope = f"{rule['scope']} {rule['value']}".strip()
     limit = "" if rule["may_be_out"] is None else f" of {rule['may_be_out']}"
     unavailable = f"{len(rule['out'])}{limit} unavailable ({', '.join(rule['out']) or 'none'})"
     capacity = f"capacity {rule['serving']:g}, at least {rule['least']:g}"
     state = "VIOLATED" if rule["broken"] else "ok"
-    return f"{rule['rule']:24} {where:16} {unavailable}; {capacity}; {state}"
+    return f"{rule['rule']:24} {scope:16} {unavailable}; {capacity}; {state}"
 
 
 def _instance_line(instance: Json) -> str:
@@ -148,7 +149,7 @@
     call: Callable[[Any], Coroutine[Any, Any, Any]],
     timeouts: Any = None,
 ) -> None:
-    """Run a controller, print each change as it comes, and exit with the code of the result."""
+    """Run a controller, print progress, and exit with the code of the result."""
     from heronreel.coordination.errors import RequestError
     from heronreel.fleet.controller import Controller
     from heronreel.fleet.errors import (
@@ -170,9 +171,9 @@
     try:
         operation = asyncio.run(run())
     except (FleetBusyError, OperationRejectedError, StaleFencingTokenError) as error:
-        _exit_with(REJECTED, str(error))
+        _exit_with(EXIT_REJECTED, str(error))
     except LeadershipLostError as error:
-        _exit_with(UNKNOWN_STATE, f"{error}; another controller can resume the operation")
+        _exit_with(EXIT_UNKNOWN_STATE, f"{error}; another controller can resume the operation")
     except RequestError as error:
         _exit_with(EXIT_NO_RESPONSE, error.message)
     _exit_with_result(operation)
@@ -196,30 +197,39 @@
     if operation.final_status == ABANDONED_STATUS:
         return
     if any(outcome.startswith(UNKNOWN_OUTCOME_PREFIX) for outcome in outcomes):
-        sys.exit(UNKNOWN_STATE)
-    sys.exit(0 if succeeded == total else NOT_AS_WANTED)
+        sys.exit(EXIT_UNKNOWN_STATE)
+    sys.exit(0 if succeeded == total else EXIT_INCOMPLETE)
 
 
 def _controller_options(command: ClickCommand) -> ClickCommand:
     wait = click.option(
-        "--wait", default=DEFAULT_WAIT_S, help="Seconds to wait for another controller to let the fleet go."
+        "--wait",
+        default=DEFAULT_WAIT_S,
+        help="Seconds to wait until another controller releases the leadership.",
     )
     return _group_options(_operator_option(wait(command)))
 
 
 _parallel_option = click.option(
-    "--at-once", default=1, type=click.IntRange(1, MAX_PARALLEL_LIMIT), help="At most so many at a time."
+    "--at-once",
+    default=1,
+    type=click.IntRange(1, MAX_PARALLEL_LIMIT),
+    help="The largest number of instances at a time.",
 )
 _command_timeout_option = click.option(
-    "--settle", default=DEFAULT_COMMAND_TIMEOUT_S, help="Seconds until the effect of a command is observed."
+    "--settle", default=DEFAULT_COMMAND_TIMEOUT_S, help="Seconds to wait for the effect of a command."
 )
 _claim_timeout_option = click.option(
-    "--patience", default=DEFAULT_CLAIM_TIMEOUT_S, help="Seconds to wait for a claim on the budget."
+    "--patience",
+    default=DEFAULT_CLAIM_TIMEOUT_S,
+    help="Seconds to wait for a claim on the disruption budget.",
 )
 
 
 def _version_option(required: bool) -> ClickCommand:
-    return click.option("--to", "version", required=required, help="A version that the agents know.")
+    return click.option(
+        "--to", "version", required=required, help="A version that is configured on the agents."
+    )
 
 
 def _add_operation_command(name: str, description: str, version_option: ClickCommand | None = None) -> None:
@@ -248,7 +258,7 @@
         )
 
     run.__doc__ = (
-        f"{description} WORDS: names (p*), zone=, group=, state=, version=; all have to match."
+        f"{description} WORDS: name patterns (p*), zone=, group=, state=, version=; all have to match."
         f"{OPERATION_EXIT_CODES}"
     )
     command: ClickCommand = click.argument("words", nargs=-1, required=True)(run)
@@ -259,13 +269,21 @@
     fleet_command.command(name)(_controller_options(command))
 
 
-_add_operation_command("drain", "Have these accept no new clients, as the budget permits; they stay so.")
-_add_operation_command("undrain", "Have these accept clients again, whoever drained them.")
-_add_operation_command("start", "Start these, whoever stopped them.", _version_option(required=False))
-_add_operation_command("stop", "Shut these down gracefully, as the budget permits; they stay stopped.")
-_add_operation_command("restart", "Shut these down and start them again, as the budget permits.")
 _add_operation_command(
-    "upgrade", "Have these run another version, as the budget permits.", _version_option(required=True)
+    "drain", "Drain instances as the budget permits: they accept no new clients until undrained."
+)
+_add_operation_command("undrain", "Make drained instances accept clients again, whoever drained them.")
+_add_operation_command(
+    "start", "Start stopped instances, whoever stopped them.", _version_option(required=False)
+)
+_add_operation_command("stop", "Shut instances down gracefully, as the budget permits; they stay stopped.")
+_add_operation_command(
+    "restart", "Shut instances down gracefully and start them again, as the budget permits."
+)
+_add_operation_command(
+    "upgrade",
+    "Replace the version that instances run, as the budget permits.",
+    _version_option(required=True),
 )
 
 
@@ -278,23 +296,23 @@
 
 @fleet_command.command(
     "give-up",
-    help="Abandon the operation; what it took out of service stays so until it is started."
+    help="Abandon the operation; instances that it took out of service stay so until they are started."
     f"{OPERATION_EXIT_CODES}",
 )
 @_controller_options
 def abandon_operation_command(file: str | None, members: str | None, by: str, wait: float) -> None:
-    """Abandon the operation; what it took out of service stays so until it is started."""
+    """Abandon the operation; instances that it took out of service stay so until they are started."""
     _run_controller(GroupOptions(file, members), by, lambda controller: controller.abandon(wait))
 
 
 @fleet_command.command("halt")
 @_group_options
 @_operator_option
-@click.option("--why", required=True, help="For whoever finds the fleet halted.")
+@click.option("--why", required=True, help="The reason, shown to other operators.")
 def halt_command(file: str | None, members: str | None, by: str, why: str) -> None:
-    """Let no instance be taken out of service until `resume`; what is under way is completed.
+    """Take no further instance out of service until `resume`; instances in progress are completed.
 
-    Exit codes: 0 success, 2 the group does not respond, 78 a bad file.
+    Exit codes: 0 success, 2 the group does not respond, 78 invalid file.
     """
     from heronreel.fleet.budget_client import halt_fleet
 
@@ -307,7 +325,7 @@
 def resume_command(file: str | None, members: str | None) -> None:
     """Lift the halt. An operation that was halted is resumed with `go-on`.
 
-    Exit codes: 0 success, 2 the group does not respond, 78 a bad file.
+    Exit codes: 0 success, 2 the group does not respond, 78 invalid file.
     """
     from heronreel.fleet.budget_client import resume_fleet
 
--- a/heronreel/cli/leases.py
+++ b/heronreel/cli/leases.py
@@ -1,4 +1,4 @@
-"""`heronreel leases`, `tasks` and `members`: what a group holds, and what operators change there."""
+"""`heronreel leases`, `tasks` and `members`: show and change the leases, tasks and members of a group."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
     load_group,
 )
 
-json_option = click.option("--json", "as_json", is_flag=True, help="JSON on standard output.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON to standard output.")
 
 
 @click.command("leases")
 @group_options
-@click.option("--take", help="Take this task from its holder: whatever it does from now on is rejected.")
+@click.option("--take", help="Revoke the claim on this task: further writes of its holder are rejected.")
 @json_option
 def leases_command(file: str | None, members: str | None, take: str | None, as_json: bool) -> None:
-    """Who holds which task, under which number and for how long; who is present.
+    """Print the holder, fencing token and remaining lease of each task, and who is present.
 
-    Exit codes: 0 done, 1 nobody holds what is to be taken, 2 the group does not respond, 78 a bad file.
+    Exit codes: 0 success, 1 nobody holds the task to revoke, 2 the group does not respond, 78 invalid file.
     """
     from heronreel.leases.overview import lease_overview
 
@@ -44,12 +44,12 @@
 def _revoke(file: str | None, members: str | None, task: str, as_json: bool) -> None:
     from heronreel.leases.administration import revoke_claim
 
-    number = call_group(file, members, lambda client: revoke_claim(client, task))
-    if number is None:
+    fencing_token = call_group(file, members, lambda client: revoke_claim(client, task))
+    if fencing_token is None:
         click.echo(f"nobody holds {task!r}", err=True)
         sys.exit(EXIT_NOT_FOUND)
-    report = {"taken": task, "number": number}
-    text = f"{task}: taken away, number {number} is rejected from now on"
+    report = {"taken": task, "number": fencing_token}
+    text = f"{task}: taken away, number {fencing_token} is rejected from now on"
     click.echo(json.dumps(report) if as_json else text)
 
 
@@ -58,8 +58,8 @@
         left = "its lease has ended" if row["left_s"] is None else f"{row['left_s']} s left at least"
         click.echo(f"held     {row['task']:24} number {row['number']:<8} by {row['by']}, {left}")
     for row in present:
-        silent = row["unknown_since_s"]
-        state = "present" if silent is None else f"unknown since {silent} s,"
+        unknown_since_s = row["unknown_since_s"]
+        state = "present" if unknown_since_s is None else f"unknown since {unknown_since_s} s,"
         click.echo(f"{state}  {row['name']:24} since {row['since']:<9} {row['what']}")
     if not held and not present:
         click.echo("nobody holds anything")
@@ -67,12 +67,12 @@
 
 @click.command("tasks")
 @group_options
-@click.option("--again", help="Have this task, which was suspended, retried.")
+@click.option("--again", help="Retry this task, which is suspended.")
 @json_option
 def tasks_command(file: str | None, members: str | None, again: str | None, as_json: bool) -> None:
-    """Each fleet-wide task's last confirmed step, the step that was begun, and whether it is suspended.
+    """Print each fleet-wide task's last confirmed step, the step in progress, and whether it is suspended.
 
-    Exit codes: 0 done, 1 the task is not suspended, 2 the group does not respond, 78 a bad file.
+    Exit codes: 0 success, 1 the task is not suspended, 2 the group does not respond, 78 invalid file.
     """
     from heronreel.leases import overview
 
@@ -105,15 +105,15 @@
 
 @click.command("members")
 @group_options
-@click.option("--set", "wanted", help="Who should be in the group: a,b,c, all of them in the file.")
+@click.option("--set", "wanted", help="The desired members, as a,b,c; the file has to name all of them.")
 @click.option("--even", is_flag=True, help="Allow an even number of members.")
 @json_option
 def members_command(
     file: str | None, members: str | None, wanted: str | None, even: bool, as_json: bool
 ) -> None:
-    """Who is in the group, each member's own state, and who should be in it.
+    """Print the members of the group, the state of each, and the desired members.
 
-    Exit codes: 0 done, 2 the group does not respond, 78 a bad file or bad names.
+    Exit codes: 0 success, 2 the group does not respond, 78 invalid file or names.
     """
     from heronreel.leases import administration
 
--- a/heronreel/cli/rehearse.py
+++ b/heronreel/cli/rehearse.py
@@ -1,4 +1,4 @@
-"""`heronreel rehearse`: the group of its commands."""
+"""`heronreel rehearse`: the group of commands that simulate a fleet."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from heronreel.cli.rehearse_sweep import compare_command, report_command, sweep_command
 
 
-class _Group(click.Group):
-    """`rehearse FILE` is `rehearse play FILE`."""
+class _DefaultToPlayGroup(click.Group):
+    """A command group in which `rehearse FILE` is short for `rehearse play FILE`."""
 
     def resolve_command(
         self, ctx: click.Context, args: list[str]
@@ -25,9 +25,9 @@
         return super().parse_args(ctx, args)
 
 
-@click.group("rehearse", cls=_Group)
+@click.group("rehearse", cls=_DefaultToPlayGroup)
 def rehearse_group() -> None:
-    """Rehearse a fleet in virtual time: nodes, proxies, clients, troubles, and a judge that sees all."""
+    """Simulate a fleet in virtual time: nodes, proxies, clients and faults, checked against safety rules."""
 
 
 for command in (play_command, sweep_command, compare_command, report_command, shrink_command, replay_command):
--- a/heronreel/cli/rehearse_input.py
+++ b/heronreel/cli/rehearse_input.py
@@ -1,4 +1,4 @@
-"""What the commands of `heronreel rehearse` share: reading scripts and results, writing files, exiting."""
+"""Shared code of the `heronreel rehearse` commands: read scripts and results, write files, and exit."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 EXIT_RULE_BROKEN = 1
 EXIT_BAD_INPUT = 2
-PIPED_WIDTH = 140  # columns of a table that is not printed to a terminal
+PIPED_WIDTH_COLUMNS = 140  # width of a table that is not printed to a terminal
 
 
 def exit_with_error(message: str, code: int = EXIT_BAD_INPUT) -> NoReturn:
@@ -27,7 +27,7 @@
 
 
 def load_script_or_exit(path: Path) -> Rehearsal:
-    """The script of a file; exits with its problems where it has any."""
+    """Read a script from a file; print its problems and exit if it has any."""
     from heronreel.emulator.script_loader import load_script
     from heronreel.routes.reader import ConfigFileError
 
@@ -42,7 +42,7 @@
 
 
 def load_routes_or_exit(rehearsal: Rehearsal, script_path: Path) -> RoutesFile | None:
-    """The file of routes that the script names, relative to the script; exits where it is not safe."""
+    """Read the file of routes that the script names, relative to the script; exit if it is not safe."""
     if not rehearsal.proxies.routes:
         return None
     from heronreel.serve.files import check_file
@@ -57,7 +57,7 @@
 
 
 def check_policy_or_exit(policy: str) -> None:
-    """Exit where there is no policy of this name."""
+    """Exit if there is no policy of this name."""
     from heronreel.emulator.policies import FAULTY_POLICIES, POLICIES
 
     names = (*POLICIES, *FAULTY_POLICIES)
@@ -66,7 +66,7 @@
 
 
 def load_results_or_exit(path: Path, conditions: tuple[str, ...]) -> list[Any]:
-    """The rows of a results file or folder that fulfil all conditions `COLUMN=VALUE`; exits without any."""
+    """The rows of a results file or folder that match all conditions `COLUMN=VALUE`; exit if none does."""
     from heronreel.experiments.compare import filter_rows
     from heronreel.experiments.errors import UnreadableResultsError
     from heronreel.experiments.table import read_results
@@ -87,11 +87,11 @@
 
 
 def write_file_or_exit(path: Path, data: bytes) -> None:
-    """Write a file whole or not at all: the previous one stays until the new one is complete."""
-    unfinished = path.with_name(f"{path.name}.unfinished")
+    """Replace a file atomically: the previous one stays until the new one is complete."""
+    temporary = path.with_name(f"{path.name}.unfinished")
     try:
-        unfinished.write_bytes(data)
-        os.replace(unfinished, path)
+        temporary.write_bytes(data)
+        os.replace(temporary, path)
     except OSError as error:
         exit_with_error(f"{path}: {error.strerror}")
 
@@ -100,4 +100,4 @@
     """The console that tables are printed to."""
     from rich.console import Console
 
-    return Console(width=None if sys.stdout.isatty() else PIPED_WIDTH)
+    return Console(width=None if sys.stdout.isatty() else PIPED_WIDTH_COLUMNS)
--- a/heronreel/cli/rehearse_play.py
+++ b/heronreel/cli/rehearse_play.py
@@ -1,4 +1,4 @@
-"""`heronreel rehearse play`: one script with one seed, beside the baseline policies."""
+"""`heronreel rehearse play`: play one script with one seed, and compare it with the baseline policies."""
 
 from __future__ import annotations
 
@@ -24,33 +24,39 @@
     from heronreel.emulator.result import Result
     from heronreel.routes.model import RoutesFile
 
-OUTCOMES = ("late", "refused", "failed")  # shown as shares
-MAX_TRACED_BREACHES = 20  # requests that a page has the traces of
+OUTCOMES = ("late", "refused", "failed")  # printed as shares of all requests
+MAX_TRACED_BREACHES = 20  # requests whose traces a page contains
 MAX_PRINTED_BREACHES = 5
 
 
 @click.command("play")
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0, 2**63 - 1))
-@click.option("--policy", default="", help="Of the proxies; by default as the script says.")
-@click.option("--alone", is_flag=True, help="Without the plain policies beside it.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object on standard output.")
-@click.option("--trace", multiple=True, type=click.IntRange(1), help="A request to be followed; repeatable.")
-@click.option("--timeline", type=click.Path(path_type=Path), help="Write the timeline there, as JSON lines.")
-@click.option("--page", type=click.Path(path_type=Path), help="Write a page with tables and charts there.")
-@click.option("--real", is_flag=True, help="Over loopback, with real proxy processes, beside virtual time.")
+@click.option("--policy", default="", help="The policy of the proxies; by default that of the script.")
+@click.option("--alone", is_flag=True, help="Do not play the baseline policies for comparison.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object to standard output.")
+@click.option(
+    "--trace", multiple=True, type=click.IntRange(1), help="The number of a request to trace; repeatable."
+)
+@click.option(
+    "--timeline", type=click.Path(path_type=Path), help="Write the timeline to this file, as JSON lines."
+)
+@click.option(
+    "--page", type=click.Path(path_type=Path), help="Write a page with tables and charts to this file."
+)
+@click.option("--real", is_flag=True, help="Also play over loopback, with real proxy processes.")
 @click.option(
     "--scale",
     default=1.0,
     show_default=True,
     type=click.FloatRange(0.1, 100.0),
-    help="Real ms for each ms of the script, with --real.",
+    help="With --real: real milliseconds for each millisecond of the script.",
 )
 def play_command(
     file: Path, seed: int, policy: str, alone: bool, as_json: bool, trace: tuple[int, ...],
     timeline: Path | None, page: Path | None, real: bool, scale: float,
 ) -> None:  # fmt: skip
-    """Play one script; exit 1 if a rule was broken."""
+    """Play one script; exit 1 if a rule was violated."""
     rehearsal = load_script_or_exit(file)
     routes = load_routes_or_exit(rehearsal, file)
     from heronreel.emulator.policies import BASELINES, DEFAULT_POLICY
@@ -65,9 +71,9 @@
         results.insert(0, _play_over_sockets(rehearsal, seed, scale, quiet=as_json))
     if page and not trace and not real:
         results[0] = _with_traces_of_breaches(results[0], rehearsal, routes)
-    ours = results[0]
+    main_result = results[0]
     if timeline:
-        write_file_or_exit(timeline, ours.json_lines())
+        write_file_or_exit(timeline, main_result.json_lines())
     if page:
         from heronreel.experiments.report import render_rehearsal
 
@@ -76,12 +82,12 @@
         _print_json(results)
     else:
         _print_results(results)
-        _print_traces(ours)
-    sys.exit(0 if ours.rules_kept else EXIT_RULE_BROKEN)
+        _print_traces(main_result)
+    sys.exit(0 if main_result.rules_kept else EXIT_RULE_BROKEN)
 
 
 def _with_traces_of_breaches(result: Result, rehearsal: Rehearsal, routes: RoutesFile | None) -> Result:
-    """The same play once more, with the requests traced that broke a rule: a page links to the traces."""
+    """Repeat the play and trace the requests that violated a rule, because a page links to their traces."""
     requests = result.breached_requests()[:MAX_TRACED_BREACHES]
     if not requests:
         return result
@@ -107,12 +113,12 @@
     console = Console(stderr=True)
     columns = (TextColumn("{task.description}"), BarColumn(), TimeRemainingColumn())
     with Progress(*columns, console=console, disable=quiet or not console.is_terminal, transient=True) as bar:
-        for place, name in enumerate(names):
+        for index, name in enumerate(names):
             task = bar.add_task(name, total=1.0)
-            following = trace if not place else ()
+            traced_requests = trace if not index else ()
             results.append(
                 play(
-                    rehearsal, seed, name, following, routes,
+                    rehearsal, seed, name, traced_requests, routes,
                     lambda share, task=task: bar.update(task, completed=share),  # type: ignore[misc]
                 )
             )  # fmt: skip
@@ -135,8 +141,8 @@
             )
         except UnplayableScriptError as error:
             exit_with_error(f"real: {error}")
-    for words in crashes:
-        click.echo(f"heronreel rehearse: {words}", err=True)
+    for crash in crashes:
+        click.echo(f"heronreel rehearse: {crash}", err=True)
     result.policy = "real sockets"
     return result
 
@@ -153,17 +159,17 @@
     from rich.table import Table
 
     table = Table(title=f"{results[0].name}, seed {results[0].seed}")
-    for head in ("policy", "score", "service", "worst 10 s", "worst tenant", *OUTCOMES, "p99 ms"):
-        table.add_column(head, justify="left" if head == "policy" else "right")
+    for header in ("policy", "score", "service", "worst 10 s", "worst tenant", *OUTCOMES, "p99 ms"):
+        table.add_column(header, justify="left" if header == "policy" else "right")
     table.add_column("rules")
     for index, result in enumerate(results):
         table.add_row(*_result_cells(result), style="bold" if index == 0 else "")
     table_console().print(table)
     for breach in results[0].breaches[:MAX_PRINTED_BREACHES]:
-        where = " ".join(filter(None, (breach["proxy"], breach["node"])))
+        location = " ".join(filter(None, (breach["proxy"], breach["node"])))
         click.echo(
             f"{breach['at_ms'] / 1000.0:9.3f} s  {breach['rule']}: {breach['words']}  "
-            f"({where}, request {breach['line']})"
+            f"({location}, request {breach['line']})"
         )
 
 
--- a/heronreel/cli/rehearse_scripts.py
+++ b/heronreel/cli/rehearse_scripts.py
@@ -1,4 +1,4 @@
-"""`heronreel rehearse shrink` and `replay`: scripts made from a failing script or from an incident."""
+"""`heronreel rehearse shrink` and `replay`: make a script from a failing script or a recorded incident."""
 
 from __future__ import annotations
 
@@ -17,12 +17,14 @@
 @click.command("shrink")
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0, 2**63 - 1))
-@click.option("--policy", default="", help="Of the proxies; by default as the script says.")
+@click.option("--policy", default="", help="The policy of the proxies; by default that of the script.")
 @click.option(
-    "--out", type=click.Path(path_type=Path), help="Where the smallest script goes; else standard output."
+    "--out",
+    type=click.Path(path_type=Path),
+    help="The file for the smallest script; by default standard output.",
 )
 def shrink_command(file: Path, seed: int, policy: str, out: Path | None) -> None:
-    """Cut a script that breaks a rule down to the smallest that still breaks it."""
+    """Reduce a script that violates a rule to the smallest script that still violates it."""
     rehearsal = load_script_or_exit(file)
     from heronreel.experiments.errors import NoBreachError
     from heronreel.experiments.scripts import script_to_toml
@@ -46,9 +48,15 @@
 @click.command("replay")
 @click.argument("incident", type=click.Path(path_type=Path))
 @click.option(
-    "--on", "base", type=click.Path(path_type=Path), required=True, help="The script of fleet and traffic."
+    "--on",
+    "base",
+    type=click.Path(path_type=Path),
+    required=True,
+    help="The script that defines fleet and traffic.",
+)
+@click.option(
+    "--out", type=click.Path(path_type=Path), help="The file for the script; by default standard output."
 )
-@click.option("--out", type=click.Path(path_type=Path), help="Where the script goes; else standard output.")
 def replay_command(incident: Path, base: Path, out: Path | None) -> None:
     """Turn a recorded incident (JSON lines) into a script that can be played."""
     from heronreel.emulator.script_loader import load_script
@@ -60,7 +68,7 @@
     try:
         script, skipped_lines = script_from_incident(rehearsal, incident.read_bytes())
         text = script_to_toml(script)
-        load_script(text.encode())  # what is written can be played
+        load_script(text.encode())  # checks that the written script can be played
     except OSError as error:
         exit_with_error(f"{incident}: {error.strerror}")
     except InvalidIncidentError as error:
@@ -74,7 +82,7 @@
 
 
 def _write_script(out: Path | None, text: str, summary: str) -> None:
-    """Write the script to a file, or print it where there is none."""
+    """Write the script to a file, or print it if no file is given."""
     if out:
         write_file_or_exit(out, text.encode())
         click.echo(f"{out}: {summary}")
--- a/heronreel/cli/rehearse_sweep.py
+++ b/heronreel/cli/rehearse_sweep.py
@@ -1,4 +1,4 @@
-"""`heronreel rehearse sweep`, `compare` and `report`: many plays and what they show."""
+"""`heronreel rehearse sweep`, `compare` and `report`: play many variants of a script and evaluate them."""
 
 from __future__ import annotations
 
@@ -34,23 +34,26 @@
     "settings",
     multiple=True,
     metavar="KEY=A,B,C",
-    help="A place in the script (proxies.idle_ms) or a constant of the module "
+    help="A field of the script (proxies.idle_ms) or a constant of a module "
     "(heronreel.balancer.subset.KEPT_BY); repeatable.",
 )
 @click.option("--seeds", default=DEFAULT_SEEDS, show_default=True)
-@click.option("--policies", default="", help="Comma-separated; by default as the script says.")
+@click.option("--policies", default="", help="Policies, comma-separated; by default that of the script.")
 @click.option("--out", type=click.Path(path_type=Path), default=Path("found/sweep"), show_default=True)
 @click.option(
-    "--workers", type=click.IntRange(1, 256), default=None, help="Processes; by default one a core."
+    "--workers",
+    type=click.IntRange(1, 256),
+    default=None,
+    help="Number of processes; by default one per core.",
 )
 @click.option("--json", "as_json", is_flag=True)
 def sweep_command(
     file: Path, settings: tuple[str, ...], seeds: str, policies: str, out: Path, workers: int | None,
     as_json: bool,
 ) -> None:  # fmt: skip
-    """Play a script over seeds, policies and settings, on all cores.
+    """Play a script with all combinations of seeds, policies and settings, on all cores.
 
-    What the folder has already is not played again, so a sweep that was stopped goes on where it was.
+    Plays whose results are in the folder are not repeated, so a sweep that was stopped can be continued.
     """
     rehearsal = load_script_or_exit(file)
     names = [name.strip() for name in policies.split(",") if name.strip()] or [rehearsal.proxies.policy]
@@ -100,13 +103,13 @@
 @click.command("compare")
 @click.argument("a", type=click.Path(path_type=Path))
 @click.argument("b", type=click.Path(path_type=Path))
-@click.option("--where-a", multiple=True, metavar="COLUMN=VALUE", help="Which plays of A; repeatable.")
-@click.option("--where-b", multiple=True, metavar="COLUMN=VALUE", help="Which plays of B; repeatable.")
+@click.option("--where-a", multiple=True, metavar="COLUMN=VALUE", help="Select plays of A; repeatable.")
+@click.option("--where-b", multiple=True, metavar="COLUMN=VALUE", help="Select plays of B; repeatable.")
 @click.option("--json", "as_json", is_flag=True)
 def compare_command(
     a: Path, b: Path, where_a: tuple[str, ...], where_b: tuple[str, ...], as_json: bool
 ) -> None:  # fmt: skip
-    """Compare two sets of plays, pair by pair by seed: two builds, policies or settings."""
+    """Compare two sets of plays of two builds, policies or settings; plays are paired by seed."""
     from dataclasses import asdict
 
     from heronreel.experiments.compare import compare_results
@@ -119,7 +122,11 @@
     except IncomparableResultsError as error:
         exit_with_error(str(error))
     if as_json:
-        click.echo(json.dumps([asdict(one) | {"words": one.words} for one in differences], indent=2))
+        click.echo(
+            json.dumps(
+                [asdict(difference) | {"words": difference.words} for difference in differences], indent=2
+            )
+        )
         return
     _print_differences(differences)
     broken_a, broken_b = (sum(not row["kept"] for row in rows) for rows in (rows_a, rows_b))
@@ -131,20 +138,20 @@
     from rich.table import Table
 
     table = Table(title=f"{differences[0].pairs} pairs")
-    for head in ("figure", "A", "B", "B less A", "95 % from", "to", "verdict"):
-        table.add_column(head, justify="left" if head in ("figure", "verdict") else "right")
-    for one in differences:
-        low = min(one.low, one.boot_low)
-        high = max(one.high, one.boot_high)
-        numbers = (one.mean_a, one.mean_b, one.mean, low, high)
-        table.add_row(one.metric, *(f"{number:.4f}" for number in numbers), one.words)
+    for header in ("figure", "A", "B", "B less A", "95 % from", "to", "verdict"):
+        table.add_column(header, justify="left" if header in ("figure", "verdict") else "right")
+    for difference in differences:
+        low = min(difference.low, difference.boot_low)
+        high = max(difference.high, difference.boot_high)
+        numbers = (difference.mean_a, difference.mean_b, difference.mean, low, high)
+        table.add_row(difference.metric, *(f"{number:.4f}" for number in numbers), difference.words)
     table_console().print(table)
 
 
 @click.command("report")
 @click.argument("results", type=click.Path(path_type=Path))
 @click.option("--page", type=click.Path(path_type=Path), default=Path("found/sweep.html"), show_default=True)
-@click.option("--where", multiple=True, metavar="COLUMN=VALUE", help="Which plays; repeatable.")
+@click.option("--where", multiple=True, metavar="COLUMN=VALUE", help="Select plays; repeatable.")
 def report_command(results: Path, page: Path, where: tuple[str, ...]) -> None:
     """Write a page with the tables and charts of a sweep."""
     from heronreel.experiments.report import render_sweep
--- a/heronreel/cli/serve.py
+++ b/heronreel/cli/serve.py
@@ -1,4 +1,4 @@
-"""The command `heronreel serve FILE`."""
+"""`heronreel serve FILE`: run a proxy."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 @click.command("serve")
 @click.argument("file")
 @click.option(
-    "--platform", is_flag=True, help="Listener, servers and classes come from LB_NAME, LB_LISTEN, LB_CONFIG."
+    "--platform", is_flag=True, help="Read listener, servers and classes from LB_NAME, LB_LISTEN, LB_CONFIG."
 )
 def serve_command(file: str, platform: bool) -> None:
-    """Run a proxy on the file's own pools.  SIGHUP takes the file again, SIGTERM drains."""
-    from heronreel.serve.program import main  # check and explain need no event loop
+    """Run a proxy on the pools of the file.  SIGHUP reloads the file, SIGTERM drains and ends the proxy."""
+    # imported here, because the commands `check` and `explain` need no event loop
+    from heronreel.serve.program import main
 
     sys.exit(main(file, platform))
--- a/heronreel/cli/store.py
+++ b/heronreel/cli/store.py
@@ -1,4 +1,4 @@
-"""`heronreel store verify|stat|dump|compact|repair PATH`."""
+"""`heronreel store verify|stat|dump|compact|repair PATH`: inspect and repair a store's folder."""
 
 from __future__ import annotations
 
@@ -14,57 +14,57 @@
 
 Progress = Callable[[int, int], None]
 
-EXIT_LOST = 1  # records are lost
-EXIT_UNUSABLE = 2  # the store can't be used
+EXIT_RECORDS_LOST = 1
+EXIT_STORE_UNUSABLE = 2
 
 
 @click.group("store")
 def store_group() -> None:
-    """Look into a store's folder, tidy it, or salvage a damaged one.
+    """Inspect a store's folder, compact it, or salvage a damaged one.
 
-    Exit codes: 0 all is well, 1 records are lost, 2 the store can't be used (in use, a newer format, none
-    there).
+    Exit codes: 0 success, 1 records are lost, 2 the store can't be used (in use, a newer format, or
+    missing).
     """
 
 
 @contextmanager
 def _exit_on_error(as_json: bool) -> Iterator[None]:
-    """Print an error of the store as one line, or as JSON, and exit with its code."""
+    """Print an error of the store as text or JSON, and exit with its code."""
     from heronreel.store import CorruptionError, StoreError
 
     try:
         yield
     except CorruptionError as corruption:
         if as_json:
-            lost = [dataclasses.asdict(each) for each in corruption.lost]
+            lost = [dataclasses.asdict(loss) for loss in corruption.lost]
             click.echo(json.dumps({"error": corruption.code, "lost": lost}))
         else:
             _print_lost(corruption.lost)
             click.echo("damaged: `heronreel store repair` salvages into a new folder", err=True)
-        sys.exit(EXIT_LOST)
+        sys.exit(EXIT_RECORDS_LOST)
     except (StoreError, OSError) as error:
         if as_json:
             code = error.code if isinstance(error, StoreError) else type(error).__name__
             click.echo(json.dumps({"error": code, "what": str(error)}))
         else:
             click.echo(f"heronreel store: {error}", err=True)
-        sys.exit(EXIT_UNUSABLE)
+        sys.exit(EXIT_STORE_UNUSABLE)
 
 
 def _print_lost(lost: Iterable[object]) -> None:
-    for each in lost:
-        click.echo(f"lost: {each}", err=True)
+    for loss in lost:
+        click.echo(f"lost: {loss}", err=True)
 
 
 def _print_findings(*findings: tuple[str, Iterable[object]]) -> None:
-    for label, found in findings:
-        for each in found:
-            click.echo(f"{label}: {each}")
+    for label, details in findings:
+        for detail in details:
+            click.echo(f"{label}: {detail}")
 
 
 @contextmanager
 def _progress_bar(label: str) -> Iterator[Progress]:
-    """A bar on a terminal's standard error, and nothing elsewhere."""
+    """Show a progress bar on standard error if that is a terminal, else nothing."""
     if not sys.stderr.isatty():
         yield lambda done, total: None
         return
@@ -79,14 +79,14 @@
 
 
 def _json_option(command: Callable[..., None]) -> Callable[..., None]:
-    return click.option("--json", "as_json", is_flag=True, help="JSON on standard output.")(command)
+    return click.option("--json", "as_json", is_flag=True, help="Print JSON to standard output.")(command)
 
 
 @store_group.command("verify")
 @click.argument("path")
 @_json_option
 def verify_command(path: str, as_json: bool) -> None:
-    """Read every byte and check it; for a store that nobody writes to. Changes nothing."""
+    """Read and check every byte of a store that no process writes to. Changes nothing."""
     from heronreel.store.verify import verify
 
     with _exit_on_error(as_json), _progress_bar("verify") as progress:
@@ -97,25 +97,25 @@
         _print_findings(("lost", report.lost), ("dropped", report.dropped), ("note", report.notes))
         state = "sound" if report.sound else "damaged"
         click.echo(f"{state}: {report.files} files, {report.bytes} bytes, {report.records} records")
-    sys.exit(0 if report.sound else EXIT_LOST)
+    sys.exit(0 if report.sound else EXIT_RECORDS_LOST)
 
 
 @store_group.command("stat")
 @click.argument("path")
 @_json_option
 def stat_command(path: str, as_json: bool) -> None:
-    """Sizes and counts. Works beside a live writer."""
+    """Print sizes and counts. May run while another process writes to the store."""
     from heronreel.store import Store
 
     with _exit_on_error(as_json), Store.open(path, read_only=True) as store:
-        # without the counters, which are of this opening alone
+        # without the counters, which only cover the time since this process opened the store
         stat = {name: value for name, value in store.stat().items() if name != "since_opening"}
     if as_json:
         click.echo(json.dumps(stat, indent=2))
     else:
         for name, value in stat.items():
             _print_stat(name, value)
-    sys.exit(EXIT_LOST if stat["lost"] else 0)
+    sys.exit(EXIT_RECORDS_LOST if stat["lost"] else 0)
 
 
 def _print_stat(name: str, value: Any) -> None:
@@ -146,13 +146,14 @@
 
 @store_group.command("dump")
 @click.argument("path")
-@click.option("--prefix", default="", help="Only keys that begin so.")
-@click.option("--keys", is_flag=True, help="Keys without values.")
+@click.option("--prefix", default="", help="Print only keys with this prefix.")
+@click.option("--keys", is_flag=True, help="Print keys without values.")
 @_json_option
 def dump_command(path: str, prefix: str, keys: bool, as_json: bool) -> None:
-    """Keys and values in the order of keys, one a line. Works beside a live writer.
+    """Print keys and values in the order of the keys, one record per line.
 
-    With --json one object a line; what is no UTF-8 stands there in base64, as key_base64 and value_base64.
+    May run while another process writes to the store. With --json each line is one object; data that is not
+    UTF-8 is encoded in base64, as key_base64 and value_base64.
     """
     from heronreel.store import Store
 
@@ -161,14 +162,14 @@
             click.echo(_dump_line(key, value, keys_only=keys, as_json=as_json))
         lost = store.lost
     _print_lost(lost)
-    sys.exit(EXIT_LOST if lost else 0)
+    sys.exit(EXIT_RECORDS_LOST if lost else 0)
 
 
 @store_group.command("compact")
 @click.argument("path")
 @_json_option
 def compact_command(path: str, as_json: bool) -> None:
-    """Rewrite the store without what is out of date. Needs the room of a second one meanwhile."""
+    """Rewrite the store without outdated records. Temporarily needs space for a second copy."""
     from heronreel.store import Store
     from heronreel.store.repair import existing_store
 
@@ -191,9 +192,9 @@
 @click.argument("target")
 @_json_option
 def repair_command(path: str, target: str, as_json: bool) -> None:
-    """Salvage what can be read of PATH into a new store in TARGET; PATH is left as it is.
+    """Copy all readable records of PATH into a new store in TARGET; PATH is not changed.
 
-    Exit 1 if anything was lost: what, and which keys may show an older value, is listed.
+    Exit 1 if anything was lost: the losses, and the keys that may have an older value, are listed.
     """
     from heronreel.store.repair import existing_store, repair
 
@@ -204,4 +205,4 @@
     else:
         _print_findings(("lost", report.lost), ("in doubt", report.doubts), ("dropped", report.dropped))
         click.echo(f"saved: {report.records} records, {report.bytes} bytes of values")
-    sys.exit(EXIT_LOST if report.lost else 0)
+    sys.exit(EXIT_RECORDS_LOST if report.lost else 0)
