--- a/heronreel/cli/fleet.py
+++ b/heronreel/cli/fleet.py
@@ -236,7 +236,7 @@
     """Add the command for one kind of operation."""
 
     def run(
-        words: tuple[str, ...],
+        selectors: tuple[str, ...],
         file: str | None,
         members: str | None,
         by: str,
@@ -253,15 +253,15 @@
         _run_controller(
             GroupOptions(file, members),
             by,
-            lambda controller: controller.run(kind, words, version, at_once, wait),
+            lambda controller: controller.run(kind, selectors, version, at_once, wait),
             OperationTimeouts(patience, settle),
         )
 
     run.__doc__ = (
-        f"{description} WORDS: name patterns (p*), zone=, group=, state=, version=; all have to match."
+        f"{description} SELECTORS: name patterns (p*), zone=, group=, state=, version=; all have to match."
         f"{OPERATION_EXIT_CODES}"
     )
-    command: ClickCommand = click.argument("words", nargs=-1, required=True)(run)
+    command: ClickCommand = click.argument("selectors", nargs=-1, required=True)(run)
     for option in (_parallel_option, _command_timeout_option, _claim_timeout_option):
         command = option(command)
     if version_option is not None:
--- a/heronreel/fleet/model.py
+++ b/heronreel/fleet/model.py
@@ -100,7 +100,8 @@
     name: str
     kind: InstanceKind
     scope: Scope = Scope.FLEET
-    scope_value: str = msgspec.field(default="", name="only")  # limits the rule to one zone, group or pool
+    # the only zone, group or pool that the rule applies to; "" for every one
+    scope_value: str = msgspec.field(default="", name="only")
     max_unavailable: int | None = msgspec.field(default=None, name="most_out")
     # fraction of the total capacity in the scope
     min_available: Fraction | None = msgspec.field(default=None, name="least_serving")
