--- a/tests/fleet/__init__.py
+++ b/tests/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of fleet operations."""
+"""Tests of the fleet control plane."""
--- a/tests/fleet/agent_harness.py
+++ b/tests/fleet/agent_harness.py
@@ -1,4 +1,4 @@
-"""An agent with real proxies as processes, for the tests of agents and of rolling operations."""
+"""A harness that runs an agent and real proxy processes, for tests of agents and rolling operations."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from tests.support.serve_process import gets_to
 
 REQUEST_TIMEOUT_S = 10
-STATE_TIMEOUT_S = 60
+STATE_TIMEOUT_S = 60  # for an instance to reach an expected state
 POLL_S = 0.05
 
 
 class AgentHarness:
-    """One agent and its proxies, with settings files in a folder.
+    """One agent and its proxies, with their settings files in a folder.
 
-    As a context manager it holds the ports of all of them, so that no other test is given one meanwhile,
-    and kills what is left of the proxies in the end.
+    As a context manager it reserves the ports of the agent and the proxies, so that no other test uses them,
+    and kills the remaining proxies on exit.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
 """
 
     async def start(self, **env: str) -> ManagedProcess:
-        """Start the agent, and wait until it accepts commands."""
+        """Start the agent and wait until it accepts commands."""
         process = await self.harness.start_process(
             self.name, "heronreel.cli", "agent", str(self._agent_file()), **env
         )
@@ -111,7 +111,7 @@
     async def command(
         self, name: str, fencing_token: int, sequence: int, desired_state: str, version: str = ""
     ) -> int:
-        """Send a command; the status of the response."""
+        """Send a command and return the status of the response."""
         body = {
             "instance": name,
             "number": fencing_token,
@@ -128,7 +128,7 @@
         return body
 
     async def until(self, name: str, **expected: Any) -> dict[str, Any]:
-        """Wait until the agent reports these values of an instance; its whole status."""
+        """Wait until the agent reports these values for an instance; return the full status."""
         async with asyncio.timeout(STATE_TIMEOUT_S):
             while True:
                 try:
@@ -149,30 +149,30 @@
                 return False
 
     def running(self) -> dict[str, list[int]]:
-        """Pids of the proxies that really run, by name."""
-        found: dict[str, list[int]] = {name: [] for name in self.ports}
+        """Pids of the proxy processes that /proc lists, by instance name."""
+        pids: dict[str, list[int]] = {name: [] for name in self.ports}
         for path in Path("/proc").iterdir():
             try:
-                words = (path / "cmdline").read_bytes().split(b"\0")
+                arguments = (path / "cmdline").read_bytes().split(b"\0")
             except (OSError, ValueError):
                 continue
             for name in self.ports:
-                if str(self._proxy_file(name)).encode() in words and b"serve" in words:
-                    found[name].append(int(path.name))
-        return found
+                if str(self._proxy_file(name)).encode() in arguments and b"serve" in arguments:
+                    pids[name].append(int(path.name))
+        return pids
 
     def _kill_proxies(self) -> None:
-        """Kill what is left of this test's own proxies."""
+        """Kill the remaining proxies of this test."""
         for pids in self.running().values():
             for pid in pids:
                 os.kill(pid, signal.SIGKILL)
 
 
-async def until_reported_serving(client: Client, count: int, seconds: float = 40.0) -> dict[str, Instance]:
-    """Wait until the group has so many instances and all of them serve; the instances by ID."""
-    async with asyncio.timeout(seconds):
+async def until_reported_serving(client: Client, count: int, timeout_s: float = 40.0) -> dict[str, Instance]:
+    """Wait until the group has `count` instances and all of them serve; return the instances by ID."""
+    async with asyncio.timeout(timeout_s):
         while True:
             instances = (await read_snapshot(client)).instances
-            if [each.condition for each in instances.values()] == [Condition.SERVING] * count:
+            if [instance.condition for instance in instances.values()] == [Condition.SERVING] * count:
                 return dict(instances)
             await asyncio.sleep(POLL_S)
--- a/tests/fleet/test_agent_client.py
+++ b/tests/fleet/test_agent_client.py
@@ -1,4 +1,4 @@
-"""Commands to agents: how each response, and the absence of one, is reported."""
+"""Tests of the client that sends commands to agents: the result for each kind of response and failure."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class GroupClient(Client):
-    """A group that knows at most one agent, or does not respond."""
+    """A stub of the group's client: the group has at most one agent, or every call fails."""
 
     def __init__(self, agent_address: str | None, error: GroupError | None = None) -> None:
         super().__init__(["127.0.0.1:1"])
@@ -50,7 +50,7 @@
     present: bool = True,
     group_error: GroupError | None = None,
 ) -> CommandResult:
-    """Send the command to an agent that responds so."""
+    """Send COMMAND to an agent that responds with this status and body; check the request body."""
     received: list[Any] = []
 
     async def handle(request: web.Request) -> web.Response:
@@ -70,7 +70,7 @@
     return result
 
 
-def test_a_decision_of_the_agent_is_the_result() -> None:
+def test_the_decision_of_the_agent_is_returned() -> None:
     assert send(200, '{"taken": true, "number": 7, "looked": 4}') == CommandResult(True, 7, 4)
     assert send(409, '{"taken": false, "number": 9, "looked": 5}') == CommandResult(False, 9, 5)
 
@@ -79,18 +79,20 @@
     ("status", "body", "reason"),
     [(404, '{"error": "no instance"}', "no instance"), (400, "{}", "status 400")],
 )
-def test_a_command_that_the_agent_rejects_as_impossible_fails(status: int, body: str, reason: str) -> None:
+def test_a_command_that_the_agent_can_not_execute_fails_with_its_reason(
+    status: int, body: str, reason: str
+) -> None:
     with pytest.raises(CommandFailedError, match=reason):
         send(status, body)
 
 
 @pytest.mark.parametrize(("status", "body"), [(200, "{}"), (200, "no JSON"), (502, "no JSON")])
-def test_a_malformed_response_leaves_the_result_unknown(status: int, body: str) -> None:
+def test_a_malformed_response_is_reported_as_an_unavailable_agent(status: int, body: str) -> None:
     with pytest.raises(AgentUnavailableError, match="does not respond"):
         send(status, body)
 
 
-def test_an_agent_that_can_not_be_found_leaves_the_result_unknown() -> None:
+def test_an_agent_without_an_address_is_reported_as_unavailable() -> None:
     with pytest.raises(AgentUnavailableError, match="no agent"):
         send(200, "", instance=None)
     with pytest.raises(AgentUnavailableError, match="m1 is not present"):
--- a/tests/fleet/test_agent_of_many.py
+++ b/tests/fleet/test_agent_of_many.py
@@ -1,9 +1,9 @@
-"""An agent's settings file with 1,024 instances."""
+"""Test of an agent's settings file with 1,024 instances."""
 
 from heronreel.fleet.agent_settings import load
 
-COUNT = 1024
-HEAD = """[agent]
+INSTANCE_COUNT = 1024
+SETTINGS_WITHOUT_INSTANCES = """[agent]
 name = "a"
 folder = "agent"
 address = "127.0.0.1:1"
@@ -15,9 +15,9 @@
 """
 
 
-def test_an_agent_takes_1024_instances() -> None:
+def test_a_settings_file_may_have_1024_instances() -> None:
     tables = [
         f'[[instances]]\nname = "i{number}"\nlisten = "127.0.0.1:{2000 + number}"\n'
-        for number in range(COUNT)
+        for number in range(INSTANCE_COUNT)
     ]
-    assert len(load((HEAD + "".join(tables)).encode()).instances) == COUNT
+    assert len(load((SETTINGS_WITHOUT_INSTANCES + "".join(tables)).encode()).instances) == INSTANCE_COUNT
--- a/tests/fleet/test_agent_processes.py
+++ b/tests/fleet/test_agent_processes.py
@@ -1,4 +1,4 @@
-"""Agents that own real proxies, killed, cut off from the group and commanded late, between processes."""
+"""Tests of agent processes that own real proxies: kills of the agent, loss of the group, and old commands."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 CRASH_POINTS = ("command", "commanded", "persist", "persisted", "start", "started")
 
 
-def test_an_agent_owns_its_proxies_through_its_own_kill_and_without_the_group(tmp_path: Path) -> None:
+def test_an_agent_keeps_its_proxies_over_a_kill_and_without_the_group(tmp_path: Path) -> None:
     async def run() -> None:
         async with Harness(tmp_path, ("a",), 1) as harness, Client(harness.addresses) as client:
             async with Backend() as backend:
@@ -33,21 +33,21 @@
                         assert await agent.command(name, 5, 1, "running", "1") == 200
                     before = [await agent.until(name, condition="serving") for name in agent.ports]
                     assert await agent.responds("p1") and await agent.responds("p2")
-                    assert await agent.command("p1", 4, 9, "stopped") == 409  # of an older controller
+                    assert await agent.command("p1", 4, 9, "stopped") == 409  # an older fencing token
                     assert await agent.command("p3", 6, 1, "stopped") == 404
                     assert await agent.command("p1", 6, 1, "running", "none") == 400
                     reported = await until_reported_serving(client, 2)
                     assert reported["proxy/p1"].fencing_token == 5
                     observation = reported["proxy/p1"].observation
-                    await process.kill()  # its proxies keep running, and the next agent finds them
+                    await process.kill()  # its proxies keep running, and the restarted agent finds them
                     assert await agent.responds("p1")
-                    await harness.members["a"].kill()  # and the group is gone as well
+                    await harness.members["a"].kill()  # the group is unavailable as well
                     await agent.start()
                     for name, status in zip(agent.ports, before, strict=True):
                         after = await agent.until(name, condition="serving")
                         assert after["process"] == status["process"]
                     old_process = before[0]["process"]
-                    os.kill(old_process["pid"], signal.SIGKILL)  # without the group it is restarted
+                    os.kill(old_process["pid"], signal.SIGKILL)  # the agent restarts it without the group
                     async with asyncio.timeout(40):
                         while (await agent.until("p1", condition="serving"))["process"] == old_process:
                             await asyncio.sleep(0.05)
@@ -56,7 +56,7 @@
                             await asyncio.sleep(0.05)
                     await harness.start_member("a")
                     async with asyncio.timeout(40):
-                        while True:  # observations keep growing over the agent's restart
+                        while True:  # the observation count increases across the restart of the agent
                             instances = (await read_snapshot(client)).instances
                             if instances["proxy/p1"].observation > observation:
                                 break
@@ -65,25 +65,27 @@
                     await agent.until("p1", stage="none", condition="out")
                     assert not await agent.responds("p1")
                     assert await agent.command("p1", 7, 2, "running", "bad") == 200
-                    await agent.until("p1", condition="failed")  # a crash loop with backoff
+                    await agent.until(
+                        "p1", condition="failed"
+                    )  # the process exits immediately, and is restarted with backoff
                     running = {name: len(pids) for name, pids in agent.running().items()}
                     assert running == {"p1": 0, "p2": 1}
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("point", CRASH_POINTS)
-def test_an_agent_killed_at_a_point_leaves_one_process_and_keeps_what_it_acknowledged(
-    point: str, tmp_path: Path
+@pytest.mark.parametrize("crash_point", CRASH_POINTS)
+def test_an_agent_killed_at_a_crash_point_leaves_one_process_and_keeps_acknowledged_commands(
+    crash_point: str, tmp_path: Path
 ) -> None:
     async def run() -> None:
         async with Harness(tmp_path, ("a",), 2) as harness, Backend() as backend:
             with AgentHarness(harness, tmp_path, backend.address) as agent:
-                doomed = await agent.start(HERONREEL_END_AT=f"{point}:1")
+                killed_agent = await agent.start(HERONREEL_END_AT=f"{crash_point}:1")
                 accepted = False
                 with suppress(aiohttp.ClientError, OSError):
                     accepted = await agent.command("p1", 3, 1, "running", "1") == 200
-                assert await doomed.wait_for_exit(60) == -signal.SIGKILL
+                assert await killed_agent.wait_for_exit(60) == -signal.SIGKILL
                 await agent.start()
                 status = (await agent.status())["p1"]
                 assert not accepted or (status["number"], status["want"]) == (3, "running")
@@ -96,7 +98,7 @@
 
 
 @pytest.mark.parametrize(
-    ("good", "bad", "words"),
+    ("valid", "invalid", "expected_problem"),
     [
         ('name = "p2"', 'name = "p1"', "'p1' stands on line"),
         ("lease_s = 2", "lease_s = 1", "lease_s: is 1; at least 1.8"),
@@ -105,7 +107,7 @@
     ],
 )
 def test_problems_of_a_settings_file_are_reported_with_their_lines(
-    good: str, bad: str, words: str, tmp_path: Path
+    valid: str, invalid: str, expected_problem: str, tmp_path: Path
 ) -> None:
     harness = Harness(tmp_path, (), 1)
     harness.names = []
@@ -113,6 +115,6 @@
         text = agent.settings.replace("group = []", 'group = ["127.0.0.1:1"]')
     assert len(load(text.encode()).instances) == 2
     with pytest.raises(ConfigFileError) as raised:
-        load(text.replace(good, bad).encode())
+        load(text.replace(valid, invalid).encode())
     problems = [str(problem) for problem in raised.value.problems]
-    assert any(words in problem for problem in problems), problems
+    assert any(expected_problem in problem for problem in problems), problems
--- a/tests/fleet/test_agent_shutdown.py
+++ b/tests/fleet/test_agent_shutdown.py
@@ -1,4 +1,4 @@
-"""An agent that is stopped while commands are under way."""
+"""Test of an agent that is stopped while a command is in progress."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from heronreel.store import Store
 from tests.fleet.agent_harness import AgentHarness
 
-HELD_S = 30.0  # more than the test takes
+STORE_WRITE_TIMEOUT_S = 30.0  # longer than the test takes
 
 
 @asynccontextmanager
@@ -31,12 +31,12 @@
     yield SimpleNamespace(client=None, announce_presence=lambda *_: None)
 
 
-async def never_reported(*_: object) -> None:
+async def block_report(*_: object) -> None:
     await asyncio.Event().wait()
 
 
-async def until_refused(address: str) -> None:
-    """Until the agent accepts no connections any more."""
+async def until_connections_refused(address: str) -> None:
+    """Wait until the agent accepts no more connections."""
     host, _, port = address.rpartition(":")
     while True:
         try:
@@ -47,16 +47,19 @@
         await asyncio.sleep(0.01)
 
 
-def test_a_command_under_way_gets_its_result_and_a_later_one_is_not_accepted(
+def test_a_command_in_progress_gets_its_result_and_a_later_command_is_not_accepted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The disk is held while SIGTERM comes; it writes once the agent accepts no commands any more."""
+    """SIGTERM arrives while the store write of a command is blocked.
+
+    The write is released once the agent accepts no more connections; the command has to get status 200.
+    """
     monkeypatch.setattr(agent_server, "LeaseSession", session_without_group)
-    monkeypatch.setattr(agent_server, "report_instance", never_reported)
-    monkeypatch.setattr(agent_server, "SHUTDOWN_TIMEOUT_S", HELD_S)
+    monkeypatch.setattr(agent_server, "report_instance", block_report)
+    monkeypatch.setattr(agent_server, "SHUTDOWN_TIMEOUT_S", STORE_WRITE_TIMEOUT_S)
     harness = Harness(tmp_path, (), 1)
     harness.names = []
-    writing, may_write = threading.Event(), threading.Event()
+    write_started, write_released = threading.Event(), threading.Event()
 
     async def run() -> None:
         with AgentHarness(harness, tmp_path, "127.0.0.1:1") as agent:
@@ -65,12 +68,12 @@
             server = AgentServer(load(text.encode()), store)
             put = store.put
 
-            def held_put(key: bytes, value: bytes) -> None:
-                writing.set()
-                assert may_write.wait(HELD_S)
+            def blocked_put(key: bytes, value: bytes) -> None:
+                write_started.set()
+                assert write_released.wait(STORE_WRITE_TIMEOUT_S)
                 put(key, value)
 
-            monkeypatch.setattr(store, "put", held_put)
+            monkeypatch.setattr(store, "put", blocked_put)
             serving = asyncio.create_task(server.run())
             body = {"instance": "p1", "number": 3, "order": 1, "want": "stopped", "version": "1"}
             async with aiohttp.ClientSession() as session:
@@ -78,12 +81,12 @@
                     await asyncio.sleep(0.01)
                 url = f"http://{agent.address}{COMMAND_PATH}"
                 command = asyncio.ensure_future(session.post(url, json=body))
-                await asyncio.to_thread(writing.wait, HELD_S)
+                await asyncio.to_thread(write_started.wait, STORE_WRITE_TIMEOUT_S)
                 os.kill(os.getpid(), signal.SIGTERM)
-                await until_refused(agent.address)
-                may_write.set()
+                await until_connections_refused(agent.address)
+                write_released.set()
                 assert (await command).status == 200
             await serving
             store.close()
 
-    asyncio.run(asyncio.wait_for(run(), 2 * HELD_S))
+    asyncio.run(asyncio.wait_for(run(), 2 * STORE_WRITE_TIMEOUT_S))
--- a/tests/fleet/test_instance_lifecycle.py
+++ b/tests/fleet/test_instance_lifecycle.py
@@ -1,4 +1,7 @@
-"""The lifecycle of an instance: old commands are rejected, and there is never a second process."""
+"""Tests of the lifecycle of an instance: old commands are rejected, and no second process is started.
+
+Random runs kill the agent at any point; without one of the guards they have to find a violation.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +33,10 @@
 
 
 class Machine:
-    """A disk, processes and an agent that is killed now and then, checked from the outside."""
+    """Simulates the disk and the processes of an agent that is killed at random times.
+
+    It records a problem if two processes run at the same time or an overtaken command is accepted.
+    """
 
     def __init__(self, seed: int, guards: LifecycleGuards | None = None) -> None:
         self.rng = random.Random(seed)
@@ -38,7 +44,7 @@
         self.now = 0.0
         self.disk = PersistedState()
         self.alive: dict[int, ProcessIdentity] = {}
-        self.pids = 0
+        self.started_count = 0
         self.greatest_accepted = (0, 0)  # fencing token and sequence number
         self.last_sent = (0, 0)
         self.lifecycle = InstanceLifecycle(self.disk, self.now, TIMEOUTS, guards=guards)
@@ -48,13 +54,13 @@
     def kill_agent(self) -> None:
         self.actions = []
         process = self.disk.process
-        known = process is not None and self.alive.get(process.pid) == process
-        self.lifecycle = InstanceLifecycle(self.disk, self.now, TIMEOUTS, alive=known, guards=self.guards)
-        # an orphan process is found by its environment, and killed
-        for pid in [pid for pid, each in self.alive.items() if each != process]:
+        is_alive = process is not None and self.alive.get(process.pid) == process
+        self.lifecycle = InstanceLifecycle(self.disk, self.now, TIMEOUTS, alive=is_alive, guards=self.guards)
+        # the restarted agent finds orphan processes by their environment and kills them
+        for pid in [pid for pid, running in self.alive.items() if running != process]:
             del self.alive[pid]
 
-    def act(self, actions: Actions) -> None:
+    def carry_out(self, actions: Actions) -> None:
         self.actions += actions
         while self.actions:
             if self.rng.random() < 0.05:
@@ -74,10 +80,10 @@
                 assert self.lifecycle.stage in (ProcessStage.DRAINING, ProcessStage.STARTING)
 
     def _start_process(self, version: str) -> None:
-        self.pids += 1
-        process = ProcessIdentity(self.pids % 3, self.pids, version)  # pids are reused
+        self.started_count += 1
+        process = ProcessIdentity(self.started_count % 3, self.started_count, version)  # reuses pids
         if self.alive:
-            self.problems.append(f"{process} is started beside {self.alive}")
+            self.problems.append(f"{process} was started while {self.alive} is alive")
         self.alive[process.pid] = process
         self.actions += self.lifecycle.started(self.now, process)
 
@@ -89,32 +95,33 @@
 
     def _check_accepted(self) -> None:
         if self.last_sent < self.greatest_accepted:
-            self.problems.append(f"{self.last_sent} accepted after {self.greatest_accepted}")
+            self.problems.append(f"{self.last_sent} was accepted after {self.greatest_accepted}")
         self.greatest_accepted = max(self.greatest_accepted, self.last_sent)
 
     def step(self) -> None:
+        """Advance the time and apply a random event."""
         self.now += self.rng.choice((0.1, 1.0, 6.0))
-        kind = self.rng.randrange(6)
-        if kind == 0:
+        event = self.rng.randrange(6)
+        if event == 0:
             fencing_token, sequence = self.rng.randrange(1, 5), self.rng.randrange(1, 4)
             desired_state = self.rng.choice(list(DesiredState))
             self.last_sent = fencing_token, sequence
             version = self.rng.choice(("", "v1", "v2"))
             command = Command(fencing_token, sequence, desired_state, version)
-            self.act(self.lifecycle.command(self.now, command))
-        elif kind == 1 and self.alive:
+            self.carry_out(self.lifecycle.command(self.now, command))
+        elif event == 1 and self.alive:
             pid = self.rng.choice(list(self.alive))
             process = self.alive.pop(pid)
             if process == self.lifecycle.process:
-                self.act(self.lifecycle.exited(self.now, "crashed"))
-        elif kind == 2 and self.lifecycle.process is not None:
-            self.act(self.lifecycle.ready(self.now, self.lifecycle.process.version))
-        elif kind == 3:
-            self.act(self.lifecycle.drained(self.now))
-        elif kind == 4 and self.rng.random() < 0.3:
+                self.carry_out(self.lifecycle.exited(self.now, "crashed"))
+        elif event == 2 and self.lifecycle.process is not None:
+            self.carry_out(self.lifecycle.ready(self.now, self.lifecycle.process.version))
+        elif event == 3:
+            self.carry_out(self.lifecycle.drained(self.now))
+        elif event == 4 and self.rng.random() < 0.3:
             self.kill_agent()
         else:
-            self.act(self.lifecycle.tick(self.now))
+            self.carry_out(self.lifecycle.tick(self.now))
 
 
 @settings(max_examples=150, deadline=None)
@@ -127,7 +134,7 @@
 
 
 @pytest.mark.parametrize("guard", ["durable", "ordered", "single_process"])
-def test_without_a_guard_an_old_command_is_accepted_or_a_second_process_started(guard: str) -> None:
+def test_without_a_guard_an_old_command_is_accepted_or_a_second_process_is_started(guard: str) -> None:
     for seed in range(300):
         machine = Machine(seed, LifecycleGuards(**{guard: False}))
         for _ in range(80):
@@ -135,10 +142,11 @@
         if machine.problems:
             print(guard, seed, machine.problems[0])
             return
-    raise AssertionError(f"nothing broke without {guard}")
+    raise AssertionError(f"no run without the guard {guard} found a violation")
 
 
-def running(version: str = "v1") -> InstanceLifecycle:
+def running_lifecycle(version: str = "v1") -> InstanceLifecycle:
+    """A lifecycle whose process serves, after one command under fencing token 1."""
     lifecycle = InstanceLifecycle(PersistedState(), 0.0, TIMEOUTS)
     state = PersistedState(1, 1, DesiredState.RUNNING, version)
     assert lifecycle.command(0.0, Command(1, 1, DesiredState.RUNNING, version)) == [Persist(state)]
@@ -156,7 +164,7 @@
 
 
 def test_an_old_command_is_rejected_with_the_greatest_fencing_token() -> None:
-    lifecycle = running()
+    lifecycle = running_lifecycle()
     lifecycle.command(2.0, Command(5, 1, DesiredState.DRAINED))
     (result, quiesce) = lifecycle.persisted(2.0)
     assert result == CommandResult(True, 5, 0) and quiesce == SetQuiesced(True)
@@ -172,7 +180,7 @@
 
 
 def test_restarts_back_off_and_a_stable_process_resets_the_backoff() -> None:
-    lifecycle = running()
+    lifecycle = running_lifecycle()
     backoffs = []
     now = 2.0
     for _ in range(9):
@@ -191,15 +199,16 @@
     assert lifecycle.wake() - now - 61.0 == pytest.approx(0.5)
 
 
-def test_an_upgrade_drains_terminates_and_starts_and_kills_after_a_timeout() -> None:
-    lifecycle = running()
+def test_an_upgrade_drains_and_terminates_the_old_process_and_kills_it_after_a_timeout() -> None:
+    lifecycle = running_lifecycle()
     old = lifecycle.process
     assert old is not None
     lifecycle.command(10.0, Command(2, 1, DesiredState.RUNNING, "v2"))
     _, quiesce = lifecycle.persisted(10.0)
     assert quiesce == SetQuiesced(True) and lifecycle.condition is Condition.OUT_OF_SERVICE
     assert lifecycle.tick(14.0) == []
-    assert lifecycle.tick(15.0) == [SignalProcess(old, False)]  # it never reports that it is drained
+    # the process did not report that it is drained
+    assert lifecycle.tick(15.0) == [SignalProcess(old, False)]
     assert lifecycle.tick(19.0) == [] and lifecycle.tick(20.0) == [SignalProcess(old, True)]
     lifecycle.exited(20.5, "killed")
     assert lifecycle.persisted(20.5) == [StartProcess("v2")]
@@ -207,9 +216,9 @@
     process = ProcessIdentity(8, 100, "v2")
     lifecycle.started(21.0, process)
     lifecycle.persisted(21.0)
-    assert lifecycle.ready(21.0, "v1") == []  # another version
+    assert lifecycle.ready(21.0, "v1") == []  # the report of another version
     assert lifecycle.stage is ProcessStage.STARTING
-    assert lifecycle.tick(26.0) == [SignalProcess(process, False)]  # it was not ready in time
+    assert lifecycle.tick(26.0) == [SignalProcess(process, False)]  # the process was not ready in time
 
 
 def test_a_restarted_agent_takes_over_its_own_process_and_no_other() -> None:
@@ -217,15 +226,16 @@
     taken_over = InstanceLifecycle(state, 0.0, TIMEOUTS, alive=True)
     assert taken_over.tick(0.0) == [] and taken_over.ready(0.0, "v1") == []
     assert taken_over.condition is Condition.SERVING
-    gone = InstanceLifecycle(state, 0.0, TIMEOUTS, alive=False)  # the pid is free, or of another process
-    assert gone.tick(0.0) == [StartProcess("v1")]
+    # the pid is unused or belongs to another process
+    restarted = InstanceLifecycle(state, 0.0, TIMEOUTS, alive=False)
+    assert restarted.tick(0.0) == [StartProcess("v1")]
 
 
-def test_nothing_is_started_before_a_command_is_durable() -> None:
-    lifecycle = running()
+def test_no_action_is_taken_before_a_command_is_durable() -> None:
+    lifecycle = running_lifecycle()
     lifecycle.command(2.0, Command(2, 1, DesiredState.STOPPED))
     assert lifecycle.tick(2.0) == [] and lifecycle.wake() == float("inf")
     assert lifecycle.observe().sequence == 0
-    one_at_a_time = Command(3, 1, DesiredState.RUNNING)
-    assert lifecycle.command(2.0, one_at_a_time) == [CommandResult(False, 2, 0)]
-    assert [type(each) for each in lifecycle.persisted(2.0)] == [CommandResult, SetQuiesced]
+    second_command = Command(3, 1, DesiredState.RUNNING)
+    assert lifecycle.command(2.0, second_command) == [CommandResult(False, 2, 0)]
+    assert [type(action) for action in lifecycle.persisted(2.0)] == [CommandResult, SetQuiesced]
--- a/tests/fleet/test_rolling_operations.py
+++ b/tests/fleet/test_rolling_operations.py
@@ -1,4 +1,4 @@
-"""Operations on the fleet: the state machine of one instance, and controllers between processes."""
+"""Tests of operations on the fleet: the state machine of one instance, and controllers as processes."""
 
 from __future__ import annotations
 
@@ -53,8 +53,10 @@
 
 
 class RandomRun:
-    """One real operation and one real lifecycle; responses and observations are lost or late, and the process
-    fails.  What the operation reports is compared with the process alone.
+    """Runs an operation against a lifecycle, with a simulated agent, group and process.
+
+    Responses and observations are lost or late, and the process fails at random.  The reported outcome is
+    compared with the actual state of the process.
     """
 
     def __init__(self, seed: int, kind: OperationKind, guards: OperationGuards) -> None:
@@ -68,7 +70,7 @@
         self.lifecycle = InstanceLifecycle(state, 0.0, alive=True)
         self.lifecycle.ready(0.0, "1")
         self.has_claim = False
-        self.was_ready = False  # the process served at some time after the last command was durable
+        self.was_ready = False  # whether the process served after the last command became durable
         self.observed = self._observe()
         self.outcome = ""
 
@@ -85,7 +87,7 @@
         )
 
     def _carry_out_lifecycle(self, actions: list[Any]) -> None:
-        """The disk is as fast as memory."""
+        """Execute actions of the lifecycle; states become durable immediately."""
         for action in actions:
             if isinstance(action, Persist):
                 self._carry_out_lifecycle(self.lifecycle.persisted(self.now))
@@ -129,7 +131,7 @@
                 self._release_claim(action)
 
     def _send_command(self, action: SendCommand) -> None:
-        assert self.has_claim or self.kind.restores_service, "a command without a claim"
+        assert self.has_claim or self.kind.restores_service, "a command was sent without a claim"
         self.was_ready = False
         command = Command(FENCING_TOKEN, action.sequence, action.desired_state, action.version)
         self._carry_out_lifecycle(self.lifecycle.command(self.now, command))
@@ -149,10 +151,10 @@
 
     def _check(self, outcome: str) -> None:
         if outcome.startswith("running"):
-            assert self.was_ready, "reported as running, and it never was since the command"
+            assert self.was_ready, "running was reported, but the process never served after the command"
             assert outcome == f"running {self.version or '1'}"
         if outcome == "stopped":
-            assert self.lifecycle.process is None, "reported as stopped, and it runs"
+            assert self.lifecycle.process is None, "stopped was reported, but the process runs"
         if outcome == "drained":
             assert self.lifecycle.stage in (
                 ProcessStage.DRAINING,
@@ -162,15 +164,15 @@
             )
 
     def run(self) -> str:
-        """The outcome, or nothing if there is none after many events."""
+        """Apply random events until there is an outcome; return "" if there is none after 600 events."""
         for _ in range(600):
             self.now += self.random.uniform(0.0, 0.4)
-            chance = self.random.random()
-            if chance < 0.3:
+            draw = self.random.random()
+            if draw < 0.3:
                 self._process_event()
-            elif chance < 0.5:
+            elif draw < 0.5:
                 self.observed = self._observe()
-            elif chance < 0.75:
+            elif draw < 0.75:
                 self._carry_out_operation(self.operation.observed(self.now, self.observed))
             else:
                 self._carry_out_operation(self.operation.tick(self.now))
@@ -186,7 +188,7 @@
 
 
 @pytest.mark.parametrize("guard", OperationGuards._fields)
-def test_without_a_guard_a_success_is_reported_that_is_none(guard: str) -> None:
+def test_without_a_guard_success_is_reported_wrongly(guard: str) -> None:
     def violated(seed: int) -> bool:
         kind = list(OperationKind)[seed % len(OperationKind)]
         try:
@@ -207,23 +209,23 @@
     assert operation.halt(0.0) == [Finish("not begun")]
     operation = new_operation(OperationKind.RESTART)
     assert operation.tick(0.0) == [AcquireClaim()]
-    assert not operation.halt(0.0)  # the response decides
+    assert not operation.halt(0.0)  # the response to the claim request decides
     granted = operation.claim_decided(0.1, ClaimGranted(("p",)))
     assert granted == [SendCommand(1, DesiredState.STOPPED, "")]
     assert not operation.halt(0.1)
-    # and a fenced one says so
+    # an operation that was fenced off reports the newer token
     fenced = operation.command_acknowledged(0.2, CommandResult(False, 9, 0))
     assert fenced == [Finish("refused: number 9 is newer than 7")]
 
 
-def test_an_operation_without_a_claim_in_time_reports_why() -> None:
+def test_an_operation_without_a_claim_in_time_reports_the_reason() -> None:
     operation = new_operation(OperationKind.STOP)
     operation.tick(0.0)
     operation.claim_decided(0.0, ClaimDenied((), (), ("p",)))
     assert operation.tick(41.0) == [Finish("refused: p: never reported")]
 
 
-def test_an_operation_without_effect_in_time_reports_the_last_condition() -> None:
+def test_an_operation_that_takes_no_effect_in_time_reports_the_last_condition() -> None:
     operation = new_operation(OperationKind.STOP)
     operation.tick(0.0)
     operation.claim_decided(0.0, ClaimGranted(("p",)))
@@ -235,14 +237,14 @@
     assert operation.tick(61.0) == [Finish("failed: serving after 60 s, wanted stopped")]
 
 
-def test_a_command_that_the_agent_can_not_carry_out_is_the_outcome() -> None:
+def test_a_command_that_the_agent_can_not_execute_ends_the_operation_with_its_reason() -> None:
     operation = new_operation(OperationKind.STOP)
     operation.tick(0.0)
     operation.claim_decided(0.0, ClaimGranted(("p",)))
     assert operation.command_failed(0.1, "no instance 'p' here") == [Finish("refused: no instance 'p' here")]
 
 
-def test_instances_are_selected_by_words_and_zones_alternate() -> None:
+def test_selectors_match_instances_and_zones_alternate() -> None:
     instances = [
         Instance(InstanceKind.PROXY, f"p{number}", zone="xy"[number % 2], condition=Condition.SERVING)
         for number in range(4)
@@ -255,7 +257,7 @@
 
 
 class TwoAgents:
-    """Two agents with two proxies each, in a zone of their own of which one instance may be unavailable."""
+    """Two agents with two proxies each.  Each agent is a zone, in which one instance may be unavailable."""
 
     def __init__(self, harness: Harness, folder: Path, backend: str, client: Client) -> None:
         self.harness = harness
@@ -264,38 +266,39 @@
             AgentHarness(harness, folder, backend, "m1", ("p1", "p2")),
             AgentHarness(harness, folder, backend, "m2", ("p3", "p4")),
         ]
-        self.max_unavailable = 0  # that was ever seen in one zone
+        self.max_unavailable = 0  # largest number of unavailable instances seen in one zone
 
-    async def start(self, *words: str, **env: str) -> ManagedProcess:
-        """Start a command of an operator."""
-        line = ("heronreel.cli", "fleet", *words, "--members", f"a={self.harness.addresses[0]}")
-        return await self.harness.start_process("operator", *line, **env)
+    async def start(self, *arguments: str, **env: str) -> ManagedProcess:
+        """Start `heronreel fleet` with these arguments."""
+        command_line = ("heronreel.cli", "fleet", *arguments, "--members", f"a={self.harness.addresses[0]}")
+        return await self.harness.start_process("operator", *command_line, **env)
 
-    async def output(self, *words: str, code: int = 0) -> str:
-        """The output of a command of an operator, which has to exit with the code."""
-        return await asyncio.to_thread(self.harness.run_command, "fleet", *words, expected_code=code)
+    async def output(self, *arguments: str, code: int = 0) -> str:
+        """Run `heronreel fleet`, which has to exit with this code; return its output."""
+        return await asyncio.to_thread(self.harness.run_command, "fleet", *arguments, expected_code=code)
 
     async def watch(self) -> None:
-        """Count unavailable instances by what the agents say, and not by the disruption budget."""
+        """Track the number of unavailable instances that the agents report, independently of the budget."""
         while True:
             for agent in self.agents:
                 with suppress(aiohttp.ClientError, OSError, TimeoutError):
                     status = await agent.status()
-                    unavailable = sum(each["condition"] != "serving" for each in status.values())
+                    unavailable = sum(row["condition"] != "serving" for row in status.values())
                     self.max_unavailable = max(self.max_unavailable, unavailable)
             await asyncio.sleep(0.02)
 
     async def pids(self) -> dict[str, int]:
-        """The one process of each proxy."""
-        found = {}
+        """The pid of each proxy, which has to have exactly one process."""
+        pids_by_name = {}
         for agent in self.agents:
             for name, pids in agent.running().items():
-                (found[name],) = pids
-        return found
+                (pids_by_name[name],) = pids
+        return pids_by_name
 
 
 @asynccontextmanager
 async def two_agents(folder: Path) -> AsyncIterator[TwoAgents]:
+    """Start a group and two agents whose proxies all serve, and apply the budget rules."""
     async with AsyncExitStack() as stack:
         harness = await stack.enter_async_context(Harness(folder, ("a",), 1))
         client = await stack.enter_async_context(Client(harness.addresses))
@@ -319,14 +322,16 @@
         yield fleet
 
 
-@pytest.mark.parametrize("point", ["claimed:2", "commanded:3"])
-def test_a_successor_of_a_killed_controller_stays_within_the_budget(point: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("crash_point", ["claimed:2", "commanded:3"])
+def test_a_successor_of_a_killed_controller_stays_within_the_budget(crash_point: str, tmp_path: Path) -> None:
     async def run() -> None:
         async with two_agents(tmp_path) as fleet:
             before = await fleet.pids()
             watching = asyncio.ensure_future(fleet.watch())
-            doomed = await fleet.start("restart", "p*", "--at-once", "4", HERONREEL_END_AT=point)
-            assert await doomed.wait_for_exit(90) == -9
+            killed_controller = await fleet.start(
+                "restart", "p*", "--at-once", "4", HERONREEL_END_AT=crash_point
+            )
+            assert await killed_controller.wait_for_exit(90) == -9
             printed = await fleet.output("restart", "p1", "--by", "ada", "--wait", "20", code=3)
             assert "resume it with go-on, or abandon it with give-up" in printed, printed
             printed = await fleet.output("go-on", "--by", "ada", "--wait", "20")
@@ -337,7 +342,7 @@
             assert fleet.max_unavailable == 1
             snapshot = await read_snapshot(fleet.client)
             assert not snapshot.claims
-            assert {each.condition for each in snapshot.instances.values()} == {Condition.SERVING}
+            assert {instance.condition for instance in snapshot.instances.values()} == {Condition.SERVING}
             operation = await read_operation(fleet.client)
             assert operation and operation.final_status == "done"
             assert set(operation.outcomes.values()) == {"running 1"}
@@ -345,7 +350,7 @@
     asyncio.run(run())
 
 
-def test_a_halt_stops_new_instances_and_a_bad_version_halts_and_is_rolled_back(tmp_path: Path) -> None:
+def test_a_halt_stops_an_operation_and_a_failing_version_halts_and_is_rolled_back(tmp_path: Path) -> None:
     async def run() -> None:
         async with two_agents(tmp_path) as fleet:
             rolling = await fleet.start("restart", "p*")
@@ -360,10 +365,11 @@
             printed = await fleet.output("status")
             assert "HALTED by ada: smoke" in printed and "halted" in printed
             printed = await fleet.output("go-on", "--by", "ada", code=1)
-            assert f"{len(operation.pending)} not begun" in printed, printed  # the halt is still in force
+            assert f"{len(operation.pending)} not begun" in printed, printed  # the fleet is still halted
             await fleet.output("resume")
             await fleet.output("go-on", "--by", "ada")
-            # a version that does not run: its first instance halts the rest, and a start brings it back
+            # The bad version exits immediately: its first instance halts the fleet, and is then started with
+            # version 1 again.
             printed = await fleet.output("upgrade", "p*", "--to", "bad", "--settle", "4", code=1)
             assert "proxy/p1" in printed and "failed" in printed, printed
             snapshot = await read_snapshot(fleet.client)
@@ -373,7 +379,7 @@
             printed = await fleet.output("start", "p1", "--to", "1")
             assert "running 1" in printed, printed
             snapshot = await read_snapshot(fleet.client)
-            assert not snapshot.claims and snapshot.halt  # only `resume` lifts it
+            assert not snapshot.claims and snapshot.halt  # only `resume` lifts the halt
             await fleet.output("drain", "p2", code=3)
             await fleet.output("resume")
             await fleet.output("stop", "p2", "p3", code=3)  # no instance has both names
