--- a/heronreel/cli/explain.py
+++ b/heronreel/cli/explain.py
@@ -9,7 +9,7 @@
 
 import click
 
-from heronreel.routes.explain import UNITS, Explanation, PolicyValue, explain
+from heronreel.routes.explain import FIELD_UNITS, Explanation, PolicyValue, explain
 from heronreel.routes.findings import Report
 from heronreel.serve.files import check_file
 
@@ -85,7 +85,7 @@
 
 def _value_text(value: PolicyValue) -> str:
     text = ", ".join(value.value) if isinstance(value.value, list) else value.value
-    unit = " ms" if value.field.endswith("_ms") else UNITS.get(value.field, "")
+    unit = " ms" if value.field.endswith("_ms") else FIELD_UNITS.get(value.field, "")
     return f"{text}{unit if text else ''}"
 
 
--- a/heronreel/coordination/settings.py
+++ b/heronreel/coordination/settings.py
@@ -99,47 +99,49 @@
     reader = TableReader(raw, lines)
     for name in raw:
         if name not in ("group", "members"):
-            reader.wrong((name,), "no such table", "known here: group, members", "unknown-field")
-    settings = GroupSettings(**reader.table(raw.get("group", {}), ("group",), GroupSettings))
+            reader.add_problem((name,), "no such table", "known here: group, members", "unknown-field")
+    settings = GroupSettings(**reader.read_table(raw.get("group", {}), ("group",), GroupSettings))
     members = _read_members(reader, raw)
     _check_size(reader, members, settings)
     _check_times(reader, settings)
-    reader.finish()
+    reader.raise_problems()
     return GroupConfig(tuple(members), settings)
 
 
 def _read_members(reader: TableReader, raw: dict[str, Any]) -> list[MemberAddress]:
     members: list[MemberAddress] = []
     paths: list[tuple[Any, ...]] = []
-    for path, table in reader.tables(raw.get("members"), ("members",), MAX_MEMBERS):
-        values = reader.table(table, path, MemberAddress)
+    for path, table in reader.read_tables(raw.get("members"), ("members",), MAX_MEMBERS):
+        values = reader.read_table(table, path, MemberAddress)
         if "name" in values and "address" in values:
             members.append(MemberAddress(**values))
             paths.append(path)
-    reader.once(((path, member.name) for path, member in zip(paths, members, strict=True)), "member")
-    reader.once(((path, member.address) for path, member in zip(paths, members, strict=True)), "address")
+    reader.check_unique(((path, member.name) for path, member in zip(paths, members, strict=True)), "member")
+    reader.check_unique(
+        ((path, member.address) for path, member in zip(paths, members, strict=True)), "address"
+    )
     return members
 
 
 def _check_size(reader: TableReader, members: list[MemberAddress], settings: GroupSettings) -> None:
     if not members and not reader.problems:
-        reader.wrong(("members",), "none", "at least one table under [[members]]")
+        reader.add_problem(("members",), "none", "at least one table under [[members]]")
     if members and len(members) % 2 == 0 and not settings.even:
         expected = (
             f"an odd number: {len(members) - 1} tolerate as many failures; "
             "set even = true in [group] to accept an even number"
         )
-        reader.wrong(("members",), f"{len(members)} members", expected, "even")
+        reader.add_problem(("members",), f"{len(members)} members", expected, "even")
 
 
 def _check_times(reader: TableReader, settings: GroupSettings) -> None:
     minimum_ms = MIN_HEARTBEATS_PER_ELECTION_TIMEOUT * settings.beat_ms
     if settings.patience_ms < minimum_ms:
         problem = f"is {settings.patience_ms}"
-        reader.wrong(
+        reader.add_problem(
             ("group", "patience_ms"), problem, f"at least {minimum_ms}, three heartbeat intervals", "timing"
         )
-    reader.lease(("group", "lease_s"), settings.lease_s, settings.answer_s, settings.margin_s)
+    reader.check_lease(("group", "lease_s"), settings.lease_s, settings.answer_s, settings.margin_s)
 
 
 def load_group(path: str) -> GroupConfig:
--- a/heronreel/emulator/deciders.py
+++ b/heronreel/emulator/deciders.py
@@ -8,7 +8,7 @@
 from heronreel.balancer.pools import Pools
 from heronreel.emulator.model import Rehearsal, RequestClass
 from heronreel.emulator.policies import DEFAULT_POLICY, Decider, NodeOracle, make_policy
-from heronreel.routes.model import EFFECTS, GROUPS, RoutesFile
+from heronreel.routes.model import DEDUP_SCOPES_BY_NAME, EFFECTS_BY_NAME, RoutesFile
 from heronreel.serve.policies import Router, discovered_pool
 
 MakeDecider = Callable[[api.Settings, int], Decider]
@@ -27,8 +27,8 @@
                 k.deadline_ms,
                 k.weight,
                 k.late_weight,
-                EFFECTS[k.effect],
-                GROUPS[k.dedup_scope],
+                EFFECTS_BY_NAME[k.effect],
+                DEDUP_SCOPES_BY_NAME[k.dedup_scope],
                 k.dedup_ms,
             )
             for k in rehearsal.classes
--- a/heronreel/emulator/model.py
+++ b/heronreel/emulator/model.py
@@ -12,7 +12,7 @@
 from msgspec import Meta, Struct, field
 
 from heronreel.emulator.notification_terms import UNTOLD_MS
-from heronreel.routes.schema import Count, Flag, Name, Positive, Share, Span
+from heronreel.routes.schema import Count, DurationMs, Flag, Name, PositiveDurationMs, Share
 
 SCRIPT_VERSION = 1
 MAX_PROXIES, MAX_FAULTS = 2_000, 1_000
@@ -49,17 +49,17 @@
     thrash_at: Speed = 6.0  # requests for each core, beyond its cores, at which that loss is reached
     connections: Count = 0  # limit of open connections; 0: unlimited
     full_tax: Share = 0.0  # share of its pace lost when the connection table is full
-    handshake_ms: Span = 0.0  # work of a new connection
+    handshake_ms: DurationMs = 0.0  # work of a new connection
     handshake_rtts: Factor = 1.0
     warm_gain: Share = 0.0  # share of the work saved for a recently used key
-    warm_ms: Span = 5000.0
+    warm_ms: DurationMs = 5000.0
     warm_keys: Count = 20
     warm_up_floor: Share = field(default=1.0, name="cold_from")  # share of its pace right after a start
-    warm_up_ms: Span = field(default=0.0, name="cold_ms")
-    warm_up_work_ms: Span = field(default=0.0, name="warm_work_ms")  # ends the warm-up early
+    warm_up_ms: DurationMs = field(default=0.0, name="cold_ms")
+    warm_up_work_ms: DurationMs = field(default=0.0, name="warm_work_ms")  # ends the warm-up early
     error_rate: Share = 0.0
-    pause_every_ms: Span = 0.0
-    pause_ms: Span = 0.0
+    pause_every_ms: DurationMs = 0.0
+    pause_ms: DurationMs = 0.0
 
 
 class FleetConfig(Struct, frozen=True):
@@ -76,9 +76,9 @@
 class NetworkConfig(Struct, frozen=True):
     """One-way latencies (`[network]`)."""
 
-    same_zone_ms: Span = field(default=0.3, name="same_ms")
-    cross_zone_ms: Span = field(default=15.0, name="cross_ms")
-    client_ms: Span = 0.8
+    same_zone_ms: DurationMs = field(default=0.3, name="same_ms")
+    cross_zone_ms: DurationMs = field(default=15.0, name="cross_ms")
+    client_ms: DurationMs = 0.8
     jitter: Share = 0.1
 
 
@@ -89,19 +89,23 @@
     skew: Share = 0.0  # of traffic between proxies: busiest over mean, less 1, by steps of rank
     policy: Name = "heronreel"
     routes: Annotated[str, _meta("the path of a file of routes")] = ""
-    idle_ms: Span = 1000.0  # idle connections to nodes are closed after this
-    connect_timeout_ms: Positive = 250.0
+    idle_ms: DurationMs = 1000.0  # idle connections to nodes are closed after this
+    connect_timeout_ms: PositiveDurationMs = 250.0
     max_attempts: Annotated[int, _meta("a whole number from 1 to 16", ge=1, le=16)] = 4
     hedging: Flag = field(default=False, name="second_copies")
-    max_retry_after_ms: Span = 2000.0
-    restart_ms: Span = 1000.0  # from the end of a process to its successor's first healthy response
-    shutdown_limit_ms: Span = field(default=3000.0, name="term_ms")  # from SIGTERM to a kill at the latest
+    max_retry_after_ms: DurationMs = 2000.0
+    restart_ms: DurationMs = 1000.0  # from the end of a process to its successor's first healthy response
+    shutdown_limit_ms: DurationMs = field(
+        default=3000.0, name="term_ms"
+    )  # from SIGTERM to a kill at the latest
 
 
 class FrontEndConfig(Struct, frozen=True):
     """What spreads requests over proxies (`[front]`)."""
 
-    detection_ms: Span = field(default=2000.0, name="notice_ms")  # until a dead proxy gets no new requests
+    detection_ms: DurationMs = field(
+        default=2000.0, name="notice_ms"
+    )  # until a dead proxy gets no new requests
 
 
 class TrafficPoint(Struct, frozen=True):
@@ -118,7 +122,7 @@
     zone_skew: Share = 0.0
     arrivals: Annotated[Literal["open", "closed"], _meta('"open" or "closed"')] = "open"
     users: Annotated[int, _meta("a whole number from 1 to 100,000", ge=1, le=100_000)] = 50  # closed only
-    think_ms: Span = 500.0  # closed only
+    think_ms: DurationMs = 500.0  # closed only
     points: tuple[TrafficPoint, ...] = ()  # a factor on the rate, linear between points
 
 
@@ -127,21 +131,21 @@
 
     name: Name = "save"
     share: Share = 1.0
-    work_ms: Positive = 80.0
+    work_ms: PositiveDurationMs = 80.0
     distribution: Distribution = field(default="exp", name="dist")
     cv: Factor = 1.0
     attempt_noise: Factor = 0.0  # deviation of an attempt's work over the request's
     hint_noise: Factor = 0.1
     hints: Flag = True
-    latency_objective_ms: Positive = field(default=500.0, name="aim_ms")
-    deadline_ms: Positive = 2500.0
+    latency_objective_ms: PositiveDurationMs = field(default=500.0, name="aim_ms")
+    deadline_ms: PositiveDurationMs = 2500.0
     weight: Factor = field(default=1.0, name="worth")
     late_weight: Share = field(default=0.5, name="late_worth")
     effect: Annotated[Literal["safe", "keyed", "unsafe"], _meta('"safe", "keyed" or "unsafe"')] = "keyed"
     dedup_scope: Annotated[Literal["rack", "zone", "all"], _meta('"rack", "zone" or "all"')] = field(
         default="rack", name="group"
     )
-    dedup_window_ms: Span = field(default=5000.0, name="window_ms")
+    dedup_window_ms: DurationMs = field(default=5000.0, name="window_ms")
 
     @property
     def dedup_ms(self) -> float:
@@ -169,7 +173,7 @@
     """Client behaviour: retries, backoff and patience (`[clients]`)."""
 
     retries: Annotated[int, _meta("a whole number from 0 to 20", ge=0, le=20)] = 1
-    backoff_ms: Span = 100.0
+    backoff_ms: DurationMs = 100.0
     backoff: Annotated[Literal["fixed", "exp"], _meta('"fixed" or "exp"')] = "exp"
     honor_retry_after: Share = field(default=1.0, name="honour")  # share that waits as Retry-After says
     abandon_share: Share = field(default=0.0, name="impatient")  # share that disconnects early
@@ -185,16 +189,18 @@
         default=200.0, name="lines_per_s"
     )
     call_cost: Factor = field(default=24.0, name="call_lines")  # cost of a call itself, in entries
-    timeout_ms: Positive = 3000.0
-    removal_delay_ms: Span = field(default=2500.0, name="notice_ms")  # until it knows that a node has gone
-    addition_delay_ms: Span = field(default=1000.0, name="add_ms")  # until it knows a new one
-    batch_ms: Positive = field(default=500.0, name="period_ms")  # changes are sent together
+    timeout_ms: PositiveDurationMs = 3000.0
+    removal_delay_ms: DurationMs = field(
+        default=2500.0, name="notice_ms"
+    )  # until it knows that a node has gone
+    addition_delay_ms: DurationMs = field(default=1000.0, name="add_ms")  # until it knows a new one
+    batch_ms: PositiveDurationMs = field(default=500.0, name="period_ms")  # changes are sent together
     max_backlog: Annotated[int, _meta("a whole number from 1 to 1,000,000", ge=1, le=1_000_000)] = field(
         default=10_000, name="backlog"
     )
     # of the service's time for each call in turn, in place of entries; calls that would wait for over
     # `timeout_ms` are then refused with 503 and worked off; 0: off
-    call_ms: Span = 0.0
+    call_ms: DurationMs = 0.0
     snapshot_share: Share = 1.0  # of responses that are the whole list; the others hold what has changed
     snapshot_omits_draining: Flag = False  # whole lists leave out nodes that drain
 
@@ -202,19 +208,19 @@
 class InvariantLimits(Struct, frozen=True):
     """Time limits of the invariants (`[rules]`)."""
 
-    response_grace_ms: Span = field(default=50.0, name="answer_grace_ms")
-    drain_grace_ms: Span = 500.0
+    response_grace_ms: DurationMs = field(default=50.0, name="answer_grace_ms")
+    drain_grace_ms: DurationMs = 500.0
     # after which what the list service knows counts as delivered; 0: only what has arrived
-    delivered_after_ms: Span = field(default=0.0, name="told_ms")
+    delivered_after_ms: DurationMs = field(default=0.0, name="told_ms")
     # after the end of a watch that ended in place of a change (`instead_of_change`); 0: off
-    untold_ms: Span = UNTOLD_MS
+    untold_ms: DurationMs = UNTOLD_MS
     # after the list service had a change and could be reached, for a proxy whose last call of it failed,
     # whatever else would count; 0: off
-    failed_call_ms: Span = 0.0
-    poll_within_ms: Positive = field(default=10_000.0, name="ask_within_ms")
+    failed_call_ms: DurationMs = 0.0
+    poll_within_ms: PositiveDurationMs = field(default=10_000.0, name="ask_within_ms")
     overload_factor: Annotated[float, _meta("a number from 1 to 100", ge=1.0, le=100.0)] = 4.0
-    collapse_window_ms: Positive = field(default=2000.0, name="fall_ms")
-    collapse_slack_ms: Span = field(default=400.0, name="fall_slack_ms")  # of work that chance may add
+    collapse_window_ms: PositiveDurationMs = field(default=2000.0, name="fall_ms")
+    collapse_slack_ms: DurationMs = field(default=400.0, name="fall_slack_ms")  # of work that chance may add
 
 
 class Prices(Struct, frozen=True):
--- a/heronreel/emulator/script_loader.py
+++ b/heronreel/emulator/script_loader.py
@@ -39,9 +39,9 @@
     def load(self) -> model.Rehearsal:
         self._check_version()
         unknown = {key: value for key, value in self.raw.items() if key not in FIELDS and key != "version"}
-        self.table(unknown, (), TopLevel)
+        self.read_table(unknown, (), TopLevel)
         plain = {key: value for key, value in self.raw.items() if key in PLAIN_FIELDS}
-        values: dict[str, Any] = self.table(plain, (), model.Rehearsal)
+        values: dict[str, Any] = self.read_table(plain, (), model.Rehearsal)
         for key, spec in TABLES.items():
             part = self._optional(key, spec)
             if part is not None:
@@ -55,11 +55,11 @@
         )
         if not values["classes"]:
             values["classes"] = (model.RequestClass(),)
-        self.finish()
+        self.raise_problems()
         rehearsal = model.Rehearsal(**{FIELDS[key]: value for key, value in values.items()})
         for finding in check_script(rehearsal):
-            self.wrong(finding.path, finding.wrong, finding.right, finding.rule)
-        self.finish()
+            self.add_problem(finding.path, finding.wrong, finding.right, finding.rule)
+        self.raise_problems()
         return rehearsal
 
     def _check_version(self) -> None:
@@ -68,13 +68,13 @@
             newer = isinstance(version, int) and version > model.SCRIPT_VERSION
             right = f"this program reads version {model.SCRIPT_VERSION}"
             right += "; use a newer one" if newer else ""
-            self.wrong(("version",), f"is {describe_value(version)}", right, "version")
-            self.finish()
+            self.add_problem(("version",), f"is {describe_value(version)}", right, "version")
+            self.raise_problems()
 
     def _struct(self, raw: object, path: Path, spec: type[S]) -> S | None:
         """The record of a table; None where a problem was found in it."""
         problems = len(self.problems)
-        values = self.table(raw, path, spec)
+        values = self.read_table(raw, path, spec)
         return msgspec.convert(values, spec) if len(self.problems) == problems else None
 
     def _optional(self, key: str, spec: type[S], without: str = "") -> S | None:
@@ -90,23 +90,25 @@
         self, path: Path, raw: object, spec: type[S], limit: int = MAX_TABLES, named: bool = True
     ) -> tuple[S, ...]:
         """The records of an array of tables; where they are named, each name once."""
-        rows = self.tables(raw, path, limit)
+        rows = self.read_tables(raw, path, limit)
         records = [self._struct(row, place, spec) for place, row in rows]
         if named:
             names = ((place, row["name"]) for place, row in rows if isinstance(row.get("name"), str))
-            self.once(names, "name")
+            self.check_unique(names, "name")
         return tuple(record for record in records if record is not None)
 
     def _fleet(self) -> model.FleetConfig:
         raw = self.raw.get("fleet")
         if raw is None:
-            self.wrong((), "fleet is missing", "add [fleet] with nodes and [[fleet.kinds]]", "missing-field")
+            self.add_problem(
+                (), "fleet is missing", "add [fleet] with nodes and [[fleet.kinds]]", "missing-field"
+            )
             return model.FleetConfig()
         raw_kinds = raw.get("kinds", ()) if isinstance(raw, dict) else ()
         kinds = self._rows(("fleet", "kinds"), raw_kinds, model.NodeKind)
         fleet = self._optional("fleet", model.FleetConfig, without="kinds")
         if not kinds:
-            self.wrong(("fleet",), "has no kinds", "add [[fleet.kinds]] with a name", "missing-field")
+            self.add_problem(("fleet",), "has no kinds", "add [[fleet.kinds]] with a name", "missing-field")
         return msgspec.structs.replace(fleet or model.FleetConfig(), kinds=kinds)
 
     def _traffic(self) -> model.TrafficConfig:
--- a/heronreel/fleet/agent_settings.py
+++ b/heronreel/fleet/agent_settings.py
@@ -99,15 +99,15 @@
     for name in raw:
         if name not in TABLE_NAMES:
             expected = f"known here: {', '.join(TABLE_NAMES)}"
-            reader.wrong((name,), "no such table", expected, "unknown-field")
-    agent = reader.table(raw.get("agent", {}), ("agent",), AgentTable)
+            reader.add_problem((name,), "no such table", expected, "unknown-field")
+    agent = reader.read_table(raw.get("agent", {}), ("agent",), AgentTable)
     # the table may have problems, so that there is no `AgentTable` yet whose defaults apply
     lease_terms = agent.get("lease_s", 6), agent.get("answer_s", 1.0), agent.get("margin_s", 1.0)
-    reader.lease(("agent", "lease_s"), *lease_terms)
+    reader.check_lease(("agent", "lease_s"), *lease_terms)
     versions = _tables(reader, raw, "versions", VersionTable)
     instances = _tables(reader, raw, "instances", InstanceTable)
-    reader.once([(path, table.listen) for path, table in instances], "address")
-    reader.finish()
+    reader.check_unique([(path, table.listen) for path, table in instances], "address")
+    reader.raise_problems()
     return AgentSettings(
         AgentTable(**agent),
         {table.name: table.run for _, table in versions},
@@ -124,13 +124,13 @@
     """All tables of one kind with their paths; at least one is expected."""
     required = [field.name for field in msgspec.structs.fields(table_type) if field.required]
     found: list[tuple[tuple[Any, ...], NamedTable]] = []
-    for path, table in reader.tables(raw.get(name), (name,), MAX_TABLES):
-        values = reader.table(table, path, table_type)
+    for path, table in reader.read_tables(raw.get(name), (name,), MAX_TABLES):
+        values = reader.read_table(table, path, table_type)
         if all(field in values for field in required):
             found.append((path, table_type(**values)))
-    reader.once(((path, table.name) for path, table in found), name.rstrip("s"))
+    reader.check_unique(((path, table.name) for path, table in found), name.rstrip("s"))
     if not found and not reader.problems:
-        reader.wrong((name,), "none", f"at least one table under [[{name}]]")
+        reader.add_problem((name,), "none", f"at least one table under [[{name}]]")
     return found
 
 
--- a/heronreel/fleet/budget_settings.py
+++ b/heronreel/fleet/budget_settings.py
@@ -60,19 +60,19 @@
     reader = TableReader(raw, lines)
     for name in raw:
         if name != TABLE_NAME:
-            reader.wrong((name,), "no such table", f"known here: {TABLE_NAME}", "unknown-field")
+            reader.add_problem((name,), "no such table", f"known here: {TABLE_NAME}", "unknown-field")
     rules: list[BudgetRule] = []
     names: list[tuple[tuple[Any, ...], str]] = []
-    for path, table in reader.tables(raw.get(TABLE_NAME), (TABLE_NAME,), MAX_RULES):
-        values = reader.table(table, path, AllowTable)
+    for path, table in reader.read_tables(raw.get(TABLE_NAME), (TABLE_NAME,), MAX_RULES):
+        values = reader.read_table(table, path, AllowTable)
         if "name" in values:
             names.append((path, values["name"]))
         if not any(field in table for field in LIMIT_FIELDS):
-            reader.wrong(path, "allows anything", "most_out or least_serving, or both", "empty")
+            reader.add_problem(path, "allows anything", "most_out or least_serving, or both", "empty")
         if "name" in values and "kind" in values:
             rules.append(BudgetRule(**{FIELD_NAMES[key]: value for key, value in values.items()}))
-    reader.once(names, "allowance")
-    reader.finish()
+    reader.check_unique(names, "allowance")
+    reader.raise_problems()
     return tuple(rules)
 
 
--- a/heronreel/routes/checked_route.py
+++ b/heronreel/routes/checked_route.py
@@ -4,7 +4,15 @@
 
 from heronreel.balancer.interface import DedupScope, Effect
 from heronreel.routes.findings import Witness
-from heronreel.routes.model import GROUP_NAMES, Path, PlatformLimits, Problem, RetryScope, Route, RoutesFile
+from heronreel.routes.model import (
+    DEDUP_SCOPE_NAMES,
+    Path,
+    PlatformLimits,
+    Problem,
+    RetryScope,
+    Route,
+    RoutesFile,
+)
 from heronreel.routes.timeline import EventKind, RequestTerms, TimelineEvent
 
 OUTCOME_TEXTS = {
@@ -29,7 +37,7 @@
         if self.policy.deduplication_scope is DedupScope.ALL:
             return "the fleet"
         named = sorted(self.deduplication_groups() or ())
-        kind = GROUP_NAMES[self.policy.deduplication_scope]
+        kind = DEDUP_SCOPE_NAMES[self.policy.deduplication_scope]
         return f"{kind} {named[index]}" if index < len(named) and named[index] else f"{kind} {index + 1}"
 
     def deduplication_groups(self, pools: tuple[str, ...] | None = None) -> frozenset[str] | None:
@@ -125,7 +133,7 @@
 
     def two_groups(self, scope: RetryScope) -> tuple[str, str]:
         """A group that remembers, and one that the repeat may reach, by name where they are known."""
-        kind = GROUP_NAMES[self.policy.deduplication_scope]
+        kind = DEDUP_SCOPE_NAMES[self.policy.deduplication_scope]
         pools_of_retry: list[tuple[str, ...]] = [(share.pool,) for share in self.route.split]
         if scope is RetryScope.SPLIT:
             pools_of_retry = [tuple(share.pool for share in self.route.split)]
--- a/heronreel/routes/explain.py
+++ b/heronreel/routes/explain.py
@@ -9,10 +9,10 @@
 from urllib.parse import urlsplit
 
 from heronreel.routes.index import RouteIndex, route_accepts
-from heronreel.routes.model import EFFECT_NAMES, GROUP_NAMES, Route, RoutesFile
+from heronreel.routes.model import DEDUP_SCOPE_NAMES, EFFECT_NAMES, Route, RoutesFile
 from heronreel.routes.schema import POLICY_ATTRIBUTES
 
-UNITS = {"requests_per_s": "/s", "retry_budget": " per first try", "second_copy_percentile": " %"}
+FIELD_UNITS = {"requests_per_s": "/s", "retry_budget": " per first try", "second_copy_percentile": " %"}
 
 
 @dataclass(slots=True, frozen=True)
@@ -78,8 +78,8 @@
     """A value as the file would have it."""
     if value in EFFECT_NAMES:
         return EFFECT_NAMES[value]
-    if value in GROUP_NAMES:
-        return GROUP_NAMES[value]
+    if value in DEDUP_SCOPE_NAMES:
+        return DEDUP_SCOPE_NAMES[value]
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, frozenset):
--- a/heronreel/routes/limit_checks.py
+++ b/heronreel/routes/limit_checks.py
@@ -7,7 +7,7 @@
 from heronreel.balancer.interface import DedupScope, Effect
 from heronreel.routes.checked_route import CheckedRoute
 from heronreel.routes.findings import Finding, Witness
-from heronreel.routes.model import EFFECT_NAMES, GROUP_NAMES, PlatformClass
+from heronreel.routes.model import DEDUP_SCOPE_NAMES, EFFECT_NAMES, PlatformClass
 from heronreel.routes.timeline import EventKind, RequestTerms, TimelineEvent
 
 STRICTNESS = {Effect.IDEMPOTENT: 0, Effect.KEYED: 1, Effect.UNSAFE: 2}
@@ -92,7 +92,7 @@
 def _weaker_deduplication(route: CheckedRoute, platform_class: PlatformClass) -> Iterator[Finding]:
     policy, window = route.policy, platform_class.window_ms
     if SCOPE_WIDTH[policy.deduplication_scope] > SCOPE_WIDTH[platform_class.scope]:
-        own, required = GROUP_NAMES[policy.deduplication_scope], GROUP_NAMES[platform_class.scope]
+        own, required = DEDUP_SCOPE_NAMES[policy.deduplication_scope], DEDUP_SCOPE_NAMES[platform_class.scope]
         wrong = f"counts on {own!r} where only {required!r} drops repeats"
         problem = route.problem("group", wrong, f"group = {required!r}", "weaker-than-platform")
         yield Finding(problem, route.retried_at_once("another", route.terms(Effect.KEYED, window)))
--- a/heronreel/routes/load.py
+++ b/heronreel/routes/load.py
@@ -15,8 +15,8 @@
 from heronreel.balancer.interface import Effect
 from heronreel.routes import schema
 from heronreel.routes.model import (
-    EFFECTS,
-    GROUPS,
+    DEDUP_SCOPES_BY_NAME,
+    EFFECTS_BY_NAME,
     ExhaustedResponse,
     FleetSettings,
     HealthCheckSettings,
@@ -48,8 +48,8 @@
 HEALTH_PATH = "/_health"  # answered by the proxy itself
 HEDGE_FIELDS = ("second_copy_after_ms", "second_copy_percentile")
 VALUE_READERS: Mapping[str, Callable[[Any], Any]] = {
-    "effect": EFFECTS.__getitem__,
-    "deduplication_scope": GROUPS.__getitem__,
+    "effect": EFFECTS_BY_NAME.__getitem__,
+    "deduplication_scope": DEDUP_SCOPES_BY_NAME.__getitem__,
     "retry_on": frozenset,
     "retry_scope": RetryScope,
     "hedge_scope": RetryScope,
@@ -80,7 +80,7 @@
 
     def load(self) -> RoutesFile:
         """Every table in turn; raises ConfigFileError with all problems at the end."""
-        top = self.table(self.raw, (), schema.Top)
+        top = self.read_table(self.raw, (), schema.RootTable)
         file = RoutesFile(
             self._process(top.get("proxy", {})),
             self._listeners(),
@@ -92,7 +92,7 @@
         routes = self._routes(file)
         fleet = self._fleet(top["fleet"], len(file.tenants)) if "fleet" in top else None
         probe = self._probe(top["probe"]) if "probe" in top else None
-        self.finish()
+        self.raise_problems()
         return RoutesFile(
             file.process, file.listeners, file.pools, file.tenants, routes, self.lines, fleet, probe
         )
@@ -107,7 +107,7 @@
                 raise ValueError
         except ValueError:
             # names are not looked up: a resolver that stalls would stall every request behind it
-            self.wrong(
+            self.add_problem(
                 path,
                 f"is {describe_value(text)}",
                 'expected an IP address and a port, such as "127.0.0.1:8080"',
@@ -116,7 +116,7 @@
         return host, number
 
     def _process(self, raw: object) -> ProxySettings:
-        values = self.table(raw, ("proxy",), schema.ProxyTable)
+        values = self.read_table(raw, ("proxy",), schema.ProxyTable)
         names = {field for field in PlatformLimits.__dataclass_fields__ if field in values}
         if "discovery" in values:
             values["discovery"] = self._address(values["discovery"], ("proxy", "discovery"), False)
@@ -125,121 +125,121 @@
 
     def _listeners(self) -> tuple[Listener, ...]:
         made = []
-        rows = self.tables(self.raw.get("listeners"), ("listeners",), 64)
+        rows = self.read_tables(self.raw.get("listeners"), ("listeners",), 64)
         for path, row in rows:
-            values = self.table(row, path, schema.ListenerTable)
+            values = self.read_table(row, path, schema.ListenerTable)
             if "name" in values and "address" in values:
                 made.append(
                     Listener(values["name"], self._address(values["address"], (*path, "address"), True))
                 )
-        self.once(((p, r["name"]) for p, r in rows if isinstance(r.get("name"), str)), "listener")
+        self.check_unique(((p, r["name"]) for p, r in rows if isinstance(r.get("name"), str)), "listener")
         fixed = ((p, r["address"]) for p, r in rows if isinstance(r.get("address"), str))
-        self.once(((p, a) for p, a in fixed if not a.endswith(":0")), "address")
+        self.check_unique(((p, a) for p, a in fixed if not a.endswith(":0")), "address")
         return tuple(made)
 
     def _pools(self) -> dict[str, Pool]:
         pools: dict[str, Pool] = {}
         names: list[tuple[Path, str]] = []
         addresses: list[tuple[Path, str]] = []
-        for path, row in self.tables(self.raw.get("pools"), ("pools",), MAX_MEMBERS):
-            values = self.table(row, path, schema.PoolTable)
+        for path, row in self.read_tables(self.raw.get("pools"), ("pools",), MAX_MEMBERS):
+            values = self.read_table(row, path, schema.PoolTable)
             discovered = values.get("discovery") == "platform"
             members = []
-            rows = self.tables(row.get("members"), (*path, "members"), MAX_MEMBERS)
+            rows = self.read_tables(row.get("members"), (*path, "members"), MAX_MEMBERS)
             for entry_path, entry in rows:
-                member = self.table(entry, entry_path, schema.MemberTable)
+                member = self.read_table(entry, entry_path, schema.MemberTable)
                 if "name" not in member or "address" not in member:
                     continue
                 address = self._address(member["address"], (*entry_path, "address"), False)
                 addresses.append(((*entry_path, "address"), f"{address[0]}:{address[1]}"))
                 members.append(Member(**{**member, "address": address}))
             if discovered and rows:
-                self.wrong(
+                self.add_problem(
                     (*path, "members"), "members beside the platform's discovery", "use one of the two"
                 )
             elif not discovered and not rows and "name" in values:
-                self.wrong(
+                self.add_problem(
                     path,
                     "has no members",
                     f"add [[pools.members]] or discovery = {describe_value('platform')}",
                 )
-            self.once(((p, r["name"]) for p, r in rows if isinstance(r.get("name"), str)), "member")
+            self.check_unique(((p, r["name"]) for p, r in rows if isinstance(r.get("name"), str)), "member")
             if "name" in values:
                 names.append((path, values["name"]))
                 pools.setdefault(values["name"], Pool(values["name"], tuple(members), discovered))
-        self.once(names, "pool")
+        self.check_unique(names, "pool")
         found = [path for path, name in names if pools[name].discovered]
         if len(found) > 1:  # discovery tells of no pools
-            self.wrong(found[1], "a second pool from the platform's discovery", "one at most")
+            self.add_problem(found[1], "a second pool from the platform's discovery", "one at most")
         # one backend in two pools would be booked twice, and a cold one be sent twice what it bears
-        self.once(addresses, "address")
+        self.check_unique(addresses, "address")
         return pools
 
     def _tenants(self) -> tuple[Tenant, ...]:
-        rows = self.tables(self.raw.get("tenants"), ("tenants",), 10_000)
-        values = [self.table(row, path, schema.TenantTable) for path, row in rows]
-        self.once(((p, r["name"]) for p, r in rows if isinstance(r.get("name"), str)), "tenant")
+        rows = self.read_tables(self.raw.get("tenants"), ("tenants",), 10_000)
+        values = [self.read_table(row, path, schema.TenantTable) for path, row in rows]
+        self.check_unique(((p, r["name"]) for p, r in rows if isinstance(r.get("name"), str)), "tenant")
         return tuple(Tenant(**row) for row in values if "name" in row)
 
     def _fleet(self, raw: object, tenants: int) -> FleetSettings | None:
-        values = self.table(raw, ("fleet",), schema.FleetTable)
+        values = self.read_table(raw, ("fleet",), schema.FleetTable)
         if "group" not in values:
             return None
         for index, text in enumerate(values["group"]):
             self._address(text, ("fleet", "group", index), False)
         budgets = self._budgets(values.pop("budgets", {}))
         fleet = FleetSettings(**values | {"group": tuple(values["group"]), "budgets": budgets})
-        self.lease(("fleet", "lease_s"), fleet.lease_s, fleet.answer_s, fleet.margin_s)
+        self.check_lease(("fleet", "lease_s"), fleet.lease_s, fleet.answer_s, fleet.margin_s)
         if fleet.embedded and (len(fleet.group) != 1 or not is_loopback(fleet.group[0])):
             right = 'one address of this machine in group, as ["127.0.0.1:9001"]'
-            self.wrong(("fleet", "embedded"), f"with {len(fleet.group)} in group", right, "embedded")
+            self.add_problem(("fleet", "embedded"), f"with {len(fleet.group)} in group", right, "embedded")
         if fleet.count_s and not fleet.folder:
             right = "a folder that outlives the process, for this machine's counts"
-            self.wrong(("fleet", "folder"), "is missing", right, "missing-field")
+            self.add_problem(("fleet", "folder"), "is missing", right, "missing-field")
         if fleet.count_s and tenants > MAX_METERED_TENANTS:
             right = f"at most {MAX_METERED_TENANTS:,} tenants are counted: count_s = 0"
-            self.wrong(("fleet", "count_s"), f"{tenants:,} tenants", right, "count")
+            self.add_problem(("fleet", "count_s"), f"{tenants:,} tenants", right, "count")
         return fleet
 
     def _budgets(self, raw: object) -> tuple[tuple[str, float | None, float | None, float | None], ...]:
         path: Path = ("fleet", "budgets")
         if not isinstance(raw, dict):
-            self.wrong(path, f"is {describe_value(raw)}", "expected a table")
+            self.add_problem(path, f"is {describe_value(raw)}", "expected a table")
             return ()
         rows = []
         for name, table in raw.items():
             if name not in TASK_PRIORITIES:
                 right = f"known here: {', '.join(TASK_PRIORITIES)}"
-                self.wrong((*path, name), "no such class of tasks", right, "unknown-field")
+                self.add_problem((*path, name), "no such class of tasks", right, "unknown-field")
                 continue
-            values = self.table(table, (*path, name), schema.BudgetTable)
+            values = self.read_table(table, (*path, name), schema.BudgetTable)
             rows.append((name, values.get("calls"), values.get("bytes"), values.get("cpu")))
         return tuple(rows)
 
     def _probe(self, raw: object) -> HealthCheckSettings | None:
-        values = self.table(raw, ("probe",), schema.ProbeTable)
+        values = self.read_table(raw, ("probe",), schema.ProbeTable)
         if "path" not in values:
             return None
         probe = HealthCheckSettings(**values)
         if probe.timeout_ms > probe.every_ms:
             right = f"at most every_ms, {probe.every_ms:g}: a round is over before the next one"
-            self.wrong(("probe", "timeout_ms"), f"is {probe.timeout_ms:g}", right, "probe")
+            self.add_problem(("probe", "timeout_ms"), f"is {probe.timeout_ms:g}", right, "probe")
         return probe
 
     def _routes(self, file: RoutesFile) -> tuple[Route, ...]:
-        defaults = self.table(self.raw.get("defaults", {}), ("defaults",), schema.PolicyFields)
+        defaults = self.read_table(self.raw.get("defaults", {}), ("defaults",), schema.PolicyFields)
         if "class" in defaults:
-            self.wrong(
+            self.add_problem(
                 ("defaults", "class"), "a class for all routes", "set it on each route, or leave it out"
             )
         made: list[Route] = []
-        rows = self.tables(self.raw.get("routes"), ("routes",), MAX_ROUTES)
+        rows = self.read_tables(self.raw.get("routes"), ("routes",), MAX_ROUTES)
         if not rows:
-            self.wrong(
+            self.add_problem(
                 ("routes",), "no routes", "expected at least one table under [[routes]]", "missing-field"
             )
         for path, row in rows:
-            values = self.table(row, path, schema.RouteTable)
+            values = self.read_table(row, path, schema.RouteTable)
             match = self._match(row.get("match"), path)
             split = self._split(row, values, path, file.pools)
             if "name" not in values or match is None:
@@ -248,7 +248,7 @@
             made.append(
                 Route(values["name"], int(path[1]), match, policy, split, values.get("priority", 0), origins)
             )
-        self.once(((p, r["name"]) for p, r in rows if isinstance(r.get("name"), str)), "route")
+        self.check_unique(((p, r["name"]) for p, r in rows if isinstance(r.get("name"), str)), "route")
         return tuple(made)
 
     def _split(
@@ -256,26 +256,26 @@
     ) -> tuple[PoolShare, ...]:
         shares: list[PoolShare] = []
         if "pool" in row and "split" in row:
-            self.wrong((*path, "split"), "pool and split together", "use one of the two")
+            self.add_problem((*path, "split"), "pool and split together", "use one of the two")
         elif "pool" in values:
             shares.append(PoolShare(values["pool"], 1.0))
             self._known(values["pool"], (*path, "pool"), pools)
         elif "split" in row:
-            parts = self.tables(row["split"], (*path, "split"), 1000)
+            parts = self.read_tables(row["split"], (*path, "split"), 1000)
             for part_path, part in parts:
-                share = self.table(part, part_path, schema.SplitTable)
+                share = self.read_table(part, part_path, schema.SplitTable)
                 if "pool" in share:
                     self._known(share["pool"], (*part_path, "pool"), pools)
                     shares.append(PoolShare(share["pool"], share.get("weight", 1.0)))
-            self.once(((p, r["pool"]) for p, r in parts if isinstance(r.get("pool"), str)), "pool")
+            self.check_unique(((p, r["pool"]) for p, r in parts if isinstance(r.get("pool"), str)), "pool")
             if shares and not any(share.weight for share in shares):
-                self.wrong(
+                self.add_problem(
                     (*path, "split"), "every weight is 0", "at least one weight over 0", "zero-weights"
                 )
             elif not shares and not parts:
-                self.wrong((*path, "split"), "names no pool", 'expected [{ pool = "...", weight = 1 }]')
+                self.add_problem((*path, "split"), "names no pool", 'expected [{ pool = "...", weight = 1 }]')
         elif "pool" not in row:
-            self.wrong(path, "names no pool", "expected pool or split", "missing-field")
+            self.add_problem(path, "names no pool", "expected pool or split", "missing-field")
         return tuple(shares)
 
     def _known(self, name: str, path: Path, pools: Mapping[str, Pool]) -> None:
@@ -284,32 +284,32 @@
             right = (
                 f"did you mean {near[0]!r}?" if near else f"known: {', '.join(sorted(pools)[:10]) or 'none'}"
             )
-            self.wrong(path, f"no pool is named {name!r}", right, "missing-pool")
+            self.add_problem(path, f"no pool is named {name!r}", right, "missing-pool")
 
     # What a request must look like.
 
     def _match(self, raw: object, path: Path) -> Match | None:
         if raw is None:
-            self.wrong(
+            self.add_problem(
                 path, "match is missing", 'expected match = { path_prefix = "/" } or another', "missing-field"
             )
             return None
         path = (*path, "match")
-        values = self.table(raw, path, schema.MatchTable)
+        values = self.read_table(raw, path, schema.MatchTable)
         if not isinstance(raw, dict):
             return None
-        before = len(self.problems) + self.dropped
+        before = len(self.problems) + self.omitted_problems
         paths = [name for name in ("path", "path_prefix", "path_pattern") if name in raw]
         if len(paths) != 1:
             what = "no path" if not paths else " and ".join(paths) + " together"
-            self.wrong(path, what, "expected one of path, path_prefix and path_pattern")
+            self.add_problem(path, what, "expected one of path, path_prefix and path_pattern")
             return None
         kind = paths[0]
         text = values.get(kind, "/")
         self._path(text, kind, (*path, kind))
         host = values.get("host", "").lower()
         if host and not _HOST.fullmatch(host):
-            self.wrong(
+            self.add_problem(
                 (*path, "host"),
                 f"is {describe_value(host)}",
                 'expected a host name without port, or "*." before one',
@@ -318,16 +318,18 @@
         for index, method in enumerate(methods):
             if method not in METHODS:
                 right = f"expected some of {', '.join(sorted(METHODS))}"
-                self.wrong(
+                self.add_problem(
                     (*path, "methods", index),
                     f"{describe_value(method)} never arrives",
                     right,
                     "never-matches",
                 )
         if "methods" in values and not methods:
-            self.wrong((*path, "methods"), "is empty", "leave it out to take any method", "never-matches")
+            self.add_problem(
+                (*path, "methods"), "is empty", "leave it out to take any method", "never-matches"
+            )
         headers = self._headers(values.get("headers", {}), (*path, "headers"))
-        if len(self.problems) + self.dropped > before:
+        if len(self.problems) + self.omitted_problems > before:
             return None
         return Match(host, **{kind: text}, methods=frozenset(methods), headers=headers)
 
@@ -336,41 +338,43 @@
         for name, value in values.items():
             lower = name.lower()
             if not _TOKEN.fullmatch(name):
-                self.wrong(
+                self.add_problem(
                     (*path, name),
                     f"{describe_value(name)} is no header name",
                     "see RFC 9110, 5.1",
                     "never-matches",
                 )
             elif lower in found:
-                self.wrong(
+                self.add_problem(
                     (*path, name), "stands there in other letters already", "each header once", "duplicate"
                 )
             elif value != value.strip() or not value.isascii() or not value.isprintable():
                 right = "expected visible ASCII without spaces around it"
-                self.wrong((*path, name), f"{describe_value(value)} never arrives", right, "never-matches")
+                self.add_problem(
+                    (*path, name), f"{describe_value(value)} never arrives", right, "never-matches"
+                )
             found[lower] = value
         return tuple(sorted(found.items()))
 
     def _path(self, text: str, kind: str, path: Path) -> None:
         if not text.startswith("/"):
             right = 'expected a path that begins with "/"'
-            self.wrong(path, f"is {describe_value(text)}", right, "never-matches")
+            self.add_problem(path, f"is {describe_value(text)}", right, "never-matches")
             return
         segments = text.split("/")[1:]
         if len(segments) > MAX_SEGMENTS:
-            self.wrong(path, f"has {len(segments)} segments", f"at most {MAX_SEGMENTS} are matched")
+            self.add_problem(path, f"has {len(segments)} segments", f"at most {MAX_SEGMENTS} are matched")
         if kind == "path_pattern":
             parameters = [segment for segment in segments if _PARAMETER.fullmatch(segment)]
             self._segments([segment for segment in segments if segment not in parameters], kind, path)
             if len(set(parameters)) < len(parameters):
-                self.wrong(path, "has one name twice", "each name in braces once", "duplicate")
+                self.add_problem(path, "has one name twice", "each name in braces once", "duplicate")
             if not parameters:
-                self.wrong(path, "has no name in braces", "use path for a fixed text")
+                self.add_problem(path, "has no name in braces", "use path for a fixed text")
         else:
             self._segments(segments, kind, path)
         if text == HEALTH_PATH and kind == "path":
-            self.wrong(path, "is answered by the proxy itself", "another path", "never-matches")
+            self.add_problem(path, "is answered by the proxy itself", "another path", "never-matches")
 
     def _segments(self, segments: Iterable[str], kind: str, path: Path) -> None:
         """Literal segments of a path."""
@@ -380,9 +384,9 @@
         for segment in segments:
             if segment in (".", ".."):
                 removed = "clients take these out (RFC 3986, 5.2.4)"
-                self.wrong(path, f"has a segment {segment!r}", removed, "never-matches")
+                self.add_problem(path, f"has a segment {segment!r}", removed, "never-matches")
             elif not _SEGMENT.fullmatch(segment):
-                self.wrong(path, f"has a segment {describe_value(segment)}", right, "never-matches")
+                self.add_problem(path, f"has a segment {describe_value(segment)}", right, "never-matches")
 
 
 def _inherit(name: str, own: dict[str, Any], defaults: dict[str, Any]) -> tuple[Policy, dict[str, str]]:
--- a/heronreel/routes/model.py
+++ b/heronreel/routes/model.py
@@ -11,16 +11,16 @@
 
 Path = tuple[str | int, ...]  # of a value in the file: ("routes", 3, "attempts")
 
-EFFECTS = {"safe": Effect.IDEMPOTENT, "keyed": Effect.KEYED, "unsafe": Effect.UNSAFE}
-GROUPS = {"rack": DedupScope.CELL, "zone": DedupScope.ZONE, "all": DedupScope.ALL}
-OUTCOMES: dict[str, tuple[Outcome, ...]] = {
+EFFECTS_BY_NAME = {"safe": Effect.IDEMPOTENT, "keyed": Effect.KEYED, "unsafe": Effect.UNSAFE}
+DEDUP_SCOPES_BY_NAME = {"rack": DedupScope.CELL, "zone": DedupScope.ZONE, "all": DedupScope.ALL}
+OUTCOMES_BY_NAME: dict[str, tuple[Outcome, ...]] = {
     "not-run": NEVER_RAN,
     "error": (Outcome.ERROR,),
     "reset": (Outcome.RESET,),
     "timeout": (Outcome.TIMEOUT,),
 }
-EFFECT_NAMES = {effect: word for word, effect in EFFECTS.items()}
-GROUP_NAMES = {scope: word for word, scope in GROUPS.items()}
+EFFECT_NAMES = {effect: word for word, effect in EFFECTS_BY_NAME.items()}
+DEDUP_SCOPE_NAMES = {scope: word for word, scope in DEDUP_SCOPES_BY_NAME.items()}
 
 
 class RetryScope(Enum):
--- a/heronreel/routes/reader.py
+++ b/heronreel/routes/reader.py
@@ -111,19 +111,19 @@
         self.raw = raw
         self.lines = lines
         self.problems: list[Problem] = []
-        self.dropped = 0
+        self.omitted_problems = 0
 
-    def wrong(self, path: Path, wrong: str, right: str, rule: str = "form") -> None:
+    def add_problem(self, path: Path, wrong: str, right: str, rule: str = "form") -> None:
         """Note a problem at the line of this path, or of the nearest table that holds it."""
         if len(self.problems) >= MAX_PROBLEMS:
-            self.dropped += 1
+            self.omitted_problems += 1
             return
         at = path
         while at and at not in self.lines:
             at = at[:-1]
-        self.problems.append(Problem(self.lines.get(at, 0), self._spoken(path), wrong, right, rule))
+        self.problems.append(Problem(self.lines.get(at, 0), self._field_name(path), wrong, right, rule))
 
-    def _spoken(self, path: Path) -> str:
+    def _field_name(self, path: Path) -> str:
         """("routes", 3, "attempts") as routes.salva-profilo.attempts."""
         words: list[str] = []
         here: Any = self.raw
@@ -141,11 +141,11 @@
                 words.append(f"[{step}]")
         return "".join(words).lstrip(".") or "file"
 
-    def table(self, raw: object, path: Path, spec: type[msgspec.Struct]) -> dict[str, Any]:
+    def read_table(self, raw: object, path: Path, spec: type[msgspec.Struct]) -> dict[str, Any]:
         """The fields that are set and right, by name; a problem for each that is not."""
         fields = _fields(spec)
         if not isinstance(raw, dict):
-            self.wrong(path, f"is {describe_value(raw)}", "expected a table")
+            self.add_problem(path, f"is {describe_value(raw)}", "expected a table")
             return {}
         values: dict[str, Any] = {}
         for name, value in raw.items():
@@ -153,57 +153,57 @@
             if field is None:
                 near = difflib.get_close_matches(name, fields, 1)
                 right = f"did you mean {near[0]!r}?" if near else f"known here: {', '.join(sorted(fields))}"
-                self.wrong((*path, name), "no such field", right, "unknown-field")
+                self.add_problem((*path, name), "no such field", right, "unknown-field")
                 continue
             try:
                 values[name] = msgspec.convert(value, field.type, strict=True)
             except msgspec.ValidationError as error:
                 place = re.search(r"`\$(.*)`", str(error))
                 where = f" at {place[1]}" if place else ""
-                self.wrong((*path, name), f"is {describe_value(value)}{where}", _wanted(field.type))
+                self.add_problem((*path, name), f"is {describe_value(value)}{where}", _wanted(field.type))
         for name, field in fields.items():
             if field.required and name not in raw:
-                self.wrong(path, f"{name} is missing", _wanted(field.type), "missing-field")
+                self.add_problem(path, f"{name} is missing", _wanted(field.type), "missing-field")
         return values
 
-    def tables(self, raw: object, path: Path, most: int) -> list[tuple[Path, dict[str, Any]]]:
+    def read_tables(self, raw: object, path: Path, most: int) -> list[tuple[Path, dict[str, Any]]]:
         """An array of tables, with the path of each."""
         if raw is msgspec.UNSET or raw is None or raw == ():
             return []
         if not isinstance(raw, list) or not all(isinstance(row, dict) for row in raw):
-            self.wrong(
+            self.add_problem(
                 path,
                 f"is {describe_value(raw)}",
                 f"expected tables, each under [[{'.'.join(map(str, path))}]]",
             )
             return []
         if len(raw) > most:
-            self.wrong(path, f"has {len(raw):,} entries", f"at most {most:,} are allowed")
+            self.add_problem(path, f"has {len(raw):,} entries", f"at most {most:,} are allowed")
             return []
         return [((*path, place), row) for place, row in enumerate(raw)]
 
-    def once(self, rows: Iterable[tuple[Path, str]], what: str) -> None:
+    def check_unique(self, rows: Iterable[tuple[Path, str]], what: str) -> None:
         """Each name once; a second one names the line of the first."""
         seen: dict[str, Path] = {}
         for path, name in rows:
             if name in seen:
                 first = self.lines.get(seen[name], 0)
-                self.wrong(
+                self.add_problem(
                     path, f"{what} {name!r} stands on line {first} already", f"each {what} once", "duplicate"
                 )
             seen.setdefault(name, path)
 
-    def lease(self, path: Path, lease_s: float, answer_s: float, margin_s: float) -> None:
+    def check_lease(self, path: Path, lease_s: float, answer_s: float, margin_s: float) -> None:
         """A lease has to leave a third of itself for an answer and the margin."""
         least = 3 * (answer_s + margin_s)
         if lease_s < least:
             rest = "a third is left for an answer of answer_s and the margin of margin_s"
-            self.wrong(path, f"is {lease_s}", f"at least {least:g}: {rest}", "lease")
+            self.add_problem(path, f"is {lease_s}", f"at least {least:g}: {rest}", "lease")
 
-    def finish(self) -> None:
+    def raise_problems(self) -> None:
         """Raise BadFile with all that was found wrong, if anything was."""
         if self.problems:
-            if self.dropped:
-                more = Problem(0, "file", f"{self.dropped} more problems", "mend the others first")
+            if self.omitted_problems:
+                more = Problem(0, "file", f"{self.omitted_problems} more problems", "mend the others first")
                 self.problems.append(more)
             raise ConfigFileError(self.problems)
--- a/heronreel/routes/schema.py
+++ b/heronreel/routes/schema.py
@@ -27,18 +27,18 @@
 ]
 Text = Annotated[str, _meta("a text of at most 1,024 characters", max_length=1024)]
 Address = Annotated[str, _meta('an IP address and a port, such as "127.0.0.1:8080"', max_length=64)]
-Span = Annotated[float, _meta("milliseconds from 0 to 3,600,000", ge=0.0, le=HOUR_MS)]
-Positive = Annotated[float, _meta("milliseconds over 0 and up to 3,600,000", gt=0.0, le=HOUR_MS)]
+DurationMs = Annotated[float, _meta("milliseconds from 0 to 3,600,000", ge=0.0, le=HOUR_MS)]
+PositiveDurationMs = Annotated[float, _meta("milliseconds over 0 and up to 3,600,000", gt=0.0, le=HOUR_MS)]
 Rate = Annotated[float, _meta("a number a second from 0 to 10,000,000", ge=0.0, le=1e7)]
 Share = Annotated[float, _meta("a share from 0 to 1", ge=0.0, le=1.0)]
 Weight = Annotated[float, _meta("a number from 0 to 1,000,000", ge=0.0, le=1e6)]
-Many = Annotated[int, _meta("a whole number from 1 to 10,000", ge=1, le=10_000)]
+PositiveCount = Annotated[int, _meta("a whole number from 1 to 10,000", ge=1, le=10_000)]
 Count = Annotated[int, _meta("a whole number from 0 to 1,000,000", ge=0, le=1_000_000)]
 Flag = Annotated[bool, _meta("true or false")]
-Words = Annotated[list[str], _meta("a list of texts")]
+TextList = Annotated[list[str], _meta("a list of texts")]
 
 
-class Top(Struct):
+class RootTable(Struct):
     """The tables of a file."""
 
     version: Annotated[int, _meta("the number 1", ge=1, le=1)] = 1
@@ -57,22 +57,22 @@
 
     name: Name = "heronreel"
     zone: Annotated[str, _meta("the name of a zone", pattern=f"^({NAME.pattern})?$")] = ""
-    proxies: Many = 1
+    proxies: PositiveCount = 1
     seed: Annotated[int, _meta("a whole number from 0 to 2^63", ge=0, le=2**63 - 1)] = 1
     memory_mb: Annotated[int, _meta("a whole number of MB from 32 to 1,048,576", ge=32, le=1 << 20)] = 128
     sockets: Annotated[int, _meta("a whole number from 64 to 1,048,576", ge=64, le=1 << 20)] = 1024
     max_attempts: Annotated[int, _meta("a whole number from 1 to 16", ge=1, le=16)] = 4
     second_copies: Flag = False
-    connect_timeout_ms: Positive = 250.0
-    client_wait_ms: Positive = 2500.0
-    clock_margin_ms: Span = 50.0
-    max_retry_after_ms: Span = 0.0
-    drain_grace_ms: Span = 500.0
-    backend_idle_ms: Positive = 15000.0
+    connect_timeout_ms: PositiveDurationMs = 250.0
+    client_wait_ms: PositiveDurationMs = 2500.0
+    clock_margin_ms: DurationMs = 50.0
+    max_retry_after_ms: DurationMs = 0.0
+    drain_grace_ms: DurationMs = 500.0
+    backend_idle_ms: PositiveDurationMs = 15000.0
     cold_from: Share = 1.0
-    cold_ms: Span = 0.0
+    cold_ms: DurationMs = 0.0
     overload_factor: Annotated[float, _meta("a number from 1 to 100", ge=1.0, le=100.0)] = 2.0
-    fall_ms: Positive = 1000.0
+    fall_ms: PositiveDurationMs = 1000.0
     discovery: Address | UnsetType = UNSET
 
 
@@ -153,7 +153,7 @@
     path: Text | UnsetType = UNSET
     path_prefix: Text | UnsetType = UNSET
     path_pattern: Text | UnsetType = UNSET
-    methods: Words = field(default_factory=list)
+    methods: TextList = field(default_factory=list)
     headers: Annotated[dict[str, str], _meta("a table of header names and texts")] = field(
         default_factory=dict
     )
@@ -177,19 +177,19 @@
     deduplication_scope: Annotated[Literal["rack", "zone", "all"], _meta('"rack", "zone" or "all"')] = field(
         name="group", default="rack"
     )
-    deduplication_window_ms: Span = field(name="window_ms", default=0.0)
-    latency_objective_ms: Positive = field(name="aim_ms", default=1000.0)
-    deadline_ms: Positive = 5000.0
-    attempt_timeout_ms: Span = 0.0
+    deduplication_window_ms: DurationMs = field(name="window_ms", default=0.0)
+    latency_objective_ms: PositiveDurationMs = field(name="aim_ms", default=1000.0)
+    deadline_ms: PositiveDurationMs = 5000.0
+    attempt_timeout_ms: DurationMs = 0.0
     max_attempts: Annotated[int, _meta("a whole number from 1 to 16", ge=1, le=16)] = field(
         name="attempts", default=1
     )
-    backoff_ms: Span = 0.0
-    max_backoff_ms: Span = field(name="backoff_most_ms", default=1000.0)
+    backoff_ms: DurationMs = 0.0
+    max_backoff_ms: DurationMs = field(name="backoff_most_ms", default=1000.0)
     retry_budget: Annotated[float, _meta("a share of the first tries, such as 0.2", ge=0.0, le=100.0)] = 0.2
     retry_on: RetriedOutcomes = field(default_factory=lambda: ["not-run"])
     retry_scope: RetryScopeName = field(name="retry_to", default="group")
-    hedge_after_ms: Span = field(name="second_copy_after_ms", default=0.0)
+    hedge_after_ms: DurationMs = field(name="second_copy_after_ms", default=0.0)
     hedge_percentile: Annotated[
         float, _meta("a percentile from 50 to 99.9, or 0 for none", ge=0.0, le=99.9)
     ] = field(name="second_copy_percentile", default=0.0)
--- a/heronreel/serve/policies.py
+++ b/heronreel/serve/policies.py
@@ -10,7 +10,7 @@
 from heronreel.proxy.config import Config, resource_shares
 from heronreel.proxy.endpoints import Endpoint, EndpointList
 from heronreel.routes.index import RouteIndex
-from heronreel.routes.model import OUTCOMES, ExhaustedResponse, Pool, RetryScope, Route, RoutesFile
+from heronreel.routes.model import OUTCOMES_BY_NAME, ExhaustedResponse, Pool, RetryScope, Route, RoutesFile
 
 ASK_WITHIN_MS = 10_000.0
 
@@ -40,7 +40,7 @@
         attempt_timeout_ms=policy.attempt_timeout_ms,
         backoff_ms=policy.backoff_ms,
         max_backoff_ms=policy.max_backoff_ms,
-        retry_on=frozenset(outcome for word in policy.retry_on for outcome in OUTCOMES[word]),
+        retry_on=frozenset(outcome for word in policy.retry_on for outcome in OUTCOMES_BY_NAME[word]),
         retry_budget_ratio=policy.retry_budget,
         retry_in_group=policy.retry_scope is RetryScope.GROUP,
         spills_over=policy.retry_scope is RetryScope.SPLIT,
