--- a/tests/balancer/strict_host.py
+++ b/tests/balancer/strict_host.py
@@ -139,6 +139,7 @@
         self.sent_work.setdefault(action.backend, []).append((self.now, request.arrival.hint_ms))
 
     def receive_list(self, kind: ListKind, *infos: BackendInfo) -> list[Action]:
+        """Send a backend list to the balancer."""
         if kind in (ListKind.FULL, ListKind.CACHED):
             self.usable = {}
         for info in infos:
@@ -158,6 +159,7 @@
         key: int | None = None,
         is_retry: bool = False,
     ) -> int:
+        """Send a new request to the balancer and return its id."""
         ident = self.next_id
         self.next_id += 1
         name = request_class or self.settings.classes[0].name
@@ -169,6 +171,7 @@
     def end_attempt(
         self, ident: int, attempt: int, outcome: Outcome, latency: float | None = None
     ) -> list[Action]:
+        """End an attempt with an outcome; the latency is the time since its start if none is given."""
         request = self.requests[ident]
         sent = request.attempts[attempt]
         assert sent.in_flight
@@ -184,11 +187,13 @@
         )
 
     def disconnect_client(self, ident: int) -> None:
+        """Disconnect the client of a request."""
         self.requests[ident].has_ended = True
         self.pending.pop(ident, None)
         self._handle(RequestClosed(ident))
 
     def in_flight(self) -> list[tuple[int, int]]:
+        """Return the attempts in flight as pairs of request id and attempt number."""
         return list(self.live_attempts)
 
     def advance_to(self, now: float) -> None:
@@ -212,12 +217,14 @@
         self.check_deadlines()
 
     def check_deadlines(self) -> None:
+        """Raise RuleViolationError if a request has no final response after its deadline."""
         for request in self.pending.values():
             if self.now > request.deadline + 20.0:
                 raise RuleViolationError("rule 1: the request got no final response by its deadline")
 
 
 def backend_fleet(count: int) -> list[BackendInfo]:
+    """Return backends in two zones, with four backends per cell."""
     return [BackendInfo(100 + n, zone=f"z{n % 2}", cell=n // 4) for n in range(count)]
 
 
--- a/tests/balancer/test_fleet_slow_start.py
+++ b/tests/balancer/test_fleet_slow_start.py
@@ -64,16 +64,19 @@
 
 
 def promptly(world: FleetWorld) -> Callable[[Proxy], float]:
+    """Return a delay, per proxy, within which a change of the list reaches all proxies."""
     return lambda proxy: world.random.uniform(0.0, NOTIFICATION_MS)
 
 
 def late_at_some_proxies(world: FleetWorld) -> Callable[[Proxy], float]:
+    """Return a delay, per proxy, with which a change of the list reaches some proxies late."""
     return lambda proxy: world.random.uniform(
         0.0, LATE_NOTIFICATION_MS if world.random.random() < LATE_SHARE else NOTIFICATION_MS
     )
 
 
-def come_back_cold(world: FleetWorld, backends: list[int], delay: Callable[[Proxy], float]) -> None:
+def restart_backends(world: FleetWorld, backends: list[int], delay: Callable[[Proxy], float]) -> None:
+    """Restart backends and notify the proxies of their start."""
     for backend in backends:
         world.stop(backend)
     world.run_for(DOWN_MS)
@@ -85,13 +88,13 @@
 
 
 def one_comes_back_cold(world: FleetWorld) -> None:
-    come_back_cold(world, [100], promptly(world))
+    restart_backends(world, [100], promptly(world))
 
 
 def several_at_once(world: FleetWorld) -> None:
     count = max(2, len(world.servers) // 3)
     world.tell([world.start(NEW_BACKEND + number) for number in range(count // 2)], promptly(world))
-    come_back_cold(world, [100 + number for number in range(count - count // 2)], promptly(world))
+    restart_backends(world, [100 + number for number in range(count - count // 2)], promptly(world))
 
 
 def a_restarted_proxy_meets_cold_ones(world: FleetWorld) -> None:
@@ -103,7 +106,7 @@
 
 
 def the_news_is_late_at_some(world: FleetWorld) -> None:
-    come_back_cold(world, [100, 101], late_at_some_proxies(world))
+    restart_backends(world, [100, 101], late_at_some_proxies(world))
 
 
 def one_is_handed_back_before_its_line_comes(world: FleetWorld) -> None:
--- a/tests/balancer/test_regressions.py
+++ b/tests/balancer/test_regressions.py
@@ -43,6 +43,7 @@
 
 
 def first_backends(host: Host) -> list[int]:
+    """Return the backend of the first attempt of each request that was sent."""
     return [request.attempts[0].backend for request in host.requests.values() if request.attempts]
 
 
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -61,6 +61,7 @@
 
 
 def play(seed: int, steps: int) -> Host:
+    """Send a random stream of events to a balancer."""
     rng = random.Random(seed)
     host = Host(settings_for(rng), seed)
     host.receive_list(ListKind.CACHED, *random_fleet(rng, host.now))
@@ -117,6 +118,7 @@
 
 
 def cold_host(seed: int, proxies: int = 10) -> Host:
+    """Return a host with 20 warm backends and slow start over 20 s."""
     work = RequestClass("work", 500.0, 2000.0, effect=Effect.IDEMPOTENT)
     limits = Settings(
         (work,), proxies=proxies, slow_start_from=0.13, slow_start_ms=20000.0, overload_window_ms=2000.0
--- a/tests/balancer/test_speed.py
+++ b/tests/balancer/test_speed.py
@@ -30,7 +30,7 @@
             info = host.known[sent.backend]
             sends[sent.backend] = sends.get(sent.backend, 0) + 1
             latency_ms = LATENCY_MS[info.kind] / (
-                ramp_of(host.now - info.started_ms) if info.started_ms else 1.0
+                capacity_share_at(host.now - info.started_ms) if info.started_ms else 1.0
             )
             due.append((host.now + latency_ms, ident, latency_ms))
         host.advance_to(host.now + interval_ms)
@@ -40,7 +40,8 @@
     return sends
 
 
-def ramp_of(age_ms: float) -> float:
+def capacity_share_at(age_ms: float) -> float:
+    """Return the share of its capacity that a cold backend of this age has."""
     return min(1.0, 0.2 + 0.8 * age_ms / 20_000.0)
 
 
@@ -126,7 +127,7 @@
         work = [w for host in hosts for w in host.sent_work.get(backend, ()) if w[0] >= start]
         for at in range(0, 4_000, 250):
             sent_work = sum(hint for when, hint in work if at <= when - start < at + 2000.0)
-            budget = 4.0 * capacity * speed[list_entry(backend).kind] * ramp_of(at) * 2000.0
+            budget = 4.0 * capacity * speed[list_entry(backend).kind] * capacity_share_at(at) * 2000.0
             assert sent_work < budget, (backend, at, sent_work / budget, "seed", seed)
             used.append(sent_work / budget)
     mean_use = sum(used) / len(used)
@@ -161,7 +162,14 @@
         sends = [at - start for host in hosts for at, _ in host.sent_work.get(backend, ())]
         for at in range(0, 6_000, 250):
             requests = sum(at <= when < at + 2_000.0 for when in sends)
-            budget = factor * capacity * speed[list_entry(backend).kind] * ramp_of(at) * 2_000.0 / COST_MS
+            budget = (
+                factor
+                * capacity
+                * speed[list_entry(backend).kind]
+                * capacity_share_at(at)
+                * 2_000.0
+                / COST_MS
+            )
             assert requests <= budget + 2.0 * budget**0.5 + 2.0, (backend, at, requests, budget, "seed", seed)
 
 
--- a/tests/balancer/test_watch_schedule.py
+++ b/tests/balancer/test_watch_schedule.py
@@ -33,6 +33,7 @@
         return self.free_at, True
 
     def calls_per_s(self, since: float, until: float) -> float:
+        """Return the mean rate of calls between two times."""
         return 1000.0 * sum(since <= at < until for at in self.calls) / (until - since)
 
 
--- a/tests/balancer/test_weighted_turns.py
+++ b/tests/balancer/test_weighted_turns.py
@@ -26,6 +26,7 @@
 
 
 def first_backends(host: Host) -> list[int]:
+    """Return the backend of the first attempt of each request that was sent."""
     return [request.attempts[0].backend for request in host.requests.values() if request.attempts]
 
 
