--- a/heronreel/proxy/client_connection.py
+++ b/heronreel/proxy/client_connection.py
@@ -34,15 +34,15 @@
 from heronreel.proxy.errors import UnreadableMessageError
 from heronreel.proxy.event_log import CloseReason, EventKind, RefusalReason, record
 from heronreel.proxy.http1 import (
-    CONTINUE,
+    CONTINUE_RESPONSE,
     DATE_LINE,
     MAX_HEAD_BYTES,
     MAX_TARGET_BYTES,
     OPTIONAL_WHITESPACE,
     Headers,
-    absolute_form,
     is_host,
     response_head,
+    split_absolute_form,
 )
 from heronreel.proxy.request import RequestHead
 from heronreel.proxy.request_validation import (
@@ -169,7 +169,7 @@
             self._refuse(400)
         if version == "1.0":
             self.close_after_response = True  # RFC 9112, 9.3: no proxy keeps a connection of HTTP/1.0
-        if absolute := absolute_form(self.target):
+        if absolute := split_absolute_form(self.target):
             self._take_authority(*absolute)
             fields[b"host"] = absolute[0]
         self._take_length(fields.get(b"content-length", b"0"))
@@ -217,7 +217,7 @@
         """RFC 9110, 10.1.1: the client waits with its body; HTTP/1.0 has no interim responses."""
         if self.error_status or not self.admitted:
             self._refuse(self.error_status or 503, self.error_reason or RefusalReason.TOO_MANY_CONNECTIONS)
-        self.transport.write(CONTINUE)
+        self.transport.write(CONTINUE_RESPONSE)
 
     def on_body(self, data: bytes) -> None:
         """Parser callback: buffer more of the body, or forward it."""
--- a/heronreel/proxy/http1.py
+++ b/heronreel/proxy/http1.py
@@ -33,7 +33,7 @@
 # Whitespace around a field value is not part of the value (RFC 9110, section 5.5).  The parser strips only
 # the leading part.
 OPTIONAL_WHITESPACE = b" \t"
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 def end_to_end_lines(headers: Headers, excluded: frozenset[bytes] = frozenset()) -> bytes:
@@ -75,7 +75,7 @@
     return HOST_PATTERN.fullmatch(value) is not None
 
 
-def absolute_form(url: bytes) -> tuple[bytes, bytes] | None:
+def split_absolute_form(url: bytes) -> tuple[bytes, bytes] | None:
     """Split a target in absolute form into its authority and its origin form (RFC 9112, section 3.2.2).
 
     Returns None if the target is not in absolute form.
--- a/tests/proxy/test_rfc9112.py
+++ b/tests/proxy/test_rfc9112.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from heronreel.proxy.http1 import absolute_form, is_host
+from heronreel.proxy.http1 import is_host, split_absolute_form
 from tests.support.loopback import (
     Backend,
     ok,
@@ -131,7 +131,7 @@
         assert is_host(good), good
     for bad in (b"a b", b"a/b", b"a@b", b"a:b", b"[::1", b"a:123456", b"a,\x7f"):
         assert not is_host(bad), bad
-    assert absolute_form(b"HTTP://a:1/b?c") == (b"a:1", b"/b?c")
-    assert absolute_form(b"http://a?c") == (b"a", b"/?c")
-    assert absolute_form(b"http://a") == (b"a", b"/")
-    assert absolute_form(b"/a") is None
+    assert split_absolute_form(b"HTTP://a:1/b?c") == (b"a:1", b"/b?c")
+    assert split_absolute_form(b"http://a?c") == (b"a", b"/?c")
+    assert split_absolute_form(b"http://a") == (b"a", b"/")
+    assert split_absolute_form(b"/a") is None
