--- a/tests/proxy/test_bad_backends.py
+++ b/tests/proxy/test_bad_backends.py
@@ -76,9 +76,9 @@
 ) -> None:
     async def scenario() -> None:
         ended = asyncio.Event()
-        async with Backend() as one, Backend() as two:
-            one.handler = two.handler = malformed_once(malformed, ended)
-            known = [entry("b1", one.address), entry("b2", two.address)]
+        async with Backend() as first_backend, Backend() as second_backend:
+            first_backend.handler = second_backend.handler = malformed_once(malformed, ended)
+            known = [entry("b1", first_backend.address), entry("b2", second_backend.address)]
             async with (
                 Discovery(*known) as discovery,
                 running_proxy(tmp_path, configuration(discovery.address, *known)) as proxy,
@@ -131,12 +131,12 @@
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
-        async with Backend() as one, Backend() as two:
-            for backend in (one, two):
+        async with Backend() as first_backend, Backend() as second_backend:
+            for backend in (first_backend, second_backend):
                 backend.reply = lambda head, body: (
                     ok(b"ride") if body == b"ride" else b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
                 )
-            known = [entry("b1", one.address), entry("b2", two.address)]
+            known = [entry("b1", first_backend.address), entry("b2", second_backend.address)]
             async with (
                 Discovery(*known) as discovery,
                 running_proxy(tmp_path, configuration(discovery.address, *known)) as proxy,
@@ -146,8 +146,12 @@
                     writer.write(request(f"a{number}", body=b"????"))
                     status, _ = await read_response(reader)
                     assert status == "400"
-                assert len(one.seen) + len(two.seen) == 6  # No request is retried at the other backend.
+                assert (
+                    len(first_backend.seen) + len(second_backend.seen) == 6
+                )  # No request is retried at the other backend.
                 assert [(await proxy.send_request(f"g{number}"))[0] for number in range(8)] == ["200"] * 8
-                assert min(len(one.seen), len(two.seen)) > 3  # Both backends continue to receive requests.
+                assert (
+                    min(len(first_backend.seen), len(second_backend.seen)) > 3
+                )  # Both backends continue to receive requests.
 
     run(scenario())
--- a/tests/proxy/test_overload.py
+++ b/tests/proxy/test_overload.py
@@ -44,8 +44,11 @@
                 return None
             return ok(b"ride")
 
-        async with Backend(reject_first_attempt) as one, Backend(reject_first_attempt) as two:
-            known = [entry("b1", one.address), entry("b2", two.address)]
+        async with (
+            Backend(reject_first_attempt) as first_backend,
+            Backend(reject_first_attempt) as second_backend,
+        ):
+            known = [entry("b1", first_backend.address), entry("b2", second_backend.address)]
             async with Discovery(*known) as discovery:
                 config = configuration(discovery.address, *known, sockets=1024)
                 config["settings"] = settings = deepcopy(config["settings"])
@@ -90,8 +93,10 @@
 
     async def scenario() -> None:
         overloaded = True
-        async with Backend(lambda head, body: NOT_RUN_RESPONSE if overloaded else ok(b"ride")) as one:
-            known = [entry("b1", one.address)]
+        async with Backend(
+            lambda head, body: NOT_RUN_RESPONSE if overloaded else ok(b"ride")
+        ) as first_backend:
+            known = [entry("b1", first_backend.address)]
             async with Discovery(*known) as discovery:
                 config = configuration(discovery.address, *known)
                 config["settings"] = settings = deepcopy(config["settings"])
--- a/tests/proxy/test_renewed_terms.py
+++ b/tests/proxy/test_renewed_terms.py
@@ -143,14 +143,18 @@
 def test_an_unsafe_request_that_may_have_run_is_not_retried(tmp_path: Path, failure: str) -> None:
     async def scenario() -> None:
         answer, status = FAILURES[failure]
-        one, two = AttemptLog(answer), AttemptLog(answer)
-        async with one, two, proxy_of(tmp_path, one.address, two.address) as proxy:
+        first_backend, second_backend = AttemptLog(answer), AttemptLog(answer)
+        async with (
+            first_backend,
+            second_backend,
+            proxy_of(tmp_path, first_backend.address, second_backend.address) as proxy,
+        ):
             for number in range(4):
                 reader, writer = await proxy.connect()
                 writer.write(unsafe_request(f"a{number}", 700))
                 assert (await read_response(reader))[0] == status
                 writer.close()
-            assert sorted(one.idents() + two.idents()) == ["a0", "a1", "a2", "a3"]
+            assert sorted(first_backend.idents() + second_backend.idents()) == ["a0", "a1", "a2", "a3"]
 
     run(scenario())
 
@@ -250,8 +254,8 @@
                 answers = [("200", ident.encode()) for ident in idents]
                 assert await read_all(reader, PIPELINED) == answers, f"seed {seed}"
 
-        async with Listener(serve) as one, Listener(serve) as two:
-            async with proxy_of(tmp_path, one.address, two.address) as proxy:
+        async with Listener(serve) as first_backend, Listener(serve) as second_backend:
+            async with proxy_of(tmp_path, first_backend.address, second_backend.address) as proxy:
                 await asyncio.gather(*(send_pipelined(proxy, client) for client in range(8)))
 
     run(scenario())
@@ -451,8 +455,10 @@
             writer.close()
             return status
 
-        async with AttemptLog(answer) as one, AttemptLog(answer) as two:
-            async with proxy_of(tmp_path, one.address, two.address, sockets=1024) as proxy:
+        async with AttemptLog(answer) as first_backend, AttemptLog(answer) as second_backend:
+            async with proxy_of(
+                tmp_path, first_backend.address, second_backend.address, sockets=1024
+            ) as proxy:
                 pending = []
                 for number in range(400):
                     pending.append(asyncio.create_task(send(proxy, f"f{number}")))
@@ -463,7 +469,7 @@
                 while not served and time.monotonic() < capacity_at + MAX_REJECTING_S:
                     pending.append(asyncio.create_task(send(proxy, f"r{len(pending)}")))
                     await asyncio.sleep(0.05)
-                    began = one.idents() + two.idents()
+                    began = first_backend.idents() + second_backend.idents()
                     served = any(ident.startswith("r") for ident in began)
                 assert served
                 await asyncio.gather(*pending)
--- a/tests/proxy/test_streams.py
+++ b/tests/proxy/test_streams.py
@@ -204,16 +204,21 @@
 
     async def scenario() -> None:
         for size, expected, attempts in ((900_000, "200", 2), (len(LONG), "503", 1)):
-            one, two = DigestBackend(not_run), DigestBackend()
-            two.responses = one.responses  # The backend that gets the request first rejects it.
-            async with one, two:
-                known = [entry("b1", one.address), entry("b2", two.address)]
+            first_backend, second_backend = DigestBackend(not_run), DigestBackend()
+            second_backend.responses = (
+                first_backend.responses
+            )  # The backend that gets the request first rejects it.
+            async with first_backend, second_backend:
+                known = [entry("b1", first_backend.address), entry("b2", second_backend.address)]
                 async with Discovery(*known) as discovery:
                     async with running_proxy(tmp_path, configuration(discovery.address, *known)) as proxy:
                         reader, writer = await proxy.connect()
                         writer.write(request_head("r", f"Content-Length: {size}") + LONG[:size])
                         status, body = await read_response(reader)
-                        assert (status, len(one.heads) + len(two.heads)) == (expected, attempts)
+                        assert (status, len(first_backend.heads) + len(second_backend.heads)) == (
+                            expected,
+                            attempts,
+                        )
                         if attempts == 2:
                             assert body.decode() == hashlib.sha256(LONG[:size]).hexdigest()
 
