--- a/heronreel/leases/administration.py
+++ b/heronreel/leases/administration.py
@@ -35,7 +35,8 @@
     previous holder may continue to act until it checks its claim, or until the next holder has registered.
 
     Returns:
-        The fencing token of the revoked claim, or None if no process held the claim.
+        The fencing token of the revoked claim, or None if no process held the claim or if the key changed
+        during each attempt.
 
     Raises:
         RequestError: the coordination service did not respond.
@@ -52,7 +53,11 @@
 
 
 async def restart_task(client: Client, task: str) -> bool:
-    """Restart a suspended task; returns False if the task is not suspended.
+    """Restart a suspended task.
+
+    Returns:
+        Whether the task was restarted.  It is not if it is not suspended, or if its cursor changed during
+        each attempt.
 
     Raises:
         RequestError: the coordination service did not respond.
--- a/heronreel/metering/uploader.py
+++ b/heronreel/metering/uploader.py
@@ -37,7 +37,7 @@
     """Uploads the ledgers of one process and the ledgers that it adopts."""
 
     def __init__(self, meter: UsageMeter, interval_s: float, clock: Callable[[], float]) -> None:
-        """A page of each ledger is sealed every `interval_s` seconds on the given clock, if it has counts."""
+        """Make an uploader that seals pages with counts every `interval_s` seconds on the given clock."""
         self.meter = meter
         self.directory = meter.directory
         self.crash_points = meter.crash_points
--- a/tests/health/test_large_fleet.py
+++ b/tests/health/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""The health of 1,024 members, reported by one prober: the fleet size that docs/fleet-design.md states."""
+"""The health of 1,024 members, all of them reported by one prober.  See docs/fleet-design.md."""
 
 from heronreel.coordination.model import MAX_VALUE_BYTES, Put
 from heronreel.health.checks import HealthCheckConfig, HealthTracker, Member, apply_panic_threshold
