--- a/heronreel/health/report.py
+++ b/heronreel/health/report.py
@@ -87,7 +87,10 @@
     """The newest health report that a proxy has received for its zone, until it expires."""
 
     def __init__(self, max_age_s: float) -> None:
-        """Make an empty state in which a report expires `max_age_s` seconds after it was received."""
+        """Make an empty state.
+
+        A report expires `max_age_s` seconds after it was received, measured on the proxy's clock.
+        """
         self.max_age_s = max_age_s
         self.report: HealthReport | None = None
         self.received_at = -max_age_s
