--- a/heronreel/routes/__init__.py
+++ b/heronreel/routes/__init__.py
@@ -1,13 +1,16 @@
-"""Routes of our own: the file, its proof, and the lookup of a request's route.
+"""Routes files: parsing them, proving them safe, and finding the route of a request.
 
-No module here does I/O or asks for the time; `lint-imports` keeps it so.
+No module here does I/O or reads a clock; the import contracts of `lint-imports` enforce that.
 
-* `model`: what a checked file says, as frozen records.
-* `source`: where every key of a TOML text stands.
-* `schema`: the shape of each table, and what to say of a value that does not fit.
-* `load`: bytes to a `RoutesFile`, or every problem in them at once.
-* `index`: from host, path, method and headers to the route; what is ambiguous or can never match.
-* `timeline`: a timeline of one request and the rules it breaks, independent of the proof.
-* `proof`: every way a file could break a rule, each with the shortest timeline that shows it.
-* `explain`: a route's policy in force and where each value came from.
+* `model`: frozen records with the contents of a checked file.
+* `source`: the line number of every key in a TOML text.
+* `schema`: the fields of each table, their types and bounds, and the descriptions used in error messages.
+* `reader`: reads the tables of a TOML text and collects every problem with its line.
+* `load`: turns bytes into a `RoutesFile`, or raises an error with every problem in them.
+* `index`: finds the route for a host, path, method and headers, and reports ambiguous and shadowed routes.
+* `timeline`: the events of one request and the rules that they break; it does not depend on the proof.
+* `proof`: runs all checks of a file, each of which shows its finding by a short timeline.
+* `checked_route`, `retry_checks`, `limit_checks`, `feasibility_checks`: the checks that the proof runs.
+* `findings`: the report of a check, with a witness for each problem.
+* `explain`: the policy in force for a request and the origin of each value.
 """
--- a/heronreel/routes/explain.py
+++ b/heronreel/routes/explain.py
@@ -1,4 +1,4 @@
-"""Which route takes a request, its policy in force, and where each value came from."""
+"""Explains which route takes a request, its policy in force, and the origin of each value."""
 
 from __future__ import annotations
 
@@ -17,51 +17,56 @@
 
 @dataclass(slots=True, frozen=True)
 class PolicyValue:
-    """One field of a policy, as the file names it, with its origin."""
+    """One field of a policy, under its name in the file, with its origin."""
 
     field: str
     value: Any
-    origin: str  # route, defaults or built in
-    line: int  # 0: in no file
+    origin: str  # "route", "defaults" or "built in"
+    line: int  # 0 if the value is not set in the file
 
 
 @dataclass(slots=True, frozen=True)
 class Explanation:
-    """What a file does with one request."""
+    """The route that takes a request, and the policy that applies to it."""
 
     route: Route | None
     line: int
-    others: tuple[Route, ...]  # that would take the request too, but come later
+    others: tuple[Route, ...]  # other routes that match the request but have a lower precedence
     values: tuple[PolicyValue, ...]
 
 
 def explain(file: RoutesFile, method: str, url: str, headers: Mapping[str, str]) -> Explanation:
-    """What the file does with a request.  `url` may lack scheme and host; a Host header stands in.
+    """Return the route that takes a request, its policy, and the origin of each value.
 
-    Raises ValueError for a URL that can't be read.
+    If `url` has no scheme and host, the host is read from the Host header.
+
+    Raises:
+        ValueError: the URL can't be parsed.
     """
     parts = urlsplit(url)
-    lower = {name.lower(): value for name, value in headers.items()}
+    headers_by_name = {name.lower(): value for name, value in headers.items()}
     host = (
-        parts.hostname or lower.get("host", "").rpartition("]")[0].lstrip("[") or lower.get("host", "")
+        parts.hostname
+        or headers_by_name.get("host", "").rpartition("]")[0].lstrip("[")
+        or headers_by_name.get("host", "")
     ).lower()
     if not parts.hostname and ":" in host and host.count(":") == 1:
         host = host.partition(":")[0]
     path = (parts.path or "/").encode()
-    seen = {name.encode(): value.encode() for name, value in lower.items()}
-    found = RouteIndex(file.routes).find(host.encode(), path, method.encode(), seen)
+    encoded_headers = {name.encode(): value.encode() for name, value in headers_by_name.items()}
+    found = RouteIndex(file.routes).find(host.encode(), path, method.encode(), encoded_headers)
     others = tuple(
         route
         for route in file.routes
-        if route is not found and route_accepts(route, host.encode(), path, method.encode(), seen)
+        if route is not found and route_accepts(route, host.encode(), path, method.encode(), encoded_headers)
     )
     if found is None:
         return Explanation(None, 0, (), ())
-    return Explanation(found, file.line("routes", found.index), others, tuple(_values(file, found)))
+    return Explanation(found, file.line("routes", found.index), others, tuple(_policy_values(file, found)))
 
 
-def _values(file: RoutesFile, route: Route) -> list[PolicyValue]:
-    made = []
+def _policy_values(file: RoutesFile, route: Route) -> list[PolicyValue]:
+    values = []
     for field, attribute in POLICY_ATTRIBUTES.items():
         value = getattr(route.policy, attribute)
         origin = route.origins.get(field, "built in")
@@ -70,12 +75,12 @@
             line = file.line("routes", route.index, field)
         elif origin == "defaults":
             line = file.line("defaults", field)
-        made.append(PolicyValue(field, file_value(value), origin, line))
-    return made
+        values.append(PolicyValue(field, file_value(value), origin, line))
+    return values
 
 
 def file_value(value: Any) -> Any:
-    """A value as the file would have it."""
+    """Return a value in the form that it has in the file."""
     if value in EFFECT_NAMES:
         return EFFECT_NAMES[value]
     if value in DEDUP_SCOPE_NAMES:
--- a/heronreel/routes/findings.py
+++ b/heronreel/routes/findings.py
@@ -1,4 +1,4 @@
-"""What a check of a file of routes reports: problems, each with an example that shows the harm."""
+"""The report of a check of a routes file: its problems, each with a witness that proves it."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """One problem, and what shows it."""
+    """A problem and its witness."""
 
     problem: Problem
-    witness: Witness | Example | None = None  # None: the text itself is wrong
+    witness: Witness | Example | None = None  # None for problems of the file's form
 
     def __str__(self) -> str:
         return f"{self.problem}\n    shown by: {self.witness}" if self.witness else str(self.problem)
@@ -34,13 +34,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """Everything that was found in one file."""
+    """All findings of one file."""
 
-    file: RoutesFile | None  # None: its form is wrong
+    file: RoutesFile | None  # None if the file could not be parsed
     findings: tuple[Finding, ...]
-    index: RouteIndex | None = None  # of the file's routes, compiled once
+    index: RouteIndex | None = None  # the compiled index of the file's routes
 
     @property
     def safe(self) -> bool:
-        """Whether the file may be put in force."""
+        """Whether the file has no findings, so that it may be served."""
         return not self.findings
--- a/heronreel/routes/index.py
+++ b/heronreel/routes/index.py
@@ -1,11 +1,19 @@
-"""From host, path, method and headers to the route, compiled once.
+"""An index that finds the route of a request by its host, path, method and headers.
 
-A lookup costs a few dictionary look-ups for each segment of the path, whatever the number of routes: by
-priority, then the host (exact, the longest wildcard, any), then a trie of path segments (a literal before a
-name in braces, an end before a prefix, a longer prefix before a shorter), then the most headers, then a
-named method before any.  What this order leaves open is ambiguous and found at load.
+The index is compiled once for each file.  A lookup needs a few dictionary accesses for each segment of the
+path, however many routes there are.  Routes are tried in this order:
 
-Where it would grow: with the number of priorities in use, and of different sets of header names at one path.
+1. by priority, the highest first;
+2. by host: the exact name, then the longest wildcard, then routes for any host;
+3. by path in a trie of segments: a literal before a parameter in braces, an exact path before a prefix, a
+   longer prefix before a shorter one;
+4. by headers: the route that requires the most headers first;
+5. by method: a named method before any method.
+
+Routes that this order doesn't separate are ambiguous, which is reported when the file is loaded.
+
+The cost of a lookup grows with the number of priorities in use and with the number of different sets of
+header names at one path.
 """
 
 from __future__ import annotations
@@ -17,20 +25,22 @@
 
 from heronreel.routes.model import Route
 
-ANY = b""
+ANY = b""  # Stands for any method, and for a header that the request does not have.
 METHODS = (b"GET", b"POST", b"PUT", b"PATCH", b"DELETE", b"OPTIONS")
-PARAMETER = b"{}"
+PARAMETER = b"{}"  # The trie's key for a segment that is a parameter in braces.
 _ESCAPED = re.compile(rb"%([0-9A-Fa-f]{2})")
 _UNRESERVED = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
 
 Segments = tuple[bytes, ...]
-Methods = dict[bytes, Route]
-Shapes = dict[tuple[bytes, ...], dict[tuple[bytes, ...], Methods]]  # header names to values to method
+RoutesByMethod = dict[bytes, Route]
+RoutesByHeaderValues = dict[tuple[bytes, ...], RoutesByMethod]
+RoutesByHeaders = dict[tuple[bytes, ...], RoutesByHeaderValues]
+"""Routes by the names of the headers that they require, then by the headers' values, then by method."""
 
 
 @dataclass(slots=True, frozen=True)
 class Example:
-    """A request that shows what is wrong with the lookup."""
+    """An example request that proves a conflict between routes."""
 
     method: str
     host: str
@@ -38,13 +48,17 @@
     headers: tuple[tuple[str, str], ...] = ()
 
     def __str__(self) -> str:
-        words = "".join(f" {name}: {value}" for name, value in self.headers)
-        return f"{self.method} {self.path} Host: {self.host or 'any'}{words}"
+        headers = "".join(f" {name}: {value}" for name, value in self.headers)
+        return f"{self.method} {self.path} Host: {self.host or 'any'}{headers}"
 
 
 @dataclass(slots=True, frozen=True)
 class RouteConflict:
-    """Two routes that leave open which one is meant (`ambiguous`), or one that never is (`never-matches`)."""
+    """A conflict between routes.
+
+    Its kind is `ambiguous` if two routes match the same request and neither has precedence, and
+    `never-matches` if a route is shadowed by others.
+    """
 
     kind: str
     route: Route
@@ -53,10 +67,11 @@
 
 
 def path_segments(path: bytes) -> Segments | None:
-    """The segments of a request's path without its query; None for one that peers could read in two ways.
+    """Split a request's path, without its query, into segments.
 
-    Guards the policies: `/salva%2Dprofilo` is `/salva-profilo` to a backend (RFC 3986, 6.2.2.2), and
-    `/open/../salva-profilo` may be (6.2.2.3), so the first is matched decoded and the second not at all.
+    Returns None for a path that a backend could read in another way.  Otherwise a client could evade a
+    route's policy: `/salva%2Dprofilo` is `/salva-profilo` to a backend (RFC 3986, 6.2.2.2), so it is matched
+    in its decoded form; `/open/../salva-profilo` may be the same path (6.2.2.3), so it is not matched.
     """
     if b"%" in path:
         path = _ESCAPED.sub(_decoded, path)
@@ -75,16 +90,17 @@
 
 @dataclass(slots=True, eq=False)
 class _Leaf:
-    """The routes of one place in the trie, told apart by headers and method."""
+    """The routes that end at one node of the trie, which differ in headers and method."""
 
-    shapes: Shapes = field(default_factory=dict)
-    order: list[tuple[tuple[bytes, ...], dict[tuple[bytes, ...], Methods]]] = field(default_factory=list)
+    by_headers: RoutesByHeaders = field(default_factory=dict)
+    order: list[tuple[tuple[bytes, ...], RoutesByHeaderValues]] = field(default_factory=list)
+    """The entries of `by_headers`, those with the most headers first."""
 
     def find(self, method: bytes, headers: Mapping[bytes, bytes]) -> Route | None:
         for names, by_values in self.order:
-            methods = by_values.get(tuple([headers.get(name, ANY) for name in names]) if names else ())
-            if methods:
-                route = methods.get(method) or methods.get(ANY)
+            by_method = by_values.get(tuple([headers.get(name, ANY) for name in names]) if names else ())
+            if by_method:
+                route = by_method.get(method) or by_method.get(ANY)
                 if route:
                     return route
         return None
@@ -92,47 +108,50 @@
 
 @dataclass(slots=True, eq=False)
 class _Node:
+    """A node of the trie of path segments."""
+
     children: dict[bytes, _Node] = field(default_factory=dict)
     end: _Leaf | None = None
     prefix: _Leaf | None = None
 
 
 class _Level:
-    """All routes of one priority."""
+    """The routes of one priority, by host."""
 
     def __init__(self) -> None:
-        self.hosts: dict[bytes, _Node] = {}  # exact names
-        self.below: dict[bytes, _Node] = {}  # "*.example.org" under "example.org"
-        self.any: _Node | None = None
+        self.exact_hosts: dict[bytes, _Node] = {}
+        self.wildcard_hosts: dict[bytes, _Node] = {}  # The key of "*.example.org" is "example.org".
+        self.any_host: _Node | None = None
 
     def roots(self, host: bytes) -> Iterator[_Node]:
-        """The tries that a host's requests may be found in, the most specific first."""
-        if self.hosts and (node := self.hosts.get(host)):
+        """Yield the tries that may hold a host's routes, the most specific first."""
+        if self.exact_hosts and (node := self.exact_hosts.get(host)):
             yield node
-        yield from self.wider(host)
-
-    def wider(self, host: bytes) -> Iterator[_Node]:
-        """The tries of wildcards above a host, the longest first, and that of any host."""
-        if self.below:
-            rest = host
-            while dot := rest.find(b".") + 1:
-                rest = rest[dot:]
-                if node := self.below.get(rest):
+        yield from self.wildcard_roots(host)
+
+    def wildcard_roots(self, host: bytes) -> Iterator[_Node]:
+        """Yield the tries of the wildcards that match a host, the longest first, then that of any host."""
+        if self.wildcard_hosts:
+            domain = host
+            while dot := domain.find(b".") + 1:
+                domain = domain[dot:]
+                if node := self.wildcard_hosts.get(domain):
                     yield node
-        if self.any:
-            yield self.any
+        if self.any_host:
+            yield self.any_host
 
-    def root(self, host: bytes) -> _Node:
+    def add_root(self, host: bytes) -> _Node:
+        """Return the trie of a match's host, which is created if there is none."""
         if not host:
-            self.any = self.any or _Node()
-            return self.any
+            self.any_host = self.any_host or _Node()
+            return self.any_host
         if host.startswith(b"*."):
-            return self.below.setdefault(host[2:], _Node())
-        return self.hosts.setdefault(host, _Node())
+            return self.wildcard_hosts.setdefault(host[2:], _Node())
+        return self.exact_hosts.setdefault(host, _Node())
 
 
-def _place_of(route: Route) -> tuple[Segments, bool]:
-    """The trie's path of a route, and whether it is a prefix."""
+def _trie_path(route: Route) -> tuple[Segments, bool]:
+    """Return the route's path in the trie, and whether the path is a prefix."""
     match = route.match
     if match.path_prefix:
         text = match.path_prefix.rstrip("/")
@@ -145,6 +164,7 @@
 
 
 def _headers_of(route: Route) -> tuple[tuple[bytes, ...], tuple[bytes, ...]]:
+    """Return the names and the values of the headers that a route requires."""
     pairs = route.match.headers
     return tuple(n.encode() for n, _ in pairs), tuple(v.encode() for _, v in pairs)
 
@@ -154,7 +174,7 @@
 
 
 class RouteIndex:
-    """Routes compiled for lookup.  `conflicts` lists what is wrong with them; a file with any is refused."""
+    """An index of routes.  A file whose index has `conflicts` is rejected."""
 
     def __init__(self, routes: Iterable[Route]) -> None:
         self.levels: list[tuple[int, _Level]] = []
@@ -164,17 +184,17 @@
         leaves: list[_Leaf] = []
         for route in self.routes:
             level = levels.setdefault(route.priority, _Level())
-            self._insert(level.root(route.match.host.encode()), route, leaves)
+            self._insert(level.add_root(route.match.host.encode()), route, leaves)
         self.levels = sorted(levels.items(), key=lambda pair: -pair[0])
         for leaf in leaves:
-            leaf.order = sorted(leaf.shapes.items(), key=lambda shape: -len(shape[0]))
+            leaf.order = sorted(leaf.by_headers.items(), key=lambda entry: -len(entry[0]))
             self._check_leaf(leaf)
-        self._check_cover()
+        self._check_shadowing()
 
     def find(self, host: bytes, path: bytes, method: bytes, headers: Mapping[bytes, bytes]) -> Route | None:
-        """The route of a request; None if there is none, or if its path can be read in two ways.
+        """Return the route of a request; None if no route matches or the path can be read in two ways.
 
-        `host` is in lower case and without a port, `path` without its query, header names in lower case.
+        `host` is in lower case and has no port, `path` has no query, and header names are in lower case.
         """
         segments = path_segments(path)
         if segments is None:
@@ -186,7 +206,7 @@
         return None
 
     def _insert(self, node: _Node, route: Route, leaves: list[_Leaf]) -> None:
-        segments, prefix = _place_of(route)
+        segments, prefix = _trie_path(route)
         for segment in segments:
             node = node.children.setdefault(segment, _Node())
         leaf = node.prefix if prefix else node.end
@@ -198,89 +218,93 @@
             else:
                 node.end = leaf
         names, values = _headers_of(route)
-        methods = leaf.shapes.setdefault(names, {}).setdefault(values, {})
+        by_method = leaf.by_headers.setdefault(names, {}).setdefault(values, {})
         for method in _methods_of(route):
-            if method in methods:
-                self._ambiguous(route, methods[method], method)
+            if method in by_method:
+                self._add_ambiguous(route, by_method[method], method)
             else:
-                methods[method] = route
+                by_method[method] = route
 
-    def _ambiguous(self, one: Route, two: Route, method: bytes) -> None:
-        first, second = sorted((one, two), key=lambda route: route.index)
+    def _add_ambiguous(self, route: Route, other: Route, method: bytes) -> None:
+        first, second = sorted((route, other), key=lambda conflicting: conflicting.index)
         headers = tuple(sorted({*first.match.headers, *second.match.headers}))
         example = Example(method.decode() or "GET", _host_of(first), _path_of(first), headers)
         self.conflicts.append(RouteConflict("ambiguous", second, (first,), example))
 
     def _check_leaf(self, leaf: _Leaf) -> None:
-        """Entries of one place with as many headers must not both take a request."""
-        for (names, one), (others, two) in combinations(leaf.order, 2):
-            if len(names) == len(others):
-                self._check_shapes(names, one, others, two)
-        for by_values in leaf.shapes.values():
-            for methods in by_values.values():
-                if ANY in methods and all(method in methods for method in METHODS):
-                    takers = tuple(dict.fromkeys(methods[method] for method in METHODS))
-                    self._never(methods[ANY], takers)
-
-    def _check_shapes(
+        """Report routes of one leaf that are ambiguous, and routes for any method that are shadowed.
+
+        Two routes that require the same number of different headers must not match the same request.
+        """
+        for (names, routes), (other_names, other_routes) in combinations(leaf.order, 2):
+            if len(names) == len(other_names):
+                self._check_header_sets(names, routes, other_names, other_routes)
+        for by_values in leaf.by_headers.values():
+            for by_method in by_values.values():
+                if ANY in by_method and all(method in by_method for method in METHODS):
+                    shadowing = tuple(dict.fromkeys(by_method[method] for method in METHODS))
+                    self._add_never_matching(by_method[ANY], shadowing)
+
+    def _check_header_sets(
         self,
         names: tuple[bytes, ...],
-        one: dict[tuple[bytes, ...], Methods],
-        others: tuple[bytes, ...],
-        two: dict[tuple[bytes, ...], Methods],
+        routes: RoutesByHeaderValues,
+        other_names: tuple[bytes, ...],
+        other_routes: RoutesByHeaderValues,
     ) -> None:
-        common = [name for name in names if name in others]
-        seen: dict[tuple[bytes, ...], Methods] = {}
-        for values, methods in one.items():
-            row = dict(zip(names, values, strict=True))
-            seen.setdefault(tuple(row[name] for name in common), {}).update(methods)
+        """Report routes of two sets of header names that agree on the values of the common headers."""
+        common = [name for name in names if name in other_names]
+        by_common_values: dict[tuple[bytes, ...], RoutesByMethod] = {}
+        for values, by_method in routes.items():
+            headers = dict(zip(names, values, strict=True))
+            by_common_values.setdefault(tuple(headers[name] for name in common), {}).update(by_method)
         reported: set[int] = set()
-        for values, methods in two.items():
-            row = dict(zip(others, values, strict=True))
-            here = seen.get(tuple(row[name] for name in common), {})
-            for method, route in methods.items():
+        for values, by_method in other_routes.items():
+            headers = dict(zip(other_names, values, strict=True))
+            candidates = by_common_values.get(tuple(headers[name] for name in common), {})
+            for method, route in by_method.items():
                 other = (
-                    here.get(method)
-                    or here.get(ANY)
-                    or (next(iter(here.values()), None) if not method else None)
+                    candidates.get(method)
+                    or candidates.get(ANY)
+                    or (next(iter(candidates.values()), None) if not method else None)
                 )
                 if other and route.index not in reported:
                     reported.add(route.index)
-                    known = method or next(m for m, r in here.items() if r is other)
-                    self._ambiguous(route, other, known)
+                    shared_method = method or next(m for m, r in candidates.items() if r is other)
+                    self._add_ambiguous(route, other, shared_method)
 
-    def _check_cover(self) -> None:
-        """A route is never found if routes of higher priority take all that it would."""
-        above: dict[int, list[_Level]] = {}
+    def _check_shadowing(self) -> None:
+        """Report each route whose requests are all taken by routes of higher priority."""
+        levels_above: dict[int, list[_Level]] = {}
         for index, (priority, _) in enumerate(self.levels):
-            above[priority] = [level for _, level in self.levels[:index]]
+            levels_above[priority] = [level for _, level in self.levels[:index]]
         for route in self.routes:
-            if above[route.priority]:
-                self._check_covered(route, above[route.priority])
-
-    def _check_covered(self, route: Route, above: list[_Level]) -> None:
-        wanted = set(_methods_of(route)) if route.match.methods else set(METHODS)
-        segments, prefix = _place_of(route)
-        own = {name.encode(): value.encode() for name, value in route.match.headers}
-        takers: dict[Route, None] = {}
-        for level in above:
+            if levels_above[route.priority]:
+                self._check_shadowed(route, levels_above[route.priority])
+
+    def _check_shadowed(self, route: Route, levels_above: list[_Level]) -> None:
+        uncovered = set(_methods_of(route)) if route.match.methods else set(METHODS)
+        segments, prefix = _trie_path(route)
+        required_headers = {name.encode(): value.encode() for name, value in route.match.headers}
+        shadowing: dict[Route, None] = {}
+        for level in levels_above:
             for root in _covering_roots(level, route.match.host.encode()):
                 for leaf in _covering_leaves(root, segments, 0, prefix):
                     for names, by_values in leaf.order:
-                        if not all(name in own for name in names):
+                        if not all(name in required_headers for name in names):
                             continue
-                        methods = by_values.get(tuple(own[name] for name in names), {})
-                        for method in list(wanted):
-                            if taker := methods.get(method) or methods.get(ANY):
-                                wanted.discard(method)
-                                takers[taker] = None
-        if not wanted:
-            self._never(route, tuple(takers))
-
-    def _never(self, route: Route, takers: tuple[Route, ...]) -> None:
+                        by_method = by_values.get(tuple(required_headers[name] for name in names), {})
+                        for method in list(uncovered):
+                            if shadowing_route := by_method.get(method) or by_method.get(ANY):
+                                uncovered.discard(method)
+                                shadowing[shadowing_route] = None
+        if not uncovered:
+            self._add_never_matching(route, tuple(shadowing))
+
+    def _add_never_matching(self, route: Route, shadowing: tuple[Route, ...]) -> None:
         method = min(route.match.methods, default="GET")
         example = Example(method, _host_of(route), _path_of(route), route.match.headers)
-        self.conflicts.append(RouteConflict("never-matches", route, takers, example))
+        self.conflicts.append(RouteConflict("never-matches", route, shadowing, example))
 
 
 def _search(
@@ -304,15 +328,15 @@
 
 
 def _covering_roots(level: _Level, host: bytes) -> Iterator[_Node]:
-    """The tries that take every host which a route of this host takes."""
+    """Yield the tries whose hosts include every host that a route for `host` matches."""
     if host.startswith(b"*."):
-        yield from level.wider(host)  # its own wildcard is the first above it
+        yield from level.wildcard_roots(host)  # The first is the trie of the wildcard itself.
     else:
         yield from level.roots(host)
 
 
 def _covering_leaves(node: _Node, segments: Segments, depth: int, prefix: bool) -> Iterator[_Leaf]:
-    """The leaves that take every path which a route with these segments takes."""
+    """Yield the leaves that match every path that a route with these segments matches."""
     if node.prefix:
         yield node.prefix
     if depth == len(segments):
@@ -327,11 +351,13 @@
 
 
 def _host_of(route: Route) -> str:
+    """Return a host that the route matches, for an example request."""
     host = route.match.host
     return f"www{host[1:]}" if host.startswith("*") else host
 
 
 def _path_of(route: Route) -> str:
+    """Return a path that the route matches, for an example request."""
     match = route.match
     return match.path or re.sub(r"\{\w+\}", "1", match.path_pattern) or match.path_prefix
 
@@ -339,23 +365,26 @@
 def route_accepts(
     route: Route, host: bytes, path: bytes, method: bytes, headers: Mapping[bytes, bytes]
 ) -> bool:
-    """Whether a route alone would take a request: the plain meaning, without an index."""
+    """Return whether a route matches a request: the definition that the index implements.
+
+    Precedence among several routes is left out.
+    """
     match = route.match
     segments = path_segments(path)
-    wanted = match.host.encode()
+    match_host = match.host.encode()
     if segments is None or (match.methods and method.decode("latin-1") not in match.methods):
         return False
-    if wanted.startswith(b"*."):
-        if not host.endswith(wanted[1:]) or len(host) < len(wanted):
+    if match_host.startswith(b"*."):
+        if not host.endswith(match_host[1:]) or len(host) < len(match_host):
             return False
-    elif wanted and wanted != host:
+    elif match_host and match_host != host:
         return False
     if any(headers.get(name.encode()) != value.encode() for name, value in match.headers):
         return False
-    own, prefix = _place_of(route)
-    if len(segments) < len(own) or (not prefix and len(segments) > len(own)):
+    route_segments, prefix = _trie_path(route)
+    if len(segments) < len(route_segments) or (not prefix and len(segments) > len(route_segments)):
         return False
     return all(
-        mine == theirs or (mine == PARAMETER and theirs != b"" and bool(match.path_pattern))
-        for mine, theirs in zip(own, segments, strict=False)
+        expected == segment or (expected == PARAMETER and segment != b"" and bool(match.path_pattern))
+        for expected, segment in zip(route_segments, segments, strict=False)
     )
--- a/heronreel/routes/limit_checks.py
+++ b/heronreel/routes/limit_checks.py
@@ -1,4 +1,7 @@
-"""What the surroundings allow: how long clients wait, the platform's limits and classes, the retry budget."""
+"""Checks of a route against external limits.
+
+The limits are the time that clients wait, the platform's limits and classes, and the retry budget.
+"""
 
 from __future__ import annotations
 
@@ -10,20 +13,20 @@
 from heronreel.routes.model import DEDUP_SCOPE_NAMES, EFFECT_NAMES, PlatformClass
 from heronreel.routes.timeline import EventKind, RequestTerms, TimelineEvent
 
-STRICTNESS = {Effect.IDEMPOTENT: 0, Effect.KEYED: 1, Effect.UNSAFE: 2}
+EFFECT_STRICTNESS = {Effect.IDEMPOTENT: 0, Effect.KEYED: 1, Effect.UNSAFE: 2}
 SCOPE_WIDTH = {DedupScope.CELL: 0, DedupScope.ZONE: 1, DedupScope.ALL: 2}
-SHOWN_CLASSES = 10  # of the platform's, in a message
+MAX_SHOWN_CLASSES = 10  # The most classes of the platform that a message lists.
 
 
 def deadline_over_wait(route: CheckedRoute) -> Iterator[Finding]:
-    """The response comes when the client has left."""
+    """Report a deadline after which the client has already disconnected."""
     deadline, wait = route.policy.deadline_ms, route.limits.client_wait_ms
     if deadline <= wait:
         return
     events = (
         *route.first_attempt(),
-        TimelineEvent(wait, EventKind.ENDED, note="the client gives up"),
-        TimelineEvent(deadline, EventKind.FAILED, note="the answer, which nobody hears"),
+        TimelineEvent(wait, EventKind.ENDED, note="the client disconnects"),
+        TimelineEvent(deadline, EventKind.FAILED, note="the response, after the client has disconnected"),
     )
     wrong = f"waits {deadline:,.0f} ms for clients that leave after {wait:,.0f} ms"
     right = f"deadline_ms of at most {wait:,.0f}"
@@ -33,26 +36,28 @@
 
 
 def attempts_over_platform(route: CheckedRoute) -> Iterator[Finding]:
-    """More attempts than the settings allow."""
-    attempts, most = route.policy.max_attempts, route.limits.max_attempts
-    if attempts <= most:
+    """Report more attempts than the limits allow."""
+    attempts, allowed = route.policy.max_attempts, route.limits.max_attempts
+    if attempts <= allowed:
         return
     events = [TimelineEvent(0.0, EventKind.ARRIVES)]
-    for number in range(most + 1):
-        note = f"attempt {number + 1} sent" + (f", where {most} are allowed" if number == most else "")
+    for number in range(allowed + 1):
+        note = f"attempt {number + 1} sent" + (f", where {allowed} are allowed" if number == allowed else "")
         events.append(
             TimelineEvent(
                 float(number), EventKind.SENT, attempt=number, group=route.group, runs=False, note=note
             )
         )
         events.append(TimelineEvent(number + 0.5, EventKind.ENDED, attempt=number))
-    events.append(TimelineEvent(most + 1.0, EventKind.FAILED))
-    problem = route.problem("attempts", f"{attempts} attempts", f"at most {most}", "attempts-over-platform")
+    events.append(TimelineEvent(allowed + 1.0, EventKind.FAILED))
+    problem = route.problem(
+        "attempts", f"{attempts} attempts", f"at most {allowed}", "attempts-over-platform"
+    )
     yield Finding(problem, Witness("platform", route.terms(Effect.IDEMPOTENT), tuple(events)))
 
 
 def hedge_not_allowed(route: CheckedRoute) -> Iterator[Finding]:
-    """Hedged requests that the settings don't allow."""
+    """Report hedged requests that the limits don't allow."""
     if route.policy.hedges and not route.limits.second_copies:
         problem = route.problem(
             route.hedge_field(), "a second copy, which the settings don't allow",
@@ -62,18 +67,18 @@
 
 
 def weaker_than_platform(route: CheckedRoute) -> Iterator[Finding]:
-    """A file may ask for more care than the platform's class, never for less."""
+    """Report a policy that is less strict than the platform's class: a file may only be stricter."""
     if route.limits.classes is None:
         return
     name = route.policy.request_class
     platform_class = route.limits.classes.get(name)
     if platform_class is None:
-        known = ", ".join(sorted(route.limits.classes)[:SHOWN_CLASSES])
+        known = ", ".join(sorted(route.limits.classes)[:MAX_SHOWN_CLASSES])
         wrong = f"the platform has no class {name!r}"
         yield Finding(route.problem("class", wrong, f"known: {known}", "unknown-class"))
         return
     effect = route.policy.effect
-    if STRICTNESS[effect] < STRICTNESS[platform_class.effect]:
+    if EFFECT_STRICTNESS[effect] < EFFECT_STRICTNESS[platform_class.effect]:
         yield _weaker_effect(route, platform_class)
     elif effect is Effect.KEYED and platform_class.effect is Effect.KEYED:
         yield from _weaker_deduplication(route, platform_class)
@@ -116,14 +121,14 @@
     problem = route.problem("deadline_ms", wrong, f"at most {deadline:,.0f}", "weaker-than-platform")
     events = (
         *route.first_attempt(),
-        TimelineEvent(own, EventKind.FAILED, note="the answer, which nobody hears"),
+        TimelineEvent(own, EventKind.FAILED, note="the response, after the client has disconnected"),
     )
     terms = RequestTerms(Effect.IDEMPOTENT, client_wait_ms=deadline)
     return Finding(problem, Witness("lost", terms, events))
 
 
 def budget_over_whole(route: CheckedRoute) -> Iterator[Finding]:
-    """A budget under which an overloaded fleet gets more retries than requests."""
+    """Report a retry budget with which an overloaded fleet gets more retries than requests."""
     budget = route.policy.retry_budget
     if budget <= 1.0:
         return
@@ -136,7 +141,7 @@
             )
             events.append(TimelineEvent(10.5 + attempt, EventKind.ENDED, request, attempt))
         events.append(TimelineEvent(20.0, EventKind.FAILED, request))
-    events.sort(key=lambda step: step.at_ms)
+    events.sort(key=lambda event: event.at_ms)
     wrong = f"{budget:g} repeats for each first try: an overloaded fleet gets more repeats than requests"
     problem = route.problem("retry_budget", wrong, "a share from 0 to 1, such as 0.2", "budget-over-whole")
     yield Finding(problem, Witness("budget", RequestTerms(Effect.IDEMPOTENT), tuple(events)))
--- a/heronreel/routes/proof.py
+++ b/heronreel/routes/proof.py
@@ -1,13 +1,14 @@
-"""Every way a file could break a rule, each with the shortest timeline that shows the harm.
+"""Proves that a routes file is safe, or finds every rule that it could break, each with a short timeline.
 
-Pure: a file and what its surroundings allow in, findings out.  The runtime guards (the balancer's and the
-network code's check of the window) hold without this; the proof keeps files out of service that would only
-ever live by those guards, or that promise what can't come about.
+The proof has no side effects: its input is a file and the limits that apply to it, its output are findings.
+The runtime guards (the checks of the deduplication window in the balancer and in the network code) hold
+without the proof.  The proof rejects files that would depend on those guards, and files that promise
+something that can't happen.
 
-Two times decide most of it.  The first attempt reaches its group at 0 ms at the earliest.  A further one is
-decided at the latest when all before it have run to their time-out and all backoffs are over, its connection
-takes `connect_timeout_ms` at most and no longer than the deadline, and a busy process learns of each end, and
-writes each first byte, `clock_margin_ms` later at most.
+Most checks depend on two times.  The first attempt reaches its deduplication group at 0 ms at the earliest.
+A further attempt starts at the latest when all earlier attempts have timed out and all backoffs are over.
+Its connection is established within `connect_timeout_ms`, and before the deadline.  A busy process notices
+the end of an attempt, and writes the first byte of the next, at most `clock_margin_ms` late.
 """
 
 from __future__ import annotations
@@ -23,8 +24,8 @@
 from heronreel.routes.model import PlatformClass, PlatformLimits, Problem, RoutesFile
 from heronreel.routes.reader import ConfigFileError
 
-SHARE_SLACK = 1e-9  # of rounding, in a sum of shares
-SHOWN_ROUTES = 3  # that a route conflicts with, in a message
+SHARE_ROUNDING_TOLERANCE = 1e-9  # Allows for rounding in the sum of the tenants' shares.
+MAX_SHOWN_ROUTES = 3  # The most conflicting routes that a message lists.
 
 Check = Callable[[CheckedRoute], Iterator[Finding]]
 
@@ -54,7 +55,10 @@
 
 
 def check_routes(data: bytes, platform: PlatformLimits | None = None) -> Report:
-    """All that is wrong with a file, by line: its form first, and if that is good, what it could break."""
+    """Check a file and return its findings by line.
+
+    A file whose form is wrong is not checked any further.
+    """
     try:
         file = load_routes(data)
     except ConfigFileError as error:
@@ -65,16 +69,21 @@
 
 
 def platform_limits(settings: Settings, clock_margin_ms: float = 50.0) -> PlatformLimits:
-    """What a platform's settings allow."""
+    """Return the limits that a platform's settings impose."""
     classes = {
-        each.name: PlatformClass(each.effect, each.dedup_scope, each.repeat_window_ms, each.deadline_ms)
-        for each in settings.classes
+        request_class.name: PlatformClass(
+            request_class.effect,
+            request_class.dedup_scope,
+            request_class.repeat_window_ms,
+            request_class.deadline_ms,
+        )
+        for request_class in settings.classes
     }
     return PlatformLimits(
         settings.max_attempts,
         settings.hedging,
         settings.connect_timeout_ms,
-        max(each.deadline_ms for each in settings.classes),
+        max(request_class.deadline_ms for request_class in settings.classes),
         clock_margin_ms,
         settings.max_retry_after_ms,
         classes,
@@ -82,7 +91,7 @@
 
 
 def prove(file: RoutesFile, limits: PlatformLimits, index: RouteIndex | None = None) -> list[Finding]:
-    """Every finding of a file whose form is right, by line."""
+    """Return every finding of a parsed file, sorted by line."""
     findings: list[Finding] = []
     for route in file.routes:
         checked = CheckedRoute(file, limits, route)
@@ -91,7 +100,7 @@
     conflicts = (index or RouteIndex(file.routes)).conflicts
     findings += [_conflict_finding(file, conflict) for conflict in conflicts]
     shares = sum(tenant.share for tenant in file.tenants)
-    if shares > 1.0 + SHARE_SLACK:
+    if shares > 1.0 + SHARE_ROUNDING_TOLERANCE:
         wrong = f"shares add up to {shares:g}"
         line = file.line("tenants")
         findings.append(Finding(Problem(line, "tenants", wrong, "at most 1", "shares-over-whole")))
@@ -101,7 +110,7 @@
 def _conflict_finding(file: RoutesFile, conflict: RouteConflict) -> Finding:
     others = ", ".join(
         f"{other.name!r} (line {file.line('routes', other.index)})"
-        for other in conflict.others[:SHOWN_ROUTES]
+        for other in conflict.others[:MAX_SHOWN_ROUTES]
     )
     if conflict.kind == "ambiguous":
         wrong = f"takes the same requests as {others} and neither comes first"
