--- a/heronreel/routes/load.py
+++ b/heronreel/routes/load.py
@@ -1,7 +1,7 @@
-"""Bytes to a checked `RoutesFile`, or every problem in them at once.
+"""Loads a routes file into a checked `RoutesFile`, or reports every problem of its form at once.
 
-Form only: types, bounds, names, and what refers to what.  Whether a well-formed file could break a rule is
-`proof`'s to say; `load_and_prove` in `proof` does both.
+The form covers types, bounds, names and references between tables.  Whether a well-formed file could break a
+rule is checked by `proof`; `check_routes` in `proof` does both.
 """
 
 from __future__ import annotations
@@ -36,8 +36,14 @@
 )
 from heronreel.routes.reader import TableReader, describe_value, parse_toml
 
-MAX_MEMBERS, MAX_ROUTES = 10_000, 20_000
-METHODS = frozenset(("GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"))  # that the proxy takes at all
+MAX_MEMBERS = 10_000
+MAX_ROUTES = 20_000
+MAX_LISTENERS = 64
+MAX_TENANTS = 10_000
+MAX_SPLIT_POOLS = 1000
+METHODS = frozenset(
+    ("GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
+)  # The methods that the proxy accepts.
 _TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,64}")  # RFC 9110, 5.6.2
 _HOST = re.compile(
     r"(\*\.)?[a-z0-9_]([a-z0-9_-]*[a-z0-9_])?(\.[a-z0-9_]([a-z0-9_-]*[a-z0-9_])?)*|\[[0-9a-f:.]+\]"
@@ -45,9 +51,10 @@
 _SEGMENT = re.compile(r"[A-Za-z0-9._~!$&'()*+,;=:@%-]*")  # RFC 3986, 3.3
 _PARAMETER = re.compile(r"\{[A-Za-z_][A-Za-z0-9_]{0,31}\}")
 MAX_SEGMENTS = 32
-HEALTH_PATH = "/_health"  # answered by the proxy itself
+MAX_SHOWN_POOLS = 10  # The most pools that a message lists.
+HEALTH_PATH = "/_health"  # The proxy answers this path itself.
 HEDGE_FIELDS = ("second_copy_after_ms", "second_copy_percentile")
-VALUE_READERS: Mapping[str, Callable[[Any], Any]] = {
+VALUE_CONVERTERS: Mapping[str, Callable[[Any], Any]] = {
     "effect": EFFECTS_BY_NAME.__getitem__,
     "deduplication_scope": DEDUP_SCOPES_BY_NAME.__getitem__,
     "retry_on": frozenset,
@@ -55,20 +62,24 @@
     "hedge_scope": RetryScope,
     "when_exhausted": ExhaustedResponse,
 }
-"""How texts of the file become values, by the attribute of `Policy`."""
+"""Functions that convert a value of the file, by the attribute of `Policy`."""
 
-TASK_PRIORITIES = ("urgent", "usual", "idle")  # classes of fleet-wide tasks
-MAX_METERED_TENANTS = 1000  # tenants: a sum of all of them is one value of the group's
+TASK_PRIORITIES = ("urgent", "usual", "idle")  # The priority classes of fleet-wide tasks.
+MAX_METERED_TENANTS = 1000  # The sums of all tenants are stored in one value of the coordination group.
 
 
 def load_routes(data: bytes) -> RoutesFile:
-    """The file's records.  Raises ConfigFileError with every problem of form."""
+    """Load a routes file from its bytes.
+
+    Raises:
+        ConfigFileError: the file has problems of form; the error lists all of them.
+    """
     raw, lines = parse_toml(data)
     return _Loader(raw, lines).load()
 
 
 def is_loopback(address: str) -> bool:
-    """Whether nobody but this machine's processes reaches it; False also for what is no address."""
+    """Return whether an address is reachable only from this machine; False for an invalid address."""
     try:
         return ipaddress.ip_address(address.rpartition(":")[0].strip("[]")).is_loopback
     except ValueError:
@@ -76,10 +87,10 @@
 
 
 class _Loader(TableReader):
-    """Reads the tables of a file of routes."""
+    """Reads the tables of a routes file."""
 
     def load(self) -> RoutesFile:
-        """Every table in turn; raises ConfigFileError with all problems at the end."""
+        """Read every table, then raise ConfigFileError if any of them has problems."""
         top = self.read_table(self.raw, (), schema.RootTable)
         file = RoutesFile(
             self._process(top.get("proxy", {})),
@@ -106,7 +117,7 @@
             if not (0 if any_port else 1) <= number < 65536:
                 raise ValueError
         except ValueError:
-            # names are not looked up: a resolver that stalls would stall every request behind it
+            # Host names are not accepted, because a slow resolver would stall every request.
             self.add_problem(
                 path,
                 f"is {describe_value(text)}",
@@ -124,18 +135,19 @@
         return ProxySettings(**values, limits=limits)
 
     def _listeners(self) -> tuple[Listener, ...]:
-        made = []
-        rows = self.read_tables(self.raw.get("listeners"), ("listeners",), 64)
+        listeners = []
+        rows = self.read_tables(self.raw.get("listeners"), ("listeners",), MAX_LISTENERS)
         for path, row in rows:
             values = self.read_table(row, path, schema.ListenerTable)
             if "name" in values and "address" in values:
-                made.append(
+                listeners.append(
                     Listener(values["name"], self._address(values["address"], (*path, "address"), True))
                 )
         self.check_unique(((p, r["name"]) for p, r in rows if isinstance(r.get("name"), str)), "listener")
-        fixed = ((p, r["address"]) for p, r in rows if isinstance(r.get("address"), str))
-        self.check_unique(((p, a) for p, a in fixed if not a.endswith(":0")), "address")
-        return tuple(made)
+        addresses = ((p, r["address"]) for p, r in rows if isinstance(r.get("address"), str))
+        # Port 0 means any free port, so it may be used several times.
+        self.check_unique(((p, a) for p, a in addresses if not a.endswith(":0")), "address")
+        return tuple(listeners)
 
     def _pools(self) -> dict[str, Pool]:
         pools: dict[str, Pool] = {}
@@ -168,15 +180,18 @@
                 names.append((path, values["name"]))
                 pools.setdefault(values["name"], Pool(values["name"], tuple(members), discovered))
         self.check_unique(names, "pool")
-        found = [path for path, name in names if pools[name].discovered]
-        if len(found) > 1:  # discovery tells of no pools
-            self.add_problem(found[1], "a second pool from the platform's discovery", "one at most")
-        # one backend in two pools would be booked twice, and a cold one be sent twice what it bears
+        discovered_paths = [path for path, name in names if pools[name].discovered]
+        if len(discovered_paths) > 1:  # The discovery service's list doesn't name pools.
+            self.add_problem(
+                discovered_paths[1], "a second pool from the platform's discovery", "one at most"
+            )
+        # The load of a backend in two pools would be counted twice, and during its warm-up it would receive
+        # twice as many requests as it can handle.
         self.check_unique(addresses, "address")
         return pools
 
     def _tenants(self) -> tuple[Tenant, ...]:
-        rows = self.read_tables(self.raw.get("tenants"), ("tenants",), 10_000)
+        rows = self.read_tables(self.raw.get("tenants"), ("tenants",), MAX_TENANTS)
         values = [self.read_table(row, path, schema.TenantTable) for path, row in rows]
         self.check_unique(((p, r["name"]) for p, r in rows if isinstance(r.get("name"), str)), "tenant")
         return tuple(Tenant(**row) for row in values if "name" in row)
@@ -232,7 +247,7 @@
             self.add_problem(
                 ("defaults", "class"), "a class for all routes", "set it on each route, or leave it out"
             )
-        made: list[Route] = []
+        routes: list[Route] = []
         rows = self.read_tables(self.raw.get("routes"), ("routes",), MAX_ROUTES)
         if not rows:
             self.add_problem(
@@ -245,11 +260,11 @@
             if "name" not in values or match is None:
                 continue
             policy, origins = _inherit(values["name"], values, defaults)
-            made.append(
+            routes.append(
                 Route(values["name"], int(path[1]), match, policy, split, values.get("priority", 0), origins)
             )
         self.check_unique(((p, r["name"]) for p, r in rows if isinstance(r.get("name"), str)), "route")
-        return tuple(made)
+        return tuple(routes)
 
     def _split(
         self, row: dict[str, Any], values: dict[str, Any], path: Path, pools: Mapping[str, Pool]
@@ -259,13 +274,13 @@
             self.add_problem((*path, "split"), "pool and split together", "use one of the two")
         elif "pool" in values:
             shares.append(PoolShare(values["pool"], 1.0))
-            self._known(values["pool"], (*path, "pool"), pools)
+            self._check_pool_exists(values["pool"], (*path, "pool"), pools)
         elif "split" in row:
-            parts = self.read_tables(row["split"], (*path, "split"), 1000)
+            parts = self.read_tables(row["split"], (*path, "split"), MAX_SPLIT_POOLS)
             for part_path, part in parts:
                 share = self.read_table(part, part_path, schema.SplitTable)
                 if "pool" in share:
-                    self._known(share["pool"], (*part_path, "pool"), pools)
+                    self._check_pool_exists(share["pool"], (*part_path, "pool"), pools)
                     shares.append(PoolShare(share["pool"], share.get("weight", 1.0)))
             self.check_unique(((p, r["pool"]) for p, r in parts if isinstance(r.get("pool"), str)), "pool")
             if shares and not any(share.weight for share in shares):
@@ -278,16 +293,16 @@
             self.add_problem(path, "names no pool", "expected pool or split", "missing-field")
         return tuple(shares)
 
-    def _known(self, name: str, path: Path, pools: Mapping[str, Pool]) -> None:
+    def _check_pool_exists(self, name: str, path: Path, pools: Mapping[str, Pool]) -> None:
         if name not in pools:
-            near = difflib.get_close_matches(name, pools, 1)
+            similar = difflib.get_close_matches(name, pools, 1)
             right = (
-                f"did you mean {near[0]!r}?" if near else f"known: {', '.join(sorted(pools)[:10]) or 'none'}"
+                f"did you mean {similar[0]!r}?"
+                if similar
+                else f"known: {', '.join(sorted(pools)[:MAX_SHOWN_POOLS]) or 'none'}"
             )
             self.add_problem(path, f"no pool is named {name!r}", right, "missing-pool")
 
-    # What a request must look like.
-
     def _match(self, raw: object, path: Path) -> Match | None:
         if raw is None:
             self.add_problem(
@@ -377,7 +392,7 @@
             self.add_problem(path, "is answered by the proxy itself", "another path", "never-matches")
 
     def _segments(self, segments: Iterable[str], kind: str, path: Path) -> None:
-        """Literal segments of a path."""
+        """Check the literal segments of a path."""
         right = "letters, digits and the marks of RFC 3986, 3.3"
         if kind == "path_pattern":
             right += ", or one {name} for the whole segment"
@@ -389,25 +404,27 @@
                 self.add_problem(path, f"has a segment {describe_value(segment)}", right, "never-matches")
 
 
-def _inherit(name: str, own: dict[str, Any], defaults: dict[str, Any]) -> tuple[Policy, dict[str, str]]:
-    """The policy in force and, by the field's name in the file, where each value came from."""
+def _inherit(name: str, fields: dict[str, Any], defaults: dict[str, Any]) -> tuple[Policy, dict[str, str]]:
+    """Return a route's policy, and the origin of each value by the field's name in the file."""
     defaults = {field: value for field, value in defaults.items() if field != "class"}
-    if any(field in own for field in HEDGE_FIELDS):  # the two are one choice, made in one place
+    # A route that sets one hedge field inherits neither, because the two are alternatives.
+    if any(field in fields for field in HEDGE_FIELDS):
         for field in HEDGE_FIELDS:
             defaults.pop(field, None)
     values: dict[str, Any] = {"request_class": name}
     origins: dict[str, str] = {}
     for field, attribute in schema.POLICY_ATTRIBUTES.items():
-        if field in own:
-            value, origins[field] = own[field], "route"
+        if field in fields:
+            value, origins[field] = fields[field], "route"
         elif field in defaults:
             value, origins[field] = defaults[field], "defaults"
         else:
             origins[field] = "built in"
             continue
-        read = VALUE_READERS.get(attribute)
-        values[attribute] = read(value) if read else value
-    if values.get("effect") is Effect.IDEMPOTENT:  # nothing binds these to the first attempt's group
+        convert = VALUE_CONVERTERS.get(attribute)
+        values[attribute] = convert(value) if convert else value
+    # An idempotent request may be retried in any group, so its scopes default to the whole pool.
+    if values.get("effect") is Effect.IDEMPOTENT:
         for attribute in ("retry_scope", "hedge_scope"):
             values.setdefault(attribute, RetryScope.POOL)
     return Policy(**values), origins
--- a/heronreel/routes/retry_checks.py
+++ b/heronreel/routes/retry_checks.py
@@ -1,4 +1,7 @@
-"""No effect twice: retries and hedged requests that a deduplication group would not drop."""
+"""Checks that no request takes effect twice by retries or hedging.
+
+They report further attempts that a deduplication group would not drop.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +13,11 @@
 from heronreel.routes.model import ExhaustedResponse, PlatformLimits, Policy
 from heronreel.routes.timeline import EventKind, RequestTerms, TimelineEvent
 
-NON_IDEMPOTENT_METHODS = frozenset(("POST", "PATCH"))  # of those that are accepted (RFC 9110, 9.2.2)
+NON_IDEMPOTENT_METHODS = frozenset(("POST", "PATCH"))  # Of the accepted methods, by RFC 9110, 9.2.2.
 
 
 def latest_writes(policy: Policy, limits: PlatformLimits) -> list[float]:
-    """When the first byte of each attempt is written at the latest, ms after the request came."""
+    """Return the latest time at which each attempt's first byte is written, in ms after the arrival."""
     latest: list[float] = []
     at = 0.0
     span = policy.max_attempt_ms
@@ -26,26 +29,29 @@
 
 
 def window_outlasted(route: CheckedRoute) -> Iterator[Finding]:
-    """A repeat that is written when its group has forgotten the first."""
+    """Report a retry that may be written after its group's deduplication window has ended."""
     policy, limits = route.policy, route.limits
     if policy.effect is not Effect.KEYED or not (policy.unsafe_retry_outcomes or policy.hedges):
         return
     window = policy.deduplication_window_ms
     if window <= limits.connect_timeout_ms + limits.clock_margin_ms:
-        return  # `window_too_short` says it
+        return  # `window_too_short` reports this case.
     latest = latest_writes(policy, limits)
     late = next((n for n, at in enumerate(latest) if n and at >= window), None)
     if late is None:
         return
-    most = window - limits.clock_margin_ms
-    right = f"deadline_ms under {most:,.0f}, fewer attempts or shorter time-outs, so that all are out by then"
+    max_deadline_ms = window - limits.clock_margin_ms
+    right = (
+        f"deadline_ms under {max_deadline_ms:,.0f}, fewer attempts or shorter time-outs, "
+        "so that the last attempt starts before that"
+    )
     wrong = f"attempt {late + 1} may start at {latest[late]:,.0f} ms, past the window of {window:,.0f} ms"
     problem = route.problem("attempts", wrong, right, "window-outlasted")
     yield Finding(problem, Witness("twice", route.terms(), _retried_too_late(route, late, latest[late])))
 
 
 def _retried_too_late(route: CheckedRoute, late: int, written_at: float) -> tuple[TimelineEvent, ...]:
-    """Attempts up to number `late`, whose first byte is written after the window."""
+    """Return the events up to attempt `late`, whose first byte is written after the window has ended."""
     policy = route.policy
     events, at = route.first_attempt(), 0.0
     outcome = route.outcome_that_may_have_run()
@@ -66,7 +72,7 @@
 
 
 def window_too_short(route: CheckedRoute) -> Iterator[Finding]:
-    """The window is over before a retry can reach the group."""
+    """Report a deduplication window that may end before a retry can reach the group."""
     policy, limits = route.policy, route.limits
     if policy.effect is not Effect.KEYED or not (policy.unsafe_retry_outcomes or policy.hedges):
         return
@@ -76,20 +82,20 @@
         return
     wrong = f"a window of {window:,.0f} ms, while a repeat may need {needed:,.0f} ms to get there"
     right = 'state the time the group truly remembers, or retry_on = ["not-run"] and no second copy'
-    when = max(needed, window)
+    retried_at = max(needed, window)
     note = f"sent again: {route.group} has forgotten the key"
     events = [
         *route.first_attempt(),
         route.attempt_ended(0.0, "reset"),
-        TimelineEvent(when, EventKind.SENT, attempt=1, group=route.group, note=note),
-        TimelineEvent(when, EventKind.SERVED),
+        TimelineEvent(retried_at, EventKind.SENT, attempt=1, group=route.group, note=note),
+        TimelineEvent(retried_at, EventKind.SERVED),
     ]
     problem = route.problem("window_ms", wrong, right, "window-too-short")
     yield Finding(problem, Witness("twice", RequestTerms(Effect.KEYED, window), tuple(events)))
 
 
 def retry_of_unsafe(route: CheckedRoute) -> Iterator[Finding]:
-    """An unsafe request is retried after an outcome that may have run."""
+    """Report an unsafe request that is retried after an outcome in which it may have run."""
     if route.policy.effect is not Effect.UNSAFE:
         return
     for outcome in sorted(route.policy.unsafe_retry_outcomes):
@@ -101,7 +107,7 @@
 
 
 def hedge_of_unsafe(route: CheckedRoute) -> Iterator[Finding]:
-    """An unsafe request is hedged."""
+    """Report hedging of an unsafe request."""
     if route.policy.effect is Effect.UNSAFE and route.policy.hedges:
         wrong = "a second copy of an unsafe request"
         right = 'no second copy, or effect = "keyed" or "safe"'
@@ -110,7 +116,10 @@
 
 
 def write_called_safe(route: CheckedRoute) -> Iterator[Finding]:
-    """POST and PATCH may write; that a repeat of them does no harm is for a key to see to."""
+    """Report POST and PATCH requests that are declared safe.
+
+    They may write, so they can be repeated without harm only with a deduplication key.
+    """
     if route.policy.effect is not Effect.IDEMPOTENT:
         return
     writes = sorted((route.route.match.methods or NON_IDEMPOTENT_METHODS) & NON_IDEMPOTENT_METHODS)
@@ -123,7 +132,7 @@
 
 
 def retry_leaves_group(route: CheckedRoute) -> Iterator[Finding]:
-    """A retry may reach a group that does not know the key."""
+    """Report a retry that may reach a group that does not know the key."""
     scope = route.policy.retry_scope
     if not route.policy.unsafe_retry_outcomes or not route.may_leave_group(scope):
         return
@@ -134,7 +143,7 @@
 
 
 def hedge_leaves_group(route: CheckedRoute) -> Iterator[Finding]:
-    """A hedged request may reach a group that does not know the key."""
+    """Report a hedged request that may reach a group that does not know the key."""
     scope = route.policy.hedge_scope
     if not route.policy.hedges or not route.may_leave_group(scope):
         return
@@ -147,37 +156,40 @@
 
 
 def refusal_after_run(route: CheckedRoute) -> Iterator[Finding]:
-    """A refusal invites the client to try again, which may find another group, or come too late."""
+    """Report refusals after an attempt that may have run.
+
+    A refusal invites the client to retry, and its retry may reach another group or come after the window.
+    """
     policy = route.policy
     if policy.when_exhausted is not ExhaustedResponse.REFUSE or policy.effect is Effect.IDEMPOTENT:
         return
-    back = policy.deadline_ms + route.limits.max_retry_after_ms + route.limits.client_wait_ms
+    latest_return_ms = policy.deadline_ms + route.limits.max_retry_after_ms + route.limits.client_wait_ms
     if (
         policy.effect is Effect.KEYED
         and policy.deduplication_scope is DedupScope.ALL
-        and back < policy.deduplication_window_ms
+        and latest_return_ms < policy.deduplication_window_ms
     ):
         return
-    refused = policy.max_attempt_ms
+    refused_at = policy.max_attempt_ms
     other = route.group_name(1)
-    returns = (
-        refused + 1.0
+    returned_at = (
+        refused_at + 1.0
         if policy.deduplication_scope is not DedupScope.ALL
-        else max(back, policy.deduplication_window_ms)
+        else max(latest_return_ms, policy.deduplication_window_ms)
     )
     events = (
         *route.first_attempt(),
-        route.attempt_ended(refused, "timeout"),
-        TimelineEvent(refused, EventKind.REFUSED, note="refused, so the client believes that nothing ran"),
-        TimelineEvent(returns, EventKind.RETURNS),
+        route.attempt_ended(refused_at, "timeout"),
+        TimelineEvent(refused_at, EventKind.REFUSED, note="refused, so the client believes that nothing ran"),
+        TimelineEvent(returned_at, EventKind.RETURNS),
         TimelineEvent(
-            returns,
+            returned_at,
             EventKind.SENT,
             attempt=0,
             group=other,
             note=f"the client tries again: sent to {other}, runs again",
         ),
-        TimelineEvent(returns, EventKind.SERVED),
+        TimelineEvent(returned_at, EventKind.SERVED),
     )
     wrong = "promises a refusal when an attempt may have run"
     problem = route.problem("when_exhausted", wrong, 'when_exhausted = "fail"', "refusal-after-run")
--- a/heronreel/routes/schema.py
+++ b/heronreel/routes/schema.py
@@ -1,7 +1,7 @@
-"""The shape of each table of the file: fields, types, bounds, and in words what would be right.
+"""The tables of a routes file: their fields with types, bounds and descriptions.
 
-Each field is converted by itself, so that all errors of a file come in one go; a description follows the
-words "expected" in a message.
+Each field is converted separately, so that all errors of a file are reported at once.  A description follows
+the word "expected" in an error message.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 HOUR_MS = 3_600_000.0
 
 
-def _meta(words: str, **bounds: Any) -> Meta:
-    return Meta(description=words, **bounds)
+def _meta(description: str, **bounds: Any) -> Meta:
+    return Meta(description=description, **bounds)
 
 
 Name = Annotated[
@@ -39,7 +39,7 @@
 
 
 class RootTable(Struct):
-    """The tables of a file."""
+    """The top level of a file: its version and its tables."""
 
     version: Annotated[int, _meta("the number 1", ge=1, le=1)] = 1
     proxy: Any = UNSET
@@ -112,7 +112,7 @@
 
 
 class BudgetTable(Struct):
-    """A class of tasks over the whole fleet."""
+    """The rate limits of a priority class of fleet-wide tasks."""
 
     calls: Annotated[float, _meta("calls a second from 0", ge=0.0, le=1e9)] | UnsetType = UNSET
     bytes: Annotated[float, _meta("bytes a second from 0", ge=0.0, le=1e12)] | UnsetType = UNSET
@@ -122,7 +122,7 @@
 
 
 class FleetTable(Struct):
-    """How this proxy is one of a fleet: see docs/fleet-tasks.md."""
+    """The [fleet] table: this proxy's membership in a fleet; see docs/fleet-tasks.md."""
 
     group: Annotated[
         list[Address], _meta('a list of 1 to 7 addresses, as ["127.0.0.1:9001"]', min_length=1, max_length=7)
@@ -137,7 +137,7 @@
 
 
 class ProbeTable(Struct):
-    """How the members of the file's pools are probed: see docs/fleet-tasks.md."""
+    """The [probe] table: active health checks of the members; see docs/fleet-tasks.md."""
 
     path: Annotated[str, _meta('a path, such as "/health"', pattern=r"^/[!-~]{0,255}$")]
     every_ms: Annotated[float, _meta("milliseconds from 50 to 600,000", ge=50.0, le=600_000.0)] = 1000.0
@@ -167,9 +167,10 @@
 
 
 class PolicyFields(Struct):
-    """What [defaults] and each route may set.  Defaults of the program are in `model.Policy`.
+    """The policy fields that [defaults] and each route may set.
 
-    Attributes are named as those of `model.Policy`; `name` is the field in the file.
+    Attributes have the names of those of `model.Policy`, which also has the built-in defaults; `name` is the
+    name of the field in the file.
     """
 
     request_class: Name | UnsetType = field(name="class", default=UNSET)
@@ -223,6 +224,6 @@
 
 
 POLICY_ATTRIBUTES: Mapping[str, str] = {
-    each.encode_name: each.name for each in msgspec.structs.fields(PolicyFields)
+    policy_field.encode_name: policy_field.name for policy_field in msgspec.structs.fields(PolicyFields)
 }
-"""Attributes of `model.Policy` by the fields of the file, in the file's order."""
+"""The attributes of `model.Policy` by the name of the field in the file, in the order of `PolicyFields`."""
--- a/heronreel/routes/timeline.py
+++ b/heronreel/routes/timeline.py
@@ -1,8 +1,8 @@
-"""A timeline of requests, and the rules it breaks.
+"""Timelines of requests, and a check for the rules that they break.
 
-The judge knows nothing of files, policies or the proof: it plays what was sent, what ran and what was
-answered against what a request of this kind truly does, so that a witness can be held against the proof that
-made it, and the real decision module against both.
+The check doesn't depend on files, policies or the proof.  It replays what was sent, run and answered with the
+true properties of the requests, so that witnesses of the proof, and the real decision module, can be verified
+against it.
 """
 
 from __future__ import annotations
@@ -15,16 +15,17 @@
 
 
 class EventKind(Enum):
-    """What happens at one moment of a timeline."""
+    """The kind of an event in a timeline."""
 
     ARRIVES = "arrives"
-    SENT = "sent"  # its first byte reaches a backend, which runs it or drops it as a repeat
-    ENDED = "ended"  # for the reader: how the proxy saw an attempt end
+    SENT = "sent"  # An attempt's first byte reaches a backend, which runs it or drops it as a repeat.
+    ENDED = "ended"  # An attempt ends for the proxy.
     SERVED = "served"
     FAILED = "failed"
     REFUSED = "refused"
-    RETURNS = "comes back"  # the client tries again with the same key, as a refusal invites it to
-    PROMISED = "promised"  # by the file: attempt number `attempt` is sent, or waiting goes on past `until_ms`
+    RETURNS = "comes back"  # The client retries with the same key after a refusal.
+    PROMISED = "promised"
+    """The file promises that attempt number `attempt` is sent, or that waiting goes on past `until_ms`."""
 
 
 FINAL_KINDS = (EventKind.SERVED, EventKind.FAILED, EventKind.REFUSED)
@@ -32,30 +33,30 @@
 
 @dataclass(slots=True, frozen=True)
 class TimelineEvent:
-    """One moment of a request's life."""
+    """An event in the lifetime of a request."""
 
     at_ms: float
     kind: EventKind
     request: int = 0
     attempt: int = 0
     group: str = ""
-    runs: bool = True  # of SENT: it reached work; False: turned away unseen
+    runs: bool = True  # For SENT: False if the backend rejected the attempt before running it.
     until_ms: float = 0.0
     note: str = ""
 
     def __str__(self) -> str:
         if self.note:
             return f"{self.at_ms:,.0f} ms {self.note}"
-        where = f" to {self.group}" if self.group else ""
-        return f"{self.at_ms:,.0f} ms {self.kind.value}{where}"
+        destination = f" to {self.group}" if self.group else ""
+        return f"{self.at_ms:,.0f} ms {self.kind.value}{destination}"
 
 
 @dataclass(slots=True, frozen=True)
 class RequestTerms:
-    """What holds for the requests of a timeline, whatever a file says of them."""
+    """The true properties of a timeline's requests, whatever a file declares."""
 
     effect: Effect
-    window_ms: float = 0.0  # of KEYED: a group drops repeats for so long after the first it ran
+    window_ms: float = 0.0  # For KEYED: how long a group drops repeats after it ran a request.
     client_wait_ms: float = float("inf")
     max_attempts: int = 16
     hedging_allowed: bool = True
@@ -63,7 +64,7 @@
 
 @dataclass(slots=True)
 class _RequestState:
-    """What the timeline has said of one request so far."""
+    """The state of one request while a timeline is replayed."""
 
     arrived_ms: float
     attempts: int = 0
@@ -72,14 +73,17 @@
     sent: set[int] = field(default_factory=set)
     promises: list[TimelineEvent] = field(default_factory=list)
     runs: int = 0
-    remembered: dict[str, float] = field(default_factory=dict)  # group: when it ran the key
+    remembered: dict[str, float] = field(default_factory=dict)  # when each group last ran the key
 
 
 def broken_rules(events: Iterable[TimelineEvent], terms: RequestTerms) -> dict[str, str]:
-    """The rules that a timeline breaks, each with the words that say how.
+    """Return the rules that a timeline breaks, each with a description of the violation.
 
-    `lost` (rule 1), `twice` (rule 2), `platform` (more than is allowed), `promise` (what the file says
-    can't come about) and `budget` (more repeats than first tries).
+    * `lost`: a request gets no response, a late one, or several (rule 1).
+    * `twice`: a request takes effect more than once (rule 2).
+    * `platform`: there are more attempts than allowed, or hedging although it is not allowed.
+    * `promise`: something that the file promises can't happen.
+    * `budget`: there are more repeats than first attempts.
     """
     states: dict[int, _RequestState] = {}
     violations: dict[str, str] = {}
@@ -91,7 +95,7 @@
     for state in states.values():
         _check_end(state, terms, violations)
     repeats = sum(state.attempts - 1 for state in states.values() if state.attempts)
-    if len(states) > 1 and repeats > len(states):  # of one request alone no share can be told
+    if len(states) > 1 and repeats > len(states):  # A single request doesn't show a ratio of repeats.
         violations["budget"] = f"{repeats} repeats for {len(states)} requests"
     return violations
 
@@ -107,7 +111,7 @@
         if state.attempts > terms.max_attempts:
             violations["platform"] = f"attempt {state.attempts} of {terms.max_attempts} allowed"
         if state.in_flight and not terms.hedging_allowed:
-            violations["platform"] = "a second copy where none is allowed"
+            violations["platform"] = "a second attempt at the same time, although hedging is not allowed"
         state.in_flight.add(event.attempt)
         if event.runs:
             _run_attempt(event, state, terms, violations)
@@ -122,9 +126,13 @@
 def _run_attempt(
     event: TimelineEvent, state: _RequestState, terms: RequestTerms, violations: dict[str, str]
 ) -> None:
-    since = state.remembered.get(event.group)
-    if terms.effect is Effect.KEYED and since is not None and event.at_ms < since + terms.window_ms:
-        return  # dropped as a repeat
+    last_run_ms = state.remembered.get(event.group)
+    if (
+        terms.effect is Effect.KEYED
+        and last_run_ms is not None
+        and event.at_ms < last_run_ms + terms.window_ms
+    ):
+        return  # The group drops the attempt as a repeat.
     state.remembered[event.group] = event.at_ms
     state.runs += 1
     if state.runs > 1 and terms.effect is not Effect.IDEMPOTENT:
@@ -136,12 +144,14 @@
     if not state.final_events:
         violations["lost"] = "no answer"
     elif state.final_events[0].at_ms > state.arrived_ms + terms.client_wait_ms:
-        violations["lost"] = f"answered at {state.final_events[0].at_ms:,.0f} ms, when the client had left"
+        violations["lost"] = (
+            f"answered at {state.final_events[0].at_ms:,.0f} ms, when the client had disconnected"
+        )
     elif len(state.final_events) - refused > 1:
         violations["lost"] = "answered twice"
     for promise in state.promises:
         failed = [event.at_ms for event in state.final_events if event.kind is EventKind.FAILED]
         if promise.until_ms and failed and failed[0] <= promise.until_ms:
-            violations["promise"] = f"over at {failed[0]:,.0f} ms, not after {promise.until_ms:,.0f} ms"
+            violations["promise"] = f"ended at {failed[0]:,.0f} ms, not after {promise.until_ms:,.0f} ms"
         elif not promise.until_ms and promise.attempt not in state.sent:
             violations["promise"] = f"attempt {promise.attempt + 1} is never sent"
