--- a/heronreel/serve/__init__.py
+++ b/heronreel/serve/__init__.py
@@ -1,7 +1,10 @@
-"""A proxy on a file's own pools: no platform, no endpoint list service needed.
+"""A proxy that serves the routes and pools of a file, without a platform or an endpoint list service.
 
-* `program`: the process, its signals and its reloads; `files`: reading and checking the file.
-* `policies`: routes as the balancer's policies, settings and endpoints (pure).
-* `health_checks`, `zone_health`: which members are down, found by itself or once a zone.
-* `fleet`: what it does as a member of a fleet; `metered_proxy`: responses counted by tenant.
+* `program`: the process, its signals and its reloads.
+* `files`: reads and checks the routes file.
+* `policies`: converts routes to the balancer's policies, settings and endpoints, without side effects.
+* `health_checks`: active health checks that the process runs by itself.
+* `zone_health`: health checks that one proxy runs for all proxies of its zone.
+* `fleet`: the process as a member of a fleet.
+* `metered_proxy`: a proxy that counts its responses by tenant.
 """
--- a/heronreel/serve/files.py
+++ b/heronreel/serve/files.py
@@ -1,4 +1,4 @@
-"""Reading the files that commands and reloads name."""
+"""Reads and checks routes files for commands and reloads."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def check_file(path: str, platform: PlatformLimits | None = None) -> Report:
-    """The report on a file; one that can't be read is a finding too."""
+    """Read a file and return the report of its check; an unreadable file is reported as a finding."""
     try:
         with Path(path).open("rb") as file:
-            data = file.read(MAX_FILE_BYTES + 1)  # one beyond the most, so that `load` can say so
+            data = file.read(MAX_FILE_BYTES + 1)  # One byte more than allowed lets the check report the size.
     except OSError as error:
         wrong = f"can't be read: {error.strerror or error}"
         return Report(None, (Finding(Problem(0, "file", wrong, "a readable file", "unreadable")),))
--- a/heronreel/serve/fleet.py
+++ b/heronreel/serve/fleet.py
@@ -1,7 +1,7 @@
-"""A serving proxy as a member of a fleet: present by a lease, and doing its part of the fleet's tasks.
+"""A serving proxy as a member of a fleet: it holds a presence lease and runs a part of the fleet's tasks.
 
-No request waits for anything here: a coordination service that is away, or slow, costs the fleet its tasks
-and no client its response.
+No client request waits for anything in this module.  If the coordination service is slow or unreachable, the
+fleet's tasks are not done, but every client still gets its response.
 """
 
 from __future__ import annotations
@@ -38,32 +38,32 @@
 from heronreel.serve.metered_proxy import MeteredProxy
 from heronreel.serve.zone_health import ZoneProber, ZoneReportFollower
 
-FINAL_UPLOAD_TIMEOUT_S = 2.0  # for the last counts, at a graceful shutdown
-RESTART_DELAY_S = 1.0  # before a component that failed is run again
-PAGES_PER_PERIOD = 2  # of a usage ledger
+FINAL_UPLOAD_TIMEOUT_S = 2.0  # The limit for uploading the last usage counts at a graceful shutdown.
+RESTART_DELAY_S = 1.0  # The delay before a failed component is restarted.
+PAGES_PER_PERIOD = 2  # The pages of a usage ledger that are sealed in a metering period.
 
 log = structlog.get_logger()
 
 
 class Presence(msgspec.Struct, frozen=True):
-    """What a proxy says of itself under its presence key."""
+    """The value of a proxy's presence key, which describes the process."""
 
     kind: str
     zone: str
-    address: str  # the first listener's
+    address: str  # The address of the first listener.
     version: str
-    start: str  # drawn at each start: the same name with another one is another process
+    start: str  # A random id drawn at each start: the same name with another id is another process.
     pid: int
 
 
 class FleetMember:
-    """The fleet's side of a serving process."""
+    """The fleet membership of a serving process."""
 
     def __init__(self, file: RoutesFile) -> None:
         """Prepare usage metering where it is configured.
 
         Raises:
-            OSError: usage is to be metered, and no ledger can be created.
+            OSError: usage metering is configured, but its ledger can't be created.
         """
         assert file.fleet is not None
         log_to_stderr()
@@ -82,13 +82,16 @@
         self._components: list[asyncio.Task[None]] = []
 
     def make_proxy(self, *proxy_arguments: Any) -> Dispatcher:
-        """A proxy like any other, with its responses counted where usage is metered."""
+        """Return a proxy, which counts its responses if usage metering is configured."""
         if self.uploader is None:
             return Dispatcher(*proxy_arguments)
         return MeteredProxy(self.uploader.meter, *proxy_arguments)
 
     def start(self, address: str, checks: HealthChecks | None = None) -> None:
-        """Be present from now on; components that fail are logged and run again, and the proxy goes on."""
+        """Start the membership with the proxy's address.
+
+        A component that fails is logged and restarted; the proxy keeps serving.
+        """
         self.checks = checks
         self._components = []
         if self.fleet.embedded:
@@ -97,22 +100,26 @@
         self._components.append(asyncio.create_task(self._run(address)))
 
     async def stop(self) -> None:
-        """All clients have their responses: upload the last counts, and release everything."""
+        """Upload the last usage counts, then stop all components.
+
+        Call this when all clients have their responses.
+        """
         if self.uploader is not None:
             timeout_s = FINAL_UPLOAD_TIMEOUT_S if self.session else 0.0
             if not await self.uploader.finish(timeout_s):
                 log.error("usage left on the disk", folder=self.fleet.folder)
-        for component in reversed(self._components):  # an embedded group last: the lease is revoked at it
+        # An embedded group stops last, because the other components revoke the lease at it.
+        for component in reversed(self._components):
             component.cancel()
             await asyncio.gather(component, return_exceptions=True)
         if self.checks is not None:
             await self.checks.close()
 
     def reload(self, file: RoutesFile) -> None:
-        """Another file is in force.
+        """Apply another file.
 
         Raises:
-            OSError: its tenants need a new usage ledger, and none can be created.
+            OSError: the file's tenants need a new usage ledger, which can't be created.
         """
         if self.uploader is not None:
             self.uploader.change_tenants(tenants_of(file))
@@ -131,7 +138,7 @@
             presence = msgspec.json.encode(self._presence(address))
             runner = TaskRunner(self.session, self.name, steps, presence=presence, budgets=budgets)
             await self._run_again("tasks", runner.run)
-            await asyncio.Event().wait()  # without tasks it is present all the same
+            await asyncio.Event().wait()  # Keeps the presence after the task runner has ended.
 
     def _presence(self, address: str) -> Presence:
         return Presence("proxy", self.zone, address, heronreel.__version__, self.incarnation, os.getpid())
@@ -153,7 +160,7 @@
         self._components.append(asyncio.create_task(self._run_again(name, run, *arguments)))
 
     async def _run_again(self, name: str, run: Callable[..., Awaitable[None]], *arguments: object) -> None:
-        """Run a component to its end, again after each failure."""
+        """Run a component until it returns; restart it after each failure."""
         while True:
             try:
                 await run(*arguments)
@@ -174,5 +181,5 @@
 
 
 def tenants_of(file: RoutesFile) -> tuple[str, ...]:
-    """The names of the tenants that the file configures."""
+    """Return the names of the tenants that the file configures."""
     return tuple(tenant.name for tenant in file.tenants)
--- a/heronreel/serve/health_checks.py
+++ b/heronreel/serve/health_checks.py
@@ -1,4 +1,4 @@
-"""Active health checks in a serving process: which members get no traffic, and probing them by itself."""
+"""Active health checks in a serving process: probes members and tracks which of them are down."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 def config_of(probe: HealthCheckSettings) -> HealthCheckConfig:
-    """The [probe] table, with times in seconds."""
+    """Return the configuration of the [probe] table, with times in seconds."""
     return HealthCheckConfig(
         probe.path, probe.every_ms / 1000, probe.timeout_ms / 1000, probe.fall, probe.rise
     )
 
 
 def members_of(file: RoutesFile) -> dict[Member, Address]:
-    """The members that are probed: all that the file itself names."""
+    """Return the members that are probed, which are all members that the file names."""
     return {
         Member(pool.name, member.name): member.address
         for pool in file.pools.values()
@@ -33,10 +33,10 @@
 
 
 class HealthChecks:
-    """The members that are down, and a prober to find out."""
+    """Tracks the members that are down, and probes all members."""
 
     def __init__(self, file: RoutesFile, on_change: DownListener) -> None:
-        """`on_change` is called with all members that get no traffic, whenever they become others."""
+        """`on_change` is called with all members that get no traffic whenever that set changes."""
         assert file.probe is not None
         self.zone = file.process.zone
         self.config = config_of(file.probe)
@@ -52,31 +52,34 @@
         return members_of(self._file)
 
     def reload(self, file: RoutesFile) -> None:
-        """Another file is in force."""
+        """Apply another file."""
         self._file = file
         self.update(self._down)
 
     def update(self, down: Collection[Member]) -> None:
-        """These members were found down, and no others."""
-        believed = apply_panic_threshold(down, self.members)
-        if believed == self._down:
+        """Set the members that were found down.
+
+        The panic threshold may keep some of them in service.
+        """
+        effective = apply_panic_threshold(down, self.members)
+        if effective == self._down:
             return
-        for member in sorted(believed - self._down):
+        for member in sorted(effective - self._down):
             log.warning("health check: %s/%s is down", *member)
-        for member in sorted(self._down - believed):
+        for member in sorted(self._down - effective):
             log.warning("health check: %s/%s is no longer known to be down", *member)
-        self._down = believed
-        self._on_change(believed)
+        self._down = effective
+        self._on_change(effective)
 
     async def run(self) -> None:
-        """HealthCheckSettings for this process alone, until this is cancelled."""
+        """Probe the members for this process alone until cancelled."""
         tracker = HealthTracker(self.config)
         try:
             while True:
-                began = self.clock()
+                started_at = self.clock()
                 if await self.prober.probe_all(self.members, tracker):
                     self.update(tracker.down)
-                await asyncio.sleep(max(0.0, began + self.config.interval_s - self.clock()))
+                await asyncio.sleep(max(0.0, started_at + self.config.interval_s - self.clock()))
         finally:
             await self.close()
 
--- a/heronreel/serve/metered_proxy.py
+++ b/heronreel/serve/metered_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy whose responses are counted by tenant: the adapter between the proxy and the usage meter."""
+"""A proxy that counts its responses by tenant: the adapter between the proxy and the usage meter."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class MeteredClient:
-    """The receiver of a response, with its tenant: what reaches it is counted.
+    """A client that counts the responses it receives for its tenant.
 
-    It implements `ResponseWriter` where the proxy expects its client, and passes every call on.
+    It takes the client's place as the proxy's `ResponseWriter` and forwards every call to the client.
     """
 
     __slots__ = ("begun", "client", "meter", "tenant")
@@ -34,7 +34,7 @@
         self.meter.settle(self.begun, kind)
 
     def respond(self, status: int, header_lines: bytes, body: bytes = b"") -> None:
-        """Pass on a complete response."""
+        """Forward a complete response."""
         self._begin()
         self.client.respond(status, header_lines, body)
         self._settle(kind_of_status(status))
@@ -42,19 +42,22 @@
     def begin_stream(
         self, connection: BackendConnection, start: Response, length: int | None
     ) -> ResponseBodySink | None:
-        """Pass on the start of a streamed response: in flight for as long as its client takes it."""
+        """Forward the start of a streamed response.
+
+        The response counts as in flight until its stream ends or is aborted.
+        """
         sink = self.client.begin_stream(connection, start, length)
         if sink is not None:
             self._begin()
         return sink
 
     def finish_stream(self) -> None:
-        """Pass on the end of a streamed response."""
+        """Forward the end of a streamed response."""
         self.client.finish_stream()
         self._settle(ResponseKind.SERVED)
 
     def abort_stream(self) -> None:
-        """Pass on that a streamed response can't be completed."""
+        """Forward the abort of a streamed response that can't be completed."""
         self.client.abort_stream()
         self._settle(ResponseKind.FAILED)
 
@@ -64,7 +67,7 @@
 
 
 class MeteredProxy(Dispatcher):
-    """A proxy whose responses are counted by tenant."""
+    """A proxy that counts its responses by tenant."""
 
     def __init__(self, meter: UsageMeter, *proxy_arguments: Any) -> None:
         """`proxy_arguments` are those of `Dispatcher`."""
@@ -78,6 +81,6 @@
         body: bytes | bytearray,
         upload: RequestBodyStream | None = None,
     ) -> Request:
-        """Take a request; what its client receives is counted."""
+        """Submit a request whose response is counted."""
         tenant = head.tenant if head.tenant in self.tenants else NO_TENANT
         return super().submit(MeteredClient(self.meter, client, tenant), head, body, upload)
--- a/heronreel/serve/policies.py
+++ b/heronreel/serve/policies.py
@@ -1,4 +1,4 @@
-"""A checked file as the decision module and the network code take it.  No I/O."""
+"""Converts a checked file to the types of the decision module and the network code, without I/O."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from heronreel.routes.index import RouteIndex
 from heronreel.routes.model import OUTCOMES_BY_NAME, ExhaustedResponse, Pool, RetryScope, Route, RoutesFile
 
-ASK_WITHIN_MS = 10_000.0
+DISCOVERY_WATCH_WITHIN_MS = 10_000.0  # The time within which the discovery service must be watched again.
 
 
 def class_of(route: Route) -> api.RequestClass:
-    """The balancer's class of a route's requests."""
+    """Return the balancer's class of a route's requests."""
     policy = route.policy
     return api.RequestClass(
         policy.request_class,
@@ -31,7 +31,7 @@
 
 
 def policy_of(route: Route, margin_ms: float) -> api.RoutePolicy:
-    """The module's policy of a route."""
+    """Return the balancer's policy of a route."""
     policy = route.policy
     return api.RoutePolicy(
         route=route.name,
@@ -40,7 +40,7 @@
         attempt_timeout_ms=policy.attempt_timeout_ms,
         backoff_ms=policy.backoff_ms,
         max_backoff_ms=policy.max_backoff_ms,
-        retry_on=frozenset(outcome for word in policy.retry_on for outcome in OUTCOMES_BY_NAME[word]),
+        retry_on=frozenset(outcome for name in policy.retry_on for outcome in OUTCOMES_BY_NAME[name]),
         retry_budget_ratio=policy.retry_budget,
         retry_in_group=policy.retry_scope is RetryScope.GROUP,
         spills_over=policy.retry_scope is RetryScope.SPLIT,
@@ -56,7 +56,10 @@
 
 
 def without_key(policy: api.RoutePolicy) -> api.RoutePolicy:
-    """The same for a request without Idempotency-Key: nobody can drop its repeats, so it is unsafe."""
+    """Return the policy for requests without an Idempotency-Key.
+
+    No backend can drop repeats of such a request, so it is unsafe.
+    """
     return replace(
         policy,
         request_class=replace(policy.request_class, effect=api.Effect.UNSAFE, repeat_window_ms=0.0),
@@ -68,7 +71,7 @@
 
 
 class Router:
-    """Finds a request's policy; made anew for each file, and never changed."""
+    """Finds the policy of a request.  Each file gets a new router, which never changes."""
 
     def __init__(self, file: RoutesFile, index: RouteIndex | None = None) -> None:
         self.index = index or RouteIndex(file.routes)
@@ -82,7 +85,10 @@
     def find(
         self, host: bytes, path: bytes, method: bytes, headers: Mapping[bytes, bytes]
     ) -> api.RoutePolicy | None:
-        """The policy of a request, without a key the stricter one; None: no route takes it."""
+        """Return the policy of a request; None if no route matches.
+
+        A request without an Idempotency-Key gets the stricter policy.
+        """
         route = self.index.find(host, path, method, headers)
         if route is None:
             return None
@@ -91,19 +97,19 @@
 
 
 def settings_of(file: RoutesFile) -> api.Settings:
-    """The module's settings: its classes are the different ones of all routes, each once."""
+    """Return the balancer's settings, with the distinct request classes of all routes."""
     process, limits = file.process, file.process.limits
     classes: dict[api.RequestClass, None] = {}
     for route in file.routes:
         classes[replace(class_of(route), name="")] = None
     return api.Settings(
-        classes=tuple(replace(klass, name=f"class-{n}") for n, klass in enumerate(classes)),
+        classes=tuple(replace(request_class, name=f"class-{n}") for n, request_class in enumerate(classes)),
         tenants=tuple(api.Tenant(t.name, t.share, t.requests_per_s) for t in file.tenants),
         zone=process.zone,
         zones=tuple(sorted({m.zone for pool in file.pools.values() for m in pool.members if m.zone})),
         proxies=process.proxies,
         watch_list=discovered_pool(file) != "",
-        watch_within_ms=ASK_WITHIN_MS,
+        watch_within_ms=DISCOVERY_WATCH_WITHIN_MS,
         max_attempts=limits.max_attempts,
         hedging=limits.second_copies,
         max_retry_after_ms=limits.max_retry_after_ms,
@@ -116,14 +122,14 @@
 
 
 def discovered_pool(file: RoutesFile) -> str:
-    """The one pool whose members the platform's discovery tells; "" if all are in the file."""
+    """Return the name of the pool whose members come from discovery; "" if there is none."""
     return next((pool.name for pool in file.pools.values() if pool.discovered), "")
 
 
 def members_of(file: RoutesFile, down: Collection[tuple[str, str]] = ()) -> EndpointList:
-    """All members of the file's pools, as a complete endpoint list.
+    """Return all members of the file's pools as a complete endpoint list.
 
-    Those that are down, by pool and name, are listed as draining.
+    Members that are down, given by pool and name, are listed as draining.
     """
     entries = [entry for pool in file.pools.values() for entry in _entries(pool, down)]
     return EndpointList(0, True, entries)
@@ -136,8 +142,8 @@
             member.address,
             member.zone or f"?{pool.name}/{member.name}",
             member.kind,
-            # a member without a rack shares what it remembers with nobody
-            _number(member.rack or f"?{pool.name}/{member.name}"),
+            # A member without a rack is a deduplication group of its own.
+            _cell_number(member.rack or f"?{pool.name}/{member.name}"),
             api.BackendState.DRAINING
             if member.draining or (pool.name, member.name) in down
             else api.BackendState.UP,
@@ -149,17 +155,18 @@
     ]
 
 
-def _number(name: str) -> int:
+def _cell_number(name: str) -> int:
+    """Return a number for a rack, which is the same in every process."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=6).digest())
 
 
 def config_of(file: RoutesFile, down: Collection[tuple[str, str]] = ()) -> Config:
-    """The proxy's configuration: its listener, endpoints, settings and limits."""
+    """Return the proxy's configuration: its listener, endpoints, settings and limits."""
     process = file.process
-    listen = file.listeners[0].address if file.listeners else ("127.0.0.1", 0)
+    listen_address = file.listeners[0].address if file.listeners else ("127.0.0.1", 0)
     return Config(
         process.name,
-        listen,
+        listen_address,
         process.discovery if discovered_pool(file) else None,
         process.seed,
         settings_of(file),
--- a/heronreel/serve/program.py
+++ b/heronreel/serve/program.py
@@ -1,4 +1,4 @@
-"""The process of `heronreel serve`: start, readiness, SIGHUP, SIGTERM."""
+"""The process of `heronreel serve`: start, readiness, reload on SIGHUP and drain on SIGTERM."""
 
 from __future__ import annotations
 
@@ -26,13 +26,16 @@
 from heronreel.serve.files import check_file
 from heronreel.serve.policies import Router, config_of, discovered_pool, members_of
 
+MAX_LOGGED_FINDINGS = 4  # The most findings of a rejected file that a reload logs.
+
 log = logging.getLogger(__name__)
 
 
 def read_report(path: str, platform: Config | None = None) -> Report:
-    """The report on a file; what can't be served is a finding too.
+    """Return the report on a file, with findings for whatever can't be served.
 
-    On a platform the file is held against its settings, and its one pool is the platform's.
+    On a platform the file is checked against the platform's settings, and its only pool must be the
+    platform's.
     """
     report = check_file(path, platform_limits(platform.settings) if platform else None)
     if report.file is None or not report.safe:
@@ -54,13 +57,16 @@
 
 
 def _unserved(file: RoutesFile) -> list[Finding]:
-    """What a file for the platform may lack, and a proxy of its own may not."""
-    found = []
+    """Return findings for settings that are missing.
+
+    A file may omit them on a platform, but not for a proxy without one.
+    """
+    problems = []
     if not file.listeners:
-        found.append(Problem(0, "listeners", "none", "at least one table under [[listeners]]", "unserved"))
+        problems.append(Problem(0, "listeners", "none", "at least one table under [[listeners]]", "unserved"))
     if discovered_pool(file) and file.process.discovery is None:
         right = 'discovery = "ADDRESS:PORT" in [proxy]'
-        found.append(
+        problems.append(
             Problem(
                 file.line("pools"),
                 "pools",
@@ -69,11 +75,11 @@
                 "unserved",
             )
         )
-    return [Finding(problem) for problem in found]
+    return [Finding(problem) for problem in problems]
 
 
 class Server:
-    """A proxy and its listeners, fed by one file at a time."""
+    """A proxy and its listeners, configured by one file at a time."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, path: str, file: RoutesFile, platform: Config | None = None
@@ -84,14 +90,14 @@
         config = platform or config_of(file)
         self.pools = Pools(config.settings, config.seed, discovered_pool(file))
         self.fleet_member = None
-        if file.fleet is not None:  # nothing of it is loaded otherwise
+        if file.fleet is not None:  # Proxies outside a fleet don't load its modules.
             from heronreel.serve.fleet import FleetMember
 
             self.fleet_member = FleetMember(file)
-        make = Dispatcher if self.fleet_member is None else self.fleet_member.make_proxy
-        self.proxy = make(loop, config, self.pools, Router(file))
+        make_proxy = Dispatcher if self.fleet_member is None else self.fleet_member.make_proxy
+        self.proxy = make_proxy(loop, config, self.pools, Router(file))
         self.config = config
-        self.down: Collection[tuple[str, str]] = ()  # members that probes found down
+        self.down: Collection[tuple[str, str]] = ()  # members that health checks found down, by pool and name
         self.health_checks = None
         if file.probe is not None:
             from heronreel.serve.health_checks import HealthChecks
@@ -100,23 +106,23 @@
         self.clients = ClientListener(loop, config, self.proxy)
 
     def listen(self) -> dict[str, tuple[str, int]]:
-        """The address that each listener is bound to, by its name."""
+        """Bind all listeners; return the bound address of each by name."""
         if self.platform:
             return {"clients": self.clients.listen(self.clients.address)}
         return {row.name: self.clients.listen(row.address) for row in self.file.listeners}
 
     def mark_down(self, down: Collection[tuple[str, str]]) -> None:
-        """Probes found these down, and no others: nothing new goes to them."""
+        """Set the members that health checks found down; they get no new requests."""
         self.down = down
         self.config = replace(self.config, endpoints=members_of(self.file, down))
         self.proxy.reload(self.config)
 
     async def reload(self) -> Report:
-        """Take the file as it is now, whole or not at all.
+        """Reload the file, completely or not at all.
 
-        Nothing is changed before all of the new file is ready, which takes seconds with thousands of routes:
-        a thread makes it ready, so that the loop goes on answering.  Requests under way keep the policy they
-        began with; those of pools that are gone end where they are.
+        Nothing changes before the new file is ready.  With thousands of routes that takes seconds, so a
+        thread prepares it while the event loop keeps serving.  Requests in progress keep the policy that they
+        started with; those on a removed pool end on the backend that they use.
         """
         platform = load(os.environ) if self.platform else None
         report = await asyncio.to_thread(read_report, self.path, platform)
@@ -138,7 +144,7 @@
         if self.fleet_member is not None:
             self.fleet_member.reload(file)
         elif file.fleet is not None:
-            log.error("reload: fleet: a restart is needed to be one of a fleet")
+            log.error("reload: fleet: joining a fleet needs a restart")
         self.proxy.reload(config)
         self.clients.reload(config)
         self.proxy.router = router
@@ -157,35 +163,40 @@
     ready: Callable[[dict[str, tuple[str, int]]], None],
     platform: Config | None = None,
 ) -> None:
-    """Serve until SIGTERM or SIGINT, then drain.  Raises OSError if a listener can't be bound."""
+    """Serve until SIGTERM or SIGINT, then drain.
+
+    Raises:
+        OSError: a listener can't be bound.
+    """
     loop = asyncio.get_running_loop()
-    stop: asyncio.Future[float] = loop.create_future()  # when SIGTERM came
-    reload = asyncio.Event()
-    probing = None
+    stop: asyncio.Future[float] = loop.create_future()  # resolved with the time of the signal
+    reload_requested = asyncio.Event()
+    health_check_task = None
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, record_signal_time, stop)
-    loop.add_signal_handler(signal.SIGHUP, reload.set)
+    loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
     server = Server(loop, path, file, platform)
     bound = server.listen()
     ready(bound)
     if server.fleet_member is not None:
         server.fleet_member.start("{}:{}".format(*next(iter(bound.values()))), server.health_checks)
     elif server.health_checks is not None:
-        probing = loop.create_task(server.health_checks.run())
+        health_check_task = loop.create_task(server.health_checks.run())
     gc.collect()
     gc.freeze()
-    reloading = loop.create_task(_reloads(reload, server))
+    reload_task = loop.create_task(_reload_on_request(reload_requested, server))
     signalled_at = await stop
     log.info("draining")
     await drain(server.clients, signalled_at)
-    if probing is not None:
-        probing.cancel()
+    if health_check_task is not None:
+        health_check_task.cancel()
     if server.fleet_member is not None:
         await server.fleet_member.stop()
-    reloading.cancel()
+    reload_task.cancel()
 
 
-async def _reloads(requested: asyncio.Event, server: Server) -> None:
+async def _reload_on_request(requested: asyncio.Event, server: Server) -> None:
+    """Reload the file whenever it is requested; a failed reload leaves the old file in force."""
     while True:
         await requested.wait()
         requested.clear()
@@ -195,20 +206,24 @@
         except ConfigError as error:
             log.error("reload: %s; the old file stays in force", error, extra=NOT_RATE_LIMITED)
             continue
-        except Exception as error:  # a reload must never be what ends the service
+        except Exception as error:  # A failed reload must not end the service.
             log.exception("reload: %s; the old file may stay in force", error)
             continue
-        for finding in report.findings[:4]:
+        for finding in report.findings[:MAX_LOGGED_FINDINGS]:
             log.error("reload: %s:%s", server.path, finding.problem)
         if report.safe:
             log.info("reload: done, %d routes", len(server.file.routes), extra=NOT_RATE_LIMITED)
         else:
-            words = "reload: %d findings; the old file stays in force"
-            log.error(words, len(report.findings), extra=NOT_RATE_LIMITED)
+            message = "reload: %d findings; the old file stays in force"
+            log.error(message, len(report.findings), extra=NOT_RATE_LIMITED)
 
 
 def main(path: str, on_platform: bool = False) -> int:
-    """Serve a file; 0 after a drain, 1 for a file that is refused, 2 for an address that can't be bound."""
+    """Serve a file and return the exit status.
+
+    The status is 0 after a drain, 1 if the file is rejected, and 2 if the platform's configuration can't be
+    loaded or an address can't be bound.
+    """
     try:
         platform = load(os.environ) if on_platform else None
     except ConfigError as error:
--- a/heronreel/serve/zone_health.py
+++ b/heronreel/serve/zone_health.py
@@ -1,4 +1,4 @@
-"""Health checks shared by the proxies of a zone: one of them probes, and all follow its reports."""
+"""Health checks shared by the proxies of a zone: one proxy probes, and all follow its reports."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from heronreel.leases.tasks import Task
 from heronreel.serve.health_checks import HealthChecks
 
-MIN_REPORT_INTERVAL_S = 1.0  # at least between two reports without a change
-MAX_MISSED_REPORTS = 4  # after which the last one expires
+MIN_REPORT_INTERVAL_S = 1.0  # The shortest interval between two reports without a change.
+MAX_MISSED_REPORTS = 4  # The last report expires after this number of report intervals.
 PUBLISH_TIMEOUT_S = 2.0
-STEP_MARGIN_S = 5.0  # that a round may take beyond the interval of probes
+STEP_MARGIN_S = 5.0  # The time that a round of probes may take beyond the probe interval.
 WATCH_BACKOFF_S = 0.5
 MIN_EXPIRY_CHECK_S = 0.05
-EXPIRY_CHECK_S = 0.2  # between two looks while there is no current report
+EXPIRY_CHECK_S = 0.2  # The interval between two checks while there is no current report.
 
 log = logging.getLogger(__name__)
 
@@ -38,30 +38,30 @@
 
 
 class ZoneProber:
-    """The fleet-wide task of probing a zone, done while this process holds it."""
+    """The fleet-wide task of probing a zone, which runs while this process holds the task."""
 
     def __init__(self, checks: HealthChecks, name: str) -> None:
-        """`name` is this process's in the reports."""
+        """`name` identifies this process in the reports."""
         self.checks = checks
         self.name = name
         self._tracker = HealthTracker(checks.config)
-        self._fencing_token = 0  # under which the tracker was begun
+        self._fencing_token = 0  # the token that was valid when the tracker was created
         self._round = 0
         self._published_at = 0.0
 
     @property
     def task(self) -> Task:
-        """The task, of which a step is one round of probes."""
+        """The task; each of its steps is one round of probes."""
         interval_s = self.checks.config.interval_s
         zone = self.checks.zone
         return Task(probe_task_name(zone), interval_s, step_timeout_s=interval_s + STEP_MARGIN_S, zone=zone)
 
     async def run_step(self, client: Client, context: StepContext) -> None:
-        """One round, and the report if one is due.
+        """Probe all members once, and publish a report if the result changed or a report is due.
 
         Raises:
             RequestError: the coordination service did not respond.
-            ProberReplacedError: another process probes the zone by now.
+            ProberReplacedError: another process probes the zone now.
         """
         if self._fencing_token != context.fencing_token:
             await self._take_over(client, context.fencing_token)
@@ -73,7 +73,7 @@
             await self._publish(client, len(members))
 
     async def _take_over(self, client: Client, fencing_token: int) -> None:
-        """Go on from the last report of the zone."""
+        """Continue from the zone's last report."""
         last = await _read_report(client, self.checks.zone)
         self._tracker = HealthTracker(self.checks.config, last.down_members if last else ())
         self._round = last.round if last else 0
@@ -83,7 +83,7 @@
     async def _publish(self, client: Client, probed: int) -> None:
         down = tuple(sorted((member.pool, member.name) for member in self._tracker.down))
         report = HealthReport(self._round, self.name, self._fencing_token, probed, down)
-        self._published_at = 0.0  # published again if the outcome is unknown
+        self._published_at = 0.0  # If the outcome stays unknown, the next step publishes again.
         response = await client.call(publish_request(self.checks.zone, report), PUBLISH_TIMEOUT_S)
         assert isinstance(response, TxnResponse)
         if not response.succeeded:
@@ -99,7 +99,7 @@
         self._received = ReceivedReport(MAX_MISSED_REPORTS * _report_interval_s(checks))
 
     async def run(self, client: Client) -> None:
-        """Follow reports until this is cancelled."""
+        """Follow reports until cancelled."""
         expiry = asyncio.create_task(self._expire_reports())
         try:
             while True:
@@ -112,7 +112,7 @@
             expiry.cancel()
 
     async def _watch(self, client: Client) -> None:
-        """Read the report, then watch it; returns where events were missed."""
+        """Read the report, then watch it; return when the watch has missed events."""
         key = report_key(self.checks.zone)
         found = await client.call(Range(key))
         assert isinstance(found, RangeResponse)
@@ -131,15 +131,15 @@
             self.checks.update(self._received.down(now))
 
     async def _expire_reports(self) -> None:
-        """Without new reports no member is known to be down."""
+        """Clear the members that are down when the last report expires."""
         while True:
             now = self.checks.clock()
             was_current = self._received.is_current(now)
             wait_s = max(MIN_EXPIRY_CHECK_S, self._received.expires_at() - now)
             await asyncio.sleep(wait_s if was_current else EXPIRY_CHECK_S)
             if was_current and not self._received.is_current(self.checks.clock()):
-                words = "health check: no report for %g s; no member is known to be down"
-                log.warning(words, self._received.max_age_s)
+                message = "health check: no report for %g s; no member is known to be down"
+                log.warning(message, self._received.max_age_s)
                 self.checks.update(())
 
 
