--- a/heronreel/fault_injection/budget_world.py
+++ b/heronreel/fault_injection/budget_world.py
@@ -257,7 +257,9 @@
     def _release(self, index: int, operation: Operation) -> Step:
         world = self.fork()
         requester = copy.copy(operation.requester)
-        actions = requester.release(requester.due, operation.instance_id, operation.last_command_observation)
+        actions = requester.release(
+            requester.next_attempt_at, operation.instance_id, operation.last_command_observation
+        )
         world._carry_out(index, operation._replace(requester=requester), actions)
         return f"{operation.fencing_token} releases its claim on {operation.instance_id}", world
 
@@ -272,7 +274,7 @@
     def _retry(self, index: int, operation: Operation) -> Step:
         world = self.fork()
         requester = copy.copy(operation.requester)
-        actions = requester.tick(requester.due)
+        actions = requester.tick(requester.next_attempt_at)
         world._carry_out(index, operation._replace(requester=requester), actions)
         return f"{operation.fencing_token} sends a request", world
 
--- a/heronreel/fleet/claim_requester.py
+++ b/heronreel/fleet/claim_requester.py
@@ -144,20 +144,20 @@
         self.backoff = JitteredBackoff(jitter)
         self.phase = RequestPhase.IDLE
         self.intent = ClaimIntent.NONE
-        self.releasing = ""  # the instance whose claim is to be released
+        self.released_instance_id = ""  # the instance whose claim is to be released
         self.last_command_observation = 0  # observations up to this number are no evidence
-        self.due = 0.0
+        self.next_attempt_at = 0.0  # time of the next read
 
     def wake(self) -> float:
         """The time by which `tick` has to be called next."""
         if self.in_flight is not None:
             return self.in_flight.sent_at + self.response_timeout_s
-        return float("inf") if self.intent is ClaimIntent.NONE else self.due
+        return float("inf") if self.intent is ClaimIntent.NONE else self.next_attempt_at
 
     def acquire(self, now: float) -> Actions:
         """Request claims on all instances; the outcome is ClaimGranted, ClaimDenied or ClaimFenced."""
         self.intent = ClaimIntent.ACQUIRE
-        self.due = now
+        self.next_attempt_at = now
         return self.tick(now)
 
     def release(self, now: float, instance_id: str, last_command_observation: int = 0) -> Actions:
@@ -167,9 +167,9 @@
         an observation with a greater count is evidence that the instance serves.
         """
         self.intent = ClaimIntent.RELEASE
-        self.releasing = instance_id
+        self.released_instance_id = instance_id
         self.last_command_observation = last_command_observation
-        self.due = now
+        self.next_attempt_at = now
         return self.tick(now)
 
     def tick(self, now: float) -> Actions:
@@ -178,7 +178,7 @@
             self._schedule_retry(now)
         if self.in_flight is not None:
             return []
-        if self.intent is ClaimIntent.NONE or now < self.due:
+        if self.intent is ClaimIntent.NONE or now < self.next_attempt_at:
             return []
         self.phase = RequestPhase.READING
         return [self._send(now, READ_SNAPSHOT)]
@@ -187,7 +187,7 @@
         """Schedule a new read, because the records show whether a lost request was executed."""
         self.in_flight = None
         self.phase = RequestPhase.IDLE
-        self.due = now + self.backoff.next_delay()
+        self.next_attempt_at = now + self.backoff.next_delay()
 
     def response_received(self, now: float, request_id: int, response: ResponseOrError) -> Actions:
         """Handle the response to a request; a late response is ignored."""
@@ -198,7 +198,7 @@
         if not isinstance(response, TxnResponse):
             return []
         if not was_read:
-            self.due = now  # the next read shows whether the write succeeded or conflicted
+            self.next_attempt_at = now  # the next read shows whether the write succeeded or conflicted
             return []
         try:
             snapshot = parse_snapshot(response)
@@ -262,15 +262,15 @@
         return [self._send(now, update_transaction(revision, self.operation_id.encode(), *operations))]
 
     def _release(self, now: float, snapshot: BudgetSnapshot) -> Actions:
-        claim = snapshot.claims.get(self.releasing)
+        claim = snapshot.claims.get(self.released_instance_id)
         if claim is None:
-            return self._finish(ClaimReleased(self.releasing))
+            return self._finish(ClaimReleased(self.released_instance_id))
         if not self._is_own(claim):
             return self._finish(ClaimFenced(claim))
-        instance = snapshot.instances.get(self.releasing)
+        instance = snapshot.instances.get(self.released_instance_id)
         if not self._has_evidence(instance, claim):
             condition = Condition.UNKNOWN if instance is None else instance.condition
-            return self._finish(ReleasePending(self.releasing, condition))
+            return self._finish(ReleasePending(self.released_instance_id, condition))
         return self._write(now, snapshot, [DeleteRange(claim.key)])
 
     def _has_evidence(self, instance: Instance | None, claim: DisruptionClaim) -> bool:
