--- a/heronreel/cli/leases.py
+++ b/heronreel/cli/leases.py
@@ -22,7 +22,7 @@
 
 @click.command("leases")
 @group_options
-@click.option("--take", help="Revoke the claim on this task: further writes of its holder are rejected.")
+@click.option("--take", help="Revoke the claim on this task: later actions of its holder are rejected.")
 @json_option
 def leases_command(file: str | None, members: str | None, take: str | None, as_json: bool) -> None:
     """Print the holder, fencing token and remaining lease of each task, and who is present.
@@ -67,7 +67,7 @@
 
 @click.command("tasks")
 @group_options
-@click.option("--again", help="Retry this task, which is suspended.")
+@click.option("--again", help="Retry this suspended task.")
 @json_option
 def tasks_command(file: str | None, members: str | None, again: str | None, as_json: bool) -> None:
     """Print each fleet-wide task's last confirmed step, the step in progress, and whether it is suspended.
--- a/heronreel/cli/rehearse_sweep.py
+++ b/heronreel/cli/rehearse_sweep.py
@@ -35,7 +35,7 @@
     multiple=True,
     metavar="KEY=A,B,C",
     help="A field of the script (proxies.idle_ms) or a constant of a module "
-    "(heronreel.balancer.subset.KEPT_BY); repeatable.",
+    "(heronreel.balancer.subset.PROXIES_PER_BACKEND); repeatable.",
 )
 @click.option("--seeds", default=DEFAULT_SEEDS, show_default=True)
 @click.option("--policies", default="", help="Policies, comma-separated; by default that of the script.")
--- a/heronreel/fleet/disruption_budget.py
+++ b/heronreel/fleet/disruption_budget.py
@@ -81,8 +81,8 @@
         return self.available_capacity < self.min_available_capacity * (1.0 - ROUNDING_TOLERANCE)
 
     def __str__(self) -> str:
-        where = f" {self.rule.scope.value} {self.scope_value}" if self.scope_value else ""
-        parts = [f"{self.rule.name}:{where} {len(self.unavailable)} unavailable"]
+        scope = f" {self.rule.scope.value} {self.scope_value}" if self.scope_value else ""
+        parts = [f"{self.rule.name}:{scope} {len(self.unavailable)} unavailable"]
         if self.rule.max_unavailable is not None:
             parts.append(f"at most {self.rule.max_unavailable} allowed")
         if self.rule.min_available is not None:
--- a/heronreel/fleet/instance_operation.py
+++ b/heronreel/fleet/instance_operation.py
@@ -130,13 +130,13 @@
         self.guards = guards or OperationGuards()
         self.phase = OperationPhase.ACQUIRING
         self.phase_since = now
-        self.due = now
+        self.next_attempt_at = now
         self.request_pending = False
         self.command_index = 0
         self.last_command_observation = 0  # observations up to this number were made before the command
         self.holds_claim = False
         self.delay_reason = ""  # why the phase has not ended yet, for operators
-        self.last_seen: Instance | None = None
+        self.last_reported: Instance | None = None
         self.running_version = ""  # the version that was observed to serve
         if not self.guards.claim_first:
             self.phase = OperationPhase.COMMANDING
@@ -159,7 +159,7 @@
             return []
         if self._timed_out(now):
             return self._finish(self._timeout_outcome(), now)
-        if now < self.due or self.phase is OperationPhase.OBSERVING:
+        if now < self.next_attempt_at or self.phase is OperationPhase.OBSERVING:
             return []
         self.request_pending = True
         if self.phase is OperationPhase.ACQUIRING:
@@ -209,7 +209,7 @@
 
     def observed(self, now: float, instance: Instance | None) -> Actions:
         """Handle the last reported state of the instance; None if the group has no record of it."""
-        self.last_seen = instance
+        self.last_reported = instance
         if self.phase is not OperationPhase.OBSERVING or instance is None:
             return []
         if self.guards.later_observation and instance.observation <= self.last_command_observation:
@@ -248,11 +248,11 @@
     def _enter(self, phase: OperationPhase, now: float) -> None:
         self.phase = phase
         self.phase_since = now
-        self.due = now
+        self.next_attempt_at = now
         self.delay_reason = ""
 
     def _retry_later(self, now: float, reason: str) -> None:
-        self.due = now + RETRY_DELAY_S
+        self.next_attempt_at = now + RETRY_DELAY_S
         self.delay_reason = reason
 
     def _next_command(self, now: float, index: int) -> Actions:
@@ -269,10 +269,14 @@
         if self.phase is OperationPhase.ACQUIRING:
             return f"refused: {self.delay_reason}"
         timeout = f"{self.timeouts.command:g} s"
-        seen = self.last_seen
-        if self.phase is OperationPhase.COMMANDING or seen is None or seen.condition is Condition.UNKNOWN:
+        reported = self.last_reported
+        if (
+            self.phase is OperationPhase.COMMANDING
+            or reported is None
+            or reported.condition is Condition.UNKNOWN
+        ):
             return f"{UNKNOWN_OUTCOME_PREFIX}: {self.delay_reason or 'not observed'} for {timeout}"
-        return f"failed: {seen.condition.value} after {timeout}, wanted {self.desired_state.value}"
+        return f"failed: {reported.condition.value} after {timeout}, wanted {self.desired_state.value}"
 
     def _is_desired(self, instance: Instance) -> bool:
         if self.desired_state is DesiredState.RUNNING:
--- a/heronreel/fleet/process_supervisor.py
+++ b/heronreel/fleet/process_supervisor.py
@@ -66,7 +66,7 @@
         self.owner = f"{Path(settings.agent.folder).resolve()}/{instance.name}"
         self.now = boot_clock()
         self.crash_points = CrashPoints()
-        self.results: deque[asyncio.Future[CommandResult]] = deque()
+        self.pending_results: deque[asyncio.Future[CommandResult]] = deque()
         self.unpersisted: deque[PersistedState] = deque()
         self.persisting = False
         self.command_lock = asyncio.Lock()
@@ -105,7 +105,7 @@
         async with self.command_lock:
             self.crash_points.reach("command")
             result: asyncio.Future[CommandResult] = asyncio.get_running_loop().create_future()
-            self.results.append(result)
+            self.pending_results.append(result)
             self._carry_out(self.lifecycle.command(self.now(), command))
             await result
             self.crash_points.reach("commanded")
@@ -173,7 +173,7 @@
             return
         condition_before = self.lifecycle.condition
         for action in actions:
-            self._carry_out_one(action)
+            self._carry_out_action(action)
         if self.lifecycle.condition is not condition_before:
             log.info(
                 "condition changed",
@@ -184,15 +184,15 @@
         self.changed.set()
         self._schedule_tick()
 
-    def _carry_out_one(self, action: Action) -> None:
+    def _carry_out_action(self, action: Action) -> None:
         if isinstance(action, Persist):
             self.unpersisted.append(action.state)
             if not self.persisting:
                 self.persisting = True
                 self._spawn(self._persist_all())
         elif isinstance(action, CommandResult):
-            if self.results:
-                self.results.popleft().set_result(action)
+            if self.pending_results:
+                self.pending_results.popleft().set_result(action)
         elif isinstance(action, StartProcess):
             self._start(action.version)
         elif isinstance(action, SignalProcess):
--- a/tests/fleet/agent_harness.py
+++ b/tests/fleet/agent_harness.py
@@ -127,7 +127,7 @@
         _, body = await self._request("/status")
         return body
 
-    async def until(self, name: str, **expected: Any) -> dict[str, Any]:
+    async def wait_for(self, name: str, **expected: Any) -> dict[str, Any]:
         """Wait until the agent reports these values for an instance; return the full status."""
         async with asyncio.timeout(STATE_TIMEOUT_S):
             while True:
@@ -148,7 +148,7 @@
             except (aiohttp.ClientError, OSError):
                 return False
 
-    def running(self) -> dict[str, list[int]]:
+    def running_pids(self) -> dict[str, list[int]]:
         """Pids of the proxy processes that /proc lists, by instance name."""
         pids: dict[str, list[int]] = {name: [] for name in self.ports}
         for path in Path("/proc").iterdir():
@@ -163,12 +163,12 @@
 
     def _kill_proxies(self) -> None:
         """Kill the remaining proxies of this test."""
-        for pids in self.running().values():
+        for pids in self.running_pids().values():
             for pid in pids:
                 os.kill(pid, signal.SIGKILL)
 
 
-async def until_reported_serving(client: Client, count: int, timeout_s: float = 40.0) -> dict[str, Instance]:
+async def wait_until_serving(client: Client, count: int, timeout_s: float = 40.0) -> dict[str, Instance]:
     """Wait until the group has `count` instances and all of them serve; return the instances by ID."""
     async with asyncio.timeout(timeout_s):
         while True:
--- a/tests/fleet/test_agent_processes.py
+++ b/tests/fleet/test_agent_processes.py
@@ -16,7 +16,7 @@
 from heronreel.fleet.agent_settings import load
 from heronreel.fleet.budget_client import read_snapshot
 from heronreel.routes.reader import ConfigFileError
-from tests.fleet.agent_harness import AgentHarness, until_reported_serving
+from tests.fleet.agent_harness import AgentHarness, wait_until_serving
 from tests.support.loopback import Backend
 
 CRASH_POINTS = ("command", "commanded", "persist", "persisted", "start", "started")
@@ -31,12 +31,12 @@
                     process = await agent.start()
                     for name in agent.ports:
                         assert await agent.command(name, 5, 1, "running", "1") == 200
-                    before = [await agent.until(name, condition="serving") for name in agent.ports]
+                    before = [await agent.wait_for(name, condition="serving") for name in agent.ports]
                     assert await agent.responds("p1") and await agent.responds("p2")
                     assert await agent.command("p1", 4, 9, "stopped") == 409  # an older fencing token
                     assert await agent.command("p3", 6, 1, "stopped") == 404
                     assert await agent.command("p1", 6, 1, "running", "none") == 400
-                    reported = await until_reported_serving(client, 2)
+                    reported = await wait_until_serving(client, 2)
                     assert reported["proxy/p1"].fencing_token == 5
                     observation = reported["proxy/p1"].observation
                     await process.kill()  # its proxies keep running, and the restarted agent finds them
@@ -44,12 +44,12 @@
                     await harness.members["a"].kill()  # the group is unavailable as well
                     await agent.start()
                     for name, status in zip(agent.ports, before, strict=True):
-                        after = await agent.until(name, condition="serving")
+                        after = await agent.wait_for(name, condition="serving")
                         assert after["process"] == status["process"]
                     old_process = before[0]["process"]
                     os.kill(old_process["pid"], signal.SIGKILL)  # the agent restarts it without the group
                     async with asyncio.timeout(40):
-                        while (await agent.until("p1", condition="serving"))["process"] == old_process:
+                        while (await agent.wait_for("p1", condition="serving"))["process"] == old_process:
                             await asyncio.sleep(0.05)
                     async with asyncio.timeout(40):
                         while not await agent.responds("p1"):
@@ -62,13 +62,12 @@
                                 break
                             await asyncio.sleep(0.05)
                     assert await agent.command("p1", 7, 1, "stopped") == 200
-                    await agent.until("p1", stage="none", condition="out")
+                    await agent.wait_for("p1", stage="none", condition="out")
                     assert not await agent.responds("p1")
                     assert await agent.command("p1", 7, 2, "running", "bad") == 200
-                    await agent.until(
-                        "p1", condition="failed"
-                    )  # the process exits immediately, and is restarted with backoff
-                    running = {name: len(pids) for name, pids in agent.running().items()}
+                    # the process exits immediately, and is restarted with backoff
+                    await agent.wait_for("p1", condition="failed")
+                    running = {name: len(pids) for name, pids in agent.running_pids().items()}
                     assert running == {"p1": 0, "p2": 1}
 
     asyncio.run(run())
@@ -90,9 +89,9 @@
                 status = (await agent.status())["p1"]
                 assert not accepted or (status["number"], status["want"]) == (3, "running")
                 assert await agent.command("p1", 3, 1, "running", "1") == 200  # a retry
-                await agent.until("p1", condition="serving")
+                await agent.wait_for("p1", condition="serving")
                 assert await agent.responds("p1")
-                assert len(agent.running()["p1"]) == 1
+                assert len(agent.running_pids()["p1"]) == 1
 
     asyncio.run(run())
 
--- a/tests/fleet/test_agent_shutdown.py
+++ b/tests/fleet/test_agent_shutdown.py
@@ -35,7 +35,7 @@
     await asyncio.Event().wait()
 
 
-async def until_connections_refused(address: str) -> None:
+async def wait_until_connections_refused(address: str) -> None:
     """Wait until the agent accepts no more connections."""
     host, _, port = address.rpartition(":")
     while True:
@@ -83,7 +83,7 @@
                 command = asyncio.ensure_future(session.post(url, json=body))
                 await asyncio.to_thread(write_started.wait, STORE_WRITE_TIMEOUT_S)
                 os.kill(os.getpid(), signal.SIGTERM)
-                await until_connections_refused(agent.address)
+                await wait_until_connections_refused(agent.address)
                 write_released.set()
                 assert (await command).status == 200
             await serving
--- a/tests/fleet/test_instance_lifecycle.py
+++ b/tests/fleet/test_instance_lifecycle.py
@@ -32,7 +32,7 @@
 TIMEOUTS = LifecycleTimeouts(start=5.0, drain=5.0, termination=5.0)
 
 
-class Machine:
+class SimulatedMachine:
     """Simulates the disk and the processes of an agent that is killed at random times.
 
     It records a problem if two processes run at the same time or an overtaken command is accepted.
@@ -127,7 +127,7 @@
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 1 << 30))
 def test_no_second_process_is_started_and_no_overtaken_command_is_accepted(seed: int) -> None:
-    machine = Machine(seed)
+    machine = SimulatedMachine(seed)
     for _ in range(80):
         machine.step()
     assert machine.problems == []
@@ -136,7 +136,7 @@
 @pytest.mark.parametrize("guard", ["durable", "ordered", "single_process"])
 def test_without_a_guard_an_old_command_is_accepted_or_a_second_process_is_started(guard: str) -> None:
     for seed in range(300):
-        machine = Machine(seed, LifecycleGuards(**{guard: False}))
+        machine = SimulatedMachine(seed, LifecycleGuards(**{guard: False}))
         for _ in range(80):
             machine.step()
         if machine.problems:
--- a/tests/fleet/test_rolling_operations.py
+++ b/tests/fleet/test_rolling_operations.py
@@ -45,7 +45,7 @@
     StartProcess,
 )
 from heronreel.fleet.model import Condition, Instance, InstanceKind, OperationKind
-from tests.fleet.agent_harness import AgentHarness, until_reported_serving
+from tests.fleet.agent_harness import AgentHarness, wait_until_serving
 from tests.support.loopback import Backend
 
 TIMEOUTS = OperationTimeouts(claim=40.0, command=60.0)
@@ -291,7 +291,7 @@
         """The pid of each proxy, which has to have exactly one process."""
         pids_by_name = {}
         for agent in self.agents:
-            for name, pids in agent.running().items():
+            for name, pids in agent.running_pids().items():
                 (pids_by_name[name],) = pids
         return pids_by_name
 
@@ -313,8 +313,8 @@
                 assert await agent.command(name, 1, 1, "running", "1") == 200
         for agent in fleet.agents:
             for name in agent.ports:
-                await agent.until(name, condition="serving")
-        await until_reported_serving(client, 4)
+                await agent.wait_for(name, condition="serving")
+        await wait_until_serving(client, 4)
         (folder / "allow.toml").write_text(
             '[[allow]]\nname = "one a zone"\nkind = "proxy"\nscope = "zone"\nmost_out = 1\n'
         )
