--- a/heronreel/proxy/client_connection.py
+++ b/heronreel/proxy/client_connection.py
@@ -34,15 +34,15 @@
 from heronreel.proxy.errors import UnreadableMessageError
 from heronreel.proxy.event_log import CloseReason, EventKind, RefusalReason, record
 from heronreel.proxy.http1 import (
-    CONTINUE,
+    CONTINUE_RESPONSE,
     DATE_LINE,
     MAX_HEAD_BYTES,
     MAX_TARGET_BYTES,
     OPTIONAL_WHITESPACE,
     Headers,
-    absolute_form,
     is_host,
     response_head,
+    split_absolute_form,
 )
 from heronreel.proxy.request import RequestHead
 from heronreel.proxy.request_validation import (
@@ -179,7 +179,7 @@
         if version == "1.0":
             # RFC 9112, 9.3: a proxy must not keep an HTTP/1.0 connection open.
             self.close_after_response = True
-        if absolute := absolute_form(self.target):
+        if absolute := split_absolute_form(self.target):
             self._apply_authority(*absolute)
             fields[b"host"] = absolute[0]
         self._check_length(fields.get(b"content-length", b"0"))
@@ -230,7 +230,7 @@
         """
         if self.error_status or not self.admitted:
             self._refuse(self.error_status or 503, self.error_reason or RefusalReason.TOO_MANY_CONNECTIONS)
-        self.transport.write(CONTINUE)
+        self.transport.write(CONTINUE_RESPONSE)
 
     def on_body(self, data: bytes) -> None:
         """Parser callback: buffer more of the body, or forward it."""
