--- a/tests/balancer/test_fleet_slow_start.py
+++ b/tests/balancer/test_fleet_slow_start.py
@@ -1,9 +1,9 @@
 """Tests slow start over a whole fleet, in virtual time: the work that all proxies send to a cold backend.
 
-A cold backend is overloaded if it gets more than N + 2 sqrt(N) + 2 requests of mean work within `fall_ms`
-(`tests/support/cold_start_judge.py`).  Of the requests of such an overload, at most two thirds may come from
-proxies that were notified of the backend's start.  The traffic is uneven, and it includes a burst of 1.5
-times the load.
+A cold backend is overloaded if it gets more than N + 2 sqrt(N) + 2 requests of mean work within
+`overload_window_ms` (`tests/support/cold_start_judge.py`).  Of the requests of such an overload, at most
+two thirds may come from proxies that were notified of the backend's start.  The traffic is uneven, and it
+includes a burst of 1.5 times the load.
 """
 
 import random
@@ -57,7 +57,7 @@
         cold_from=rng.uniform(0.13, 0.3),
         cold_ms=rng.uniform(6000.0, 20000.0),
         overload_factor=float(rng.choice((2, 3, 4))),
-        fall_ms=rng.uniform(500.0, 2000.0),
+        overload_window_ms=rng.uniform(500.0, 2000.0),
         warm_capacity=float(rng.choice(CONCURRENCY)),
         mean_work_ms=MEAN_WORK_MS,
     )
@@ -151,8 +151,9 @@
     world.run_for(OBSERVED_MS)
     print(
         f"{case.__name__} proxies={proxies} seed={seed} factor={rules.overload_factor:g} "
-        f"slots={rules.warm_capacity:g} from={rules.cold_from:.2f} fall_ms={rules.fall_ms:.0f} "
-        f"sends={world.judge.sends} worst={world.judge.worst_told_ratio:.2f} falls={len(world.judge.falls)}"
+        f"slots={rules.warm_capacity:g} from={rules.cold_from:.2f} "
+        f"overload_window_ms={rules.overload_window_ms:.0f} sends={world.judge.sends} "
+        f"worst={world.judge.worst_informed_ratio:.2f} overloads={len(world.judge.overloads)}"
     )
     assert world.judge.sends  # Cold backends get some work.
     return world.judge
@@ -187,7 +188,7 @@
     cold_from=0.13,
     cold_ms=20000.0,
     overload_factor=2.0,
-    fall_ms=500.0,
+    overload_window_ms=500.0,
     warm_capacity=1.0,
     mean_work_ms=MEAN_WORK_MS,
 )
@@ -255,7 +256,7 @@
             return book(self, now, backend, cost_ms)
 
     monkeypatch.setattr(TurnQueue, "book", book_as_warm)
-    wide = replace(TIGHT, warm_capacity=8.0, fall_ms=1000.0)
+    wide = replace(TIGHT, warm_capacity=8.0, overload_window_ms=1000.0)
     assert count_breaking_seeds(one_is_handed_back_before_its_line_comes, wide, 5) == 0
     monkeypatch.setattr(slow_start, "CREDIT_SHARE", 2.2)
     assert count_breaking_seeds(one_is_handed_back_before_its_line_comes, wide, 5) == len(GUARD_SEEDS)
@@ -266,7 +267,7 @@
     judge = ColdStartJudge(ColdStartRules(0.2, 10_000.0, 3.0, 1000.0, warm_capacity=2.0, mean_work_ms=50.0))
     judge.started(0.0, 1)
     for number in range(notified + others):
-        judge.sent(0.0, 1, number % 5, 50.0, told=number < notified)
+        judge.sent(0.0, 1, number % 5, 50.0, informed=number < notified)
     return judge
 
 
@@ -274,11 +275,11 @@
     rules = judge_of_requests(0, 0).rules
     assert rules.allowed(0.0) == pytest.approx(24.0)  # 3 times 0.2 of 40 requests per second.
     assert rules.limit(10_000.0) == pytest.approx(120.0 + 2.0 * 120.0**0.5 + 2.0)
-    assert not judge_of_requests(35, 0).falls  # 24 + 2 sqrt(24) + 2 = 35.8.
+    assert not judge_of_requests(35, 0).overloads  # 24 + 2 sqrt(24) + 2 = 35.8.
     assert judge_of_requests(36, 0).breaches()
     assert judge_of_requests(25, 11).breaches()
     excused = judge_of_requests(24, 12)  # Exactly two thirds came from notified proxies.
-    assert excused.falls and not excused.breaches()
+    assert excused.overloads and not excused.breaches()
     later = judge_of_requests(35, 0)
-    later.sent(1000.0, 1, 0, 50.0, told=True)  # The first requests are no longer in the window.
-    assert not later.falls
+    later.sent(1000.0, 1, 0, 50.0, informed=True)  # The first requests are no longer in the window.
+    assert not later.overloads
--- a/tests/emulator/test_queueing_theory.py
+++ b/tests/emulator/test_queueing_theory.py
@@ -10,7 +10,7 @@
 from heronreel.emulator.model import Fault, NodeKind, TrafficConfig
 from heronreel.emulator.node import Job, Node
 from heronreel.emulator.simulation import Simulation
-from tests.support.rehearsals import KIND, queue_of, rehearsal
+from tests.support.rehearsals import KIND, rehearsal, single_node_rehearsal
 
 SERVICE_MS = 10.0
 ERROR = 0.08  # of a mean wait over some 30,000 requests
@@ -18,7 +18,9 @@
 
 def waits(kind: NodeKind, dist: str, cv: float, load: float, seed: int) -> tuple[float, float, float]:
     """The mean wait before service, ms, and the moments of the work as drawn."""
-    simulation = Simulation(queue_of(kind, SERVICE_MS, dist, cv, load, 500.0 / kind.cores), seed, "random")
+    simulation = Simulation(
+        single_node_rehearsal(kind, SERVICE_MS, dist, cv, load, 500.0 / kind.cores), seed, "random"
+    )
     works: list[float] = []
     ended = simulation.fleet.on_job_ended
 
--- a/tests/proxy/test_notified_over_connections.py
+++ b/tests/proxy/test_notified_over_connections.py
@@ -48,7 +48,7 @@
     run,
     running_proxy,
 )
-from tests.support.turn_list_service import Plan, TurnListService, members_of
+from tests.support.turn_list_service import Plan, TurnListService, active_members
 
 GRACE_S = SETTINGS["Rules"]["DrainGraceMs"] / 1000.0
 # The time that the operators' service takes for one call in their short runs.
@@ -160,7 +160,7 @@
     @asynccontextmanager
     async def _backends(self) -> AsyncIterator[None]:
         async with self.stays, self.leaves:
-            self.members = members_of({STAYS: self.stays.address, LEAVES: self.leaves.address})
+            self.members = active_members({STAYS: self.stays.address, LEAVES: self.leaves.address})
             yield
 
     @asynccontextmanager
@@ -210,7 +210,7 @@
 async def ends_with_nothing(setup: ProxySetup) -> None:
     """The watch ends without the change; the next watch gets an empty answer and ends too."""
     setup.first.plans.append(Plan.NOTHING_AND_END)
-    setup.first.drain(LEAVES, told=False)
+    setup.first.drain(LEAVES, notify_watches=False)
     setup.first.reset_watches()
 
 
@@ -220,14 +220,14 @@
     setup.first.reset_watches()
     setup.first.called.clear()
     await setup.first.called.wait()
-    setup.first.drain(LEAVES, told=False)
+    setup.first.drain(LEAVES, notify_watches=False)
 
 
 async def ends_in_the_instant_of_its_answer(setup: ProxySetup) -> None:
     """The answer contains the change, and the watch ends at the same moment."""
     setup.first.plans.append(Plan.ANSWER_AND_END)
     setup.first.reset_watches()
-    setup.first.drain(LEAVES, told=False)
+    setup.first.drain(LEAVES, notify_watches=False)
 
 
 async def ends_in_the_instant_before_the_change(setup: ProxySetup) -> None:
@@ -236,7 +236,7 @@
     setup.first.reset_watches()
     setup.first.answered.clear()
     await setup.first.answered.wait()
-    setup.first.drain(LEAVES, told=False)
+    setup.first.drain(LEAVES, notify_watches=False)
 
 
 async def never_answers(setup: ProxySetup) -> None:
@@ -245,7 +245,7 @@
     setup.first.called.clear()
     setup.first.reset_watches()
     await setup.first.called.wait()
-    setup.first.drain(LEAVES, told=False)
+    setup.first.drain(LEAVES, notify_watches=False)
 
 
 async def ends_unanswered(setup: ProxySetup) -> None:
@@ -259,7 +259,7 @@
     """The watch stays open without receiving data, and a backend drains soon after."""
     setup.first.silence_watches()
     await asyncio.sleep(setup.rng.uniform(0.0, 1.0))
-    setup.first.drain(LEAVES, told=True)
+    setup.first.drain(LEAVES, notify_watches=True)
 
 
 def refused(plan: Plan) -> Callable[[ProxySetup], Awaitable[None]]:
@@ -267,7 +267,7 @@
 
     async def cause_fault(setup: ProxySetup) -> None:
         setup.first.go_down(plan)
-        setup.first.drain(LEAVES, told=False)
+        setup.first.drain(LEAVES, notify_watches=False)
         await asyncio.sleep(setup.rng.uniform(0.2, 1.5))
         setup.first.come_back()
 
@@ -337,7 +337,7 @@
 
 async def drain_at_first_call(setup: ProxySetup, *plans: Plan) -> None:
     async with setup.running(*plans):
-        setup.first.drain(LEAVES, told=False)
+        setup.first.drain(LEAVES, notify_watches=False)
 
 
 def test_no_request_begins_at_a_backend_whose_departure_refused_first_calls_missed(
@@ -380,7 +380,7 @@
         setup.leaves.began.clear()
         if reset:
             setup.first.reset_watches()
-        setup.first.name_again(LEAVES)
+        setup.first.reactivate(LEAVES)
         async with asyncio.timeout(RETURN_S):
             await setup.leaves.began.wait()
 
--- a/tests/proxy/test_renewed_terms.py
+++ b/tests/proxy/test_renewed_terms.py
@@ -16,7 +16,7 @@
 import pytest
 
 from tests.proxy.test_race_conditions import late_backend, with_timeouts
-from tests.support.attempt_log import AttemptLog, Fate, after, hang, reset
+from tests.support.attempt_log import AttemptAnswer, AttemptLog, after, hang, reset
 from tests.support.loopback import (
     SETTINGS,
     Backend,
@@ -130,7 +130,7 @@
 
 # Requests that are unsafe to repeat.
 
-FAILURES: dict[str, tuple[Fate, str]] = {
+FAILURES: dict[str, tuple[AttemptAnswer, str]] = {
     "answers late": (hang, "504"),
     "resets": (reset, "502"),
     "fails": (after(0.0, ERROR_RESPONSE), "502"),
--- a/tests/serve/test_retries_and_hedging.py
+++ b/tests/serve/test_retries_and_hedging.py
@@ -23,14 +23,16 @@
     read_response,
     run,
 )
-from tests.support.scripted_backend import ERROR, GONE, ScriptedBackend
-from tests.support.serve_process import HEDGED_SAVE, READ, SAVE, file_of, get, post, served
+from tests.support.scripted_backend import CLOSE_WITHOUT_RESPONSE, ERROR, ScriptedBackend
+from tests.support.serve_process import HEDGED_SAVE, READ, SAVE, get, post, routes_file, served
 
 
 def test_a_keyed_request_is_repeated_and_one_without_its_key_is_not(tmp_path: Path) -> None:
     async def talk() -> None:
-        async with ScriptedBackend(ok(b"first"), GONE, ok(b"second"), GONE) as node:
-            async with served(tmp_path, file_of(SAVE, p=[(node.address, "r1")])) as proxy:
+        async with ScriptedBackend(
+            ok(b"first"), CLOSE_WITHOUT_RESPONSE, ok(b"second"), CLOSE_WITHOUT_RESPONSE
+        ) as node:
+            async with served(tmp_path, routes_file(SAVE, p=[(node.address, "r1")])) as proxy:
                 assert await proxy.ask(post("/save/1", "k0")) == ("200", b"first")
                 assert len(node.seen.pop()) == 16  # ids are made where clients give none
                 assert await proxy.ask(post("/save/1", "k1", "a1")) == ("200", b"second")
@@ -46,10 +48,13 @@
 
     async def talk() -> None:
         for key, count, status in (("", 1, "502"), ("k1", 2, "200")):
-            async with ScriptedBackend(GONE) as one, ScriptedBackend(GONE) as two:
+            async with (
+                ScriptedBackend(CLOSE_WITHOUT_RESPONSE) as one,
+                ScriptedBackend(CLOSE_WITHOUT_RESPONSE) as two,
+            ):
                 nodes = [one, two]
-                one.answers = two.answers = [GONE]  # whichever comes first breaks
-                async with served(tmp_path, file_of(SAVE, p=[(n.address, "r1") for n in nodes])) as proxy:
+                one.answers = two.answers = [CLOSE_WITHOUT_RESPONSE]  # whichever comes first breaks
+                async with served(tmp_path, routes_file(SAVE, p=[(n.address, "r1") for n in nodes])) as proxy:
                     assert (await proxy.ask(post("/save/1", key, "a1")))[0] == status
                     assert len(one.seen + two.seen) == count
 
@@ -63,7 +68,9 @@
     async def talk() -> None:
         async with ScriptedBackend(None) as one, ScriptedBackend(None) as two:
             nodes = [one, two]
-            async with served(tmp_path, file_of(HEDGED_SAVE, p=[(n.address, "r1") for n in nodes])) as proxy:
+            async with served(
+                tmp_path, routes_file(HEDGED_SAVE, p=[(n.address, "r1") for n in nodes])
+            ) as proxy:
                 reader, writer = await proxy.connect()
                 writer.write(post("/save/1", "k1", "a1"))
                 await asyncio.gather(one.requested.wait(), two.requested.wait())
@@ -85,7 +92,7 @@
             for node in (one, two):
                 node.reply = None  # type: ignore[assignment]
             async with served(
-                tmp_path, file_of(HEDGED_SAVE, p=[(n.address, "r1") for n in (one, two)])
+                tmp_path, routes_file(HEDGED_SAVE, p=[(n.address, "r1") for n in (one, two)])
             ) as proxy:
                 reader, writer = await proxy.connect()
                 writer.write(post("/save/1", "k1", "a1"))
@@ -109,7 +116,9 @@
 def test_a_drained_server_gets_no_copy(tmp_path: Path) -> None:
     async def talk() -> None:
         async with ScriptedBackend(None) as one, ScriptedBackend(None) as two:
-            text = file_of(SAVE + "second_copy_after_ms = 600\n", p=[(n.address, "r1") for n in (one, two)])
+            text = routes_file(
+                SAVE + "second_copy_after_ms = 600\n", p=[(n.address, "r1") for n in (one, two)]
+            )
             async with served(tmp_path, text) as proxy:
                 reader, writer = await proxy.connect()
                 writer.write(post("/save/1", "k1", "a1"))
@@ -139,7 +148,7 @@
         )
         route += "attempt_timeout_ms = 200\nbackoff_ms = 200\n"
         async with ScriptedBackend(None, None) as node:
-            async with served(tmp_path, file_of(route, p=[(node.address, "r1")])) as proxy:
+            async with served(tmp_path, routes_file(route, p=[(node.address, "r1")])) as proxy:
                 reader, writer = await proxy.connect()
                 writer.write(post("/save/1", "k1", "a1"))
                 await node.requested.wait()
@@ -186,7 +195,7 @@
     async def talk() -> None:
         async with ScriptedBackend() as node:
             more = '[[listeners]]\nname = "in"\naddress = "127.0.0.1:0"\n'
-            text = file_of(SAVE, more=more, p=[(node.address, "r1")])
+            text = routes_file(SAVE, more=more, p=[(node.address, "r1")])
             file = load_routes(text.replace("[proxy]", "[proxy]\ndrain_grace_ms = 1").encode())
             loop = asyncio.get_running_loop()
             within = 0.0 if fault == "drain" else 60.0
@@ -236,7 +245,7 @@
         async with ScriptedBackend(None) as one, ScriptedBackend(None) as two:
             nodes = (one, two)
             route = READ + "second_copy_percentile = 50\n"
-            async with served(tmp_path, file_of(route, p=[(n.address, "r1") for n in nodes])) as proxy:
+            async with served(tmp_path, routes_file(route, p=[(n.address, "r1") for n in nodes])) as proxy:
                 reader, writer = await proxy.connect()
                 writer.write(get("/read/0"))
                 await asyncio.sleep(0.4)  # a copy would be out long since
@@ -271,11 +280,11 @@
                 for pool, racks in (("a", "12"), ("b", "23"))
             }
             route = SAVE.replace('pool = "p"', 'split = [{ pool = "a" }, { pool = "b" }]')
-            async with served(tmp_path, file_of(route, a=pools["a"], b=pools["b"])) as proxy:
+            async with served(tmp_path, routes_file(route, a=pools["a"], b=pools["b"])) as proxy:
                 seen: set[str] = set()
                 for number in range(12):
                     for node in nodes.values():
-                        node.seen, node.answers = [], [GONE]
+                        node.seen, node.answers = [], [CLOSE_WITHOUT_RESPONSE]
                     status, _ = await proxy.ask(post(f"/save/{number}", f"k{number}", f"a{number}"))
                     asked = [place for place, node in nodes.items() if node.seen]
                     assert (
@@ -301,7 +310,7 @@
         ):
             members = [(f"{host}:{port}", "r1") for host, port in (one.address, two.address)]
             route = HEDGED_SAVE + "retry_budget = 1\n"
-            async with served(tmp_path, file_of(route, p=members)) as proxy:
+            async with served(tmp_path, routes_file(route, p=members)) as proxy:
                 reader, writer = await proxy.connect()
                 for number in range(80):
                     writer.write(post("/save/1", f"k{number}", extra=f"X-Effect-Id: e{number}\r\n"))
--- a/tests/serve/test_route_reload.py
+++ b/tests/serve/test_route_reload.py
@@ -12,7 +12,7 @@
     run,
 )
 from tests.support.scripted_backend import ERROR, ScriptedBackend
-from tests.support.serve_process import HEDGED_SAVE, READ, SAVE, file_of, get, many_routes, post, served
+from tests.support.serve_process import HEDGED_SAVE, READ, SAVE, get, many_routes, post, routes_file, served
 
 
 def test_requests_keep_the_policy_they_began_with(tmp_path: Path) -> None:
@@ -22,7 +22,7 @@
         async with ScriptedBackend(None, None) as one, ScriptedBackend(None, None) as two:
             members = [(one.address, "r1"), (two.address, "r1")]
             paused = READ.replace("/read", "/paused").replace('"read"', '"paused"') + "backoff_ms = 400\n"
-            text = file_of(HEDGED_SAVE, READ, paused, p=members)
+            text = routes_file(HEDGED_SAVE, READ, paused, p=members)
             async with served(tmp_path, text) as proxy:
                 copied, copied_writer = await proxy.connect()
                 copied_writer.write(post("/save/1", "k1", "a1"))
@@ -39,7 +39,7 @@
                 short = READ.replace("deadline_ms = 4000", "deadline_ms = 50").replace(
                     "aim_ms = 500", "aim_ms = 40"
                 )
-                proxy.path.write_text(file_of(short, p=members))
+                proxy.path.write_text(routes_file(short, p=members))
                 proxy.signal(signal.SIGHUP)
                 await proxy.log_line("reload: done, 1 routes")
                 assert (await proxy.ask(post("/save/2", "k2")))[0] == "404"
@@ -52,7 +52,7 @@
                     node.answers = [None]
                 brief, brief_writer = await proxy.connect()
                 brief_writer.write(get("/read/1", "c1"))
-                proxy.path.write_text(file_of(READ, p=members))
+                proxy.path.write_text(routes_file(READ, p=members))
                 proxy.signal(signal.SIGHUP)
                 await proxy.log_line("reload: done, 1 routes")
                 assert (await read_response(brief))[0] == "504"
@@ -67,7 +67,7 @@
 def test_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     async def talk() -> None:
         async with ScriptedBackend() as node:
-            text = file_of(SAVE, p=[(node.address, "r1")])
+            text = routes_file(SAVE, p=[(node.address, "r1")])
             async with served(tmp_path, text) as proxy:
                 for bad in (
                     "[",
@@ -82,7 +82,7 @@
                 proxy.path.unlink()
                 proxy.signal(signal.SIGHUP)
                 await proxy.log_line("the old file stays in force")
-                proxy.path.write_text(file_of(SAVE, READ, p=[(node.address, "r1")]))
+                proxy.path.write_text(routes_file(SAVE, READ, p=[(node.address, "r1")]))
                 proxy.signal(signal.SIGHUP)
                 await proxy.log_line("reload: done, 2 routes")
                 assert (await proxy.ask(get("/read/1")))[0] == "200"
@@ -97,7 +97,7 @@
 
     async def talk() -> None:
         async with ScriptedBackend() as one, ScriptedBackend() as two:
-            texts = [file_of(SAVE, READ, p=[(node.address, "r1")]) for node in (one, two)]
+            texts = [routes_file(SAVE, READ, p=[(node.address, "r1")]) for node in (one, two)]
             async with served(tmp_path, texts[0]) as proxy:
                 answers: list[str] = []
                 stop = asyncio.Event()
@@ -132,7 +132,7 @@
 def test_ten_thousand_routes_are_served_and_odd_files_are_not_taken(tmp_path: Path) -> None:
     async def talk() -> None:
         async with ScriptedBackend() as node:
-            text = file_of(READ, p=[(node.address, "r1")])
+            text = routes_file(READ, p=[(node.address, "r1")])
             many = text + many_routes(10_000)
             async with served(tmp_path, text) as proxy:
                 odd = (b"version = 1\n\0", b"# " + b"x" * (5 << 20), b"x = " + b"[" * 5000, b"\xff")
@@ -156,7 +156,7 @@
 
     async def talk() -> None:
         async with ScriptedBackend() as node:
-            text = file_of(READ, p=[(node.address, "r1")])
+            text = routes_file(READ, p=[(node.address, "r1")])
             many = many_routes(10_000)
             async with served(tmp_path, text) as proxy:
                 reader, writer = await proxy.connect()
--- a/tests/serve/test_serve.py
+++ b/tests/serve/test_serve.py
@@ -23,13 +23,13 @@
     run,
 )
 from tests.support.scripted_backend import ScriptedBackend
-from tests.support.serve_process import HEDGED_SAVE, READ, SAVE, file_of, get, post, served
+from tests.support.serve_process import HEDGED_SAVE, READ, SAVE, get, post, routes_file, served
 
 
 def test_what_no_route_takes_is_not_passed_on(tmp_path: Path) -> None:
     async def talk() -> None:
         async with ScriptedBackend() as node:
-            async with served(tmp_path, file_of(SAVE, READ, p=[(node.address, "r1")])) as proxy:
+            async with served(tmp_path, routes_file(SAVE, READ, p=[(node.address, "r1")])) as proxy:
                 for sent, status in (
                     (get("/other"), "404"),
                     (get("/save/1"), "404"),
@@ -53,7 +53,7 @@
             b"HTTP/1.1 302 Go\r\nLocation: /y\r\nContent-Length: 0\r\n\r\n",
         )
         async with ScriptedBackend(*answers) as node:
-            async with served(tmp_path, file_of(READ, p=[(node.address, "r1")])) as proxy:
+            async with served(tmp_path, routes_file(READ, p=[(node.address, "r1")])) as proxy:
                 for status, body in (("201", b"ok"), ("204", b""), ("404", b"?"), ("302", b"")):
                     assert await proxy.ask(get("/read/1")) == (status, body)
 
@@ -63,7 +63,7 @@
 def test_sigterm_answers_what_was_taken(tmp_path: Path) -> None:
     async def talk() -> None:
         async with ScriptedBackend(None) as node:
-            async with served(tmp_path, file_of(SAVE, p=[(node.address, "r1")])) as proxy:
+            async with served(tmp_path, routes_file(SAVE, p=[(node.address, "r1")])) as proxy:
                 reader, writer = await proxy.connect()
                 writer.write(post("/save/1", "k1"))
                 await node.requested.wait()
@@ -82,7 +82,7 @@
             listeners = "".join(
                 f'[[listeners]]\nname = "{n}"\naddress = "127.0.0.1:0"\n' for n in ("in", "out")
             )
-            async with served(tmp_path, file_of(READ, more=listeners, p=[(node.address, "r1")])) as proxy:
+            async with served(tmp_path, routes_file(READ, more=listeners, p=[(node.address, "r1")])) as proxy:
                 for name in ("in", "out"):
                     reader, writer = await proxy.connect(name)
                     writer.write(get("/read/1"))
@@ -106,7 +106,7 @@
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         port = str(taken.getsockname()[1])
-        text = file_of(SAVE, p=[("127.0.0.1:9", "r1")]).replace(
+        text = routes_file(SAVE, p=[("127.0.0.1:9", "r1")]).replace(
             change[0], change[1].replace("{taken}", port), 1
         )
         path = tmp_path / "routes.toml"
@@ -127,7 +127,7 @@
                     .replace("/read", "/found")
                     .replace('"read"', '"f"')
                 )
-                text = file_of(READ, found, p=[(one.address, "r1")])
+                text = routes_file(READ, found, p=[(one.address, "r1")])
                 text = text.replace("[proxy]", f'[proxy]\ndiscovery = "{discovery.address}"')
                 text += '[[pools]]\nname = "found"\ndiscovery = "platform"\n'
                 async with served(tmp_path, text) as proxy:
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What the tests of several packages share: peers on loopback, processes, files of routes, rehearsals."""
+"""Helpers that tests of several packages share: loopback peers, processes, route files and rehearsals."""
--- a/tests/support/attempt_log.py
+++ b/tests/support/attempt_log.py
@@ -1,4 +1,4 @@
-"""A backend that notes when attempts began and what they told it, and the fates that an attempt may have."""
+"""A backend that records the start time and head of each attempt, and the ways in which it can answer."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 from tests.support.loopback import Listener, read_request
 
-Fate = Callable[[asyncio.StreamWriter], Awaitable[None]]
+AttemptAnswer = Callable[[asyncio.StreamWriter], Awaitable[None]]
 
 
 class AttemptLog(Listener):
-    """A backend that notes when attempts began and what they told; `answer` is one attempt's whole fate."""
+    """A backend that records the start time and head of each attempt; `answer` handles one attempt."""
 
-    def __init__(self, answer: Fate) -> None:
+    def __init__(self, answer: AttemptAnswer) -> None:
         super().__init__(self._serve_attempts)
         self.answer = answer
         self.began: list[tuple[float, dict[str, str]]] = []
-        self.out = 0  # attempts without their fate
+        self.out = 0  # attempts that `answer` is still handling
 
     async def _serve_attempts(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -31,20 +31,23 @@
                 self.out -= 1
 
     def idents(self) -> list[str]:
-        """The requests of the attempts, in the order in which they began."""
+        """Return the request ids of all attempts, in the order in which the attempts began."""
         return [head["x-request-id"] for _, head in self.began]
 
     def excess_deadlines_s(self, sent_at: float, deadline_ms: int, slack_s: float) -> list[float]:
-        """Return the excess of attempts' deadlines over the client's remaining time, if over `slack_s`."""
-        over = [
+        """Return by how much each attempt's deadline exceeds the client's remaining time.
+
+        Only excesses over `slack_s` are returned.  `sent_at` and `slack_s` are in seconds.
+        """
+        excesses = [
             int(head["x-deadline-ms"]) / 1000.0 - (sent_at + deadline_ms / 1000.0 - at)
             for at, head in self.began
         ]
-        return [each for each in over if each > slack_s]
+        return [excess for excess in excesses if excess > slack_s]
 
 
-def after(delay_s: float, answer: bytes) -> Fate:
-    """That answer, after a while."""
+def after(delay_s: float, answer: bytes) -> AttemptAnswer:
+    """Return a handler that sends `answer` after `delay_s` seconds."""
 
     async def respond(writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(delay_s)
@@ -54,10 +57,10 @@
 
 
 async def reset(writer: asyncio.StreamWriter) -> None:
-    """The connection is reset."""
+    """Reset the connection without a response."""
     writer.transport.abort()
 
 
 async def hang(writer: asyncio.StreamWriter) -> None:
-    """Nothing comes, for good."""
+    """Never respond."""
     await asyncio.Event().wait()
--- a/tests/support/fleet_world.py
+++ b/tests/support/fleet_world.py
@@ -1,4 +1,4 @@
-"""Real balancers of many proxies before simple backends, in one seeded virtual-time world."""
+"""A seeded simulation in virtual time: real balancers of many proxies in front of simple backends."""
 
 import random
 from collections.abc import Callable
@@ -28,9 +28,9 @@
 from tests.support.cold_start_judge import ColdStartJudge, ColdStartRules
 
 MEAN_WORK_MS = 60.0
-QUEUE_PER_SLOT = 5  # requests that wait at a backend for each that runs
+QUEUE_PER_SLOT = 5  # queue length of a backend, in requests per slot
 REQUEST_CLASS = RequestClass("work", 500.0, 2000.0, effect=Effect.IDEMPOTENT)
-LATE_ANSWER_MS = 1.0  # until a refused or unreachable attempt is known to have failed
+FAILURE_RESPONSE_MS = 1.0  # delay until the proxy learns that a refused or unreachable attempt failed
 
 
 @dataclass
@@ -47,10 +47,10 @@
 
 @dataclass
 class Server:
-    """A backend: slots and a queue; cold, it works at a part of its speed."""
+    """A backend with slots and a queue; while it is cold, it works at a fraction of its speed."""
 
     ident: int
-    started_at: float = 0.0  # 0: long ago
+    started_at: float = 0.0  # 0 if it has been warm from the beginning
     up: bool = True
     reachable: bool = True
     running: list[Job] = field(default_factory=list)
@@ -59,18 +59,18 @@
 
 @dataclass
 class Proxy:
-    """One proxy: its balancer, the share of the traffic it gets, and the starts that it was told of."""
+    """One proxy: its balancer, its share of the traffic and the backend starts that it was informed of."""
 
     index: int
     balancer: Balancer
     share: float
-    told: dict[int, float] = field(default_factory=dict)  # by backend: the start it was last told of
+    informed_starts: dict[int, float] = field(default_factory=dict)  # latest known start by backend
     attempts: dict[int, int] = field(default_factory=dict)  # by request
     work: dict[int, float] = field(default_factory=dict)  # by request
 
 
 def uneven_shares(draw: random.Random, proxies: int) -> list[float]:
-    """Parts of the traffic, one in eight of them several times the others."""
+    """Return the proxies' shares of the traffic; about one in eight is several times as large."""
     raw = [
         draw.uniform(0.5, 1.5) * (draw.uniform(2.0, 4.0) if draw.random() < 0.125 else 1.0)
         for _ in range(proxies)
@@ -79,7 +79,7 @@
 
 
 class FleetWorld:
-    """The clock, the events to come, the proxies and the backends."""
+    """The virtual clock, the scheduled events, the proxies and the backends."""
 
     def __init__(self, seed: int, proxies: int, backends: int, rules: ColdStartRules, busy: float) -> None:
         self.random = random.Random(seed)
@@ -105,21 +105,21 @@
             slow_start_from=self.rules.cold_from,
             slow_start_ms=self.rules.cold_ms,
             overload_factor=self.rules.overload_factor,
-            overload_window_ms=self.rules.fall_ms,
+            overload_window_ms=self.rules.overload_window_ms,
         )
         return Proxy(index, Balancer(settings, self.random.getrandbits(32)), self.shares[index])
 
     def lines(self) -> list[BackendInfo]:
-        """The list as it stands."""
+        """Return the current backend list."""
         return [BackendInfo(server.ident, started_ms=server.started_at) for server in self.servers.values()]
 
     def schedule(self, delay_ms: float, call: Callable[[], None]) -> None:
-        """Have something done after a delay."""
+        """Schedule `call` after a delay."""
         self.scheduled += 1
         heappush(self.events, (self.now + delay_ms, self.scheduled, call))
 
     def run_for(self, duration_ms: float) -> None:
-        """Let time pass."""
+        """Advance the clock, and run the events that are due."""
         end = self.now + duration_ms
         while self.events[0][0] <= end:
             self.now, _, call = heappop(self.events)
@@ -141,8 +141,10 @@
 
     def _deliver(self, proxy: Proxy, event: Event) -> None:
         if isinstance(event, BackendList):
-            for line in event.backends:  # an older line takes nothing back
-                proxy.told[line.backend] = max(proxy.told.get(line.backend, 0.0), line.started_ms)
+            for line in event.backends:  # an older entry does not replace a later start
+                proxy.informed_starts[line.backend] = max(
+                    proxy.informed_starts.get(line.backend, 0.0), line.started_ms
+                )
         for action in proxy.balancer.handle(self.now, event):
             self._carry_out(proxy, action)
 
@@ -153,7 +155,7 @@
             self._send(proxy, action)
 
     def _fire(self, proxy: Proxy, balancer: Balancer, token: int) -> None:
-        if proxy.balancer is balancer:  # else it was restarted meanwhile
+        if proxy.balancer is balancer:  # otherwise the proxy was restarted meanwhile
             self._deliver(proxy, TimerFired(token))
 
     # Backends
@@ -163,16 +165,16 @@
         proxy.attempts[action.request] += 1
         job = Job(proxy, action.request, attempt, proxy.work[action.request], self.now)
         if not (server.up and server.reachable):
-            self.schedule(LATE_ANSWER_MS, partial(self._end, server, job, Outcome.UNREACHABLE))
+            self.schedule(FAILURE_RESPONSE_MS, partial(self._end, server, job, Outcome.UNREACHABLE))
             return
-        told = proxy.told.get(server.ident) == server.started_at
-        self.judge.sent(self.now, server.ident, proxy.index, job.work_ms, told)
+        informed = proxy.informed_starts.get(server.ident) == server.started_at
+        self.judge.sent(self.now, server.ident, proxy.index, job.work_ms, informed)
         if len(server.running) < self.slots:
             self._run(server, job)
         elif len(server.waiting) < QUEUE_PER_SLOT * self.slots:
             server.waiting.append(job)
         else:
-            self.schedule(LATE_ANSWER_MS, partial(self._end, server, job, Outcome.REJECTED))
+            self.schedule(FAILURE_RESPONSE_MS, partial(self._end, server, job, Outcome.REJECTED))
 
     def _run(self, server: Server, job: Job) -> None:
         server.running.append(job)
@@ -184,7 +186,7 @@
 
     def _finish(self, server: Server, job: Job) -> None:
         if job not in server.running:
-            return  # the process died
+            return  # the backend's process ended
         server.running.remove(job)
         if server.waiting:
             self._run(server, server.waiting.pop(0))
@@ -195,13 +197,13 @@
         latency = self.now - job.sent_at
         finished = outcome is Outcome.SERVED
         ended = AttemptEnded(job.request, job.attempt, server.ident, outcome, latency, finished)
-        if job.request in job.proxy.work:  # else its proxy was restarted
+        if job.request in job.proxy.work:  # otherwise its proxy was restarted
             self._deliver(job.proxy, ended)
 
-    # What happens to them
+    # Faults and list changes
 
     def burst(self, factor: float, duration_ms: float) -> None:
-        """More requests for a while."""
+        """Multiply the request rate by `factor` for a time."""
         self.requests_per_ms *= factor
         self.schedule(duration_ms, partial(self._scale_traffic, 1.0 / factor))
 
@@ -209,22 +211,22 @@
         self.requests_per_ms *= factor
 
     def stop(self, backend: int) -> None:
-        """End a backend's process: what it works on is lost."""
+        """End a backend's process; its running and waiting requests are lost."""
         server = self.servers[backend]
         server.up, lost = False, server.running + server.waiting
         server.running, server.waiting = [], []
         for job in lost:
-            self.schedule(LATE_ANSWER_MS, partial(self._end, server, job, Outcome.RESET))
+            self.schedule(FAILURE_RESPONSE_MS, partial(self._end, server, job, Outcome.RESET))
 
     def start(self, backend: int) -> BackendInfo:
-        """Start a backend's process cold, and return its line; the list does not have it yet."""
+        """Start a backend's process cold, and return its list entry, which no proxy has received yet."""
         server = self.servers.setdefault(backend, Server(backend))
         server.up, server.started_at = True, self.now
         self.judge.started(self.now, backend)
         return BackendInfo(backend, started_ms=self.now)
 
     def cut_off(self, backend: int, duration_ms: float) -> None:
-        """Let a backend be out of reach for a while; its process goes on."""
+        """Make a backend unreachable for a time; its process continues."""
         self.servers[backend].reachable = False
         self.schedule(duration_ms, partial(self._reconnect, backend))
 
@@ -232,32 +234,32 @@
         self.servers[backend].reachable = True
 
     def tell(self, lines: list[BackendInfo], delay: Callable[[Proxy], float]) -> None:
-        """Deliver changes of the list to each proxy after a delay of its own."""
+        """Deliver list changes to each proxy after the delay that `delay` returns for it."""
         for proxy in self.proxies:
             call = partial(self._deliver, proxy, BackendList(ListKind.CHANGES, lines))
             self.schedule(delay(proxy), call)
 
     def restart_proxy(self, index: int) -> None:
-        """Replace a proxy by one with an empty state whose file has the list as it stands."""
+        """Replace a proxy by one with empty state, whose cached list is the current one."""
         proxy = self.proxies[index]
         fresh = self._new_proxy(index)
-        proxy.balancer, proxy.told = fresh.balancer, {}
+        proxy.balancer, proxy.informed_starts = fresh.balancer, {}
         proxy.work.clear()
         proxy.attempts.clear()
         self._deliver(proxy, BackendList(ListKind.CACHED, self.lines()))
 
     def hold(self, backend: int) -> float:
-        """Take a backend out of service at all proxies, and return when."""
+        """Begin maintenance of a backend at all proxies, and return the time."""
         for proxy in self.proxies:
             self._deliver(proxy, BeginMaintenance(backend, self.now))
         return self.now
 
     def release(self, backend: int, began_ms: float, spread_ms: float) -> None:
-        """Give a backend back at all proxies, each a little later than the one before."""
+        """End maintenance of a backend at each proxy, after a random delay of at most `spread_ms`."""
         for proxy in self.proxies:
             event = EndMaintenance(backend, began_ms, self.now)
             self.schedule(self.random.uniform(0.0, spread_ms), partial(self._release_at, proxy, event))
 
     def _release_at(self, proxy: Proxy, event: EndMaintenance) -> None:
-        proxy.told[event.backend] = self.servers[event.backend].started_at
+        proxy.informed_starts[event.backend] = self.servers[event.backend].started_at
         self._deliver(proxy, event)
--- a/tests/support/list_service.py
+++ b/tests/support/list_service.py
@@ -1,6 +1,6 @@
-"""Many proxies whose watches end at one list service that works through calls in turn, in virtual time.
+"""Simulates in virtual time many proxies whose watches end at a list service that serves one call at a time.
 
-The schedules are the program's; the service and the judgement of when a proxy has the change are not.
+The watch schedules are the program's code; the service and the check of when a proxy has the change are not.
 Times are in ms.
 """
 
@@ -14,14 +14,14 @@
 from heronreel.balancer.interface import WatchFailure
 from heronreel.balancer.watch_schedule import WatchSchedule
 
-WITHIN_MS = 10_000.0  # the time within which a proxy must call
-EARLY_MS = 1.0  # after which a call is refused at once
-ENDS_SPREAD_MS = 70.0  # within which all proxies notice that their watches ended; seen on the bench
+WITHIN_MS = 10_000.0  # time within which a proxy must call the service
+EARLY_MS = 1.0  # delay of a refusal that the service sends immediately
+ENDS_SPREAD_MS = 70.0  # time within which all proxies notice that their watches ended
 
 
 @dataclass
 class Proxy:
-    """One proxy: its schedule, its call under way and its open watch, by number."""
+    """One proxy: its schedule, and the numbers of its call in progress and of its open watch (0 for none)."""
 
     schedule: WatchSchedule
     call: int = 0
@@ -31,12 +31,12 @@
 
 @dataclass
 class ListService:
-    """Works through calls in turn, abandoned ones too; a call that would wait for too long is refused.
+    """A service that processes calls one at a time and refuses those that would wait for too long.
 
-    A watch that was answered before `changes_at` never brings the change: it ends at one of `ends_at`, with
-    all others and with the calls that still wait.  Until `down_until` it refuses every call late, and the
-    proxies had their lists before.  With `rejects_early` it refuses at once a call that would wait for twice
-    as long as it lets a call wait.
+    It also processes abandoned calls.  A watch that was answered before `changes_at` never delivers the
+    change: it ends at one of `ends_at`, together with all other watches and with the waiting calls.  Until
+    `down_until` the service refuses every call after `timeout_ms`; in that case the proxies start with a
+    list.  With `rejects_early` it refuses immediately each call whose wait would exceed twice `timeout_ms`.
     """
 
     proxies: int
@@ -49,31 +49,31 @@
     calls: int = 0
     refused: int = 0
     free_at: float = 0.0
-    backlog_ms: float = 0.0  # of work when the watches ended last
+    backlog_ms: float = 0.0  # queued work when the watches last ended
     now: float = 0.0
     due: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
     scheduled: int = 0
 
     def play(self, seed: int, until: float) -> list[float]:
-        """When each proxy has the change; infinity: not by then."""
+        """Run until `until`; return when each proxy got the change, or infinity if it did not."""
         self.draw = random.Random(seed)
-        group = [Proxy(WatchSchedule(WITHIN_MS, self.proxies)) for _ in range(self.proxies)]
-        for proxy in group if self.down_until else ():
+        proxies = [Proxy(WatchSchedule(WITHIN_MS, self.proxies)) for _ in range(self.proxies)]
+        for proxy in proxies if self.down_until else ():
             proxy.schedule.call_started(0.0)
             proxy.schedule.list_received(0.0)
-        for proxy in group:
+        for proxy in proxies:
             self._call_in(proxy, proxy.schedule.first_delay(self.draw))
             for at in self.ends_at:
                 self._at(at, self._note_backlog)
                 self._at(at + self.draw.random() * ENDS_SPREAD_MS, self._end, proxy)
         while self.due and self.due[0][0] <= until:
-            self.now, _, happen = heapq.heappop(self.due)
-            happen()
-        return [proxy.knows_at for proxy in group]
+            self.now, _, callback = heapq.heappop(self.due)
+            callback()
+        return [proxy.knows_at for proxy in proxies]
 
-    def _at(self, at: float, happen: Callable[..., None], *args: object) -> None:
+    def _at(self, at: float, callback: Callable[..., None], *args: object) -> None:
         self.scheduled += 1
-        heapq.heappush(self.due, (at, self.scheduled, lambda: happen(*args)))
+        heapq.heappush(self.due, (at, self.scheduled, lambda: callback(*args)))
 
     def _call_in(self, proxy: Proxy, delay: float) -> None:
         self._at(self.now + delay, self._call, proxy)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,7 +1,7 @@
-"""Peers on loopback sockets for tests: discovery, backends whose every byte a test decides, and clients.
+"""Loopback peers for tests: discovery, backends whose every byte the test decides, and clients.
 
-Nothing here waits for a fixed time; every wait is for bytes, a connection or its end; TIMEOUT_S only
-keeps a broken proxy from blocking the suite.
+No helper waits for a fixed time: each waits for bytes, for a connection or for its end.  TIMEOUT_S only
+keeps a broken proxy from blocking the test suite.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 ROOT = Path(__file__).parents[2]
 TIMEOUT_S = 60.0
-HEARTBEAT_S = 1.0  # between two empty lines of a watch
+HEARTBEAT_S = 1.0  # interval of the empty lines of a watch
 SETTINGS: dict[str, Any] = {
     "Balancers": 1,
     "Categories": [
@@ -34,16 +34,16 @@
     "Limits": {"MostTries": 4, "ConnectTimeoutMs": 1000.0, "ConnIdleMs": 15000.0},
     "Rules": {"MustAskInMs": 800.0, "DrainGraceMs": 500.0},
 }  # fmt: skip
-SYN_SENT = "02"  # in the kernel's table
+SYN_SENT = "02"  # connection state in /proc/net/tcp
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class Listener:
-    """A server on an ephemeral port; `handler` is one connection's whole life."""
+    """A server on an ephemeral port; `handler` serves one connection until it ends."""
 
     def __init__(self, handler: ConnectionHandler, narrow: bool = False) -> None:
         self.handler = handler
-        self.narrow = narrow  # the kernels on both sides hold little that is not read
+        self.narrow = narrow  # small socket buffers on both sides, so that unread data soon blocks the sender
         self.address = ""
         self.opened = 0
         self.writers: list[asyncio.StreamWriter] = []
@@ -69,7 +69,7 @@
         self.ends[writer].set()
 
     async def ended(self) -> None:
-        """The newest connection has ended."""
+        """Wait until the newest connection has ended."""
         await self.ends[self.writers[-1]].wait()
 
     async def __aexit__(self, *_: object) -> None:
@@ -79,7 +79,7 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> dict[str, str]:
-    """One head: its first line under "", header names in lower case."""
+    """Read one message head: its first line under "", headers under their names in lower case."""
     first, *lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")[:-2]
     parts = (line.partition(":") for line in lines)
     return {"": first} | {name.lower(): value.strip() for name, _, value in parts}
@@ -95,13 +95,13 @@
 
 
 class Backend(Listener):
-    """Responds to each request with what `reply` makes of it; None: not at all."""
+    """Responds to each request with the result of `reply`; None means no response."""
 
     def __init__(self, reply: Callable[[dict[str, str], bytes], bytes | None] | None = None) -> None:
         super().__init__(self._handle)
         self.reply = reply or (lambda head, body: ok(head["x-request-id"].encode()))
         self.seen: list[str] = []
-        self.carriers: dict[str, asyncio.StreamWriter] = {}  # by request, for a later response
+        self.carriers: dict[str, asyncio.StreamWriter] = {}  # connections by request id, for later responses
         self.requested = asyncio.Event()
 
     async def _handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -120,7 +120,7 @@
 
 
 class Discovery(Listener):
-    """Watches get `entries` as a snapshot, once `may_answer` is set; changes are sent with `change`."""
+    """A list service: watches get `entries` as a snapshot once `may_answer` is set, and later `change`s."""
 
     def __init__(self, *entries: dict[str, Any]) -> None:
         super().__init__(self._watch)
@@ -136,7 +136,9 @@
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         writer.write(head + self._line(True, self.entries))
         self.watched.set()
-        while not reader.at_eof():  # as the platform's: a line a while, so that silence means a broken watch
+        while (
+            not reader.at_eof()
+        ):  # Like the platform's service, sends empty lines regularly, so that silence means a broken watch.
             with suppress(TimeoutError):
                 await asyncio.wait_for(reader.read(1), HEARTBEAT_S)
             writer.write(b"1\r\n\n\r\n")
@@ -162,14 +164,14 @@
 
 
 class ProxyProcess:
-    """The real program in a process of its own."""
+    """The real proxy program in a separate process."""
 
     def __init__(self, path: Path, process: asyncio.subprocess.Process, port: int, admin_port: int) -> None:
         self.path, self.process, self.host = path, process, "127.0.0.1"
         self.port, self.admin_port = port, admin_port
 
     async def call(self, path: str, body: str = "", method: str = "POST") -> str:
-        """An admin call, where the process has an address for them."""
+        """Make a call of the admin API, and return the status; the process must have an admin address."""
         reader, writer = await asyncio.open_connection(self.host, self.admin_port)
         head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n{body}"
         writer.write(head.encode())
@@ -195,7 +197,7 @@
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
     def connecting(self) -> int:
-        """How many connections of its own have not come up yet."""
+        """Return how many of the process's outgoing connections are not established yet."""
         own = set[str]()
         for number in os.listdir(f"/proc/{self.process.pid}/fd"):
             with suppress(OSError):
@@ -216,7 +218,7 @@
 
 @contextmanager
 def reserved_port() -> Iterator[int]:
-    """A port that nobody else gets meanwhile; the proxy binds it all the same, with SO_REUSEADDR."""
+    """Reserve a port that no other process is given; the proxy can bind it because of SO_REUSEADDR."""
     with socket.socket() as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         probe.bind(("127.0.0.1", 0))
@@ -231,9 +233,10 @@
     shared: socket.socket | None = None,
     until_listening: bool = True,
 ) -> AsyncIterator[ProxyProcess]:
-    """Start the program; `shared`: a listening socket to inherit, together with an admin API.
+    """Start the program.
 
-    `until_listening` False: it may not listen yet.
+    `shared` is a listening socket to inherit; it requires an admin API.  Without `until_listening` the
+    process may not listen yet when this returns.
     """
     ports = ExitStack()
     admin_port = ports.enter_context(reserved_port()) if with_admin_api else 0
@@ -267,7 +270,7 @@
 async def proxy_with_backend(
     path: Path, backend: Listener, with_admin_api: bool = False, **limits: float
 ) -> AsyncIterator[ProxyProcess]:
-    """A proxy with discovery and that one backend; `with_admin_api` as for `running_proxy`."""
+    """Run a proxy with discovery and the given backend; `with_admin_api` as for `running_proxy`."""
     async with backend:
         known = [entry("b1", backend.address)]
         async with Discovery(*known) as discovery:
@@ -287,7 +290,7 @@
 
 
 async def read_response(reader: asyncio.StreamReader) -> tuple[str, bytes]:
-    """Status and body of one response; "closed" if the connection ends first."""
+    """Return status and body of one response, or "closed" if the connection ends first."""
     try:
         head, body = await read_request(reader)
     except (asyncio.IncompleteReadError, ConnectionError):
--- a/tests/support/rehearsals.py
+++ b/tests/support/rehearsals.py
@@ -1,4 +1,4 @@
-"""One base rehearsal and its changes, for the tests of the emulator and of the experiment tool."""
+"""A base rehearsal and variations of it, for the tests of the emulator and of the experiment tool."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     faults: tuple[Fault, ...] = (),
     **changes: Any,
 ) -> Rehearsal:
-    """`load`: offered load, as a share of what the fleet can do."""
+    """Return a rehearsal; `load` is the offered load as a share of the fleet's capacity."""
     rack_size = max(1, min(6, nodes // len(zones)))
     fleet = FleetConfig(nodes=nodes, zones=list(zones), rack_size=rack_size, kinds=(kind,))
     rate = load * nodes * kind.cores * kind.speed * 1000.0 / request_class.work_ms
@@ -48,8 +48,10 @@
     return msgspec.structs.replace(base, **changes)
 
 
-def queue_of(kind: NodeKind, work_ms: float, dist: str, cv: float, load: float, seconds: float) -> Rehearsal:
-    """One node behind one proxy on a network without latency: the setting of queueing theory."""
+def single_node_rehearsal(
+    kind: NodeKind, work_ms: float, dist: str, cv: float, load: float, seconds: float
+) -> Rehearsal:
+    """Return a rehearsal of one node behind one proxy without network latency, as queueing theory assumes."""
     spans = {"work_ms": work_ms, "latency_objective_ms": 3e6, "deadline_ms": 3e6}
     request_class = RequestClass(distribution=dist, cv=cv, effect="safe", hint_noise=0.0, **spans)  # type: ignore[arg-type]
     return rehearsal(
--- a/tests/support/scripted_backend.py
+++ b/tests/support/scripted_backend.py
@@ -1,4 +1,4 @@
-"""A stub server that answers with what a test has given it."""
+"""A stub server that sends responses that a test has prepared."""
 
 from __future__ import annotations
 
@@ -7,11 +7,14 @@
 from tests.support.loopback import Backend, ok, read_request
 
 ERROR = b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
-GONE = b""  # closes without an answer
+CLOSE_WITHOUT_RESPONSE = b""
 
 
 class ScriptedBackend(Backend):
-    """Answers with what a script holds for it, in turn; None waits for `go`."""
+    """Sends the prepared `answers` in turn, then `ok(b"good")`.
+
+    None in the answers waits for `go` and then sends `ok(b"late")`.
+    """
 
     def __init__(self, *answers: bytes | None) -> None:
         super().__init__()
@@ -29,7 +32,7 @@
             if answer is None:
                 await self.go.wait()
                 answer = ok(b"late")
-            if answer == GONE:
+            if answer == CLOSE_WITHOUT_RESPONSE:
                 writer.transport.abort()
                 return
             writer.write(answer)
--- a/tests/support/serve_process.py
+++ b/tests/support/serve_process.py
@@ -1,4 +1,4 @@
-"""`heronreel serve` in a process of its own, on a file that a test writes."""
+"""Runs `heronreel serve` in a separate process with a route file that a test writes."""
 
 from __future__ import annotations
 
@@ -27,13 +27,16 @@
 HEDGED_SAVE = SAVE + "second_copy_after_ms = 20\n"
 
 
-class Served:
+class ServeProcess:
+    """A running `heronreel serve` process and the ports that it listens on."""
+
     def __init__(self, path: Path, process: asyncio.subprocess.Process) -> None:
         self.path, self.process = path, process
         self.ports: dict[str, int] = {}
         self.lines: list[str] = []
 
     async def log_line(self, word: str) -> str:
+        """Wait for the next log line that contains `word`."""
         assert self.process.stderr
         while word not in (line := (await self.process.stderr.readline()).decode()):
             self.lines.append(line)
@@ -44,6 +47,7 @@
         return await asyncio.open_connection("127.0.0.1", self.ports[listener])
 
     async def ask(self, data: bytes) -> tuple[str, bytes]:
+        """Send a request on a new connection, and return the status and body of the response."""
         reader, writer = await self.connect()
         writer.write(data)
         answer = await read_response(reader)
@@ -55,28 +59,29 @@
 
 
 @asynccontextmanager
-async def served(folder: Path, text: str, *words: str, **env: str) -> AsyncIterator[Served]:
+async def served(folder: Path, text: str, *arguments: str, **env: str) -> AsyncIterator[ServeProcess]:
+    """Start `heronreel serve` on a route file, and wait until all its listeners are bound."""
     path = folder / "routes.toml"
     path.write_text(text)
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "heronreel.cli", "serve", str(path), *words,
+        sys.executable, "-m", "heronreel.cli", "serve", str(path), *arguments,
         cwd=ROOT, env={**os.environ, **env}, stderr=asyncio.subprocess.PIPE,
     )  # fmt: skip
-    made = Served(path, process)
+    serve_process = ServeProcess(path, process)
     try:
         for _ in range(text.count("[[listeners]]")):
-            found = re.search(r"listening on \S+:(\d+) for (\S+)", await made.log_line("listening"))
+            found = re.search(r"listening on \S+:(\d+) for (\S+)", await serve_process.log_line("listening"))
             assert found
-            made.ports[found[2]] = int(found[1])
-        yield made
+            serve_process.ports[found[2]] = int(found[1])
+        yield serve_process
     finally:
         if process.returncode is None:
             process.kill()
         await process.wait()
 
 
-def file_of(*routes: str, more: str = "", **pools: list[tuple[str, str]]) -> str:
-    """A file: `pools` by name, each a list of address and rack; `routes` are the bodies of tables."""
+def routes_file(*routes: str, more: str = "", **pools: list[tuple[str, str]]) -> str:
+    """Return a route file: `pools` lists address and rack of each member; `routes` are bodies of tables."""
     parts = [
         "[proxy]\nsecond_copies = true\nconnect_timeout_ms = 200\nclient_wait_ms = 20000\n",
         more or '[[listeners]]\nname = "in"\naddress = "127.0.0.1:0"\n',
@@ -90,7 +95,7 @@
 
 
 def gets_to(backend: str) -> str:
-    """Tables that send every GET to one server."""
+    """Return the tables that route every GET request to one server."""
     return f"""
 [[pools]]
 name = "p"
@@ -107,7 +112,7 @@
 
 
 def many_routes(count: int) -> str:
-    """Tables of further routes to the pool p, each of a path of its own."""
+    """Return the tables of `count` more routes to pool `p`, each with a distinct path."""
     return "".join(
         f'[[routes]]\nname = "m{n}"\nmatch = {{ path = "/many/{n}" }}\npool = "p"\n' for n in range(count)
     )
--- a/tests/support/turn_list_service.py
+++ b/tests/support/turn_list_service.py
@@ -1,7 +1,7 @@
-"""A stand-in list service over loopback that works through calls in turn and fails in the ways of the pages.
+"""A stub list service on loopback that processes calls one at a time and fails as the protocol allows.
 
-What a watch is answered with is planned by the test, call by call; a call without a plan is answered as the
-protocol page has it.  Everything that counts for when a change is notified is noted in a history.
+A test plans the answer to each call of a watch; a call without a plan gets the answer that the protocol
+prescribes.  A history records every event that decides when a change counts as notified.
 """
 
 from __future__ import annotations
@@ -26,26 +26,26 @@
 )
 from tests.support.loopback import Listener, entry, read_head
 
-HEARTBEAT_S = 2.0  # between two empty lines of a watch
+HEARTBEAT_S = 2.0  # interval of the empty lines of a watch
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 REFUSAL = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
 
 class Plan(Enum):
-    """What becomes of one call."""
+    """How the service handles one call."""
 
-    ANSWER = auto()  # what changed after the caller's version, or the whole list
-    ANSWER_AND_END = auto()  # the same, and its end in the same instant
-    NOTHING_AND_END = auto()  # an empty list of changes, and the end in place of what changed
+    ANSWER = auto()  # the changes after the caller's version, or the whole list
+    ANSWER_AND_END = auto()  # the same, and the watch ends immediately afterwards
+    NOTHING_AND_END = auto()  # an empty list of changes, and the watch ends without the actual changes
     NEVER = auto()  # no answer, and the connection stays open
     REFUSE_AT_ONCE = auto()
-    REFUSE_LATE = auto()  # after `refusal_s`
+    REFUSE_LATE = auto()  # refused after `refusal_s`
 
 
 @dataclass(eq=False)
 class Watch:
-    """A call under way."""
+    """A call in progress or an open watch."""
 
     index: int  # the caller's version
     writer: asyncio.StreamWriter
@@ -54,7 +54,11 @@
 
 
 class TurnListService(Listener):
-    """One list service; `whole_lists`: the first answer to a call is the whole list without what drains."""
+    """One list service.
+
+    With `whole_lists`, the first answer to a call is the whole list without draining backends.  Each call
+    takes `call_s` seconds.
+    """
 
     def __init__(
         self, name: str, history: History, *members: dict[str, Any], call_s: float, whole_lists: bool = False
@@ -63,57 +67,58 @@
         self.name, self.history, self.call_s, self.whole_lists = name, history, call_s, whole_lists
         self.members = {member["name"]: member for member in members}
         self.index = 1
-        self.changes: list[tuple[int, str]] = []  # version and name
+        self.changes: list[tuple[int, str]] = []  # version and backend name
         self.plans: deque[Plan] = deque()
         self.usual_plan = Plan.ANSWER
         self.refusal_s = 2.0
-        self.turn = asyncio.Lock()  # waiters go on in the order in which they came
+        self.turn = asyncio.Lock()  # first come, first served
         self.watches: list[Watch] = []
         self.calls = 0
-        self.called, self.answered = asyncio.Event(), asyncio.Event()  # since a test cleared them
+        # Tests clear these events to wait for the next call or answer.
+        self.called, self.answered = asyncio.Event(), asyncio.Event()
 
-    # What happens to the list.
+    # Changes of the list.
 
-    def drain(self, name: str, told: bool = True) -> None:
-        """A backend begins to drain; `told`: open watches bring it, as they should."""
+    def drain(self, name: str, notify_watches: bool = True) -> None:
+        """Start to drain a backend; without `notify_watches`, open watches omit the change (a fault)."""
         self.members[name] = self.members[name] | {"status": "leaving"}
         self.history.note(Departed(time.monotonic(), self.name, name))
-        self._change(name, told)
+        self._change(name, notify_watches)
 
-    def name_again(self, name: str) -> None:
-        """A backend is active again."""
+    def reactivate(self, name: str) -> None:
+        """Make a backend active again."""
         self.members[name] = self.members[name] | {"status": "active"}
         self.history.note(Returned(time.monotonic(), self.name, name))
         self._change(name, True)
 
-    def _change(self, name: str, told: bool) -> None:
+    def _change(self, name: str, notify_watches: bool) -> None:
         self.index += 1
         self.changes.append((self.index, name))
         for watch in self.watches:
-            if told and watch.answered and not watch.silent:
+            if notify_watches and watch.answered and not watch.silent:
                 self._write_list(watch, self.index, False, [self.members[name]])
 
-    # What happens to watches.
+    # Faults of watches.
 
     def reset_watches(self) -> None:
-        """All calls under way and all open watches are reset."""
+        """Reset all calls in progress and all open watches."""
         for watch in [*self.watches]:
             watch.writer.transport.abort()
             self._note_end(watch)
 
     def silence_watches(self) -> None:
-        """All open watches stay open, and nothing more comes on them."""
+        """Send nothing more on the open watches, and keep them open."""
         for watch in self.watches:
             watch.silent = True
         self.history.note(WatchFellSilent(time.monotonic(), self.name))
 
     def go_down(self, plan: Plan) -> None:
-        """Watches end, and each call ends so until the service is back."""
+        """Reset all watches, and handle each call according to `plan` until `come_back`."""
         self.usual_plan = plan
         self.reset_watches()
 
     def come_back(self) -> None:
-        """Calls that come from now on are answered."""
+        """Answer calls again."""
         self.usual_plan = Plan.ANSWER
         self.history.note(Reachable(time.monotonic(), self.name))
 
@@ -132,7 +137,7 @@
         if plan is Plan.REFUSE_LATE:
             await asyncio.sleep(self.refusal_s)
         if watch not in self.watches:
-            return  # reset meanwhile
+            return  # the watch was reset meanwhile
         self._answer(watch, plan)
         while watch in self.watches and not reader.at_eof():
             with suppress(TimeoutError):
@@ -140,7 +145,7 @@
             if watch.answered and not watch.silent:
                 writer.write(b"1\r\n\n\r\n")
         if watch in self.watches:
-            self.watches.remove(watch)  # the proxy's own end
+            self.watches.remove(watch)  # the proxy closed the connection
 
     def _answer(self, watch: Watch, plan: Plan) -> None:
         match plan:
@@ -179,12 +184,12 @@
         watch.writer.write(head + b"%x\r\n%b\r\n" % (len(line), line))
         watch.answered = True
         named = {member["name"]: member["status"] for member in members}
-        gone = {name for name, status in named.items() if status != "active"}
+        removed = {name for name, status in named.items() if status != "active"}
         if is_whole:
-            gone |= self.members.keys() - named.keys()
-        self.history.note(ListWritten(time.monotonic(), self.name, frozenset(gone)))
+            removed |= self.members.keys() - named.keys()
+        self.history.note(ListWritten(time.monotonic(), self.name, frozenset(removed)))
 
 
-def members_of(addresses: dict[str, str]) -> list[dict[str, Any]]:
-    """Active entries for backends, by name and address."""
+def active_members(addresses: dict[str, str]) -> list[dict[str, Any]]:
+    """Return active entries for backends, given their addresses by name."""
     return [entry(name, address) for name, address in addresses.items()]
