--- a/heronreel/soak/__init__.py
+++ b/heronreel/soak/__init__.py
@@ -1,5 +1,6 @@
-"""A soak of shutdowns: real proxy processes, their clients and backends, faults between them, and a judge.
+"""Soak tests of shutdowns: real proxy processes with clients, backends and injected faults, and a judge.
 
-`plan` draws a run from a seed, `run` plays it, `judge` holds the records of clients and backends against the
-platform's rules; nothing here knows how the proxy works.  `python -m heronreel.soak` plays many seeds.
+`plan` draws a run from a seed, `run` executes it, and `judge` checks the records of clients and backends
+against the platform's rules.  The package is independent of the proxy's implementation.
+`python -m heronreel.soak` runs many seeds.
 """
--- a/heronreel/soak/__main__.py
+++ b/heronreel/soak/__main__.py
@@ -1,8 +1,8 @@
-"""`python -m heronreel.soak --seeds 1-50`: play seeds, and print each one's verdict.
+"""`python -m heronreel.soak --seeds 1-50`: run the soak for a range of seeds and print each verdict.
 
-With `--fleet` the seeds are fleets of 12 or 40 proxies with one list service and its troubles.
-Exits 0 if no rule was broken, else 1.  `--json FILE` writes the verdicts; `--verbose` adds the log of each
-process whose run has a break.
+With `--fleet`, each seed is a fleet of 12 or 40 proxies with one list service that has faults.  Exits with 0
+if no rule was broken, otherwise with 1.  `--json FILE` writes the verdicts; `--verbose` prints the process
+logs of each run with a breach.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from heronreel.soak.records import RunRecord
 from heronreel.soak.run import play
 
-MAX_SHOWN = 5  # breaks of a run
-LOG_LINES = 40
+MAX_SHOWN_BREACHES = 5  # per run
+MAX_LOG_LINES = 40  # per process
 
 
 class Outcome(NamedTuple):
-    """One seed's run."""
+    """The plan, records and verdict of one seed's run."""
 
     plan: Plan
     records: RunRecord
@@ -36,49 +36,49 @@
 
 
 def play_seed(seed: int) -> Outcome:
-    """Play one seed."""
+    """Run the plan of one seed and judge its records."""
     plan = draw_plan(seed)
     records = uvloop.run(play(plan))
     return Outcome(plan, records, judge(records))
 
 
-def main(words: list[str]) -> int:
-    """Play the seeds that the words ask for; the exit status."""
-    parser = argparse.ArgumentParser(prog="python -m heronreel.soak", description="A soak of shutdowns.")
+def main(arguments: list[str]) -> int:
+    """Run the seeds that the command-line arguments select, and return the exit status."""
+    parser = argparse.ArgumentParser(prog="python -m heronreel.soak", description="Soak tests of shutdowns.")
     parser.add_argument("--seeds", default="1-10", help="one seed, or FIRST-LAST")
-    parser.add_argument("--fleet", action="store_true", help="play fleets with troubles of the list service")
-    parser.add_argument("--jobs", type=int, default=2, help="runs at once")
-    parser.add_argument("--json", metavar="FILE", help="write the verdicts there")
-    parser.add_argument("--verbose", action="store_true", help="print the logs of runs with breaks")
-    arguments = parser.parse_args(words)
-    first, _, last = arguments.seeds.partition("-")
+    parser.add_argument("--fleet", action="store_true", help="run fleets whose list service has faults")
+    parser.add_argument("--jobs", type=int, default=2, help="concurrent runs")
+    parser.add_argument("--json", metavar="FILE", help="write the verdicts to FILE")
+    parser.add_argument("--verbose", action="store_true", help="print the process logs of runs with breaches")
+    options = parser.parse_args(arguments)
+    first, _, last = options.seeds.partition("-")
     seeds = range(int(first), int(last or first) + 1)
-    if arguments.fleet:
-        return play_fleets(seeds, arguments.jobs, arguments.verbose)
+    if options.fleet:
+        return play_fleets(seeds, options.jobs, options.verbose)
     outcomes = []
-    with ProcessPoolExecutor(arguments.jobs) as pool:
+    with ProcessPoolExecutor(options.jobs) as pool:
         for outcome in pool.map(play_seed, seeds):
             outcomes.append(outcome)
-            _print(outcome, arguments.verbose)
+            _print(outcome, options.verbose)
     broken = sum(1 for outcome in outcomes if outcome.verdict.breaches)
     requests = sum(outcome.verdict.requests for outcome in outcomes)
     crossed = sum(outcome.verdict.crossed for outcome in outcomes)
     lives = sum(len(outcome.records.lives) for outcome in outcomes)
     print(f"{len(outcomes)} seeds, {lives} shutdowns, {requests} requests, {crossed} crossed an orderly end")
     print(f"{broken} of {len(outcomes)} seeds broke a rule")
-    if arguments.json:
-        with open(arguments.json, "w") as file:
+    if options.json:
+        with open(options.json, "w") as file:
             json.dump([_summary(outcome) for outcome in outcomes], file, indent=1)
     return 1 if broken else 0
 
 
 def play_fleet_seed(seed: int) -> FleetOutcome:
-    """Play one seed of a fleet."""
+    """Run the fleet plan of one seed."""
     return uvloop.run(play_fleet(draw_fleet_plan(seed)))
 
 
 def play_fleets(seeds: Sequence[int], jobs: int, verbose: bool) -> int:
-    """Play seeds of fleets and print each one's verdict; the exit status."""
+    """Run fleet plans, print each verdict, and return the exit status."""
     broken = 0
     with ProcessPoolExecutor(jobs) as pool:
         for outcome in pool.map(play_fleet_seed, seeds):
@@ -92,7 +92,7 @@
                 f"refused, {verdict.crossed} crossed, lag {records.harness_lag_s:.3f} s",
                 flush=True,
             )
-            for breach in verdict.breaches[:MAX_SHOWN]:
+            for breach in verdict.breaches[:MAX_SHOWN_BREACHES]:
                 print(f"  {describe(breach, records)}", flush=True)
             if verbose and verdict.breaches:
                 _print_logs(records)
@@ -101,14 +101,14 @@
 
 
 def describe_step(step: Step) -> str:
-    """A trouble and its time."""
+    """Return the name of a step's fault and its time in seconds."""
     return f"{step.trouble.name.lower()} {step.at_s:.1f}"
 
 
 def _print_logs(records: RunRecord) -> None:
     for life in records.lives:
         print(f"  log of {life.proxy}, SIGTERM at {life.signalled_at:.3f}, held {life.held_s:.3f} s")
-        print("".join(f"    {line}\n" for line in life.log[-LOG_LINES:]), flush=True)
+        print("".join(f"    {line}\n" for line in life.log[-MAX_LOG_LINES:]), flush=True)
 
 
 def _print(outcome: Outcome, verbose: bool) -> None:
@@ -120,14 +120,14 @@
         f"{verdict.crossed} crossed, lag {records.harness_lag_s:.3f} s",
         flush=True,
     )
-    for breach in verdict.breaches[:MAX_SHOWN]:
+    for breach in verdict.breaches[:MAX_SHOWN_BREACHES]:
         print(f"  {describe(breach, records)}", flush=True)
     if verbose and verdict.breaches:
         _print_logs(records)
 
 
 def describe(breach: Breach, records: RunRecord) -> str:
-    """A break with its timeline, in seconds after its process's SIGTERM."""
+    """Describe a breach with its timeline, in seconds relative to the SIGTERM of its process."""
     text = f"{breach.rule.value}: {breach.detail}"
     request = breach.request
     if request is None:
@@ -137,24 +137,24 @@
         for life in records.lives
         if life.proxy == request.proxy and life.started_at <= request.begun_at <= life.ended_at
     ]
-    zero = lives[0].signalled_at if lives else request.begun_at
+    zero_at = lives[0].signalled_at if lives else request.begun_at
 
-    def shown(at: float | None) -> str:
-        return "never" if at is None else f"{at - zero:.3f}"
+    def relative(at: float | None) -> str:
+        return "never" if at is None else f"{at - zero_at:.3f}"
 
     text += (
         f" | {request.ident} {request.class_name} {request.kind.value}, connection {request.connection}, "
-        f"place {request.place}, deadline {request.deadline_s} s, begun {shown(request.begun_at)}, "
-        f"sent {shown(request.sent_at)}, ended {shown(request.ended_at)}"
+        f"place {request.place}, deadline {request.deadline_s} s, begun {relative(request.begun_at)}, "
+        f"sent {relative(request.sent_at)}, ended {relative(request.ended_at)}"
     )
     for attempt in records.attempts:
         if attempt.ident == request.ident:
             text += (
-                f" | {attempt.backend} began {shown(attempt.began_at)}, told {attempt.told_ms} ms, "
-                f"{'complete' if attempt.complete else 'incomplete'}, ended {shown(attempt.ended_at)}"
+                f" | {attempt.backend} began {relative(attempt.began_at)}, told {attempt.deadline_ms} ms, "
+                f"{'complete' if attempt.complete else 'incomplete'}, ended {relative(attempt.ended_at)}"
             )
     if lives:
-        text += f" | process ended {shown(lives[0].ended_at)}, held {lives[0].held_s:.3f} s"
+        text += f" | process ended {relative(lives[0].ended_at)}, held {lives[0].held_s:.3f} s"
     return text
 
 
--- a/heronreel/soak/backend.py
+++ b/heronreel/soak/backend.py
@@ -1,4 +1,4 @@
-"""A backend that records attempts, and does with them what its fault says."""
+"""A backend that records attempts and handles them according to its current fault."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 REJECTION = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
-REJECTED_SHARE, RESET_SHARE = 0.5, 0.3
+REJECTED_SHARE = 0.5  # share of attempts that a rejecting backend rejects
+RESET_SHARE = 0.3  # share of attempts that a resetting backend resets
 
 
 class RecordingBackend:
@@ -29,12 +30,12 @@
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen on an ephemeral loopback port."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, backlog=LISTEN_BACKLOG)
         self.port = self.server.sockets[0].getsockname()[1]
 
     def stop(self) -> None:
-        """Stop listening, and reset what is open."""
+        """Stop listening, and reset all open connections."""
         if self.server:
             self.server.close()
         for writer in self.writers:
@@ -44,21 +45,21 @@
         self.writers.add(writer)
         with suppress(OSError, asyncio.IncompleteReadError):
             while True:
-                await self._serve_one(reader, writer)
+                await self._serve_attempt(reader, writer)
         self.writers.discard(writer)
         writer.transport.abort()
 
-    async def _serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        first = await reader.readexactly(1)
+    async def _serve_attempt(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        first_byte = await reader.readexactly(1)
         began_at = now()
-        head = (first + await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
+        head = (first_byte + await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         fields = {
             name.lower(): value.strip()
             for name, _, value in (row.partition(":") for row in head.split("\r\n"))
         }
-        told = fields.get("x-deadline-ms")
+        deadline_ms = fields.get("x-deadline-ms")
         attempt = AttemptRecord(
-            fields.get("x-request-id", ""), self.name, began_at, int(told) if told else None
+            fields.get("x-request-id", ""), self.name, began_at, int(deadline_ms) if deadline_ms else None
         )
         self.records.attempts.append(attempt)
         try:
@@ -72,7 +73,7 @@
         self, attempt: AttemptRecord, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         if self.fault is BackendFault.HANGING:
-            await reader.read(1)  # until its proxy gives up
+            await reader.read(1)  # until the proxy closes the connection
             raise ConnectionResetError
         if self.fault is BackendFault.REJECTING and self.random.random() < REJECTED_SHARE:
             attempt.not_run = True
--- a/heronreel/soak/clients.py
+++ b/heronreel/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of one proxy: each kind uses its connections in another way, up to the process's end and beyond."""
+"""Clients of one proxy; each kind uses its connections differently, also during and after the shutdown."""
 
 from __future__ import annotations
 
@@ -12,15 +12,19 @@
 from heronreel.soak.plan import ClientKind
 from heronreel.soak.records import End, RequestRecord, RunRecord, now
 
-WAIT_SLACK_S = 3.0  # after its deadline a client still waits so long, so that a late response is seen
-MAX_PIPELINED = 14
-UPLOAD_BYTES, UPLOAD_PIECES = 700 << 10, 8  # more than a proxy may keep in memory
-THINK_S, THINK_S_PER_CLIENT = 0.05, 0.002  # in the mean; a crowd is many connections, not more requests
-STUCK_S = 5.0
+# Time that a client waits beyond its deadline, so that late responses are recorded.
+WAIT_SLACK_S = 3.0
+MAX_PIPELINED = 14  # requests sent at once on a connection
+UPLOAD_BYTES = 700 << 10  # more than a proxy may hold in memory
+UPLOAD_PIECES = 8
+THINK_S = 0.05  # mean pause between two requests of a client
+# The mean pause grows with the number of clients: more clients mean more connections, not more requests.
+THINK_S_PER_CLIENT = 0.002
+STUCK_S = 5.0  # time that a stuck client waits after half a request
 
 
 class RequestClass(NamedTuple):
-    """A class of the run's settings."""
+    """A request class of the proxies' settings."""
 
     name: str
     method: str
@@ -34,36 +38,36 @@
 
 
 @dataclass(slots=True)
-class ClientWorld:
-    """What all clients of a process share."""
+class ClientContext:
+    """The state and limits that all clients of a process share; times are on the clock of the records."""
 
     records: RunRecord
     proxy: str
     port: int
     longest_deadline_s: float
-    connect_until: float  # on the clock of the records; no connection is opened later
-    stop_at: float  # nothing is sent later
+    connect_until: float  # no connection is opened later
+    stop_at: float  # no request is sent later
     connections: count[int]
     idents: count[int]
     think_s: float
 
 
 class Client:
-    """One client, and its current connection."""
+    """One client and its current connection."""
 
-    def __init__(self, world: ClientWorld, kind: ClientKind, random: Random) -> None:
-        self.world = world
+    def __init__(self, context: ClientContext, kind: ClientKind, random: Random) -> None:
+        self.context = context
         self.kind = kind
         self.random = random
         self.reader: asyncio.StreamReader
         self.writer: asyncio.StreamWriter | None = None
         self.connection = 0
-        self.place = 0  # of the next request on the connection
+        self.place = 0  # position of the next request on the connection
 
     async def run(self) -> None:
-        """Send requests until there is no connection to send them on."""
+        """Send requests until the time is up or no connection can be opened."""
         try:
-            while now() < self.world.stop_at and await self._has_connection():
+            while now() < self.context.stop_at and await self._has_connection():
                 await self._use_connection()
         finally:
             self._close()
@@ -72,14 +76,14 @@
         if self.writer is not None and not self.reader.at_eof() and not self.writer.transport.is_closing():
             return True
         self._close()
-        if now() >= self.world.connect_until:
+        if now() >= self.context.connect_until:
             return False
         try:
-            self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.world.port)
+            self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.context.port)
         except OSError:
             await asyncio.sleep(THINK_S)
-            return now() < self.world.connect_until and await self._has_connection()
-        self.connection, self.place = next(self.world.connections), 0
+            return now() < self.context.connect_until and await self._has_connection()
+        self.connection, self.place = next(self.context.connections), 0
         return True
 
     def _close(self) -> None:
@@ -90,7 +94,7 @@
     async def _use_connection(self) -> None:
         match self.kind:
             case ClientKind.SILENT if self.place == 0:
-                left_s = self.world.stop_at - now()
+                left_s = self.context.stop_at - now()
                 await asyncio.sleep(self.random.uniform(0.0, max(0.0, left_s)))
                 if self.reader.at_eof():
                     return
@@ -99,33 +103,33 @@
                 batch = self.random.randint(2, MAX_PIPELINED)
                 await self._exchange([self._new_request() for _ in range(batch)])
             case ClientKind.STUCK:
-                await self._send_half_and_stay()
+                await self._send_half_and_wait()
             case _:
                 await self._exchange([self._new_request()])
         if self.kind is ClientKind.FRESH:
             self._close()
-        await asyncio.sleep(self.random.expovariate(1.0 / self.world.think_s))
+        await asyncio.sleep(self.random.expovariate(1.0 / self.context.think_s))
 
     def _new_request(self) -> tuple[RequestRecord, bytes]:
         request_class = SAVE if self.kind is ClientKind.UPLOADING else self.random.choice(CLASSES)
-        deadline_s = self.world.longest_deadline_s * self.random.choice((1.0, 1.0, 0.5, 0.1))
-        ident = f"{self.world.proxy}-{next(self.world.idents)}"
+        deadline_s = self.context.longest_deadline_s * self.random.choice((1.0, 1.0, 0.5, 0.1))
+        request_id = f"{self.context.proxy}-{next(self.context.idents)}"
         record = RequestRecord(
-            ident, request_class.name, self.kind, self.world.proxy, deadline_s, self.connection, self.place,
-            begun_at=now(),
+            request_id, request_class.name, self.kind, self.context.proxy, deadline_s, self.connection,
+            self.place, begun_at=now(),
         )  # fmt: skip
         self.place += 1
-        self.world.records.requests[ident] = record
+        self.context.records.requests[request_id] = record
         body = b"" if request_class is READ else b"ride"
         if self.kind is ClientKind.UPLOADING:
             body = b"x" * UPLOAD_BYTES
-        return record, _encoded(request_class, ident, deadline_s, body)
+        return record, _encoded(request_class, request_id, deadline_s, body)
 
     async def _exchange(self, batch: list[tuple[RequestRecord, bytes]]) -> None:
-        """Send requests at once or in pieces, and wait for their responses in order."""
+        """Send requests in one write or in pieces, and wait for their responses in order."""
         sent = [record for record, _ in batch]
         for record in sent:
-            record.turn_s = max(each.deadline_s for each in sent)
+            record.turn_s = max(request.deadline_s for request in sent)
         try:
             await self._send(b"".join(data for _, data in batch))
             for record in sent:
@@ -187,7 +191,7 @@
             if record.status is None and record.end is None:
                 record.end, record.ended_at = end, now()
 
-    async def _send_half_and_stay(self) -> None:
+    async def _send_half_and_wait(self) -> None:
         assert self.writer is not None
         record, data = self._new_request()
         with suppress(OSError, TimeoutError, asyncio.IncompleteReadError):
@@ -198,14 +202,14 @@
         self._close()
 
 
-def _encoded(request_class: RequestClass, ident: str, deadline_s: float, body: bytes) -> bytes:
+def _encoded(request_class: RequestClass, request_id: str, deadline_s: float, body: bytes) -> bytes:
     lines = [
         f"{request_class.method} /{request_class.name}/obj1 HTTP/1.1", "Host: api.internal",
-        f"X-Class: {request_class.name}", f"X-Request-Id: {ident}",
+        f"X-Class: {request_class.name}", f"X-Request-Id: {request_id}",
         f"X-Deadline-Ms: {int(deadline_s * 1000)}",
     ]  # fmt: skip
     if request_class.keyed:
-        lines.append(f"Idempotency-Key: k{ident}")
+        lines.append(f"Idempotency-Key: k{request_id}")
     if request_class.method == "POST":
         lines.append(f"Content-Length: {len(body)}")
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
--- a/heronreel/soak/configuration.py
+++ b/heronreel/soak/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration file of a run's proxies."""
+"""Builds the configuration files of the proxies of a run."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 from heronreel.soak.clients import CLASSES, PAY, READ
 from heronreel.soak.list_service import whole_list
 
-SOCKETS, MEMORY_MB = 1024, 96
+SOCKETS = 1024
+MEMORY_MB = 96
 EFFECTS = {READ: "idempotent", PAY: "at_most_once"}
 DRAIN_GRACE_S = 0.5
 SHORT_MUST_ASK_S = 0.8
@@ -22,16 +23,16 @@
     longest_deadline_s: float,
     must_ask_s: float = SHORT_MUST_ASK_S,
 ) -> dict[str, Any]:
-    """The file of one proxy of a fleet.
+    """Return the configuration of one proxy of a fleet.
 
     Args:
         name: The proxy's name.
-        discovery: The address of its list service, as host and port.
-        endpoints: The entries that it knows at its start.
-        seed: Of its decisions.
-        proxies: How many there are.
+        discovery: The host and port of its list service.
+        endpoints: The list entries that it knows at its start.
+        seed: The seed of its random decisions.
+        proxies: The number of proxies in the fleet.
         longest_deadline_s: The longest deadline of each class, in seconds.
-        must_ask_s: Within which it must ask for the list, in seconds.
+        must_ask_s: The time within which it must ask for the list, in seconds.
     """
     deadline_ms = longest_deadline_s * 1000.0
     categories = []
--- a/heronreel/soak/fleet_plan.py
+++ b/heronreel/soak/fleet_plan.py
@@ -1,6 +1,6 @@
-"""What a fleet run does, drawn from its seed: troubles of the list service, drains, shutdowns of processes.
+"""Draws the plan of a fleet run from its seed: list service faults, drains and shutdowns of proxies.
 
-Times are in seconds from when all proxies serve.
+Times are in seconds from the moment when all proxies serve.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
     ClientKind.HALVES,
     ClientKind.PIPELINED,
 )
-CROWD_CLIENTS = 10  # of each proxy of the smaller fleets
-ALL_CALLS_S = (3.0, 10.0)  # that the service works for a call of each proxy, while it is full
-REFUSAL_SHARE = 0.2  # of the time for a call, that a refusal costs the service
-EARLY_SHARE = 0.25  # of the processes that end before the others
-AFTER_S = 8.0  # a run goes on so long after its last trouble
+CROWD_CLIENTS = 10  # clients per proxy in a run with many clients; only in the smaller fleets
+ALL_CALLS_S = (3.0, 10.0)  # range of the time that an overloaded service needs for one call of each proxy
+REFUSAL_SHARE = 0.2  # cost of a refusal, as a share of the time for a call
+EARLY_SHARE = 0.25  # share of the processes that end before the others
+AFTER_S = 8.0  # time that a run continues after its last fault
 
 
 class Trouble(Enum):
-    """What happens to the list or to its service."""
+    """A fault or a change of the list or of its service."""
 
     FULL = "the service takes long for each call from now on"
     QUICK = "it is quick again"
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """A trouble, and when it happens."""
+    """A fault or change, and the time at which it happens."""
 
     at_s: float
     trouble: Trouble
@@ -56,18 +56,18 @@
     seed: int
     longest_deadline_s: float
     service_s: float  # a backend's usual time for a request
-    call_s: float  # that the list service works for a call, while it is full
+    call_s: float  # time that the list service needs for a call while it is overloaded
     steps: tuple[Step, ...]
-    shutdowns: tuple[Shutdown, ...]  # of each proxy, at the end of its `serve_s`
+    shutdowns: tuple[Shutdown, ...]  # one per proxy, each at the end of its `serve_s`
 
     @property
     def ends_at_s(self) -> float:
-        """When the last process gets its SIGTERM."""
+        """The time at which the last process gets its SIGTERM."""
         return max(shutdown.serve_s for shutdown in self.shutdowns)
 
 
 def draw_fleet_plan(seed: int, proxies: int = 0) -> FleetPlan:
-    """The run of a seed, with so many proxies; 0: drawn."""
+    """Return the plan of a seed for `proxies` proxies; 0 draws their number."""
     random = Random(f"fleet {seed}")
     proxies = proxies or random.choice(FLEET_SIZES)
     longest_s = random.choice(LONGEST_DEADLINES_S)
@@ -85,20 +85,20 @@
 
 
 def _draw_steps(random: Random) -> tuple[Step, ...]:
-    """One or two rounds, each of which drains a backend and brings it back."""
+    """Draw one or two rounds, each of which drains a backend and makes it active again."""
     steps, at_s = [], random.uniform(0.2, 1.0)
     for backend in range(random.choice((1, 2))):
         steps.append(Step(at_s, Trouble.FULL))
-        what = random.choice(("ended", "ended", "outage", "reset"))
-        if what == "outage":
+        disruption = random.choice(("ended", "ended", "outage", "reset"))
+        if disruption == "outage":
             steps.append(Step(at_s + 0.1, Trouble.DOWN))
             at_s += random.uniform(1.5, 9.0)
             steps.append(Step(at_s, Trouble.BACK))
             at_s += random.uniform(0.0, 3.0)
-        elif what == "reset":
+        elif disruption == "reset":
             steps.append(Step(at_s + 0.1, Trouble.RESET))
             at_s += random.uniform(0.3, 4.0)
-        kind = Trouble.DRAIN_ENDED if what == "ended" or random.random() < 0.5 else Trouble.DRAIN_TOLD
+        kind = Trouble.DRAIN_ENDED if disruption == "ended" or random.random() < 0.5 else Trouble.DRAIN_TOLD
         at_s += 0.2
         steps.append(Step(at_s, kind, backend))
         at_s += random.uniform(7.5, 9.0)
@@ -109,7 +109,7 @@
 
 
 def _draw_shutdown(random: Random, longest_s: float, clients: int, ends_at_s: float) -> Shutdown:
-    """A quarter of the processes ends in the middle, the others together at the end."""
+    """Draw a shutdown: a quarter of the processes end early, the others together at the end of the run."""
     drawn = draw_shutdown(random, longest_s, BACKENDS)
     return Shutdown(
         serve_s=random.uniform(1.0, ends_at_s)
--- a/heronreel/soak/fleet_run.py
+++ b/heronreel/soak/fleet_run.py
@@ -1,4 +1,4 @@
-"""Plays a fleet plan: many proxies, one list service with its troubles, and backends that drain."""
+"""Executes a fleet plan: many proxies, one list service with faults, and backends that drain."""
 
 from __future__ import annotations
 
@@ -11,37 +11,37 @@
 from typing import NamedTuple
 
 from heronreel.soak.backend import RecordingBackend
-from heronreel.soak.clients import Client, ClientWorld
+from heronreel.soak.clients import Client, ClientContext
 from heronreel.soak.configuration import DRAIN_GRACE_S, proxy_configuration
 from heronreel.soak.fleet_plan import BACKENDS, REFUSAL_SHARE, FleetPlan, Step, Trouble
 from heronreel.soak.judge import Verdict, judge, judge_drains
 from heronreel.soak.list_service import ACTIVE, LEAVING, ListService, endpoint
 from heronreel.soak.notification_judge import ListWritten
 from heronreel.soak.plan import KILL_AFTER_DEADLINE_S, Shutdown
-from heronreel.soak.proxy_process import ProxyLife
+from heronreel.soak.proxy_process import ProxyProcess
 from heronreel.soak.records import RunRecord, now
 from heronreel.soak.run import measure_lag
 
 MUST_ASK_S = 10.0
 THINK_S = 0.1
-ENDS_AFTER_S = 0.15  # from a change until the watches end that should have brought it
-STARTS_AT_ONCE = 8
-CLIENT_END_S = 12.0  # more than any client waits
+ENDS_AFTER_S = 0.15  # time from a change until the watches end that should have delivered it
+MAX_CONCURRENT_STARTS = 8
+CLIENT_END_S = 12.0  # longer than any client waits for a response
 LISTS_WITHIN_S = 20.0
 POLL_S = 0.02
 
 
 class FleetOutcome(NamedTuple):
-    """One seed's run."""
+    """The plan, records and verdict of one seed's run."""
 
     plan: FleetPlan
     records: RunRecord
     verdict: Verdict
-    refused_calls: int  # by the list service, at once
+    refused_calls: int  # calls that the list service refused immediately
 
 
 async def play_fleet(plan: FleetPlan) -> FleetOutcome:
-    """Play a plan, and judge it."""
+    """Execute a plan, and judge its records."""
     with tempfile.TemporaryDirectory() as folder:
         run = _FleetRun(plan, Path(folder))
         await run.play()
@@ -51,7 +51,7 @@
 
 
 class _FleetRun:
-    """One play of a plan."""
+    """One execution of a plan."""
 
     def __init__(self, plan: FleetPlan, folder: Path) -> None:
         self.plan = plan
@@ -63,11 +63,11 @@
             for number in range(BACKENDS)
         ]
         self.service: ListService
-        self.lives: list[ProxyLife] = []
+        self.lives: list[ProxyProcess] = []
         self.connections, self.idents = count(1), count(1)
 
     async def play(self) -> None:
-        """Start all, play the troubles while clients send, and end all."""
+        """Start everything, cause the planned faults while clients send requests, and stop everything."""
         for backend in self.backends:
             await backend.start()
         self.service = ListService([endpoint(backend.name, backend.port) for backend in self.backends])
@@ -76,7 +76,7 @@
             await self._start_proxies()
             began_at = now()
             await asyncio.gather(
-                self._make_trouble(began_at),
+                self._run_steps(began_at),
                 *(self._live(began_at, *pair) for pair in zip(self.lives, self.plan.shutdowns, strict=True)),
             )
         finally:
@@ -88,9 +88,9 @@
                 backend.stop()
 
     async def _start_proxies(self) -> None:
-        turn = asyncio.Semaphore(STARTS_AT_ONCE)
+        turn = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
-        async def start(place: int) -> ProxyLife:
+        async def start(place: int) -> ProxyProcess:
             name = f"n{place}"
             document = proxy_configuration(
                 name, await self.service.address_for(name), self.service.endpoints,
@@ -100,37 +100,37 @@
             config = self.folder / f"{name}.json"
             config.write_text(json.dumps(document))
             async with turn:
-                return await ProxyLife.start(name, config)
+                return await ProxyProcess.start(name, config)
 
         starts = [asyncio.create_task(start(place)) for place in range(len(self.plan.shutdowns))]
         for started in starts:
             self.lives.append(await started)
         self.records.lives.extend(life.record for life in self.lives)
         async with asyncio.timeout(LISTS_WITHIN_S):
-            while not all(each.of(ListWritten) for each in self.service.histories.values()):
+            while not all(history.of(ListWritten) for history in self.service.histories.values()):
                 await asyncio.sleep(POLL_S)
 
-    async def _live(self, began_at: float, life: ProxyLife, shutdown: Shutdown) -> None:
+    async def _live(self, began_at: float, life: ProxyProcess, shutdown: Shutdown) -> None:
         kill_after_s = self.plan.longest_deadline_s + KILL_AFTER_DEADLINE_S
         terminate_at = began_at + shutdown.serve_s
-        world = ClientWorld(
+        context = ClientContext(
             self.records, life.name, life.port, self.plan.longest_deadline_s,
             connect_until=terminate_at + shutdown.new_connections_s, stop_at=terminate_at + kill_after_s,
             connections=self.connections, idents=self.idents, think_s=THINK_S,
         )  # fmt: skip
         sampling = asyncio.create_task(life.sample_waits())
         clients = [
-            asyncio.create_task(Client(world, kind, Random(self.random.random())).run())
+            asyncio.create_task(Client(context, kind, Random(self.random.random())).run())
             for kind in shutdown.clients
         ]
-        first_s = min([0.0, *(each.at_s for each in shutdown.signals)])
+        first_s = min([0.0, *(planned.at_s for planned in shutdown.signals)])
         await asyncio.sleep(terminate_at + first_s - now())
         await life.shut_down(shutdown, kill_after_s)
         sampling.cancel()
         async with asyncio.timeout(CLIENT_END_S):
             await asyncio.gather(*clients)
 
-    async def _make_trouble(self, began_at: float) -> None:
+    async def _run_steps(self, began_at: float) -> None:
         for step in self.plan.steps:
             await asyncio.sleep(began_at + step.at_s - now())
             await self._carry_out(step)
@@ -151,7 +151,7 @@
             case Trouble.DRAIN_TOLD:
                 service.change(name, LEAVING)
             case Trouble.DRAIN_ENDED:
-                service.change(name, LEAVING, is_told=False)
+                service.change(name, LEAVING, notify_watches=False)
                 await asyncio.sleep(ENDS_AFTER_S)
                 service.end_watches()
             case Trouble.RETURN:
--- a/heronreel/soak/judge.py
+++ b/heronreel/soak/judge.py
@@ -1,7 +1,7 @@
-"""Holds the records of a run against the platform's rules; knows nothing of the proxy.
+"""Checks the records of a run against the platform's rules, independently of the proxy's implementation.
 
-Times are judged with the run's own hold-ups added: what the plan held a process up, what it waited for a
-processor, and what this process was late itself.
+Time limits are extended by the delays that the run itself caused: the time that the plan stopped a process,
+the time that it waited for a processor, and the event loop delay of the soak process.
 """
 
 from __future__ import annotations
@@ -14,19 +14,21 @@
 from heronreel.soak.plan import MAX_HOLD_S
 from heronreel.soak.records import AttemptRecord, End, LifeRecord, RequestRecord, RunRecord
 
-CROSSING_S = 0.1  # a request sent so shortly before its connection's end may have crossed it unread
-GONE_S = 0.1  # after a client's end no attempt begins later than this
-TOLD_SLACK_S = 0.15  # that a backend may be promised beyond the client's time
-LATE_S = 0.5  # an answer later than this after the deadline is as good as none
-WIRE_S = 0.05  # the pages' slack on sockets
-RELAY_S = 0.1  # that a relay may hold an attempt's first byte back
-MAX_SHOWN_NOTES = 8  # of a proxy's history, in a breach
-SAMPLED_S = 0.2  # around a time, in which samples of it were taken
-ATTEMPT_STEPS = 6  # turns of this process's event loop between a proxy's write and a backend's record
+# A request sent this shortly before the end of its connection may have crossed the close without being read.
+CROSSING_S = 0.1
+AFTER_CLIENT_END_S = 0.1  # attempts may still begin this long after the client disconnected
+DEADLINE_SLACK_S = 0.15  # by which a deadline sent to a backend may exceed the client's remaining time
+LATE_S = 0.5  # a response later than this after the deadline is worthless to the client
+WIRE_S = 0.05  # the slack of the documented limits over sockets
+RELAY_S = 0.1  # the longest time that a relay may delay the first byte of an attempt
+MAX_SHOWN_NOTES = 8  # entries of a proxy's history that a breach shows
+SAMPLED_S = 0.2  # samples of processor waits within this time of an event cover the event
+# Iterations of the soak's event loop between a proxy's write and the record of the backend.
+ATTEMPT_STEPS = 6
 
 
 class Rule(Enum):
-    """What was broken."""
+    """A rule that a run can break."""
 
     LOST = "a forwarded request got no response"
     UNANSWERED = "a connection ended long after its request, without a response"
@@ -42,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Breach:
-    """One break of a rule."""
+    """One breach of a rule."""
 
     rule: Rule
     detail: str
@@ -51,17 +53,17 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """The breaks of a run, and how its requests ended."""
+    """The breaches of a run, and how its requests ended."""
 
     breaches: list[Breach]
     requests: int
     forwarded: int
     statuses: dict[int, int]
-    crossed: int  # never forwarded, on a connection whose orderly end crossed them
+    crossed: int  # requests that crossed the orderly close of their connection and were never forwarded
 
 
 def judge(records: RunRecord) -> Verdict:
-    """The verdict on a run."""
+    """Check all records of a run, and return the verdict."""
     attempts: dict[str, list[AttemptRecord]] = defaultdict(list)
     for attempt in records.attempts:
         attempts[attempt.ident].append(attempt)
@@ -70,13 +72,13 @@
     crossed = 0
     for request in records.requests.values():
         slack_s = _slack_s(records, request)
-        of_request = attempts[request.ident]
+        request_attempts = attempts[request.ident]
         if request.status is not None:
             statuses[request.status] += 1
-        breaches += _judge_end(request, of_request, slack_s)
-        on_the_way_s = RELAY_S + ATTEMPT_STEPS * records.harness_lag_s
-        breaches += _judge_attempts(request, of_request, slack_s + on_the_way_s)
-        crossed += request.end is End.EOF and request.sent_at is not None and not of_request
+        breaches += _judge_end(request, request_attempts, slack_s)
+        transit_s = RELAY_S + ATTEMPT_STEPS * records.harness_lag_s
+        breaches += _judge_attempts(request, request_attempts, slack_s + transit_s)
+        crossed += request.end is End.EOF and request.sent_at is not None and not request_attempts
     for life in records.lives:
         breaches += _judge_life(life)
     forwarded = sum(1 for request in records.requests if attempts[request])
@@ -84,12 +86,12 @@
 
 
 def judge_drains(records: RunRecord, histories: dict[str, History], grace_s: float) -> list[Breach]:
-    """The attempts that began too late at a draining backend.
+    """Return the breaches by attempts that began too late at a draining backend.
 
     Args:
-        records: Of clients and backends; they name the proxy of each attempt by its request.
-        histories: What the list service did to each proxy, by its name.
-        grace_s: For which a draining backend may get requests once its drain counts as notified.
+        records: The records of clients and backends; the request of an attempt gives its proxy.
+        histories: The history of the list service's events for each proxy, by the proxy's name.
+        grace_s: The time for which a draining backend may get requests after its drain counts as notified.
     """
     breaches = []
     for attempt in records.attempts:
@@ -100,7 +102,7 @@
     for proxy, history in histories.items():
         for late in late_requests(history, grace_s):
             slack_s = ATTEMPT_STEPS * records.harness_lag_s
-            if life := lives.get(proxy):  # a busy machine's delays are not the process's
+            if life := lives.get(proxy):  # delays of a busy machine are not charged to the process
                 since, until = late.notification.at - SAMPLED_S, late.request.at + SAMPLED_S
                 starved_s = life.starved_between_s(since, until)
                 slack_s += life.held_s + max(0.0, starved_s - MAX_HOLD_S)
@@ -112,7 +114,7 @@
 
 
 def _shown_before(history: History, request: RequestBegan) -> str:
-    """What the list service last did to the proxy, in seconds from the request."""
+    """Describe the latest events of the list service, with times in seconds relative to the request."""
     notes = [note for note in history.notes if note.at <= request.at and not isinstance(note, RequestBegan)]
     latest = sorted(notes, key=lambda note: note.at)[-MAX_SHOWN_NOTES:]
     return ", ".join(f"{type(note).__name__} {note.at - request.at:.3f}" for note in latest)
@@ -139,7 +141,7 @@
     if request.end is End.WAITED:
         return [Breach(Rule.UNANSWERED, request.end.value, request)]
     if request.announced_close:
-        return []  # the response before it said that nothing after it is served
+        return []  # an earlier response announced that later requests are not served
     if request.end is End.RESET:
         return [Breach(Rule.RESET, request.end.value, request)]
     assert request.ended_at is not None
@@ -156,13 +158,13 @@
         breaches.append(Breach(Rule.REPEATED, f"{len(ran)} times", request))
     for attempt in attempts:
         if request.end is End.LEFT and request.ended_at is not None:
-            late_s = attempt.began_at - request.ended_at - GONE_S
+            late_s = attempt.began_at - request.ended_at - AFTER_CLIENT_END_S
             if late_s > slack_s:
                 breaches.append(Breach(Rule.AFTER_END, f"{late_s:.3f} s", request))
-        if attempt.told_ms is not None and request.sent_at is not None:
+        if attempt.deadline_ms is not None and request.sent_at is not None:
             left_s = max(0.0, request.sent_at + request.deadline_s - attempt.began_at)
-            excess_s = attempt.told_ms / 1000.0 - left_s
-            if excess_s > TOLD_SLACK_S + slack_s:
+            excess_s = attempt.deadline_ms / 1000.0 - left_s
+            if excess_s > DEADLINE_SLACK_S + slack_s:
                 breaches.append(Breach(Rule.TOLD_TOO_MUCH, f"{excess_s:.3f} s", request))
     return breaches
 
--- a/heronreel/soak/list_service.py
+++ b/heronreel/soak/list_service.py
@@ -1,9 +1,9 @@
-"""The endpoint list service of a fleet, over loopback sockets, with the troubles that one may have.
+"""The endpoint list service of a fleet, over loopback sockets, with the faults that a real one may have.
 
-It works through calls in turn.  A call that would wait for longer than `MAX_WAIT_S` is refused at once, which
-costs the service work too; calls of those who gave up are worked off all the same.  While it is down it
-refuses each call after `MAX_WAIT_S`, for nothing.  A watch may end in place of a change.  Each proxy has an
-address of its own, so that what it was told is known: it is noted in the proxy's history.
+It processes calls one at a time.  A call that would wait for longer than `MAX_WAIT_S` is refused immediately,
+which costs the service time as well; calls whose callers have given up are processed too.  While it is down,
+it refuses each call after `MAX_WAIT_S` at no cost.  A watch may end without delivering a change.  Each proxy
+has a separate address, so that its history records which messages it was sent.
 """
 
 from __future__ import annotations
@@ -25,17 +25,18 @@
 )
 
 HEARTBEAT_S = 1.0
-MAX_WAIT_S = 3.0  # of a call for its turn
-REFUSAL_DELAY_S = 0.02  # until a call that can't have a turn is told so
+MAX_WAIT_S = 3.0  # longest time that a call waits for its turn
+REFUSAL_DELAY_S = 0.02  # delay of an immediate refusal
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 REFUSAL = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-SERVICE = "discovery"  # the usual name in the histories
-ACTIVE, LEAVING = "active", "leaving"
+SERVICE = "discovery"  # default name of the service in the histories
+ACTIVE = "active"
+LEAVING = "leaving"
 
 
 def endpoint(name: str, port: int) -> dict[str, Any]:
-    """An active backend's entry."""
+    """Return the list entry of an active backend."""
     return {
         "name": name, "address": f"127.0.0.1:{port}", "zone": "a", "group": 0, "status": ACTIVE,
         "since_ms": 0,
@@ -43,13 +44,13 @@
 
 
 def whole_list(endpoints: list[dict[str, Any]], index: int = 1) -> dict[str, Any]:
-    """A message with the whole list."""
+    """Return a message with the whole list."""
     return {"index": index, "snapshot": True, "endpoints": endpoints}
 
 
 @dataclass(eq=False)
 class Watch:
-    """A call of a proxy; once it is `answered`, it is told what changes."""
+    """A call of a proxy; once it is `answered`, it is an open watch and gets the changes."""
 
     proxy: str
     writer: asyncio.StreamWriter
@@ -59,23 +60,23 @@
 
 @dataclass(eq=False)
 class ListService:
-    """One service for all proxies, with an address for each."""
+    """One service for all proxies, with a separate address for each."""
 
     endpoints: list[dict[str, Any]]
-    call_s: float = 0.0  # that it works for a call
-    refusal_s: float = 0.0  # that it works for a call that it refuses at once
-    name: str = SERVICE  # in the histories
+    call_s: float = 0.0  # time to process a call
+    refusal_s: float = 0.0  # time to process a call that it refuses immediately
+    name: str = SERVICE  # its name in the histories
     index: int = 1
     is_down: bool = False
-    histories: dict[str, History] = field(default_factory=dict)  # of each proxy, by name
-    free_at: float = 0.0  # until then it works on the calls that it has taken
+    histories: dict[str, History] = field(default_factory=dict)  # by name of the proxy
+    free_at: float = 0.0  # when it will have processed all accepted calls
     calls: int = 0
-    refused: int = 0  # at once
+    refused: int = 0  # calls refused immediately
     watches: list[Watch] = field(default_factory=list)
     servers: list[asyncio.Server] = field(default_factory=list)
 
     async def address_for(self, proxy: str) -> str:
-        """Listen for a proxy, on an ephemeral port of the loopback interface."""
+        """Listen for a proxy on an ephemeral loopback port, and return the address."""
         self.histories.setdefault(proxy, History(self.name))
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -93,42 +94,42 @@
             server.close()
         self.reset_watches()
 
-    # What happens to the list.
+    # Changes of the list.
 
-    def change(self, name: str, status: str, is_told: bool = True) -> None:
-        """A backend becomes LEAVING or ACTIVE; if it `is_told`, open watches bring it."""
+    def change(self, name: str, status: str, notify_watches: bool = True) -> None:
+        """Make a backend LEAVING or ACTIVE; open watches deliver the change only with `notify_watches`."""
         self.index += 1
-        (entry,) = (each for each in self.endpoints if each["name"] == name)
+        (entry,) = (candidate for candidate in self.endpoints if candidate["name"] == name)
         entry["status"] = status
         kind = Returned if status == ACTIVE else Departed
         for history in self.histories.values():
             history.note(kind(time.monotonic(), self.name, name))
         for watch in self.watches:
-            if is_told and watch.answered:
+            if notify_watches and watch.answered:
                 self._write_list(watch, {"index": self.index, "snapshot": False, "endpoints": [entry]})
 
-    # What happens to watches and calls.
+    # Faults of watches and calls.
 
     def end_watches(self) -> None:
-        """All open watches end, with nothing more written."""
-        for watch in [each for each in self.watches if each.answered]:
+        """End all open watches in an orderly way, without further messages."""
+        for watch in [watch for watch in self.watches if watch.answered]:
             watch.writer.write(LAST_CHUNK)
             watch.writer.close()
             self._forget(watch)
 
     def reset_watches(self) -> None:
-        """All open watches and all calls under way are reset."""
+        """Reset all open watches and all calls in progress."""
         for watch in [*self.watches]:
             watch.writer.transport.abort()
             self._forget(watch)
 
     def go_down(self) -> None:
-        """Watches end, and calls are refused late from now on."""
+        """Reset all watches, and refuse calls after `MAX_WAIT_S` until `come_back`."""
         self.is_down = True
         self.reset_watches()
 
     def come_back(self) -> None:
-        """Calls that come from now on have their turn."""
+        """Process new calls again."""
         self.is_down = False
         self.free_at = 0.0
         for history in self.histories.values():
@@ -146,7 +147,7 @@
         watch = Watch(proxy, writer)
         self.watches.append(watch)
         self.calls += 1
-        if not await self._has_its_turn():
+        if not await self._wait_for_turn():
             if watch.open:
                 writer.write(REFUSAL)
                 self._forget(watch)
@@ -154,7 +155,7 @@
                 writer.close()
                 await reader.read()
             return
-        if reader.at_eof() or writer.is_closing():  # its proxy gave it up while it waited for its turn
+        if reader.at_eof() or writer.is_closing():  # the proxy gave up while the call waited
             if watch.open:
                 watch.open = False
                 self.watches.remove(watch)
@@ -166,12 +167,12 @@
                 await asyncio.wait_for(reader.read(1), HEARTBEAT_S)
             if watch.open:
                 writer.write(b"1\r\n\n\r\n")
-        if watch.open:  # its proxy has ended it, which hides nothing
+        if watch.open:  # closed by its proxy, so that no change was withheld
             watch.open = False
             self.watches.remove(watch)
 
-    async def _has_its_turn(self) -> bool:
-        """Wait for the turn of a call, or for its refusal."""
+    async def _wait_for_turn(self) -> bool:
+        """Wait until a call is processed or refused; return whether it was processed."""
         if self.is_down:
             await asyncio.sleep(MAX_WAIT_S)
             return False
@@ -195,5 +196,5 @@
     def _write_list(self, watch: Watch, message: dict[str, Any]) -> None:
         line = json.dumps(message).encode() + b"\n"
         watch.writer.write(b"%x\r\n%b\r\n" % (len(line), line))
-        gone = {entry["name"] for entry in self.endpoints if entry["status"] != ACTIVE}
-        self.histories[watch.proxy].note(ListWritten(time.monotonic(), self.name, frozenset(gone)))
+        removed = {entry["name"] for entry in self.endpoints if entry["status"] != ACTIVE}
+        self.histories[watch.proxy].note(ListWritten(time.monotonic(), self.name, frozenset(removed)))
--- a/heronreel/soak/notification_judge.py
+++ b/heronreel/soak/notification_judge.py
@@ -1,7 +1,7 @@
-"""When a departure of a backend counts as notified to a proxy, and which requests began too late after it.
+"""Decides when a proxy counts as notified of a backend's departure, and which later requests are too late.
 
-Written from the operators' pages and shares no code with the program.  A history is what happened at the list
-service, at the backends and to the proxy; `late_requests` is the verdict on it.  Times are in seconds on one
+It implements the operators' documentation and shares no code with the program.  A history consists of events
+at the list service, at the backends and at the proxy; `late_requests` checks it.  Times are in seconds on one
 clock.
 """
 
@@ -12,16 +12,17 @@
 from dataclasses import dataclass, field
 from typing import TypeVar
 
-AFTER_END_S = 2.0  # from the end of an answered watch that ended in place of telling; measured on the bench
-AFTER_REACHABLE_S = 6.0  # from when the service had the change and could be reached
-AFTER_SILENCE_S = 6.0  # from when a watch fell silent
-AFTER_MOVE_S = 4.0  # from SIGHUP that moves discovery
-SLACK_S = 0.05  # by which each time limit is longer over sockets
+# Time limits within which a departure counts as notified.
+AFTER_END_S = 2.0  # after the end of an answered watch that did not deliver the change
+AFTER_REACHABLE_S = 6.0  # after the service had the change and was reachable
+AFTER_SILENCE_S = 6.0  # after a watch stopped sending
+AFTER_MOVE_S = 4.0  # after the SIGHUP that switches the proxy to another service
+SLACK_S = 0.05  # added to each limit, for delays of sockets
 
 
 @dataclass(frozen=True)
 class Departed:
-    """A service's list has a backend as leaving, or names it no more, from now on."""
+    """A service's list shows a backend as leaving, or no longer contains it, from this time on."""
 
     at: float
     service: str
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Returned:
-    """A service's list has a backend as active again."""
+    """A service's list shows a backend as active again."""
 
     at: float
     service: str
@@ -39,16 +40,16 @@
 
 @dataclass(frozen=True)
 class ListWritten:
-    """A message was written to the proxy; `gone`: the backends that it names as leaving, or leaves out."""
+    """A message was written to the proxy; `removed` are the backends that it shows as leaving or omits."""
 
     at: float
     service: str
-    gone: frozenset[str] = frozenset()
+    removed: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True)
 class WatchEnded:
-    """The service has ended a watch; `answered`: it had written a list on it."""
+    """The service ended a watch; `answered` tells whether it had written a list on it."""
 
     at: float
     service: str
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True)
 class WatchFellSilent:
-    """An answered watch stays open, and nothing more comes on it."""
+    """An answered watch stays open, but the service sends nothing more on it."""
 
     at: float
     service: str
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True)
 class Reachable:
-    """A service that was down can be reached again."""
+    """A service that was down is reachable again."""
 
     at: float
     service: str
@@ -73,7 +74,7 @@
 
 @dataclass(frozen=True)
 class Moved:
-    """The proxy got SIGHUP with a configuration that names another service."""
+    """The proxy got SIGHUP with a configuration that names `service` as its new list service."""
 
     at: float
     service: str
@@ -81,19 +82,21 @@
 
 @dataclass(frozen=True)
 class RequestBegan:
-    """The first byte of a request came to a backend."""
+    """The first byte of a request arrived at a backend."""
 
     at: float
     backend: str
 
 
-Note = Departed | Returned | ListWritten | WatchEnded | WatchFellSilent | Reachable | Moved | RequestBegan
-Kind = TypeVar("Kind", bound=Note)
+HistoryEvent = (
+    Departed | Returned | ListWritten | WatchEnded | WatchFellSilent | Reachable | Moved | RequestBegan
+)
+EventKind = TypeVar("EventKind", bound=HistoryEvent)
 
 
 @dataclass(frozen=True)
 class Notification:
-    """When a departure counts as notified, and by which term."""
+    """When a departure counts as notified, and which rule decided it."""
 
     at: float
     term: str
@@ -101,7 +104,7 @@
 
 @dataclass(frozen=True)
 class LateRequest:
-    """A request that began at a departed backend after the grace."""
+    """A request that began at a departed backend after the grace period."""
 
     request: RequestBegan
     notification: Notification
@@ -110,44 +113,44 @@
 
 @dataclass
 class History:
-    """All that was noted, in any order."""
+    """All recorded events, in any order."""
 
-    first_service: str  # the one that the proxy was started with
-    notes: list[Note] = field(default_factory=list)
+    first_service: str  # the service that the proxy was started with
+    notes: list[HistoryEvent] = field(default_factory=list)
 
-    def note(self, note: Note) -> None:
-        """Add what has happened."""
+    def note(self, note: HistoryEvent) -> None:
+        """Record an event."""
         self.notes.append(note)
 
-    def of(self, kind: type[Kind]) -> list[Kind]:
-        """All notes of that kind, the earliest first."""
+    def of(self, kind: type[EventKind]) -> list[EventKind]:
+        """Return all events of a kind, in order of time."""
         return sorted((note for note in self.notes if isinstance(note, kind)), key=lambda note: note.at)
 
 
 def notification(history: History, departed: Departed) -> Notification:
-    """The earliest of all terms."""
-    return min(_terms(history, departed), key=lambda found: found.at)
+    """Return the earliest notification of a departure that any rule gives."""
+    return min(_notifications(history, departed), key=lambda found: found.at)
 
 
-def _terms(history: History, departed: Departed) -> Iterator[Notification]:
+def _notifications(history: History, departed: Departed) -> Iterator[Notification]:
     service = departed.service
     for written in history.of(ListWritten):
-        if written.service == service and written.at >= departed.at and departed.backend in written.gone:
+        if written.service == service and written.at >= departed.at and departed.backend in written.removed:
             yield Notification(written.at, "written")
             break
     for ended in history.of(WatchEnded):
         if ended.service == service and ended.answered and ended.at >= departed.at:
             yield Notification(ended.at + AFTER_END_S, "a watch ended instead")
             break
-    yield from _terms_of_silence(history, departed)
-    yield from _terms_of_moves(history, departed)
-    known_from = _asked_from(history, service)
+    yield from _notifications_after_silence(history, departed)
+    yield from _notifications_after_moves(history, departed)
+    known_from = _configured_from(history, service)
     back = [note.at for note in history.of(Reachable) if note.service == service and note.at >= departed.at]
     reachable = max([departed.at, known_from, *back])
     yield Notification(reachable + AFTER_REACHABLE_S, "the service had it and could be reached")
 
 
-def _terms_of_silence(history: History, departed: Departed) -> Iterator[Notification]:
+def _notifications_after_silence(history: History, departed: Departed) -> Iterator[Notification]:
     for silent in history.of(WatchFellSilent):
         renewed = any(
             written.service == silent.service and silent.at < written.at <= departed.at
@@ -157,21 +160,21 @@
             yield Notification(max(departed.at, silent.at + AFTER_SILENCE_S), "a watch fell silent")
 
 
-def _terms_of_moves(history: History, departed: Departed) -> Iterator[Notification]:
+def _notifications_after_moves(history: History, departed: Departed) -> Iterator[Notification]:
     for moved in history.of(Moved):
         if moved.service == departed.service and moved.at >= departed.at:
             yield Notification(moved.at + AFTER_MOVE_S, "discovery moved")
 
 
-def _asked_from(history: History, service: str) -> float:
-    """From when on the proxy's configuration names that service."""
+def _configured_from(history: History, service: str) -> float:
+    """Return the time from which the proxy's configuration names the service."""
     if service == history.first_service:
         return -math.inf
     return min((moved.at for moved in history.of(Moved) if moved.service == service), default=math.inf)
 
 
 def late_requests(history: History, grace_s: float) -> list[LateRequest]:
-    """The requests that began at a departed backend later than notified, grace and slack allow."""
+    """Return the requests that began at a departed backend after notification, grace period and slack."""
     late = []
     for departed in history.of(Departed):
         found = notification(history, departed)
@@ -189,7 +192,7 @@
 
 
 def settled_at(history: History, grace_s: float) -> float:
-    """From when on no request may begin at any backend that has departed from one of the lists so far."""
+    """Return the time after which no request may begin at any backend that has departed so far."""
     by_backend: dict[str, float] = {}
     for departed in history.of(Departed):
         at = notification(history, departed).at
--- a/heronreel/soak/plan.py
+++ b/heronreel/soak/plan.py
@@ -1,4 +1,4 @@
-"""What a run does, drawn from its seed.  Times are in seconds."""
+"""Draws the plan of a run from its seed.  Times are in seconds."""
 
 from __future__ import annotations
 
@@ -7,22 +7,23 @@
 from enum import Enum
 from random import Random
 
-KILL_AFTER_DEADLINE_S = 0.7  # the platform's earliest SIGKILL: so long after the longest deadline
-MAX_HOLD_S = 0.15  # that a process may be held up
+# The platform's earliest SIGKILL follows SIGTERM after the longest deadline plus this time.
+KILL_AFTER_DEADLINE_S = 0.7
+MAX_HOLD_S = 0.15  # longest time that a process may be stopped
 LONGEST_DEADLINES_S = (0.2, 0.3, 0.7, 1.2)
 
 
 class ClientKind(Enum):
     """How a client uses its connections."""
 
-    STEADY = "steady"  # one request after the other, on one connection for as long as it stays open
+    STEADY = "steady"  # sequential requests on one connection while it stays open
     FRESH = "fresh"  # a new connection for each request
-    SILENT = "silent"  # opens a connection and sends on it much later
+    SILENT = "silent"  # opens a connection and sends its first request much later
     HALVES = "halves"  # sends each request in two parts
-    PIPELINED = "pipelined"  # several requests at once
-    LEAVING = "leaving"  # closes soon after a request
-    STUCK = "stuck"  # sends half a request and stays
-    UPLOADING = "uploading"  # long bodies, in pieces
+    PIPELINED = "pipelined"  # sends several requests at once
+    LEAVING = "leaving"  # closes the connection soon after sending a request
+    STUCK = "stuck"  # sends half a request and keeps the connection open
+    UPLOADING = "uploading"  # sends long bodies in pieces
 
 
 USUAL_KINDS = (
@@ -33,19 +34,19 @@
 
 
 class BackendFault(Enum):
-    """What is wrong with a backend or the way to it during the shutdown."""
+    """The fault of a backend, or of the link to it, during the shutdown."""
 
     NONE = "none"
-    HANGING = "hanging"  # it takes requests and says nothing
-    RESETTING = "resetting"  # connections are reset at times, under requests too
-    REJECTING = "rejecting"  # it answers that it did not run some of them
-    SLOW_WAY = "slow way"  # bytes are late, each piece by a time of its own
-    TRICKLING = "trickling"  # few bytes at a time
+    HANGING = "hanging"  # accepts requests and never responds
+    RESETTING = "resetting"  # resets connections at times, also during requests
+    REJECTING = "rejecting"  # rejects some requests as not run
+    SLOW_WAY = "slow way"  # delays each piece of data by a random time
+    TRICKLING = "trickling"  # passes on few bytes at a time
 
 
 @dataclass(slots=True, frozen=True)
 class Signal:
-    """A signal, and when it is sent, counted from SIGTERM."""
+    """A signal, and the time at which it is sent, relative to SIGTERM."""
 
     number: signal.Signals
     at_s: float
@@ -53,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Hold:
-    """The process is stopped for a while; `at_s` counts from SIGTERM."""
+    """A period in which the process is stopped; `at_s` is relative to SIGTERM."""
 
     at_s: float
     for_s: float
@@ -61,35 +62,37 @@
 
 @dataclass(slots=True, frozen=True)
 class Shutdown:
-    """One life of a process: how long it serves, and what happens during its shutdown."""
+    """The plan for one process: how long it serves, and what happens during its shutdown."""
 
     serve_s: float
     signals: tuple[Signal, ...]
     hold: Hold | None
     clients: tuple[ClientKind, ...]
-    faults: tuple[BackendFault, ...]  # one for each backend
-    new_connections_s: float  # after SIGTERM clients open new connections for so long
-    quiesce_s: float | None  # before SIGTERM operators quiesce it, where its processes share a socket
+    faults: tuple[BackendFault, ...]  # one per backend
+    new_connections_s: float  # time after SIGTERM during which clients open new connections
+    # Time before SIGTERM at which an operator quiesces the process; only where processes share a socket.
+    quiesce_s: float | None
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """A run: several proxies side by side, each through its shutdowns."""
+    """A run: several proxies in parallel, each with a sequence of shutdowns."""
 
     seed: int
     longest_deadline_s: float
     service_s: float  # a backend's usual time for a request
     proxies: tuple[tuple[Shutdown, ...], ...]
-    hands_over: tuple[bool, ...]  # of each proxy: its processes share a listening socket, as in an upgrade
+    # For each proxy, whether its processes share a listening socket, as in an upgrade.
+    hands_over: tuple[bool, ...]
 
     @property
     def kill_after_s(self) -> float:
-        """From SIGTERM to SIGKILL."""
+        """The time from SIGTERM to SIGKILL."""
         return self.longest_deadline_s + KILL_AFTER_DEADLINE_S
 
 
 def draw_plan(seed: int, proxies: int = 2, shutdowns: int = 2, backends: int = 3) -> Plan:
-    """The run of a seed."""
+    """Return the plan of a seed."""
     random = Random(seed)
     longest_s = random.choice(LONGEST_DEADLINES_S)
     lives = tuple(
@@ -100,7 +103,7 @@
 
 
 def draw_shutdown(random: Random, longest_s: float, backends: int) -> Shutdown:
-    """One life of a process, with clients of all kinds; a quarter of them has a crowd."""
+    """Draw the plan for one process; a quarter of the processes have an particularly large client count."""
     is_crowd = random.random() < 0.25
     clients = random.randint(100, 150) if is_crowd else random.randint(20, 60)
     faults = [BackendFault.NONE] * backends
@@ -118,7 +121,7 @@
 
 
 def _draw_signals(random: Random, kill_after_s: float) -> tuple[Signal, ...]:
-    """Signals beside the SIGTERM at 0."""
+    """Draw the signals other than the SIGTERM at time 0."""
     signals = []
     if random.random() < 0.5:
         signals.append(Signal(signal.SIGHUP, -random.uniform(0.0, 0.3)))
@@ -131,6 +134,6 @@
 def _draw_hold(random: Random, kill_after_s: float) -> Hold | None:
     if random.random() < 0.5:
         return None
-    # half of them in the last part, where the shutdown ends
+    # Half of the holds begin in the last part of the shutdown.
     begins_s = random.choice((0.0, kill_after_s - 0.6))
     return Hold(random.uniform(begins_s, kill_after_s - 0.1), random.uniform(0.02, MAX_HOLD_S))
--- a/heronreel/soak/proxy_process.py
+++ b/heronreel/soak/proxy_process.py
@@ -1,4 +1,4 @@
-"""One life of a real proxy process: its start, its signals and hold-ups, and SIGKILL at its earliest."""
+"""A real proxy process: its start, its planned signals and stops, and SIGKILL at the earliest time."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from heronreel.soak.plan import MAX_HOLD_S, Hold, Shutdown
 from heronreel.soak.records import LifeRecord, ProcessorWait, now
 
-POLL_S = 0.005
-SAMPLE_S = 0.1
+POLL_INTERVAL_S = 0.005
+SAMPLE_INTERVAL_S = 0.1
 NS_PER_S = 1e9
 
 
 def reserve_port() -> socket.socket:
-    """A bound socket whose port nobody else is given; a proxy binds it all the same, with SO_REUSEADDR."""
+    """Bind a socket to reserve its port; the proxy can bind the port too, because of SO_REUSEADDR."""
     reserved = socket.socket()
     reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     reserved.bind(("127.0.0.1", 0))
     return reserved
 
 
-class ProxyLife:
-    """A process that serves for a while and is then shut down."""
+class ProxyProcess:
+    """A proxy process that serves for a time and is then shut down."""
 
     def __init__(
         self,
@@ -38,14 +38,14 @@
         admin_port: int = 0,
     ) -> None:
         self.name = name
-        self.reserved = reserved  # its ports, until it has ended
+        self.reserved = reserved  # sockets that reserve its ports until it has ended
         self.process = process
         self.port = port
-        self.admin_port = admin_port  # 0: it has no admin API
+        self.admin_port = admin_port  # 0 if it has no admin API
         self.record = LifeRecord(name, now(), 0.0, log=process.lines)
 
     @classmethod
-    async def start(cls, name: str, config: Path, shared: socket.socket | None = None) -> ProxyLife:
+    async def start(cls, name: str, config: Path, shared: socket.socket | None = None) -> ProxyProcess:
         """Start a process and wait until it listens; `shared` is a listening socket that it inherits."""
         reserved = [reserve_port()]
         port = (shared or reserved[0]).getsockname()[1]
@@ -62,24 +62,27 @@
         return cls(name, process, port, reserved, admin_port)
 
     async def sample_waits(self) -> None:
-        """Record how long the process waits for a processor, until this is cancelled."""
+        """Sample the time that the process has waited for a processor, until it ends or this is cancelled."""
         while self.process.process.returncode is None:
             self.record.waits.append(ProcessorWait(now(), self._starved_s()))
-            await asyncio.sleep(SAMPLE_S)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     async def call_admin(self, command: str) -> None:
-        """Have operators command it through its admin API."""
+        """Send a command of an operator to its admin API."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.admin_port)
         writer.write(f"POST /admin/{command} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".encode())
         await reader.read()
         writer.close()
 
     async def shut_down(self, shutdown: Shutdown, kill_after_s: float) -> None:
-        """Send SIGTERM and the other signals, and SIGKILL at its earliest; returns once it has ended."""
+        """Send SIGTERM, the planned signals and, if needed, SIGKILL; return when the process has ended."""
         first_at = min([0.0, *(each.at_s for each in shutdown.signals)])
-        begin = asyncio.get_running_loop().time() - first_at  # of the count: when SIGTERM is due
+        begin = (
+            asyncio.get_running_loop().time() - first_at
+        )  # the time of SIGTERM, to which the plan's times are relative
         tasks = [
-            asyncio.create_task(self._signal_at(begin, each.at_s, each.number)) for each in shutdown.signals
+            asyncio.create_task(self._signal_at(begin, planned.at_s, planned.number))
+            for planned in shutdown.signals
         ]
         if shutdown.hold:
             tasks.append(asyncio.create_task(self._hold(begin, shutdown.hold)))
@@ -89,13 +92,13 @@
         starved_before_s = self._starved_s()
         while self.process.process.returncode is None:
             self.record.starved_s = max(self.record.starved_s, self._starved_s() - starved_before_s)
-            # a busy machine's delays are not among the hold-ups that a process has to bear
+            # Delays of a busy machine extend the limit, except for the time that a process must tolerate.
             allowed_s = kill_after_s + max(0.0, self.record.starved_s - MAX_HOLD_S)
             if now() > self.record.signalled_at + allowed_s and not self.record.killed:
                 self.record.killed = True
                 self._send(signal.SIGKILL)
             with suppress(TimeoutError):
-                await asyncio.wait_for(self.process.process.wait(), POLL_S)
+                await asyncio.wait_for(self.process.process.wait(), POLL_INTERVAL_S)
         self.record.ended_at, self.record.exit_code = now(), self.process.process.returncode
         for task in tasks:
             task.cancel()
@@ -104,7 +107,7 @@
     def _send(self, number: signal.Signals) -> None:
         if self.process.process.returncode is None:
             with suppress(ProcessLookupError):
-                # asyncio's `send_signal` may take the exit status for itself
+                # asyncio's `send_signal` may consume the exit status.
                 os.kill(self.process.process.pid, number)
 
     async def _signal_at(self, begin: float, at_s: float, number: signal.Signals) -> None:
@@ -122,17 +125,17 @@
             self.record.held_s = now() - held_from
 
     def _starved_s(self) -> float:
-        """How long the process has waited for a processor since its start."""
+        """Return how long the process has waited for a processor since its start."""
         with suppress(OSError, IndexError):
             return int(Path(f"/proc/{self.process.process.pid}/schedstat").read_text().split()[1]) / NS_PER_S
         return 0.0
 
     async def stop(self) -> None:
-        """End it, whatever became of it."""
+        """Kill the process if it still runs, and release its ports."""
         self._send(signal.SIGKILL)
         await self.process.process.wait()
-        for each in self.reserved:
-            each.close()
+        for reserved in self.reserved:
+            reserved.close()
 
 
 async def _sleep_until(at: float) -> None:
--- a/heronreel/soak/records.py
+++ b/heronreel/soak/records.py
@@ -1,4 +1,4 @@
-"""What clients and backends record of a run; times are on the monotonic clock, in seconds."""
+"""Records of a run by clients and backends; times are in seconds on the monotonic clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class End(Enum):
-    """How a request's connection or its wait ended, where there was no whole response."""
+    """How a request ended that got no complete response."""
 
     EOF = "end of the connection"
     RESET = "reset"
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request as its client saw it."""
+    """One request as recorded by its client."""
 
     ident: str
     class_name: str
@@ -29,31 +29,32 @@
     proxy: str
     deadline_s: float
     connection: int
-    place: int  # on its connection
+    place: int  # position on its connection
     begun_at: float
-    turn_s: float = 0.0  # the longest deadline among those sent with it, whose responses come first
-    sent_at: float | None = None  # its last byte; None: it never was
+    turn_s: float = 0.0  # longest deadline in its pipelined batch: earlier responses may delay this one
+    sent_at: float | None = None  # when its last byte was sent; None if it never was
     status: int | None = None
-    announced_close: bool = False  # by its response, or by the one before it on the connection
+    # Whether its response, or an earlier one on the connection, announced the close of the connection.
+    announced_close: bool = False
     end: End | None = None
     ended_at: float | None = None
 
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One attempt as its backend saw it."""
+    """One attempt as recorded by its backend."""
 
     ident: str
     backend: str
-    began_at: float  # its first byte
-    told_ms: int | None
+    began_at: float  # when its first byte arrived
+    deadline_ms: int | None  # deadline that the proxy sent
     ended_at: float | None = None
-    complete: bool = False  # its last byte came, so it ran
-    not_run: bool = False  # and was rejected without running
+    complete: bool = False  # its last byte arrived, so it ran unless `not_run`
+    not_run: bool = False  # it was rejected without being run
 
 
 class ProcessorWait(NamedTuple):
-    """How long a process had waited for a processor since its start, at a time."""
+    """The total time that a process had waited for a processor since its start, sampled at time `at`."""
 
     at: float
     total_s: float
@@ -61,7 +62,7 @@
 
 @dataclass(slots=True)
 class LifeRecord:
-    """One process, from its start to its end."""
+    """One proxy process from its start to its end."""
 
     proxy: str
     started_at: float
@@ -69,13 +70,13 @@
     ended_at: float = 0.0
     exit_code: int | None = None
     killed: bool = False
-    held_s: float = 0.0
-    starved_s: float = 0.0  # it waited for a processor, while it shut down
+    held_s: float = 0.0  # time that it was stopped by SIGSTOP
+    starved_s: float = 0.0  # time that it waited for a processor during its shutdown
     log: list[str] = field(default_factory=list)
-    waits: list[ProcessorWait] = field(default_factory=list)  # sampled while it served, the earliest first
+    waits: list[ProcessorWait] = field(default_factory=list)  # samples while it served, in order of time
 
     def starved_between_s(self, begins_at: float, ends_at: float) -> float:
-        """How long it waited for a processor between two times, as far as the samples tell."""
+        """Return how long it waited for a processor between two times, according to the samples."""
         before = [wait.total_s for wait in self.waits if wait.at <= begins_at]
         until = [wait.total_s for wait in self.waits if wait.at <= ends_at]
         return (until[-1] if until else 0.0) - (before[-1] if before else 0.0)
@@ -88,9 +89,9 @@
     requests: dict[str, RequestRecord] = field(default_factory=dict)
     attempts: list[AttemptRecord] = field(default_factory=list)
     lives: list[LifeRecord] = field(default_factory=list)
-    harness_lag_s: float = 0.0  # the worst delay of this process's own event loop
+    harness_lag_s: float = 0.0  # largest delay of the event loop of the soak itself
 
 
 def now() -> float:
-    """The time of all records."""
+    """Return the current time of the clock that all records use."""
     return time.monotonic()
--- a/heronreel/soak/run.py
+++ b/heronreel/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays a plan: backends behind relays that inject faults, the list service, proxies and their clients."""
+"""Executes a plan: backends behind fault-injecting relays, the list service, proxies and their clients."""
 
 from __future__ import annotations
 
@@ -12,28 +12,29 @@
 
 from heronreel.fault_injection.relay import LISTEN_BACKLOG, LinkFaults, Relay
 from heronreel.soak.backend import RecordingBackend
-from heronreel.soak.clients import THINK_S, THINK_S_PER_CLIENT, Client, ClientWorld
+from heronreel.soak.clients import THINK_S, THINK_S_PER_CLIENT, Client, ClientContext
 from heronreel.soak.configuration import proxy_configuration
 from heronreel.soak.list_service import ListService, endpoint
 from heronreel.soak.plan import BackendFault, Plan, Shutdown
-from heronreel.soak.proxy_process import ProxyLife
+from heronreel.soak.proxy_process import ProxyProcess
 from heronreel.soak.records import RunRecord, now
 
 LAG_INTERVAL_S = 0.005
 RESET_INTERVAL_S = 0.15
-SLOW_WAY_S, TRICKLE_BYTES = 0.06, 400
+SLOW_LINK_DELAY_S = 0.06  # longest delay of a piece of data on a slow link
+TRICKLE_BYTES = 400
 CLIENT_INTERVAL_S = 0.002
-CLIENT_END_S = 12.0  # more than any client waits
+CLIENT_END_S = 12.0  # longer than any client waits for a response
 
 
 async def play(plan: Plan) -> RunRecord:
-    """Play a plan, and return what was recorded."""
+    """Execute a plan, and return its records."""
     with tempfile.TemporaryDirectory() as folder:
         return await _Run(plan, Path(folder)).play()
 
 
 async def measure_lag(records: RunRecord) -> None:
-    """Record the worst delay of this process's own event loop, until it is cancelled."""
+    """Record the largest delay of this process's event loop until cancelled."""
     while True:
         due_at = now() + LAG_INTERVAL_S
         await asyncio.sleep(LAG_INTERVAL_S)
@@ -41,7 +42,7 @@
 
 
 class _Run:
-    """One play of a plan."""
+    """One execution of a plan."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan = plan
@@ -61,10 +62,10 @@
     async def _play_proxy(self, place: int) -> None:
         name = f"n{place}"
         random = Random(self.plan.seed * 1000 + place)
-        count_of_backends = len(self.plan.proxies[place][0].faults)
+        backend_count = len(self.plan.proxies[place][0].faults)
         backends = [
             RecordingBackend(f"{name}-b{number}", self.records, self.plan.service_s, random)
-            for number in range(count_of_backends)
+            for number in range(backend_count)
         ]
         relays = []
         for backend in backends:
@@ -80,7 +81,7 @@
             self.plan.longest_deadline_s,
         )  # fmt: skip
         config.write_text(json.dumps(document))
-        lives = _Lives(name, config, self.plan.hands_over[place])
+        lives = _ProxyProcesses(name, config, self.plan.hands_over[place])
         try:
             for number, shutdown in enumerate(self.plan.proxies[place], 1):
                 lives.is_last = number == len(self.plan.proxies[place])
@@ -94,7 +95,7 @@
 
     async def _play_life(
         self,
-        lives: _Lives,
+        lives: _ProxyProcesses,
         shutdown: Shutdown,
         backends: list[RecordingBackend],
         relays: list[Relay],
@@ -107,7 +108,7 @@
         faults = None
         try:
             terminate_at = now() + shutdown.serve_s
-            world = ClientWorld(
+            context = ClientContext(
                 self.records, name, life.port, self.plan.longest_deadline_s,
                 connect_until=terminate_at + shutdown.new_connections_s,
                 stop_at=terminate_at + self.plan.kill_after_s,
@@ -115,10 +116,10 @@
                 think_s=THINK_S + THINK_S_PER_CLIENT * len(shutdown.clients),
             )  # fmt: skip
             clients = [
-                asyncio.create_task(_run_client(Client(world, kind, Random(random.random())), place))
+                asyncio.create_task(_run_client(Client(context, kind, Random(random.random())), place))
                 for place, kind in enumerate(shutdown.clients)
             ]
-            first_s = min([0.0, *(each.at_s for each in shutdown.signals)])
+            first_s = min([0.0, *(planned.at_s for planned in shutdown.signals)])
             if life.admin_port and shutdown.quiesce_s is not None:
                 await asyncio.sleep(terminate_at - shutdown.quiesce_s - now())
                 await life.call_admin("quiesce")
@@ -134,12 +135,12 @@
             await life.stop()
 
 
-class _Lives:
-    """The processes of one proxy, one after the other, or each beside its successor on one socket."""
+class _ProxyProcesses:
+    """The successive processes of one proxy; with a handover, they share a listening socket."""
 
     def __init__(self, name: str, config: Path, hands_over: bool) -> None:
         self.name = name
-        self.is_last = False  # the life under way has no successor
+        self.is_last = False  # the current process has no successor
         self.config = config
         self.shared: socket.socket | None = None
         if hands_over:
@@ -147,24 +148,24 @@
             self.config.parent.mkdir()
             self.config.write_bytes(config.read_bytes())
             self.shared = socket.create_server(("127.0.0.1", 0), backlog=LISTEN_BACKLOG)
-        self.successor: ProxyLife | None = None
+        self.successor: ProxyProcess | None = None
 
-    async def next(self) -> ProxyLife:
-        """The successor that serves already, or a new process."""
+    async def next(self) -> ProxyProcess:
+        """Return the successor if one is running, otherwise a new process."""
         life, self.successor = self.successor, None
         if life is not None:
             await life.call_admin("resume")
             return life
-        return await ProxyLife.start(self.name, self.config, self.shared)
+        return await ProxyProcess.start(self.name, self.config, self.shared)
 
     async def prepare_successor(self) -> None:
-        """Start the successor of the life under way, or see that nobody listens behind the last one."""
+        """Start the successor of the current process; for the last one, close the shared socket instead."""
         if self.shared is None:
             return
         if self.is_last:
             self.shared.close()
         else:
-            self.successor = await ProxyLife.start(self.name, self.config, self.shared)
+            self.successor = await ProxyProcess.start(self.name, self.config, self.shared)
 
     def close(self) -> None:
         """Close the shared socket."""
@@ -173,7 +174,10 @@
 
 
 async def _run_client(client: Client, place: int) -> None:
-    """Clients come one after the other: that all come at once is not what is tested here."""
+    """Run a client after a delay that grows with its position.
+
+    The soak does not test a simultaneous start of all clients.
+    """
     await asyncio.sleep(place * CLIENT_INTERVAL_S)
     await client.run()
 
@@ -181,13 +185,13 @@
 async def _inject(
     shutdown: Shutdown, backends: list[RecordingBackend], relays: list[Relay], random: Random
 ) -> None:
-    """Set the backends' faults, and reset connections for as long as this runs."""
+    """Set the backends' faults, and reset connections of resetting backends until cancelled."""
     for fault, backend, relay in zip(shutdown.faults, backends, relays, strict=True):
         backend.fault = fault
         if fault is BackendFault.SLOW_WAY:
             relay.requests, relay.responses = (
-                LinkFaults(max_delay_s=SLOW_WAY_S),
-                LinkFaults(max_delay_s=SLOW_WAY_S),
+                LinkFaults(max_delay_s=SLOW_LINK_DELAY_S),
+                LinkFaults(max_delay_s=SLOW_LINK_DELAY_S),
             )
         elif fault is BackendFault.TRICKLING:
             relay.responses = LinkFaults(trickle_bytes=TRICKLE_BYTES)
--- a/heronreel/stubs/__init__.py
+++ b/heronreel/stubs/__init__.py
@@ -1,6 +1,6 @@
-"""Stub servers and clients for the demo, the benchmarks and tests: loopback only, seeded, bounded.
+"""Stub servers and clients on loopback for the demo, benchmarks and tests, with seeded random faults.
 
-* `http_peer`: what both ends of a connection have in common.
-* `http_server`: servers with faults, which record every effect that ran.
+* `http_peer`: the base class of both ends of a connection.
+* `http_server`: servers with faults, which record the effect of every request that ran.
 * `http_client`: a client on persistent connections, which classifies every response.
 """
--- a/heronreel/stubs/http_client.py
+++ b/heronreel/stubs/http_client.py
@@ -13,8 +13,9 @@
 
 OUTCOMES = ("served", "refused", "failed", "lost")
 REFUSED_STATUSES = (429, 503)
-MAX_LATENCIES = 2000  # of the latest responses, for percentiles
-MAX_SENDS = 2  # a persistent connection may close just as it is written to: once more on a new one
+MAX_LATENCIES = 2000  # latest latencies kept for percentiles
+# A server may close a persistent connection just as a request is written; the request is then sent once more.
+MAX_SENDS = 2
 
 
 @dataclass(slots=True)
@@ -23,7 +24,9 @@
 
     requests: int = 0
     counts: Counter[str] = field(default_factory=Counter)  # by outcome
-    latencies: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_LATENCIES))  # s, of those served
+    latencies: deque[float] = field(
+        default_factory=lambda: deque(maxlen=MAX_LATENCIES)
+    )  # of served requests, in seconds
     routes: dict[str, Counter[str]] = field(default_factory=dict)  # outcomes by route
 
     def record(self, route: str, outcome: str, latency_s: float) -> None:
@@ -34,7 +37,7 @@
             self.latencies.append(latency_s)
 
     def percentile(self, percent: float) -> float:
-        """Latency percentile of the latest served requests, in ms; 0 while there are none."""
+        """Return a latency percentile of the latest served requests in ms, or 0 if there are none."""
         latencies = sorted(self.latencies)
         if not latencies:
             return 0.0
@@ -52,7 +55,7 @@
         self.parser = httptools.HttpResponseParser(self)
         self.response: asyncio.Future[tuple[int, bytes]] | None = None
         self.body = bytearray()
-        self.retry_after_s = 0.0  # of the latest response
+        self.retry_after_s = 0.0  # from the latest response
 
     def connection_lost(self, error: Exception | None) -> None:
         """Fail the request in flight."""
@@ -74,7 +77,7 @@
         self.body += data
 
     def on_message_complete(self) -> None:
-        """Hand the response over, and close where the server asked for it."""
+        """Deliver the response, and close the connection if the server asked for it."""
         if self.response and not self.response.done():
             self.response.set_result((self.parser.get_status_code(), bytes(self.body)))
         if not self.parser.should_keep_alive() and self.transport:
@@ -82,15 +85,15 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether another request may be written."""
+        """Whether another request can be written."""
         return self.transport is not None and not self.transport.is_closing()
 
     async def send(self, data: bytes, timeout_s: float) -> tuple[int, bytes]:
-        """Write a request and wait for its response: status and body.
+        """Write a request, and return the status and body of its response.
 
         Raises:
-            TimeoutError: no response within `timeout_s` seconds.
-            ConnectionResetError: the connection closed first.
+            TimeoutError: There was no response within `timeout_s` seconds.
+            ConnectionResetError: The connection closed before the response.
         """
         assert self.transport
         self.response = asyncio.get_running_loop().create_future()
@@ -100,19 +103,19 @@
 
 
 class HttpClient:
-    """A pool of connections to one server, as many as are busy at once."""
+    """A pool of connections to one server, with one connection per concurrent request."""
 
     def __init__(
         self, address: tuple[str, int], stats: ClientStats, timeout_s: float = 2.5, grace_s: float = 0.2
     ) -> None:
-        """`grace_s` is added to the timeout: a response on its way when the time is up is not lost."""
+        """Create a client; `grace_s` extends the timeout for responses that are already in transit."""
         self.address = address
         self.stats = stats
         self.timeout_s = timeout_s + grace_s
         self.idle: list[HttpConnection] = []
 
     async def request(self, route: str, data: bytes) -> int:
-        """Send one request and record its outcome; its status, 0 for none."""
+        """Send one request, record its outcome, and return the status, or 0 without a response."""
         self.stats.requests += 1
         began = time.monotonic()
         status, _, connection = await self.exchange(data, self.timeout_s)
@@ -120,9 +123,9 @@
         return status
 
     async def exchange(self, data: bytes, timeout_s: float) -> tuple[int, bytes, HttpConnection | None]:
-        """Send one request: the response's status, body and connection.
+        """Send one request, and return the status, body and connection of its response.
 
-        Status 0 means that there was no response, and no connection that the request was never accepted.
+        Status 0 means that there was no response; connection None means that none could be opened.
         """
         connection = None
         for _ in range(MAX_SENDS):
@@ -144,7 +147,7 @@
         return 0, b"", connection
 
     async def _acquire(self) -> tuple[HttpConnection | None, bool]:
-        """An open connection and whether it is new; None where the server accepts none."""
+        """Return an open connection, or None if the server accepts none, and whether it is new."""
         while self.idle:
             connection = self.idle.pop()
             if connection.is_open:
@@ -165,7 +168,7 @@
 
 def _outcome(status: int, connection: HttpConnection | None) -> str:
     if connection is None:
-        return "failed"  # never accepted
+        return "failed"  # the server accepted no connection
     if not status:
         return "lost"
     if status < 400:
--- a/heronreel/stubs/http_peer.py
+++ b/heronreel/stubs/http_peer.py
@@ -1,4 +1,4 @@
-"""What both ends of a stub's HTTP/1.1 connection have in common."""
+"""The base class of both ends of a stub's HTTP/1.1 connection."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class HttpPeer(asyncio.Protocol):
-    """Feeds an httptools parser, and aborts the connection where its bytes can't be parsed."""
+    """Feeds an httptools parser, and aborts the connection if the data cannot be parsed."""
 
     parser: httptools.HttpRequestParser | httptools.HttpResponseParser
 
@@ -21,11 +21,11 @@
         self.transport = transport
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Forget the transport, so that nothing more is written."""
+        """Drop the transport, so that nothing more is written."""
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; the parser calls this object's `on_...` methods."""
+        """Parse received data; the parser calls this object's `on_...` methods."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
--- a/heronreel/stubs/http_server.py
+++ b/heronreel/stubs/http_server.py
@@ -1,7 +1,7 @@
-"""Stub servers that can be slow, fail after running, reset connections, hang or reject requests.
+"""Stub servers that can be slow, fail after running a request, reset connections, hang or reject requests.
 
-They record what shows a double effect: each request that ran is counted by its effect id, and the servers of
-a deduplication group drop repeats of an idempotency key for a window.
+To detect double effects, they count the requests that ran by effect id.  The servers of a deduplication group
+drop repeats of an idempotency key within a time window.
 """
 
 from __future__ import annotations
@@ -18,20 +18,21 @@
 
 from heronreel.stubs.http_peer import HttpPeer
 
-EXPIRED_AT_ONCE = 8  # oldest keys looked at per request, so that a group holds a window's keys and few more
+# Oldest keys checked for expiry per request, so that a group holds few keys beyond those of its window.
+EXPIRY_BATCH = 8
 
 
 @dataclass(slots=True)
 class DeduplicationGroup:
-    """Servers that share a memory of idempotency keys."""
+    """Servers that share a record of idempotency keys."""
 
     name: str = ""
     window_s: float = 5.0
-    ran: dict[bytes, float] = field(default_factory=dict)  # when each key ran, oldest first
+    ran: dict[bytes, float] = field(default_factory=dict)  # when the request of each key ran, oldest first
 
     def is_repeat(self, key: bytes, now: float) -> bool:
-        """Whether the key ran within the window; if not, it counts as run now."""
-        oldest = list(islice(self.ran.items(), EXPIRED_AT_ONCE))
+        """Return whether the key ran within the window; if not, record that it runs now."""
+        oldest = list(islice(self.ran.items(), EXPIRY_BATCH))
         for expired in [key for key, ran_at in oldest if ran_at + self.window_s <= now]:
             del self.ran[expired]
         ran_at = self.ran.get(key)
@@ -44,18 +45,18 @@
 
 @dataclass(slots=True)
 class ServerBehaviour:
-    """Work and faults of a server: shares of its requests, and seconds of work."""
+    """Work time and fault rates of a server; the rates are shares of its requests."""
 
     work_s: float = 0.02
-    error_share: float = 0.0  # 500 after the request ran
+    error_share: float = 0.0  # status 500 after the request ran
     reset_share: float = 0.0  # the connection is reset after the request ran
-    hang_share: float = 0.0  # the request ran, and there is never a response
-    reject_share: float = 0.0  # 503 with X-Not-Run
-    slots: int = 64  # requests at once; beyond that it rejects
+    hang_share: float = 0.0  # no response after the request ran
+    reject_share: float = 0.0  # status 503 with X-Not-Run
+    slots: int = 64  # concurrent requests; it rejects further ones
 
 
 class StubServer:
-    """One server on an ephemeral loopback port.  `effects` counts what ran, by X-Effect-Id."""
+    """One server on an ephemeral loopback port; `effects` counts the requests that ran, by X-Effect-Id."""
 
     def __init__(
         self,
@@ -116,7 +117,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         super().connection_lost(error)
         self.server.connections.discard(self)
-        del self.parser  # it refers back to this object
+        del self.parser  # breaks the reference cycle with this object
 
     def on_message_begin(self) -> None:
         self.headers = {}
--- a/tests/proxy/test_full_discovery.py
+++ b/tests/proxy/test_full_discovery.py
@@ -214,7 +214,7 @@
         async with fleet.running(tmp_path):
             fleet.overload_service()
             began_at = time.monotonic()
-            fleet.service.change(LEAVES, LEAVING, is_told=False)
+            fleet.service.change(LEAVES, LEAVING, notify_watches=False)
             fleet.service.end_watches()
             await fleet.settle()
             await fleet.wait_until_all_have_lists(began_at)
@@ -239,7 +239,7 @@
         fleet = Fleet()
         async with fleet.running(tmp_path, is_overloaded=True):
             fleet.service.call_s = 10.0  # No call is answered within the test.
-            fleet.service.change(LEAVES, LEAVING, is_told=False)
+            fleet.service.change(LEAVES, LEAVING, notify_watches=False)
             await fleet.settle()
         assert fleet.service.refused > 0
         fleet.assert_drains_kept()
@@ -260,7 +260,7 @@
                 document = json.loads(proxy.path.read_text())
                 document["discovery"] = await other.address_for(name)
                 proxy.path.write_text(json.dumps(document))
-            other.change(LEAVES, LEAVING, is_told=False)
+            other.change(LEAVES, LEAVING, notify_watches=False)
             for name, proxy in fleet.proxies.items():
                 fleet.histories[name].note(Moved(time.monotonic(), other.name))
                 proxy.signal(signal.SIGHUP)
@@ -287,7 +287,7 @@
             await asyncio.sleep(OUTAGE_S)
             back_at = time.monotonic()
             fleet.service.come_back()
-            fleet.service.change(LEAVES, LEAVING, is_told=False)
+            fleet.service.change(LEAVES, LEAVING, notify_watches=False)
             await fleet.settle()
             await fleet.wait_until_all_have_lists(back_at)
         fleet.assert_drains_kept()
--- a/tests/proxy/test_notified_over_connections.py
+++ b/tests/proxy/test_notified_over_connections.py
@@ -25,9 +25,9 @@
     SLACK_S,
     Departed,
     History,
+    HistoryEvent,
     ListWritten,
     Moved,
-    Note,
     Reachable,
     RequestBegan,
     Returned,
@@ -401,7 +401,7 @@
 
 DEPARTED = Departed(100.0, "first", LEAVES)
 MARGIN_S = 0.01
-RULES: dict[str, tuple[Sequence[Note], float]] = {
+RULES: dict[str, tuple[Sequence[HistoryEvent], float]] = {
     "the list was sent": ([ListWritten(100.2, "first", frozenset([LEAVES]))], 100.2),
     "a watch ended without the change": ([WatchEnded(100.3, "first", True)], 100.3 + AFTER_END_S),
     "the service had the change and was reachable": ([], 100.0 + AFTER_REACHABLE_S),
@@ -445,7 +445,7 @@
 
 def test_the_checker_allows_requests_to_a_returned_backend_until_it_departs_again() -> None:
     departed = frozenset([LEAVES])
-    returned: list[Note] = [Returned(105.0, "first", LEAVES), RequestBegan(106.0, LEAVES)]
+    returned: list[HistoryEvent] = [Returned(105.0, "first", LEAVES), RequestBegan(106.0, LEAVES)]
     history = History("first", [DEPARTED, ListWritten(100.1, "first", departed), *returned])
     assert not late_requests(history, GRACE_S)
     history.notes += [Departed(107.0, "first", LEAVES), ListWritten(107.1, "first", departed)]
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the soak of shutdowns, and a short soak."""
+"""Tests of the shutdown soak, and short soak runs."""
--- a/tests/soak/test_judge.py
+++ b/tests/soak/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge of the soak finds each break in records that are made up, and none in those of usual runs."""
+"""The judge of the soak reports each kind of breach in constructed records, and none in correct ones."""
 
 from dataclasses import replace
 
@@ -17,16 +17,16 @@
 LIFE = LifeRecord("n0", 99.0, 100.0, 101.0, 0)
 
 
-def broken(request: RequestRecord, *attempts: AttemptRecord, life: LifeRecord = LIFE) -> list[Rule]:
+def broken_rules(request: RequestRecord, *attempts: AttemptRecord, life: LifeRecord = LIFE) -> list[Rule]:
     records = RunRecord({request.ident: request}, list(attempts), [life])
     return [breach.rule for breach in judge(records).breaches]
 
 
-def test_usual_ends_break_no_rule() -> None:
-    assert broken(SERVED, ATTEMPT) == []
-    assert broken(replace(UNANSWERED, end=End.EOF)) == []  # it crossed the end, unread
-    assert broken(replace(UNANSWERED, end=End.LEFT), ATTEMPT) == []
-    assert broken(replace(UNANSWERED, sent_at=None, end=End.EOF)) == []  # it was never complete
+def test_ordinary_ends_of_requests_break_no_rule() -> None:
+    assert broken_rules(SERVED, ATTEMPT) == []
+    assert broken_rules(replace(UNANSWERED, end=End.EOF)) == []  # crossed the close of the connection, unread
+    assert broken_rules(replace(UNANSWERED, end=End.LEFT), ATTEMPT) == []
+    assert broken_rules(replace(UNANSWERED, sent_at=None, end=End.EOF)) == []  # was never sent completely
 
 
 @pytest.mark.parametrize(
@@ -40,35 +40,37 @@
         (replace(SERVED, ended_at=SENT_AT + 1.2), [ATTEMPT], Rule.LATE),
         (
             replace(UNANSWERED, end=End.LEFT),
-            [replace(ATTEMPT, began_at=SENT_AT + 0.4, told_ms=9)],
+            [replace(ATTEMPT, began_at=SENT_AT + 0.4, deadline_ms=9)],
             Rule.AFTER_END,
         ),
-        (SERVED, [replace(ATTEMPT, told_ms=900)], Rule.TOLD_TOO_MUCH),
+        (SERVED, [replace(ATTEMPT, deadline_ms=900)], Rule.TOLD_TOO_MUCH),
         (replace(SERVED, class_name="pay"), [ATTEMPT, ATTEMPT], Rule.REPEATED),
     ],
 )
-def test_each_break_is_found(
+def test_the_judge_reports_each_kind_of_breach(
     request_record: RequestRecord, attempts: list[AttemptRecord], rule: Rule
 ) -> None:
-    assert broken(request_record, *attempts) == [rule]
+    assert broken_rules(request_record, *attempts) == [rule]
 
 
-def test_ends_of_processes_are_judged() -> None:
-    assert broken(SERVED, life=replace(LIFE, killed=True)) == [Rule.NOT_ENDED]
-    assert broken(SERVED, life=replace(LIFE, exit_code=1)) == [Rule.CRASHED]
-    assert broken(SERVED, life=replace(LIFE, log=["Traceback (most recent call last):"])) == [Rule.CRASHED]
+def test_a_killed_or_crashed_process_is_a_breach() -> None:
+    assert broken_rules(SERVED, life=replace(LIFE, killed=True)) == [Rule.NOT_ENDED]
+    assert broken_rules(SERVED, life=replace(LIFE, exit_code=1)) == [Rule.CRASHED]
+    assert broken_rules(SERVED, life=replace(LIFE, log=["Traceback (most recent call last):"])) == [
+        Rule.CRASHED
+    ]
 
 
-def test_an_unsafe_request_that_never_ran_may_be_sent_again() -> None:
+def test_an_unsafe_request_that_did_not_run_may_be_sent_again() -> None:
     pay = replace(SERVED, class_name="pay")
-    assert broken(pay, replace(ATTEMPT, not_run=True), ATTEMPT) == []
-    assert broken(pay, replace(ATTEMPT, complete=False), ATTEMPT) == []
+    assert broken_rules(pay, replace(ATTEMPT, not_run=True), ATTEMPT) == []
+    assert broken_rules(pay, replace(ATTEMPT, complete=False), ATTEMPT) == []
 
 
-def test_hold_ups_of_the_run_are_allowed_for() -> None:
+def test_time_limits_are_extended_while_the_process_is_stopped() -> None:
     late = replace(SERVED, ended_at=SENT_AT + 1.15)
-    assert broken(late, ATTEMPT, life=replace(LIFE, held_s=0.15)) == []
+    assert broken_rules(late, ATTEMPT, life=replace(LIFE, held_s=0.15)) == []
 
 
-def test_a_seed_draws_the_same_plan_again() -> None:
+def test_the_same_seed_draws_the_same_plan() -> None:
     assert draw_plan(7) == draw_plan(7) != draw_plan(8)
--- a/tests/soak/test_shutdown_soak.py
+++ b/tests/soak/test_shutdown_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of shutdowns; many more seeds are played by hand with `python -m heronreel.soak`."""
+"""A short soak of shutdowns; `python -m heronreel.soak` runs more seeds."""
 
 import pytest
 import uvloop
