--- a/heronreel/fault_injection/errors.py
+++ b/heronreel/fault_injection/errors.py
@@ -8,15 +8,15 @@
 
 
 class HarnessError(FaultInjectionError):
-    """The processes under test did not do what the harness waited for."""
+    """The processes under test did not reach the state that the harness waited for."""
 
 
 class LogLineMissingError(HarnessError):
-    """A process ended, or time ran out, before it printed the line that was waited for."""
+    """A process ended or the timeout expired before it printed the expected line."""
 
 
 class CommandFailedError(HarnessError):
-    """A command ended with another exit code than the expected one."""
+    """A command ended with an unexpected exit code."""
 
 
 class GroupUnhealthyError(HarnessError):
@@ -24,7 +24,7 @@
 
 
 class ResourceUnavailableError(FaultInjectionError):
-    """The guarded resource did not respond: whether the request was performed is unknown."""
+    """The guarded resource did not respond, so it is unknown whether the request was performed."""
 
 
 class RejectedByResourceError(FaultInjectionError):
@@ -32,4 +32,4 @@
 
 
 class SearchLimitExceededError(FaultInjectionError):
-    """A search was given up: nothing is known of the history it examined."""
+    """A search exceeded its limit, so there is no result for the history."""
--- a/heronreel/fault_injection/explore.py
+++ b/heronreel/fault_injection/explore.py
@@ -1,6 +1,6 @@
-"""Exhaustive exploration: every order of events of a small world, breadth first.
+"""Exhaustive breadth-first exploration of all orders of events in a small world.
 
-Breadth first means that the first counterexample found is a shortest one.
+Because the search is breadth first, the first counterexample found is a shortest one.
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 
 
 class InvariantViolationError(ExplorationError):
-    """A step breaks an invariant of its world."""
+    """A step violates an invariant of its world."""
 
     def __init__(self, reason: str, step: str) -> None:
-        """Takes what is broken, and the description of the step that breaks it."""
+        """Take the reason of the violation, and the description of the step that causes it."""
         super().__init__(reason, step)
         self.reason = reason
         self.step = step
 
 
 class UnknownStepError(ExplorationError, ValueError):
-    """A world has no step of the given description."""
+    """A world has no step with the given description."""
 
 
 class World(Protocol):
-    """One state.  Its steps make new states and leave this one as it is."""
+    """One state of a world.  Its steps return new states and do not change this one."""
 
     def key(self) -> Hashable:
-        """Equal for states that have the same future."""
+        """Return a key that is equal for states with the same future."""
         ...
 
     def steps(self) -> Iterable[tuple[str, World]]:
-        """All that can happen next: descriptions, and the states they lead to.
+        """Return all possible next steps: their descriptions and the states that they lead to.
 
         Raises:
-            InvariantViolationError: a step breaks an invariant.
+            InvariantViolationError: A step violates an invariant.
         """
         ...
 
@@ -49,13 +49,13 @@
 
 
 class ExplorationResult(NamedTuple):
-    """What an exploration has seen, and the shortest path to a violation."""
+    """The size of an exploration, and the shortest path to a violation."""
 
     states: int
     steps: int
-    complete: bool  # all states were seen, and not only as many as allowed
+    complete: bool  # whether all states were explored within the limit
     violation: str | None = None
-    path: tuple[str, ...] = ()  # the descriptions of the steps to the violation
+    path: tuple[str, ...] = ()  # descriptions of the steps to the violation
 
     def __str__(self) -> str:
         if self.violation is None:
@@ -66,10 +66,10 @@
 
 
 def advance(start: W, *prefixes: str) -> W:
-    """The state after the given steps, each named by a prefix of its description.
+    """Return the state after the given steps, each identified by a prefix of its description.
 
     Raises:
-        UnknownStepError: a state has no such step.
+        UnknownStepError: A state has no such step.
     """
     world: Any = start
     for prefix in prefixes:
@@ -85,7 +85,10 @@
 
 
 def random_walk(world: World, rng: random.Random, steps: int) -> list[str]:
-    """One random path through a world too large to explore; empty unless it comes to a violation."""
+    """Follow one random path through a world that is too large to explore.
+
+    Return the path if it ends in a violation, otherwise an empty list.
+    """
     path: list[str] = []
     try:
         for _ in range(steps):
@@ -102,10 +105,10 @@
 def explore(start: World, max_states: int) -> ExplorationResult:
     """Explore up to `max_states` states.
 
-    States are told apart by 64-bit hashes of their keys: of a million, two different ones are taken for the
-    same with a probability of 3 in 100 million.
+    States are identified by 64-bit hashes of their keys: among a million states, the probability that two
+    different ones are confused is 3 in 100 million.
     """
-    gc.disable()  # millions of objects, and no reference cycles
+    gc.disable()  # there are millions of objects without reference cycles
     try:
         return _explore(start, max_states)
     finally:
@@ -138,7 +141,7 @@
 
 
 def _path_to(came_from: dict[int, tuple[int, str] | None], state: int) -> tuple[str, ...]:
-    """The descriptions of the steps to a state."""
+    """Return the descriptions of the steps that lead to a state."""
     path: list[str] = []
     while (origin := came_from[state]) is not None:
         state, description = origin
--- a/heronreel/fault_injection/fault_injector.py
+++ b/heronreel/fault_injection/fault_injector.py
@@ -1,4 +1,4 @@
-"""Carries out a schedule of faults against a group and its workers."""
+"""Executes a schedule of faults against a group and its workers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class FaultInjector:
-    """Injects faults, each from its start to its end."""
+    """Injects each fault of a schedule at its start, and ends it after its duration."""
 
     def __init__(
         self,
@@ -36,18 +36,18 @@
 
         Args:
             harness: The group.
-            workers: The processes of the workers, by name; a restarted worker is replaced there.
-            commands: The arguments that start a worker again, by name.
+            workers: The processes of the workers, by name; a restarted worker replaces its entry.
+            commands: The arguments that restart each worker, by name.
         """
         self.harness = harness
         self.workers = workers
         self.commands = commands
 
     async def run(self, schedule: Sequence[Fault]) -> None:
-        """Carry out a schedule, and wait until the group is healthy again.
+        """Execute a schedule, and wait until the group is healthy again.
 
-        Faults of members are injected one after the other, each once the group is healthy, however busy the
-        machine is.
+        Faults of members are injected sequentially, each only when the group is healthy, so that they do not
+        overlap even on a busy machine.
 
         Raises:
             HarnessError: The group did not recover from a fault.
@@ -69,7 +69,7 @@
         await self.harness.wait_until_healthy()
 
     async def inject(self, fault: Fault) -> None:
-        """Inject one fault, and end it after its time."""
+        """Inject one fault, and end it after its duration."""
         if fault.kind in LINK_FAULTS:
             await self._inject_link_fault(fault)
         elif fault.kind in MEMBER_FAULTS:
--- a/heronreel/fault_injection/fencing_check.py
+++ b/heronreel/fault_injection/fencing_check.py
@@ -1,8 +1,8 @@
 """A checker of the guarded resource's history.
 
-Fencing tokens never fall, and each step is written once and in order, by one holder at a time.  The checker
-examines only what the resource accepted and when workers started: nothing that the group or a worker states
-about itself counts.
+Fencing tokens never decrease, and each step is written once and in order, by one holder at a time.  The
+checker uses only the requests that the resource accepted and the start times of the workers' actions; it does
+not rely on the state that the group or a worker reports.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 def find_violations(resource: Sequence[Operation], actions: Sequence[Operation]) -> list[str]:
-    """What is wrong with the order in which the resource accepted requests.
+    """Return the violations in the order in which the resource accepted requests.
 
     Args:
-        resource: The resource's own history.
-        actions: The histories of the workers, which have when each action started.
+        resource: The history that the resource recorded.
+        actions: The histories of the workers, with the start time of each action.
     """
     checker = _Checker(actions)
     for operation in resource:
@@ -30,7 +30,7 @@
 
 
 def request_of(operation: Operation) -> ResourceRequest:
-    """The request that an operation records."""
+    """Return the request that an operation records."""
     return msgspec.convert(operation.arguments, ResourceRequest)
 
 
@@ -70,7 +70,7 @@
         self.step = request.step
 
     def _check_exclusion(self, request: ResourceRequest) -> None:
-        """A holder must not start an action before the last write of the one before it."""
+        """Check that a holder started its action only after the last write of the previous holder."""
         started = self.first_starts.get((request.holder, request.fencing_token, request.step))
         if started is None:
             self.violations.append(f"step {request.step} of {request.holder} was never started")
--- a/heronreel/fault_injection/group_network.py
+++ b/heronreel/fault_injection/group_network.py
@@ -1,4 +1,4 @@
-"""The simulated network of `group_world`: messages that were sent, and their descriptions."""
+"""The simulated network of `group_world`: the sent messages and their descriptions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SentMessage(NamedTuple):
-    """A message on its way, with a number that equal ones share."""
+    """A message in transit; equal messages have the same number."""
 
     number: int
     to: str
@@ -25,14 +25,14 @@
 
 
 class MessagePool:
-    """Numbers the messages of one world and its forks, so that comparing two is comparing numbers."""
+    """Numbers the messages of one world and its forks, so that messages are compared by number."""
 
     def __init__(self) -> None:
-        """Starts without messages."""
+        """Create an empty pool."""
         self._known: dict[tuple[str, AnyMessage], SentMessage] = {}
 
     def intern(self, to: str, message: AnyMessage) -> SentMessage:
-        """The one object for a message to a member."""
+        """Return the unique object for a message to a member."""
         known = self._known.get((to, message))
         if known is None:
             known = SentMessage(len(self._known), to, message)
@@ -41,7 +41,7 @@
 
 
 def describe_delivery(to: str, message: AnyMessage) -> str:
-    """The description of the step that delivers a message."""
+    """Return the description of the step that delivers a message."""
     return f"{to}: receives from {message.sender}: {_describe(message)}"
 
 
--- a/heronreel/fault_injection/guarded_resource.py
+++ b/heronreel/fault_injection/guarded_resource.py
@@ -1,7 +1,7 @@
-"""A resource guarded by fencing tokens, in a process of its own.
+"""A resource guarded by fencing tokens that runs in a separate process.
 
-`python -m heronreel.fault_injection.guarded_resource FOLDER HISTORY` prints the port it listens on.  The
-guard and the table are the product's (`heronreel.leases.fencing`); the history is for the checkers.
+`python -m heronreel.fault_injection.guarded_resource FOLDER HISTORY` prints the port that it listens on.  The
+guard and the table are those of the product (`heronreel.leases.fencing`); the history is for the checkers.
 """
 
 from __future__ import annotations
@@ -34,19 +34,22 @@
 
     async def enter(self, request: web.Request) -> web.Response:
         """Raise a task's fencing token."""
-        wanted = await _decode(request)
-        task = wanted.task.encode()
-        verdict = self.table.register_holder(task, wanted.fencing_token)
+        resource_request = await _decode(request)
+        task = resource_request.task.encode()
+        verdict = self.table.register_holder(task, resource_request.fencing_token)
         if verdict.admitted:
-            self._record(ResourceEvent.ENTERED, wanted)
+            self._record(ResourceEvent.ENTERED, resource_request)
         return _encode(ResourceResponse(verdict.admitted, verdict.highest_token, self.table.step_count(task)))
 
     async def write(self, request: web.Request) -> web.Response:
         """Write one step of a task."""
-        wanted = await _decode(request)
+        resource_request = await _decode(request)
         try:
             verdict, written = self.table.write(
-                wanted.task.encode(), wanted.fencing_token, wanted.step, wanted.holder.encode()
+                resource_request.task.encode(),
+                resource_request.fencing_token,
+                resource_request.step,
+                resource_request.holder.encode(),
             )
         except ValueError as error:
             return web.json_response({"error": str(error)}, status=400)
@@ -54,11 +57,11 @@
             event = ResourceEvent.WRITTEN
         else:
             event = ResourceEvent.REPEATED if verdict.admitted else ResourceEvent.REJECTED
-        self._record(event, wanted)
+        self._record(event, resource_request)
         return _encode(ResourceResponse(verdict.admitted, verdict.highest_token))
 
-    def _record(self, event: ResourceEvent, wanted: ResourceRequest) -> None:
-        self.history.start(event, msgspec.to_builtins(wanted))
+    def _record(self, event: ResourceEvent, resource_request: ResourceRequest) -> None:
+        self.history.start(event, msgspec.to_builtins(resource_request))
 
 
 async def _decode(request: web.Request) -> ResourceRequest:
@@ -70,7 +73,7 @@
 
 
 def main(folder: str, history_path: str) -> None:
-    """Serve until the process is ended."""
+    """Serve until the process is terminated."""
     resource = GuardedResource(FencedTable(Store.open(folder)), HistoryWriter(Path(history_path), "resource"))
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
--- a/heronreel/fault_injection/harness.py
+++ b/heronreel/fault_injection/harness.py
@@ -1,4 +1,4 @@
-"""A group of member processes behind relays, and other processes beside it."""
+"""A group of member processes behind relays, together with other processes."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 POLL_INTERVAL_S = 0.02
 HEALTH_TIMEOUT_S = 1.0
 HEALTH_POLL_INTERVAL_S = 0.05
-LEADER_TIMEOUT_S = 0.5  # of one health check, when only the leader is wanted
+LEADER_TIMEOUT_S = 0.5  # timeout of one health check in the search for the leader
 LEADER_ROLE = Role.LEADER.value
 GROUP_SETTINGS = "beat_ms = 50\npatience_ms = 300\nrequest_ms = 1500\neven = true"
 
 
 class Harness:
-    """Starts the members, and ends every process it started.
+    """Starts the members, and kills every process that it started.
 
     Attributes:
-        members: The process of each member, by name; a restarted member has another one.
+        members: The current process of each member, by name.
         network: The relays between members and in front of them.
     """
 
@@ -53,11 +53,11 @@
         """Create a harness whose members start when it is entered.
 
         Args:
-            folder: For configurations, disks and logs.
-            names: The members.
+            folder: The folder for configurations, disks and logs.
+            names: The names of the members.
             seed: Determines the random faults of the network.
-            clock_rates: How fast the clocks of processes run, by name; 1 where it is left out.
-            extra_settings: Lines for the table [group] of each member's configuration.
+            clock_rates: The rates of the clocks of processes, by name; the default is 1.
+            extra_settings: Additional lines for the table [group] of each member's configuration.
         """
         self.folder = folder
         self.names = list(names)
@@ -84,18 +84,18 @@
     # -- addresses
 
     def address(self, name: str) -> str:
-        """Where clients reach a member, as "host:port"."""
+        """Return the address at which clients reach a member, as "host:port"."""
         return self.network.client_relays[name].address
 
     @property
     def addresses(self) -> list[str]:
-        """Where clients reach the members."""
+        """The addresses at which clients reach the members."""
         return [self.address(name) for name in self.names]
 
     # -- processes
 
     async def start_member(self, name: str, **env: str) -> ManagedProcess:
-        """Start a member, or start it again; the relays find its new port."""
+        """Start or restart a member, and direct the relays to its new port."""
         arguments = (
             "heronreel.cli", "coordinate", str(self._write_configuration(name)), "--name", name,
             "--folder", str(self.folder / name), "--listen", "127.0.0.1:0",
@@ -107,20 +107,20 @@
         return process
 
     async def start_process(self, name: str, *arguments: str, **env: str) -> ManagedProcess:
-        """Start another process beside the members: `python -m` with these arguments."""
+        """Start a process that is not a member: `python -m` with these arguments."""
         process = await ManagedProcess.start(name, arguments, self._environment(name, env))
         self.others.append(process)
         return process
 
     async def add_member(self, name: str) -> None:
-        """Start a new member, and have the others reload their configurations."""
+        """Start a new member, and make the others reload their configurations."""
         await self.network.add_member(name)
         self.names.append(name)
         self._reload_configurations()
         await self.start_member(name)
 
     async def remove_member(self, name: str) -> None:
-        """Kill a member that has left the group, and have the others reload their configurations."""
+        """Kill a member that has left the group, and make the others reload their configurations."""
         await self.members.pop(name).kill()
         self.names.remove(name)
         self._reload_configurations()
@@ -136,7 +136,7 @@
         return {CLOCK_RATE_VARIABLE: f"{self.clock_rates[name]:g}", **env}
 
     def _write_configuration(self, name: str) -> Path:
-        """A member's configuration, in which the others have the addresses of the relays towards them."""
+        """Write a member's configuration, in which the other members have the addresses of relays."""
         lines = [f"[group]\n{GROUP_SETTINGS}\n{self.extra_settings}\n"]
         for other in self.names:
             address = self.address(name) if other == name else self.network.peer_relays[name, other].address
@@ -146,22 +146,22 @@
         return file
 
     def run_command(self, *arguments: str, expected_code: int = 0) -> str:
-        """The output of a command of the program, given this group's addresses.
+        """Run a command of the program with this group's addresses, and return its output.
 
         Raises:
-            CommandFailedError: It ended with another exit code.
+            CommandFailedError: The exit code differs from `expected_code`.
         """
         members = ",".join(f"{name}={self.address(name)}" for name in self.names)
         command = [sys.executable, "-m", "heronreel.cli", *arguments, "--members", members]
-        done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
-        if done.returncode != expected_code:
-            raise CommandFailedError(str(done))
-        return done.stdout + done.stderr
+        completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
+        if completed.returncode != expected_code:
+            raise CommandFailedError(str(completed))
+        return completed.stdout + completed.stderr
 
     # -- faults of a single member
 
     def fill_disk(self, name: str) -> None:
-        """Have every write of a member fail, as on a full disk: its files can't grow."""
+        """Make every write of a member fail as on a full disk, by a limit on the size of its files."""
         self._limit_file_size(name, 0)
 
     def free_disk(self, name: str) -> None:
@@ -180,7 +180,7 @@
         """Wait until the group responds to a request.
 
         Raises:
-            TimeoutError: It does not within `timeout_s` seconds.
+            TimeoutError: The group did not respond within `timeout_s` seconds.
         """
         async with Client(self.addresses, response_timeout_s=0.5) as client:
             async with asyncio.timeout(timeout_s):
@@ -192,7 +192,7 @@
                         await asyncio.sleep(POLL_INTERVAL_S)
 
     async def health(self) -> list[str]:
-        """The response of each member's health check, or an error in words."""
+        """Return the response of each member's health check, or the text of an error."""
         async with _health_session(HEALTH_TIMEOUT_S) as session:
             return [await self._health_text(session, name) for name in self.names]
 
@@ -204,10 +204,10 @@
             return f"{name}: {error!r}"
 
     async def wait_for_leader(self, timeout_s: float = TIMEOUT_S) -> str:
-        """The name of a member that is the leader.
+        """Wait for a leader, and return its name.
 
         Raises:
-            TimeoutError: There is none within `timeout_s` seconds.
+            TimeoutError: There was no leader within `timeout_s` seconds.
         """
         async with _health_session(LEADER_TIMEOUT_S) as session, asyncio.timeout(timeout_s):
             while True:
@@ -218,18 +218,18 @@
                 await asyncio.sleep(POLL_INTERVAL_S)
 
     async def wait_until_healthy(self, timeout_s: float = TIMEOUT_S) -> None:
-        """Wait until there is one leader, and every member follows it with a disk that is in the group.
+        """Wait until there is one leader, which every member follows with a disk that belongs to the group.
 
         Raises:
-            GroupUnhealthyError: That is not so within `timeout_s` seconds.
+            GroupUnhealthyError: The group did not reach this state within `timeout_s` seconds.
         """
         await self._wait_for_reports(_is_healthy, timeout_s)
 
     async def wait_until_replicated(self, timeout_s: float = TIMEOUT_S) -> None:
-        """Wait until the group is healthy, and every member has the same version on its disk.
+        """Wait until the group is healthy and all members have the same version on their disks.
 
         Raises:
-            GroupUnhealthyError: That is not so within `timeout_s` seconds.
+            GroupUnhealthyError: The group did not reach this state within `timeout_s` seconds.
         """
         await self._wait_for_reports(_is_replicated, timeout_s)
 
@@ -252,7 +252,7 @@
 
 
 def _parsed(responses: Sequence[str]) -> list[HealthReport]:
-    """The reports of those members that responded."""
+    """Return the reports of the members that responded."""
     return [
         msgspec.json.decode(response, type=HealthReport) for response in responses if response.startswith("{")
     ]
--- a/heronreel/fault_injection/histories.py
+++ b/heronreel/fault_injection/histories.py
@@ -1,7 +1,7 @@
-"""Histories of what processes did and saw, on the one clock of the machine.
+"""Histories of the operations of processes, with times of the machine's monotonic clock.
 
-Each process appends lines of JSON to a file of its own: one when an operation starts and one when it ends,
-so that a process that is killed in between leaves an operation whose outcome is unknown.
+Each process appends lines of JSON to its own file: one when an operation starts and one when it ends.  A
+process that is killed in between leaves an operation whose outcome is unknown.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     arguments: Any
     start: float
     end: float  # UNKNOWN_END if there was no response
-    result: Any  # None with UNKNOWN_END
+    result: Any  # None if `end` is UNKNOWN_END
 
     @property
     def completed(self) -> bool:
@@ -39,20 +39,20 @@
     """Writes the history of one process."""
 
     def __init__(self, path: Path, process: str) -> None:
-        """Append to the file at `path`, which is created if needed."""
+        """Open the file at `path` for appending; it is created if needed."""
         self.process = process
         self.file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o600)
         self.count = 0
 
     def start(self, kind: str, arguments: Any = None) -> str:
-        """Record the start of an operation; returns its id, for `end`."""
+        """Record the start of an operation, and return its id for `end`."""
         self.count += 1
-        operation_id = f"{os.getpid()}.{self.count}"  # unique when a restarted process uses the same file
+        operation_id = f"{os.getpid()}.{self.count}"  # unique even if a restarted process uses the same file
         self._write({"id": operation_id, "kind": kind, "arguments": arguments})
         return operation_id
 
     def end(self, operation_id: str, result: Any) -> None:
-        """Record an operation's end."""
+        """Record the end of an operation and its result."""
         self._write({"id": operation_id, "result": result})
 
     def _write(self, row: dict[str, Any]) -> None:
@@ -65,9 +65,9 @@
 
 
 def read_histories(paths: Iterable[Path]) -> list[Operation]:
-    """All operations in these files, by the time they started.
+    """Return all operations in the files, ordered by start time.
 
-    A last line that was cut off by the end of its process is ignored.
+    An incomplete last line, left by a process that was killed, is ignored.
     """
     operations: list[Operation] = []
     for path in paths:
--- a/heronreel/fault_injection/managed_process.py
+++ b/heronreel/fault_injection/managed_process.py
@@ -1,4 +1,4 @@
-"""A child process whose output is read while it runs."""
+"""A child process whose output is collected while it runs."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 from heronreel.fault_injection.errors import LogLineMissingError
 
-ROOT = Path(__file__).parents[2]  # of the repository
+ROOT = Path(__file__).parents[2]  # root of the repository
 LINE_TIMEOUT_S = 30.0
 EXIT_TIMEOUT_S = 20.0
-SHOWN_LINES = 5  # of the output, in an error
+SHOWN_LINES = 5  # lines of output in an error message
 
 
 class ManagedProcess:
-    """A process running a module of the program.
+    """A process that runs a module of the program.
 
     Attributes:
-        lines: What it printed so far, on standard output and standard error.
+        lines: The lines that it has printed so far on standard output and standard error.
     """
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
-        """Read the output of `process`, whose streams are pipes."""
+        """Start to collect the output of `process`, whose streams are pipes."""
         self.name = name
         self.process = process
         self.lines: list[str] = []
         self.line_read = asyncio.Condition()
         streams = (process.stdout, process.stderr)
-        self.readers = [asyncio.create_task(self._read(each)) for each in streams if each is not None]
+        self.readers = [asyncio.create_task(self._read(stream)) for stream in streams if stream is not None]
 
     @classmethod
     async def start(
@@ -41,7 +41,7 @@
         env: Mapping[str, str] | None = None,
         inherited: Sequence[int] = (),
     ) -> ManagedProcess:
-        """Run `python -m` with these arguments, more environment and further descriptors that it inherits."""
+        """Run `python -m` with arguments, additional environment variables and inherited descriptors."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -66,10 +66,10 @@
         return next((line for line in self.lines if all(word in line for word in words)), None)
 
     async def wait_for_line(self, *words: str, timeout_s: float = LINE_TIMEOUT_S) -> str:
-        """The first line that contains all the words.
+        """Wait for a line that contains all the words, and return the first one.
 
         Raises:
-            LogLineMissingError: The process ended without it, or `timeout_s` seconds passed.
+            LogLineMissingError: The process ended without such a line, or `timeout_s` seconds passed.
         """
         try:
             async with asyncio.timeout(timeout_s), self.line_read:
@@ -85,17 +85,17 @@
 
     @property
     def pid(self) -> int:
-        """The process's id."""
+        """The process id."""
         return self.process.pid
 
     @property
     def exit_code(self) -> int | None:
-        """Its exit code; negative for a signal, and None while it runs."""
+        """The exit code: negative after a signal, None while the process runs."""
         return self.process.returncode
 
     @property
     def running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process is running."""
         return self.exit_code is None
 
     def send_signal(self, number: int) -> None:
@@ -104,23 +104,23 @@
             self.process.send_signal(number)
 
     def pause(self) -> None:
-        """Stop it until `resume`."""
+        """Stop the process with SIGSTOP until `resume`."""
         self.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on."""
+        """Continue the process with SIGCONT."""
         self.send_signal(signal.SIGCONT)
 
     async def kill(self) -> None:
-        """End it with SIGKILL, and wait for that."""
+        """Kill the process with SIGKILL, and wait for its end."""
         self.send_signal(signal.SIGKILL)
         await self.wait_for_exit()
 
     async def wait_for_exit(self, timeout_s: float = EXIT_TIMEOUT_S) -> int:
-        """The exit code.
+        """Wait for the end of the process, and return its exit code.
 
         Raises:
-            TimeoutError: It did not end within `timeout_s` seconds.
+            TimeoutError: The process did not end within `timeout_s` seconds.
         """
         async with asyncio.timeout(timeout_s):
             return await self.process.wait()
--- a/heronreel/fault_injection/register_client.py
+++ b/heronreel/fault_injection/register_client.py
@@ -1,4 +1,4 @@
-"""A client of the group that reads and writes a few registers, and records what it did for the checker."""
+"""A client of the group that reads and writes a few registers, and records its operations for the checker."""
 
 from __future__ import annotations
 
@@ -22,13 +22,14 @@
 from heronreel.fault_injection.linearizability import CAS, READ
 
 KEYS = ("x", "y", "z")
-OPERATIONS = (READ, CAS, CAS)  # no plain puts: one that the network duplicates may take effect again later
+# There are no plain puts, because a put that the network duplicates may take effect again later.
+OPERATIONS = (READ, CAS, CAS)
 REQUEST_TIMEOUT_S = 1.0
 MAX_PAUSE_S = 0.03
 
 
 class RegisterClient:
-    """One client, with random operations determined by a seed."""
+    """One client that performs random operations determined by a seed."""
 
     def __init__(self, seed: int, number: int, history: HistoryWriter) -> None:
         self.rng = random.Random(f"client {seed} {number}")
@@ -37,7 +38,7 @@
         self.written = 0
 
     async def run(self, addresses: list[str], stop: asyncio.Event) -> None:
-        """Perform one operation after the other until `stop` is set."""
+        """Perform operations sequentially until `stop` is set."""
         first = self.rng.randrange(len(addresses))
         async with Client(addresses[first:] + addresses[:first], response_timeout_s=0.5) as client:
             while not stop.is_set():
@@ -62,12 +63,12 @@
     async def _record(
         self, kind: str, arguments: list[str | None], operation: Awaitable[str | bool | None]
     ) -> None:
-        """Perform an operation between the two lines of its history."""
+        """Perform an operation, and record its start and its end in the history."""
         operation_id = self.history.start(kind, arguments)
         try:
             result = await operation
         except RequestError:
-            return  # recorded as one whose outcome is unknown, also where it certainly had no effect
+            return  # the outcome stays recorded as unknown, even if the operation certainly had no effect
         self.history.end(operation_id, result)
 
 
@@ -78,7 +79,7 @@
 
 
 async def _compare_and_set(client: Client, key: str, expected: str | None, value: str) -> bool:
-    """Whether the key had the value `expected` and now has `value`; None stands for a missing key."""
+    """Set the key to `value` if its value is `expected` (None: missing); return whether it succeeded."""
     name = key.encode()
     if expected is None:
         unchanged = Compare(name, CompareTarget.CREATE, CompareOperator.EQUAL, 0)
--- a/heronreel/fault_injection/relay.py
+++ b/heronreel/fault_injection/relay.py
@@ -1,7 +1,7 @@
 """A TCP relay on the loopback interface that injects network faults.
 
-Each direction has faults of its own, so that a partition may be one-way.  Bytes that a partition swallows
-are never delivered later: when it heals, the connections they belong to are reset.
+Each direction has separate faults, so that a partition may be one-way.  Bytes that a partition drops are
+never delivered later: when it heals, their connections are reset.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 TRICKLE_INTERVAL_S = 0.01
 MAX_DUPLICATE_DELAY_S = 0.2
 DUPLICATE_TIMEOUT_S = 1.0
-LISTEN_BACKLOG = 1024  # connections that the kernel drops for want of room come a second late
+# With a full backlog the kernel drops connection attempts, which are then delayed by a second.
+LISTEN_BACKLOG = 1024
 
 
 @dataclass
@@ -22,8 +23,9 @@
     """The faults of one direction.
 
     Attributes:
-        partitioned: Bytes are swallowed, and neither side is notified.
-        max_delay_s: The delay of each chunk is drawn below it, so that connections overtake one another.
+        partitioned: Whether bytes are dropped without notice to either side.
+        max_delay_s: The upper bound of the random delay of each chunk, by which connections overtake each
+            other.
         trickle_bytes: How many bytes pass each TRICKLE_INTERVAL_S; 0 for no limit.
     """
 
@@ -33,15 +35,18 @@
 
 
 class Relay:
-    """One address in front of another.
+    """Forwards connections from its own address to a target address.
 
-    Attributes: requests: The faults of the direction towards the target. responses: The faults of the
-        direction back. duplicate_probability: How often the first chunk of a connection is sent on a second
-        connection as well, whose response is dropped. relayed_bytes: Received so far, in both directions.
+    Attributes:
+        requests: The faults of the direction towards the target.
+        responses: The faults of the direction back.
+        duplicate_probability: The probability that the first chunk of a connection is also sent on a second
+            connection, whose response is dropped.
+        relayed_bytes: The number of bytes received so far in both directions.
     """
 
     def __init__(self, target: tuple[str, int], random: Random) -> None:
-        """Create a relay that `start` opens; `random` draws delays and duplicates."""
+        """Create a relay that listens after `start`; `random` determines delays and duplicates."""
         self.target = target
         self.random = random
         self.requests = LinkFaults()
@@ -55,11 +60,11 @@
 
     @property
     def address(self) -> str:
-        """Where the relay listens, as "host:port"."""
+        """The address that the relay listens on, as "host:port"."""
         return f"127.0.0.1:{self.port}"
 
     async def start(self) -> Relay:
-        """Listen on a free port."""
+        """Listen on an ephemeral port."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, backlog=LISTEN_BACKLOG)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
@@ -79,7 +84,7 @@
             target.transport.abort()
 
     def heal(self) -> None:
-        """End all faults; connections that were partitioned are reset, so that both sides are notified."""
+        """End all faults; after a partition, reset the connections so that both sides are notified."""
         was_partitioned = self.requests.partitioned or self.responses.partitioned
         self.requests, self.responses = LinkFaults(), LinkFaults()
         self.duplicate_probability = 0.0
@@ -142,7 +147,7 @@
             task.add_done_callback(self.tasks.discard)
 
     async def _send_duplicate(self, chunk: bytes) -> None:
-        """Send the chunk a little later, on a connection of its own."""
+        """Send the chunk on a separate connection after a random delay."""
         await asyncio.sleep(MAX_DUPLICATE_DELAY_S * self.random.random())
         try:
             reader, writer = await asyncio.open_connection(*self.target)
--- a/heronreel/fault_injection/relay_network.py
+++ b/heronreel/fault_injection/relay_network.py
@@ -11,11 +11,11 @@
 
 
 class RelayNetwork:
-    """Relays in front of members, which find one another only through them.
+    """Relays in front of members, which reach one another only through the relays.
 
     Attributes:
-        client_relays: What clients connect to, by member.
-        peer_relays: What the first member of a pair connects to for reaching the second.
+        client_relays: The relays that clients connect to, by member.
+        peer_relays: The relay through which the first member of a pair reaches the second, by pair.
     """
 
     def __init__(self, seed: int) -> None:
@@ -25,7 +25,7 @@
         self.peer_relays: dict[tuple[str, str], Relay] = {}
 
     async def add_member(self, name: str) -> None:
-        """Open the relays in front of a member, and those between it and the members before it."""
+        """Open the relays in front of a new member, and those between it and the existing members."""
         self.client_relays[name] = await Relay(UNREACHABLE, self.random).start()
         for other in self.client_relays:
             if other != name:
@@ -35,7 +35,7 @@
             relay.target = self.client_relays[destination].target
 
     def set_port(self, name: str, port: int) -> None:
-        """Have a member be reached on the port that it listens on."""
+        """Set the port that a member listens on as the target of its relays."""
         for relay in (self.client_relays[name], *self._relays_to(name)):
             relay.target = (LOOPBACK, port)
 
@@ -43,7 +43,7 @@
         return [relay for (_, destination), relay in self.peer_relays.items() if destination == name]
 
     def relays_of(self, name: str) -> list[Relay]:
-        """All relays between a member and the others."""
+        """Return all relays between a member and the others."""
         return [relay for pair, relay in self.peer_relays.items() if name in pair]
 
     def partition(self, name: str) -> None:
@@ -54,7 +54,7 @@
     def heal(self, name: str) -> None:
         """End all faults between a member and the others.
 
-        After a partition the connections stay open, and the bytes that were swallowed stay lost.
+        After a partition the connections stay open, and the dropped bytes stay lost.
         """
         for relay in self.relays_of(name):
             relay.requests.partitioned = relay.responses.partitioned = False
--- a/heronreel/fault_injection/resource_client.py
+++ b/heronreel/fault_injection/resource_client.py
@@ -15,7 +15,7 @@
 
 ENTER_PATH = "/enter"
 WRITE_PATH = "/write"
-ACTION = "act"  # the kind of the operations that a worker records
+ACTION = "act"  # kind of the operations that a worker records
 
 
 class ResourceEvent(enum.StrEnum):
@@ -23,16 +23,16 @@
 
     ENTERED = "entered"
     WRITTEN = "written"
-    REPEATED = "repeated"  # a write of a step that was written before
+    REPEATED = "repeated"  # a repeated write of a step
     REJECTED = "rejected"
 
 
 class ResourceRequest(msgspec.Struct, frozen=True):
-    """A request of a lease holder; also the arguments of operations in histories."""
+    """A request of a lease holder; also used as the arguments of operations in histories."""
 
     task: str
     fencing_token: int
-    step: int  # from 1; for ENTER_PATH it is ignored
+    step: int  # starts at 1; ignored for ENTER_PATH
     holder: str
 
 
@@ -41,7 +41,7 @@
 
     admitted: bool
     highest_token: int
-    steps: int = 0  # written so far; only for ENTER_PATH
+    steps: int = 0  # number of written steps; only for ENTER_PATH
 
 
 class ResourceClient:
@@ -52,10 +52,10 @@
         self.session = session
 
     async def enter(self, request: ResourceRequest) -> ResourceResponse:
-        """Announce a fencing token: smaller ones are rejected from then on.
+        """Register a fencing token; the resource then rejects smaller tokens.
 
         Raises:
-            ResourceUnavailableError: Whether the request was performed is unknown.
+            ResourceUnavailableError: It is unknown whether the request was performed.
         """
         return await self._post(ENTER_PATH, request)
 
@@ -63,7 +63,7 @@
         """Write one step of a task.
 
         Raises:
-            ResourceUnavailableError: Whether the request was performed is unknown.
+            ResourceUnavailableError: It is unknown whether the request was performed.
         """
         return await self._post(WRITE_PATH, request)
 
--- a/heronreel/fault_injection/schedule.py
+++ b/heronreel/fault_injection/schedule.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of faults between processes, and shrinking of a schedule that fails."""
+"""Seeded schedules of faults, and shrinking of a schedule that fails."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class FaultKind(enum.StrEnum):
-    """What happens to the target."""
+    """The effect of a fault on its target."""
 
     KILL = "kill"
     PAUSE = "pause"
-    PARTITION = "partition"  # from all other members
-    ONE_WAY_PARTITION = "one-way-partition"  # of the messages to one other member
-    DELAY = "delay"  # of the messages to one other member
-    RESET = "reset"  # of the connections to all other members
+    PARTITION = "partition"  # separates the member from all others
+    ONE_WAY_PARTITION = "one-way-partition"  # drops the messages to one other member
+    DELAY = "delay"  # delays the messages to one other member
+    RESET = "reset"  # resets the connections to all other members
     LOSE_DISK = "lose-disk"
-    LOSE_RESPONSES = "lose-responses"  # to clients
-    DUPLICATE_REQUESTS = "duplicate-requests"  # of clients
-    TRICKLE = "trickle"  # clients' requests arrive a few bytes at a time
+    LOSE_RESPONSES = "lose-responses"  # drops the responses to clients
+    DUPLICATE_REQUESTS = "duplicate-requests"  # duplicates requests of clients
+    TRICKLE = "trickle"  # passes on clients' requests a few bytes at a time
     RESET_CLIENTS = "reset-clients"
     PAUSE_WORKER = "pause-worker"
     KILL_WORKER = "kill-worker"
@@ -37,8 +37,8 @@
     FaultKind.RESET,
     FaultKind.LOSE_DISK,
 )
-SINGLE_MEMBER_FAULTS = (FaultKind.KILL, FaultKind.PAUSE)  # of a group of one
-LINK_FAULTS = (FaultKind.ONE_WAY_PARTITION, FaultKind.DELAY)  # those that have a peer
+SINGLE_MEMBER_FAULTS = (FaultKind.KILL, FaultKind.PAUSE)  # faults of the member of a group of one
+LINK_FAULTS = (FaultKind.ONE_WAY_PARTITION, FaultKind.DELAY)  # faults of the link to one peer
 CLIENT_FAULTS = (
     FaultKind.LOSE_RESPONSES,
     FaultKind.DUPLICATE_REQUESTS,
@@ -46,17 +46,17 @@
     FaultKind.RESET_CLIENTS,
 )
 WORKER_FAULTS = (FaultKind.PAUSE_WORKER, FaultKind.KILL_WORKER)
-HOLDER = "holder"  # a target: whichever worker holds the lease when the fault begins
+HOLDER = "holder"  # target: the worker that holds the lease when the fault begins
 
 
 class Fault(NamedTuple):
-    """One fault, whose times are in seconds since the schedule began."""
+    """One fault; its start is in seconds after the start of the schedule."""
 
     start_s: float
     duration_s: float
     kind: FaultKind
     target: str
-    peer: str = ""  # for LINK_FAULTS: the other member
+    peer: str = ""  # the other member, for LINK_FAULTS
 
     def __str__(self) -> str:
         targets = f"{self.target} and {self.peer}" if self.peer else self.target
@@ -64,9 +64,9 @@
 
 
 def random_schedule(seed: int, members: Sequence[str], workers: Sequence[str], seconds: float) -> list[Fault]:
-    """A schedule that leaves a majority of the members alone at any time.
+    """Return a schedule that leaves a majority of the members without faults at any time.
 
-    One member at a time has a fault; connections to clients and workers may have others beside it.
+    Only one member has a fault at a time; client connections and workers may have faults concurrently.
     """
     rng = random.Random(f"faults {seed}")
     faults = _member_faults(rng, members, seconds)
@@ -109,12 +109,14 @@
     fails: Callable[[Sequence[Fault]], Awaitable[bool]],
     max_attempts: int = MAX_SHRINK_ATTEMPTS,
 ) -> list[Fault]:
-    """A smaller schedule that still fails, found by leaving out halves, then quarters, down to single faults.
+    """Return a smaller schedule that still fails.
+
+    The search leaves out halves, then quarters, and so on down to single faults.
 
     Args:
         faults: A schedule that fails.
-        fails: Whether a schedule fails.
-        max_attempts: How often to call `fails` at most.
+        fails: Returns whether a schedule fails.
+        max_attempts: The maximum number of calls of `fails`.
     """
     remaining = list(faults)
     size = max(1, len(remaining) // 2)
--- a/heronreel/fault_injection/task_process.py
+++ b/heronreel/fault_injection/task_process.py
@@ -1,8 +1,8 @@
-"""A process that takes part in a fleet-wide task whose steps are writes to the guarded resource.
+"""A process that competes for a fleet-wide task whose steps are writes to the guarded resource.
 
 `python -m heronreel.fault_injection.task_process NAME RESOURCE TTL ADDRESS...`.  `HERONREEL_END_AT=step:N`
-or `stepped:N` ends it before or after the N-th step that it performs; `DUTY=TASK:CALLS` names another task,
-whose priority class has a fleet-wide budget of that many calls per second.
+or `stepped:N` ends it before or after the N-th step that it performs; `DUTY=TASK:CALLS` selects another task
+whose priority class has a fleet-wide budget of CALLS calls per second.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 TASK_VARIABLE = "DUTY"
 DEFAULT_TASK = "ledger"
 PERIOD_S = 0.05
-BUDGETED_PERIOD_S = 0.01  # short enough that the budget is the limit
+BUDGETED_PERIOD_S = 0.01  # short enough that the budget limits the rate
 MAX_STEP_S = 5.0
 RESOURCE_TIMEOUT_S = 1.0
 
@@ -37,21 +37,21 @@
         self.name = name
         self.task = task
         self.resource = resource
-        self.points = CrashPoints()
+        self.crash_points = CrashPoints()
 
     async def step(self, work: StepContext) -> None:
         """Write one step.
 
         Raises:
             RejectedByResourceError: The fencing token is stale.
-            ResourceUnavailableError: Whether the step was written is unknown.
+            ResourceUnavailableError: It is unknown whether the step was written.
         """
-        self.points.reach("step")
+        self.crash_points.reach("step")
         await work.acquire(calls=1)
         request = ResourceRequest(self.task.name, work.fencing_token, work.step, self.name)
         _check(await self.resource.enter(request))
         _check(await self.resource.write(request))
-        self.points.reach("stepped")
+        self.crash_points.reach("stepped")
 
 
 def _check(response: ResourceResponse) -> None:
@@ -60,7 +60,7 @@
 
 
 async def main(name: str, resource: str, ttl: str, *addresses: str) -> None:
-    """Take part until the process is ended."""
+    """Run the task whenever it is assigned, until the process is terminated."""
     task_name, _, calls = os.environ.get(TASK_VARIABLE, DEFAULT_TASK).partition(":")
     task = Task(task_name, period_s=BUDGETED_PERIOD_S if calls else PERIOD_S, step_timeout_s=MAX_STEP_S)
     budgets = {task.priority: RateLimits(calls=float(calls))} if calls else {}
--- a/heronreel/fault_injection/trial.py
+++ b/heronreel/fault_injection/trial.py
@@ -1,4 +1,4 @@
-"""One trial: a group, workers that compete for a task, a guarded resource, seeded faults, and checkers."""
+"""A trial: a group, workers that compete for a task, a guarded resource, seeded faults, and checkers."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class TrialSettings(NamedTuple):
-    """What takes part in a trial, and for how long."""
+    """The processes, duration and limits of a trial."""
 
     members: Sequence[str] = ("a", "b", "c")
     workers: int = 8
     schedule_s: float = 12.0
     lease_ttl_s: int = 2
-    recovery_timeout_s: float = 15.0  # from the end of the faults to the next step
-    clock_rates: Mapping[str, float] | None = None  # of members and workers, by name
+    recovery_timeout_s: float = 15.0  # limit from the end of the faults to the next step
+    clock_rates: Mapping[str, float] | None = None  # rates of the clocks of members and workers, by name
 
     @property
     def worker_names(self) -> list[str]:
@@ -37,31 +37,31 @@
         return [f"w{number}" for number in range(self.workers)]
 
     def random_schedule(self, seed: int) -> list[Fault]:
-        """The faults of the trial with this seed."""
+        """Return the faults of the trial with this seed."""
         return random_schedule(seed, self.members, self.worker_names, self.schedule_s)
 
 
 class TrialResult(NamedTuple):
-    """What a trial came to."""
+    """The result of a trial."""
 
-    problems: tuple[str, ...]  # empty if every guarantee was kept
-    steps: int  # accepted by the resource
+    problems: tuple[str, ...]  # empty if all guarantees were kept
+    steps: int  # steps accepted by the resource
     grants: int  # fencing tokens under which steps were accepted
-    rejected: int  # writes of former holders
-    operations: int  # on registers
-    recovery_s: float  # from the end of the faults to the next step
+    rejected: int  # rejected writes of former holders
+    operations: int  # operations on registers
+    recovery_s: float  # time from the end of the faults to the next step
 
 
 async def run_trial(
     folder: Path, seed: int, settings: TrialSettings, schedule: Sequence[Fault] | None = None
 ) -> TrialResult:
-    """Run a trial and check what came of it.
+    """Run a trial and check its histories.
 
     Args:
-        folder: For configurations, disks, logs and histories.
+        folder: The folder for configurations, disks, logs and histories.
         seed: Determines the schedule, the network's faults and the clients' operations.
-        settings: What takes part.
-        schedule: Faults to inject in place of those of `seed`.
+        settings: The settings of the trial.
+        schedule: The faults to inject instead of those determined by `seed`.
     """
     faults = settings.random_schedule(seed) if schedule is None else schedule
     async with Harness(folder, settings.members, seed, clock_rates=settings.clock_rates) as harness:
@@ -105,7 +105,7 @@
         await self._wait_for_events(1)
 
     async def run(self, schedule: Sequence[Fault]) -> tuple[list[str], float]:
-        """Inject the faults; returns the problems, and the seconds until the next step after them."""
+        """Inject the faults; return the problems, and the seconds from the last fault to the next step."""
         loop = asyncio.get_running_loop()
         problems: list[str] = []
         try:
@@ -121,21 +121,21 @@
         return problems, loop.time() - ended
 
     async def _wait_for_events(self, count: int) -> None:
-        """Wait until the resource has recorded that many events."""
+        """Wait until the resource has recorded `count` events."""
         path = self.resource_history
         async with asyncio.timeout(self.settings.recovery_timeout_s):
             while not path.exists() or path.read_bytes().count(b"\n") < count:
                 await asyncio.sleep(POLL_INTERVAL_S)
 
     async def stop(self) -> None:
-        """Stop the clients, and pause the workers: nothing more is written while the checkers read."""
+        """Stop the clients and pause the workers, so that nothing is written while the checkers read."""
         self.stopping.set()
         await asyncio.gather(*self.clients)
         for process in self.workers.values():
             process.pause()
 
     def result(self, problems: Sequence[str], recovery_s: float) -> TrialResult:
-        """Check the histories."""
+        """Check the histories, and return the result."""
         resource = read_histories([self.resource_history])
         histories = map(self._worker_history, self.settings.worker_names)
         actions = read_histories(path for path in histories if path.exists())
@@ -147,7 +147,7 @@
         return TrialResult(
             problems=tuple(found),
             steps=len(written),
-            grants=len({fencing_check.request_of(each).fencing_token for each in written}),
+            grants=len({fencing_check.request_of(operation).fencing_token for operation in written}),
             rejected=len(_of_kind(resource, ResourceEvent.REJECTED)),
             operations=len(registers),
             recovery_s=recovery_s,
@@ -159,7 +159,7 @@
 
 
 async def start_resource(harness: Harness, folder: Path, history: Path) -> int:
-    """Start a guarded resource; returns its port."""
+    """Start a guarded resource, and return its port."""
     module = "heronreel.fault_injection.guarded_resource"
     process = await harness.start_process("resource", module, str(folder), str(history))
     line = await process.wait_for_line("listening")
--- a/heronreel/fault_injection/worker.py
+++ b/heronreel/fault_injection/worker.py
@@ -1,7 +1,7 @@
 """A process that competes for a task, and writes its steps to the guarded resource while it holds the lease.
 
 `python -m heronreel.fault_injection.worker NAME HISTORY RESOURCE TTL ADDRESS...` prints a line when it
-acquires or loses the task; SIGTERM has it release the task and end.
+acquires or loses the task; on SIGTERM it releases the task and exits.
 """
 
 from __future__ import annotations
@@ -29,16 +29,18 @@
 
 TASK = "ledger"
 STEP_INTERVAL_S = 0.01
-ACQUIRED, LOST = "acquired", "lost"  # first words of the lines on standard output, before the fencing token
+# First word of each line on standard output; the fencing token follows.
+ACQUIRED = "acquired"
+LOST = "lost"
 
 
 def acquired_tokens(lines: Iterable[str]) -> list[int]:
-    """The fencing tokens that a worker acquired, by the lines it printed."""
+    """Return the fencing tokens that a worker acquired, according to its output."""
     return [int(line.split()[1]) for line in lines if line.startswith(f"{ACQUIRED} ")]
 
 
 def held_token(lines: Iterable[str]) -> int:
-    """The fencing token that a worker holds by the lines it printed; 0 if it holds none."""
+    """Return the fencing token that a worker holds according to its output, or 0 if it holds none."""
     changes = [line.split() for line in lines if line.startswith((f"{ACQUIRED} ", f"{LOST} "))]
     return int(changes[-1][1]) if changes and changes[-1][0] == ACQUIRED else 0
 
@@ -53,7 +55,7 @@
         self.stop = asyncio.Event()
 
     async def run(self, session: LeaseSession) -> None:
-        """Perform steps whenever the task is held, until `stop` is set."""
+        """Perform steps while the task is held, until `stop` is set."""
         claim = session.claim(TASK)
         stopping = asyncio.create_task(self.stop.wait())
         while not self.stop.is_set():
@@ -64,7 +66,7 @@
             await asyncio.sleep(STEP_INTERVAL_S)
 
     async def _act(self, session: LeaseSession, claim: Claim) -> None:
-        """Perform one step after the other while the fencing token is valid."""
+        """Perform steps sequentially while the fencing token is valid."""
         token = await session.wait_acquired(claim)
         try:
             entered = await self.resource.enter(ResourceRequest(TASK, token, 0, self.name))
@@ -76,7 +78,7 @@
         while not self.stop.is_set() and claim.fencing_token(session.now()) == token:
             response = await self._write(ResourceRequest(TASK, token, step + 1, self.name))
             if response is None:
-                return  # the next attempt learns from the resource whether the step was written
+                return  # when it registers again, the resource tells whether the step was written
             if not response.admitted:
                 print("rejected", token, response.highest_token, flush=True)
                 session.refresh()
@@ -85,7 +87,7 @@
             await asyncio.sleep(STEP_INTERVAL_S)
 
     async def _write(self, request: ResourceRequest) -> ResourceResponse | None:
-        """Write a step, and record it; None if the outcome is unknown."""
+        """Write a step and record it; return None if the outcome is unknown."""
         operation = self.history.start(ACTION, msgspec.to_builtins(request))
         try:
             response = await self.resource.write(request)
@@ -101,7 +103,7 @@
 
 
 async def main(name: str, history: str, resource: str, ttl: str, *addresses: str) -> None:
-    """Compete until SIGTERM or SIGINT."""
+    """Compete for the task until SIGTERM or SIGINT."""
     print("started", name, flush=True)
     terms = lease_terms(int(ttl))
     async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=terms.safety_margin_s)) as http:
