--- a/heronreel/fault_injection/budget_world.py
+++ b/heronreel/fault_injection/budget_world.py
@@ -1,11 +1,11 @@
-"""A small world around the real disruption budget, for the explorer.
+"""A world for the explorer around the real disruption budget.
 
-Two operations, two instances of which one may be unavailable, and a group.  Commands to owners, requests to
-the group and reports of owners may be late; an operation may die and a successor take over its claim; an
-instance may be lost.  Timeouts happen at any moment.
+It has two operations, two instances of which one may be unavailable, and a group.  Commands to owners,
+requests to the group and reports of owners may be delayed; an operation may die, and a successor takes over
+its claim; an instance may be lost.  Timeouts may happen at any time.
 
-The invariants are checked on the instances themselves: never are more of them commanded out of service than
-the rule allows, and once a loss or a halt is recorded no claim is granted.
+The invariants are checked on the instances themselves: no more instances are commanded out of service than
+the rule allows, and no claim is granted once a loss or a halt is recorded.
 """
 
 from __future__ import annotations
@@ -54,43 +54,43 @@
 RULE = BudgetRule("one", InstanceKind.PROXY, max_unavailable=MAX_UNAVAILABLE)
 INSTANCE_IDS = ("proxy/x", "proxy/y")
 OPERATOR = "x"
-NO_OPERATION = 0  # instead of a fencing token, where nobody waits for the response
+NO_OPERATION = 0  # in place of the fencing token of an operation that no longer waits for the response
 
 
 class OperationStage(enum.Enum):
-    """How far an operation is."""
+    """The progress of an operation."""
 
     NEW = "new"
     ACQUIRING = "acquiring"
     CLAIMED = "claimed"
     DISRUPTED = "disrupted"  # the instance was commanded out of service
-    RESTORED = "restored"  # it was commanded back
+    RESTORED = "restored"  # the instance was commanded back into service
     DONE = "done"
 
 
 class Limits(NamedTuple):
-    """How often each event may still happen."""
+    """How often each kind of event may still happen."""
 
-    requests: str = "01"  # the operations that may request their claim, once for each time it is listed
+    requests: str = "01"  # indexes of the operations that may request their claim, once per occurrence
     observations: int = 3
     losses: int = 0
-    deaths: int = 0  # of operations, each followed by a successor
+    deaths: int = 0  # deaths of operations, each followed by a successor
     halts: int = 0
     messages: int = 12  # requests to the group
 
 
 class Owner(NamedTuple):
-    """One instance as it is, and what its owner knows."""
+    """The actual state of one instance, and the state that its owner keeps."""
 
-    position: tuple[int, int] = (0, 0)  # the greatest fencing token, and the sequence number under it
+    position: tuple[int, int] = (0, 0)  # greatest fencing token, and the sequence number under it
     observation: int = 0
-    disrupted: bool = False  # by the last command
+    disrupted: bool = False  # whether the last command took it out of service
     lost: bool = False
-    report: Txn | None = None  # on its way to the group
+    report: Txn | None = None  # report in transit to the group
 
 
 class Command(NamedTuple):
-    """A command on its way to an owner."""
+    """A command in transit to an owner."""
 
     fencing_token: int
     instance_id: str
@@ -98,14 +98,14 @@
 
 
 class GroupRequest(NamedTuple):
-    """A request on its way to the group."""
+    """A request in transit to the group."""
 
-    fencing_token: int  # of the operation that waits for the response; or NO_OPERATION
+    fencing_token: int  # token of the operation that waits for the response, or NO_OPERATION
     request: Txn
 
 
 class GroupResponse(NamedTuple):
-    """A response on its way to an operation."""
+    """A response in transit to an operation."""
 
     fencing_token: int
     response: ResponseOrError
@@ -129,7 +129,7 @@
 
     @property
     def instance_id(self) -> str:
-        """The one instance that it is about."""
+        """The instance that it operates on."""
         return self.requester.instance_ids[0]
 
 
@@ -137,7 +137,7 @@
     """One state of the world."""
 
     def __init__(self, limits: Limits, guards: ClaimGuards, *, ordered: bool = True) -> None:
-        """`ordered`: owners reject a command that was overtaken; a test disables it."""
+        """Create a world; if `ordered`, owners reject commands that were overtaken (a test disables this)."""
         self.ordered = ordered
         self.limits = limits
         self.guards = guards
@@ -152,7 +152,7 @@
             for index, instance_id in enumerate(INSTANCE_IDS)
         )
         self.messages: frozenset[Message] = frozenset()
-        self.recorded_loss = ""  # the instance whose loss is recorded
+        self.recorded_loss = ""  # id of the instance whose loss is recorded
         self.halted = False
 
     def _requester(self, fencing_token: int, instance_id: str) -> ClaimRequester:
@@ -162,23 +162,23 @@
         )
 
     def fork(self) -> BudgetWorld:
-        """A copy of this state, to be changed."""
+        """Return a copy of this state that can be changed."""
         world = object.__new__(BudgetWorld)
         world.__dict__.update(self.__dict__)
         return world
 
     def key(self) -> Hashable:
-        """Equal for states that have the same future."""
+        """Return a key that is equal for states with the same future."""
         operations = tuple(
             (
-                each.stage,
-                each.last_command_observation,
-                each.fencing_token,
-                each.requester.phase.value,
-                each.requester.intent.value,
-                each.requester.in_flight is not None,
+                operation.stage,
+                operation.last_command_observation,
+                operation.fencing_token,
+                operation.requester.phase.value,
+                operation.requester.intent.value,
+                operation.requester.in_flight is not None,
             )
-            for each in self.operations
+            for operation in self.operations
         )
         return (
             operations,
@@ -191,7 +191,7 @@
         )
 
     def steps(self) -> Iterator[Step]:
-        """Everything that can happen next, in words, with the state that it leads to."""
+        """Return all possible next steps: their descriptions and the states that they lead to."""
         if self.limits.halts:
             yield self._halt()
         for index, operation in enumerate(self.operations):
@@ -210,11 +210,11 @@
 
     def _delivery(self, message: Message) -> Step:
         if isinstance(message, GroupRequest):
-            words = f"the group receives a request of {message.fencing_token or 'a dead operation'}"
-            return self._checked(words, self._deliver_request(message))
+            description = f"the group receives a request of {message.fencing_token or 'a dead operation'}"
+            return self._checked(description, self._deliver_request(message))
         if isinstance(message, GroupResponse):
-            words = f"{message.fencing_token} receives a response"
-            return self._checked(words, self._deliver_response(message))
+            description = f"{message.fencing_token} receives a response"
+            return self._checked(description, self._deliver_response(message))
         return self._deliver_command(message)
 
     # -- operations
@@ -232,8 +232,8 @@
         elif operation.requester.intent is not ClaimIntent.NONE and not waiting and self.limits.messages:
             yield self._retry(index, operation)
         if operation.stage != OperationStage.NEW and self.limits.deaths:
-            words = f"{operation.fencing_token} dies, and a successor takes over"
-            yield self._checked(words, self._replace_by_successor(index, operation))
+            description = f"{operation.fencing_token} dies, and a successor takes over"
+            yield self._checked(description, self._replace_by_successor(index, operation))
 
     def _acquire(self, index: int, operation: Operation) -> Step:
         world = self.fork()
@@ -279,7 +279,10 @@
         return f"{operation.fencing_token} sends a request", world
 
     def _replace_by_successor(self, index: int, operation: Operation) -> BudgetWorld:
-        """A successor with a greater fencing token takes over the claim, if any, to restore service."""
+        """Replace an operation by a successor with a greater fencing token.
+
+        The successor takes over the claim, if there is one, to restore service.
+        """
         world = self.fork()
         world.limits = self.limits._replace(deaths=self.limits.deaths - 1)
         world._drop_messages_of(operation.fencing_token)
@@ -357,18 +360,20 @@
         world = self.fork()
         world.messages = self.messages - {command}
         direction = _direction(command.disrupt)
-        words = f"the owner of {command.instance_id} receives {command.fencing_token}'s command {direction}"
-        # an operation's own commands may overtake one another as well
+        description = (
+            f"the owner of {command.instance_id} receives {command.fencing_token}'s command {direction}"
+        )
+        # Commands of the same operation may overtake one another as well.
         sequence = (1 if command.disrupt else 2) if self.ordered else 0
         position = (command.fencing_token, sequence)
         if position < owner.position:
-            return words, world  # fenced
+            return description, world  # rejected as outdated
         world._set_owner(index, owner._replace(position=position, disrupted=command.disrupt))
         for number, operation in enumerate(world.operations):
             if operation.fencing_token == command.fencing_token and not command.disrupt:
                 acknowledged = operation._replace(last_command_observation=owner.observation)
                 world._set_operation(number, acknowledged)
-        return self._checked(words, world)
+        return self._checked(description, world)
 
     # -- the group
 
@@ -390,9 +395,9 @@
         world = self.fork()
         world.messages = self.messages - {message}
         for index, operation in enumerate(self.operations):
-            asked = operation.requester.in_flight
-            if operation.fencing_token == message.fencing_token and asked is not None:
-                number, sent_at = asked
+            in_flight = operation.requester.in_flight
+            if operation.fencing_token == message.fencing_token and in_flight is not None:
+                number, sent_at = in_flight
                 requester = copy.copy(operation.requester)
                 actions = requester.response_received(sent_at, number, message.response)
                 world._carry_out(index, operation._replace(requester=requester), actions)
@@ -407,7 +412,7 @@
         self.owners = (*self.owners[:index], owner, *self.owners[index + 1 :])
 
     def _drop_messages_of(self, fencing_token: int) -> None:
-        """The operation waits no more; its writes may still reach the group, and its commands the owners."""
+        """End an operation's wait; its writes may still reach the group, and its commands the owners."""
         kept = {
             each for each in self.messages if isinstance(each, Command) or each.fencing_token != fencing_token
         }
@@ -434,12 +439,12 @@
                 "a claim was granted after the halt", "the group receives a request"
             )
 
-    def _checked(self, words: str, world: BudgetWorld) -> Step:
+    def _checked(self, description: str, world: BudgetWorld) -> Step:
         owners = zip(INSTANCE_IDS, world.owners, strict=True)
         disrupted = [instance_id for instance_id, owner in owners if owner.disrupted and not owner.lost]
         if len(disrupted) > MAX_UNAVAILABLE:
-            raise InvariantViolationError(f"{' and '.join(disrupted)} are out of service", words)
-        return words, world
+            raise InvariantViolationError(f"{' and '.join(disrupted)} are out of service", description)
+        return description, world
 
 
 def _name_of(instance_id: str) -> str:
@@ -457,7 +462,7 @@
 
 
 def _reports_failure(report: Txn) -> bool:
-    """Whether a report says that the instance has failed."""
+    """Return whether a report states that the instance has failed."""
     values = [each.value for each in report.success if isinstance(each, Put) and each.key != REVISION_KEY]
     instances = [msgspec.json.decode(value, type=Instance) for value in values]
     return any(each.condition is Condition.FAILED for each in instances)
--- a/heronreel/fault_injection/count_world.py
+++ b/heronreel/fault_injection/count_world.py
@@ -1,11 +1,11 @@
-"""Usage ledgers, the coordination service and holders of the closing task, explored in every order.
+"""A world for the explorer: usage ledgers, the coordination service and holders of the closing task.
 
-The world is built around the real `Ledger`, `LedgerUpload` and `PeriodClosing`.  Timeouts come at any moment;
-requests may be late, duplicated or lost, processes killed between any two steps and their ledgers adopted,
-and the task granted to a second holder while the first goes on.
+It is built around the real `Ledger`, `LedgerUpload` and `PeriodClosing`.  Timeouts may happen at any time;
+requests may be delayed, duplicated or lost; processes may be killed between any two steps, and their ledgers
+adopted; the task may be granted to a second holder while the first one continues.
 
-The checker knows which responses were handed over, and reads what is stored: never more than that is counted,
-and nothing is missing once every ledger is uploaded.
+The checker knows which responses were handed over, and reads the stored counts: they never exceed the number
+of responses handed over, and no response is missing once every ledger is uploaded.
 """
 
 from __future__ import annotations
@@ -44,34 +44,37 @@
 )
 
 INTERVAL_S = 10.0
-NOBODY = "nobody"  # sender of a request whose response nobody waits for
+NOBODY = "nobody"  # sender of a request whose response is not awaited
 
-Step = tuple[str, "CountWorld"]  # in words, and what it leads to
+Step = tuple[str, "CountWorld"]  # description, and the state that it leads to
 
 
 class Guards(NamedTuple):
-    """What keeps the promise; tests take them out one by one."""
+    """The safeguards of the guarantee; tests disable them one at a time."""
 
-    record_revision: bool = True  # a page is added only to the record as it was read
-    closing_fence: bool = True  # pages are aggregated only by the task's holder, into the totals as read
-    registration: bool = True  # a ledger keeps that its record exists
-    totals_revision: bool = True  # a record is created only while the totals are as they were read
-    in_flight_unknown: bool = True  # what was in flight when a process was killed is unknown
+    record_revision: bool = True  # a page is added only if the record has not changed since it was read
+    # Pages are aggregated only by the task's holder, and only into totals that are unchanged since the read.
+    closing_fence: bool = True
+    registration: bool = True  # a ledger stores that its record exists
+    totals_revision: bool = (
+        True  # a record is created only if the totals have not changed since they were read
+    )
+    in_flight_unknown: bool = True  # responses in flight when a process was killed count as unknown
 
 
 class Budget(NamedTuple):
-    """How often each thing may still happen."""
+    """How often each kind of event may still happen."""
 
     responses: int = 2
     kills: int = 1
-    duplicates: int = 1  # of requests
+    duplicates: int = 1  # duplicated requests
     periods: int = 2
-    new_holders: int = 1  # grants of the task to another
+    new_holders: int = 1  # grants of the task to another holder
     requests: int = 40
 
 
 class Process(NamedTuple):
-    """One ledger, and its process if it is alive."""
+    """One ledger, and its process if that is running."""
 
     words: tuple[int, ...]
     upload: LedgerUpload | None
@@ -81,14 +84,14 @@
 
 
 class SentRequest(NamedTuple):
-    """A request on its way."""
+    """A request in transit."""
 
     sender: str
     request: Range | Txn
 
 
 class SentResponse(NamedTuple):
-    """A response on its way back."""
+    """A response in transit."""
 
     receiver: str
     response: ResponseOrError
@@ -99,16 +102,16 @@
 
     fencing_token: int
     closing: PeriodClosing
-    waiting: bool = False  # for a response
+    waiting: bool = False  # whether it waits for a response
 
 
 class Usage(NamedTuple):
-    """What is stored, over all tenants."""
+    """The stored counts, summed over all tenants."""
 
     served: int
     unknown: int
-    served_in_periods: int  # the sum of the closed periods
-    served_in_totals: int  # the sum that the totals keep of them
+    served_in_periods: int  # sum over the closed periods
+    served_in_totals: int  # sum of the closed periods according to the totals
 
 
 class CountWorld:
@@ -126,16 +129,16 @@
         fencing_token = self.keyspace.keys[CLAIM_KEY].create_revision
         self.holders: tuple[Holder, ...] = (Holder(fencing_token, self._closing(1, fencing_token)),)
         self.messages: frozenset[SentRequest | SentResponse] = frozenset()
-        self.settled = self.begun = 0  # responses handed over for sure, and those that were begun
+        self.settled = self.begun = 0  # responses certainly handed over, and responses begun
 
     def fork(self) -> CountWorld:
-        """A copy to be changed by a step."""
+        """Return a copy of this state that can be changed."""
         world = object.__new__(CountWorld)
         world.__dict__.update(self.__dict__)
         return world
 
     def key(self) -> Hashable:
-        """Equal for states that have the same future."""
+        """Return a key that is equal for states with the same future."""
         rows: list[object] = []
         for process in self.processes:
             upload = process.upload
@@ -149,14 +152,14 @@
         return encoded, self.budget, self.messages, self.keyspace.keys, self.settled, self.begun
 
     def steps(self) -> Iterator[Step]:
-        """All that can happen next, with what it leads to.
+        """Return all possible next steps: their descriptions and the states that they lead to.
 
         Raises:
-            Broken: a step breaks the promise.
+            InvariantViolationError: A step violates the guarantee.
         """
-        for words, world in self._unchecked_steps():
-            world.check(words)
-            yield words, world
+        for description, world in self._unchecked_steps():
+            world.check(description)
+            yield description, world
 
     def _unchecked_steps(self) -> Iterator[Step]:
         for number, process in enumerate(self.processes):
@@ -179,7 +182,7 @@
         self.processes = (*self.processes[:number], process, *self.processes[number + 1 :])
 
     def _with_upload(self, process: Process) -> Process:
-        """The process as it starts with its ledger."""
+        """Return the process in the state in which it starts with its ledger."""
         ledger = _ledger_of(process)
         upload = LedgerUpload(
             ledger.header,
@@ -325,7 +328,7 @@
         world.keyspace = world.keyspace.apply(DeleteRange(CLAIM_KEY)).state.apply(Put(CLAIM_KEY, b"1")).state
         fencing_token = world.keyspace.keys[CLAIM_KEY].create_revision
         last = self.holders[-1]
-        if len(self.holders) > 1:  # the holder before the last one is gone
+        if len(self.holders) > 1:  # the second last holder is removed
             world._disconnect("c0")
             world.messages = frozenset(map(_from_first_holder, world.messages))
         world.holders = (last, Holder(fencing_token, self._closing(last.closing.period, fencing_token)))
@@ -352,7 +355,7 @@
             response = RequestError(error.code, "")
         if message.sender != NOBODY:
             world.messages |= {SentResponse(message.sender, response)}
-        if duplicated:  # the response to the duplicate is received by nobody
+        if duplicated:  # the response to the duplicate is not received
             world.budget = self.budget._replace(duplicates=self.budget.duplicates - 1)
             world.messages |= {SentRequest(NOBODY, message.request)}
         return world
@@ -373,7 +376,7 @@
         return world
 
     def _disconnect(self, name: str) -> None:
-        """A process waits for no response any more, but what it requested may still be handled."""
+        """End a process's wait for responses; its write requests may still be handled."""
         kept = {message for message in self.messages if _party(message) != name}
         for message in self.messages - kept:
             if (
@@ -387,10 +390,10 @@
     # -- the checker
 
     def check(self, step: str) -> None:
-        """Check the promise in this state, which the step led to.
+        """Check the guarantee in this state, which `step` led to.
 
         Raises:
-            Broken: it does not hold.
+            InvariantViolationError: The guarantee does not hold.
         """
         usage = self.usage()
         if usage.served > self.settled:
@@ -405,7 +408,7 @@
             raise InvariantViolationError(f"{counted}, and {self.begun} were begun", step)
 
     def usage(self) -> Usage:
-        """What is stored."""
+        """Return the stored counts."""
         keys = self.keyspace.keys
         totals = Totals()
         if TOTALS_KEY in keys:
@@ -419,15 +422,15 @@
                 period = msgspec.json.decode(stored.value, type=ClosedPeriod)
                 served_in_periods += _sum_of(period.counts, ResponseKind.SERVED)
         return Usage(
-            sum(_sum_of(each, ResponseKind.SERVED) for each in counts),
-            sum(_sum_of(each, ResponseKind.UNKNOWN) for each in counts),
+            sum(_sum_of(stored_counts, ResponseKind.SERVED) for stored_counts in counts),
+            sum(_sum_of(stored_counts, ResponseKind.UNKNOWN) for stored_counts in counts),
             served_in_periods,
             _sum_of(totals.closed_counts, ResponseKind.SERVED),
         )
 
     @property
     def drained(self) -> bool:
-        """Whether every ledger is uploaded to its end."""
+        """Whether every ledger is uploaded completely."""
         return all(process.removed for process in self.processes)
 
 
@@ -437,7 +440,7 @@
 
 
 def _ledger_of(process: Process) -> Ledger:
-    """The process's ledger, on a copy of its words."""
+    """Return the process's ledger, on a copy of its words."""
     data = b"".join(word.to_bytes(WORD_BYTES, "little") for word in process.words)
     header, first_cell = decode_header(data)
     return Ledger(header, list(process.words), first_cell)
@@ -450,7 +453,7 @@
 
 
 def _upload_state(upload: LedgerUpload, now: float) -> list[object]:
-    """What decides an upload's future."""
+    """Return the state that determines the future of an upload."""
     return [
         upload.pending_page,
         upload.confirmed_page,
@@ -467,12 +470,12 @@
 
 
 def _party(message: SentRequest | SentResponse) -> str:
-    """Who sent a request, or is to receive a response."""
+    """Return the sender of a request or the receiver of a response."""
     return message.sender if isinstance(message, SentRequest) else message.receiver
 
 
 def _from_first_holder(message: SentRequest | SentResponse) -> SentRequest | SentResponse:
-    """The message as it is once the second holder has become the first one."""
+    """Return the message as it is after the second holder has become the first one."""
     if _party(message) != "c1":
         return message
     if isinstance(message, SentRequest):
--- a/heronreel/fault_injection/group_world.py
+++ b/heronreel/fault_injection/group_world.py
@@ -1,12 +1,11 @@
-"""A group of real `ConsensusMember` cores between a lossy network and disks that crash.
+"""A world for the explorer: a group of real `ConsensusMember` cores with a lossy network and crashes.
 
-Messages that were sent stay sent: each may be delivered at any later time, again, or never.  A write waits
-for its disk until a step of its own makes it durable, and a crash takes the writes that wait.  Any member
-may start an election at any time: no clock keeps it from that, so what holds here does not depend on
-time-outs.
+A sent message may be delivered at any later time, repeatedly, or never.  A write becomes durable in a
+separate step, and a crash loses the writes that are not durable yet.  Any member may start an election at any
+time, so the checked invariants do not depend on timeouts.
 
-The judge knows which writes were confirmed to a client, and checks what leaders then show: a leader that
-begins and a confirmed read must have every write that had been confirmed before it began.
+The checks know which writes were confirmed to a client: a new leader, and a confirmed read, must have every
+write that was confirmed before they began.
 """
 
 from __future__ import annotations
@@ -44,9 +43,9 @@
 NO_TIME = Timing(
     heartbeat_interval_s=0.0, retransmit_interval_s=0.0, election_timeout_s=0.0, step_down_timeout_s=math.inf
 )
-NOW = 0.0  # at every step
+NOW = 0.0  # the time does not advance
 
-# what two equal states of a member have in common; the numbers of its Persists are compared as differences
+# The fields that identify the state of a member; the numbers of its Persists are compared as differences.
 _STATE_FIELDS = (
     "incarnation", "group_id", "promised", "version", "content", "members", "confirmed_versions", "role",
     "highest_term", "ballot", "promises", "newest_snapshot", "round_number", "round_in_flight", "established",
@@ -55,21 +54,21 @@
 
 
 class Budget(NamedTuple):
-    """How often each thing may happen: what keeps the world small.
+    """How often each kind of event may still happen, which keeps the world small.
 
-    A string names the members that something may happen to, each as often as it occurs there.
+    A string lists members; the event may happen to a member as often as the member occurs in it.
     """
 
-    elections: str = "ab"  # who starts an election
+    elections: str = "ab"  # members that may start an election
     writes: int = 2
     reads: int = 0
-    crashes: str = ""  # who crashes and restarts
-    lost_disks: str = ""  # whose disk is lost in a crash
-    restored_disks: str = ""  # whose disk is restored from an older copy in a crash
+    crashes: str = ""  # members that may crash and restart
+    lost_disks: str = ""  # members that may lose their disk in a crash
+    restored_disks: str = ""  # members whose disk may be restored from an older copy in a crash
 
 
 class Event(Enum):
-    """What may happen to a member beside the delivery of a message.  The value completes "NAME: "."""
+    """An event of a member other than the delivery of a message; its value completes the text "NAME: "."""
 
     SYNC = "the write reaches the disk"
     HELLO = "says hello"
@@ -84,14 +83,14 @@
 
 
 class Node:
-    """One member, its disk, and the writes that wait for it.  Never changed once made."""
+    """One member, its disk, and the writes that are not durable yet.  It is immutable."""
 
     __slots__ = ("backup", "core", "disk", "mark", "waiting")
 
     def __init__(
         self, core: ConsensusMember, disk: DurableState, waiting: tuple[Persist, ...], backup: DurableState
     ) -> None:
-        """Takes the parts; `backup` is an older copy of the disk."""
+        """Create a node; `backup` is an older copy of the disk."""
         self.core = core
         self.disk = disk
         self.waiting = waiting
@@ -108,7 +107,7 @@
 
 
 class Read(NamedTuple):
-    """A round that shows what the leader has, and the writes that were confirmed when it began."""
+    """A round that reads the leader's content, and the writes that were confirmed when it began."""
 
     ballot: Ballot
     round_number: int
@@ -127,15 +126,15 @@
         founders: tuple[str, ...] = (),
         desired_members: tuple[str, ...] = (),
     ) -> None:
-        """Starts with a group that has a history.
+        """Create a world whose group has already confirmed a version.
 
         Args:
-            names: of all processes.
-            budget: how often each thing may happen.
-            guards: the safeguards in force.
-            founders: the members of the group at first; all of `names` if none are named.  The disks of the
-                others are new.
-            desired_members: who the group is to consist of; nobody: whoever does already.
+            names: The names of all processes.
+            budget: How often each kind of event may happen.
+            guards: The enabled safeguards.
+            founders: The initial members of the group; by default all of `names`.  The other processes have
+                new disks.
+            desired_members: The members that the group should have; by default the initial ones.
         """
         self.budget = budget
         self.guards = guards
@@ -146,9 +145,9 @@
         self._make_nodes(founders or names)
         self.sent: frozenset[SentMessage] = frozenset()
         self.confirmed: frozenset[bytes] = frozenset()
-        self.writes: Map[tuple[Ballot, int], bytes] = Map()  # in flight, by ballot and round
+        self.writes: Map[tuple[Ballot, int], bytes] = Map()  # writes in flight, by ballot and round
         self.reads: frozenset[Read] = frozenset()
-        self.last_name = 0  # counts the names of writes and incarnations
+        self.last_name = 0  # number of the latest name of a write or an incarnation
 
     def _make_nodes(self, founders: tuple[str, ...]) -> None:
         incarnations = {name: f"{name}1" for name in founders}
@@ -156,7 +155,7 @@
         ballot = Ballot(1, f"{founders[0]}/{group_id}")
         first = Version(*ballot, 1)
         old: Content = Map({MEMBERSHIP_KEY: encode_membership(incarnations)})
-        # all have confirmed the first version, and the second one says so
+        # All founders have confirmed the first version; the second version records this.
         confirmed = encode_confirmed_versions(dict.fromkeys(founders, first))
         content = old.set(CONFIRMED_VERSIONS_KEY, confirmed)
         for name, incarnation in incarnations.items():
@@ -177,23 +176,23 @@
         return core
 
     def fork(self) -> GroupWorld:
-        """A copy that goes on independently."""
+        """Return an independent copy."""
         copy = object.__new__(GroupWorld)
         copy.__dict__.update(self.__dict__)
         return copy
 
     def key(self) -> Hashable:
-        """Equal for states that have the same future."""
+        """Return a key that is equal for states with the same future."""
         marks = tuple(self.nodes[name].mark for name in self.names)
         return (marks, self.sent, self.confirmed, self.writes, self.reads, self.budget)
 
     # -- steps
 
     def steps(self) -> Iterator[tuple[str, GroupWorld]]:
-        """All that can happen next: descriptions, and the states they lead to.
+        """Return all possible next steps: their descriptions and the states that they lead to.
 
         Raises:
-            InvariantViolationError: a step shows that a confirmed write is lost.
+            InvariantViolationError: A step shows that a confirmed write is lost.
         """
         for name in self.names:
             for event in (*self._protocol_events(name), *self._leader_events(name), *self._faults(name)):
@@ -260,7 +259,7 @@
                 self._sync(name, core)
             case Event.HELLO:
                 hello = Hello(name, core.incarnation)
-                self._carry_out(name, core, [Send(each, hello) for each in self.names if each != name])
+                self._carry_out(name, core, [Send(other, hello) for other in self.names if other != name])
             case Event.ELECTION:
                 self.budget = self.budget._replace(elections=self.budget.elections.replace(name, "", 1))
                 self._carry_out(name, core, core.start_election(NOW))
@@ -313,10 +312,10 @@
         self.last_name += 1
         return DurableState(f"{name}{self.last_name + 1}")
 
-    # -- what a member does
+    # -- actions of members
 
     def _carry_out(self, name: str, core: ConsensusMember, actions: Actions) -> None:
-        """Carry out a member's actions, and those that follow from them."""
+        """Carry out a member's actions and the resulting further actions."""
         node = self.nodes[name]
         disk = node.disk
         waiting = node.waiting
@@ -325,7 +324,7 @@
         queue = list(actions)
         while True:
             if core.role is Role.LEADER and not was_leader:
-                was_leader = True  # its first round shows what it continues from
+                was_leader = True  # its first round shows the content that it starts with
                 self.reads |= {Read(core.ballot, 1, self.confirmed)}
             if not queue:
                 break
@@ -345,24 +344,26 @@
                 waiting = ()
                 break
         self.nodes = self.nodes.set(name, Node(core, disk, waiting, node.backup))
-        self.sent = frozenset(each for each in sent if self._matters(each.to, each.message))
+        self.sent = frozenset(
+            message for message in sent if self._can_have_effect(message.to, message.message)
+        )
 
     def _waits_for_disk(self, core: ConsensusMember) -> bool:
-        """Whether a crash may take a write before it is durable.
+        """Return whether a crash may lose a write before it is durable.
 
-        Of a member that responds to another nothing has been sent by then, so that a crash there is like one
-        before the message came: only a leader, whose rounds are sent while its own write is under way, has to
-        wait.
+        A member that responds to another one sends nothing before its write is durable, so a crash in between
+        is equivalent to a crash before the message arrived.  Only a leader has to wait, because it sends its
+        rounds while its own write is in progress.
         """
         budget = self.budget
         if core.name not in budget.crashes + budget.lost_disks + budget.restored_disks:
             return False
         return core.role is Role.LEADER or not self.guards.sync
 
-    # -- the judge
+    # -- invariants
 
     def _confirm(self, core: ConsensusMember, round_number: int) -> None:
-        """A round is committed: a write in it is confirmed to its client, and a read is answered."""
+        """Handle a committed round: confirm its write to the client, and answer its reads."""
         committed = core.ballot, round_number
         if committed in self.writes:
             self.confirmed |= {self.writes[committed]}
@@ -380,12 +381,12 @@
             reason = f"{core.name} leads, or answers a read, without a confirmed write: {names}"
             raise InvariantViolationError(reason, "")
 
-    # -- messages that no longer matter
+    # -- messages without effect
 
-    def _matters(self, to: str, message: AnyMessage) -> bool:
-        """Whether a message could still have an effect.
+    def _can_have_effect(self, to: str, message: AnyMessage) -> bool:
+        """Return whether a message can still have an effect.
 
-        What is left out counts as lost, which is always allowed.
+        Dropped messages count as lost, which is always allowed.
         """
         core = self.nodes[to].core
         match message:
@@ -399,15 +400,15 @@
             case Hello():
                 return message.incarnation == self.nodes[message.sender].core.incarnation
             case Prepare():
-                return self._prepare_matters(to, message)
+                return self._prepare_can_have_effect(to, message)
             case Accept():
-                return self._accept_matters(to, message)
+                return self._accept_can_have_effect(to, message)
             case ResetDisk():
                 return message.receiver_incarnation == core.incarnation
             case _:
                 return True
 
-    def _prepare_matters(self, to: str, message: Prepare) -> bool:
+    def _prepare_can_have_effect(self, to: str, message: Prepare) -> bool:
         promised = self.nodes[to].disk.promised
         if self._disk_may_change():
             return message.ballot >= promised or not self.guards.promise
@@ -417,7 +418,7 @@
         is_open = candidate.ballot == message.ballot and candidate.role is Role.CANDIDATE
         return is_open and to not in candidate.promises
 
-    def _accept_matters(self, to: str, message: Accept) -> bool:
+    def _accept_can_have_effect(self, to: str, message: Accept) -> bool:
         node = self.nodes[to]
         if self._disk_may_change():
             return message.ballot >= node.disk.promised or not self.guards.promise
@@ -436,12 +437,12 @@
         )
 
     def _disk_may_change(self) -> bool:
-        """Whether a disk may yet be lost or restored."""
+        """Return whether a disk may still be lost or restored."""
         return bool(self.budget.restored_disks or self.budget.lost_disks)
 
 
 def _persisted(disk: DurableState, persist: Persist) -> DurableState:
-    """A disk after a write."""
+    """Return the disk after a write."""
     content: Content = Map() if persist.replaces_all else disk.content
     content = apply_writes(content, persist.writes)
     return DurableState(disk.incarnation, persist.group_id, persist.promised, persist.version, content)
--- a/heronreel/fault_injection/lease_world.py
+++ b/heronreel/fault_injection/lease_world.py
@@ -1,15 +1,15 @@
-"""The explorer's world of leases: two holders that compete for one task, the service, and a fenced resource.
+"""A world for the explorer: two holders that compete for one task, the service, and a fenced resource.
 
-All of them are the real ones: `LeaseClient`, `Claim`, `KeyValueService` and `FencingGuard`.
+It uses the real `LeaseClient`, `Claim`, `KeyValueService` and `FencingGuard`.
 
-The service is one member (that a group behaves as one is `group_world`'s to show); a step may also make it
-change its leader. Requests and responses may be delayed, duplicated or lost. Time passes in steps of a
-second, which the holders' clocks measure as shorter and the service's as longer by `drift`. A holder checks
-its claim, and its action reaches the resource at any later time, or within the safety margin where nothing
-delays it.
+The service is a single member (`group_world` shows that a group behaves like one); a step may also change its
+leader.  Requests and responses may be delayed, duplicated or lost.  Time passes in steps of one second, which
+the holders' clocks measure as shorter and the service's clock as longer by `drift`.  A holder checks its
+claim, and its action reaches the resource at any later time, or within the safety margin if it is not
+delayed.
 
-The checks look from outside: never may two holders act; nothing of a holder may be admitted after something
-of a later one; and an action that was not delayed is over before the next holder acts.
+The checks are independent of the cores: two holders never act at the same time; no action of a holder is
+admitted after one of a later holder; and an action that was not delayed ends before the next holder acts.
 """
 
 from __future__ import annotations
@@ -40,40 +40,40 @@
 TTL_S = 4
 SAFETY_MARGIN_S = 1.0
 RESPONSE_TIMEOUT_S = 1.0
-REQUEST_TIMEOUT_S = 1e9  # of the service: longer than any search
+REQUEST_TIMEOUT_S = 1e9  # request timeout of the service: longer than any search
 LEASE_IDS_PER_HOLDER = 100
 
 
 class LeaseGuards(NamedTuple):
-    """What keeps the guarantees; tests take them out one by one, and have to fail then."""
+    """The safeguards of the guarantees; tests disable them one at a time, and the checks must then fail."""
 
     fencing: bool = True
     registration: bool = True  # a new holder registers at the resource before it acts
     safety_margin: bool = True
-    drift_margin: bool = True  # the service allows for clocks that differ
+    drift_margin: bool = True  # the service allows for clock drift
     increasing_tokens: bool = True
 
 
 class Limits(NamedTuple):
-    """What may still happen in a world."""
+    """How often each kind of event may still happen."""
 
-    seconds: int = 7  # of true time
-    requests: tuple[int, int] = (1, 6)  # of each holder
+    seconds: int = 7  # seconds of true time
+    requests: tuple[int, int] = (1, 6)  # requests of each holder
     actions: int = 2
     leader_changes: int = 1
 
 
 class DelayedAction(NamedTuple):
-    """An action on its way to the resource."""
+    """An action in transit to the resource."""
 
     holder: int
     fencing_token: int
-    started_at: int  # true seconds
-    turn: int
+    started_at: int  # seconds of true time
+    turn: int  # number of the holder's grant
 
 
 class RequestMessage(NamedTuple):
-    """A request on its way to the service."""
+    """A request in transit to the service."""
 
     holder: int
     request_id: int
@@ -81,7 +81,7 @@
 
 
 class ResponseMessage(NamedTuple):
-    """A response on its way to a holder."""
+    """A response in transit to a holder."""
 
     holder: int
     request_id: int
@@ -94,20 +94,21 @@
     def __init__(
         self, limits: Limits, guards: LeaseGuards, *, drift: float = 0.1, true_drift: float | None = None
     ) -> None:
-        """`drift` is what the service allows for; clocks are off by `true_drift`, which may be more."""
+        """Create a world; the service allows for `drift`, and clocks drift by `true_drift`, maybe more."""
         self.limits = limits
         self.guards = guards
         self.drift = drift
         self.true_drift = drift if true_drift is None else true_drift
         self.time = 0
         self.leases = tuple(self._lease(holder) for holder in HOLDERS)
-        self.registered: tuple[int, int] = (0, 0)  # the token that each holder has registered with
+        self.registered: tuple[int, int] = (0, 0)  # the token with which each holder has registered
         self.service = self._service(DurableState("a1"))
         self.messages: frozenset[RequestMessage | ResponseMessage] = frozenset()
         self.delayed: frozenset[DelayedAction] = frozenset()
-        self.highest_tokens: Map[bytes, int] = Map()  # at the resource
-        self.turns: tuple[int, int] = (0, 0)  # for the checks: the holders' grants, counted over both
-        self.latest_turn = 0  # of which the resource has admitted something
+        self.highest_tokens: Map[bytes, int] = Map()  # registered at the resource
+        # For the checks: the number of each holder's latest grant, counted over both holders.
+        self.turns: tuple[int, int] = (0, 0)
+        self.latest_turn = 0  # latest grant of which the resource has admitted an action
         self._prepare()
 
     def _lease(self, holder: int) -> LeaseClient:
@@ -117,9 +118,9 @@
         return lease
 
     def _prepare(self) -> None:
-        """Start where the first holder has the task and has registered, and the second one requests it.
+        """Advance to the state from which all orders of events are explored.
 
-        All orders of events are explored from there on.
+        In this state the first holder has the task and has registered, and the second one requests it.
         """
         for holder, lease in enumerate(self.leases):
             actions = lease.tick(0.0)
@@ -143,15 +144,15 @@
         return service
 
     def service_time(self) -> float:
-        """What the service's clock shows."""
+        """Return the time of the service's clock."""
         return self.time * (1 + self.true_drift)
 
     def holder_time(self) -> float:
-        """What the holders' clocks show."""
+        """Return the time of the holders' clocks."""
         return self.time * (1 - self.true_drift)
 
     def _run_service(self, service: KeyValueService, outputs: Outputs) -> list[RequestCompleted]:
-        """Let the service do everything at once: its disk is durable as soon as it writes."""
+        """Carry out all outputs of the service immediately: each write is durable at once."""
         completed: list[RequestCompleted] = []
         queue = list(outputs)
         while queue:
@@ -164,7 +165,7 @@
         return completed
 
     def fork(self) -> LeaseWorld:
-        """A copy, whose cores change without changing this world's."""
+        """Return a copy with independent cores."""
         world = object.__new__(LeaseWorld)
         world.__dict__.update(self.__dict__)
         world.leases = tuple(_forked(lease) for lease in self.leases)
@@ -172,7 +173,7 @@
         return world
 
     def key(self) -> Hashable:
-        """Equal for worlds that have the same future."""
+        """Return a key that is equal for worlds with the same future."""
         service = self.service
         return (
             tuple(_lease_key(lease) for lease in self.leases),
@@ -193,47 +194,54 @@
     # -- steps
 
     def steps(self) -> Iterator[tuple[str, LeaseWorld]]:
-        """All that can happen next.  Raises InvariantViolationError where a guarantee does not hold."""
+        """Return all possible next steps: their descriptions and the states that they lead to.
+
+        Raises:
+            InvariantViolationError: A step violates a guarantee.
+        """
         if self.limits.seconds:
             yield self._checked("a second passes", self._after_second())
         for message in self.messages:
             if isinstance(message, RequestMessage):
-                words = f"the service gets from {message.holder}: {type(message.request).__name__}"
-                yield self._checked(words, self._after_request(message))
+                description = f"the service gets from {message.holder}: {type(message.request).__name__}"
+                yield self._checked(description, self._after_request(message))
             else:
-                words = f"{message.holder} gets the response: {_described(message.response)}"
-                yield self._checked(words, self._after_response(message))
+                description = f"{message.holder} gets the response: {_describe(message.response)}"
+                yield self._checked(description, self._after_response(message))
         for holder in HOLDERS:
             yield from self._holder_steps(holder)
         for action in self.delayed:
-            words = f"the action of {action.holder} reaches the resource"
-            yield self._checked(words, self._after_action(action))
+            description = f"the action of {action.holder} reaches the resource"
+            yield self._checked(description, self._after_action(action))
         if self.limits.leader_changes:
             yield self._checked("the leader changes", self._after_leader_change())
 
     def _holder_steps(self, holder: int) -> Iterator[tuple[str, LeaseWorld]]:
-        """What a holder does that may act at this moment."""
+        """Return the steps of a holder that may act now."""
         token = self._fencing_token(holder)
         if not token:
             return
         if token != self.registered[holder] and self.guards.registration:
-            words = f"{holder} registers at the resource with {token}"
-            yield self._checked(words, self._after_registration(holder, token))
+            description = f"{holder} registers at the resource with {token}"
+            yield self._checked(description, self._after_registration(holder, token))
         elif self.limits.actions and not any(action.holder == holder for action in self.delayed):
-            words = f"{holder} checks its claim, and begins an action"
-            yield self._checked(words, self._after_check(holder, token))
+            description = f"{holder} checks its claim, and begins an action"
+            yield self._checked(description, self._after_check(holder, token))
 
     def _fencing_token(self, holder: int) -> int:
         return self.leases[holder].claims[0].fencing_token(self.holder_time())
 
-    def _checked(self, words: str, world: LeaseWorld) -> tuple[str, LeaseWorld]:
+    def _checked(self, description: str, world: LeaseWorld) -> tuple[str, LeaseWorld]:
         world.messages = frozenset(message for message in world.messages if world._has_effect(message))
         if all(world._fencing_token(holder) for holder in HOLDERS):
-            raise InvariantViolationError("two act at once", words)
-        return words, world
+            raise InvariantViolationError("two act at once", description)
+        return description, world
 
     def _has_effect(self, message: RequestMessage | ResponseMessage) -> bool:
-        """A response that nobody awaits does nothing; a request may do something, however late it comes."""
+        """Return whether a message can have an effect.
+
+        A response without a waiting receiver has none; a request may have one however late it arrives.
+        """
         if isinstance(message, RequestMessage) and not isinstance(message.request, LeaseKeepAlive):
             return True
         lease = self.leases[message.holder]
@@ -252,7 +260,7 @@
         return world
 
     def _carry_out(self, holder: int, actions: Actions) -> None:
-        """What a holder's core asks for."""
+        """Carry out the actions of a holder's core."""
         for action in actions:
             if isinstance(action, SendRequest):
                 self._send(holder, action)
@@ -269,7 +277,7 @@
 
     def _on_acquired(self, holder: int) -> None:
         turn = max(self.turns)
-        seen_again = turn and self.turns[holder] == turn  # not another grant
+        seen_again = turn and self.turns[holder] == turn  # the same grant, seen once more
         if not seen_again:
             turn += 1
         self.turns = _replaced(self.turns, holder, turn)
@@ -307,7 +315,11 @@
         return world
 
     def _after_action(self, action: DelayedAction) -> LeaseWorld:
-        """The resource gets an action; raises InvariantViolationError if it must not admit it."""
+        """Deliver an action to the resource.
+
+        Raises:
+            InvariantViolationError: The resource admits an action that it must reject.
+        """
         world = self.fork()
         world.delayed = self.delayed - {action}
         if self.guards.fencing:
@@ -320,18 +332,18 @@
         return world
 
     def _check_admitted(self, action: DelayedAction) -> None:
-        words = f"the action of {action.holder} reaches the resource"
+        description = f"the action of {action.holder} reaches the resource"
         other = 1 - action.holder
         if action.turn < self.latest_turn:
             raise InvariantViolationError(
-                f"an action of {action.holder} is taken after {other} has acted", words
+                f"an action of {action.holder} is taken after {other} has acted", description
             )
         other_token = self._fencing_token(other)
         other_acts = other_token and (self.registered[other] == other_token or not self.guards.registration)
         elapsed_s = (self.time - action.started_at) * (1 - self.true_drift)
         if other_acts and elapsed_s <= SAFETY_MARGIN_S:
             raise InvariantViolationError(
-                f"an action of {action.holder}, not held up, ends while {other} acts", words
+                f"an action of {action.holder}, not held up, ends while {other} acts", description
             )
 
     def _after_leader_change(self) -> LeaseWorld:
@@ -344,7 +356,7 @@
 
 
 class _LeaseIds:
-    """Draws ids of leases, never the same one twice."""
+    """Generates unique lease ids."""
 
     def __init__(self, holder: int) -> None:
         self.latest = LEASE_IDS_PER_HOLDER * (holder + 1)
@@ -355,7 +367,7 @@
 
 
 def _replaced(pair: tuple[int, int], holder: int, value: int) -> tuple[int, int]:
-    """A pair of values of the two holders, with another one for this holder."""
+    """Return a pair of the holders' values in which this holder's value is replaced."""
     return (value, pair[1]) if holder == 0 else (pair[0], value)
 
 
@@ -373,7 +385,7 @@
 
 
 def _lease_key(lease: LeaseClient) -> Hashable:
-    """What of a lease and its claim has a part in the world's future."""
+    """Return the state of a lease and its claim that determines the world's future."""
     (claim,) = lease.claims
     return (
         lease.lease_id,
@@ -390,7 +402,7 @@
     )
 
 
-def _described(response: ResponseOrError) -> str:
+def _describe(response: ResponseOrError) -> str:
     kind = type(response).__name__
     if isinstance(response, msgspec.Struct):
         return kind
--- a/heronreel/fault_injection/virtual.py
+++ b/heronreel/fault_injection/virtual.py
@@ -1,11 +1,11 @@
-"""A group and its lease holders in virtual time, around the cores that processes run, from one seed.
+"""A seeded simulation of a group and its lease holders in virtual time, around the cores that processes run.
 
 Members, network and clocks have the faults of `virtual_group`, and holders are paused.  After the last fault
 the group has to respond again.
 
-Invariants are checked at every step: never do two holders act, unless one is paused, and then the fenced
-resource accepts nothing of the earlier one after it accepted something of the later; and the calls of clients
-are linearizable.
+These invariants are checked: two holders never act at the same time unless one is paused; in that case the
+fenced resource accepts nothing from the earlier holder after it has accepted an action of the later one.  The
+calls of clients are linearizable.  The invariant on holders is checked at every step.
 """
 
 from __future__ import annotations
@@ -42,13 +42,13 @@
 
 @dataclass
 class Holder:
-    """A process that claims the lease."""
+    """A process that competes for the lease."""
 
     number: int
     rate: float
     session: LeaseClient
     paused_until: float = 0.0
-    entered: int = 0  # the fencing token it has entered the resource with
+    entered: int = 0  # fencing token with which it has registered at the resource
 
 
 class Grant(NamedTuple):
@@ -61,13 +61,13 @@
 class AcceptedAction(NamedTuple):
     """An action that the resource has accepted."""
 
-    at: float  # seconds
+    at: float  # virtual time in seconds
     holder: int
-    turn: int  # the place of the holder's grant among all
+    turn: int  # index of the holder's grant among all grants
 
 
 class Fault(Enum):
-    """What may go wrong."""
+    """A kind of fault that the simulation injects."""
 
     CRASH = auto()
     PAUSE_MEMBER = auto()
@@ -77,7 +77,7 @@
     PAUSE_HOLDER = auto()
 
 
-# drawn from at random: a holder is paused twice as often as anything else happens
+# Faults are drawn from this tuple; the pause of a holder is twice as likely as any other fault.
 _FAULTS = (
     Fault.CRASH,
     Fault.PAUSE_MEMBER,
@@ -87,11 +87,11 @@
     Fault.PAUSE_HOLDER,
     Fault.PAUSE_HOLDER,
 )
-LOSS_RATES = (0.02, 0.2, 0.4)  # shares of messages
+LOSS_RATES = (0.02, 0.2, 0.4)  # lost messages as a share of all messages
 
 
 class VirtualWorld(VirtualGroup):
-    """One run, which its seed determines: `run` plays it, and `problems` has what went wrong."""
+    """One run that is determined by its seed: `run` executes it, and `problems` lists the violations."""
 
     def __init__(
         self,
@@ -106,18 +106,18 @@
         fenced: bool = True,
         margin: bool = True,
     ) -> None:
-        """Prepares a run.
+        """Prepare a run.
 
         Args:
-            seed: determines everything random.
-            members: of the group, by number.
-            holders: processes that claim the same lease.
-            seconds: the virtual time that the run takes; no fault comes in its last third.
-            faults: how many are injected.
-            drift: how much clocks run faster or slower than true time, at most, as a share.
-            guards: the safeguards of the consensus protocol in force.
-            fenced: whether the resource rejects earlier holders.
-            margin: whether holders stop before their lease ends.
+            seed: Determines all random choices.
+            members: The number of members of the group.
+            holders: The number of processes that compete for the lease.
+            seconds: The virtual duration of the run; no fault begins in its last third.
+            faults: The number of injected faults.
+            drift: The maximum deviation of clock rates from true time, as a share.
+            guards: The enabled safeguards of the consensus protocol.
+            fenced: Whether the resource rejects earlier holders.
+            margin: Whether holders stop before their lease expires.
         """
         super().__init__(seed, members=members, drift=drift, guards=guards)
         self.end = seconds
@@ -133,7 +133,7 @@
             self.holders.append(Holder(number, rate, session))
         self.fencing = FencingGuard()
         self.accepted: list[AcceptedAction] = []
-        self.grants: list[Grant] = []  # in the order made
+        self.grants: list[Grant] = []  # in the order of the grants
         self.calls: list[Operation] = []
         self.healed = False
         self.responses_after_heal = 0
@@ -144,7 +144,7 @@
     # -- the run
 
     def run(self) -> list[str]:
-        """Play all of it, and return what went wrong."""
+        """Execute the run, and return the violations."""
         for node in self.nodes.values():
             self._tick_node(node, node.restarts)
         for holder in self.holders:
@@ -160,22 +160,22 @@
         if not self.problems:
             if not self.responses_after_heal:
                 self.problems.append("nothing was answered after the last fault")
-            if why := find_violation(self.calls):
-                self.problems.append(why)
+            if violation := find_violation(self.calls):
+                self.problems.append(violation)
         return self.problems
 
     # -- clients
 
     def _client(self, client: int, number: int) -> None:
-        """Make one call after the other on a few keys."""
+        """Make calls sequentially on a few keys."""
         key = self.rng.choice(KEYS)
         kind = self.rng.choice((READ, PUT, CAS))
-        fresh = f"{client}.{number}"
-        written_lately = [call.arguments[-1] for call in self.calls[-6:] if call.kind != READ]
-        expected = self.rng.choice(written_lately or [None])
-        request, given = _client_request(kind, key, fresh, expected)
+        new_value = f"{client}.{number}"
+        recent_values = [call.arguments[-1] for call in self.calls[-6:] if call.kind != READ]
+        expected = self.rng.choice(recent_values or [None])
+        request, arguments = _client_request(kind, key, new_value, expected)
         index = len(self.calls)
-        self.calls.append(Operation(f"c{client}", kind, given, self.now, float("inf"), None))
+        self.calls.append(Operation(f"c{client}", kind, arguments, self.now, float("inf"), None))
 
         def on_response(response: ResponseOrError | None) -> None:
             result: object = None
@@ -224,7 +224,7 @@
         self._send_request(action.request, holder.session.terms.response_timeout_s, on_response)
 
     def _act(self, holder: Holder) -> None:
-        """Check for the lease, and act: the action reaches the resource a little later, or after a pause."""
+        """Act if the lease is held; the action reaches the resource after a short or, rarely, long delay."""
         number = holder.session.claims[0].fencing_token(self._holder_time(holder))
         if not number:
             return
@@ -248,10 +248,10 @@
             self.problems.append(f"{self.now:.2f} s: {holder.number} is taken after a later holder")
         self.accepted.append(AcceptedAction(self.now, holder.number, turn))
 
-    # -- faults and the judge
+    # -- faults and invariants
 
     def _fault(self) -> None:
-        """Inject a random fault into a random member or holder, for a random time."""
+        """Inject a random fault into a random member or holder for a random duration."""
         node = self.rng.choice(list(self.nodes.values()))
         fault = self.rng.choice(_FAULTS)
         length = self.rng.uniform(0.3, 4.0)
@@ -268,7 +268,7 @@
                 self._crash(node, length)
 
     def _pause_holder(self, length: float) -> None:
-        """Pause a holder, one that has the lease if there is any."""
+        """Pause a holder, preferably one that has the lease."""
         holding = [holder for holder in self.holders if holder.session.claims[0].granted_token]
         self.rng.choice(holding or self.holders).paused_until = self.now + length
 
@@ -289,15 +289,15 @@
 
 
 def _client_request(
-    kind: str, key: bytes, fresh: str, expected: str | None
+    kind: str, key: bytes, new_value: str, expected: str | None
 ) -> tuple[Request, list[str | None]]:
-    """A client's request, and its arguments as the history has them."""
-    given: list[str | None] = [key.decode()]
+    """Return a client's request, and its arguments in the form that the history records."""
+    arguments: list[str | None] = [key.decode()]
     if kind == READ:
-        return Range(key), given
+        return Range(key), arguments
     if kind == PUT:
-        return Put(key, fresh.encode()), [*given, fresh]
+        return Put(key, new_value.encode()), [*arguments, new_value]
     same = Compare(key, CompareTarget.CREATE, CompareOperator.EQUAL, 0)
     if expected is not None:
         same = Compare(key, CompareTarget.VALUE, CompareOperator.EQUAL, expected.encode())
-    return Txn((same,), (Put(key, fresh.encode()),)), [*given, expected, fresh]
+    return Txn((same,), (Put(key, new_value.encode()),)), [*arguments, expected, new_value]
--- a/heronreel/fault_injection/virtual_group.py
+++ b/heronreel/fault_injection/virtual_group.py
@@ -1,8 +1,8 @@
-"""A group of consensus members in virtual time, around the core that processes run.
+"""A simulation of a group of consensus members in virtual time, around the core that processes run.
 
-Messages are delayed by random times, so they overtake one another; they are lost and duplicated; links are
-partitioned in one or both directions; members crash and restart with what had reached their disk, or are
-paused; clocks drift apart by up to the bound.
+Messages have random delays, so they overtake one another; they may be lost or duplicated.  Links are
+partitioned in one or both directions.  Members crash and restart with the durable content of their disks, or
+are paused.  Clocks drift apart by up to the configured bound.
 """
 
 from __future__ import annotations
@@ -33,20 +33,20 @@
     waiting: list[Persist] = field(default_factory=list)
     up: bool = True
     paused_until: float = 0.0
-    restarts: int = 0  # what was under way before a restart is dropped
+    restarts: int = 0  # scheduled calls from before a restart are dropped
 
 
 class VirtualGroup:
-    """Members, their network and their faults; all that is random is drawn from one seed."""
+    """Members, their network and their faults; one seed determines all random choices."""
 
     def __init__(self, seed: int, *, members: int, drift: float, guards: Guards) -> None:
-        """Prepares a group whose members have empty disks.
+        """Create a group whose members have empty disks.
 
         Args:
-            seed: determines everything random.
-            members: of the group, by number.
-            drift: how much clocks run faster or slower than true time, at most, as a share.
-            guards: the safeguards of the consensus protocol in force.
+            seed: Determines all random choices.
+            members: The number of members.
+            drift: The maximum deviation of clock rates from true time, as a share.
+            guards: The enabled safeguards of the consensus protocol.
         """
         self.rng = random.Random(f"virtual {seed}")
         self.now = 0.0
@@ -85,7 +85,7 @@
     # -- time
 
     def schedule(self, time: float, call: Callable[[], None]) -> None:
-        """Make a call at a virtual time, in seconds."""
+        """Schedule a call at a virtual time in seconds."""
         self._event_count += 1
         heapq.heappush(self._events, (time, self._event_count, call))
 
@@ -94,7 +94,7 @@
         return bool(self._events)
 
     def next_event(self) -> Callable[[], None]:
-        """Advance the time to the next scheduled call, and return that call."""
+        """Advance the time to the next scheduled call, and return the call."""
         self.now, _, call = heapq.heappop(self._events)
         return call
 
@@ -160,7 +160,7 @@
         for _ in range(copies):
             delay = self.rng.uniform(0.001, 0.02)
             if self.rng.random() < 0.02:
-                delay += self.rng.uniform(0.0, 3.0)  # some come very late
+                delay += self.rng.uniform(0.0, 3.0)  # some messages are very late
             self.schedule(self.now + delay, lambda: self._receive(sender, to, message))
 
     def _receive(self, sender: str, to: str, message: AnyMessage) -> None:
@@ -174,7 +174,7 @@
         self._outputs(node, node.service.handle_actions(now, node.service.member.receive(now, message)))
 
     def _restart(self, node: Node, disk: DurableState) -> None:
-        """Restart a member with this disk."""
+        """Restart a member with the given disk."""
         node.restarts += 1
         node.up = True
         node.paused_until = 0.0
@@ -188,13 +188,13 @@
     def _send_request(
         self, request: Request, seconds: float, on_response: Callable[[ResponseOrError | None], None]
     ) -> None:
-        """Send a request to a member that believes it leads.
+        """Send a request to a member that considers itself the leader.
 
         `on_response` is called once, with None if there is no response within `seconds`.
         """
         done = False
 
-        def once(response: ResponseOrError | None) -> None:
+        def respond_once(response: ResponseOrError | None) -> None:
             nonlocal done
             if not done:
                 done = True
@@ -203,7 +203,7 @@
         def respond(response: ResponseOrError) -> None:
             if self.rng.random() < self.loss:
                 return  # the response is lost
-            self.schedule(self.now + self.rng.uniform(0.001, 0.03), lambda: once(response))
+            self.schedule(self.now + self.rng.uniform(0.001, 0.03), lambda: respond_once(response))
 
         def arrive(node: Node) -> None:
             if not node.up:
@@ -218,15 +218,15 @@
             self._outputs(node, node.service.submit(now, request_id, request, now + 2.0))
 
         leaders = [node for node in self.nodes.values() if node.up and node.service.member.is_leader]
-        self.schedule(self.now + seconds, lambda: once(None))
+        self.schedule(self.now + seconds, lambda: respond_once(None))
         if leaders and self.rng.random() >= self.loss:
-            node = self.rng.choice(leaders)  # two may believe that they lead
+            node = self.rng.choice(leaders)  # two members may consider themselves the leader
             self.schedule(self.now + self.rng.uniform(0.001, 0.03), lambda: arrive(node))
 
     # -- faults
 
     def _partition(self, node: Node, length: float, *, both_ways: bool) -> None:
-        """Cut the links from a member to all others, and those to it as well if `both_ways`."""
+        """Partition the links from a member to all others and, if `both_ways`, the links to it."""
         for other in self.names:
             if other == node.name:
                 continue
@@ -236,12 +236,12 @@
         self.schedule(self.now + length, self.partitioned.clear)
 
     def _pause_member(self, node: Node, length: float) -> None:
-        """Pause a member, unless all are down or paused."""
+        """Pause a member, unless all members are down or paused."""
         if any(other.up and other.paused_until <= self.now for other in self.nodes.values()):
             node.paused_until = self.now + length
 
     def _crash(self, node: Node, length: float) -> None:
-        """Crash a member, which loses what has not reached its disk, and restart it later."""
+        """Crash a member, which loses its writes that are not durable, and restart it later."""
         node.up = False
         node.restarts += 1
         node.waiting.clear()
