--- a/tests/routes/__init__.py
+++ b/tests/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of files of routes."""
+"""Tests of routes files."""
--- a/tests/routes/hostile_world.py
+++ b/tests/routes/hostile_world.py
@@ -1,8 +1,8 @@
-"""A host in virtual time that plays files of routes against the real decision module, with a hostile world.
+"""A simulation in virtual time that runs routes files on the real decision module under faults.
 
-It carries out the module's actions as the network code does, decides with a seeded draw how long connects,
-stalls and answers take and how attempts end, and keeps the books of what truly ran in its own way: a timeline
-for `heronreel.routes.timeline` to judge.
+It executes the module's actions as the network code does.  Seeded random choices decide how long connects,
+event loop stalls and responses take, and how attempts end.  It records what truly ran in a timeline of its
+own, which `heronreel.routes.timeline` checks.
 """
 
 from __future__ import annotations
@@ -18,12 +18,14 @@
 from heronreel.routes.timeline import EventKind, RequestTerms, TimelineEvent, broken_rules
 from heronreel.serve.policies import Router, discovered_pool, members_of, settings_of
 
-GRACE_MS = 50.0
+RESPONSE_GRACE_MS = 50.0  # how much longer than they say clients wait
 HOUR_MS = 3.6e6
 
 
 @dataclass
 class Attempt:
+    """An attempt that the decision module started."""
+
     number: int
     backend: int
     group: str
@@ -35,8 +37,10 @@
 
 @dataclass
 class ClientRequest:
+    """A request of a client; its retry after a refusal is a request of its own."""
+
     ident: int
-    line: int  # of the timeline: a client that comes back has the same one
+    timeline_id: int  # A client that returns keeps its timeline.
     deadline: float
     waits_until: float
     key: int
@@ -46,173 +50,208 @@
 
 
 class World:
-    """`stalls` up to that many ms; `blind`: the module believes that keys are remembered for an hour."""
+    """The simulated clients, backends and network around the decision module.
+
+    `stalls` are the delays in ms from which those of the event loop are drawn.  With `ignore_window` the
+    module and the network code assume a deduplication window of an hour, so that their guards have no effect.
+    """
 
-    def __init__(self, file: RoutesFile, seed: int, stalls: tuple[float, ...], blind: bool = False) -> None:
-        self.file, self.random, self.stalls, self.blind = file, random.Random(seed), stalls, blind
+    def __init__(
+        self, file: RoutesFile, seed: int, stalls: tuple[float, ...], ignore_window: bool = False
+    ) -> None:
+        self.file, self.random = file, random.Random(seed)
+        self.stalls, self.ignore_window = stalls, ignore_window
         self.route = file.routes[0]
         self.limits = file.process.limits
         self.pools = Pools(settings_of(file), seed, discovered_pool(file))
         self.router = Router(file)
         self.now = 0.0
-        self.due: list[tuple[float, int, Callable[[], None]]] = []
-        self.count = 0
+        self.scheduled: list[tuple[float, int, Callable[[], None]]] = []
+        self.scheduled_count = 0
         self.requests: dict[int, ClientRequest] = {}
-        self.steps: list[TimelineEvent] = []
+        self.timeline: list[TimelineEvent] = []
         self.infos: dict[int, api.BackendInfo] = {}
         for number, member in enumerate(members_of(file).endpoints):
             self.infos[number] = api.BackendInfo(
                 number, member.state, member.zone, member.kind, member.cell, pool=member.pool
             )
-        self.telling = False
+        self.is_handling = False
         self.events: list[api.Event] = []
-        self.tell(api.BackendList(api.ListKind.CACHED, list(self.infos.values())))
+        self.handle(api.BackendList(api.ListKind.CACHED, list(self.infos.values())))
         self.method = min(self.route.match.methods, default="POST")
 
     def terms(self) -> RequestTerms:
-        """What the requests truly are: only a key and its group make a POST harmless to repeat."""
+        """Return the true terms of the requests: a POST can be repeated only with a key in its group."""
         effect, policy = api.Effect.IDEMPOTENT, self.route.policy
         if self.method in ("POST", "PATCH"):
             keyed = policy.effect is api.Effect.KEYED
             effect = api.Effect.KEYED if keyed else api.Effect.UNSAFE
-        return RequestTerms(effect, policy.deduplication_window_ms, self.limits.client_wait_ms + GRACE_MS)
+        return RequestTerms(
+            effect, policy.deduplication_window_ms, self.limits.client_wait_ms + RESPONSE_GRACE_MS
+        )
 
-    def at(self, when: float, then: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.due, (when, self.count, then))
+    def schedule(self, at_ms: float, callback: Callable[[], None]) -> None:
+        """Run a callback at a virtual time; callbacks of the same time run in the order of scheduling."""
+        self.scheduled_count += 1
+        heapq.heappush(self.scheduled, (at_ms, self.scheduled_count, callback))
 
     def run(self, requests: int) -> dict[str, str]:
-        """Play so many requests to their end; the rules broken."""
+        """Run this number of requests to their end and return the rules that were broken."""
         for number in range(requests):
-            self.at(self.random.choice((0.0, 40.0, 700.0, 3000.0)), lambda n=number: self.arrive(n, n))  # type: ignore[misc]
+            arrives_at = self.random.choice((0.0, 40.0, 700.0, 3000.0))
+            self.schedule(arrives_at, lambda n=number: self.start_request(n, n))  # type: ignore[misc]
         last = 0.0
-        while self.due:
-            self.now, _, then = heapq.heappop(self.due)
+        while self.scheduled:
+            self.now, _, callback = heapq.heappop(self.scheduled)
             if self.now > 60_000.0 and not [a for a in self.requests.values() if not a.finals]:
-                break  # only the module's own clock goes on
-            then()
+                break  # Only the module's own timers are left.
+            callback()
             last = max(last, self.now)
-        found: dict[str, str] = {}
-        for line in {step.request for step in self.steps}:
-            found |= broken_rules([s for s in self.steps if s.request == line], self.terms())
+        violations: dict[str, str] = {}
+        for timeline_id in {event.request for event in self.timeline}:
+            events = [event for event in self.timeline if event.request == timeline_id]
+            violations |= broken_rules(events, self.terms())
         for request in self.requests.values():
             if len(request.finals) != 1:
-                found["lost"] = f"{len(request.finals)} answers"
-        return {rule: words for rule, words in found.items() if rule in ("lost", "twice")}
+                violations["lost"] = f"{len(request.finals)} answers"
+        return {rule: text for rule, text in violations.items() if rule in ("lost", "twice")}
 
-    def tell(self, event: api.Event) -> None:
+    def handle(self, event: api.Event) -> None:
+        """Pass an event to the decision module and execute its actions; nested events are queued."""
         self.events.append(event)
-        if self.telling:
+        if self.is_handling:
             return
-        self.telling = True
+        self.is_handling = True
         while self.events:
             for action in self.pools.handle(self.now, self.events.pop(0)):
-                self.carry_out(action)
-        self.telling = False
+                self.execute(action)
+        self.is_handling = False
 
-    def arrive(self, line: int, key: int, again: bool = False) -> None:
+    def start_request(self, timeline_id: int, key: int, returns: bool = False) -> None:
+        """Start a request; `returns` if the client retries after a refusal."""
         policy = self.router.find(b"h", b"/x", self.method.encode(), {b"idempotency-key": b"k"})
         assert policy
-        policy = replace(
-            policy, retry_budget_ratio=policy.retry_budget_ratio and 1.0
-        )  # budgets must not hide what is unsafe
-        if self.blind:
+        # A small budget could hide an unsafe policy, because it suppresses the repeats.
+        policy = replace(policy, retry_budget_ratio=policy.retry_budget_ratio and 1.0)
+        if self.ignore_window:
             policy = replace(
                 policy,
                 request_class=replace(policy.request_class, repeat_window_ms=HOUR_MS),
                 window_margin_ms=0.0,
             )
         ident = len(self.requests)
-        waits = self.now + self.limits.client_wait_ms
-        request = ClientRequest(ident, line, self.now + policy.request_class.deadline_ms, waits, key, policy)
+        waits_until = self.now + self.limits.client_wait_ms
+        deadline = self.now + policy.request_class.deadline_ms
+        request = ClientRequest(ident, timeline_id, deadline, waits_until, key, policy)
         self.requests[ident] = request
-        self.steps.append(TimelineEvent(self.now, EventKind.RETURNS if again else EventKind.ARRIVES, line))
-        self.at(request.deadline, lambda: self.deadline(request))
-        left = policy.request_class.deadline_ms
-        self.tell(
+        kind = EventKind.RETURNS if returns else EventKind.ARRIVES
+        self.timeline.append(TimelineEvent(self.now, kind, timeline_id))
+        self.schedule(request.deadline, lambda: self.reach_deadline(request))
+        remaining_ms = policy.request_class.deadline_ms
+        self.handle(
             api.Arrival(
-                ident, policy.request_class.name, left, hint_ms=20.0, policy=policy, idempotency_key=key
+                ident,
+                policy.request_class.name,
+                remaining_ms,
+                hint_ms=20.0,
+                policy=policy,
+                idempotency_key=key,
             )
         )
 
-    def carry_out(self, action: api.Action) -> None:
+    def execute(self, action: api.Action) -> None:
         match action:
             case api.StartAttempt():
-                self.start(action)
+                self.start_attempt(action)
             case api.SetTimer(token, delay):
-                self.at(self.now + delay + self.late(), lambda: self.tell(api.TimerFired(token)))
+                self.schedule(
+                    self.now + delay + self.draw_stall(), lambda: self.handle(api.TimerFired(token))
+                )
             case api.Reject(ident, after):
-                self.final(self.requests[ident], EventKind.REFUSED)
-                self.at(self.now + after, lambda: self.come_back(ident))
+                self.respond(self.requests[ident], EventKind.REFUSED)
+                self.schedule(self.now + after, lambda: self.return_client(ident))
             case api.Fail(ident):
-                self.final(self.requests[ident], EventKind.FAILED)
+                self.respond(self.requests[ident], EventKind.FAILED)
 
-    def late(self) -> float:
+    def draw_stall(self) -> float:
         return self.random.choice(self.stalls)
 
-    def come_back(self, ident: int) -> None:
+    def return_client(self, ident: int) -> None:
+        """Let a client retry once after a refusal, while it still waits."""
         request = self.requests[ident]
-        if ident == request.line and self.now < request.waits_until:  # once
-            self.arrive(request.line, request.key, True)
+        if ident == request.timeline_id and self.now < request.waits_until:
+            self.start_request(request.timeline_id, request.key, True)
 
-    def final(self, request: ClientRequest, what: EventKind) -> None:
+    def respond(self, request: ClientRequest, kind: EventKind) -> None:
         if not request.finals:
-            self.steps.append(TimelineEvent(self.now, what, request.line))
+            self.timeline.append(TimelineEvent(self.now, kind, request.timeline_id))
         request.finals.append(self.now)
 
-    def start(self, action: api.StartAttempt) -> None:
-        request, decided = self.requests[action.request], self.now
+    def start_attempt(self, action: api.StartAttempt) -> None:
+        request, decided_at = self.requests[action.request], self.now
         info = self.infos[action.backend]
         scope = self.route.policy.deduplication_scope
         group = {api.DedupScope.CELL: str(info.cell), api.DedupScope.ZONE: info.zone}.get(scope, "all")
-        send_by = decided + action.within_ms if action.within_ms and not self.blind else float("inf")
+        send_by = (
+            decided_at + action.within_ms if action.within_ms and not self.ignore_window else float("inf")
+        )
         ends_at = (
-            min(request.deadline, decided + action.timeout_ms) if action.timeout_ms else request.deadline
+            min(request.deadline, decided_at + action.timeout_ms) if action.timeout_ms else request.deadline
         )
-        one = Attempt(len(request.attempts), action.backend, group, ends_at, send_by)
-        request.attempts.append(one)
-        if decided >= ends_at or request.finals:
-            self.end(request, one, api.Outcome.NOT_SENT)
+        attempt = Attempt(len(request.attempts), action.backend, group, ends_at, send_by)
+        request.attempts.append(attempt)
+        if decided_at >= ends_at or request.finals:
+            self.end_attempt(request, attempt, api.Outcome.NOT_SENT)
             return
         connect = self.random.choice((0.0, 1.0, 0.5, 1.0)) * self.limits.connect_timeout_ms
         if self.random.random() < 0.1:
-            self.at(min(decided + connect, ends_at), lambda: self.end(request, one, api.Outcome.UNREACHABLE))
+            self.schedule(
+                min(decided_at + connect, ends_at),
+                lambda: self.end_attempt(request, attempt, api.Outcome.UNREACHABLE),
+            )
             return
-        self.at(ends_at + self.late(), lambda: self.end(request, one, api.Outcome.TIMEOUT))
-        if decided + connect < ends_at:
-            self.at(decided + connect + self.late(), lambda: self.write(request, one))
+        self.schedule(
+            ends_at + self.draw_stall(), lambda: self.end_attempt(request, attempt, api.Outcome.TIMEOUT)
+        )
+        if decided_at + connect < ends_at:
+            self.schedule(
+                decided_at + connect + self.draw_stall(), lambda: self.write_first_byte(request, attempt)
+            )
 
-    def write(self, request: ClientRequest, one: Attempt) -> None:
-        if one.ended:
+    def write_first_byte(self, request: ClientRequest, attempt: Attempt) -> None:
+        if attempt.ended:
             return
-        if request.finals or self.now >= one.send_by:
-            self.end(request, one, api.Outcome.NOT_SENT)
+        if request.finals or self.now >= attempt.send_by:
+            self.end_attempt(request, attempt, api.Outcome.NOT_SENT)
             return
-        one.written = True
+        attempt.written = True
         outcome = self.random.choice((
             api.Outcome.SERVED, api.Outcome.ERROR, api.Outcome.RESET, api.Outcome.REJECTED,
             api.Outcome.TIMEOUT, api.Outcome.TIMEOUT,
         ))  # fmt: skip
         if outcome is not api.Outcome.REJECTED:
-            self.steps.append(TimelineEvent(self.now, EventKind.SENT, request.line, one.number, one.group))
+            event = TimelineEvent(
+                self.now, EventKind.SENT, request.timeline_id, attempt.number, attempt.group
+            )
+            self.timeline.append(event)
         if outcome is not api.Outcome.TIMEOUT:
-            took = self.random.choice((0.0, 1.0, 30.0, 340.0, 900.0, 2400.0))
-            self.at(self.now + took, lambda: self.end(request, one, outcome))
+            duration_ms = self.random.choice((0.0, 1.0, 30.0, 340.0, 900.0, 2400.0))
+            self.schedule(self.now + duration_ms, lambda: self.end_attempt(request, attempt, outcome))
 
-    def end(self, request: ClientRequest, one: Attempt, outcome: api.Outcome) -> None:
-        if one.ended:
+    def end_attempt(self, request: ClientRequest, attempt: Attempt, outcome: api.Outcome) -> None:
+        if attempt.ended:
             return
-        one.ended = True
-        if outcome is api.Outcome.TIMEOUT and not one.written:
-            outcome = api.Outcome.UNREACHABLE  # its connection ends with it, so it can never run
+        attempt.ended = True
+        if outcome is api.Outcome.TIMEOUT and not attempt.written:
+            outcome = api.Outcome.UNREACHABLE  # Its connection is closed as well, so it can never run.
         if outcome is api.Outcome.SERVED and not request.finals:
-            self.final(request, EventKind.SERVED)
-        ids = (request.ident, one.number, one.backend)
-        self.tell(api.AttemptEnded(*ids, outcome, 10.0, bool(request.finals)))
+            self.respond(request, EventKind.SERVED)
+        ids = (request.ident, attempt.number, attempt.backend)
+        self.handle(api.AttemptEnded(*ids, outcome, 10.0, bool(request.finals)))
 
-    def deadline(self, request: ClientRequest) -> None:
-        for one in request.attempts:
-            self.end(request, one, api.Outcome.TIMEOUT)
+    def reach_deadline(self, request: ClientRequest) -> None:
+        for attempt in request.attempts:
+            self.end_attempt(request, attempt, api.Outcome.TIMEOUT)
         if not request.finals:
-            self.final(request, EventKind.FAILED)
-            self.tell(api.RequestClosed(request.ident))
+            self.respond(request, EventKind.FAILED)
+            self.handle(api.RequestClosed(request.ident))
--- a/tests/routes/test_proof.py
+++ b/tests/routes/test_proof.py
@@ -1,4 +1,4 @@
-"""The proof: unsafe files are refused for their reason at their line, bold ones are not; witnesses hold."""
+"""The proof rejects unsafe files with rule and line, accepts safe ones, and gives valid witnesses."""
 
 from __future__ import annotations
 
@@ -18,71 +18,72 @@
 ROOT = Path(__file__).parents[2]
 
 
-def marked(text: str) -> int:
-    """The line that ends with #!; 0 if none does."""
+def marked_line(text: str) -> int:
+    """Return the line that ends with #!, or 0 if there is none."""
     return next((n for n, line in enumerate(text.split("\n"), 1) if line.endswith("#!")), 0)
 
 
-def test_there_are_files_enough() -> None:
+def test_there_are_enough_sample_files() -> None:
     assert len(UNSAFE) >= 40 and len(SAFE) >= 15
 
 
 @pytest.mark.parametrize("text", UNSAFE.values(), ids=UNSAFE)
-def test_an_unsafe_file_is_refused_for_its_reason_at_its_line(text: str) -> None:
+def test_an_unsafe_file_is_rejected_with_its_rule_and_line(text: str) -> None:
     (rule,) = re.findall(r"^# refused: (\S+)$", text, re.MULTILINE)
     report = check_routes(text.encode())
-    assert [(f.problem.rule, f.problem.line) for f in report.findings] == [(rule, marked(text))]
+    assert [(f.problem.rule, f.problem.line) for f in report.findings] == [(rule, marked_line(text))]
     assert report.findings[0].problem.wrong and report.findings[0].problem.right
 
 
 @pytest.mark.parametrize("text", SAFE.values(), ids=SAFE)
-def test_a_bold_but_safe_file_is_accepted(text: str) -> None:
+def test_a_safe_file_at_the_limits_is_accepted(text: str) -> None:
     assert [str(finding) for finding in check_routes(text.encode()).findings] == []
 
 
-def test_the_example_is_safe() -> None:
+def test_the_example_files_are_safe() -> None:
     for path in (ROOT / "examples").glob("*.toml"):
         assert check_routes(path.read_bytes()).safe
 
 
-def witnessed() -> list[tuple[str, Finding]]:
+def findings_with_witness() -> list[tuple[str, Finding]]:
     return [
         (name, f) for name, text in UNSAFE.items() for f in check_routes(text.encode()).findings if f.witness
     ]
 
 
 @pytest.mark.parametrize(
-    ("name", "finding"), witnessed(), ids=lambda value: value if isinstance(value, str) else ""
+    ("name", "finding"), findings_with_witness(), ids=lambda value: value if isinstance(value, str) else ""
 )
 def test_a_witness_breaks_the_rule_it_names(name: str, finding: Finding) -> None:
     if isinstance(finding.witness, Witness):
         assert set(broken_rules(finding.witness.events, finding.witness.terms)) == {finding.witness.rule}
-        times = [step.at_ms for step in finding.witness.events]
+        times = [event.at_ms for event in finding.witness.events]
         assert times == sorted(times) and str(finding.witness)
 
 
 @pytest.mark.parametrize(
-    ("name", "finding"), witnessed(), ids=lambda value: value if isinstance(value, str) else ""
+    ("name", "finding"), findings_with_witness(), ids=lambda value: value if isinstance(value, str) else ""
 )
-def test_an_example_request_shows_the_clash(name: str, finding: Finding) -> None:
+def test_an_example_request_matches_several_routes(name: str, finding: Finding) -> None:
     example = finding.witness
     if not isinstance(example, Example):
         return
     file = check_routes(UNSAFE[name].encode()).file
     assert file
     headers = {key.encode(): value.encode() for key, value in example.headers}
-    taking = [
+    matching = [
         route
         for route in file.routes
         if route_accepts(
             route, example.host.encode(), example.path.encode(), example.method.encode(), headers
         )
     ]
-    assert len(taking) > 1  # both want it: either nobody says who comes first, or the other one always does
+    # Either neither route has precedence, or the other route shadows the reported one.
+    assert len(matching) > 1
 
 
-def test_every_kind_of_harm_has_a_witness() -> None:
-    rules = {f.witness.rule for _, f in witnessed() if isinstance(f.witness, Witness)}
+def test_every_rule_has_a_witness() -> None:
+    rules = {f.witness.rule for _, f in findings_with_witness() if isinstance(f.witness, Witness)}
     assert rules == {"lost", "twice", "platform", "promise", "budget"}
 
 
@@ -100,7 +101,7 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "rule", "breaks"),
+    ("body", "rule", "broken_rule"),
     [
         ('effect = "safe"\ndeadline_ms = 2500', "weaker-than-platform", "twice"),
         ('effect = "keyed"\nwindow_ms = 5001\ndeadline_ms = 2500', "weaker-than-platform", "twice"),
@@ -115,8 +116,8 @@
         ('effect = "keyed"\nwindow_ms = 5000\ndeadline_ms = 2500', "", ""),
     ],
 )
-def test_a_file_may_ask_the_platform_for_more_care_and_not_for_less(
-    body: str, rule: str, breaks: str
+def test_a_policy_may_be_stricter_than_the_platform_but_not_weaker(
+    body: str, rule: str, broken_rule: str
 ) -> None:
     limits = PlatformLimits(client_wait_ms=9000.0, classes=PLATFORM)
     findings = [
@@ -127,24 +128,24 @@
     assert [finding.problem.rule for finding in findings] == ([rule] if rule else [])
     for finding in findings:
         if isinstance(finding.witness, Witness):
-            assert breaks in broken_rules(finding.witness.events, finding.witness.terms)
+            assert broken_rule in broken_rules(finding.witness.events, finding.witness.terms)
 
 
-def test_the_judge_finds_no_fault_with_a_good_timeline() -> None:
+def test_a_valid_timeline_breaks_no_rule() -> None:
     terms = RequestTerms(Effect.KEYED, 5000.0, 2500.0, 2, False)
-    good = [
+    valid = [
         TimelineEvent(0.0, EventKind.ARRIVES),
         TimelineEvent(0.0, EventKind.SENT, group="r1"),
         TimelineEvent(900.0, EventKind.ENDED),
         TimelineEvent(900.0, EventKind.SENT, attempt=1, group="r1"),
         TimelineEvent(1000.0, EventKind.SERVED),
     ]
-    assert broken_rules(good, terms) == {}
-    assert set(broken_rules([*good, TimelineEvent(1001.0, EventKind.SERVED)], terms)) == {"lost"}
-    assert set(broken_rules(good[:-1], terms)) == {"lost"}
+    assert broken_rules(valid, terms) == {}
+    assert set(broken_rules([*valid, TimelineEvent(1001.0, EventKind.SERVED)], terms)) == {"lost"}
+    assert set(broken_rules(valid[:-1], terms)) == {"lost"}
 
 
-def test_all_errors_come_in_one_go_with_their_lines() -> None:
+def test_all_problems_are_reported_at_once_with_their_lines() -> None:
     text = """\
 [proxy]
 zone = 3
--- a/tests/routes/test_soundness.py
+++ b/tests/routes/test_soundness.py
@@ -1,6 +1,7 @@
-"""Whatever file the proof accepts, the module in a hostile world breaks neither rule 1 nor rule 2.
+"""The decision module loses no request and repeats no effect under any file that the proof accepts.
 
-And the proof is what does it: without one of its rules, a file is found that breaks one.
+A simulation with faults runs drawn files.  With a check of the proof left out, it finds a file that breaks a
+rule, so each of those checks is needed.
 """
 
 from __future__ import annotations
@@ -33,47 +34,47 @@
   { name = "b2", address = "127.0.0.1:5", zone = "y", rack = "r3" },
 ]
 """
-MARGIN = 50.0
-SMALL = (0.0, 0.0, 1.0, MARGIN)  # what the margin allows for
-LARGE = (0.0, 0.0, 20.0, 400.0, 6000.0)  # an event loop that stands still
+CLOCK_MARGIN_MS = 50.0
+SMALL_STALLS_MS = (0.0, 0.0, 1.0, CLOCK_MARGIN_MS)  # within the clock margin
+LARGE_STALLS_MS = (0.0, 0.0, 20.0, 400.0, 6000.0)  # a stalled event loop
 OUTCOMES = ("not-run", "error", "reset", "timeout")
 
 
 @st.composite
-def texts(draw: st.DrawFn, sure: str = "") -> str:
-    """A file of one route, from bold to wrong; `sure` are lines that it has whatever is drawn."""
+def route_files(draw: st.DrawFn, fixed: str = "") -> str:
+    """Draw a file of one route, safe or unsafe; the lines of `fixed` replace drawn ones."""
 
-    def some(*values: object) -> object:
+    def choose(*values: object) -> object:
         return draw(st.sampled_from(values))
 
     outcomes = draw(st.sets(st.sampled_from(OUTCOMES), min_size=1))
-    effect = some("safe", "keyed", "keyed", "unsafe")
+    effect = choose("safe", "keyed", "keyed", "unsafe")
     lines = {
         "effect": f'"{effect}"',
-        "group": f'"{some("rack", "zone", "all")}"',
-        "window_ms": some(5000, 5000, 250, 301, 1200, 60000) if effect == "keyed" else 0,
+        "group": f'"{choose("rack", "zone", "all")}"',
+        "window_ms": choose(5000, 5000, 250, 301, 1200, 60000) if effect == "keyed" else 0,
         "aim_ms": 100,
-        "deadline_ms": some(800, 2500, 2600, 4949, 4951, 8000),
-        "attempt_timeout_ms": some(0, 90, 350, 790, 2400, 2500, 4700),
-        "attempts": some(1, 2, 3, 4),
-        "backoff_ms": some(0, 0, 30, 700, 2000),
+        "deadline_ms": choose(800, 2500, 2600, 4949, 4951, 8000),
+        "attempt_timeout_ms": choose(0, 90, 350, 790, 2400, 2500, 4700),
+        "attempts": choose(1, 2, 3, 4),
+        "backoff_ms": choose(0, 0, 30, 700, 2000),
         "backoff_most_ms": 4000,
-        "retry_on": "[" + ", ".join(f'"{word}"' for word in sorted(outcomes)) + "]",
-        "retry_to": f'"{some("group", "pool", "split")}"',
-        "second_copy_after_ms": some(0, 0, 1, 100, 1000),
-        "second_copy_to": f'"{some("group", "pool")}"',
-        "when_exhausted": f'"{some("fail", "fail", "refuse")}"',
+        "retry_on": "[" + ", ".join(f'"{outcome}"' for outcome in sorted(outcomes)) + "]",
+        "retry_to": f'"{choose("group", "pool", "split")}"',
+        "second_copy_after_ms": choose(0, 0, 1, 100, 1000),
+        "second_copy_to": f'"{choose("group", "pool")}"',
+        "when_exhausted": f'"{choose("fail", "fail", "refuse")}"',
     }
-    methods = some("GET", "POST", "POST", "PUT")
-    pool = some('pool = "a"', 'pool = "b"', 'split = [{ pool = "a" }, { pool = "b", weight = 3 }]')
-    lines.update({name: value for name, value in (line.split(" = ") for line in sure.splitlines())})
+    methods = choose("GET", "POST", "POST", "PUT")
+    pool = choose('pool = "a"', 'pool = "b"', 'split = [{ pool = "a" }, { pool = "b", weight = 3 }]')
+    lines.update({name: value for name, value in (line.split(" = ") for line in fixed.splitlines())})
     body = "\n".join(f"{name} = {value}" for name, value in lines.items())
-    wait = some(2500, 9000)
+    client_wait_ms = choose(2500, 9000)
     return f"""\
 [proxy]
 second_copies = true
-client_wait_ms = {wait}
-clock_margin_ms = {MARGIN:g}
+client_wait_ms = {client_wait_ms}
+clock_margin_ms = {CLOCK_MARGIN_MS:g}
 max_retry_after_ms = 100
 {POOLS}
 [[routes]]
@@ -84,62 +85,61 @@
 """
 
 
-CALM = settings(
+EXPLORATION = settings(
     max_examples=120, deadline=None, derandomize=True, database=None,
     suppress_health_check=[HealthCheck.filter_too_much, HealthCheck.too_slow],
 )  # fmt: skip
 
 
-def played(text: str, seed: int, stalls: tuple[float, ...], blind: bool = False) -> dict[str, str]:
-    return World(load_routes(text.encode()), seed, stalls, blind).run(5)
+def simulate(text: str, seed: int, stalls: tuple[float, ...], ignore_window: bool = False) -> dict[str, str]:
+    """Run five requests under a file and return the rules that were broken."""
+    return World(load_routes(text.encode()), seed, stalls, ignore_window).run(5)
 
 
-def accepted(text: str) -> bool:
+def is_accepted(text: str) -> bool:
     file = load_routes(text.encode())
     return not prove(file, file.process.limits)
 
 
-@CALM
-@given(texts(), st.integers(0, 2**16))
-def test_what_the_proof_accepts_breaks_no_rule_even_when_the_process_stands_still(
-    text: str, seed: int
-) -> None:
-    assume(accepted(text))
-    found = played(text, seed, LARGE)
-    found.pop("lost", None)  # a process that stands still answers late, whatever its file says
-    assert not found, f"seed {seed}"
+@EXPLORATION
+@given(route_files(), st.integers(0, 2**16))
+def test_accepted_files_repeat_no_effect_when_the_event_loop_stalls(text: str, seed: int) -> None:
+    assume(is_accepted(text))
+    violations = simulate(text, seed, LARGE_STALLS_MS)
+    violations.pop("lost", None)  # A stalled process responds late under any file.
+    assert not violations, f"seed {seed}"
 
 
-@CALM
-@given(texts(), st.integers(0, 2**16))
-def test_what_the_proof_accepts_loses_no_request(text: str, seed: int) -> None:
-    assume(accepted(text))
-    assert not played(text, seed, SMALL), f"seed {seed}"
+@EXPLORATION
+@given(route_files(), st.integers(0, 2**16))
+def test_accepted_files_lose_no_request(text: str, seed: int) -> None:
+    assume(is_accepted(text))
+    assert not simulate(text, seed, SMALL_STALLS_MS), f"seed {seed}"
 
 
-@CALM
-@given(texts(), st.integers(0, 2**16))
-def test_what_the_proof_accepts_needs_no_guard_of_the_window(text: str, seed: int) -> None:
-    """The module and the network code believe in a window of an hour: the proof alone keeps repeats in it."""
-    assume(accepted(text))
-    assert not played(text, seed, SMALL, blind=True), f"seed {seed}"
+@EXPLORATION
+@given(route_files(), st.integers(0, 2**16))
+def test_accepted_files_stay_within_the_window_without_runtime_guards(text: str, seed: int) -> None:
+    """The module and the network code assume a window of an hour, so only the proof prevents late repeats."""
+    assume(is_accepted(text))
+    assert not simulate(text, seed, SMALL_STALLS_MS, ignore_window=True), f"seed {seed}"
 
 
-@CALM
-@given(texts(), st.integers(0, 2**16))
-def test_the_guards_hold_without_the_proof(text: str, seed: int) -> None:
-    """Windows, groups and unsafe requests are the module's own to keep, whatever a file would allow."""
+@EXPLORATION
+@given(route_files(), st.integers(0, 2**16))
+def test_runtime_guards_hold_without_the_proof(text: str, seed: int) -> None:
+    """The module enforces windows, groups and the limits of unsafe requests, whatever a file allows."""
     file = load_routes(text.encode())
     rules = {finding.problem.rule for finding in prove(file, file.process.limits)}
-    assume(not rules & {"write-called-safe", "refusal-after-run"})  # false words about what requests are
-    assert "twice" not in played(text, seed, LARGE), f"seed {seed}"
+    assume(not rules & {"write-called-safe", "refusal-after-run"})  # These files misdescribe their requests.
+    assert "twice" not in simulate(text, seed, LARGE_STALLS_MS), f"seed {seed}"
 
 
 Check = Callable[..., object]
 
 
 @pytest.mark.parametrize(
-    ("left_out", "breaks", "blind", "sure"),  # what is sure only saves time
+    ("omitted_check", "broken_rule", "ignore_window", "fixed"),  # The fixed lines only shorten the search.
     [
         (retry_checks.write_called_safe, "twice", False, ""),
         (retry_checks.refusal_after_run, "twice", False, 'effect = "unsafe"\nwhen_exhausted = "refuse"'),
@@ -149,29 +149,32 @@
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
-def test_without_one_rule_of_the_proof_a_file_breaks_it(
-    left_out: Check, breaks: str, blind: bool, sure: str, monkeypatch: pytest.MonkeyPatch
+def test_without_one_check_an_accepted_file_breaks_a_rule(
+    omitted_check: Check, broken_rule: str, ignore_window: bool, fixed: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    kept = tuple(check for check in proof.CHECKS if check is not left_out)
-    assert len(kept) == len(proof.CHECKS) - 1
-    monkeypatch.setattr(proof, "CHECKS", kept)
+    remaining = tuple(check for check in proof.CHECKS if check is not omitted_check)
+    assert len(remaining) == len(proof.CHECKS) - 1
+    monkeypatch.setattr(proof, "CHECKS", remaining)
 
-    def breaks_it(drawn: tuple[str, int]) -> bool:
+    def breaks_rule(drawn: tuple[str, int]) -> bool:
         text, seed = drawn
-        return accepted(text) and breaks in played(text, seed, SMALL, blind)
+        return is_accepted(text) and broken_rule in simulate(text, seed, SMALL_STALLS_MS, ignore_window)
 
-    many = settings(CALM, max_examples=6000, phases=[Phase.generate])  # shrinking would only cost time
+    # Shrinking would only take time, because the example is not reported.
+    search = settings(EXPLORATION, max_examples=6000, phases=[Phase.generate])
     try:
-        find(st.tuples(texts(sure), st.integers(0, 2**16)), breaks_it, settings=many)
+        find(st.tuples(route_files(fixed), st.integers(0, 2**16)), breaks_rule, settings=search)
     except NoSuchExample:
-        pytest.fail("the rule is not needed, or the world too kind to show it")
+        pytest.fail(
+            "no accepted file breaks the rule: the check is redundant, or the simulation has too few faults"
+        )
 
 
 @pytest.mark.parametrize("text", SAFE.values(), ids=SAFE)
-def test_the_bold_files_hold_too(text: str) -> None:
+def test_safe_example_files_break_no_rule(text: str) -> None:
     file = load_routes(text.encode())
     for seed in range(20):
-        world = World(file, seed, SMALL)
+        world = World(file, seed, SMALL_STALLS_MS)
         if world.router.find(b"h", b"/x", world.method.encode(), {b"idempotency-key": b"k"}) is None:
-            return  # its routes lie elsewhere
+            return  # The file has no route for the simulated requests.
         assert not world.run(5), f"seed {seed}"
