--- a/tests/serve/__init__.py
+++ b/tests/serve/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of a proxy on its own pools."""
+"""Tests of `heronreel serve`: a proxy that serves the routes and pools of a file."""
--- a/tests/serve/test_retries_and_hedging.py
+++ b/tests/serve/test_retries_and_hedging.py
@@ -1,4 +1,4 @@
-"""Retries and hedged requests of routes over loopback sockets: one response each, no effect twice."""
+"""Retries and hedged requests over loopback sockets: each request has one response and one effect."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 from tests.support.serve_process import HEDGED_SAVE, READ, SAVE, file_of, get, post, served
 
 
-def test_a_keyed_request_is_repeated_and_one_without_its_key_is_not(tmp_path: Path) -> None:
+def test_a_request_is_retried_only_with_an_idempotency_key(tmp_path: Path) -> None:
     async def talk() -> None:
         async with ScriptedBackend(ok(b"first"), GONE, ok(b"second"), GONE) as node:
             async with served(tmp_path, file_of(SAVE, p=[(node.address, "r1")])) as proxy:
                 assert await proxy.ask(post("/save/1", "k0")) == ("200", b"first")
-                assert len(node.seen.pop()) == 16  # ids are made where clients give none
+                assert len(node.seen.pop()) == 16  # The proxy makes an id if the client sends none.
                 assert await proxy.ask(post("/save/1", "k1", "a1")) == ("200", b"second")
-                assert node.seen == ["a1"] * 2  # a rack of one: its own repeats it drops
+                assert node.seen == ["a1"] * 2  # The rack has one backend, so the retry goes to the same one.
                 assert await proxy.ask(post("/save/1", "", "a2")) == ("502", b"")
                 assert node.seen[2:] == ["a2"]
 
@@ -42,13 +42,13 @@
 
 
 def test_a_request_without_its_key_is_unsafe(tmp_path: Path) -> None:
-    """Two servers stand ready for a repeat, which comes only with a key."""
+    """Two backends are available for a retry, which is sent only if the request has a key."""
 
     async def talk() -> None:
         for key, count, status in (("", 1, "502"), ("k1", 2, "200")):
             async with ScriptedBackend(GONE) as one, ScriptedBackend(GONE) as two:
                 nodes = [one, two]
-                one.answers = two.answers = [GONE]  # whichever comes first breaks
+                one.answers = two.answers = [GONE]  # The first attempt fails on either backend.
                 async with served(tmp_path, file_of(SAVE, p=[(n.address, "r1") for n in nodes])) as proxy:
                     assert (await proxy.ask(post("/save/1", key, "a1")))[0] == status
                     assert len(one.seen + two.seen) == count
@@ -57,8 +57,8 @@
 
 
 @pytest.mark.parametrize("winner", [0, 1])
-def test_of_two_attempts_that_both_answer_one_is_served(tmp_path: Path, winner: int) -> None:
-    """The loser's answer is thrown away, and the client's connection goes on with its own answers."""
+def test_one_of_two_responses_is_served(tmp_path: Path, winner: int) -> None:
+    """The later response is discarded, and the client's connection still gets the right responses."""
 
     async def talk() -> None:
         async with ScriptedBackend(None) as one, ScriptedBackend(None) as two:
@@ -77,8 +77,8 @@
     run(talk())
 
 
-def test_two_attempts_and_a_copy_that_all_answer(tmp_path: Path) -> None:
-    """First and copy fail, in either order, before the third goes out; its answer is the one."""
+def test_a_third_attempt_is_served_after_two_failed_ones(tmp_path: Path) -> None:
+    """The first attempt and the hedged one fail, in either order; the third attempt's response is served."""
 
     async def talk() -> None:
         async with ScriptedBackend(None, ok(b"third")) as one, ScriptedBackend(None, ok(b"third")) as two:
@@ -95,7 +95,7 @@
                 one.requested.clear()
                 two.requested.clear()
                 waits = [asyncio.create_task(node.requested.wait()) for node in (one, two)]
-                one.go.set()  # what the two still write after their 500 is nobody's
+                one.go.set()  # What the two write after their 500 is discarded.
                 two.go.set()
                 await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
                 assert await read_response(reader) == ("200", b"third")
@@ -106,7 +106,7 @@
     run(talk())
 
 
-def test_a_drained_server_gets_no_copy(tmp_path: Path) -> None:
+def test_a_draining_backend_gets_no_hedged_request(tmp_path: Path) -> None:
     async def talk() -> None:
         async with ScriptedBackend(None) as one, ScriptedBackend(None) as two:
             text = file_of(SAVE + "second_copy_after_ms = 600\n", p=[(n.address, "r1") for n in (one, two)])
@@ -120,7 +120,7 @@
                 proxy.path.write_text(text.replace(name, name + "\ndraining = true"))
                 proxy.signal(signal.SIGHUP)
                 await proxy.log_line("reload: done")
-                await asyncio.sleep(0.8)  # past the time of the copy
+                await asyncio.sleep(0.8)  # longer than the hedge delay
                 assert other.seen == []
                 first.go.set()
                 assert await read_response(reader) == ("200", b"late")
@@ -130,8 +130,8 @@
     run(talk())
 
 
-def test_a_process_that_stands_still_past_the_window_repeats_nothing(tmp_path: Path) -> None:
-    """Stopped between the time-out and the repeat, and longer than the rack remembers."""
+def test_a_process_stopped_past_the_window_sends_no_retry(tmp_path: Path) -> None:
+    """The process is stopped from the first attempt until after the deduplication window."""
 
     async def talk() -> None:
         route = SAVE.replace("window_ms = 5000", "window_ms = 900").replace(
@@ -154,7 +154,7 @@
 
 
 class FixedDecisions:
-    """Decides as a test says."""
+    """A decision module whose actions are chosen by a test."""
 
     def __init__(self, decide: Callable[[api.Event], list[api.Action]]) -> None:
         self.decide = decide
@@ -177,26 +177,26 @@
 
 
 @pytest.mark.parametrize("fault", ["window", "drain", "none"])
-def test_between_decision_and_first_byte(fault: str) -> None:
-    """The network code looks once more where it writes: at the window, and at a drain past its grace.
+def test_window_and_drain_are_checked_before_the_first_byte(fault: str) -> None:
+    """Before its first write the network code checks the window, and a drain whose grace period is over.
 
-    The connection comes up only after this loop has stood still, or after the leave was notified.
+    The connection is established only after the event loop has stalled or the backend has begun to drain.
     """
 
     async def talk() -> None:
         async with ScriptedBackend() as node:
-            more = '[[listeners]]\nname = "in"\naddress = "127.0.0.1:0"\n'
-            text = file_of(SAVE, more=more, p=[(node.address, "r1")])
+            listener = '[[listeners]]\nname = "in"\naddress = "127.0.0.1:0"\n'
+            text = file_of(SAVE, more=listener, p=[(node.address, "r1")])
             file = load_routes(text.replace("[proxy]", "[proxy]\ndrain_grace_ms = 1").encode())
             loop = asyncio.get_running_loop()
-            within = 0.0 if fault == "drain" else 60.0
-            numbers: list[int] = []
+            within_ms = 0.0 if fault == "drain" else 60.0
+            backend_numbers: list[int] = []
 
             def decide(event: api.Event) -> list[api.Action]:
                 if isinstance(event, api.BackendList):
-                    numbers.extend(info.backend for info in event.backends)
+                    backend_numbers.extend(info.backend for info in event.backends)
                 if isinstance(event, api.Arrival):
-                    return [api.StartAttempt(event.request, numbers[0], 0.0, within)]
+                    return [api.StartAttempt(event.request, backend_numbers[0], 0.0, within_ms)]
                 if isinstance(event, api.AttemptEnded) and not event.finished:
                     return [api.Fail(event.request)]
                 return []
@@ -205,16 +205,16 @@
             proxy = Dispatcher(loop, config_of(file), decisions, Router(file))
             connect = loop.create_connection
 
-            async def slow(*args: Any, **more: Any) -> Any:
-                made = await connect(*args, **more)
+            async def connect_slowly(*args: Any, **kwargs: Any) -> Any:
+                connection = await connect(*args, **kwargs)
                 if fault == "window":
-                    time.sleep(0.1)  # the loop stands still, as a busy or swapped process does
+                    time.sleep(0.1)  # The event loop stalls, as in a busy or swapped process.
                 elif fault == "drain":
                     for backend in proxy.backends.values():
                         backend.listed, backend.draining_since = False, time.monotonic() - 1.0
-                return made
+                return connection
 
-            loop.create_connection = slow  # type: ignore[method-assign]
+            loop.create_connection = connect_slowly  # type: ignore[method-assign]
             policy = Router(file).find(b"h", b"/save", b"POST", {b"idempotency-key": b"k"})
             writer = RecordingWriter()
             head = RequestHead(
@@ -223,15 +223,15 @@
             proxy.submit(writer, head, b"")
             await decisions.attempt_ended.wait()
             loop.create_connection = connect  # type: ignore[method-assign]
-            ran = fault == "none"
-            assert decisions.ended[0].outcome is (api.Outcome.SERVED if ran else api.Outcome.NOT_SENT)
-            assert writer.statuses == [200 if ran else 502]
-            assert len(node.seen) == ran
+            is_sent = fault == "none"
+            assert decisions.ended[0].outcome is (api.Outcome.SERVED if is_sent else api.Outcome.NOT_SENT)
+            assert writer.statuses == [200 if is_sent else 502]
+            assert len(node.seen) == is_sent
 
     run(talk())
 
 
-def test_a_percentile_without_samples_sends_no_copy(tmp_path: Path) -> None:
+def test_hedging_by_percentile_needs_latency_samples(tmp_path: Path) -> None:
     async def talk() -> None:
         async with ScriptedBackend(None) as one, ScriptedBackend(None) as two:
             nodes = (one, two)
@@ -239,12 +239,12 @@
             async with served(tmp_path, file_of(route, p=[(n.address, "r1") for n in nodes])) as proxy:
                 reader, writer = await proxy.connect()
                 writer.write(get("/read/0"))
-                await asyncio.sleep(0.4)  # a copy would be out long since
+                await asyncio.sleep(0.4)  # A hedged request would have been sent by this time.
                 assert len(one.seen + two.seen) == 1
                 for node in nodes:
                     node.go.set()
                 assert await read_response(reader) == ("200", b"late")
-                for number in range(25):  # now there are samples, of a few ms
+                for number in range(25):  # Afterwards there are samples of a few ms.
                     writer.write(get(f"/read/{number}"))
                     assert (await read_response(reader))[0] == "200"
                 for node in nodes:
@@ -260,11 +260,11 @@
     run(talk())
 
 
-def test_a_split_over_pools_that_share_a_rack_keeps_a_repeat_in_its_own(tmp_path: Path) -> None:
-    """a has racks r1 and r2, b has r2 and r3; every first try breaks after it ran."""
+def test_a_retry_of_a_split_route_stays_in_its_pool_and_rack(tmp_path: Path) -> None:
+    """Pool a has racks r1 and r2, pool b has r2 and r3; every first attempt fails after it ran."""
 
     async def talk() -> None:
-        nodes = {place: ScriptedBackend() for place in ("a1", "a2", "b2", "b3")}
+        nodes = {name: ScriptedBackend() for name in ("a1", "a2", "b2", "b3")}
         async with nodes["a1"], nodes["a2"], nodes["b2"], nodes["b3"]:
             pools = {
                 pool: [(nodes[pool + rack].address, f"r{rack}") for rack in racks]
@@ -277,27 +277,26 @@
                     for node in nodes.values():
                         node.seen, node.answers = [], [GONE]
                     status, _ = await proxy.ask(post(f"/save/{number}", f"k{number}", f"a{number}"))
-                    asked = [place for place, node in nodes.items() if node.seen]
-                    assert (
-                        len(asked) == 1
-                    )  # a lone server of its rack that rests gets no repeat, and nobody else
-                    assert status == "200" or len(nodes[asked[0]].seen) == 1
-                    seen.update(asked)
-                assert {place[0] for place in seen} == {"a", "b"}
+                    used = [name for name, node in nodes.items() if node.seen]
+                    # If the only backend of the rack is in backoff, no other backend gets the retry.
+                    assert len(used) == 1
+                    assert status == "200" or len(nodes[used[0]].seen) == 1
+                    seen.update(used)
+                assert {name[0] for name in seen} == {"a", "b"}
 
     run(talk())
 
 
-def test_answers_in_the_turn_of_the_copys_start(tmp_path: Path) -> None:
-    """Answers come just as copies go out, again and again: one answer each, and the right one."""
+def test_responses_that_arrive_as_hedged_requests_start(tmp_path: Path) -> None:
+    """Responses arrive just when hedged requests are sent; each request gets exactly its own response."""
 
     async def talk() -> None:
         effects: Counter[bytes] = Counter()
         rack = DeduplicationGroup("r1")
-        manners = ServerBehaviour(work_s=0.02)  # 10 to 30 ms; the copy is due after 20
+        behaviour = ServerBehaviour(work_s=0.02)  # Responses take 10 to 30 ms; the hedge delay is 20 ms.
         async with (
-            StubServer("one", rack, manners, effects, 1) as one,
-            StubServer("two", rack, manners, effects, 2) as two,
+            StubServer("one", rack, behaviour, effects, 1) as one,
+            StubServer("two", rack, behaviour, effects, 2) as two,
         ):
             members = [(f"{host}:{port}", "r1") for host, port in (one.address, two.address)]
             route = HEDGED_SAVE + "retry_budget = 1\n"
@@ -307,6 +306,7 @@
                     writer.write(post("/save/1", f"k{number}", extra=f"X-Effect-Id: e{number}\r\n"))
                     assert await read_response(reader) == ("200", b"e%d" % number)
                 assert len(effects) == 80 and set(effects.values()) == {1}
-                assert 5 < one.repeats_dropped + two.repeats_dropped < 75  # copies went out, and not for all
+                # Some requests were hedged, but not all of them.
+                assert 5 < one.repeats_dropped + two.repeats_dropped < 75
 
     run(talk())
--- a/tests/serve/test_route_reload.py
+++ b/tests/serve/test_route_reload.py
@@ -1,4 +1,4 @@
-"""Reloads of a routes file over loopback sockets: under load, large, and refused."""
+"""Reloads of a routes file over loopback sockets: under load, of large files, and of rejected ones."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tests.support.serve_process import HEDGED_SAVE, READ, SAVE, file_of, get, many_routes, post, served
 
 
-def test_requests_keep_the_policy_they_began_with(tmp_path: Path) -> None:
-    """Shortened, lengthened and removed while requests wait for an answer, in a pause, with a copy out."""
+def test_requests_keep_the_policy_they_started_with(tmp_path: Path) -> None:
+    """Routes get other deadlines or are removed while requests wait, are in backoff, or are hedged."""
 
     async def talk() -> None:
         async with ScriptedBackend(None, None) as one, ScriptedBackend(None, None) as two:
@@ -24,9 +24,9 @@
             paused = READ.replace("/read", "/paused").replace('"read"', '"paused"') + "backoff_ms = 400\n"
             text = file_of(HEDGED_SAVE, READ, paused, p=members)
             async with served(tmp_path, text) as proxy:
-                copied, copied_writer = await proxy.connect()
-                copied_writer.write(post("/save/1", "k1", "a1"))
-                await asyncio.gather(one.requested.wait(), two.requested.wait())  # first and copy are out
+                hedged, hedged_writer = await proxy.connect()
+                hedged_writer.write(post("/save/1", "k1", "a1"))
+                await asyncio.gather(one.requested.wait(), two.requested.wait())  # Both attempts are sent.
                 for node in (one, two):
                     node.answers = [ERROR]
                 waiting, waiting_writer = await proxy.connect()
@@ -35,7 +35,7 @@
                     await asyncio.sleep(0.01)
                 for node in (one, two):
                     node.answers = []
-                # shortened to nothing, then removed
+                # The deadline of one route is shortened, and the other routes are removed.
                 short = READ.replace("deadline_ms = 4000", "deadline_ms = 50").replace(
                     "aim_ms = 500", "aim_ms = 40"
                 )
@@ -43,11 +43,9 @@
                 proxy.signal(signal.SIGHUP)
                 await proxy.log_line("reload: done, 1 routes")
                 assert (await proxy.ask(post("/save/2", "k2")))[0] == "404"
-                assert await read_response(waiting) == (
-                    "200",
-                    b"good",
-                )  # after its pause, on a route that is gone
-                # lengthened: what began under the short one still ends by it
+                # The retry after the backoff belongs to a route that has been removed.
+                assert await read_response(waiting) == ("200", b"good")
+                # The deadline is lengthened; a request that started before keeps the short one.
                 for node in (one, two):
                     node.answers = [None]
                 brief, brief_writer = await proxy.connect()
@@ -58,13 +56,13 @@
                 assert (await read_response(brief))[0] == "504"
                 one.go.set()
                 two.go.set()
-                assert await read_response(copied) == ("200", b"late")
+                assert await read_response(hedged) == ("200", b"late")
                 assert (await proxy.ask(get("/read/2")))[0] == "200"
 
     run(talk())
 
 
-def test_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_a_rejected_file_changes_nothing(tmp_path: Path) -> None:
     async def talk() -> None:
         async with ScriptedBackend() as node:
             text = file_of(SAVE, p=[(node.address, "r1")])
@@ -92,51 +90,51 @@
     run(talk())
 
 
-def test_reloads_under_load_lose_nothing(tmp_path: Path) -> None:
-    """Pools move from one server to another and back while requests flow."""
+def test_reloads_under_load_lose_no_request(tmp_path: Path) -> None:
+    """The pool's backend is replaced and restored while requests are in progress."""
 
     async def talk() -> None:
         async with ScriptedBackend() as one, ScriptedBackend() as two:
             texts = [file_of(SAVE, READ, p=[(node.address, "r1")]) for node in (one, two)]
             async with served(tmp_path, texts[0]) as proxy:
-                answers: list[str] = []
+                statuses: list[str] = []
                 stop = asyncio.Event()
 
-                async def ask_on(worker: int) -> None:
+                async def send_requests(worker: int) -> None:
                     reader, writer = await proxy.connect()
                     number = 0
                     while not stop.is_set():
                         number += 1
                         writer.write(post(f"/save/{worker}", f"k{worker}-{number}"))
-                        answers.append((await read_response(reader))[0])
-                        if answers[-1] != "200":
+                        statuses.append((await read_response(reader))[0])
+                        if statuses[-1] != "200":
                             stop.set()
                     writer.close()
 
-                workers = [asyncio.create_task(ask_on(n)) for n in range(8)]
+                workers = [asyncio.create_task(send_requests(n)) for n in range(8)]
                 for turn in range(6):
                     proxy.path.write_text(texts[(turn + 1) % 2])
                     proxy.signal(signal.SIGHUP)
                     await proxy.log_line("reload: done")
-                    mark = len(answers)
-                    while len(answers) < mark + 40 and not stop.is_set():
+                    count_before = len(statuses)
+                    while len(statuses) < count_before + 40 and not stop.is_set():
                         await asyncio.sleep(0.005)
                 stop.set()
                 await asyncio.gather(*workers)
-                assert set(answers) == {"200"} and len(answers) >= 240
+                assert set(statuses) == {"200"} and len(statuses) >= 240
                 assert one.seen and two.seen
 
     run(talk())
 
 
-def test_ten_thousand_routes_are_served_and_odd_files_are_not_taken(tmp_path: Path) -> None:
+def test_ten_thousand_routes_are_served_and_malformed_files_are_rejected(tmp_path: Path) -> None:
     async def talk() -> None:
         async with ScriptedBackend() as node:
             text = file_of(READ, p=[(node.address, "r1")])
             many = text + many_routes(10_000)
             async with served(tmp_path, text) as proxy:
-                odd = (b"version = 1\n\0", b"# " + b"x" * (5 << 20), b"x = " + b"[" * 5000, b"\xff")
-                for bad in odd:
+                malformed = (b"version = 1\n\0", b"# " + b"x" * (5 << 20), b"x = " + b"[" * 5000, b"\xff")
+                for bad in malformed:
                     proxy.path.write_bytes(bad)
                     proxy.signal(signal.SIGHUP)
                     await proxy.log_line("the old file stays in force")
@@ -151,8 +149,8 @@
     run(talk())
 
 
-def test_a_large_reload_does_not_hold_requests_up(tmp_path: Path) -> None:
-    """Ten thousand routes take seconds to read and prove; requests go on being answered meanwhile."""
+def test_a_large_reload_does_not_delay_requests(tmp_path: Path) -> None:
+    """Ten thousand routes take seconds to load and prove; requests are answered in the meantime."""
 
     async def talk() -> None:
         async with ScriptedBackend() as node:
@@ -164,14 +162,14 @@
                 proxy.signal(signal.SIGHUP)
                 await proxy.log_line("reload: reading")
                 done = asyncio.create_task(proxy.log_line("reload: done"))
-                began = time.monotonic()
-                waits: list[float] = []
+                started_at = time.monotonic()
+                latencies_s: list[float] = []
                 while not done.done():
-                    asked = time.monotonic()
+                    sent_at = time.monotonic()
                     writer.write(get("/read/1"))
                     assert await read_response(reader) == ("200", b"good")
-                    waits.append(time.monotonic() - asked)
-                # a loop held up would answer one request only when the file is read: nearly all of the time
-                assert max(waits) < 0.5 * (time.monotonic() - began)
+                    latencies_s.append(time.monotonic() - sent_at)
+                # A blocked event loop would answer one request only after nearly all of the load time.
+                assert max(latencies_s) < 0.5 * (time.monotonic() - started_at)
 
     run(talk())
--- a/tests/serve/test_serve.py
+++ b/tests/serve/test_serve.py
@@ -1,4 +1,4 @@
-"""Routes in force over loopback sockets: responses, listeners, discovery and the process's life."""
+"""Serving routes over loopback sockets: responses, listeners, discovery, start and shutdown."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from tests.support.serve_process import HEDGED_SAVE, READ, SAVE, file_of, get, post, served
 
 
-def test_what_no_route_takes_is_not_passed_on(tmp_path: Path) -> None:
+def test_requests_without_a_route_are_not_forwarded(tmp_path: Path) -> None:
     async def talk() -> None:
         async with ScriptedBackend() as node:
             async with served(tmp_path, file_of(SAVE, READ, p=[(node.address, "r1")])) as proxy:
@@ -44,7 +44,7 @@
     run(talk())
 
 
-def test_other_answers_than_200_are_passed_on_and_failings_are_not(tmp_path: Path) -> None:
+def test_responses_with_any_status_are_forwarded(tmp_path: Path) -> None:
     async def talk() -> None:
         answers = (
             b"HTTP/1.1 201 Made\r\nLocation: /x\r\nContent-Length: 2\r\n\r\nok",
@@ -60,7 +60,7 @@
     run(talk())
 
 
-def test_sigterm_answers_what_was_taken(tmp_path: Path) -> None:
+def test_accepted_requests_are_answered_after_sigterm(tmp_path: Path) -> None:
     async def talk() -> None:
         async with ScriptedBackend(None) as node:
             async with served(tmp_path, file_of(SAVE, p=[(node.address, "r1")])) as proxy:
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "code", "word"),
+    ("change", "exit_status", "error"),
     [
         (("window_ms = 5000", "window_ms = 10"), 1, "window-too-short"),
         (('name = "in"', 'nam = "in"'), 1, "unknown-field"),
@@ -101,8 +101,8 @@
         (("127.0.0.1:0", "127.0.0.1:{taken}"), 2, "listeners"),
     ],
 )
-def test_a_file_that_cant_be_served_is_told_at_once(
-    tmp_path: Path, change: tuple[str, str], code: int, word: str
+def test_a_file_that_cant_be_served_is_reported_at_start(
+    tmp_path: Path, change: tuple[str, str], exit_status: int, error: str
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         port = str(taken.getsockname()[1])
@@ -113,33 +113,35 @@
         path.write_text(text)
         command = [sys.executable, "-m", "heronreel.cli", "serve", str(path)]
         done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=30, check=False)
-    assert done.returncode == code and word in done.stderr
+    assert done.returncode == exit_status and error in done.stderr
 
 
-def test_a_pool_may_come_from_discovery_beside_one_of_the_file(tmp_path: Path) -> None:
-    """Neither list's whole takes the other's members away, at a reload or when the watch tells anew."""
+def test_a_discovered_pool_and_a_pool_of_the_file_are_independent(tmp_path: Path) -> None:
+    """Neither a reload nor a complete list from discovery removes members of the other pool."""
 
     async def talk() -> None:
         async with ScriptedBackend() as one, ScriptedBackend() as two, ScriptedBackend() as three:
             async with Discovery(entry("d1", two.address)) as discovery:
-                found = (
+                discovered_route = (
                     READ.replace('pool = "p"', 'pool = "found"')
                     .replace("/read", "/found")
                     .replace('"read"', '"f"')
                 )
-                text = file_of(READ, found, p=[(one.address, "r1")])
+                text = file_of(READ, discovered_route, p=[(one.address, "r1")])
                 text = text.replace("[proxy]", f'[proxy]\ndiscovery = "{discovery.address}"')
                 text += '[[pools]]\nname = "found"\ndiscovery = "platform"\n'
                 async with served(tmp_path, text) as proxy:
                     await discovery.watched.wait()
                     while (await proxy.ask(get("/found/1")))[0] != "200":
-                        await asyncio.sleep(0.05)  # the watch has been answered, not yet read
+                        await asyncio.sleep(
+                            0.05
+                        )  # The proxy may not have processed the watch's response yet.
                     assert (await proxy.ask(get("/read/1")))[0] == "200"
                     proxy.path.write_text(text.replace(one.address, three.address))
                     proxy.signal(signal.SIGHUP)
                     await proxy.log_line("reload: done")
-                    mark = len(two.seen)
-                    assert (await proxy.ask(get("/found/2")))[0] == "200" and len(two.seen) == mark + 1
+                    seen_before = len(two.seen)
+                    assert (await proxy.ask(get("/found/2")))[0] == "200" and len(two.seen) == seen_before + 1
                     assert (await proxy.ask(get("/read/2")))[0] == "200" and len(three.seen) == 1
                     discovery.change(entry("d1", two.address, "leaving"))
                     while (await proxy.ask(get("/found/3")))[0] != "503":
@@ -149,8 +151,8 @@
     run(talk())
 
 
-def test_on_the_platform_routes_stand_beside_its_own_checks(tmp_path: Path) -> None:
-    """The platform's classes, ids and list hold; a route adds its policy, and may not ask for less care."""
+def test_routes_on_the_platform_are_limited_by_its_settings(tmp_path: Path) -> None:
+    """The platform's classes, ids and list apply; a route adds its policy, which may not be weaker."""
 
     async def talk() -> None:
         async with ScriptedBackend(None) as one, ScriptedBackend(None) as two:
@@ -172,19 +174,18 @@
                 async with served(tmp_path, text, "--platform", **env) as proxy:
                     await discovery.watched.wait()
                     proxy.ports["in"] = int((await proxy.log_line("listening")).split(":")[-1].split()[0])
-                    assert (await proxy.ask(post("/save/1", "k1")))[0] == "400"  # it needs an id here
+                    assert (await proxy.ask(post("/save/1", "k1")))[
+                        0
+                    ] == "400"  # The platform requires an id.
                     reader, writer = await proxy.connect()
                     writer.write(request("a1"))
-                    await asyncio.gather(
-                        one.requested.wait(), two.requested.wait()
-                    )  # the copy that the route allows
+                    # The route allows a hedged request.
+                    await asyncio.gather(one.requested.wait(), two.requested.wait())
                     one.go.set()
                     two.go.set()
                     assert await read_response(reader) == ("200", b"late")
-                    assert await proxy.ask(request("a2", "read")) == (
-                        "200",
-                        b"good",
-                    )  # no route: its class alone
+                    # Without a route only the request's class applies.
+                    assert await proxy.ask(request("a2", "read")) == ("200", b"good")
                     for bad in (
                         text.replace("window_ms = 5000", "window_ms = 6000"),
                         text.replace("save", "pay"),
