--- a/heronreel/routes/checked_route.py
+++ b/heronreel/routes/checked_route.py
@@ -103,16 +103,16 @@
 
         The first attempt goes to the group `first`, by default to the route's first group.
         """
-        span = self.policy.max_attempt_ms
+        attempt_ms = self.policy.max_attempt_ms
         outcome = self.outcome_that_may_have_run()
-        ended = span if outcome == "timeout" else min(1.0, span)
-        again = min(ended + self.policy.backoff_before(1), self.policy.deadline_ms)
+        ended_at = attempt_ms if outcome == "timeout" else min(1.0, attempt_ms)
+        retried_at = min(ended_at + self.policy.backoff_before(1), self.policy.deadline_ms)
         note = f"sent again to {group}, where it takes effect a second time"
         events = [
             *self.first_attempt(first),
-            self.attempt_ended(ended, outcome),
-            TimelineEvent(again, EventKind.SENT, attempt=1, group=group, note=note),
-            TimelineEvent(again, EventKind.SERVED),
+            self.attempt_ended(ended_at, outcome),
+            TimelineEvent(retried_at, EventKind.SENT, attempt=1, group=group, note=note),
+            TimelineEvent(retried_at, EventKind.SERVED),
         ]
         return Witness("twice", terms, tuple(events))
 
--- a/heronreel/routes/feasibility_checks.py
+++ b/heronreel/routes/feasibility_checks.py
@@ -22,7 +22,7 @@
     """Report a latency objective that is longer than the deadline."""
     objective, deadline = route.policy.latency_objective_ms, route.policy.deadline_ms
     if objective > deadline:
-        wrong = f"aims at {objective:,.0f} ms, the request is over after {deadline:,.0f} ms"
+        wrong = f"aims at {objective:,.0f} ms, but the request ends after {deadline:,.0f} ms"
         problem = route.problem("aim_ms", wrong, f"at most {deadline:,.0f}", "aim-over-deadline")
         yield Finding(problem, route.deadline_before(objective, "full worth until"))
 
@@ -49,7 +49,7 @@
     """Report a policy that allows several attempts but retries no outcome."""
     policy = route.policy
     if policy.max_attempts > 1 and not policy.retry_on and not policy.hedges:
-        wrong = f"{policy.max_attempts} attempts, but no outcome is worth another"
+        wrong = f"{policy.max_attempts} attempts, but no outcome is retried"
         problem = route.problem(
             "retry_on", wrong, "attempts = 1, or outcomes to retry", "attempt-never-starts"
         )
--- a/heronreel/routes/limit_checks.py
+++ b/heronreel/routes/limit_checks.py
@@ -28,7 +28,7 @@
         TimelineEvent(wait, EventKind.ENDED, note="the client disconnects"),
         TimelineEvent(deadline, EventKind.FAILED, note="the response, after the client has disconnected"),
     )
-    wrong = f"waits {deadline:,.0f} ms for clients that leave after {wait:,.0f} ms"
+    wrong = f"waits {deadline:,.0f} ms for clients that disconnect after {wait:,.0f} ms"
     right = f"deadline_ms of at most {wait:,.0f}"
     terms = RequestTerms(Effect.IDEMPOTENT, client_wait_ms=wait)
     problem = route.problem("deadline_ms", wrong, right, "deadline-over-wait")
@@ -98,12 +98,12 @@
     policy, window = route.policy, platform_class.window_ms
     if SCOPE_WIDTH[policy.deduplication_scope] > SCOPE_WIDTH[platform_class.scope]:
         own, required = DEDUP_SCOPE_NAMES[policy.deduplication_scope], DEDUP_SCOPE_NAMES[platform_class.scope]
-        wrong = f"counts on {own!r} where only {required!r} drops repeats"
+        wrong = f"relies on {own!r} where only {required!r} drops repeats"
         problem = route.problem("group", wrong, f"group = {required!r}", "weaker-than-platform")
         yield Finding(problem, route.retried_at_once("another", route.terms(Effect.KEYED, window)))
     if policy.deduplication_window_ms > window:
         own_window = policy.deduplication_window_ms
-        wrong = f"counts on {own_window:,.0f} ms where repeats are dropped for {window:,.0f} ms"
+        wrong = f"relies on {own_window:,.0f} ms where repeats are dropped for {window:,.0f} ms"
         problem = route.problem("window_ms", wrong, f"at most {window:,.0f}", "weaker-than-platform")
         note = "sent again: the key is forgotten"
         events = (
--- a/heronreel/routes/load.py
+++ b/heronreel/routes/load.py
@@ -41,9 +41,8 @@
 MAX_LISTENERS = 64
 MAX_TENANTS = 10_000
 MAX_SPLIT_POOLS = 1000
-METHODS = frozenset(
-    ("GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
-)  # The methods that the proxy accepts.
+# The methods that the proxy accepts.
+METHODS = frozenset(("GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"))
 _TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,64}")  # RFC 9110, 5.6.2
 _HOST = re.compile(
     r"(\*\.)?[a-z0-9_]([a-z0-9_-]*[a-z0-9_])?(\.[a-z0-9_]([a-z0-9_-]*[a-z0-9_])?)*|\[[0-9a-f:.]+\]"
@@ -316,8 +315,8 @@
         before = len(self.problems) + self.omitted_problems
         paths = [name for name in ("path", "path_prefix", "path_pattern") if name in raw]
         if len(paths) != 1:
-            what = "no path" if not paths else " and ".join(paths) + " together"
-            self.add_problem(path, what, "expected one of path, path_prefix and path_pattern")
+            wrong = "no path" if not paths else " and ".join(paths) + " together"
+            self.add_problem(path, wrong, "expected one of path, path_prefix and path_pattern")
             return None
         kind = paths[0]
         text = values.get(kind, "/")
@@ -361,7 +360,7 @@
                 )
             elif lower in found:
                 self.add_problem(
-                    (*path, name), "stands there in other letters already", "each header once", "duplicate"
+                    (*path, name), "is already set in other letter case", "each header once", "duplicate"
                 )
             elif value != value.strip() or not value.isascii() or not value.isprintable():
                 right = "expected visible ASCII without spaces around it"
--- a/heronreel/routes/model.py
+++ b/heronreel/routes/model.py
@@ -86,9 +86,8 @@
 
     name: str
     members: tuple[Member, ...] = ()
-    discovered: bool = (
-        False  # Members come from the platform's discovery, so their racks are not known at load.
-    )
+    discovered: bool = False
+    """Whether the members come from the platform's discovery, so that their racks are unknown at load."""
 
     def groups(self, scope: DedupScope) -> frozenset[str] | None:
         """Return the members' deduplication groups; None if they can't be known at load."""
--- a/heronreel/routes/proof.py
+++ b/heronreel/routes/proof.py
@@ -115,7 +115,7 @@
     if conflict.kind == "ambiguous":
         wrong = f"takes the same requests as {others} and neither comes first"
     else:
-        wrong = f"is never found: {others} takes all it would"
+        wrong = f"never matches: {others} takes all of its requests"
     route = conflict.route
     line = file.line("routes", route.index, "match")
     right = "make one more specific, or set its priority"
--- a/heronreel/routes/retry_checks.py
+++ b/heronreel/routes/retry_checks.py
@@ -80,8 +80,8 @@
     window = policy.deduplication_window_ms
     if window > needed:
         return
-    wrong = f"a window of {window:,.0f} ms, while a repeat may need {needed:,.0f} ms to get there"
-    right = 'state the time the group truly remembers, or retry_on = ["not-run"] and no second copy'
+    wrong = f"a window of {window:,.0f} ms, while a repeat may need {needed:,.0f} ms to reach the group"
+    right = 'set the time for which the group drops repeats, or retry_on = ["not-run"] and no second copy'
     retried_at = max(needed, window)
     note = f"sent again: {route.group} has forgotten the key"
     events = [
@@ -99,7 +99,7 @@
     if route.policy.effect is not Effect.UNSAFE:
         return
     for outcome in sorted(route.policy.unsafe_retry_outcomes):
-        wrong = f"tries an unsafe request again after {outcome!r}, when it may have run"
+        wrong = f"retries an unsafe request after {outcome!r}, when it may have run"
         right = 'retry_on = ["not-run"], or effect = "keyed" if a group drops repeats'
         problem = route.problem("retry_on", wrong, right, "repeat-of-unsafe")
         yield Finding(problem, route.retried_at_once(route.group_name(1), route.terms()))
@@ -125,7 +125,7 @@
     writes = sorted((route.route.match.methods or NON_IDEMPOTENT_METHODS) & NON_IDEMPOTENT_METHODS)
     if not writes:
         return
-    wrong = f"is called safe and takes {' and '.join(writes)}, which may write (RFC 9110, 9.2.2)"
+    wrong = f"is declared safe and accepts {' and '.join(writes)}, which may write (RFC 9110, 9.2.2)"
     right = 'methods = ["GET"] in match, or effect = "keyed" or "unsafe"'
     witness = route.retried_at_once(route.group_name(1), route.terms(Effect.UNSAFE))
     yield Finding(route.problem("effect", wrong, right, "write-called-safe"), witness)
@@ -136,9 +136,9 @@
     scope = route.policy.retry_scope
     if not route.policy.unsafe_retry_outcomes or not route.may_leave_group(scope):
         return
-    here, there = route.two_groups(scope)
-    wrong = f"a repeat may go from {here} to {there}, which does not know the key"
-    witness = route.retried_at_once(there, route.terms(), here)
+    known_group, other_group = route.two_groups(scope)
+    wrong = f"a repeat may go from {known_group} to {other_group}, which does not know the key"
+    witness = route.retried_at_once(other_group, route.terms(), known_group)
     yield Finding(route.problem("retry_to", wrong, 'retry_to = "group"', "retry-leaves-group"), witness)
 
 
@@ -147,9 +147,9 @@
     scope = route.policy.hedge_scope
     if not route.policy.hedges or not route.may_leave_group(scope):
         return
-    here, there = route.two_groups(scope)
-    wrong = f"a second copy may go to {there} while {here} has the first"
-    witness = route.hedged(there, route.terms(), first=here)
+    known_group, other_group = route.two_groups(scope)
+    wrong = f"a second copy may go to {other_group} while {known_group} has the first"
+    witness = route.hedged(other_group, route.terms(), first=known_group)
     yield Finding(
         route.problem("second_copy_to", wrong, 'second_copy_to = "group"', "copy-leaves-group"), witness
     )
--- a/heronreel/serve/program.py
+++ b/heronreel/serve/program.py
@@ -49,7 +49,7 @@
                 return Report(report.file, (Finding(problem),))
         if [pool.discovered for pool in pools.values()] != [True]:
             problem = Problem(
-                0, "pools", "others than the platform's", 'one, discovery = "platform"', "unserved"
+                0, "pools", "are not the platform's pool alone", 'one, discovery = "platform"', "unserved"
             )
             return Report(report.file, (Finding(problem),))
         return report
@@ -70,7 +70,7 @@
             Problem(
                 file.line("pools"),
                 "pools",
-                "members come from discovery, and none is named",
+                "members come from discovery, but its address is not set",
                 right,
                 "unserved",
             )
--- a/heronreel/serve/zone_health.py
+++ b/heronreel/serve/zone_health.py
@@ -114,11 +114,11 @@
     async def _watch(self, client: Client) -> None:
         """Read the report, then watch it; return when the watch has missed events."""
         key = report_key(self.checks.zone)
-        found = await client.call(Range(key))
-        assert isinstance(found, RangeResponse)
-        for _, record in found.records:
+        response = await client.call(Range(key))
+        assert isinstance(response, RangeResponse)
+        for _, record in response.records:
             self._receive(record.value)
-        async for changes in client.watch(key, start_revision=found.revision + 1):
+        async for changes in client.watch(key, start_revision=response.revision + 1):
             for event in changes.events:
                 if event.record is not None:
                     self._receive(event.record.value)
@@ -144,6 +144,6 @@
 
 
 async def _read_report(client: Client, zone: str) -> HealthReport | None:
-    found = await client.call(Range(report_key(zone)))
-    assert isinstance(found, RangeResponse)
-    return decode_report(found.records[0][1].value) if found.records else None
+    response = await client.call(Range(report_key(zone)))
+    assert isinstance(response, RangeResponse)
+    return decode_report(response.records[0][1].value) if response.records else None
