--- a/heronreel/fleet/instance_operation.py
+++ b/heronreel/fleet/instance_operation.py
@@ -213,7 +213,8 @@
         if self.phase is not OperationPhase.OBSERVING or instance is None:
             return []
         if self.guards.later_observation and instance.observation <= self.last_command_observation:
-            return []  # only later observations are sure to follow the acceptance of this fencing token
+            # only a later observation is by an agent that is known to have accepted this fencing token
+            return []
         if not self._is_desired(instance):
             self.delay_reason = f"is {instance.condition.value}"
             return []
