--- a/heronreel/fleet/budget_transactions.py
+++ b/heronreel/fleet/budget_transactions.py
@@ -63,7 +63,8 @@
 def observation_transaction(expected_revision: int, instance: Instance) -> Txn:
     """Build the transaction that stores an owner's observation of its instance.
 
-    It succeeds only at the expected revision, so that an observation never overwrites a later one.
+    It succeeds only if no record was written since the expected revision was read, so that an observation
+    never overwrites a later one.
     """
     write = Put(instance.key, encode_record(instance))
     return update_transaction(expected_revision, OBSERVATION_CHANGE, write)
--- a/heronreel/fleet/controller.py
+++ b/heronreel/fleet/controller.py
@@ -89,7 +89,8 @@
         async with self.leadership:
             operation = await self._take_over(wait_s)
             self.view = FleetView(await read_snapshot(self.leadership.client))
-            await self._record(operation)  # after this the other controller can't record outcomes any more
+            # once this write has succeeded, the other controller can't record outcomes any more
+            await self._record(operation)
             return await self._run_all()
 
     async def abandon(self, wait_s: float) -> FleetOperation:
