--- a/bench/store_mutations.py
+++ b/bench/store_mutations.py
@@ -46,7 +46,7 @@
     ("no fsync of the manifest", MANIFEST, "            write_all(file, encode_manifest(manifest))\n            file.sync()\n",
      "            write_all(file, encode_manifest(manifest))\n"),
     ("no directory sync before the rename", MANIFEST,
-     "        disk.sync_directory()  # the names of the tables that it refers to\n", ""),
+     "        disk.sync_directory()  # The manifest refers to new tables, whose names must be durable first.\n", ""),
     ("no directory sync after the rename", MANIFEST,
      "            disk.rename(NEW_MANIFEST_NAME, MANIFEST_NAME)\n            disk.sync_directory()\n",
      "            disk.rename(NEW_MANIFEST_NAME, MANIFEST_NAME)\n"),
@@ -89,7 +89,8 @@
      "    return None\n"),
     ("a first write tidies up tables too", WRITER, "            self._maintenance.remove_segments(first_segment)\n",
      "            self._remove_unnamed_files()\n"),
-    ("a write pays for four steps at most", MAINTENANCE, "max(earned, SAVED_STEPS * step_bytes)", "SAVED_STEPS * step_bytes"),
+    ("a write pays for four steps at most", MAINTENANCE, "max(earned, MAX_SAVED_STEPS * step_bytes)",
+     "MAX_SAVED_STEPS * step_bytes"),
 ]]  # fmt: skip
 
 
--- a/heronreel/store/__init__.py
+++ b/heronreel/store/__init__.py
@@ -1,19 +1,20 @@
 """A small embedded key-value store that survives torn writes.
 
-`docs/store.md` is for operators, `docs/store-design.md` says why it is built so, and `docs/store-format.md`
-has its bytes.
+`docs/store.md` is the operator's manual, `docs/store-design.md` gives the reasons behind the design, and
+`docs/store-format.md` specifies the file formats.
 
-* `store`: the public interface; `async_store`: the same for asyncio; `batch`, `limits`, `errors`.
-* `writer`: recovery, commits and closing; `group_commit`: one fsync for many writers; `write_ahead_log`.
-* `maintenance`: flushes and compactions in steps; `run_writer`; `compaction_policy`: which runs are merged.
-* `health`, `counters`, `progress`, `stat`: what the parts of an open store share.
-* `reader`: a store opened for reading; `snapshot`, `current_view`, `merge`: what reads see.
-* `recovery`, `log_reader`: reading what a directory holds; `manifest_file`: replacing the manifest.
-* `log_format`, `operations`, `sstable_format`, `bloom_filter`, `manifest`, `checksum`, `durable_note`: bytes.
-* `sstable`, `sstable_writer`, `block_scan`: SSTables.
-* `disk`: the interface to files; `fault_injecting_disk`, `page_cache`: one for tests that does all that POSIX
-  permits.
-* `verify`, `repair`, `manifest_rebuild`: checking every byte, and salvaging a damaged store.
+* `store`: the public interface; `async_store`: its asyncio counterpart; `batch`, `limits`, `errors`.
+* `writer`: recovery, commits and closing; `group_commit`: one fsync for several writers; `write_ahead_log`.
+* `maintenance`: incremental flushes and compactions; `run_writer`; `compaction_policy`: which runs to merge.
+* `health`, `counters`, `progress`, `stat`: state that the components of an open store share.
+* `reader`: a store opened for reading; `snapshot`, `current_view`, `merge`: the data that a read sees.
+* `recovery`, `log_reader`: reading a store's directory; `manifest_file`: replacing the manifest.
+* `log_format`, `operations`, `sstable_format`, `bloom_filter`, `manifest`, `checksum`, `durable_note`:
+  the encodings of stored data.
+* `sstable`, `sstable_writer`, `block_scan`: reading and writing SSTables.
+* `disk`: the interface to files; `fault_injecting_disk`, `page_cache`: an in-memory implementation for tests
+  that shows every failure that POSIX permits.
+* `verify`, `repair`, `manifest_rebuild`: checking every byte of a store, and salvaging a damaged one.
 """
 
 from heronreel.store.async_store import AsyncStore
--- a/heronreel/store/async_store.py
+++ b/heronreel/store/async_store.py
@@ -1,8 +1,8 @@
-"""The store for asyncio: reads and writes never block the event loop, and writers share fsyncs.
+"""An asyncio interface to the store: calls never block the event loop, and concurrent writers share fsyncs.
 
-One thread writes.  What arrives while it waits for the disk is its next group, so that the number of fsyncs
-a second is the disk's and the number of writes is not.  What waits is bounded in bytes: beyond that, writers
-wait to enqueue.
+A single thread writes.  The writes that arrive while it waits for the disk form its next group, so the disk
+limits the number of fsyncs per second, but not the number of writes.  The queue of waiting writes is bounded
+in bytes; while it is full, further writers wait before they enqueue.
 """
 
 from __future__ import annotations
@@ -28,25 +28,27 @@
 from heronreel.store.store import Store
 
 Result = TypeVar("Result")
-MAX_QUEUED_BYTES = 8 << 20  # of writes that wait for the disk; one more may exceed it
-SCAN_PAGE_RECORDS = 256  # that a scan reads at once
+MAX_QUEUED_BYTES = 8 << 20  # The last write that is enqueued may exceed this limit.
+SCAN_PAGE_RECORDS = 256  # Records that a scan reads in one call to a reader thread.
 
 
 class _QueuedWrite(NamedTuple):
+    """A batch that waits for the writer thread, with its size in bytes and the future of its result."""
+
     operations: list[Operation]
     size: int
     future: asyncio.Future[None]
 
 
 class AsyncBatch(Batch):
-    """As `Batch`, with `async with`."""
+    """A `Batch` for use with `async with`."""
 
     def __init__(self, store: AsyncStore) -> None:
         super().__init__(store.store.write)
         self._async_store = store
 
     async def acommit(self) -> None:
-        """As `commit`, without blocking the event loop."""
+        """Commit as `commit` does, without blocking the event loop."""
         if operations := self.take():
             await self._async_store.write(operations)
 
@@ -61,19 +63,19 @@
 
 
 class AsyncStore:
-    """An asyncio interface to a `Store`, of one event loop.  It raises what the store raises.
+    """An asyncio interface to a `Store`, for use in one event loop.  It raises the errors of `Store`.
 
-    A write that is cancelled while it waits may be in the store or not, completely in either case.
+    A write that is cancelled while it waits is either applied completely or not at all.
     """
 
     def __init__(self, store: Store, *, readers: int = 2) -> None:
-        """Wrap an open store, with a thread to write and some to read."""
+        """Wrap an open store, with one writer thread and `readers` reader threads."""
         self.store = store
         self._loop = asyncio.get_running_loop()
         self._readers = ThreadPoolExecutor(readers, "store-reader")
-        self._queue: SimpleQueue[_QueuedWrite | None] = SimpleQueue()  # None ends the writer
+        self._queue: SimpleQueue[_QueuedWrite | None] = SimpleQueue()  # None stops the writer.
         self._queued_bytes = 0
-        self._waiting_for_room: deque[asyncio.Future[None]] = deque()
+        self._space_waiters: deque[asyncio.Future[None]] = deque()
         self._closing = False
         self._writer = threading.Thread(target=self._write_all, name="store-writer", daemon=True)
         self._writer.start()
@@ -82,7 +84,7 @@
     async def open(
         cls, path: str | os.PathLike[str] | Disk, *, read_only: bool = False, limits: Limits | None = None
     ) -> AsyncStore:
-        """As `Store.open`, in a thread."""
+        """Open a store as `Store.open` does, in a thread."""
         return cls(await asyncio.to_thread(Store.open, path, read_only=read_only, limits=limits))
 
     async def __aenter__(self) -> AsyncStore:
@@ -94,11 +96,11 @@
         await self.close()
 
     async def close(self) -> None:
-        """Write what is queued, then close the store."""
+        """Write the queued batches, then close the store."""
         if not self._closing:
             self._closing = True
             self._queue.put(None)
-        for future in self._waiting_for_room:
+        for future in self._space_waiters:
             if not future.done():
                 future.set_exception(StoreClosedError("the store is closed"))
         await asyncio.to_thread(self._writer.join)
@@ -106,7 +108,7 @@
         self._readers.shutdown(wait=False)
 
     async def get(self, key: bytes) -> bytes | None:
-        """As `Store.get`.  What is in memory is returned at once."""
+        """As `Store.get`.  A record in memory is returned without a call to a reader thread."""
         found, value = self.store.find_in_memory(key)
         if found:
             return value
@@ -115,12 +117,13 @@
     async def snapshot(self) -> Snapshot:
         """As `Store.snapshot`.
 
-        Its `get` and `scan` read the disk: call them in a thread, or use `scan` of this class.
+        The snapshot's `get` and `scan` read the disk and block: call them in a thread, or use `scan` of this
+        class.
         """
         return self.store.snapshot()
 
     async def scan(self, prefix: bytes = b"") -> AsyncIterator[tuple[bytes, bytes]]:
-        """As `Store.scan`, over the store as it is when the first record is requested."""
+        """As `Store.scan`, over the state of the store when the first record is requested."""
         records = await self._read(lambda: self.store.scan(prefix))
         while page := await self._read(lambda: _next_page(records)):
             for record in page:
@@ -143,17 +146,17 @@
         await asyncio.to_thread(self.store.sync)
 
     async def compact(self, progress: Progress | None = None) -> None:
-        """As `Store.compact`, in a thread; `progress` is called there."""
+        """As `Store.compact`, in a thread; `progress` is called in that thread."""
         await asyncio.to_thread(self.store.compact, progress)
 
     async def write(self, operations: list[Operation]) -> None:
-        """Write operations as one batch, as `Store.write`; keys and values are not validated."""
+        """Write operations as one batch, as `Store.write` does; keys and values are not validated."""
         size = sum(operation_size(key, value) for key, value in operations)
         self.store.check_writable()
         while self._queued_bytes >= MAX_QUEUED_BYTES:
-            room = self._loop.create_future()
-            self._waiting_for_room.append(room)
-            await room
+            space_available = self._loop.create_future()
+            self._space_waiters.append(space_available)
+            await space_available
         write = _QueuedWrite(operations, size, self._loop.create_future())
         if self._closing:
             raise StoreClosedError("the store is closed")
@@ -165,7 +168,7 @@
         return await self._loop.run_in_executor(self._readers, call)
 
     def _write_all(self) -> None:
-        """The writer's thread."""
+        """Write queued groups until the queue ends; runs in the writer thread."""
         closing = False
         while not closing:
             group, closing = self._next_group()
@@ -177,25 +180,26 @@
             except BaseException as raised:
                 error = raised
             try:
-                self._loop.call_soon_threadsafe(self._settle, group, error)
-            except RuntimeError:  # the loop has ended; nobody waits
+                self._loop.call_soon_threadsafe(self._complete_group, group, error)
+            except RuntimeError:  # The event loop is closed, so no caller waits for the result.
                 return
 
     def _next_group(self) -> tuple[list[_QueuedWrite], bool]:
-        """The next writes, and whether they are the last."""
+        """Take the next group of writes from the queue; the flag tells whether it is the last group."""
         first = self._queue.get()
         if first is None:
             return [], True
         group, size = [first], first.size
         while size < self.store.limits.group_bytes and not self._queue.empty():
-            following = self._queue.get()
-            if following is None:
+            next_write = self._queue.get()
+            if next_write is None:
                 return group, True
-            group.append(following)
-            size += following.size
+            group.append(next_write)
+            size += next_write.size
         return group, False
 
-    def _settle(self, group: list[_QueuedWrite], error: BaseException | None) -> None:
+    def _complete_group(self, group: list[_QueuedWrite], error: BaseException | None) -> None:
+        """Set the results of a written group and wake up writers that wait for space in the queue."""
         self._queued_bytes -= sum(write.size for write in group)
         for write in group:
             if write.future.done():
@@ -204,11 +208,11 @@
                 write.future.set_result(None)
             else:
                 write.future.set_exception(error)
-        if self._queued_bytes < MAX_QUEUED_BYTES:  # whoever finds no room any more waits again
-            for room in self._waiting_for_room:
-                if not room.done():
-                    room.set_result(None)
-            self._waiting_for_room.clear()
+        if self._queued_bytes < MAX_QUEUED_BYTES:  # A writer that finds the queue full again goes on waiting.
+            for space_available in self._space_waiters:
+                if not space_available.done():
+                    space_available.set_result(None)
+            self._space_waiters.clear()
 
 
 def _next_page(records: Iterator[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
--- a/heronreel/store/batch.py
+++ b/heronreel/store/batch.py
@@ -1,4 +1,4 @@
-"""Batches: writes that are committed together."""
+"""Batches: groups of writes that are committed atomically."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 
 
 class Batch:
-    """Writes that are all in the store or none of them.
+    """Writes that are applied to the store atomically: all of them or none.
 
-    They are committed at the end of the `with` block, unless an exception ends it.
+    They are committed at the end of the `with` block, unless it ends with an exception.
     """
 
     def __init__(self, write: Callable[[list[list[Operation]]], None]) -> None:
-        """Create an empty batch that is committed by calling `write`."""
+        """Create an empty batch whose `commit` calls `write`."""
         self._write = write
         self._operations: dict[bytes, bytes | None] = {}
         self._size = 0
 
     def put(self, key: bytes, value: bytes) -> None:
-        """Set `key` to `value` with the batch.
+        """Add setting `key` to `value` to the batch.
 
         Raises:
-            InvalidArgumentError: Key, value or the whole batch exceeds its limit; the batch stays as it was.
+            InvalidArgumentError: The key, the value or the batch exceeds its limit; the batch is unchanged.
         """
         self._add(validated_key(key), validated_value(value))
 
     def delete(self, key: bytes) -> None:
-        """Delete `key` with the batch; raises as `put` does."""
+        """Add the deletion of `key` to the batch; raises as `put` does."""
         self._add(validated_key(key), None)
 
     def take(self) -> list[Operation]:
-        """The operations in the batch, which is empty from then on."""
+        """Return the operations of the batch, and empty it."""
         operations, self._operations, self._size = list(self._operations.items()), {}, 0
         return operations
 
     def commit(self) -> None:
-        """Write the operations in the batch, and empty it.  Raises as `Store.put` does."""
+        """Write the operations of the batch, and empty it.  Raises as `Store.put` does."""
         if operations := self.take():
             self._write([operations])
 
@@ -56,6 +56,6 @@
     def _add(self, key: bytes, value: bytes | None) -> None:
         size = self._size + operation_size(key, value)
         if size > MAX_BATCH_BYTES:
-            raise InvalidArgumentError(f"batch: {size} bytes, and it should be at most {MAX_BATCH_BYTES}")
+            raise InvalidArgumentError(f"batch has {size} bytes; it may have at most {MAX_BATCH_BYTES}")
         self._size = size
         self._operations[key] = value
--- a/heronreel/store/block_scan.py
+++ b/heronreel/store/block_scan.py
@@ -1,4 +1,4 @@
-"""Reading all blocks of an SSTable that are left, past those that are damaged."""
+"""Reads all intact blocks of an SSTable and skips damaged ones."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ScannedBlock(NamedTuple):
-    """A block, or what is lost in its place."""
+    """A block at an offset of its table, or the loss that an unreadable block stands for."""
 
     offset: int
     data: bytes
@@ -33,10 +33,10 @@
 def scan_blocks(
     disk: Disk, info: TableInfo, header: TableHeader, end: int, index: Index | None
 ) -> Iterator[ScannedBlock]:
-    """Every block of a table up to `end`, or what is lost in its place.
+    """Yield every block of a table up to the offset `end`, and a loss for each unreadable range.
 
-    With the index the next block's offset is known.  Without it a damaged length hides what follows, so all
-    offsets are tried: a block's checksum depends on where it stands.
+    The index gives the offset of the next block.  Without an index, a damaged length field hides the start of
+    the next block, so every offset is tried; this is safe because a block's checksum depends on its offset.
     """
     file = disk.open(info.file)
     table = SSTable(disk, file, info, header, Footer(0, True, 0, 0, end), index)
@@ -48,13 +48,13 @@
             yield ScannedBlock(offset, block, None)
             offset += length
             continue
-        following = _next_offset(file, offset, end, header.salt, index)
-        yield ScannedBlock(offset, b"", table.lost_at(offset, following - offset))
-        offset = following
+        next_offset = _next_offset(file, offset, end, header.salt, index)
+        yield ScannedBlock(offset, b"", table.lost_at(offset, next_offset - offset))
+        offset = next_offset
 
 
 def read_index(disk: Disk, number: int, salt: int) -> Index | None:
-    """The index of a table, or None where it is missing, torn or of another table."""
+    """Return the index of a table, or None if it is missing, torn or belongs to another table."""
     with suppress(OSError):
         return Index.decode(read_all(disk, index_name(number)), number, salt)
     return None
@@ -68,7 +68,7 @@
 
 
 def _next_offset(file: DiskFile, offset: int, end: int, salt: int, index: Index | None) -> int:
-    """Where the first block behind an unreadable one begins, or `end`."""
+    """Return the offset of the first block after an unreadable one, or `end` if there is none."""
     if index is not None:
         return next((start for start in index.offsets if start > offset), end)
     data = file.read(offset, end - offset)
--- a/heronreel/store/bloom_filter.py
+++ b/heronreel/store/bloom_filter.py
@@ -1,4 +1,4 @@
-"""A Bloom filter over the XXH3-64 hashes of a table's keys; its bytes are part of the stored index."""
+"""A Bloom filter over the XXH3-64 hashes of a table's keys.  Its bytes are part of the stored index."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class BloomFilter:
-    """A Bloom filter: it takes about one in eighty absent keys for present, and no present key for absent."""
+    """A Bloom filter with a false positive rate of about one in eighty, and no false negatives."""
 
     __slots__ = ("_bits", "_data")
 
@@ -19,18 +19,18 @@
 
     @classmethod
     def empty(cls, keys: int) -> BloomFilter:
-        """A filter without keys, of the size for a number of them."""
+        """Return an empty filter that is sized for `keys` keys."""
         return cls(bytearray(max(MIN_FILTER_BYTES, (keys * BITS_PER_KEY + 7) // 8)))
 
     @classmethod
     def of(cls, hashes: list[int]) -> BloomFilter:
-        """A filter of just these hashes."""
+        """Return a filter that contains exactly these hashes."""
         bloom_filter = cls.empty(len(hashes))
         bloom_filter.add(hashes)
         return bloom_filter
 
     def add(self, hashes: list[int]) -> None:
-        """Add hashes; only to a filter that `empty` made."""
+        """Add hashes; the filter must have been created by `empty`."""
         data, bits = self._data, self._bits
         assert isinstance(data, bytearray)
         for key_hash in hashes:
@@ -42,11 +42,11 @@
 
     @property
     def data(self) -> bytes:
-        """The filter's bytes as they are stored."""
+        """The stored form of the filter."""
         return bytes(self._data)
 
     def may_contain(self, key_hash: int) -> bool:
-        """False only if no key with this hash was added."""
+        """Return whether a key with this hash may have been added; False is certain."""
         data, bits = self._data, self._bits
         probe, step = key_hash & _LOW_32_BITS, key_hash >> 32 | 1
         for _ in range(PROBES):
--- a/heronreel/store/compaction_policy.py
+++ b/heronreel/store/compaction_policy.py
@@ -1,9 +1,9 @@
-"""The compaction policy: which sorted runs are merged, and when.  Pure: sizes in, a stretch of runs out.
+"""The compaction policy decides which sorted runs are merged, and when.  It is a pure function of sizes.
 
-Runs are in the order of the log, so only neighbours may be merged, and always up to the newest.  A run is
-taken into a merge when the runs after it weigh as much as itself.  So whatever is rewritten lands in a run
-about twice as heavy, and a record is rewritten about log2(store / memtable) times; and what comes after the
-oldest run is lighter than it, so that at most about half of the store's runs is out of date.
+Runs are ordered by the log, so only adjacent runs may be merged, and each merge includes the newest run.  A
+run is included when the newer runs together are at least as large as the run itself.  Rewritten records thus
+go into a run of about twice the size, and a record is rewritten about log2(store / memtable) times.  The runs
+after the oldest one are smaller than it together, so at most about half of the stored data is obsolete.
 """
 
 from __future__ import annotations
@@ -11,41 +11,41 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-MIN_SMALL_RUNS = 4  # small runs wait until there are so many of them
-MIN_RUNS = 2  # runs that a compaction merges at least
+MIN_SMALL_RUNS = 4  # Small runs are merged only when there are at least this many.
+MIN_RUNS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class RunWeight:
-    """What the policy knows of one run."""
+    """The properties of one run that the policy considers."""
 
-    size: int  # bytes
-    entries: int
-    deletions: int  # among the entries
+    size: int  # In bytes.
+    entries: int  # The deletions are included.
+    deletions: int
 
 
 def oldest_run_to_compact(runs: Sequence[RunWeight], small: int) -> int | None:
-    """The index of the oldest run to merge with all newer ones, or None if no compaction is due.
+    """Return the index of the oldest run to merge with all newer ones, or None if no compaction is due.
 
-    A deletion weighs as much as the record that it hides, since a few bytes of deletions can make the whole
-    of an old run garbage.
+    A deletion counts as much as the record that it hides, because a few bytes of deletions can make a whole
+    old run obsolete.
 
     Args:
-        runs: From the oldest to the newest.
-        small: Runs below this many bytes wait until there are `MIN_SMALL_RUNS` of them: merging two of them
-            whenever they appear would rewrite new records far too often.
+        runs: The runs from the oldest to the newest.
+        small: Runs below this size in bytes are merged only when there are `MIN_SMALL_RUNS` of them. Merging
+            each pair of small runs would rewrite new records far too often.
     """
     newer_size = newer_deletions = 0
     due: int | None = None
     for index in range(len(runs) - 1, -1, -1):
         run = runs[index]
-        merged = len(runs) - index
-        enough = merged >= MIN_SMALL_RUNS or (merged >= MIN_RUNS and run.size >= small)
-        hidden = newer_deletions > 0 and run.entries <= 2 * newer_deletions
-        if enough and (run.size <= newer_size or hidden):
+        merged_runs = len(runs) - index
+        enough_runs = merged_runs >= MIN_SMALL_RUNS or (merged_runs >= MIN_RUNS and run.size >= small)
+        mostly_hidden = newer_deletions > 0 and run.entries <= 2 * newer_deletions
+        if enough_runs and (run.size <= newer_size or mostly_hidden):
             due = index
         newer_size += run.size
         newer_deletions += run.deletions
     if due is None and len(runs) == 1 and runs[0].deletions:
-        return 0  # no older run has a record for them to hide
+        return 0  # No older run has a record that the deletions could hide.
     return due
--- a/heronreel/store/counters.py
+++ b/heronreel/store/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what an open store did, shared by its parts."""
+"""Activity counters of an open store, shared by its components."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 @dataclass(slots=True)
 class Counters:
-    """What a store did since it was opened."""
+    """Activity of a store since it was opened."""
 
     groups: int = 0
     operations: int = 0
-    payload_bytes: int = 0  # of the operations as encoded
-    log_bytes: int = 0  # written to the log
-    flushed_bytes: int = 0  # of SSTables written by flushes
-    compacted_bytes: int = 0  # of SSTables written by compactions
+    payload_bytes: int = 0  # Encoded operations.
+    log_bytes: int = 0  # Bytes written to the log.
+    flushed_bytes: int = 0  # SSTables written by flushes.
+    compacted_bytes: int = 0  # SSTables written by compactions.
     syncs: int = 0
     compactions: int = 0
-    stalls: int = 0  # writes that waited for a memtable to be flushed
-    longest_step_ms: float = 0.0  # of one step of a flush or compaction, its fsyncs included
+    stalls: int = 0  # Writes that waited for the flush of a memtable.
+    longest_step_ms: float = 0.0  # Longest step of a flush or compaction, with its fsyncs.
 
     def as_json(self) -> dict[str, int | float]:
-        """The counters under the names that `Store.stat` gives them."""
+        """Return the counters under the keys that `Store.stat` reports."""
         return {
             "groups": self.groups,
             "operations": self.operations,
--- a/heronreel/store/current_view.py
+++ b/heronreel/store/current_view.py
@@ -1,4 +1,4 @@
-"""The view that reads see now, and the memtable in it that writes grow."""
+"""The current view of the store, which reads use, and its memtable, which writes extend."""
 
 from __future__ import annotations
 
@@ -9,58 +9,61 @@
 from heronreel.store.snapshot import ReadView
 from heronreel.store.sstable import SortedRun
 
-RECORD_MEMORY_BYTES = 200  # that a record takes in the memtable beside its key and value
+RECORD_MEMORY_BYTES = 200  # Memory overhead of a memtable record beyond its key and value.
 
 
 class CurrentView:
-    """Holds the current `ReadView`, replaced as a whole but for its memtable, which grows in place."""
+    """Holds the current `ReadView`.
+
+    Changes replace the whole view, except that writes add records to its memtable in place.
+    """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._view = ReadView({}, {}, ())
-        self._shared = False  # a snapshot has the memtable
+        self._shared = False  # Whether a snapshot uses the current memtable.
         self._memtable_bytes = 0
 
     @property
     def view(self) -> ReadView:
-        """What a read of this moment sees; its memtable may grow."""
+        """The view that a read uses now; later writes may add records to its memtable."""
         return self._view
 
     @property
     def memtable_bytes(self) -> int:
-        """Memory that the memtable takes, about."""
+        """The approximate memory use of the memtable."""
         return self._memtable_bytes
 
     def load(self, view: ReadView) -> None:
-        """Begin with what the disk holds."""
+        """Install the view that was loaded from the disk."""
         with self._lock:
             self._view = view
             self._shared = False
 
     def share(self) -> ReadView:
-        """The current view, which no later write changes."""
+        """Return the current view and protect it from later writes, which copy the memtable first."""
         with self._lock:
             self._shared = True
             return self._view
 
     def apply(self, operations: Iterable[Operation]) -> None:
-        """Put operations into the memtable; a shared one is copied first."""
+        """Apply operations to the memtable; copy it first if a snapshot shares it."""
         with self._lock:
             view = self._view
             if self._shared:
                 self._view = view = ReadView(dict(view.memtable), view.frozen, view.runs)
                 self._shared = False
-            memtable, grown = view.memtable, 0
+            memtable, growth_bytes = view.memtable, 0
             for key, value in operations:
                 if key in memtable:
-                    grown += len(value or b"") - len(memtable[key] or b"")
+                    growth_bytes += len(value or b"") - len(memtable[key] or b"")
                 else:
-                    grown += RECORD_MEMORY_BYTES + len(key) + len(value or b"")
+                    growth_bytes += RECORD_MEMORY_BYTES + len(key) + len(value or b"")
                 memtable[key] = value
-            self._memtable_bytes += grown
+            self._memtable_bytes += growth_bytes
 
     def freeze_memtable(self) -> None:
-        """Put the memtable aside to be flushed, and begin an empty one."""
+        """Freeze the memtable, so that it can be flushed, and start an empty one."""
         with self._lock:
             view = self._view
             self._view = ReadView({}, view.memtable, view.runs)
@@ -68,13 +71,13 @@
             self._memtable_bytes = 0
 
     def replace_frozen(self, run: SortedRun | None) -> None:
-        """The frozen memtable was flushed to a run, or was empty."""
+        """Replace the frozen memtable by the run that it was flushed to, or by none if it was empty."""
         with self._lock:
             view = self._view
             self._view = ReadView(view.memtable, {}, (*view.runs, run) if run else view.runs)
 
     def replace_runs(self, runs: tuple[SortedRun, ...]) -> None:
-        """Runs were merged."""
+        """Replace the runs after a compaction."""
         with self._lock:
             view = self._view
             self._view = ReadView(view.memtable, view.frozen, runs)
--- a/heronreel/store/disk.py
+++ b/heronreel/store/disk.py
@@ -1,15 +1,15 @@
 """The interface between the store and a disk, and its implementation on a real file system.
 
-Whatever the store does to files goes through `Disk` and `DiskFile`.  There are two implementations:
-`RealDisk` here, and `heronreel.store.fault_injecting_disk.FaultInjectingDisk`, which does whatever POSIX
-permits.  The store relies on no more than this:
-
-* `write` appends and may write less than it was given;
-* written bytes are on the disk once `sync` has returned, and not before; after a failed `sync` they may or
-  may not be;
-* a file's name, a rename and a removal are on the disk once `sync_directory` has returned, in no order
-  before that;
-* an open file stays readable after its name is gone.
+The store accesses files only through `Disk` and `DiskFile`.  There are two implementations: `RealDisk` in
+this module, and `heronreel.store.fault_injecting_disk.FaultInjectingDisk`, which shows every behaviour that
+POSIX permits.  The store relies on these guarantees only:
+
+* `write` appends, and may write fewer bytes than requested;
+* written bytes are only certain to be durable once `sync` has returned; after a failed `sync` they may or may
+  not be durable;
+* the creation, the rename and the removal of a file are durable once `sync_directory` has returned; before
+  that they may reach the disk in any order;
+* an open file stays readable after its name was removed.
 """
 
 from __future__ import annotations
@@ -21,38 +21,38 @@
 from typing import Protocol
 
 LOCK_NAME = "LOCK"
-NOTE_BYTES = 64  # of the lock file
+NOTE_BYTES = 64  # Size of the note in the lock file.
 
 
 class DiskFile(Protocol):
     """An open file.  Offsets and sizes are in bytes.  Every call may raise OSError."""
 
     def write(self, data: bytes | memoryview) -> int:
-        """Append at most `data`; returns the number of bytes written, at least 1."""
+        """Append `data` or its first part; return the number of bytes written, at least 1."""
         ...
 
     def read(self, offset: int, length: int) -> bytes:
-        """Up to `length` bytes from `offset`; fewer only where the file ends."""
+        """Return up to `length` bytes from `offset`; fewer only at the end of the file."""
         ...
 
     def size(self) -> int:
-        """The file's size."""
+        """Return the file's size."""
         ...
 
     def sync(self) -> None:
-        """Return once all that was written is durable."""
+        """Make all written bytes durable before returning."""
         ...
 
     def close(self) -> None:
-        """Close the file; closing it twice does nothing."""
+        """Close the file; a second call has no effect."""
         ...
 
 
 class LockFile(Protocol):
-    """The writer's lock.  Its file carries a note for readers, which need not be durable."""
+    """The exclusive lock of the writer.  Its file holds a note for readers, which need not be durable."""
 
     def publish(self, note: bytes) -> None:
-        """Replace the note, at most `NOTE_BYTES`."""
+        """Replace the note by `note`, which has at most `NOTE_BYTES` bytes."""
         ...
 
     def release(self) -> None:
@@ -61,51 +61,51 @@
 
 
 class Disk(Protocol):
-    """One directory.  Names are plain file names in it.  Every call may raise OSError."""
+    """One directory.  Names are names of files in it, without a path.  Every call may raise OSError."""
 
     def make_directory(self) -> None:
         """Create the directory durably, unless it exists."""
         ...
 
     def exists(self) -> bool:
-        """Whether the directory exists."""
+        """Return whether the directory exists."""
         ...
 
     def list_names(self) -> list[str]:
-        """The names of its files, sorted."""
+        """Return the names of the directory's files, sorted."""
         ...
 
     def create(self, name: str) -> DiskFile:
-        """Open a new file for appending; an old one of that name is replaced."""
+        """Create a file and open it for appending; an existing file of that name is replaced."""
         ...
 
     def open(self, name: str) -> DiskFile:
-        """Open an existing file for reading; FileNotFoundError if there is none."""
+        """Open an existing file for reading; raises FileNotFoundError if there is none."""
         ...
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, replacing any of the new name."""
+        """Rename a file; an existing file of the new name is replaced."""
         ...
 
     def remove(self, name: str) -> None:
-        """Remove a file; FileNotFoundError if there is none."""
+        """Remove a file; raises FileNotFoundError if there is none."""
         ...
 
     def sync_directory(self) -> None:
-        """Return once names, renames and removals are durable."""
+        """Make file creations, renames and removals durable before returning."""
         ...
 
     def acquire_lock(self) -> LockFile | None:
-        """The writer's lock, or None while a live process holds it."""
+        """Acquire the writer's lock; return None while a live process holds it."""
         ...
 
     def read_note(self) -> bytes | None:
-        """The last note that the live holder of the lock published, or None if nobody holds the lock."""
+        """Return the last note of the process that holds the lock, or None if no process holds it."""
         ...
 
 
 def write_all(file: DiskFile, data: bytes) -> None:
-    """Write all of `data`, in as many short writes as the disk makes of it."""
+    """Write all of `data`; continue after short writes."""
     written = file.write(data)
     if written == len(data):
         return
@@ -115,7 +115,7 @@
 
 
 def read_all(disk: Disk, name: str, limit: int | None = None) -> bytes:
-    """All bytes of a file, or the first `limit` of them."""
+    """Return all bytes of a file, or the first `limit` of them."""
     file = disk.open(name)
     try:
         return file.read(0, file.size() if limit is None else limit)
@@ -124,9 +124,9 @@
 
 
 class RealFile:
-    """A file by its descriptor, closed at the latest with the last reference.
+    """A file that is accessed by its descriptor, and closed when its last reference is dropped at the latest.
 
-    A snapshot may keep a file open past its removal.
+    A snapshot may keep a file open after its removal.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -167,15 +167,17 @@
 
 
 class RealLock:
-    """`flock` on a file.
+    """An `flock` on the lock file.
 
-    The kernel releases it when its holder dies; a second opening in the same process is locked out too.
+    The kernel releases it when the holding process ends. It also excludes a second writer in the same
+    process.
     """
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
         os.truncate(descriptor, NOTE_BYTES)
-        # mapped: a write to the file would change its times, which the log's next fsync would write as well
+        # The note is memory-mapped, because a write call would change the file's timestamps, and the log's
+        # next fsync would have to write those as well.
         self._note = mmap.mmap(descriptor, NOTE_BYTES)
 
     def publish(self, note: bytes) -> None:
@@ -184,7 +186,7 @@
 
     def release(self) -> None:
         """As `LockFile.release`."""
-        self._note.close()  # the mapping keeps the lock's file open too
+        self._note.close()  # The mapping would also keep the lock's file open.
         descriptor, self._descriptor = self._descriptor, -1
         if descriptor >= 0:
             os.close(descriptor)
@@ -274,5 +276,5 @@
 
 
 def as_disk(path: str | os.PathLike[str] | Disk) -> Disk:
-    """The disk at a path, or the disk that was given."""
+    """Return `path` if it is a disk already, else the disk of the directory at that path."""
     return RealDisk(path) if isinstance(path, (str, os.PathLike)) else path
--- a/heronreel/store/durable_note.py
+++ b/heronreel/store/durable_note.py
@@ -1,4 +1,4 @@
-"""The note in the lock file: how far the live writer's log is durable, for readers beside it."""
+"""The note in the lock file, which tells concurrent readers how far the live writer's log is durable."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def encode_durable_note(position: LogPosition) -> bytes:
-    """The note that says that the log is durable up to a position."""
+    """Encode the position up to which the log is durable."""
     return _NOTE.pack(_MAGIC, position.segment, position.offset)
 
 
 def decode_durable_note(note: bytes | None) -> LogPosition | None:
-    """How far the log is durable, or None where there is no such note."""
+    """Decode the position up to which the log is durable; return None if the note holds no position."""
     if note is None or len(note) < _NOTE.size:
         return None
     magic, segment, offset = _NOTE.unpack_from(note)
--- a/heronreel/store/errors.py
+++ b/heronreel/store/errors.py
@@ -1,24 +1,24 @@
-"""The errors that the store raises, and the record of bytes that were lost."""
+"""The errors that the store raises, and the description of lost bytes."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import ClassVar
 
-MAX_LOST_SHOWN = 5  # in the message of a CorruptionError
+MAX_LOST_SHOWN = 5  # Losses listed in the message of a CorruptionError.
 
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """Bytes of one file that fail verification, and the records they held as far as that is known.
+    """A range of bytes of one file that fails verification, and the records that it held, as far as known.
 
     The field names are keys of `verify --json` and `repair --json`.
     """
 
     file: str
-    offset: int  # bytes from the start of the file
-    length: int  # bytes
-    records: str  # readable: "groups 17 to 19", "keys from b'a' on, before b'c'"
+    offset: int  # In bytes from the start of the file.
+    length: int  # In bytes.
+    records: str  # A description such as "groups 17 to 19" or "keys from b'a' on, before b'c'".
     why: str
 
     def __str__(self) -> str:
@@ -26,10 +26,10 @@
 
 
 class StoreError(Exception):
-    """The base of every error that the store raises by itself.
+    """The base class of all errors that the store itself raises.
 
-    `code` is the stable name that `heronreel store ... --json` prints; programs match on it, so it stays as
-    it is when a class is renamed.
+    `code` is the stable name that `heronreel store ... --json` prints. Programs match on it, so it must not
+    change when a class is renamed.
     """
 
     code: ClassVar[str] = "StoreError"
@@ -42,13 +42,13 @@
 
 
 class MalformedOperationsError(StoreError, ValueError):
-    """Encoded operations that end within one."""
+    """Encoded operations whose last operation is cut short or exceeds its group."""
 
     code = "MalformedOperations"
 
 
 class UnknownFormatError(StoreError):
-    """The directory has a newer format or is not a store; it was left untouched."""
+    """The directory has a newer format or is not a store; it was not changed."""
 
     code = "UnknownFormat"
 
@@ -60,24 +60,24 @@
 
 
 class StoreClosedError(StoreError):
-    """The store was used after close(), or from a process forked off the one that opened it."""
+    """The store was used after `close`, or in a forked child of the process that opened it."""
 
     code = "StoreClosed"
 
 
 class ReadOnlyError(StoreError):
-    """A write to a store opened for reading, or `refresh` of one opened for writing."""
+    """A store opened for reading was written to, or `refresh` was called on one opened for writing."""
 
     code = "ReadOnly"
 
 
 class WriteFailedError(StoreError):
-    """The disk rejected a write; the store has nothing of it, and `__cause__` is the system's error.
+    """A write failed on the disk and was not applied; `__cause__` is the error of the operating system.
 
     Attributes:
-        final: True if the store rejects all writes until it is reopened, because an fsync failed and it is
-            unknown which of the earlier pages reached the disk. With False (a full disk, for example) later
-            writes may succeed.
+        final: True if the store rejects all writes until it is reopened, because after a failed fsync it is
+            unknown which of the earlier pages reached the disk. If False (for example with a full disk),
+            later writes may succeed.
     """
 
     code = "WriteFailed"
@@ -90,11 +90,11 @@
 class CorruptionError(StoreError):
     """Acknowledged records are lost.
 
-    A corrupt store opens for reading only; `heronreel store repair` salvages what is left into a new
-    directory.
+    A corrupt store can be opened for reading only; `heronreel store repair` salvages the remaining records
+    into a new directory.
 
     Attributes:
-        lost: Which bytes of which files are lost, and the records they held as far as that is known.
+        lost: The lost ranges of files, and the records that they held, as far as known.
     """
 
     code = "Damaged"
--- a/heronreel/store/fault_injecting_disk.py
+++ b/heronreel/store/fault_injecting_disk.py
@@ -1,13 +1,14 @@
-"""A disk in memory that does to files whatever POSIX permits.
+"""An in-memory disk that shows every failure that POSIX permits.
 
-Between two fsyncs it may keep any pages of what was written, in any order; it may lose names, renames and
-removals or keep some of them; a file that has grown may show zeros, or bytes that other files left at that
-place, where its data did not arrive; a failed fsync drops what it was to write while the cache goes on
-showing it.  `crash_image` draws one of the disks that a loss of power could leave now.  Everything is drawn
-from a `random.Random` that the caller seeds.
+Between two fsyncs it may persist any subset of the written pages, and lose or keep any of the creations,
+renames and removals of files.  Where the data of a file that has grown did not reach the disk, the file may
+show zeros, or stale bytes of other files.  A failed fsync drops the pages that it should have written, while
+the page cache still shows them.  `crash_image` draws one of the disks that a power loss could leave at that
+moment.  All random choices come from a `random.Random` that the caller seeds.
 
-Faults are injected by `fault`, called before each operation; `watch` is called before, in the middle of and
-after each operation that changes something, so that a test can look at every crash point of one run.
+The callback `fault` is called before each operation and may inject a fault.  The callback `watch` is called
+before, in the middle of and after each operation that changes the disk, so that a test can examine every
+crash point of a run.
 """
 
 from __future__ import annotations
@@ -22,30 +23,31 @@
 from heronreel.store.disk import LOCK_NAME, NOTE_BYTES
 from heronreel.store.page_cache import CachedContent
 
-MAX_STALE = 32  # contents of former files that may show through
-_KEEPS_ALL_NAMES = 0.25  # of the crashes: all changes of names have reached the disk
-_KEEPS_NO_NAMES = 0.25  # of the others: none has
-DEFAULT_CAPACITY = 1 << 40
+MAX_STALE_CONTENTS = 32  # Contents of former files whose stale bytes may appear in other files.
+_ALL_NAMES_KEPT_PROBABILITY = 0.25  # Probability that all directory changes survive a crash.
+_NO_NAMES_KEPT_PROBABILITY = 0.25  # Probability that, in the other crashes, no directory change survives.
+DEFAULT_CAPACITY_BYTES = 1 << 40
 
 
 class PowerLoss(BaseException):
-    """The power has gone: every operation on this disk raises it from now on."""
+    """The power was lost: every later operation on this disk raises this exception."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What an operation does in place of its work.
+    """A fault that an operation shows instead of its normal effect.
 
     Attributes:
-        error: The errno of its OSError.
-        partial: Of a write, bytes written before the error shows; with any it is a short write, and no error.
+        error: The errno of the OSError.
+        partial: For a write, the bytes written before the fault. If it is not 0, the write is a short write
+            and raises no error.
     """
 
     error: int
     partial: int = 0
 
     def to_error(self, name: str) -> OSError:
-        """The error of an operation on a file."""
+        """Return the OSError of an operation on the file `name`."""
         return OSError(self.error, os.strerror(self.error), name)
 
 
@@ -57,7 +59,7 @@
 
 
 class _NameChange(NamedTuple):
-    """A change of the directory that no fsync has covered yet."""
+    """A change of the directory that is not yet durable."""
 
     old: str | None
     new: str | None
@@ -79,7 +81,7 @@
         self._content = content
 
     def write(self, data: bytes | memoryview) -> int:
-        """As `DiskFile.write`; short where the disk is full or a fault says so."""
+        """As `DiskFile.write`; the write is short if the disk is full or a fault requests it."""
         written = self._disk.free_space(self._name, len(data))
         half = written // 2
         with self._disk.operation("write", self._name) as operation:
@@ -90,7 +92,7 @@
                     raise operation.fault.to_error(self._name)
                 return written
             self._content.append(memoryview(data)[:half])
-            operation.halfway()
+            operation.notify_halfway()
             self._content.append(memoryview(data)[half:written])
         return written
 
@@ -106,7 +108,7 @@
         return len(self._content.cached)
 
     def sync(self) -> None:
-        """As `DiskFile.sync`; a failed one drops the dirty pages, which the cache goes on showing."""
+        """As `DiskFile.sync`; a failed call drops the dirty pages, which the cache still shows."""
         content = self._content
         with self._disk.operation("sync", self._name) as operation:
             if operation.fault:
@@ -114,7 +116,7 @@
                 raise operation.fault.to_error(self._name)
             pages, size = sorted(content.dirty), len(content.cached)
             content.write_back(pages[::2], size)
-            operation.halfway()
+            operation.notify_halfway()
             content.write_back(pages, size)
             content.dirty.clear()
 
@@ -122,8 +124,8 @@
         """As `DiskFile.close`."""
 
 
-class Operation:
-    """One operation on the disk, shown to `FaultInjectingDisk.watch`."""
+class DiskOperation:
+    """One operation on the disk, reported to its callbacks `fault` and `watch`."""
 
     def __init__(self, disk: FaultInjectingDisk, operation: str, name: str, changes: bool) -> None:
         self._disk = disk
@@ -132,7 +134,7 @@
         self._changes = changes
         self.fault: Fault | None = None
 
-    def __enter__(self) -> Operation:
+    def __enter__(self) -> DiskOperation:
         disk = self._disk
         disk.check_power()
         disk.operations += 1
@@ -141,12 +143,12 @@
         return self
 
     def raise_fault(self) -> None:
-        """Raise the injected error, if there is one."""
+        """Raise the error of the injected fault, if there is one."""
         if self.fault:
             raise self.fault.to_error(self._name)
 
-    def halfway(self) -> None:
-        """Half of the change is done."""
+    def notify_halfway(self) -> None:
+        """Tell the watcher that half of the change is done."""
         self._notify("during")
 
     def __exit__(self, kind: type[BaseException] | None, *rest: object) -> None:
@@ -175,17 +177,17 @@
 
 
 class FaultInjectingDisk:
-    """One directory on a disk.
+    """An in-memory `Disk` that injects faults and simulates power losses.
 
     Attributes:
-        capacity: Bytes that fit on it.
-        fault: Injects faults, if set.
-        watch: Called around each operation that changes something, if set.
-        operations: How many there were.
-        note: The lock's note, None while nobody holds the lock.
+        capacity: The size of the disk in bytes.
+        fault: If set, called before each operation to inject faults.
+        watch: If set, called before, during and after each operation that changes the disk.
+        operations: The number of operations so far.
+        note: The note of the lock file, or None while the lock is free.
     """
 
-    def __init__(self, capacity: int = DEFAULT_CAPACITY) -> None:
+    def __init__(self, capacity: int = DEFAULT_CAPACITY_BYTES) -> None:
         self.capacity = capacity
         self.fault: FaultSource | None = None
         self.watch: Watch | None = None
@@ -198,14 +200,17 @@
         self._name_changes: list[_NameChange] = []
         self._stale: list[bytes] = []
 
-    # -- what a test does
+    # -- control by tests
 
     def crash_image(self, rng: random.Random) -> FaultInjectingDisk:
-        """One of the disks that a loss of power could leave at this moment; this one is left as it is."""
+        """Return one of the disks that a power loss could leave at this moment; this disk is not changed."""
         image = FaultInjectingDisk(self.capacity)
         image._exists = self._exists
         names = dict(self._durable_names)
-        keep_all, keep_none = rng.random() < _KEEPS_ALL_NAMES, rng.random() < _KEEPS_NO_NAMES
+        keep_all, keep_none = (
+            rng.random() < _ALL_NAMES_KEPT_PROBABILITY,
+            rng.random() < _NO_NAMES_KEPT_PROBABILITY,
+        )
         for change in self._name_changes:
             if keep_all or (not keep_none and rng.random() < 0.5):
                 change.apply(names)
@@ -218,7 +223,7 @@
         return image
 
     def copy(self) -> FaultInjectingDisk:
-        """The same files, all of them durable, without an owner of the lock."""
+        """Return a disk with the same files, all of them durable, whose lock is free."""
         copied = FaultInjectingDisk(self.capacity)
         copied._exists = self._exists
         for name, content in self._names.items():
@@ -226,55 +231,55 @@
         return copied
 
     def power_off(self) -> None:
-        """Every operation raises PowerLoss from now on."""
+        """Make every later operation raise PowerLoss."""
         self._powered_off = True
 
     def read_file(self, name: str) -> bytes:
-        """All bytes of a file, without an operation."""
+        """Return all bytes of a file; this does not count as an operation."""
         return bytes(self._names[name].cached)
 
     def truncate(self, name: str, length: int) -> None:
-        """Leave `length` bytes of a file."""
+        """Truncate a file to `length` bytes, on the disk and in the cache."""
         for data in (self._names[name].cached, self._names[name].durable):
             del data[length:]
 
     def flip_bits(self, name: str, offset: int, bits: int = 1) -> None:
-        """Bit rot in one byte, on the disk and in the cache."""
+        """Flip `bits` of the byte at `offset`, on the disk and in the cache, to simulate bit rot."""
         for data in (self._names[name].cached, self._names[name].durable):
             if offset < len(data):
                 data[offset] ^= bits
 
     def overwrite(self, name: str, data: bytes) -> None:
-        """Have a file with these bytes, durably, whatever was there."""
+        """Create or replace a file with these bytes, durably."""
         content = CachedContent(bytearray(data), bytearray(data))
         self._names[name] = self._durable_names[name] = content
 
     @property
     def used(self) -> int:
-        """Bytes of all files."""
+        """The size of all files in bytes."""
         contents = {id(content): content for content in self._names.values()}
         return sum(len(content.cached) for content in contents.values())
 
-    # -- what its files and its lock use
+    # -- interface for the disk's files and its lock
 
     def check_power(self) -> None:
-        """Raise PowerLoss once the power has gone."""
+        """Raise PowerLoss if the power was lost."""
         if self._powered_off:
             raise PowerLoss
 
-    def operation(self, operation: str, name: str, *, changes: bool = True) -> Operation:
-        """Begin an operation."""
-        return Operation(self, operation, name, changes)
+    def operation(self, operation: str, name: str, *, changes: bool = True) -> DiskOperation:
+        """Return the context manager of an operation on the file `name`."""
+        return DiskOperation(self, operation, name, changes)
 
     def free_space(self, name: str, wanted: int) -> int:
-        """How many of the wanted bytes fit; an OSError with ENOSPC if none does."""
+        """Return how many of the wanted bytes fit; raise an OSError with ENOSPC if none does."""
         free = self.capacity - self.used
         if wanted and free <= 0:
             self.check_power()
             raise Fault(errno.ENOSPC).to_error(name)
         return min(free, wanted)
 
-    # -- the interface of a disk
+    # -- the `Disk` interface
 
     def make_directory(self) -> None:
         """As `Disk.make_directory`."""
@@ -335,7 +340,7 @@
             operation.raise_fault()
             for change in self._name_changes[::2]:
                 change.apply(self._durable_names)
-            operation.halfway()
+            operation.notify_halfway()
             self._durable_names = dict(self._names)
             self._name_changes.clear()
 
@@ -353,4 +358,4 @@
         return self.note
 
     def _remember_stale(self, content: CachedContent) -> None:
-        self._stale = [*self._stale[-MAX_STALE:], bytes(content.cached)]
+        self._stale = [*self._stale[-MAX_STALE_CONTENTS:], bytes(content.cached)]
--- a/heronreel/store/group_commit.py
+++ b/heronreel/store/group_commit.py
@@ -1,7 +1,7 @@
-"""Group commit: writers queue up, and the first of them writes for all that wait.
+"""Group commit: writers queue up, and the first of them writes on behalf of all that wait.
 
-The first writer in the queue leads: it takes those that wait along, writes them as one group with one fsync,
-and passes the lead on.
+The first writer in the queue is the leader.  It writes the queued writes, its own included, as one group with
+one fsync, and then hands leadership to the next writer.
 """
 
 from __future__ import annotations
@@ -17,25 +17,26 @@
 
 @dataclass(slots=True, eq=False)
 class PendingWrite:
-    """A write under way."""
+    """A write that waits in the queue or is being written."""
 
     payload: bytes
     operations: list[Operation]
-    exclusive: bool = False  # it wants the lead for itself, and is in no group
-    leads: bool = False
+    exclusive: bool = False  # It needs leadership without writing, and never joins a group.
+    is_leader: bool = False
     error: BaseException | None = None
-    wakeup: threading.Lock = field(default_factory=threading.Lock)  # released when it leads or is done
+    # Released when this write becomes the leader or is done.
+    wakeup: threading.Lock = field(default_factory=threading.Lock)
 
 
 class CommitQueue:
-    """The queue of the writes of one store."""
+    """The queue of pending writes of one store."""
 
     def __init__(self, write_group: Callable[[list[PendingWrite]], None], group_bytes: int) -> None:
         """Create an empty queue.
 
         Args:
-            write_group: Makes a group durable, or raises; one call at a time.
-            group_bytes: Payload of the writes of a group, at most; a larger write is a group of its own.
+            write_group: Makes a group durable, or raises. It is called for one group at a time.
+            group_bytes: The maximum payload of a group. A larger write forms a group of its own.
         """
         self._write_group = write_group
         self._group_bytes = group_bytes
@@ -45,46 +46,46 @@
         self._closed = False
 
     def close(self) -> None:
-        """Take no more writes; those that wait are still written."""
+        """Reject further writes; queued writes are still written."""
         with self._lock:
             self._closed = True
 
     def submit(self, write: PendingWrite) -> bool:
-        """Wait until the write is done; returns whether the caller led its group.
+        """Wait until the write is done; return whether the caller was the leader of its group.
 
         Raises:
-            StoreClosedError: The queue takes no more writes.
-            BaseException: Whatever `write_group` raised.
+            StoreClosedError: The queue is closed.
+            BaseException: Any error that `write_group` raised.
         """
         self._enqueue(write)
-        if write.leads:
+        if write.is_leader:
             self._lead()
         if write.error is not None:
             raise write.error
-        return write.leads
+        return write.is_leader
 
     def pause(self) -> None:
-        """Take the lead with nothing to write: no write is under way until `resume`."""
+        """Become the leader without writing, so that no write is in progress until `resume`."""
         write = PendingWrite(b"", [], exclusive=True)
         self._enqueue(write)
         with self._lock:
             self._queue.remove(write)
 
     def resume(self) -> None:
-        """Let writes go on after `pause`."""
+        """Allow writes again after `pause`."""
         with self._lock:
-            self._pass_lead()
+            self._hand_over_leadership()
 
     def _enqueue(self, write: PendingWrite) -> None:
-        """Wait until the write is done or leads.  A thread interrupted here leaves the queue in order."""
+        """Wait until the write is done or is the leader; on an interrupt, remove it from the queue."""
         write.wakeup.acquire()
         with self._lock:
             if self._closed and not write.exclusive:
                 raise StoreClosedError("the store is closed")
             self._queue.append(write)
             if not self._has_leader:
-                self._has_leader = write.leads = True
-        if write.leads:
+                self._has_leader = write.is_leader = True
+        if write.is_leader:
             return
         try:
             write.wakeup.acquire()
@@ -92,12 +93,12 @@
             with self._lock:
                 if write in self._queue:
                     self._queue.remove(write)
-                    if write.leads:
-                        self._pass_lead()
+                    if write.is_leader:
+                        self._hand_over_leadership()
             raise
 
     def _lead(self) -> None:
-        """Write the queue's first writes, the caller's own among them, and pass the lead on."""
+        """Write the first group of the queue, which includes the caller's write, and hand over leadership."""
         group = self._take_group()
         error: BaseException | None = None
         try:
@@ -107,9 +108,10 @@
         for write in group:
             write.error = error
         with self._lock:
-            self._pass_lead()  # first: the disk should not wait until the others have woken up
+            # Hand over leadership before the followers are woken up, so that the disk does not wait for them.
+            self._hand_over_leadership()
         for write in group:
-            if not write.leads:
+            if not write.is_leader:
                 write.wakeup.release()
 
     def _take_group(self) -> list[PendingWrite]:
@@ -123,10 +125,10 @@
                 group.append(self._queue.popleft())
         return group
 
-    def _pass_lead(self) -> None:
-        """To the first in the queue, if there is one; the lock is held."""
+    def _hand_over_leadership(self) -> None:
+        """Make the first write in the queue the leader, if there is one.  The caller holds the lock."""
         if self._queue:
-            self._queue[0].leads = True
+            self._queue[0].is_leader = True
             self._queue[0].wakeup.release()
         else:
             self._has_leader = False
--- a/heronreel/store/health.py
+++ b/heronreel/store/health.py
@@ -1,4 +1,4 @@
-"""The health of an open store: what has gone wrong, shared by its parts."""
+"""The health of an open store: the failures seen so far, shared by its components."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(slots=True)
 class Health:
-    """Why an open store rejects writes, if it does.
+    """The reasons why an open store rejects writes, if it does.
 
     Attributes:
-        lost: What can't be read, as far as it is known. A store with any takes no writes.
-        failure: Why writes are rejected until the store is reopened.
-        maintenance_error: Why the last step of a flush or compaction failed; later writes retry it.
+        lost: Known unreadable data. A store with any losses rejects writes.
+        failure: The reason why writes are rejected until the store is reopened, or None.
+        maintenance_error: The error of the last step of a flush or compaction; later writes retry it.
     """
 
     lost: tuple[Lost, ...] = ()
@@ -23,14 +23,14 @@
 
     @property
     def is_sound(self) -> bool:
-        """Whether nothing keeps the store from writing."""
+        """Whether the store accepts writes."""
         return self.failure is None and not self.lost
 
     def check(self) -> None:
-        """Raise what keeps the store from writing.
+        """Raise the error that prevents writes, if there is one.
 
         Raises:
-            WriteFailedError: An earlier fsync or write failed for good.
+            WriteFailedError: An earlier fsync or write failed permanently.
             CorruptionError: Damage was found.
         """
         if self.failure is not None:
@@ -38,12 +38,12 @@
         if self.lost:
             raise CorruptionError(self.lost)
 
-    def fail(self, what: str) -> None:
-        """Reject writes from now on."""
-        self.failure = f"{what}; writes are refused until the store is opened anew"
+    def fail(self, reason: str) -> None:
+        """Reject all writes from now on."""
+        self.failure = f"{reason}; writes are rejected until the store is reopened"
 
     def add_lost(self, lost: tuple[Lost, ...]) -> bool:
-        """Note what is lost; returns whether any of it was not known."""
-        unknown = tuple(each for each in lost if each not in self.lost)
-        self.lost += unknown
-        return bool(unknown)
+        """Add losses; return whether any of them was not yet known."""
+        new = tuple(loss for loss in lost if loss not in self.lost)
+        self.lost += new
+        return bool(new)
--- a/heronreel/store/log_format.py
+++ b/heronreel/store/log_format.py
@@ -1,15 +1,15 @@
-"""The bytes of the write-ahead log: segment headers and frames.  No I/O.
+"""The format of the write-ahead log: segment headers and frames.  This module does no I/O.
 
-`docs/store-format.md` has the layout.
+`docs/store-format.md` specifies the layout.
 
-A segment is a header and frames.  One frame carries one group of operations, or a fragment of a group too
-large for a frame; fragments of one group may be in several segments.  Two numbers tell damage from a torn
-write:
+A segment consists of a header and frames.  A frame holds one group of operations, or a fragment of a group
+that is too large for one frame; the fragments of a group may be in several segments.  Two numbers distinguish
+damage from a torn write:
 
-* a segment's header says up to which byte the segment before it counts;
-* a frame says up to which byte its own segment was durable when the frame was written.
+* a segment's header has the end offset of the valid part of the previous segment;
+* a frame has the offset up to which its own segment was durable when the frame was written.
 
-So a frame that can't be read was acknowledged if, and only if, something behind it says that it was durable.
+So an unreadable frame was acknowledged if and only if a later header or frame declares it durable.
 """
 
 from __future__ import annotations
@@ -35,40 +35,43 @@
 HEADER_BYTES = _HEADER.size + CHECKSUM_BYTES
 _FRAME = struct.Struct("<QIB3xQQ")
 FRAME_HEADER_BYTES = _FRAME.size
-_KIND_OFFSET = 12  # of the kind in a frame's header
+_KIND_OFFSET = 12  # Offset of the frame kind in a frame's header.
 MAX_FRAGMENT_BYTES = 1 << 20
 FRAME_ALIGNMENT = 8
 
 
 class FrameKind(enum.IntEnum):
-    """Which part of its group a frame carries."""
+    """The part of a group that a frame holds."""
 
     FULL = 1
     FIRST = 2
     MIDDLE = 3
     LAST = 4
-    MARK = 5  # no group: says that all before it is durable, as sync() and close() leave it
+    MARK = 5  # Holds no group. Written by sync() and close() to declare everything before it durable.
 
 
 @dataclass(frozen=True, slots=True)
 class SegmentHeader:
     """The header of a log segment."""
 
-    store: bytes  # 16 bytes, drawn when the store was created
+    store: bytes  # The store's id: 16 random bytes, drawn when the store was created.
     number: int
-    first_sequence: int  # of the first group that begins in this segment
-    previous_end: int  # bytes of the previous segment that count; the rest was never acknowledged
-    salt: int  # drawn anew for each segment, so that no frame of another segment passes for one of its own
-    recovery: bool = False  # created by recovery: ignored, unless a manifest begins the log with it
+    first_sequence: int  # The sequence of the first group that begins in this segment.
+    # Size of the valid part of the previous segment in bytes; the rest was never acknowledged.
+    previous_end: int
+    # Random for each segment, so that a stale frame of another segment fails the checksum in this one.
+    salt: int
+    # Whether recovery created the segment.  It is then ignored unless a manifest names it as the log's first.
+    recovery: bool = False
 
     def encode(self) -> bytes:
-        """The header with its checksum."""
+        """Encode the header with its checksum."""
         fields = (self.recovery, self.store, self.number, self.first_sequence, self.previous_end, self.salt)
         return append_checksum(_HEADER.pack(MAGIC, FORMAT_VERSION, *fields))
 
     @classmethod
     def decode(cls, data: bytes, file: str) -> SegmentHeader | None:
-        """The header at the start of `data`, or None where there is no valid one.
+        """Decode the header at the start of `data`; return None if it is not valid.
 
         Raises:
             UnknownFormatError: The header has a newer format version.
@@ -85,20 +88,20 @@
     """A frame as it was read from a segment."""
 
     offset: int
-    end: int  # of the frame with its padding
+    end: int  # The end offset, with the frame's padding.
     kind: FrameKind
     sequence: int
-    durable: int
+    durable: int  # The bytes of the segment that were durable when the frame was written.
     payload: bytes
 
 
 def segment_name(number: int) -> str:
-    """The file name of a log segment."""
+    """Return the file name of a log segment."""
     return f"{number:08}.{SEGMENT_SUFFIX}"
 
 
 def file_numbers(names: list[str], suffix: str) -> list[int]:
-    """The numbers of the files with a suffix ("log", "table", "index"), in ascending order."""
+    """Return the numbers of the files with a suffix ("log", "table", "index"), in ascending order."""
     split = [name.partition(".") for name in names]
     return sorted(int(stem) for stem, _, ending in split if ending == suffix and stem.isdigit())
 
@@ -106,14 +109,14 @@
 def encode_frame(
     salt: int, kind: FrameKind, sequence: int, durable: int, payload: bytes | memoryview
 ) -> bytes:
-    """A frame with its checksum and padding.
+    """Encode a frame with its checksum and padding.
 
     Args:
-        salt: Of the segment.
-        kind: Which part of its group the payload is.
-        sequence: Of the group; of a mark, the next group's.
-        durable: Bytes of the segment that an fsync has covered.
-        payload: At most `MAX_FRAGMENT_BYTES`.
+        salt: The salt of the segment.
+        kind: The part of its group that the payload is.
+        sequence: The sequence of the group; for a mark, the sequence of the next group.
+        durable: The bytes of the segment that an fsync has made durable.
+        payload: At most `MAX_FRAGMENT_BYTES` bytes.
     """
     rest = _FRAME.pack(0, len(payload), kind, sequence, durable)[CHECKSUM_BYTES:] + payload
     padding = b"\0" * (-len(payload) % FRAME_ALIGNMENT)
@@ -121,7 +124,7 @@
 
 
 def decode_frame(data: bytes, offset: int, end: int, salt: int) -> Frame | None:
-    """The frame at `offset` of a segment's `data`, or None unless it is complete and its checksum matches."""
+    """Decode the frame at `offset` of a segment; return None if it is incomplete or its checksum is wrong."""
     if offset + FRAME_HEADER_BYTES > end:
         return None
     checksum, length, kind, sequence, durable = _FRAME.unpack_from(data, offset)
@@ -137,13 +140,13 @@
 
 
 def scan_frames(data: bytes, offset: int, end: int, salt: int) -> Iterator[Frame]:
-    """Every valid frame from `offset` on, wherever it begins: to find what follows an unreadable frame."""
-    at = -(-(offset - HEADER_BYTES) // FRAME_ALIGNMENT) * FRAME_ALIGNMENT + HEADER_BYTES
-    while at + FRAME_HEADER_BYTES <= end:
-        # the cheap check comes first: in a segment full of other bytes hardly any place has such a kind
-        plausible = FrameKind.FULL <= data[at + _KIND_OFFSET] <= FrameKind.MARK
-        if plausible and (frame := decode_frame(data, at, end, salt)):
+    """Yield the valid frames from `offset` on, to find those that follow an unreadable frame."""
+    position = -(-(offset - HEADER_BYTES) // FRAME_ALIGNMENT) * FRAME_ALIGNMENT + HEADER_BYTES
+    while position + FRAME_HEADER_BYTES <= end:
+        # The cheap check of the kind comes first: in a range of arbitrary bytes it rejects most offsets.
+        plausible = FrameKind.FULL <= data[position + _KIND_OFFSET] <= FrameKind.MARK
+        if plausible and (frame := decode_frame(data, position, end, salt)):
             yield frame
-            at = frame.end
+            position = frame.end
         else:
-            at += FRAME_ALIGNMENT
+            position += FRAME_ALIGNMENT
--- a/heronreel/store/log_reader.py
+++ b/heronreel/store/log_reader.py
@@ -1,4 +1,4 @@
-"""Reading the write-ahead log: which groups it holds, which were torn off, and which are lost."""
+"""Reads the write-ahead log: its complete groups, its unacknowledged end, and lost groups."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class LogPosition(NamedTuple):
-    """A byte of the log: everything before it is meant."""
+    """A byte offset in a segment of the log.  As a limit, it includes everything before that byte."""
 
     segment: int
     offset: int
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DroppedTail:
-    """The end of a log that was never acknowledged and is not in the store.
+    """The end of a log that was never acknowledged and is not part of the store.
 
     The field names are keys of `verify --json` and `repair --json`.
     """
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class LogState:
-    """What the segments of a log hold."""
+    """The result of reading the segments of a log."""
 
     next_sequence: int
     groups: int = 0
@@ -61,22 +61,22 @@
     number: int
     data: bytes
     header: SegmentHeader
-    end: int  # bytes of it that count, as far as that is known
-    end_known: bool  # from the next segment's header, or from a live writer
+    end: int  # The end of its valid part, as far as known, else the size of the file.
+    end_known: bool  # Whether the next segment's header or a live writer gave the end.
     has_successor: bool
 
 
 class _Tail(NamedTuple):
-    """What is behind a frame that can't be read."""
+    """The valid frames after an unreadable frame."""
 
     frames: list[Frame]
-    durable: int  # the most that any of the frames says was durable
+    durable: int  # The largest durable offset that any of the frames declares.
 
 
 class LogReader:
-    """Reads the segments of a log in order and passes on each complete group.
+    """Reads the segments of a log in order and applies each complete group.
 
-    One whole segment is in memory at a time.
+    Only one segment is in memory at a time.
     """
 
     def __init__(
@@ -91,34 +91,34 @@
         """Prepare to read a log.
 
         Args:
-            read: Returns the bytes of a segment by its number: all, or as many as requested.
+            read: Returns the bytes of a segment by its number: all of them, or up to the given limit.
             store: The store's id.
-            first_number: The first segment that counts, by the manifest.
+            first_number: The number of the log's first segment, according to the manifest.
             first_sequence: The sequence of the first group that is not in a sorted run.
             apply: Called with the operations of each complete group.
-            durable: How far a live writer has published its log as durable; nothing behind it is read.
+            durable: The position up to which a live writer's log is durable. Nothing after it is read.
         """
         self._read = read
         self._store = store
         self._first_number = first_number
         self._apply = apply
         self._durable = durable
-        self._fragments: list[bytes] = []  # of a group that has begun
+        self._fragments: list[bytes] = []  # Payloads of the current, incomplete group.
         self._group_start = LogPosition(0, 0)
         self.state = LogState(first_sequence)
 
     def run(self, numbers: list[int]) -> LogState:
-        """Read the segments `numbers`, those in the directory from the first one on."""
+        """Read the segments `numbers`, which are those in the directory from the log's first segment on."""
         if self._durable:
             if self._durable.segment < self._first_number:
-                return self.state  # published before its segments went into a run
+                return self.state  # The position was published before its segments were flushed to a run.
             numbers = [number for number in numbers if number <= self._durable.segment]
         if not numbers or numbers[0] != self._first_number:
-            self._lose(self._first_number, 0, 0, "the file is missing", "all from its begin on")
+            self._record_loss(self._first_number, 0, 0, "the file is missing", "all from its begin on")
         headers = self._read_headers(numbers)
         for index, (number, header) in enumerate(headers):
             if index and number != headers[index - 1][0] + 1:
-                self._lose(number - 1, 0, 0, "the file is missing", self._groups_from_here())
+                self._record_loss(number - 1, 0, 0, "the file is missing", self._groups_from_here())
             successor = headers[index + 1] if index + 1 < len(headers) else None
             self._read_segment(number, header, successor)
         if self._fragments:
@@ -131,9 +131,9 @@
             (number, SegmentHeader.decode(data, segment_name(number))) for number, data in starts.items()
         ]
         # A segment's header is durable before its first frame is written, and before a manifest names it.
-        # So a last segment without frames whose header is torn, or bytes that another file left there, is a
-        # creation cut off. One that recovery created counts from the manifest on that begins the log with
-        # it, and not before.
+        # So if the last segment has no frames and its header is torn, or consists of stale bytes of another
+        # file, its creation was interrupted. A segment created by recovery is only valid once a manifest
+        # names it as the log's first.
         while headers and headers[-1][0] != self._first_number:
             number, header = headers[-1]
             valid = header is not None and header.number == number and header.store == self._store
@@ -141,8 +141,8 @@
             if length > HEADER_BYTES or (valid and header and not header.recovery):
                 break
             headers.pop()
-            cut_opening = header is not None and header.recovery
-            why = "an opening was cut off" if cut_opening else "its creation was cut off"
+            recovery_interrupted = header is not None and header.recovery
+            why = "an opening was cut off" if recovery_interrupted else "its creation was cut off"
             self.state.dropped.append(DroppedTail(segment_name(number), 0, length, why))
         return headers
 
@@ -153,23 +153,23 @@
         data = self._read(number, None)
         self.state.bytes += len(data)
         if header is None:
-            self._lose(number, 0, len(data), "its header is damaged", self._groups_from_here())
+            self._record_loss(number, 0, len(data), "its header is damaged", self._groups_from_here())
             self._fragments.clear()
             return
         if header.store != self._store or header.number != number:
-            self._lose(number, 0, len(data), "it is of another store or segment", "all in it")
+            self._record_loss(number, 0, len(data), "it is of another store or segment", "all in it")
             return
         declared = self._declared_end(number, len(data), successor)
         if declared is not None and declared > len(data):
             missing = declared - len(data)
-            self._lose(number, len(data), missing, "the file is cut short", "the groups at its end")
+            self._record_loss(number, len(data), missing, "the file is cut short", "the groups at its end")
         end = len(data) if declared is None else min(declared, len(data))
         self._read_frames(_Segment(number, data, header, end, declared is not None, successor is not None))
 
     def _declared_end(
         self, number: int, size: int, successor: tuple[int, SegmentHeader | None] | None
     ) -> int | None:
-        """How many bytes of the segment count, where its successor or a live writer says so."""
+        """Return the end of the segment's valid part if its successor or a live writer declares it."""
         if self._durable and number == self._durable.segment:
             return min(self._durable.offset, size)
         if successor is None:
@@ -182,7 +182,7 @@
         while offset < segment.end:
             frame = decode_frame(segment.data, offset, segment.end, segment.header.salt)
             if frame is not None:
-                self._take_frame(segment.number, frame)
+                self._process_frame(segment.number, frame)
                 offset = frame.end
                 continue
             tail = _scan_tail(segment, offset)
@@ -192,46 +192,48 @@
             offset = self._skip_damage(segment, offset, tail)
 
     def _drop_torn_end(self, segment: _Segment, offset: int, tail: _Tail) -> None:
-        kept = f", {len(tail.frames)} whole frames among them" if tail.frames else ""
-        if segment.data.count(0, offset) < len(segment.data) - offset:  # else it has grown and no more
-            why = f"a torn end, never acknowledged{kept}"
+        """Report the dropped end of the log, unless it consists of zeros only."""
+        suffix = f", {len(tail.frames)} whole frames among them" if tail.frames else ""
+        # A tail of zeros only means that the file was extended and nothing else was written.
+        if segment.data.count(0, offset) < len(segment.data) - offset:
+            why = f"a torn end, never acknowledged{suffix}"
             length = segment.end - offset
             self.state.dropped.append(DroppedTail(segment_name(segment.number), offset, length, why))
 
     def _skip_damage(self, segment: _Segment, offset: int, tail: _Tail) -> int:
-        """Note the loss of acknowledged frames at `offset`; returns where reading goes on."""
+        """Record the loss of acknowledged frames at `offset`; return the offset where reading continues."""
         state = self.state
         all_acknowledged = segment.has_successor or segment.end_known
         acknowledged = (frame for frame in tail.frames if all_acknowledged or frame.offset < tail.durable)
-        following = next(acknowledged, None)
+        next_frame = next(acknowledged, None)
         first = state.next_sequence
-        if following is None:
-            self._lose(
+        if next_frame is None:
+            self._record_loss(
                 segment.number, offset, segment.end - offset,
                 "the checksum does not hold", self._groups_from_here(),
             )  # fmt: skip
             self._fragments.clear()
             return segment.end
-        groups = f"groups {first} to {max(first, following.sequence - 1)}"
-        length = following.offset - offset
-        self._lose(segment.number, offset, length, "the checksum does not hold", groups)
+        groups = f"groups {first} to {max(first, next_frame.sequence - 1)}"
+        length = next_frame.offset - offset
+        self._record_loss(segment.number, offset, length, "the checksum does not hold", groups)
         self._fragments.clear()
-        if following.kind in (FrameKind.MIDDLE, FrameKind.LAST):
-            state.next_sequence = following.sequence + (following.kind is FrameKind.LAST)
-            return following.end
-        state.next_sequence = following.sequence
-        return following.offset
+        if next_frame.kind in (FrameKind.MIDDLE, FrameKind.LAST):
+            state.next_sequence = next_frame.sequence + (next_frame.kind is FrameKind.LAST)
+            return next_frame.end
+        state.next_sequence = next_frame.sequence
+        return next_frame.offset
 
-    def _take_frame(self, number: int, frame: Frame) -> None:
+    def _process_frame(self, number: int, frame: Frame) -> None:
         if frame.kind is FrameKind.MARK or not self._check_sequence(number, frame):
             return
         if frame.kind in (FrameKind.FULL, FrameKind.FIRST):
-            if self._fragments:  # its write failed half-way, and what came next took its number
+            if self._fragments:  # That group's write failed, and the next group reused its sequence.
                 self._drop_group("a group whose write failed half-way")
             self._fragments = [frame.payload]
             self._group_start = LogPosition(number, frame.offset)
         elif not self._fragments:
-            self._take_orphan(number, frame)
+            self._process_orphan_fragment(number, frame)
             return
         else:
             self._fragments.append(frame.payload)
@@ -239,23 +241,25 @@
             self._end_group()
 
     def _check_sequence(self, number: int, frame: Frame) -> bool:
-        """Whether the frame is not of an older group; notes the groups that are missing before it."""
+        """Return False if the frame belongs to an older group; record groups that are missing before it."""
         state = self.state
         if frame.sequence < state.next_sequence:
             length = frame.end - frame.offset
-            self._lose(number, frame.offset, length, "out of order", "an older group")
+            self._record_loss(number, frame.offset, length, "out of order", "an older group")
             return False
         if frame.sequence > state.next_sequence:
             missing = f"groups {state.next_sequence} to {frame.sequence - 1}"
-            self._lose(number, frame.offset, 0, "groups are missing before it", missing)
+            self._record_loss(number, frame.offset, 0, "groups are missing before it", missing)
             state.next_sequence = frame.sequence
         return True
 
-    def _take_orphan(self, number: int, frame: Frame) -> None:
-        """A fragment whose group's first fragment is missing."""
+    def _process_orphan_fragment(self, number: int, frame: Frame) -> None:
+        """Handle a fragment whose group's first fragment is missing."""
         if not self.state.lost:
             length = frame.end - frame.offset
-            self._lose(number, frame.offset, length, "its group has no begin", f"group {frame.sequence}")
+            self._record_loss(
+                number, frame.offset, length, "its group has no begin", f"group {frame.sequence}"
+            )
         if frame.kind is FrameKind.LAST:
             self.state.next_sequence += 1
 
@@ -274,7 +278,7 @@
     def _groups_from_here(self) -> str:
         return f"groups from {self.state.next_sequence} on"
 
-    def _lose(self, number: int, offset: int, length: int, why: str, records: str) -> None:
+    def _record_loss(self, number: int, offset: int, length: int, why: str, records: str) -> None:
         self.state.lost.append(Lost(segment_name(number), offset, length, records, why))
 
 
--- a/heronreel/store/maintenance.py
+++ b/heronreel/store/maintenance.py
@@ -1,4 +1,4 @@
-"""Flushes and compactions, done in small steps that the writes themselves pay for."""
+"""Incremental flushes and compactions, whose steps are run by writes in proportion to their size."""
 
 from __future__ import annotations
 
@@ -26,22 +26,23 @@
 from heronreel.store.run_writer import RunWriter, UnreferencedTables, remove_file, remove_table
 from heronreel.store.sstable import SortedRun
 
-WRITE_COST_BYTES = 64  # that a write earns for maintenance beside its payload
-SMALL_RUN_MEMTABLES = 4  # runs below so many memtables wait for others before they are merged
-SAVED_STEPS = 4  # of maintenance, that small writes save up at most
+WRITE_OVERHEAD_BYTES = 64  # Maintenance credit of a write in addition to its payload.
+SMALL_RUN_MEMTABLES = 4  # Runs smaller than this many memtables are merged only together with others.
+MAX_SAVED_STEPS = 4  # Maximum credit that small writes accumulate, in steps.
 
 
 class FrozenEnd(NamedTuple):
-    """Where the log of the frozen memtable ends."""
+    """The end of the log of the frozen memtable."""
 
-    last_sequence: int  # the last group in it
-    next_segment: int  # the first segment behind it
+    last_sequence: int  # The last group in the memtable.
+    next_segment: int  # The first segment after its log.
 
 
 class Maintenance:
-    """The flush and the compaction under way.
+    """Runs the current flush and the current compaction.
 
-    `lock` guards them and the manifest; a method whose description begins with "while locked" needs it held.
+    `lock` guards them and the manifest. The caller of a method whose description begins with "while locked"
+    must hold it.
     """
 
     def __init__(
@@ -61,7 +62,7 @@
         self._health = health
         self._counters = counters
         self._current = current
-        self._credit = 0  # bytes of work that writes have paid for
+        self._credit_bytes = 0  # Bytes of maintenance work that earlier writes have earned.
         self._flush: Iterator[int] | None = None
         self._compaction: Iterator[int] | None = None
         self._unreferenced = UnreferencedTables()
@@ -70,7 +71,7 @@
     # -- steps
 
     def run(self, budget: int) -> int:
-        """Flush and compact what is due, up to `budget` bytes; returns the bytes done."""
+        """Run due flushes and compactions, up to `budget` bytes; return the bytes processed."""
         done = 0
         while done < budget:
             with self.lock:
@@ -80,36 +81,36 @@
             done += step
         return done
 
-    def pay_for(self, written: int) -> None:
-        """Do the maintenance that a write of `written` bytes pays for.
+    def run_for_write(self, written: int) -> None:
+        """Run the maintenance that is due after a write of `written` bytes.
 
-        It pays for its own bytes at most, or large writes would outrun the compactions; small ones save up
-        for a step.
+        The work is proportional to the size of the write, so that large writes do not outrun the compactions.
+        Small writes accumulate credit until it suffices for a step.
         """
         step_bytes = self._limits.step_bytes
-        earned = (written + WRITE_COST_BYTES) * self._limits.compaction_ratio
-        self._credit = min(self._credit + earned, max(earned, SAVED_STEPS * step_bytes))
-        if self._credit < step_bytes or not self.lock.acquire(blocking=False):
+        earned = (written + WRITE_OVERHEAD_BYTES) * self._limits.compaction_ratio
+        self._credit_bytes = min(self._credit_bytes + earned, max(earned, MAX_SAVED_STEPS * step_bytes))
+        if self._credit_bytes < step_bytes or not self.lock.acquire(blocking=False):
             return
         try:
-            while self._credit >= step_bytes and not self.closed:
+            while self._credit_bytes >= step_bytes and not self.closed:
                 done = self.step()
                 if not done:
-                    self._credit = 0
+                    self._credit_bytes = 0
                     break
-                self._credit -= max(done, step_bytes)
+                self._credit_bytes -= max(done, step_bytes)
         finally:
             self.lock.release()
 
     def step(self) -> int:
-        """While locked: one step of the flush or else of the compaction under way.
+        """While locked: run one step of the current flush, or else of the current compaction.
 
         Returns:
-            The bytes done, at least 1; 0 if there was nothing to do or the step failed.
+            The bytes processed, at least 1; 0 if no work was due or the step failed.
         """
         if not self._health.is_sound:
             return 0
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         try:
             done = self._next_step()
             if done is None:
@@ -126,14 +127,14 @@
             self.record_damage()
             return 0
         finally:
-            elapsed_ms = (time.perf_counter() - began) * 1000
+            elapsed_ms = (time.perf_counter() - started_at) * 1000
             self._counters.longest_step_ms = max(self._counters.longest_step_ms, elapsed_ms)
 
     def _next_step(self) -> int | None:
-        """The bytes of the step, 0 where it was the last of its task; None if nothing is due."""
+        """Run a step; return its bytes, 0 if its task is finished, or None if no work is due."""
         if self._flush is not None or self._current.view.frozen:
             if self._flush is None:
-                self._start_flush()  # it failed before
+                self._start_flush()  # The previous attempt failed.
             assert self._flush
             done = next(self._flush, 0)
             if not done:
@@ -151,12 +152,12 @@
         """While locked: give up what is being written; nothing refers to it, and its space is needed."""
         self._flush = self._compaction = None
         numbers = self._unreferenced.abandon()
-        if self._health.failure is None:  # else a manifest that names them may be on the disk
+        if self._health.failure is None:  # Else a manifest on the disk may refer to them.
             for number in numbers:
                 remove_table(self._disk, number)
 
     def raise_failure(self) -> NoReturn:
-        """Raise why the last step failed.
+        """Raise the error of the last step, which failed.
 
         Raises:
             WriteFailedError: The disk failed.
@@ -167,25 +168,25 @@
         raise WriteFailedError(f"flushing failed: {error}", final=False) from error
 
     def record_damage(self) -> None:
-        """While locked: have the manifest remember what is lost, for the next opening."""
-        with suppress(OSError, StoreError):  # whoever reads it next finds it again
+        """While locked: record the known losses in the manifest, for the next opening."""
+        with suppress(OSError, StoreError):  # The next read of the damaged data will detect it again.
             self.manifests.record_damage(self._health.lost)
 
     # -- flushing
 
     def freeze_memtable(self, end: FrozenEnd) -> None:
-        """While locked: put the memtable aside to be flushed; a new segment has been started."""
+        """While locked: freeze the memtable and start its flush, after a new segment was started."""
         self._current.freeze_memtable()
         self._frozen_end = end
         self._start_flush()
 
     def finish_flush(self) -> None:
-        """While locked: steps until nothing is frozen, or until flushing fails or writes have ended."""
+        """While locked: run steps until no memtable is frozen, a step fails, or the store rejects writes."""
         while self._current.view.frozen and self.step():
             pass
 
     def flush_recovered(self, memtable: Memtable, end: FrozenEnd) -> None:
-        """Flush what recovery found in the log.
+        """Flush the records that recovery read from the log.
 
         Raises:
             OSError: The disk fails.
@@ -198,7 +199,7 @@
         self._flush = self._flush_steps(frozen, first, self._frozen_end)
 
     def _flush_steps(self, frozen: Memtable, first_sequence: int, end: FrozenEnd) -> Iterator[int]:
-        """Write the frozen memtable as the newest run; the log before it is not needed any more then."""
+        """Write the frozen memtable as the newest run, and remove the log segments that it replaces."""
         run: SortedRun | None = None
         if frozen:
             writer = self._run_writer(first_sequence, end.last_sequence, self._count_flushed)
@@ -213,12 +214,12 @@
             replace(manifest, first_segment=end.next_segment, next_sequence=next_sequence, runs=runs)
         )
         if run:
-            self._unreferenced.remove_run(run)
+            self._unreferenced.mark_run_referenced(run)
         self._current.replace_frozen(run)
         self.remove_segments(end.next_segment)
 
     def remove_segments(self, first: int) -> None:
-        """Remove the segments before `first`, which the manifest names as the log's first."""
+        """Remove all segments before `first`, the log's first segment according to the manifest."""
         for number in file_numbers(self._disk.list_names(), SEGMENT_SUFFIX):
             if number < first:
                 remove_file(self._disk, segment_name(number))
@@ -226,10 +227,10 @@
     # -- compaction
 
     def compact_all(self, progress: Progress | None) -> None:
-        """Merge all runs into one without what is out of date, after any compaction under way.
+        """Merge all runs into one without obsolete records, once the current compaction has finished.
 
         Raises:
-            WriteFailedError: The disk fails; the store is as before then.
+            WriteFailedError: The disk failed; the store is unchanged.
             CorruptionError: Damage was found.
         """
         task = self._start_full_compaction()
@@ -242,7 +243,7 @@
                 if self._compaction is not task:
                     if (
                         self._health.maintenance_error
-                    ):  # another thread's step failed, and abandoned this task
+                    ):  # Another thread's step failed and abandoned this task.
                         self.raise_failure()
                     return
                 if not (step := self.step()):
@@ -252,7 +253,7 @@
                 progress(min(done, total), total)
 
     def _start_full_compaction(self) -> Iterator[int] | None:
-        """Start merging all runs, once no other compaction is under way; None if there is no need."""
+        """Start to merge all runs once no other compaction is running; return None if there is no need."""
         while True:
             with self.lock:
                 if self._compaction is None:
@@ -264,7 +265,7 @@
                     self.raise_failure()
 
     def _start_due_compaction(self) -> bool:
-        """Start the compaction that the policy asks for, if any."""
+        """Start the compaction that the policy requests; return whether there is one."""
         runs = self._current.view.runs
         weights = [RunWeight(run.info.size, run.info.entries, run.info.deletions) for run in runs]
         first = oldest_run_to_compact(weights, SMALL_RUN_MEMTABLES * self._limits.memtable_bytes)
@@ -274,7 +275,7 @@
         return True
 
     def _compaction_steps(self, merged: tuple[SortedRun, ...], oldest: bool) -> Iterator[int]:
-        """Write neighbouring runs as one; their files are not needed any more then."""
+        """Write adjacent runs as one run, and remove their files."""
         first, last = merged[0].info.first_sequence, merged[-1].info.last_sequence
         writer = self._run_writer(first, last, self._count_compacted)
         records = merge_records([run.records() for run in reversed(merged)])
@@ -283,7 +284,7 @@
         runs = _replace_runs(self._current.view.runs, merged, writer.run)
         self.manifests.install(replace(self.manifests.current, runs=[RunEntry.of(run.info) for run in runs]))
         if writer.run:
-            self._unreferenced.remove_run(writer.run)
+            self._unreferenced.mark_run_referenced(writer.run)
         self._current.replace_runs(runs)
         self._counters.compactions += 1
         for run in merged:
@@ -305,7 +306,7 @@
 def _replace_runs(
     runs: tuple[SortedRun, ...], merged: tuple[SortedRun, ...], result: SortedRun | None
 ) -> tuple[SortedRun, ...]:
-    """`runs` with the stretch `merged` replaced by its result, if any record is left."""
+    """Return `runs` with the adjacent runs `merged` replaced by their result, if it has any records."""
     start = runs.index(merged[0])
     end = start + len(merged)
     assert runs[start:end] == merged
--- a/heronreel/store/manifest.py
+++ b/heronreel/store/manifest.py
@@ -1,7 +1,7 @@
-"""The manifest: which sorted runs and which log segments make up the store.
+"""The manifest, which lists the sorted runs and the first log segment of a store.
 
-It is replaced as a whole, by a rename.  One line with a magic word, the format version, the length and the
-checksum of the rest is followed by JSON that an operator can read.
+It is replaced as a whole, by a rename.  Its first line has a magic word, the format version, and the length
+and the checksum of the rest of the file.  The rest is JSON that an operator can read.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class TableEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An SSTable in the manifest; keys in hexadecimal."""
+    """The manifest's entry of an SSTable; keys are in hexadecimal."""
 
     number: int
     size: int
@@ -33,19 +33,19 @@
 
     @classmethod
     def of(cls, table: TableInfo) -> TableEntry:
-        """The entry of a table."""
+        """Return the entry of a table."""
         keys = table.first_key.hex(), table.last_key.hex()
         return cls(table.number, table.size, *keys, table.entries, table.deletions)
 
     @property
     def info(self) -> TableInfo:
-        """The table; ValueError where a key is not hexadecimal."""
+        """The table; raises ValueError if a key is not hexadecimal."""
         keys = bytes.fromhex(self.first_key), bytes.fromhex(self.last_key)
         return TableInfo(self.number, self.size, *keys, self.entries, self.deletions)
 
 
 class RunEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A sorted run in the manifest."""
+    """The manifest's entry of a sorted run."""
 
     first_sequence: int = msgspec.field(name="low")
     last_sequence: int = msgspec.field(name="high")
@@ -53,17 +53,17 @@
 
     @classmethod
     def of(cls, run: RunInfo) -> RunEntry:
-        """The entry of a run."""
+        """Return the entry of a run."""
         return cls(run.first_sequence, run.last_sequence, [TableEntry.of(part) for part in run.parts])
 
     @property
     def info(self) -> RunInfo:
-        """The run; ValueError where a key is not hexadecimal."""
+        """The run; raises ValueError if a key is not hexadecimal."""
         return RunInfo(self.first_sequence, self.last_sequence, tuple(part.info for part in self.parts))
 
 
 class DamageEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Damage found while reading; as long as the manifest has it, the store opens for reading only."""
+    """Damage found by a read.  While the manifest has such an entry, the store opens for reading only."""
 
     file: str
     offset: int
@@ -73,7 +73,7 @@
 
     @classmethod
     def of(cls, lost: Lost) -> DamageEntry:
-        """The entry of lost bytes."""
+        """Return the entry of lost bytes."""
         return cls(lost.file, lost.offset, lost.length, lost.records, lost.why)
 
     @property
@@ -83,29 +83,33 @@
 
 
 class Manifest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`runs` from the oldest to the newest; they hold every group below `next_sequence`, the log the rest."""
+    """The content of the manifest.
 
-    store: str  # the store's id, 32 hexadecimal digits
+    `runs` are ordered from the oldest to the newest. They hold every group below `next_sequence`; the log
+    holds the later groups.
+    """
+
+    store: str  # The store's id, 32 hexadecimal digits.
     generation: int
-    next_table_number: int = msgspec.field(name="next_file")  # numbers from here on were never used
-    first_segment: int = msgspec.field(name="log_from")  # the first that counts
-    next_sequence: int  # of the first group that is in the log and in no run
+    next_table_number: int = msgspec.field(name="next_file")  # Numbers from this one on were never used.
+    first_segment: int = msgspec.field(name="log_from")  # The first segment of the log.
+    next_sequence: int  # The sequence of the first group that is in no run.
     runs: list[RunEntry]
     damage: list[DamageEntry] = []
 
     @classmethod
     def initial(cls, store: str) -> Manifest:
-        """The manifest of a store that holds nothing."""
+        """Return the manifest of an empty store."""
         return cls(store, 0, 1, 1, 1, [])
 
     @property
     def store_id(self) -> bytes:
-        """The store's id as log segments and SSTables carry it."""
+        """The store's id in the binary form of log segments and SSTables."""
         return bytes.fromhex(self.store)
 
     @property
     def lost(self) -> list[Lost]:
-        """The damage that it records."""
+        """The losses that the manifest records."""
         return [entry.lost for entry in self.damage]
 
     @property
@@ -115,27 +119,27 @@
 
 
 def encode_manifest(manifest: Manifest) -> bytes:
-    """The bytes of the manifest's file."""
+    """Encode the manifest as the content of its file."""
     body = msgspec.json.format(msgspec.json.encode(manifest), indent=1) + b"\n"
     checksum = xxhash.xxh3_64_intdigest(body)
     return b"heronreel-store %d %d %016x\n" % (FORMAT_VERSION, len(body), checksum) + body
 
 
 def decode_manifest(data: bytes) -> Manifest | None:
-    """The manifest in `data`, or None where there is no valid one.
+    """Decode the manifest in `data`; return None if it is not valid.
 
     Raises:
         UnknownFormatError: The manifest has a newer format version.
     """
-    line = _HEADER_LINE.match(data)
-    if not line:
-        # the line of any later format begins alike, whatever may follow
-        if newer := _ANY_VERSION.match(data):
-            check_format_version(int(newer[1]), MANIFEST_NAME)
+    header = _HEADER_LINE.match(data)
+    if not header:
+        # Every later format version begins its first line in the same way, whatever follows.
+        if version_match := _ANY_VERSION.match(data):
+            check_format_version(int(version_match[1]), MANIFEST_NAME)
         return None
-    check_format_version(int(line[1]), MANIFEST_NAME)
-    body = data[line.end() :]
-    if len(body) != int(line[2]) or xxhash.xxh3_64_intdigest(body) != int(line[3], 16):
+    check_format_version(int(header[1]), MANIFEST_NAME)
+    body = data[header.end() :]
+    if len(body) != int(header[2]) or xxhash.xxh3_64_intdigest(body) != int(header[3], 16):
         return None
     try:
         manifest = msgspec.json.decode(body, type=Manifest)
--- a/heronreel/store/manifest_file.py
+++ b/heronreel/store/manifest_file.py
@@ -1,4 +1,4 @@
-"""The manifest in force: replacing it on the disk, atomically and durably."""
+"""The current manifest, and its atomic, durable replacement on the disk."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from heronreel.store.health import Health
 from heronreel.store.manifest import MANIFEST_NAME, NEW_MANIFEST_NAME, DamageEntry, Manifest, encode_manifest
 
-_SYNCS = 3  # that an installation takes
+_SYNCS_PER_INSTALL = 3
 
 
 class ManifestFile:
-    """The manifest of a store open for writing; whoever installs one holds the maintenance lock."""
+    """The manifest of a store open for writing.  Callers that change it hold the maintenance lock."""
 
     def __init__(self, disk: Disk, manifest: Manifest, health: Health, counters: Counters) -> None:
         self._disk = disk
@@ -23,18 +23,18 @@
         self.current = manifest
 
     def allocate_table_number(self) -> int:
-        """A number that no table has had; durable with the next manifest."""
+        """Return an unused table number; the allocation becomes durable with the next manifest."""
         number = self.current.next_table_number
         self.current = replace(self.current, next_table_number=number + 1)
         return number
 
     def install(self, manifest: Manifest) -> None:
-        """Make `manifest`, under the next generation, the one in force.
+        """Make `manifest` the current one, with the next generation number.
 
         Raises:
-            OSError: Before the rename, the old one stays in force. After it nobody can say which one a crash
-                would leave: both are complete, and their files are all there, so writes end and nothing is
-                removed.
+            OSError: If it was raised before the rename, the old manifest stays current. After the rename it
+                is unknown which manifest a crash would leave. Both are complete and all their files exist, so
+                the store rejects further writes and removes nothing.
         """
         disk = self._disk
         manifest = replace(manifest, generation=self.current.generation + 1)
@@ -44,19 +44,19 @@
             file.sync()
         finally:
             file.close()
-        disk.sync_directory()  # the names of the tables that it refers to
+        disk.sync_directory()  # The manifest refers to new tables, whose names must be durable first.
         try:
             disk.rename(NEW_MANIFEST_NAME, MANIFEST_NAME)
             disk.sync_directory()
         except OSError as error:
             self._health.fail(f"a new manifest could not be made durable: {error}")
             raise
-        self._counters.syncs += _SYNCS
+        self._counters.syncs += _SYNCS_PER_INSTALL
         self.current = manifest
 
     def record_damage(self, lost: tuple[Lost, ...]) -> None:
-        """Have the manifest remember what is lost, if it does not yet; raises as `install` does."""
+        """Record losses in the manifest that it does not have yet; raises as `install` does."""
         known = {(entry.file, entry.offset) for entry in self.current.damage}
-        unknown = [DamageEntry.of(each) for each in lost if (each.file, each.offset) not in known]
+        unknown = [DamageEntry.of(loss) for loss in lost if (loss.file, loss.offset) not in known]
         if unknown:
             self.install(replace(self.current, damage=[*self.current.damage, *unknown]))
--- a/heronreel/store/manifest_rebuild.py
+++ b/heronreel/store/manifest_rebuild.py
@@ -1,4 +1,4 @@
-"""Rebuilding a lost manifest from what the other files of a store say of themselves."""
+"""Rebuilds a lost manifest from the headers and footers of a store's other files."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class RebuiltManifest:
-    """The manifest, what of the files is lost, and what may be incomplete."""
+    """The rebuilt manifest, the losses found in the files, and descriptions of possibly incomplete data."""
 
     manifest: Manifest
     lost: list[Lost] = field(default_factory=list)
@@ -35,14 +35,14 @@
 
 
 class _Sequences(NamedTuple):
-    """The first and the last group that a run holds."""
+    """The sequences of the first and the last group in a run."""
 
     first: int
     last: int
 
 
-class _Part(NamedTuple):
-    """A part of a run, by what its table says of itself."""
+class _RunPart(NamedTuple):
+    """A part of a run, as its table's header and footer describe it."""
 
     number: int
     last_part: bool
@@ -50,13 +50,15 @@
 
 
 class _FoundTable(NamedTuple):
+    """A table whose header and footer are valid."""
+
     header: TableHeader
     footer: Footer
     info: TableInfo
 
 
 def rebuild_manifest(disk: Disk) -> RebuiltManifest:
-    """The manifest that fits the files best.
+    """Return the manifest that fits the files best.
 
     Raises:
         UnknownFormatError: A file has a newer format version.
@@ -96,7 +98,7 @@
 
 
 def _describe_table(disk: Disk, name: str) -> _FoundTable | None:
-    """What a table says of itself; its first and last keys are read from its blocks."""
+    """Read a table's header and footer, and its first and last keys from its blocks; None if that fails."""
     file = disk.open(name)
     size = file.size()
     header = TableHeader.decode(file.read(0, HEADER_BYTES), name)
@@ -117,7 +119,7 @@
 
 
 def _find_segments(disk: Disk, names: list[str]) -> list[SegmentHeader]:
-    """The headers that can be read, by number of segment as the headers have it."""
+    """Return the readable headers of the log segments, in the order of the file names."""
     segments: list[SegmentHeader] = []
     for number in file_numbers(names, SEGMENT_SUFFIX):
         name = segment_name(number)
@@ -127,26 +129,26 @@
     return segments
 
 
-def _group_by_run(tables: list[_FoundTable], store: str) -> dict[_Sequences, list[_Part]]:
-    runs: dict[_Sequences, list[_Part]] = {}
+def _group_by_run(tables: list[_FoundTable], store: str) -> dict[_Sequences, list[_RunPart]]:
+    runs: dict[_Sequences, list[_RunPart]] = {}
     for header, footer, info in tables:
         if header.store.hex() == store:
             sequences = _Sequences(header.first_sequence, header.last_sequence)
-            runs.setdefault(sequences, []).append(_Part(header.part, footer.last_part, info))
+            runs.setdefault(sequences, []).append(_RunPart(header.part, footer.last_part, info))
     for parts in runs.values():
         parts.sort(key=lambda part: part.number)
     return runs
 
 
-def _is_complete(parts: list[_Part]) -> bool:
+def _is_complete(parts: list[_RunPart]) -> bool:
     return [part.number for part in parts] == list(range(len(parts))) and parts[-1].last_part
 
 
-def _choose_runs(runs: dict[_Sequences, list[_Part]]) -> list[RunInfo]:
-    """The runs that hold everything without overlapping.
+def _choose_runs(runs: dict[_Sequences, list[_RunPart]]) -> list[RunInfo]:
+    """Return runs that together hold all groups without overlapping.
 
-    What two runs both hold was merged from the smaller ones into the larger.  Its parts are all there unless
-    the compaction was cut off before any manifest named them, and then the smaller ones are still there.
+    If two runs overlap, the smaller one was merged into the larger one.  All parts of the larger run exist,
+    unless the compaction was interrupted before a manifest named them; then the smaller runs still exist.
     """
     chosen: list[RunInfo] = []
     for sequences, parts in sorted(runs.items(), key=lambda item: (item[0].first, -item[0].last)):
@@ -162,15 +164,17 @@
 
 
 def _start_of_log(segments: list[SegmentHeader], last_sequence: int) -> tuple[int, int]:
-    """The first segment that counts, and the first group in it.
+    """Return the number of the log's first segment, and the sequence of its first group.
 
-    Segments that are wholly in the runs may still be there: the log counts from the last one that begins at
-    or before their end, and of several that begin with the same group from the earliest, for a large group
-    may extend over all of them.
+    Segments whose groups are all in the runs may still exist, so the log starts with the last segment that
+    begins at or before the end of the runs.  If several such segments begin with the same group, it starts
+    with the earliest, because a large group may extend over all of them.
     """
     by_number = sorted(segments, key=lambda header: header.number)
-    begun = [header for header in by_number if header.first_sequence <= last_sequence + 1] or by_number[:1]
-    if not begun:
+    candidates = [header for header in by_number if header.first_sequence <= last_sequence + 1] or by_number[
+        :1
+    ]
+    if not candidates:
         return 1, last_sequence + 1
-    first = max(begun, key=lambda header: (header.first_sequence, -header.number))
+    first = max(candidates, key=lambda header: (header.first_sequence, -header.number))
     return first.number, first.first_sequence
--- a/heronreel/store/merge.py
+++ b/heronreel/store/merge.py
@@ -1,4 +1,4 @@
-"""Merging sorted sources of records into one."""
+"""Merges sorted sources of records into one sorted sequence."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def merge_records(newest_first: list[Iterator[Record]]) -> Iterator[Record]:
-    """The records of sorted sources in the order of keys, each key once with the newest value."""
+    """Yield the records of sorted sources in key order, each key once and with its newest value."""
     if len(newest_first) == 1:
         yield from newest_first[0]
         return
--- a/heronreel/store/operations.py
+++ b/heronreel/store/operations.py
@@ -1,4 +1,4 @@
-"""Operations (a put or a deletion of one key) and their bytes in the log and in SSTable blocks."""
+"""Operations (a put or a deletion of one key) and their encoding in the log and in SSTable blocks."""
 
 from __future__ import annotations
 
@@ -6,39 +6,40 @@
 
 from heronreel.store.errors import MalformedOperationsError
 
-_LENGTHS = struct.Struct("<HI")  # of the key and of the value
+_LENGTHS = struct.Struct("<HI")  # The lengths of the key and of the value.
 OPERATION_HEADER_BYTES = _LENGTHS.size
-_DELETED = 0xFFFFFFFF  # in place of the value's length
+_DELETED = 0xFFFFFFFF  # Marks a deletion in the field of the value's length.
 
 Operation = tuple[bytes, bytes | None]
-"""A key and its new value, or None where it is deleted."""
+"""A key and its new value, or None if the key is deleted."""
 
 Memtable = dict[bytes, bytes | None]
-"""The newest values by key; None where the key is deleted."""
+"""The newest value of each key, or None if the key is deleted."""
 
 
 def operation_size(key: bytes, value: bytes | None) -> int:
-    """Bytes of the encoded operation."""
+    """Return the size of the encoded operation in bytes."""
     return OPERATION_HEADER_BYTES + len(key) + len(value or b"")
 
 
 def encode_operation(key: bytes, value: bytes | None) -> bytes:
-    """The operation as it is stored in a group of the log and in a block of an SSTable."""
+    """Encode an operation for a group of the log or for a block of an SSTable."""
     if value is None:
         return _LENGTHS.pack(len(key), _DELETED) + key
     return _LENGTHS.pack(len(key), len(value)) + key + value
 
 
 def encode_operations(operations: list[Operation]) -> bytes:
-    """The operations one after another."""
+    """Encode operations one after another."""
     return b"".join([encode_operation(key, value) for key, value in operations])
 
 
 def decode_operations(data: bytes, offset: int = 0) -> list[Operation]:
-    """The operations in `data` from `offset` on.
+    """Decode the operations in `data` from `offset` on.
 
     Raises:
-        MalformedOperationsError: The data ends within an operation. Data whose checksum matches never does.
+        MalformedOperationsError: The data ends within an operation. This never happens in data whose checksum
+            matches.
     """
     operations: list[Operation] = []
     end = len(data)
@@ -46,7 +47,7 @@
         try:
             key_length, value_length = _LENGTHS.unpack_from(data, offset)
         except struct.error:
-            raise MalformedOperationsError(f"an operation cut short at byte {offset}") from None
+            raise MalformedOperationsError(f"an operation is cut short at byte {offset}") from None
         offset += OPERATION_HEADER_BYTES
         key = data[offset : offset + key_length]
         offset += key_length
@@ -56,12 +57,12 @@
             operations.append((key, data[offset : offset + value_length]))
             offset += value_length
     if offset != end:
-        raise MalformedOperationsError(f"an operation reaches {offset - end} bytes past its group")
+        raise MalformedOperationsError(f"an operation extends {offset - end} bytes past the end of its group")
     return operations
 
 
 def match_operation(data: bytes, offset: int, key: bytes) -> tuple[bytes, bytes | None]:
-    """The key and the value of the operation at `offset`; the value only where the key is `key`."""
+    """Decode the operation at `offset`; its value is only returned if its key equals `key`."""
     key_length, value_length = _LENGTHS.unpack_from(data, offset)
     offset += OPERATION_HEADER_BYTES
     found = data[offset : offset + key_length]
--- a/heronreel/store/reader.py
+++ b/heronreel/store/reader.py
@@ -1,4 +1,4 @@
-"""The reading side of a store: what a directory holds, beside a live writer or without one."""
+"""The read-only implementation of a store, which works with or without a concurrent writer."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 from heronreel.store.recovery import Contents, read_contents, read_manifest, sync_log
 from heronreel.store.snapshot import ReadView
 
-_MAX_READS = 20  # of a directory whose writer removes files meanwhile
+# A read is repeated this many times at most while a concurrent writer removes files that it needs.
+_MAX_READ_ATTEMPTS = 20
 
 
 class StoreReader:
-    """Loads what a writer has made durable."""
+    """Loads the state that a writer has made durable."""
 
-    log_bytes = 0  # a reader appends nothing
+    log_bytes = 0  # A reader appends nothing to the log.
 
     def __init__(self, disk: Disk, health: Health, current: CurrentView) -> None:
         """Load the store; raises as `load` does."""
@@ -32,7 +33,7 @@
         self.load()
 
     def load(self) -> None:
-        """Load what is durable now.
+        """Load the state that is durable now.
 
         Raises:
             FileNotFoundError: There is no store.
@@ -42,30 +43,30 @@
         """
         if not self._disk.exists():
             raise no_store(self._disk)
-        manifest, found = self._read()
+        manifest, contents = self._read()
         self.manifest = manifest
-        self.next_sequence = found.log.next_sequence
-        self.dropped = tuple(found.log.dropped)
-        self._health.lost = tuple(found.lost)
-        self._current.load(ReadView(found.memtable, {}, tuple(found.runs)))
+        self.next_sequence = contents.log.next_sequence
+        self.dropped = tuple(contents.log.dropped)
+        self._health.lost = tuple(contents.lost)
+        self._current.load(ReadView(contents.memtable, {}, tuple(contents.runs)))
 
     def _read(self) -> tuple[Manifest, Contents]:
-        reads_left = _MAX_READS
+        attempts_left = _MAX_READ_ATTEMPTS
         while True:
-            reads_left -= 1
+            attempts_left -= 1
             durable = decode_durable_note(self._disk.read_note())
             manifest = read_manifest(self._disk)
             if manifest is None:
                 raise no_store(self._disk)
-            found = read_contents(self._disk, manifest, durable)
-            # the writer may have removed what was about to be opened: then there is a newer manifest
-            if not found.lost or not reads_left or read_manifest(self._disk) == manifest:
+            contents = read_contents(self._disk, manifest, durable)
+            # If files are missing because the writer has removed them, there is a newer manifest.
+            if not contents.lost or not attempts_left or read_manifest(self._disk) == manifest:
                 break
         if durable is None:
-            sync_log(self._disk, manifest)  # a loss of power must not take back what is shown
-        return manifest, found
+            sync_log(self._disk, manifest)  # Records that reads return must survive a power loss.
+        return manifest, contents
 
 
 def no_store(disk: Disk) -> FileNotFoundError:
-    """The error of a directory without a store."""
+    """Return the error for a directory without a store."""
     return FileNotFoundError(errno.ENOENT, "no store", str(getattr(disk, "path", "")))
--- a/heronreel/store/recovery.py
+++ b/heronreel/store/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery: reading what a directory holds, which is a manifest, sorted runs and a log.  Changes nothing."""
+"""Recovery: reads the manifest, the sorted runs and the log of a directory, without changing them."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Contents:
-    """What the files of a manifest hold, and what of them is lost."""
+    """The contents of the files that a manifest names, and the losses in them."""
 
     runs: list[SortedRun]
-    memtable: Memtable  # what the log holds
+    memtable: Memtable  # The records of the log.
     log: LogState
     lost: list[Lost]
 
 
 def read_manifest(disk: Disk) -> Manifest | None:
-    """The manifest in force, or None where there is no store yet.
+    """Return the current manifest, or None if there is no store yet.
 
     Raises:
-        UnknownFormatError: It has a newer format version, or the directory holds other things.
-        CorruptionError: It is missing or can't be read.
+        UnknownFormatError: The manifest has a newer format version, or the directory holds other files.
+        CorruptionError: The manifest is missing or can't be read.
     """
     names = disk.list_names()
     if MANIFEST_NAME in names:
@@ -42,42 +42,43 @@
         return manifest
     expected = {LOCK_NAME, NEW_MANIFEST_NAME, segment_name(1)}
     if set(names) <= expected:
-        # the first segment is made before the first manifest and holds no frame until that is durable
+        # The first segment is created before the first manifest, and holds no frame until the manifest is
+        # durable.  So a segment with frames proves that there was a manifest.
         if segment_name(1) in names and _size_of(disk, segment_name(1)) > HEADER_BYTES:
             raise CorruptionError((lost_manifest("it is missing"),))
         return None
     if has_data_files(names):
         raise CorruptionError((lost_manifest("it is missing"),))
-    raise UnknownFormatError(f"the folder holds {sorted(set(names) - expected)[0]!r} and no store")
+    raise UnknownFormatError(f"the directory contains {sorted(set(names) - expected)[0]!r} but no store")
 
 
 def lost_manifest(why: str, length: int = 0) -> Lost:
-    """The loss of a manifest of `length` bytes."""
+    """Return the loss of a manifest of `length` bytes."""
     return Lost(MANIFEST_NAME, 0, length, "the names of all files", why)
 
 
 def has_data_files(names: list[str]) -> bool:
-    """Whether there are log segments or SSTables among the names."""
+    """Return whether the names include log segments or SSTables."""
     return any(name.endswith(_DATA_SUFFIXES) for name in names)
 
 
 def read_contents(disk: Disk, manifest: Manifest, durable: LogPosition | None = None) -> Contents:
-    """Read what the manifest names.
+    """Read the runs and the log that the manifest names.
 
     Args:
         disk: The store's disk.
-        manifest: The manifest in force.
-        durable: How far a live writer's log is durable; nothing behind it is read.
+        manifest: The current manifest.
+        durable: The position up to which a live writer's log is durable. Nothing after it is read.
     """
     runs, lost = open_runs(disk, manifest)
     memtable, log = read_log(disk, manifest, durable)
-    known = {(each.file, each.offset) for each in [*lost, *log.lost]}
-    remembered = [each for each in manifest.lost if (each.file, each.offset) not in known]
-    return Contents(runs, memtable, log, [*lost, *log.lost, *remembered])
+    known = {(loss.file, loss.offset) for loss in [*lost, *log.lost]}
+    recorded = [loss for loss in manifest.lost if (loss.file, loss.offset) not in known]
+    return Contents(runs, memtable, log, [*lost, *log.lost, *recorded])
 
 
 def open_runs(disk: Disk, manifest: Manifest) -> tuple[list[SortedRun], list[Lost]]:
-    """The sorted runs, without tables that are missing or don't match, and what is lost with those."""
+    """Open the sorted runs without missing or mismatched tables; also return the losses of those."""
     runs: list[SortedRun] = []
     lost: list[Lost] = []
     for info in manifest.run_infos:
@@ -90,13 +91,15 @@
                 lost.append(Lost(part.file, 0, part.size, records, "the file is missing"))
             except CorruptionError as corruption:
                 lost += corruption.lost
-        left = RunInfo(info.first_sequence, info.last_sequence, tuple(table.info for table in tables))
-        runs.append(SortedRun(left, tables))
+        readable_info = RunInfo(
+            info.first_sequence, info.last_sequence, tuple(table.info for table in tables)
+        )
+        runs.append(SortedRun(readable_info, tables))
     return runs, lost
 
 
 def read_log(disk: Disk, manifest: Manifest, durable: LogPosition | None) -> tuple[Memtable, LogState]:
-    """The newest values in the log by key, and what else is known of it."""
+    """Read the log: return its newest value of each key, and the result of reading it."""
     memtable: Memtable = {}
 
     def apply(operations: list[Operation]) -> None:
@@ -113,15 +116,15 @@
 
 
 def segment_numbers(disk: Disk, manifest: Manifest) -> list[int]:
-    """The numbers of the segments in the directory that count."""
+    """Return the numbers of the segments in the directory that are part of the log."""
     numbers = file_numbers(disk.list_names(), SEGMENT_SUFFIX)
     return [number for number in numbers if number >= manifest.first_segment]
 
 
 def sync_log(disk: Disk, manifest: Manifest) -> None:
-    """Make the log durable, as far as the disk can be written."""
+    """Make the log durable, if the disk is writable."""
     for number in segment_numbers(disk, manifest):
-        with suppress(OSError):  # a disk that can't be written has nothing unwritten
+        with suppress(OSError):  # A read-only disk has no unwritten data.
             file = disk.open(segment_name(number))
             try:
                 file.sync()
--- a/heronreel/store/repair.py
+++ b/heronreel/store/repair.py
@@ -1,4 +1,7 @@
-"""Repair: salvaging what is left of a damaged store into a new one.  The damaged one is left as it is."""
+"""Repair: salvages the readable records of a damaged store into a new store.
+
+The damaged store is not changed.
+"""
 
 from __future__ import annotations
 
@@ -31,18 +34,18 @@
 )
 from heronreel.store.store import Store
 
-_BATCH_BYTES = 1 << 20  # of one batch that repair writes
+_BATCH_BYTES = 1 << 20  # The size at which a batch of salvaged records is written.
 
 
 @dataclass(slots=True)
 class RepairReport:
-    """What `repair` saved.  The field names are keys of `heronreel store repair --json`.
+    """The result of `repair`.  The field names are keys of `heronreel store repair --json`.
 
     Attributes:
-        records: Records that were saved.
-        bytes: Bytes of their values.
-        lost: What could not be saved.
-        doubts: What may be older than what was acknowledged.
+        records: The number of salvaged records.
+        bytes: The size of their values.
+        lost: The data that could not be salvaged.
+        doubts: Descriptions of keys that may have an older value than the acknowledged one.
         dropped: Ends of the log that were never acknowledged.
     """
 
@@ -58,12 +61,12 @@
     target: str | os.PathLike[str] | Disk,
     progress: Progress | None = None,
 ) -> RepairReport:
-    """Write each key's newest value that can be read in `source` to a new store in `target`.
+    """Write the newest readable value of each key in `source` to a new store in `target`.
 
     Args:
         source: The damaged store; it is not changed.
-        target: An empty directory, or none yet.
-        progress: Called with the bytes done and the bytes to do, about.
+        target: A directory that is empty or does not exist yet.
+        progress: Called with the approximate bytes done so far and the approximate total bytes.
 
     Raises:
         InvalidArgumentError: The target is not empty, or a writer has the source open.
@@ -71,9 +74,9 @@
     """
     read, write = as_disk(source), as_disk(target)
     if write.exists() and set(write.list_names()) - {LOCK_NAME}:
-        raise InvalidArgumentError("target: it should be a folder that is empty or not there yet")
+        raise InvalidArgumentError("target: the directory must be empty or not exist yet")
     if read.read_note() is not None:
-        raise InvalidArgumentError("source: a writer has it open")
+        raise InvalidArgumentError("source: a writer has the store open")
     report = RepairReport()
     manifest = _salvage_manifest(read, report)
     memtable, log = read_log(read, manifest, None)
@@ -84,7 +87,7 @@
     runs = manifest.run_infos
     sources: list[Iterator[Record]] = [iter(sorted(memtable.items()))]
     for position in range(len(runs) - 1, -1, -1):
-        salvage = _RunSalvage(read, runs[position], manifest, report, has_older=position > 0)
+        salvage = _RunSalvage(read, runs[position], manifest, report, has_older_runs=position > 0)
         sources.append(salvage.records())
     total = 1 + sum(run.size for run in runs)
     _write_records(write, merge_records(sources), report, total, progress)
@@ -92,7 +95,7 @@
 
 
 def existing_store(path: str) -> str:
-    """`path`, so that a command does not create a store by mistake.
+    """Return `path` if it has a store, so that a command does not create one by mistake.
 
     Raises:
         FileNotFoundError: There is no store.
@@ -104,7 +107,7 @@
 
 
 def _salvage_manifest(disk: Disk, report: RepairReport) -> Manifest:
-    """The manifest, or one made from what the files say of themselves."""
+    """Return the manifest, or one that is rebuilt from the other files."""
     if MANIFEST_NAME in disk.list_names():
         manifest = decode_manifest(read_all(disk, MANIFEST_NAME))
         if manifest is not None:
@@ -141,16 +144,17 @@
 
 
 class _RunSalvage:
-    """Reads the records of one run that are left, and notes in the report what is lost."""
+    """Reads the intact records of one run, and adds its losses to the report."""
 
     def __init__(
-        self, disk: Disk, run: RunInfo, manifest: Manifest, report: RepairReport, *, has_older: bool
+        self, disk: Disk, run: RunInfo, manifest: Manifest, report: RepairReport, *, has_older_runs: bool
     ) -> None:
         self._disk = disk
         self._run = run
         self._store_id = manifest.store_id
         self._report = report
-        self._has_older = has_older  # runs, whose records may show in place of what is lost
+        # Whether older runs exist, whose records may become visible where newer ones are lost.
+        self._has_older_runs = has_older_runs
 
     def records(self) -> Iterator[Record]:
         for part in self._run.parts:
@@ -160,11 +164,11 @@
         try:
             file = self._disk.open(part.file)
         except FileNotFoundError:
-            self._lose_part(part, part.size, "the file is missing")
+            self._report_lost_part(part, part.size, "the file is missing")
             return
         header, index = self._read_header(part, file)
         if header is None:
-            self._lose_part(part, file.size(), "neither header nor index can be read")
+            self._report_lost_part(part, file.size(), "neither header nor index can be read")
             return
         end = self._find_end(part, file, header)
         for _, block, lost in scan_blocks(self._disk, part, header, end, index):
@@ -172,11 +176,11 @@
                 yield from decode_block(block)
                 continue
             self._report.lost.append(lost)
-            if self._has_older:
+            if self._has_older_runs:
                 self._report.doubts.append(f"{lost.records}: they may show an older value")
 
     def _read_header(self, part: TableInfo, file: DiskFile) -> tuple[TableHeader | None, Index | None]:
-        """The header and the index; the index can stand in for a header that is lost."""
+        """Read the header and the index; a valid index can replace a damaged header."""
         header = TableHeader.decode(file.read(0, HEADER_BYTES), part.file)
         try:
             data = read_all(self._disk, index_name(part.number))
@@ -192,7 +196,7 @@
         return header, index
 
     def _find_end(self, part: TableInfo, file: DiskFile, header: TableHeader) -> int:
-        """Where the blocks end; notes the loss of the footer, and of blocks that were cut off."""
+        """Return the end of the blocks; report the loss of the footer and of blocks that were cut off."""
         size = file.size()
         footer_offset = part.size - FOOTER_BYTES
         end = min(size, footer_offset)
@@ -201,8 +205,8 @@
             self._report.lost.append(Lost(part.file, end, part.size - end, records, "cut or damaged"))
         return end
 
-    def _lose_part(self, part: TableInfo, size: int, why: str) -> None:
+    def _report_lost_part(self, part: TableInfo, size: int, why: str) -> None:
         keys = f"keys {part.first_key!r} to {part.last_key!r}"
         self._report.lost.append(Lost(part.file, 0, size, f"records of {keys}", why))
-        if self._has_older:
+        if self._has_older_runs:
             self._report.doubts.append(f"{keys} may show an older value")
--- a/heronreel/store/run_writer.py
+++ b/heronreel/store/run_writer.py
@@ -1,4 +1,4 @@
-"""Writing a sorted run in steps, as flushes and compactions do."""
+"""Writes a sorted run in steps, for flushes and compactions."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 )
 from heronreel.store.sstable_writer import SSTableWriter
 
-_RECORD_WORK_BYTES = 16  # that a record counts for beside its key and value
+_RECORD_WORK_BYTES = 16  # Work that a record counts for in addition to its key and value.
 
 
 @dataclass(slots=True)
 class UnreferencedTables:
-    """SSTables that are being written, or complete, and that no manifest names yet."""
+    """SSTables, complete or still being written, that no manifest names yet."""
 
     writing: list[SSTableWriter] = field(default_factory=list)
     complete: list[TableInfo] = field(default_factory=list)
 
-    def remove_run(self, run: SortedRun) -> None:
-        """A manifest names the run's tables now."""
+    def mark_run_referenced(self, run: SortedRun) -> None:
+        """Remove the tables of a run that a manifest now names."""
         numbers = {part.number for part in run.info.parts}
         self.complete = [info for info in self.complete if info.number not in numbers]
 
     def abandon(self) -> list[int]:
-        """Stop writing, and forget all tables; returns their numbers."""
+        """Stop writing and forget all tables; return their numbers."""
         for writer in self.writing:
             writer.abandon()
         numbers = [writer.header.number for writer in self.writing]
@@ -49,7 +49,7 @@
 
 
 class RunWriter:
-    """Writes the run of one stretch of the log; `run` is the result, None as long as there is none."""
+    """Writes the run of one range of groups; `run` is the result, or None until there is one."""
 
     def __init__(
         self,
@@ -65,9 +65,9 @@
         Args:
             disk: The store's disk.
             limits: The store's limits.
-            manifests: Gives out the numbers of tables.
-            unreferenced: Where tables are noted until a manifest names them.
-            sequences: The first and the last group that the run holds.
+            manifests: Allocates the numbers of tables.
+            unreferenced: Holds the tables until a manifest names them.
+            sequences: The sequences of the first and the last group in the run.
             on_table: Called with the size of each complete table.
         """
         self.run: SortedRun | None = None
@@ -81,10 +81,10 @@
         self._complete: list[tuple[TableInfo, Index]] = []
 
     def write(self, records: Iterator[Record], *, keep_deletions: bool) -> Iterator[int]:
-        """Write sorted records as the run; there is none if no record is left.
+        """Write sorted records as a run; no run results if there are no records to keep.
 
         Yields:
-            The bytes of work since the last step, about every `Limits.step_bytes`.
+            The bytes of work since the previous step, about every `Limits.step_bytes`.
 
         Raises:
             OSError: The disk fails.
@@ -144,7 +144,7 @@
 
 
 def remove_file(disk: Disk, name: str) -> None:
-    """Remove a file, best effort: what stays is removed at the next opening."""
+    """Remove a file, best effort: a file that remains is removed at the next opening."""
     with suppress(OSError):
         disk.remove(name)
 
--- a/heronreel/store/snapshot.py
+++ b/heronreel/store/snapshot.py
@@ -1,4 +1,4 @@
-"""Reading: what a read sees, and snapshots of it."""
+"""Read views of the store, and snapshots."""
 
 from __future__ import annotations
 
@@ -15,15 +15,18 @@
 from heronreel.store.sstable_format import Record
 
 CorruptionHandler = Callable[[CorruptionError], None]
+"""Called with the error when a read finds damage."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadView:
-    """What reads see: never changed but for `memtable`, which grows in place until a snapshot shares it.
+    """The data that a read sees.
+
+    It is immutable, except that writes add records to `memtable` until a snapshot shares the view.
 
     Attributes:
-        memtable: What was written since the last flush began.
-        frozen: The memtable that is being flushed, or empty.
+        memtable: The records written since the last flush began.
+        frozen: The memtable that is being flushed, or an empty one.
         runs: The sorted runs, from the oldest to the newest.
     """
 
@@ -32,10 +35,10 @@
     runs: tuple[SortedRun, ...]
 
     def get(self, key: bytes) -> bytes | None:
-        """The value of `key`, or None.
+        """Return the value of `key`, or None if there is none.
 
         Raises:
-            CorruptionError: The block that should have the key can't be read.
+            CorruptionError: The block that should contain the key can't be read.
         """
         for table in (self.memtable, self.frozen):
             if key in table:
@@ -48,7 +51,7 @@
         return None
 
     def scan(self, prefix: bytes) -> Iterator[tuple[bytes, bytes]]:
-        """Keys that begin with `prefix` and their values, in the order of keys; raises as `get` does."""
+        """Yield the keys that begin with `prefix` and their values, in key order; raises as `get` does."""
         sources = [_sorted_records(table, prefix) for table in (self.memtable, self.frozen) if table]
         sources += [run.records(prefix) for run in reversed(self.runs)]
         for key, value in merge_records(sources):
@@ -59,18 +62,21 @@
 
 
 class Snapshot:
-    """The store as it was at one moment.  Its files stay readable, and on the disk, until it is dropped."""
+    """The state of the store at one point in time.
+
+    Its files stay readable, and keep their disk space, until the snapshot is garbage-collected.
+    """
 
     def __init__(self, view: ReadView, on_corruption: CorruptionHandler) -> None:
         self._view = view
         self._on_corruption = on_corruption
 
     def get(self, key: bytes) -> bytes | None:
-        """The value of `key`, or None.
+        """Return the value of `key`, or None if there is none.
 
         Raises:
             InvalidArgumentError: The key is outside its limits.
-            CorruptionError: The block that should have the key can't be read.
+            CorruptionError: The block that should contain the key can't be read.
         """
         key = validated_key(key)
         try:
@@ -80,10 +86,10 @@
             raise
 
     def scan(self, prefix: bytes = b"") -> Iterator[tuple[bytes, bytes]]:
-        """Keys that begin with `prefix` and their values, in the order of keys.
+        """Yield the keys that begin with `prefix` and their values, in key order.
 
         Raises:
-            CorruptionError: A block can't be read; what came before it is complete.
+            CorruptionError: A block can't be read; the records yielded before it are complete.
         """
         try:
             yield from self._view.scan(prefix)
--- a/heronreel/store/sstable.py
+++ b/heronreel/store/sstable.py
@@ -1,4 +1,4 @@
-"""Reading SSTables, and the sorted runs that they are parts of."""
+"""Reads SSTables, and the sorted runs that consist of them."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
     index_name,
 )
 
-_INDEX_ENTRY_BYTES = 73  # of memory, with the first key's object and the offset
+_INDEX_ENTRY_BYTES = 73  # Memory of an index entry: the offset, and the first key's object without its bytes.
 
 
 class SSTable:
-    """An SSTable opened for reading.  Its index is read with the first read, or rebuilt from its blocks."""
+    """An SSTable opened for reading.  Its index is loaded by the first read, or rebuilt from its blocks."""
 
     __slots__ = ("_disk", "_file", "_index", "footer", "header", "index_rebuilt", "info")
 
@@ -59,15 +59,15 @@
         """Open a table and check its size, header and footer.
 
         Args:
-            disk: Where its file is.
-            info: What the manifest says of it.
+            disk: The disk that holds the table's file.
+            info: The table's description in the manifest.
             store: The store's id.
-            run: The run that it should be a part of, if that is to be checked.
-            index: Its index, if that is known already.
+            run: The run that the table must belong to; None skips this check.
+            index: The table's index, if it is already in memory.
 
         Raises:
             FileNotFoundError: There is no such file.
-            CorruptionError: The file does not match what the manifest says.
+            CorruptionError: The file does not match its description in the manifest.
         """
         file = disk.open(info.file)
         size = file.size()
@@ -87,10 +87,10 @@
 
     @property
     def index(self) -> Index:
-        """The table's index, read or rebuilt when it is first needed.
+        """The table's index, which is loaded or rebuilt at the first access.
 
         Raises:
-            CorruptionError: It has to be rebuilt, and a block can't be read.
+            CorruptionError: The index must be rebuilt, and a block can't be read.
         """
         if self._index is None:
             try:
@@ -105,17 +105,17 @@
 
     @property
     def index_bytes(self) -> int:
-        """Memory that the index takes, 0 as long as it was not needed."""
+        """The memory use of the index in bytes; 0 until it is loaded."""
         if self._index is None:
             return 0
         first_keys = sum(_INDEX_ENTRY_BYTES + len(key) for key in self._index.first_keys)
         return len(self._index.bloom_filter.data) + first_keys
 
     def get(self, key: bytes, key_hash: int) -> tuple[bool, bytes | None]:
-        """Whether the table has a record of the key, and its value or None where it is deleted.
+        """Return whether the table has a record of the key, and its value, or None if it is deleted.
 
         Raises:
-            CorruptionError: The block that should have it can't be read.
+            CorruptionError: The block that should contain it can't be read.
         """
         index = self.index
         if not index.bloom_filter.may_contain(key_hash):
@@ -124,7 +124,7 @@
         return find_in_block(self._indexed_block(position), key) if position >= 0 else (False, None)
 
     def records(self, start: bytes = b"") -> Iterator[Record]:
-        """All records from the key `start` on, in order; raises as `get` does."""
+        """Yield all records from the key `start` on, in key order; raises as `get` does."""
         first = max(0, bisect_right(self.index.first_keys, start) - 1)
         for position in range(first, len(self.index.offsets)):
             for record in decode_block(self._indexed_block(position)):
@@ -132,10 +132,10 @@
                     yield record
 
     def block(self, offset: int, length: int) -> bytes:
-        """A block's bytes, verified.
+        """Return a block's bytes after verifying its checksum.
 
         Raises:
-            CorruptionError: They can't be read or don't match; it names the keys that are lost with them.
+            CorruptionError: The block can't be read or its checksum is wrong; the error names the lost keys.
         """
         data = self._file.read(offset, length)
         complete = len(data) == length >= BLOCK_HEADER_BYTES
@@ -144,7 +144,7 @@
         return data
 
     def lost_at(self, offset: int, length: int) -> Lost:
-        """What is lost with an unreadable block, as closely as the index tells if it is in memory."""
+        """Return the loss of an unreadable block; its key range is exact only if the index is in memory."""
         records = f"records of keys {self.info.first_key!r} to {self.info.last_key!r}"
         index = self._index
         if index is not None and offset in index.offsets:
@@ -168,7 +168,7 @@
         return Index(offsets, first_keys, BloomFilter.of(hashes))
 
     def _scan_blocks(self) -> Iterator[tuple[int, bytes]]:
-        """Offset and bytes of each block, found without the index."""
+        """Yield the offset and the bytes of each block, without using the index."""
         offset = HEADER_BYTES
         while offset < self.footer.end:
             length = block_length(self._file.read(offset, BLOCK_HEADER_BYTES))
@@ -201,10 +201,10 @@
         self._last_keys = [part.last_key for part in info.parts]
 
     def get(self, key: bytes, key_hash: int) -> tuple[bool, bytes | None]:
-        """Whether the run has a record of the key, and its value or None where it is deleted.
+        """Return whether the run has a record of the key, and its value, or None if it is deleted.
 
         Raises:
-            CorruptionError: The block that should have it can't be read.
+            CorruptionError: The block that should contain it can't be read.
         """
         position = self._position(key)
         if position == len(self.tables) or key < self.tables[position].info.first_key:
@@ -212,10 +212,10 @@
         return self.tables[position].get(key, key_hash)
 
     def records(self, start: bytes = b"") -> Iterator[Record]:
-        """All records from the key `start` on, in order; raises as `get` does."""
+        """Yield all records from the key `start` on, in key order; raises as `get` does."""
         for table in self.tables[self._position(start) :]:
             yield from table.records(start)
 
     def _position(self, key: bytes) -> int:
-        """The first part whose last key is not before `key`."""
+        """Return the position of the first part whose last key is not less than `key`."""
         return bisect_left(self._last_keys, key)
--- a/heronreel/store/sstable_format.py
+++ b/heronreel/store/sstable_format.py
@@ -1,8 +1,10 @@
-"""The bytes of SSTables and of their indexes.  No I/O; `docs/store-format.md` has the layout.
+"""The format of SSTables and of their indexes.  This module does no I/O.
 
-A sorted run is the sorted content of a stretch of the log, cut into parts: each is an SSTable, with an index
-file beside it.  The index holds nothing that its table does not: it is rebuilt where it is missing or does
-not match.
+`docs/store-format.md` specifies the layout.
+
+A sorted run has the sorted records of a range of groups of the log.  It is divided into parts, each of which
+is an SSTable with a separate index file.  All information in the index can be derived from its table, so the
+index is rebuilt if it is missing or does not match.
 """
 
 from __future__ import annotations
@@ -34,8 +36,8 @@
 BLOCK_HEADER_BYTES = _BLOCK_HEADER.size
 _INDEX_HEADER = struct.Struct("<8sIIQQIIQ")
 _INDEX_SALT = slice(24, 32)
-_OFFSET_BYTES = 4  # of a record's offset in its block
-_MIN_RECORD_BYTES = 7  # an operation's header and a key of one byte
+_OFFSET_BYTES = 4  # Size of a record's offset in its block.
+_MIN_RECORD_BYTES = 7  # An operation's header and a key of one byte.
 _MAX_UINT64 = (1 << 64) - 1
 
 Record = Operation
@@ -45,22 +47,22 @@
 class TableHeader:
     """The header of an SSTable."""
 
-    store: bytes
+    store: bytes  # The store's id.
     number: int
-    first_sequence: int  # of the stretch of the log that its run holds
-    last_sequence: int
-    part: int  # of its run, from 0
+    first_sequence: int  # The first group in its run.
+    last_sequence: int  # The last group in its run.
+    part: int  # The table's position in its run, from 0.
     salt: int
 
     def encode(self) -> bytes:
-        """The header with its checksum."""
+        """Encode the header with its checksum."""
         sequences = self.first_sequence, self.last_sequence
         fields = (self.store, self.number, *sequences, self.part, 0, self.salt)
         return append_checksum(_HEADER.pack(MAGIC, FORMAT_VERSION, 0, *fields))
 
     @classmethod
     def decode(cls, data: bytes, file: str) -> TableHeader | None:
-        """The header at the start of `data`, or None where there is no valid one.
+        """Decode the header at the start of `data`; return None if it is not valid.
 
         Raises:
             UnknownFormatError: The header has a newer format version.
@@ -77,20 +79,20 @@
     """The footer of an SSTable."""
 
     blocks: int
-    last_part: bool  # of its run
+    last_part: bool  # Whether the table is the last part of its run.
     entries: int
     deletions: int
-    end: int  # where the blocks end and the footer begins
+    end: int  # The offset where the blocks end and the footer begins.
 
     def encode(self, salt: int) -> bytes:
-        """The footer with its checksum."""
+        """Encode the footer with its checksum."""
         counts = self.entries, self.deletions
         body = _FOOTER.pack(FOOTER_MAGIC, self.blocks, self.last_part, *counts, self.end)
         return append_checksum(body, salt)
 
     @classmethod
     def decode(cls, data: bytes, salt: int) -> Footer | None:
-        """The footer in `data`, or None where it is not valid."""
+        """Decode the footer in `data`; return None if it is not valid."""
         body = verified_body(data, _FOOTER.size, salt)
         if body is None:
             return None
@@ -100,24 +102,24 @@
 
 @dataclass(frozen=True, slots=True)
 class TableInfo:
-    """What the manifest says of an SSTable."""
+    """The manifest's description of an SSTable."""
 
     number: int
-    size: int  # bytes, with header and footer
+    size: int  # In bytes, with the header and the footer.
     first_key: bytes
     last_key: bytes
-    entries: int  # deletions among them
+    entries: int  # The deletions are included.
     deletions: int
 
     @property
     def file(self) -> str:
-        """The name of its file."""
+        """The name of the table's file."""
         return table_name(self.number)
 
 
 @dataclass(frozen=True, slots=True)
 class RunInfo:
-    """What the manifest says of a sorted run; its parts are in the order of their keys."""
+    """The manifest's description of a sorted run; its parts are in key order."""
 
     first_sequence: int
     last_sequence: int
@@ -125,37 +127,37 @@
 
     @property
     def size(self) -> int:
-        """Bytes of all parts."""
+        """The size of all parts in bytes."""
         return sum(part.size for part in self.parts)
 
     @property
     def entries(self) -> int:
-        """Records of all parts, deletions among them."""
+        """The number of records in all parts, with the deletions."""
         return sum(part.entries for part in self.parts)
 
     @property
     def deletions(self) -> int:
-        """Deletions of all parts."""
+        """The number of deletions in all parts."""
         return sum(part.deletions for part in self.parts)
 
 
 def table_name(number: int) -> str:
-    """The file name of an SSTable."""
+    """Return the file name of an SSTable."""
     return f"{number:08}.{TABLE_SUFFIX}"
 
 
 def index_name(number: int) -> str:
-    """The file name of the index of an SSTable."""
+    """Return the file name of the index of an SSTable."""
     return f"{number:08}.{INDEX_SUFFIX}"
 
 
 def block_seed(salt: int, offset: int) -> int:
-    """The seed of a block's checksum: one read from a wrong place does not match."""
+    """Return the seed of a block's checksum, so that a block at a wrong offset fails verification."""
     return (salt + offset) & _MAX_UINT64
 
 
 def encode_block(records: list[Record], salt: int, offset: int) -> bytes:
-    """A block of sorted records, for the place `offset` of the table with this salt."""
+    """Encode a block of sorted records for the offset `offset` of the table with this salt."""
     offsets: list[int] = []
     parts: list[bytes] = []
     end = 0
@@ -169,20 +171,23 @@
 
 
 def block_length(header: bytes) -> int:
-    """Bytes of a block by its header; those of a header if it is cut short."""
+    """Return the size of a block according to its header; the size of a header if that is cut short."""
     if len(header) != BLOCK_HEADER_BYTES:
         return BLOCK_HEADER_BYTES
     return BLOCK_HEADER_BYTES + int(_BLOCK_HEADER.unpack(header)[1])
 
 
 def block_is_valid(block: bytes | memoryview, salt: int, offset: int) -> bool:
-    """Whether the block's checksum matches its bytes and its place."""
+    """Return whether the block's checksum matches its bytes and its offset."""
     covered = memoryview(block)[CHECKSUM_BYTES:]
     return checksum_bytes(covered, block_seed(salt, offset)) == block[:CHECKSUM_BYTES]
 
 
 def find_block(data: bytes, offset: int, salt: int) -> int | None:
-    """Where in `data`, read from `offset` of a table on, the first valid block behind its start begins."""
+    """Return the position in `data` of the first valid block after its first byte, or None.
+
+    `data` was read from `offset` of a table.
+    """
     view = memoryview(data)
     for start in range(1, len(data) - BLOCK_HEADER_BYTES):
         _, length, count = _BLOCK_HEADER.unpack_from(data, start)
@@ -194,23 +199,23 @@
 
 
 def decode_block(data: bytes) -> list[Record]:
-    """The records of a block whose checksum matches."""
+    """Decode the records of a block whose checksum was verified."""
     _, _, count = _BLOCK_HEADER.unpack_from(data)
     return decode_operations(data, BLOCK_HEADER_BYTES + _OFFSET_BYTES * count)
 
 
 def find_in_block(data: bytes, key: bytes) -> tuple[bool, bytes | None]:
-    """Whether the block has the key, and its value or None where it is deleted."""
+    """Return whether the block has the key, and its value or None if it is deleted."""
     _, _, count = _BLOCK_HEADER.unpack_from(data)
     base = BLOCK_HEADER_BYTES + _OFFSET_BYTES * count
     offsets = memoryview(data)[BLOCK_HEADER_BYTES:base].cast("I")
     low, high = 0, count
     while low < high:
         middle = (low + high) // 2
-        found, value = match_operation(data, base + offsets[middle], key)
-        if found == key:
+        found_key, value = match_operation(data, base + offsets[middle], key)
+        if found_key == key:
             return True, value
-        if found < key:
+        if found_key < key:
             low = middle + 1
         else:
             high = middle
@@ -219,45 +224,45 @@
 
 @dataclass(slots=True)
 class Index:
-    """Where each block begins, its first key, and the Bloom filter; in memory from the first read on."""
+    """The offset and the first key of each block, and the Bloom filter; in memory from the first read on."""
 
     offsets: list[int]
     first_keys: list[bytes]
     bloom_filter: BloomFilter
 
     def encode(self, number: int, salt: int) -> bytes:
-        """The index of the table with this number and salt, with its checksum."""
+        """Encode the index of the table with this number and salt, with its checksum."""
         filter_data = self.bloom_filter.data
         keys = b"".join(self.first_keys)
         count = len(self.offsets)
         lengths = count, len(filter_data), len(keys)
         header = _INDEX_HEADER.pack(INDEX_MAGIC, FORMAT_VERSION, 0, number, salt, *lengths)
-        places = struct.pack(f"<{count}Q{count}H", *self.offsets, *map(len, self.first_keys))
-        return append_checksum(header + places + filter_data + keys, salt)
+        offsets_and_key_lengths = struct.pack(f"<{count}Q{count}H", *self.offsets, *map(len, self.first_keys))
+        return append_checksum(header + offsets_and_key_lengths + filter_data + keys, salt)
 
     @classmethod
     def decode(cls, data: bytes, number: int, salt: int) -> Index | None:
-        """The index in `data`, or None unless it is valid and of just that table."""
+        """Decode the index in `data`; return None unless it is valid and belongs to that table."""
         body_length = len(data) - CHECKSUM_BYTES
         if body_length < _INDEX_HEADER.size or verified_body(data, body_length, salt) is None:
             return None
-        magic, version, _, of_number, of_salt, count, filter_length, _ = _INDEX_HEADER.unpack_from(data)
-        if (magic, version, of_number, of_salt) != (INDEX_MAGIC, FORMAT_VERSION, number, salt):
+        magic, version, _, table_number, table_salt, count, filter_length, _ = _INDEX_HEADER.unpack_from(data)
+        if (magic, version, table_number, table_salt) != (INDEX_MAGIC, FORMAT_VERSION, number, salt):
             return None
-        at = _INDEX_HEADER.size
-        offsets = list(struct.unpack_from(f"<{count}Q", data, at))
-        at += 8 * count
-        lengths = struct.unpack_from(f"<{count}H", data, at)
-        at += 2 * count
-        filter_data = data[at : at + filter_length]
-        at += filter_length
+        position = _INDEX_HEADER.size
+        offsets = list(struct.unpack_from(f"<{count}Q", data, position))
+        position += 8 * count
+        lengths = struct.unpack_from(f"<{count}H", data, position)
+        position += 2 * count
+        filter_data = data[position : position + filter_length]
+        position += filter_length
         first_keys = []
         for length in lengths:
-            first_keys.append(data[at : at + length])
-            at += length
+            first_keys.append(data[position : position + length])
+            position += length
         return cls(offsets, first_keys, BloomFilter(filter_data))
 
     @staticmethod
     def stored_salt(data: bytes) -> int:
-        """The salt of its table that an encoded index repeats; unverified."""
+        """Return the table's salt that an encoded index repeats; it is not verified."""
         return int.from_bytes(data[_INDEX_SALT], "little")
--- a/heronreel/store/sstable_writer.py
+++ b/heronreel/store/sstable_writer.py
@@ -1,4 +1,4 @@
-"""Writing one SSTable, record by record."""
+"""Writes one SSTable, record by record."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     table_name,
 )
 
-_WRITE_BYTES = 1 << 16  # gathered for one call to the disk
-_FILTER_STEP_KEYS = 4096  # keys put into a Bloom filter in one step: some milliseconds
-_RECORD_OVERHEAD_BYTES = 10  # of a record in a block: its header and its offset
+_WRITE_BYTES = 1 << 16  # Bytes that are buffered before a call to the disk.
+_FILTER_STEP_KEYS = 4096  # Keys added to a Bloom filter in one step, which takes a few milliseconds.
+_RECORD_OVERHEAD_BYTES = 10  # The header and the offset of a record in a block.
 
 
 class SSTableWriter:
-    """Writes one part of a sorted run, in the order of keys; `finish` makes it durable."""
+    """Writes one part of a sorted run in key order; `finish` makes it durable."""
 
     def __init__(self, disk: Disk, header: TableHeader, block_bytes: int) -> None:
         """Create the file and write its header.
@@ -34,7 +34,7 @@
             OSError: The disk fails.
         """
         self.header = header
-        self.written = 0  # bytes, those still gathered among them
+        self.written = 0  # Bytes, including those still in the buffer.
         self._disk = disk
         self._block_bytes = block_bytes
         self._entries = 0
@@ -52,7 +52,7 @@
         self._write(header.encode())
 
     def add(self, key: bytes, value: bytes | None) -> None:
-        """Add a record whose key is after those of all records before it."""
+        """Add a record whose key is greater than the keys of all earlier records."""
         self._block.append((key, value))
         self._block_size += len(key) + _RECORD_OVERHEAD_BYTES + (len(value) if value is not None else 0)
         self._hashes.append(xxhash.xxh3_64_intdigest(key))
@@ -62,15 +62,15 @@
             self._end_block()
 
     def sync(self) -> None:
-        """Make what was added so far durable, so that `finish` has little left to wait for."""
+        """Make the records added so far durable, so that the fsync in `finish` is short."""
         self._flush_buffer()
         self._file.sync()
 
     def filter_steps(self) -> Iterator[int]:
-        """Build the Bloom filter some thousand keys at a time, once all records are added.
+        """Build the Bloom filter in steps of `_FILTER_STEP_KEYS` keys, once all records are added.
 
         Yields:
-            1 after each step: no bytes to speak of, and a step all the same.
+            1 after each step, since a step writes no bytes but must be counted.
         """
         if self._bloom_filter is None:
             self._bloom_filter = BloomFilter.empty(len(self._hashes))
@@ -79,10 +79,10 @@
                 yield 1
 
     def finish(self, last_part: bool) -> tuple[TableInfo, Index]:
-        """End the table, make it durable, and write its index.
+        """Finish the table, make it durable, and write its index.
 
         Raises:
-            OSError: The disk fails; then nothing may refer to the table.
+            OSError: The disk failed; no manifest may refer to the table.
         """
         self._end_block()
         footer = Footer(len(self._offsets), last_part, self._entries, self._deletions, self.written)
@@ -98,7 +98,7 @@
         return info, index
 
     def abandon(self) -> None:
-        """Close the file as it is."""
+        """Close the file without finishing the table."""
         self._file.close()
 
     def _finish_index(self) -> Index:
@@ -106,7 +106,7 @@
             pass
         assert self._bloom_filter
         index = Index(self._offsets, self._first_keys, self._bloom_filter)
-        # not synced: an index that is lost or torn is rebuilt from its table
+        # The index is not synced, because a lost or torn index is rebuilt from its table.
         file = self._disk.create(index_name(self.header.number))
         try:
             write_all(file, index.encode(self.header.number, self.header.salt))
--- a/heronreel/store/stat.py
+++ b/heronreel/store/stat.py
@@ -1,4 +1,4 @@
-"""The forms of `Store.stat`, whose keys `heronreel store stat --json` prints."""
+"""The result types of `Store.stat`, whose keys `heronreel store stat --json` prints."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class RunStat(TypedDict):
-    """A sorted run."""
+    """Sizes and counts of a sorted run."""
 
-    groups: list[int]  # the first and the last
+    groups: list[int]  # The sequences of the first and the last group.
     parts: int
     bytes: int
     entries: int
@@ -16,7 +16,7 @@
 
 
 class StoreStat(TypedDict):
-    """Sizes and counts of a store, in bytes or numbers."""
+    """Sizes in bytes and counts of a store."""
 
     store: str
     generation: int
--- a/heronreel/store/store.py
+++ b/heronreel/store/store.py
@@ -1,4 +1,4 @@
-"""The store: its public interface.  `docs/store-design.md` says why it is built as it is."""
+"""The public interface of the store.  `docs/store-design.md` gives the reasons behind the design."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 
 
 class Store:
-    """An embedded key-value store of bytes by bytes.
+    """An embedded key-value store whose keys and values are bytes.
 
-    One process writes, any number read; within a process it may be used from many threads, whose writes
-    share fsyncs. A write is durable when its call has returned.  One that raised `WriteFailedError` is not in
-    the store, with one exception: if the process then ends before another write succeeds, recovery may find
-    it, complete.
+    One process writes, and any number of processes read.  Within a process, many threads may use the store;
+    their concurrent writes share fsyncs.  A write is durable when its call has returned.  A write that raised
+    `WriteFailedError` is not applied, with one exception: if the process then ends before another write
+    succeeds, recovery may apply it, completely.
 
     Attributes:
-        read_only: Whether it was opened for reading.
-        limits: Its sizes.
-        counters: What it did since it was opened.
+        read_only: Whether the store was opened for reading.
+        limits: Its limits and sizes.
+        counters: Its activity since it was opened.
     """
 
     def __init__(self, disk: Disk, read_only: bool, limits: Limits) -> None:
-        """Use `Store.open`."""
+        """Open the store; callers use `Store.open`."""
         self.read_only = read_only
         self.limits = limits
         self.counters = Counters()
@@ -68,23 +68,24 @@
         """Open the store in the directory `path`, or create one there.
 
         Args:
-            path: The directory, or a disk in place of the file system.
-            read_only: Open it for reading, beside a live writer if there is one. A store with lost records
-                opens too: `lost` says what is missing, and older records may show in its place.
-            limits: Sizes other than the defaults.
+            path: The directory, or a `Disk` to use instead of the file system.
+            read_only: Open the store for reading, which is possible while another process writes to it. A
+                store with lost records can be opened too: `lost` lists them, and reads may return older
+                values of their keys.
+            limits: Limits other than the defaults.
 
         Raises:
-            StoreLockedError: Another writer lives.
-            UnknownFormatError: The directory has a newer format or is not a store; it is left untouched.
-            CorruptionError: Acknowledged records are lost, and it was to be opened for writing; or the
-                manifest can't be read.
-            FileNotFoundError: There is no store, and it was to be opened for reading.
+            StoreLockedError: Another writer has the store open.
+            UnknownFormatError: The directory has a newer format or is not a store; it is not changed.
+            CorruptionError: Acknowledged records are lost and `read_only` is False, or the manifest can't be
+                read.
+            FileNotFoundError: There is no store and `read_only` is True.
             OSError: The disk fails.
         """
         return cls(as_disk(path), read_only, limits or Limits())
 
     def refresh(self) -> None:
-        """Of a store opened for reading: load what the writer has made durable since.
+        """Load the records that the writer has made durable since; only for a store opened for reading.
 
         Raises:
             ReadOnlyError: The store was opened for writing.
@@ -92,11 +93,11 @@
         """
         self._check_open()
         if self._reader is None:
-            raise ReadOnlyError("refresh: only a store opened for reading has to")
+            raise ReadOnlyError("refresh: the store was not opened for reading")
         self._reader.load()
 
     def close(self) -> None:
-        """Finish all writes, flush what is in memory, and release the lock; closing twice does nothing."""
+        """Finish all writes, flush the memtable, and release the lock; a second call has no effect."""
         if self._closed or os.getpid() != self._process:
             return
         self._closed = True
@@ -115,26 +116,26 @@
 
     @property
     def lost(self) -> tuple[Lost, ...]:
-        """What can't be read, as far as it is known.  A store with any takes no writes."""
+        """The known unreadable data.  A store with any losses rejects writes."""
         return self._health.lost
 
     @property
     def dropped(self) -> tuple[DroppedTail, ...]:
-        """What the last opening left out: ends of the log that were never acknowledged."""
-        return self._side.dropped
+        """The ends of the log that the last opening dropped because they were never acknowledged."""
+        return self._implementation.dropped
 
     @property
     def failure(self) -> str | None:
-        """Why writes are rejected until the store is reopened, if they are."""
+        """The reason why writes are rejected until the store is reopened, or None."""
         return self._health.failure
 
     @property
     def maintenance_error(self) -> OSError | None:
-        """Why the last step of a flush or compaction failed; later writes retry it."""
+        """The error of the last step of a flush or compaction, or None; later writes retry it."""
         return self._health.maintenance_error
 
     def check_writable(self) -> None:
-        """Raise what a write would raise before it is tried.
+        """Raise the error that a write would raise before it is attempted.
 
         Raises:
             StoreClosedError: The store is closed, or was opened before a fork.
@@ -147,11 +148,11 @@
     # -- reading
 
     def get(self, key: bytes) -> bytes | None:
-        """The value of `key`, or None.
+        """Return the value of `key`, or None if there is none.
 
         Raises:
             InvalidArgumentError: The key is outside its limits.
-            CorruptionError: The block that should have the key can't be read.
+            CorruptionError: The block that should contain the key can't be read.
             StoreClosedError: The store is closed.
         """
         self._check_open()
@@ -163,10 +164,13 @@
             raise
 
     def find_in_memory(self, key: bytes) -> tuple[bool, bytes | None]:
-        """Whether a record of the key is in memory, so that no disk has to be read, and its value or None.
+        """Look the key up in memory only, without reading the disk.
+
+        Returns:
+            Whether a record of the key is in memory, and its value, or None if the key is deleted.
 
         Raises:
-            StoreClosedError: There is one, and the store is closed.
+            StoreClosedError: There is such a record, and the store is closed.
         """
         view = self._current.view
         for table in (view.memtable, view.frozen):
@@ -176,12 +180,12 @@
         return False, None
 
     def snapshot(self) -> Snapshot:
-        """The store as it is now, whatever is written later."""
+        """Return the current state of the store, which later writes do not change."""
         self._check_open()
         return Snapshot(self._current.share(), self._on_corruption)
 
     def scan(self, prefix: bytes = b"") -> Iterator[tuple[bytes, bytes]]:
-        """Keys that begin with `prefix` and their values in the order of keys, as of this call."""
+        """Return the keys that begin with `prefix` and their values in key order, as of this call."""
         return self.snapshot().scan(prefix)
 
     # -- writing
@@ -190,7 +194,7 @@
         """Set `key` (1 to 4,096 bytes) to `value` (up to 16 MiB), durably.
 
         Raises:
-            InvalidArgumentError: Key or value is outside its limits.
+            InvalidArgumentError: The key or the value is outside its limits.
             WriteFailedError: The disk rejects the write.
             CorruptionError: Damage was found.
             ReadOnlyError: The store was opened for reading.
@@ -199,11 +203,11 @@
         self.write([[(validated_key(key), validated_value(value))]])
 
     def delete(self, key: bytes) -> None:
-        """Delete `key`, durably; raises as `put` does.  An absent key is no error."""
+        """Delete `key`, durably; raises as `put` does.  Deleting an absent key is not an error."""
         self.write([[(validated_key(key), None)]])
 
     def batch(self) -> Batch:
-        """Up to 64 MiB of writes that are all in the store or none of them.
+        """Create a batch of up to 64 MiB of writes that are applied atomically.
 
         Use it as `with store.batch() as batch: ...`.
         """
@@ -211,52 +215,52 @@
         return Batch(self.write)
 
     def write(self, batches: list[list[Operation]]) -> None:
-        """Write batches that share an fsync, each completely or not at all; raises as `put` does.
+        """Write batches that share an fsync, each of them atomically; raises as `put` does.
 
         Keys and values are not validated.
         """
         self._writable().write(batches)
 
     def sync(self) -> None:
-        """Mark the end of the log: damage before it can be told from a write that a crash cut off.
+        """Write a mark to the end of the log, which distinguishes damage before it from a torn write.
 
-        Without a mark that is so for all but the last group, whose loss would pass for a torn write.  Raises
-        as `put` does.
+        Without a mark, damage to the last group would be taken for a torn write; all earlier groups are
+        protected by the groups after them.  Raises as `put` does.
         """
         self._writable().sync()
 
     # -- maintenance
 
     def maintain(self, budget: int = _UNLIMITED) -> int:
-        """Flush and compact what is due, up to `budget` bytes; returns the bytes done, 0 if nothing was due.
+        """Run due flushes and compactions, up to `budget` bytes; return the bytes processed, or 0.
 
-        Writes do this by themselves, in proportion to what they write.  An owner with idle time may do more.
+        Writes run maintenance in proportion to their size.  An application may call this in idle time.
         """
         return self._writable().maintain(budget)
 
     def compact(self, progress: Progress | None = None) -> None:
-        """Rewrite the store as one run without what is out of date, while writes by other threads go on.
+        """Rewrite the store as one run without obsolete records; other threads may write meanwhile.
 
         Args:
-            progress: Called with the bytes done and the bytes to do.
+            progress: Called with the bytes done so far and the total bytes.
 
         Raises:
-            WriteFailedError: The disk fails; the store is as before then.
+            WriteFailedError: The disk failed; the store is unchanged.
         """
         self._writable().compact(progress)
 
     def stat(self) -> StoreStat:
-        """Sizes and counts, all in bytes or numbers; `heronreel store stat --json` prints it."""
+        """Return sizes in bytes and counts; `heronreel store stat --json` prints them."""
         self._check_open()
-        view, side = self._current.view, self._side
+        view, implementation = self._current.view, self._implementation
         tables = [table for run in view.runs for table in run.tables]
         return {
-            "store": side.manifest.store,
-            "generation": side.manifest.generation,
-            "next_sequence": side.next_sequence,
+            "store": implementation.manifest.store,
+            "generation": implementation.manifest.generation,
+            "next_sequence": implementation.next_sequence,
             "runs": [_run_stat(run) for run in view.runs],
             "run_bytes": sum(run.info.size for run in view.runs),
-            "log_bytes": side.log_bytes,
+            "log_bytes": implementation.log_bytes,
             "memory_entries": len(view.memtable) + len(view.frozen),
             "memory_bytes": self._current.memtable_bytes,
             "index_bytes": sum(table.index_bytes for table in tables),
@@ -271,16 +275,16 @@
     # -- internals
 
     @property
-    def _side(self) -> StoreReader | StoreWriter:
-        side = self._writer or self._reader
-        assert side
-        return side
+    def _implementation(self) -> StoreReader | StoreWriter:
+        implementation = self._writer or self._reader
+        assert implementation
+        return implementation
 
     def _check_open(self) -> None:
         if self._closed:
             raise StoreClosedError("the store is closed")
         if os.getpid() != self._process:
-            raise StoreClosedError("the store was opened by another process, before a fork")
+            raise StoreClosedError("the store was opened by the parent process before a fork")
 
     def _writable(self) -> StoreWriter:
         self._check_open()
@@ -290,9 +294,9 @@
         return self._writer
 
     def _on_corruption(self, corruption: CorruptionError) -> None:
-        """Damage was found while reading: writes end, and the manifest remembers it for the next opening."""
-        unknown = self._health.add_lost(corruption.lost)
-        if unknown and self._writer is not None and self._health.failure is None:
+        """Reject writes after a read found damage, and record it in the manifest for the next opening."""
+        newly_found = self._health.add_lost(corruption.lost)
+        if newly_found and self._writer is not None and self._health.failure is None:
             self._writer.record_damage()
 
 
--- a/heronreel/store/verify.py
+++ b/heronreel/store/verify.py
@@ -1,4 +1,4 @@
-"""Verification: reading every byte of a store and checking it.  Changes nothing."""
+"""Verification: reads and checks every byte of a store without changing it."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 @dataclass(slots=True)
 class VerifyReport:
-    """What `verify` found.  The field names are keys of `heronreel store verify --json`.
+    """The result of `verify`.  The field names are keys of `heronreel store verify --json`.
 
     Attributes:
-        files: Files that were read.
-        bytes: Bytes of them.
-        records: Records in runs and log, those out of date among them.
+        files: The number of files that were read.
+        bytes: Their size.
+        records: The number of records in the runs and the log, with obsolete ones.
         lost: Acknowledged data that can't be read.
         dropped: Ends of the log that were never acknowledged.
-        notes: What is harmless: an index to be rebuilt, a file that no manifest names.
+        notes: Harmless findings: an index to be rebuilt, or a file that the manifest does not name.
     """
 
     files: int = 0
@@ -40,18 +40,18 @@
 
     @property
     def sound(self) -> bool:
-        """Whether nothing acknowledged is missing."""
+        """Whether no acknowledged data is lost."""
         return not self.lost
 
 
 def verify(path: str | os.PathLike[str] | Disk, progress: Progress | None = None) -> VerifyReport:
-    """Read every byte of a store and check it against every other.
+    """Read every byte of a store, and check that its files are valid and consistent.
 
-    Beside a live writer it may see files go; it is meant for a store at rest.
+    It is meant for a store that is not open for writing: a live writer may remove files while they are read.
 
     Args:
-        path: The store's directory, or a disk in place of the file system.
-        progress: Called with the bytes done and the bytes to do.
+        path: The store's directory, or a `Disk` to use instead of the file system.
+        progress: Called with the bytes done so far and the total bytes.
 
     Raises:
         FileNotFoundError: There is no store.
@@ -66,11 +66,12 @@
     contents = read_contents(disk, manifest)
     report.lost += contents.lost
     _verify_runs(manifest, report)
-    named = {MANIFEST_NAME, LOCK_NAME}
-    named |= _verify_tables(disk, manifest, contents, report, progress)
-    named |= _verify_log(disk, manifest, contents, report)
+    expected_names = {MANIFEST_NAME, LOCK_NAME}
+    expected_names |= _verify_tables(disk, manifest, contents, report, progress)
+    expected_names |= _verify_log(disk, manifest, contents, report)
     report.notes += [
-        f"{name}: no manifest names it; the next opening removes it" for name in sorted(names - named)
+        f"{name}: no manifest names it; the next opening removes it"
+        for name in sorted(names - expected_names)
     ]
     return report
 
@@ -90,7 +91,7 @@
 
 
 def _verify_runs(manifest: Manifest, report: VerifyReport) -> None:
-    """Check that the runs hold the stretches of the log one after another, each in the order of keys."""
+    """Check that the runs hold consecutive ranges of groups, and that the parts of each are in key order."""
     runs = manifest.run_infos
     for index, run in enumerate(runs):
         _verify_parts(run, report)
@@ -111,21 +112,21 @@
 def _verify_tables(
     disk: Disk, manifest: Manifest, contents: Contents, report: VerifyReport, progress: Progress | None
 ) -> set[str]:
-    """Check the tables that can be opened; returns the names of their files."""
-    named: set[str] = set()
+    """Check the tables that can be opened; return the names of their files."""
+    expected_names: set[str] = set()
     total = sum(run.size for run in manifest.run_infos) or 1
     done = 0
     for table in (table for run in contents.runs for table in run.tables):
-        named |= {table.info.file, index_name(table.info.number)}
+        expected_names |= {table.info.file, index_name(table.info.number)}
         _verify_table(disk, table, report)
         done += table.info.size
         if progress:
             progress(done, total)
-    return named
+    return expected_names
 
 
 def _verify_log(disk: Disk, manifest: Manifest, contents: Contents, report: VerifyReport) -> set[str]:
-    """Take over what reading the log has found; returns the names of its segments."""
+    """Add the results of reading the log to the report; return the file names of its segments."""
     numbers = segment_numbers(disk, manifest)
     report.dropped += contents.log.dropped
     report.records += len(contents.memtable)
@@ -141,11 +142,11 @@
     index = read_index(disk, info.number, table.header.salt)
     if index is None:
         name = index_name(info.number)
-        report.notes.append(f"{name}: missing or torn; it is made anew when it is needed")
+        report.notes.append(f"{name}: missing or torn; it will be rebuilt when needed")
     entries, last_key = 0, b""
     offsets: list[int] = []
     first_keys: list[bytes] = []
-    problems = len(report.lost)
+    losses_before = len(report.lost)
     for offset, block, lost in scan_blocks(disk, info, table.header, table.footer.end, index):
         if lost is not None:
             report.lost.append(lost)
@@ -160,7 +161,7 @@
             last_key = key
             entries += 1
     report.records += entries
-    if problems != len(report.lost):
+    if losses_before != len(report.lost):
         return
     if entries != table.footer.entries or last_key != info.last_key:
         missing = f"{table.footer.entries - entries} records"
--- a/heronreel/store/write_ahead_log.py
+++ b/heronreel/store/write_ahead_log.py
@@ -1,4 +1,4 @@
-"""The write-ahead log: appending groups of operations to segments, and making them durable."""
+"""The write-ahead log: appends groups of operations to segments, and makes them durable."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class WriteAheadLog:
-    """The end of the log that a writer appends to.
+    """The end of the log, to which a writer appends.
 
-    Only the leader of the commit queue calls it.  `next_sequence` is that of the next group; its owner
-    advances it once a group is durable.
+    Only the leader of the commit queue may call it.  `next_sequence` is the sequence of the next group; the
+    caller increments it once a group is durable.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         last_segment: int,
         next_sequence: int,
     ) -> None:
-        """Continue a log behind `last_segment`; nothing is written until a segment is started."""
+        """Continue a log after `last_segment`; nothing is written until a segment is started."""
         self._disk = disk
         self._lock = lock
         self._store_id = store_id
@@ -41,11 +41,11 @@
         self._segment: DiskFile | None = None
         self._segment_number = last_segment
         self._salt = 0
-        self._end = 0  # of what was written to the segment
-        self._durable = 0  # bytes of the segment that an fsync has covered
+        self._end = 0  # Bytes written to the segment.
+        self._durable = 0  # Bytes of the segment that an fsync has made durable.
         self._segment_failed = False
         self.next_sequence = next_sequence
-        self.size = 0  # bytes behind the sorted runs
+        self.size = 0  # Bytes of the log that are not yet in sorted runs.
 
     @property
     def is_started(self) -> bool:
@@ -58,13 +58,13 @@
         return self._segment_number
 
     def start_segment(self, *, recovery: bool = False) -> None:
-        """Start a segment.  The one before ends, for good, where the last acknowledged group in it ends.
+        """Start a segment, whose header ends the previous segment after its last acknowledged group.
 
-        The header and the name are durable before a frame is written, so that a valid header in a longer
-        file is a matter of damage and never of a crash.
+        The header and the file name are durable before a frame is written. So if a segment has frames but no
+        valid header, the cause is damage and not a crash.
 
         Args:
-            recovery: The segment is unrelated to those before it; it counts once a manifest names it.
+            recovery: The segment does not continue the previous ones; it is valid once a manifest names it.
 
         Raises:
             OSError: The disk fails; the current segment stays in use.
@@ -105,19 +105,19 @@
             self.start_segment()
 
     def discard_segment(self) -> None:
-        """Forget the current segment, which nothing refers to; the next write starts another."""
+        """Abandon the current segment, to which no manifest refers; the next write starts another."""
         self._segment = None
 
     def fail_segment(self) -> None:
-        """A write to the current segment failed: what it left there is excluded by the next one's header."""
+        """Record a failed write to the current segment; the next segment's header excludes its remains."""
         self._segment_failed = True
 
-    def end_flushed_part(self) -> None:
-        """All before the current segment is about to be flushed: only this one is left to count."""
+    def exclude_flushed_segments(self) -> None:
+        """Reset `size` to the current segment, because the earlier segments are about to be flushed."""
         self.size = self._end
 
     def append_group(self, payload: bytes) -> None:
-        """Append a group, in as many fragments and segments as it takes; `sync` makes it durable.
+        """Append a group, split into fragments and segments as needed; `sync` makes it durable.
 
         Raises:
             OSError: The disk fails.
@@ -125,14 +125,14 @@
         view, fragment_bytes = memoryview(payload), self._limits.fragment_bytes
         for start in range(0, max(1, len(payload)), fragment_bytes):
             if start and self._segment_is_full():
-                # what the next segment's header calls the end of this one must be durable before
+                # The next header declares the end of this segment, which must be durable before that.
                 self.sync()
                 self.start_segment()
             kind = _fragment_kind(first=start == 0, last=start + fragment_bytes >= len(payload))
             self._append_frame(kind, view[start : start + fragment_bytes])
 
     def append_mark(self) -> None:
-        """Append a mark, which says that all before it is durable; `sync` makes it durable itself.
+        """Append a mark, which declares everything before it durable; `sync` makes the mark itself durable.
 
         Raises:
             OSError: The disk fails.
@@ -140,10 +140,10 @@
         self._append_frame(FrameKind.MARK, b"")
 
     def sync(self) -> None:
-        """Make what was appended durable.
+        """Make the appended frames durable.
 
         Raises:
-            OSError: The fsync failed; writes are rejected from now on.
+            OSError: The fsync failed; all later writes are rejected.
         """
         assert self._segment
         try:
@@ -172,7 +172,7 @@
         self._counters.log_bytes += len(frame)
 
     def _publish_durable(self) -> None:
-        """Readers in other processes read no further than what is durable."""
+        """Publish the durable position, which limits what readers in other processes read."""
         self._lock.publish(encode_durable_note(LogPosition(self._segment_number, self._durable)))
 
 
