--- a/heronreel/store/writer.py
+++ b/heronreel/store/writer.py
@@ -1,4 +1,4 @@
-"""The writing side of a store: recovery at opening, then commits, flushes and compactions."""
+"""The read-write implementation of a store: recovery at opening, commits, flushes and compactions."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
 
 class StoreWriter:
-    """The one writer of a store.
+    """The only writer of a store.
 
-    A group of writes is one entry of the write-ahead log and one fsync; then it is applied to the memtable.
-    A full memtable is flushed to a sorted run.  Writes hold the lead of the commit queue; flushes,
-    compactions and the manifest hold the maintenance lock.
+    A group of writes is appended to the write-ahead log with one fsync, and then applied to the memtable.  A
+    full memtable is flushed to a sorted run.  A write needs leadership of the commit queue; flushes,
+    compactions and changes of the manifest need the maintenance lock.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         """Open the store in the disk's directory for writing, or create one.
 
         Raises:
-            StoreLockedError: Another writer lives.
+            StoreLockedError: Another writer has the store open.
             UnknownFormatError: The directory has a newer format or is not a store.
             CorruptionError: Acknowledged records are lost.
             OSError: The disk fails.
@@ -57,7 +57,7 @@
         self._current = current
         self._queue = CommitQueue(self._write_group, limits.group_bytes)
         if disk.exists():
-            read_manifest(disk)  # a newer format is left as it is, even without a lock file
+            read_manifest(disk)  # Raise before a lock file is created in a directory with a newer format.
         else:
             disk.make_directory()
         self._lock = _acquire_lock(disk)
@@ -90,12 +90,11 @@
             disk, self._lock, manifest.store_id, self._limits, self._health, self._counters,
             last_segment=found.log.last_number, next_sequence=found.log.next_sequence,
         )  # fmt: skip
-        # What the log holds is written again and synced, and a new segment started, before any read is
-        # served: the pages that were just read may be in memory only (a crash could still take them, and
-        # an fsync that has failed once says nothing about them later), and nothing is ever written behind a
-        # torn end.
-        # Where the log holds no group there is nothing to write again: the segment waits for the first
-        # write.
+        # Before any read is served, the groups of the log are flushed to a run and a new segment is started.
+        # The pages that were just read may only be in the page cache: a crash could still lose them, and
+        # after a failed fsync a later successful one does not prove that they are durable.  Besides, nothing
+        # may be appended after a torn end.
+        # If the log has no groups, nothing needs to be flushed, and the first write starts the segment.
         if manifest.generation == 0 or found.log.groups:
             self._log.start_segment(recovery=True)
             end = FrozenEnd(self._log.next_sequence - 1, self._log.segment_number)
@@ -103,9 +102,9 @@
         self._remove_unnamed_files()
 
     def _remove_unnamed_files(self) -> None:
-        """At opening, when nothing is under way: remove the files that the manifest does not name.
+        """Remove the files that the manifest does not name; only at opening, when no other work is running.
 
-        What can't be removed is left for the next opening.
+        Files that can't be removed are left for the next opening.
         """
         manifest = self.manifest
         named = {part.number for run in manifest.runs for part in run.parts}
@@ -122,7 +121,7 @@
 
     @property
     def manifest(self) -> Manifest:
-        """The manifest in force."""
+        """The current manifest."""
         return self._maintenance.manifests.current
 
     @property
@@ -132,17 +131,17 @@
 
     @property
     def log_bytes(self) -> int:
-        """Bytes of the log behind the sorted runs."""
+        """Bytes of the log that are not yet in sorted runs."""
         return self._log.size
 
     # -- writing
 
     def write(self, batches: list[list[Operation]]) -> None:
-        """Write batches that share an fsync, each completely or not at all; raises as `Store.put` does."""
+        """Write batches that share an fsync, each of them atomically; raises as `Store.put` does."""
         operations = [operation for batch in batches for operation in batch]
         write = PendingWrite(encode_operations(operations), operations)
         if self._queue.submit(write):
-            self._maintenance.pay_for(len(write.payload))
+            self._maintenance.run_for_write(len(write.payload))
 
     def sync(self) -> None:
         """Mark the end of the log; raises as `Store.sync` does."""
@@ -168,7 +167,7 @@
             self._apply(group)
         except WriteFailedError:
             raise
-        except BaseException as error:  # an interrupt: nobody can say how far the write came
+        except BaseException as error:  # After an interrupt it is unknown how far the write got.
             self._health.fail(f"a write was interrupted: {error!r}")
             raise
         self._counters.groups += 1
@@ -179,7 +178,7 @@
         """Append one group to the log and sync it.
 
         Raises:
-            WriteFailedError: The disk failed; the log is as if the write had not been tried.
+            WriteFailedError: The disk failed; the group is not part of the log.
         """
         try:
             if self._log.is_started:
@@ -208,7 +207,7 @@
         self._log.sync()
 
     def _start_log(self) -> None:
-        """Start the log where nothing was in it; the first write after an opening does it."""
+        """Start the log at the first write after an opening that found no groups in it."""
         with self._maintenance.lock:
             self._log.start_segment(recovery=True)
             first_segment = self._log.segment_number
@@ -225,10 +224,11 @@
     # -- flushing
 
     def _freeze_full_memtable(self) -> None:
-        """Put the full memtable aside to be flushed; the log goes on in a new segment.
+        """Freeze the full memtable for its flush, and continue the log in a new segment.
 
         Raises:
-            WriteFailedError: The one before it can't be flushed: memory is bounded, whatever the disk does.
+            WriteFailedError: The previous frozen memtable can't be flushed. The write fails because memory
+                use is bounded even if the disk fails.
         """
         if self._current.view.frozen:
             self._counters.stalls += 1
@@ -236,7 +236,7 @@
                 self._maintenance.finish_flush()
                 if self._current.view.frozen:
                     error = self._health.maintenance_error
-                    why = f"no room in memory, and flushing failed: {error}"
+                    why = f"the memtable is full, and flushing failed: {error}"
                     raise WriteFailedError(why, final=False)
         self._health.check()
         try:
@@ -247,13 +247,13 @@
             self._freeze_memtable()
 
     def _freeze_memtable(self) -> None:
-        """While maintenance is locked, and a new segment has been started."""
-        self._log.end_flushed_part()
+        """Freeze the memtable after a new segment was started; the caller holds the maintenance lock."""
+        self._log.exclude_flushed_segments()
         end = FrozenEnd(self._log.next_sequence - 1, self._log.segment_number)
         self._maintenance.freeze_memtable(end)
 
     def _flush_all(self) -> None:
-        """Flush all that is in memory; maintenance is locked and no write is under way."""
+        """Flush both memtables; the caller holds the maintenance lock, and no write is in progress."""
         self._flush_frozen()
         if self._current.view.memtable:
             self._log.start_segment()
@@ -268,7 +268,7 @@
     # -- maintenance
 
     def maintain(self, budget: int) -> int:
-        """Flush and compact what is due, up to `budget` bytes; returns the bytes done."""
+        """Run due flushes and compactions, up to `budget` bytes; return the bytes processed."""
         return self._maintenance.run(budget)
 
     def compact(self, progress: Progress | None) -> None:
@@ -282,10 +282,10 @@
         self._maintenance.compact_all(progress)
 
     def record_damage(self) -> None:
-        """Have the manifest remember what is lost.
+        """Record the known losses in the manifest.
 
-        Whoever holds the maintenance lock now does it instead, with its next step: perhaps the caller itself,
-        as a compaction that reads.
+        If the maintenance lock is held, its holder does this in its next step instead.  The holder may be the
+        caller itself, if a compaction found the damage.
         """
         if self._maintenance.lock.acquire(blocking=False):
             try:
@@ -296,7 +296,7 @@
     # -- closing
 
     def close(self) -> None:
-        """Finish all writes, flush what is in memory, and release the lock."""
+        """Finish all writes, flush the memtable, and release the lock."""
         self._queue.close()
         self._maintenance.closed = True
         self._queue.pause()
@@ -305,7 +305,7 @@
                 if self._health.is_sound:
                     self._flush_or_mark()
             except (OSError, StoreError):
-                pass  # all that was acknowledged is in the log
+                pass  # All acknowledged writes are in the log.
             finally:
                 self._maintenance.abandon()
                 self._log.close()
@@ -320,9 +320,10 @@
 
 
 def _acquire_lock(disk: Disk) -> LockFile:
-    for attempt in range(_LOCK_ATTEMPTS):  # a reader that looks for a live writer holds it for a moment
+    # A reader that checks for a live writer holds the lock for a moment, so the writer retries.
+    for attempt in range(_LOCK_ATTEMPTS):
         if attempt:
             time.sleep(_LOCK_RETRY_S)
         if lock := disk.acquire_lock():
             return lock
-    raise StoreLockedError("another writer has the store")
+    raise StoreLockedError("another writer has the store open")
