--- a/tests/proxy/test_rfc9112.py
+++ b/tests/proxy/test_rfc9112.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from heronreel.proxy.http1 import absolute_form, is_host
+from heronreel.proxy.http1 import is_host, split_absolute_form
 from tests.support.loopback import (
     Backend,
     ok,
@@ -132,7 +132,7 @@
         assert is_host(valid), valid
     for invalid in (b"a b", b"a/b", b"a@b", b"a:b", b"[::1", b"a:123456", b"a,\x7f"):
         assert not is_host(invalid), invalid
-    assert absolute_form(b"HTTP://a:1/b?c") == (b"a:1", b"/b?c")
-    assert absolute_form(b"http://a?c") == (b"a", b"/?c")
-    assert absolute_form(b"http://a") == (b"a", b"/")
-    assert absolute_form(b"/a") is None
+    assert split_absolute_form(b"HTTP://a:1/b?c") == (b"a:1", b"/b?c")
+    assert split_absolute_form(b"http://a?c") == (b"a", b"/?c")
+    assert split_absolute_form(b"http://a") == (b"a", b"/")
+    assert split_absolute_form(b"/a") is None
