--- a/tests/store/durability.py
+++ b/tests/store/durability.py
@@ -1,4 +1,4 @@
-"""What the tests of the store share: small limits, a drawn workload, and a model of what must be durable."""
+"""Helpers of the store's tests: small limits, a random workload, and a model of the durable content."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
     memtable_bytes=2400, segment_bytes=700, fragment_bytes=256, log_bytes=2000, block_bytes=120,
     table_bytes=500, step_bytes=256, sync_interval_bytes=400, group_bytes=2000,
 )  # fmt: skip
-"""Every write is a step or so from a new segment, a flush or a compaction."""
+"""Limits so small that almost every write is close to a new segment, a flush or a compaction."""
 
 
 def content(store: Store) -> Model:
+    """Return all records of a store."""
     return dict(store.scan())
 
 
 class DurabilityModel:
-    """Knows what was acknowledged and what is under way, and so what a store may hold after a crash."""
+    """Tracks acknowledged and pending writes, and so the contents that a store may have after a crash."""
 
     def __init__(self) -> None:
         self.acknowledged: Model = {}
@@ -46,11 +47,13 @@
         self.acknowledged, self.pending = self.pending, None
 
     def allows(self, found: Model) -> bool:
+        """Return whether `found` is the acknowledged content, with all or nothing of the pending write."""
         return found == self.acknowledged or found == self.pending
 
     def check(self, disk: FaultInjectingDisk, label: str) -> None:
-        """The store on `disk` opens, and holds what was acknowledged, and of the pending write all or
-        nothing.
+        """Assert that the store on `disk` opens with the acknowledged content.
+
+        The pending write must be applied completely or not at all.
         """
         with Store.open(disk, limits=SMALL_LIMITS) as store:
             found = content(store)
@@ -65,7 +68,10 @@
 
 
 def random_changes(rng: random.Random, writes: int) -> Iterator[dict[bytes, bytes | None]]:
-    """Mostly single writes over few keys, some deletions, some batches, some larger than a segment."""
+    """Yield random changes of few keys: mostly single writes, some deletions, batches and large changes.
+
+    Some changes are larger than a log segment.
+    """
     for number in range(writes):
         size = rng.choice((1, 1, 1, 3, 12))
         change: dict[bytes, bytes | None] = {}
@@ -76,27 +82,30 @@
 
 
 def run_workload(model: DurabilityModel, disk: Disk, seed: int, writes: int) -> None:
-    """Writes in three openings, with a compaction in the middle of each."""
+    """Write random changes in three openings of the store, with a compaction in the middle of each."""
     rng = random.Random(seed)
     changes = list(random_changes(rng, writes))
     third = len(changes) // 3
     for part in (changes[:third], changes[third : 2 * third], changes[2 * third :]):
         with Store.open(disk, limits=SMALL_LIMITS) as store:
-            for place, change in enumerate(part):
+            for position, change in enumerate(part):
                 model.write(store, change)
-                if place == len(part) // 2:
+                if position == len(part) // 2:
                     store.compact()
-                if place % 5 == 4:
+                if position % 5 == 4:
                     store.sync()
 
 
 def lose_power_at(disk: FaultInjectingDisk, operations: int) -> None:
-    """The power goes before, during or after the operation of that number."""
-    left = [operations]
+    """Make the disk lose power at the given number of calls to its `watch` callback.
+
+    The callback is called before, during and after each operation that changes the disk.
+    """
+    calls_left = [operations]
 
     def watch(*_: str) -> None:
-        left[0] -= 1
-        if not left[0]:
+        calls_left[0] -= 1
+        if not calls_left[0]:
             disk.power_off()
             raise PowerLoss
 
@@ -104,7 +113,7 @@
 
 
 def populate_store(disk: FaultInjectingDisk) -> list[dict[bytes, bytes]]:
-    """Write a store with runs and a log that is not closed; returns its states after each write."""
+    """Write a store with runs and an open log; return its initial content and that after each write."""
     states: list[dict[bytes, bytes]] = [{}]
     model = DurabilityModel()
     store = Store.open(disk, limits=SMALL_LIMITS)
--- a/tests/store/test_corruption.py
+++ b/tests/store/test_corruption.py
@@ -1,4 +1,4 @@
-"""Corruption: files cut at every byte, bits flipped, and damage found while reading."""
+"""Tests of corruption: files truncated at every byte, flipped bits, and damage found by reads."""
 
 from __future__ import annotations
 
@@ -14,39 +14,46 @@
 
 
 def test_every_file_truncated_at_every_byte(capsys: pytest.CaptureFixture[str]) -> None:
-    """Truncating the log's end leaves the writes before it; any other truncation is reported."""
+    """Truncating the last segment keeps the writes before the cut; any other truncation is reported."""
     disk = FaultInjectingDisk()
     states = populate_store(disk)
     files = [name for name in disk.list_names() if name != "LOCK"]
-    unnamed = {note.partition(":")[0] for note in verify(disk).notes}  # of a merge under way
-    last = max(name for name in files if name.endswith(".log"))
+    unreferenced_files = {
+        note.partition(":")[0] for note in verify(disk).notes
+    }  # Output of a running compaction.
+    last_segment = max(name for name in files if name.endswith(".log"))
     count = 0
     for name in files:
-        whole = disk.read_file(name)
-        former = len(states) - 1
-        for length in range(len(whole) - 1, -1, -1):
+        complete_data = disk.read_file(name)
+        last_position = len(states) - 1
+        for length in range(len(complete_data) - 1, -1, -1):
             image = disk.copy()
             image.truncate(name, length)
             count += 1
-            label = f"{name} truncated to {length} of {len(whole)}"
-            if name.endswith(".index") or name in unnamed:
+            label = f"{name} truncated to {length} of {len(complete_data)}"
+            if name.endswith(".index") or name in unreferenced_files:
                 assert content(Store.open(image, limits=SMALL_LIMITS)) == states[-1], label
                 continue
             try:
                 found = content(Store.open(image, limits=SMALL_LIMITS))
-            except CorruptionError as damaged:
-                assert damaged.lost[0].file == name, label
-                assert name != last or length < 80, label
+            except CorruptionError as error:
+                assert error.lost[0].file == name, label
+                assert name != last_segment or length < 80, label
                 assert length % 3 or read_only_reports_loss(image, states), label
                 continue
-            assert name == last, label
-            former = next(at for at in range(former, -1, -1) if states[at] == found)
+            assert name == last_segment, label
+            last_position = next(
+                position for position in range(last_position, -1, -1) if states[position] == found
+            )
     with capsys.disabled():
-        print(f"\n{count} cuts of {len(files)} files")
+        print(f"\n{count} truncations of {len(files)} files")
 
 
 def read_only_reports_loss(disk: FaultInjectingDisk, states: list[dict[bytes, bytes]]) -> bool:
-    """Opened for reading it says what is lost, or can't be opened; values are ones that were once written."""
+    """Return whether the store reports losses when opened for reading, and returns only written values.
+
+    A store that can't be opened counts as reporting its loss.
+    """
     try:
         store = Store.open(disk, read_only=True)
     except CorruptionError:
@@ -60,7 +67,7 @@
 
 
 def test_truncation_of_files_under_compaction_is_harmless(capsys: pytest.CaptureFixture[str]) -> None:
-    """At each write of a merge, the file that is being written is cut at every byte."""
+    """At each write of a compaction, the file that is being written is truncated at every byte."""
     disk, count = FaultInjectingDisk(), 0
     states = populate_store(disk)
     disk = disk.copy()
@@ -70,8 +77,8 @@
         nonlocal count
         if moment != "after" or operation not in ("write", "sync") or name == "LOCK":
             return
-        whole = disk.read_file(name)
-        for length in range(len(whole)):
+        complete_data = disk.read_file(name)
+        for length in range(len(complete_data)):
             image = disk.copy()
             image.truncate(name, length)
             count += 1
@@ -83,11 +90,11 @@
     store.compact()
     assert store.counters.compactions
     with capsys.disabled():
-        print(f"\n{count} cuts of files under way")
+        print(f"\n{count} truncations of files that are being written")
 
 
 def test_every_flipped_bit_is_reported_or_harmless(capsys: pytest.CaptureFixture[str]) -> None:
-    """No flip of any byte makes the store return what was never written, or lose it without a word."""
+    """After a bit flip in any byte, reads never return unwritten values, and no loss goes unreported."""
     disk = FaultInjectingDisk()
     states = populate_store(disk)
     with_mark = disk.copy()
@@ -98,8 +105,8 @@
     written = {item for state in states for item in state.items()} | {(b"last", b"one")}
     reported = 0
     harmless: dict[str, int] = {}
-    unnamed = {note.partition(":")[0] for note in verify(with_mark).notes}
-    for name in set(with_mark.list_names()) - unnamed - {"LOCK"}:
+    unreferenced_files = {note.partition(":")[0] for note in verify(with_mark).notes}
+    for name in set(with_mark.list_names()) - unreferenced_files - {"LOCK"}:
         for offset in range(len(with_mark.read_file(name))):
             image = with_mark.copy()
             image.flip_bits(name, offset, 1 << offset % 8)
@@ -111,15 +118,16 @@
                     assert content(Store.open(image)) == expected, label
                     continue
                 assert found.lost[0].file == name, label
-                reading = Store.open(image, read_only=True)
-                assert set(content(reading).items()) <= written, label
-                assert reading.lost, label
+                reader = Store.open(image, read_only=True)
+                assert set(content(reader).items()) <= written, label
+                assert reader.lost, label
             except (CorruptionError, UnknownFormatError):
                 pass
             reported += 1
     with capsys.disabled():
         print(f"\n{reported} flips reported, {harmless} harmless")
-    # an index is made anew, frames have padding, and a last mark that can't be read takes nothing with it
+    # Harmless flips are those in an index, which is rebuilt, in the padding of frames, and in the last mark,
+    # whose loss affects no group.
     assert harmless.pop("index") and sum(harmless.values()) < 60 and all("log" in kind for kind in harmless)
 
 
@@ -137,7 +145,7 @@
     disk, table = disk_with_one_table()
     disk.flip_bits(table, 200)
     with Store.open(disk, limits=SMALL_LIMITS) as store:
-        assert not store.lost  # opening reads no values
+        assert not store.lost  # Opening the store reads no blocks.
         with pytest.raises(CorruptionError, match=f"{table}: bytes .*records of keys from"):
             content(store)
         with pytest.raises(CorruptionError):
@@ -156,23 +164,23 @@
     store.put(b"a", bytes(40))
 
     def watch(moment: str, operation: str, name: str) -> None:
-        if name.endswith(".table"):  # of the flush
+        if name.endswith(".table"):  # The flush writes this table.
             with suppress(CorruptionError):
                 content(store)
 
     disk.watch = watch
-    raised: list[BaseException] = []
+    errors: list[BaseException] = []
 
     def compact() -> None:
         try:
             store.compact()
-        except CorruptionError as damaged:
-            raised.append(damaged)
+        except CorruptionError as error:
+            errors.append(error)
 
     thread = threading.Thread(target=compact, daemon=True)
     thread.start()
-    thread.join(20.0)  # it took milliseconds, or it hangs
-    assert not thread.is_alive() and raised and store.lost
+    thread.join(20.0)  # The compaction takes milliseconds; a longer run is a deadlock.
+    assert not thread.is_alive() and errors and store.lost
 
 
 def test_a_newer_format_is_left_untouched() -> None:
--- a/tests/store/test_crash_recovery.py
+++ b/tests/store/test_crash_recovery.py
@@ -1,4 +1,4 @@
-"""Crash recovery: losses of power at every point, on the fault-injecting disk, against a model dictionary."""
+"""Tests of crash recovery: power losses at every point on the fault-injecting disk, checked with a model."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_every_crash_point_keeps_acknowledged_writes(seed: int, capsys: pytest.CaptureFixture[str]) -> None:
-    """Before, during and after every call that changes something, with drawn fates of what was not synced."""
+    """The power is lost before, during and after every change of the disk; random unsynced data survives."""
     disk, model, rng = FaultInjectingDisk(), DurabilityModel(), random.Random(seed * 7919)
     seen: dict[str, int] = {}
 
@@ -38,11 +38,11 @@
     assert content(Store.open(disk)) == model.acknowledged
     assert {"create", "write", "sync", "rename", "remove", "sync_directory"} <= seen.keys()
     with capsys.disabled():
-        print(f"\n{2 * sum(seen.values())} crashes recovered from, of {seen}")
+        print(f"\nrecovered from {2 * sum(seen.values())} crashes; operations: {seen}")
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_crashes_during_recovery_five_deep(seed: int) -> None:
+def test_up_to_five_crashes_during_recovery_lose_nothing(seed: int) -> None:
     rng = random.Random(seed)
     disk, model = FaultInjectingDisk(), DurabilityModel()
     with pytest.raises(PowerLoss):
@@ -55,14 +55,14 @@
             lose_power_at(probe, rng.randrange(1, 30))
             try:
                 Store.open(probe, limits=SMALL_LIMITS)
-                break  # recovery needed fewer calls than that
+                break  # Recovery finished before the power loss.
             except PowerLoss:
                 image, depth = probe.crash_image(rng), depth + 1
-        model.check(image, f"seed {seed}: {depth} crashes deep")
+        model.check(image, f"seed {seed}: {depth} crashes during recovery")
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_two_compactions_interrupted_at_different_steps(seed: int) -> None:
+def test_two_interrupted_compactions_lose_nothing(seed: int) -> None:
     rng = random.Random(seed)
     disk = FaultInjectingDisk()
     expected = populate_store(disk)[-1]
@@ -77,7 +77,10 @@
 
 
 def test_stale_frames_of_an_earlier_segment_are_ignored() -> None:
-    """Whole frames of a former segment lie behind the end of this one, at a frame's place and in sequence."""
+    """Valid frames of an earlier segment follow the last frame of this one, with the expected sequences.
+
+    Only their salt differs.  This happens when a file is extended into disk blocks of a removed segment.
+    """
     disk, states = FaultInjectingDisk(), []
     for value in (b"former", b"latter"):
         with Store.open(disk) as store:
@@ -85,7 +88,7 @@
                 store.put(b"%d" % number, value)
                 states.append(content(store))
             log = max(name for name in disk.list_names() if name.endswith(".log"))
-            frames = disk.read_file(log)[72:]  # the segment's header has 72 bytes
+            frames = disk.read_file(log)[72:]  # The segment's header has 72 bytes.
             if value == b"former":
                 stale = frames
             else:
@@ -93,8 +96,8 @@
                 after_two.overwrite(
                     log, disk.read_file(log)[: 72 + len(frames) // 2] + stale[len(frames) // 2 :]
                 )
-    again = Store.open(after_two)
-    assert content(again) == states[5] and "never acknowledged" in str(again.dropped[0])
+    reopened = Store.open(after_two)
+    assert content(reopened) == states[5] and "never acknowledged" in str(reopened.dropped[0])
 
 
 def test_a_clock_that_jumps_back_has_no_effect(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/store/test_disk_faults.py
+++ b/tests/store/test_disk_faults.py
@@ -1,4 +1,4 @@
-"""Disk faults: failed fsyncs, full disks, errors and short writes."""
+"""Tests of disk faults: failed fsyncs, full disks, I/O errors and short writes."""
 
 from __future__ import annotations
 
@@ -11,9 +11,11 @@
 from tests.store.durability import SMALL_LIMITS, DurabilityModel, content, random_changes
 
 
-def test_a_failed_fsync_ends_writes() -> None:
-    """The write fails, so do all later ones, reads go on; after a reopening and a crash nothing of it is
-    there.
+def test_a_failed_fsync_rejects_later_writes() -> None:
+    """After a failed fsync, that write and all later ones fail, and reads still work.
+
+    The page cache still shows the failed write.  A reopening may keep it or drop it, and a later crash must
+    not change that.
     """
     disk, model, rng = FaultInjectingDisk(), DurabilityModel(), random.Random(3)
     store = Store.open(disk)
@@ -27,9 +29,9 @@
         store.put(b"after", b"3")
     assert content(store) == {b"before": b"1"}
     store.close()
-    # The cache shows the failed write as if it were there.  Whatever a new opening makes of it must stay.
-    with Store.open(disk) as again:
-        found = content(again)
+    # The page cache still shows the failed write.  Whether a reopening keeps or drops it must be durable.
+    with Store.open(disk) as reopened:
+        found = content(reopened)
         assert model.allows(found)
     for _ in range(20):
         assert content(Store.open(disk.crash_image(rng))) == found
@@ -40,19 +42,19 @@
     rng = random.Random(seed)
     disk, model = FaultInjectingDisk(capacity=6000), DurabilityModel()
     store = Store.open(disk, limits=SMALL_LIMITS)
-    failed = worked = 0
-    for round_of in range(6):
+    failed = succeeded = 0
+    for round_number in range(6):
         for change in random_changes(rng, 20):
             try:
                 model.write(store, change)
-                worked += 1
+                succeeded += 1
             except WriteFailedError as error:
                 assert not error.final
                 model.pending = None
                 failed += 1
             assert content(store) == model.acknowledged, f"seed {seed}"
-        disk.capacity = 1 << 20 if round_of % 2 else disk.used + rng.randrange(500)
-    assert failed and worked > 40
+        disk.capacity = 1 << 20 if round_number % 2 else disk.used + rng.randrange(500)
+    assert failed and succeeded > 40
     disk.capacity = 1 << 30
     model.write(store, {b"room": b"again"})
     for _ in range(20):
@@ -63,7 +65,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_errors_and_short_writes_at_any_operation(seed: int) -> None:
-    """Whatever fails whenever: reads show what was acknowledged, and so does every opening after it."""
+    """After any failed operation, reads return the acknowledged content, also after a crash and reopening."""
     rng = random.Random(seed)
     disk, model = FaultInjectingDisk(), DurabilityModel()
 
--- a/tests/store/test_maintenance.py
+++ b/tests/store/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Flushes and compactions: their pacing, their cost, and writes beside them."""
+"""Tests of flushes and compactions: their pacing, their cost, and concurrent writes."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from heronreel.store.fault_injecting_disk import FaultInjectingDisk
 from tests.store.durability import SMALL_LIMITS, content
 
-COMPACTION_STEPS = 18  # that the compaction of the next test takes
+COMPACTION_STEPS = 18  # Steps of the compaction in the test of the first write after an opening.
 
 
 class CompactionInterruptedError(Exception):
-    """Raised out of a compaction by its caller."""
+    """Raised by a progress callback to interrupt a compaction."""
 
 
 class InterruptAfter:
-    """The progress of a compaction whose caller gives up after some steps."""
+    """A progress callback that interrupts a compaction after some steps."""
 
     def __init__(self, steps: int) -> None:
         self.steps_left = steps
@@ -31,8 +31,11 @@
 
 
 @pytest.mark.parametrize("steps", range(5, 26))
-def test_a_compaction_under_way_at_the_first_write_keeps_its_files(steps: int) -> None:
-    """The first write after an opening begins the log and tidies up: not what no manifest names yet."""
+def test_the_first_write_keeps_the_files_of_a_running_compaction(steps: int) -> None:
+    """The first write after an opening starts the log and removes old segments.
+
+    It must not remove the tables of a running compaction, which no manifest names yet.
+    """
     disk = FaultInjectingDisk()
     with Store.open(disk, limits=SMALL_LIMITS) as store:
         for number in range(40):
@@ -42,7 +45,7 @@
     with Store.open(disk, limits=SMALL_LIMITS) as store:
         with suppress(CompactionInterruptedError):
             store.compact(InterruptAfter(steps))
-        assert store.counters.compactions == (steps > COMPACTION_STEPS)  # else it is under way
+        assert store.counters.compactions == (steps > COMPACTION_STEPS)  # Else it is still running.
         store.put(b"first", b"write")
         store.maintain()
     assert content(Store.open(disk, limits=SMALL_LIMITS)) == expected | {b"first": b"write"}
@@ -59,17 +62,17 @@
     )
     disk = FaultInjectingDisk()
     store = Store.open(disk, limits=limits)
-    most = used = 0
+    most = max_used_bytes = 0
     for number in range(400):
         store.put(b"%d" % (number % 8), bytes(1 << 15))
         most = max(most, len(store.stat()["runs"]))
-        used = max(used, disk.used)
+        max_used_bytes = max(max_used_bytes, disk.used)
     assert most <= 8
-    assert used < 4 * 8 * (1 << 15) + 2 * limits.log_bytes + 4 * limits.memtable_bytes
+    assert max_used_bytes < 4 * 8 * (1 << 15) + 2 * limits.log_bytes + 4 * limits.memtable_bytes
 
 
 def test_the_compaction_policy_bounds_rewrites_and_garbage() -> None:
-    """Bytes written by merges over bytes flushed, and the share of newer runs, over drawn sizes."""
+    """With random run sizes, rewrites per flushed byte and the size of the newer runs are bounded."""
     for seed in range(40):
         rng = random.Random(seed)
         runs: list[compaction_policy.RunWeight] = []
@@ -79,9 +82,9 @@
             runs.append(compaction_policy.RunWeight(size, size, 0))
             flushed += size
             while (first := compaction_policy.oldest_run_to_compact(runs, 4)) is not None:
-                whole = sum(run.size for run in runs[first:])
-                runs[first:] = [compaction_policy.RunWeight(whole, whole, 0)]
-                rewritten += whole
+                merged_size = sum(run.size for run in runs[first:])
+                runs[first:] = [compaction_policy.RunWeight(merged_size, merged_size, 0)]
+                rewritten += merged_size
             assert len(runs) <= 12
             if runs[0].size >= 4:
                 assert sum(run.size for run in runs[1:]) < max(runs[0].size, 13), f"seed {seed}: {runs}"
--- a/tests/store/test_model.py
+++ b/tests/store/test_model.py
@@ -1,4 +1,4 @@
-"""The store against a model dictionary, in runs drawn by Hypothesis."""
+"""Tests the store against a dictionary, with random sequences of operations from Hypothesis."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class StoreAgainstModel(RuleBasedStateMachine):
-    """The store beside a dictionary, through crashes, compactions, snapshots and reopenings."""
+    """Compares the store with a dictionary through crashes, compactions, snapshots and reopenings."""
 
     @initialize(seed=st.integers(0, 1 << 16))
     def begin(self, seed: int) -> None:
@@ -35,7 +35,7 @@
         self.model.write(self.store, change)
 
     @rule(change=st.dictionaries(KEYS, VALUES, min_size=1), calls=st.integers(1, 60))
-    def crash_in_a_write(self, change: dict[bytes, bytes | None], calls: int) -> None:
+    def crash_during_a_write(self, change: dict[bytes, bytes | None], calls: int) -> None:
         lose_power_at(self.disk, calls)
         try:
             self.model.write(self.store, change)
@@ -78,12 +78,12 @@
         assert self.store.get(key) == self.model.acknowledged.get(key)
 
     @invariant()
-    def all_is_there(self) -> None:
+    def content_matches_the_model(self) -> None:
         assert content(self.store) == self.model.acknowledged
         for snapshot, expected in self.snapshots:
             assert dict(snapshot.scan()) == expected
-        beside = Store.open(self.disk, read_only=True)
-        assert content(beside) == self.model.acknowledged and not beside.lost
+        reader = Store.open(self.disk, read_only=True)
+        assert content(reader) == self.model.acknowledged and not reader.lost
 
 
 StoreAgainstModel.TestCase.settings = settings(
--- a/tests/store/test_processes.py
+++ b/tests/store/test_processes.py
@@ -1,4 +1,4 @@
-"""Several processes: the lock, readers beside a writer, and killed writers."""
+"""Tests with several processes: the lock, readers during writes, and killed writers."""
 
 from __future__ import annotations
 
@@ -39,20 +39,20 @@
         child.stdout.close()
     with Store.open(tmp_path) as store:
         assert store.get(b"by") == b"child"
-        with pytest.raises(StoreLockedError):  # in one process too
+        with pytest.raises(StoreLockedError):  # The lock also excludes a second writer in the same process.
             Store.open(tmp_path)
-        child_sees = os.fork()
-        if not child_sees:
+        forked_pid = os.fork()
+        if not forked_pid:
             try:
                 store.put(b"from", b"fork")
             except StoreClosedError:
                 os._exit(7)
             os._exit(0)
-        assert os.waitstatus_to_exitcode(os.waitpid(child_sees, 0)[1]) == 7
+        assert os.waitstatus_to_exitcode(os.waitpid(forked_pid, 0)[1]) == 7
         store.put(b"still", b"ours")
 
 
-def test_a_reader_beside_a_writer_sees_only_what_is_durable() -> None:
+def test_a_reader_of_an_open_store_sees_only_durable_writes() -> None:
     disk = FaultInjectingDisk()
     store = Store.open(disk)
     store.put(b"a", b"1")
@@ -64,7 +64,9 @@
 
     disk.watch = watch
     store.put(b"b", b"2")
-    assert seen == [{b"a": b"1"}] * 3  # before, during, and just after, when it is not published yet
+    assert (
+        seen == [{b"a": b"1"}] * 3
+    )  # Before, during and right after the fsync, since it is published later.
     assert content(Store.open(disk, read_only=True)) == {b"a": b"1", b"b": b"2"}
 
 
@@ -88,12 +90,12 @@
 
 
 def test_a_killed_writer_loses_no_acknowledged_write(tmp_path: Path) -> None:
-    """200 kills at drawn moments; what the child reported as acknowledged must be there."""
+    """Writers are killed 200 times at random moments; every write they reported as done must exist."""
     rng = random.Random(11)
     acknowledged = kills = 0
-    lanes = 4
-    stores = [tmp_path / str(lane) for lane in range(lanes)]
-    reported = [0] * lanes
+    store_count = 4
+    stores = [tmp_path / str(index) for index in range(store_count)]
+    reported = [0] * store_count
     while kills < 200:
         children = [
             subprocess.Popen(
@@ -101,28 +103,30 @@
             )
             for store in stores
         ]
-        for lane, child in enumerate(children):
+        for index, child in enumerate(children):
             assert child.stdout
             assert child.stdout.readline().strip(), "the child could not open its store"
-            time.sleep(rng.random() * 0.02)  # which moment does not matter, only that it varies
+            time.sleep(rng.random() * 0.02)  # Any random moment will do.
             child.send_signal(signal.SIGKILL)
             rest = child.stdout.read().split(b"\n")[:-1]
             child.wait()
             child.stdout.close()
-            reported[lane] = max(reported[lane], *(int(line) for line in rest), 0) if rest else reported[lane]
+            reported[index] = (
+                max(reported[index], *(int(line) for line in rest), 0) if rest else reported[index]
+            )
             kills += 1
-            with Store.open(stores[lane], read_only=True) as store:
+            with Store.open(stores[index], read_only=True) as store:
                 assert not store.lost
                 last = int(store.get(b"last") or b"0")
-                assert last in (reported[lane], reported[lane] + 1) or (not rest and last > reported[lane]), (
-                    f"kill {kills}"
-                )
+                assert last in (reported[index], reported[index] + 1) or (
+                    not rest and last > reported[index]
+                ), f"kill {kills}"
                 expected: dict[bytes, bytes] = {b"last": b"%d" % last}
                 for number in range(max(1, last - 400), last + 1):
                     expected[b"key%d" % (number % 50)] = b"%d" % number * (1 + number % 9)
                     if number % 7 == 0:
                         expected.pop(b"key%d" % ((number + 25) % 50), None)
                 assert content(store) == expected, f"kill {kills}"
-            reported[lane] = last
+            reported[index] = last
             acknowledged += len(rest)
     assert acknowledged > 1000
--- a/tests/store/test_repair.py
+++ b/tests/store/test_repair.py
@@ -1,4 +1,4 @@
-"""Repair: what is salvaged from damaged stores, and what is reported as lost."""
+"""Tests of repair: salvaged records and reported losses of damaged stores."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Damage:
-    """Ways to spoil a store whose log and runs hold something, and what repair is to save."""
+    """Ways to damage a store that has records in its log and in its runs."""
 
     @staticmethod
     def middle_of_the_log(disk: FaultInjectingDisk) -> None:
@@ -33,36 +33,40 @@
         disk.flip_bits("MANIFEST", 70)
 
     @staticmethod
-    def manifest_gone(disk: FaultInjectingDisk) -> None:
+    def manifest_missing(disk: FaultInjectingDisk) -> None:
         disk.remove("MANIFEST")
 
     @staticmethod
-    def table_gone(disk: FaultInjectingDisk) -> None:
+    def table_missing(disk: FaultInjectingDisk) -> None:
         disk.remove(min(name for name in disk.list_names() if name.endswith(".table")))
 
 
-@pytest.mark.parametrize("how", [name for name in vars(Damage) if not name.startswith("_")])
-def test_repair_salvages_and_reports_what_is_lost(how: str) -> None:
+@pytest.mark.parametrize("damage_name", [name for name in vars(Damage) if not name.startswith("_")])
+def test_repair_salvages_and_reports_what_is_lost(damage_name: str) -> None:
     disk = FaultInjectingDisk()
     states = populate_store(disk)
     written = {item for state in states for item in state.items()}
-    spoilt, target = disk.copy(), FaultInjectingDisk()
-    spoil: Callable[[FaultInjectingDisk], None] = getattr(Damage, how)
-    spoil(spoilt)
-    if how != "block_of_a_table":  # that one is met where it is read
+    damaged_disk, target = disk.copy(), FaultInjectingDisk()
+    apply_damage: Callable[[FaultInjectingDisk], None] = getattr(Damage, damage_name)
+    apply_damage(damaged_disk)
+    if (
+        damage_name != "block_of_a_table"
+    ):  # Opening the store reads no blocks, so it does not find this damage.
         with pytest.raises(CorruptionError):
-            Store.open(spoilt, limits=SMALL_LIMITS)
-    before = {name: spoilt.read_file(name) for name in spoilt.list_names() if name != "LOCK"}
-    found = repair(spoilt, target)
-    assert before == {name: spoilt.read_file(name) for name in spoilt.list_names() if name != "LOCK"}
+            Store.open(damaged_disk, limits=SMALL_LIMITS)
+    before = {name: damaged_disk.read_file(name) for name in damaged_disk.list_names() if name != "LOCK"}
+    report = repair(damaged_disk, target)
+    assert before == {
+        name: damaged_disk.read_file(name) for name in damaged_disk.list_names() if name != "LOCK"
+    }
     saved = content(Store.open(target))
-    assert found.lost and found.records == len(saved)
+    assert report.lost and report.records == len(saved)
     assert set(saved.items()) <= written
-    right = [key for key, value in states[-1].items() if saved.get(key) == value]
-    if how.startswith("manifest") or how == "header_of_a_table":
-        assert saved == states[-1]  # all is in other files too
+    intact_keys = [key for key, value in states[-1].items() if saved.get(key) == value]
+    if damage_name.startswith("manifest") or damage_name == "header_of_a_table":
+        assert saved == states[-1]  # Other files have all the information of the damaged one.
     else:
-        assert found.doubts or "table" in how
-        assert len(right) >= len(states[-1]) // 2
+        assert report.doubts or "table" in damage_name
+        assert len(intact_keys) >= len(states[-1]) // 2
     with pytest.raises(ValueError, match="target"):
-        repair(spoilt, target)
+        repair(damaged_disk, target)
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -1,4 +1,4 @@
-"""The public interface on a real disk: reads, writes, batches, snapshots, limits and threads."""
+"""Tests of the public interface: reads, writes, batches, snapshots, limits and threads."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
         assert list(store.scan(b"a")) == [(b"a", b"1"), (b"ab", b"")]
         store.sync()
     store.close()
-    for use in (lambda: store.get(b"a"), lambda: store.put(b"a", b""), store.snapshot, store.batch):
+    for call in (lambda: store.get(b"a"), lambda: store.put(b"a", b""), store.snapshot, store.batch):
         with pytest.raises(StoreClosedError):
-            use()
+            call()
     with Store.open(path, read_only=True) as reader:
         assert reader.get(b"c") == b"3"
         with pytest.raises(ReadOnlyError):
@@ -55,14 +55,14 @@
 
 def test_invalid_arguments_are_rejected_and_nothing_is_written() -> None:
     store = Store.open(FaultInjectingDisk())
-    bad: list[tuple[object, object, str]] = [
+    invalid_arguments: list[tuple[object, object, str]] = [
         (b"", b"", "key: 0 bytes"),
         (b"k" * (MAX_KEY_BYTES + 1), b"", "key: 4097 bytes"),
         ("k", b"", "key: str"),
         (b"k", bytes(MAX_VALUE_BYTES + 1), "value: 16777217 bytes"),
         (b"k", None, "value: NoneType"),
     ]
-    for key, value, message in bad:
+    for key, value, message in invalid_arguments:
         with pytest.raises(InvalidArgumentError, match=message):
             store.put(key, value)  # type: ignore[arg-type]
     batch = store.batch()
@@ -83,8 +83,8 @@
             batch.put(b"small", b"")
         assert store.stat()["log_bytes"] > 3 * store.limits.segment_bytes
         assert len([n for n in os.listdir(tmp_path) if n.endswith(".log")]) > 3
-        beside = Store.open(tmp_path, read_only=True)
-        assert beside.get(b"k" * MAX_KEY_BYTES) == largest
+        reader_of_open_store = Store.open(tmp_path, read_only=True)
+        assert reader_of_open_store.get(b"k" * MAX_KEY_BYTES) == largest
         store.put(b"x", b"y")
         store.maintain()
     with Store.open(tmp_path) as store:
@@ -97,15 +97,17 @@
             store.put(b"%02d" % number, b"old" * 10)
         snapshot, records = store.snapshot(), store.scan(b"7")
         first = next(records)
-        beside = Store.open(tmp_path, read_only=True)
+        reader_of_open_store = Store.open(tmp_path, read_only=True)
         for number in range(80):
             store.put(b"%02d" % number, b"new") if number % 2 else store.delete(b"%02d" % number)
         store.compact()
-        for reader in (snapshot, beside):
+        for reader in (snapshot, reader_of_open_store):
             assert dict(reader.scan()) == {b"%02d" % number: b"old" * 10 for number in range(80)}
         assert [first, *records] == [(b"7%d" % digit, b"old" * 10) for digit in range(10)]
-        beside.refresh()
-        assert content(beside) == content(store) == {b"%02d" % n: b"new" for n in range(1, 80, 2)}
+        reader_of_open_store.refresh()
+        assert (
+            content(reader_of_open_store) == content(store) == {b"%02d" % n: b"new" for n in range(1, 80, 2)}
+        )
 
 
 def test_a_missing_or_foreign_index_is_rebuilt(tmp_path: Path) -> None:
@@ -129,10 +131,10 @@
 def test_many_threads_share_fsyncs_and_each_sees_its_own_writes(tmp_path: Path) -> None:
     with Store.open(tmp_path, limits=Limits(memtable_bytes=60_000, segment_bytes=30_000)) as store:
         wrong: list[object] = []
-        begin = threading.Barrier(16)
+        start_barrier = threading.Barrier(16)
 
         def work(name: int) -> None:
-            begin.wait()
+            start_barrier.wait()
             for number in range(150):
                 key, value = b"%d/%d" % (name, number), b"%d" % (number * name)
                 store.put(key, value)
--- a/tests/store/test_store_command.py
+++ b/tests/store/test_store_command.py
@@ -1,4 +1,4 @@
-"""The commands `heronreel store ...`."""
+"""Tests of the commands `heronreel store ...`."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     return CliRunner().invoke(main, ["store", *arguments])
 
 
-def test_commands(tmp_path: Path) -> None:
+def test_commands_on_a_sound_and_a_damaged_store(tmp_path: Path) -> None:
     path, target = str(tmp_path / "store"), str(tmp_path / "saved")
     with Store.open(path, limits=SMALL_LIMITS) as store:
         for number in range(600):
             store.put(b"k%03d" % number, b"value %d" % number)
         store.put(b"k000", b"\xff")
-        stat = json.loads(run_command("stat", "--json", path).output)  # beside the writer
+        stat = json.loads(run_command("stat", "--json", path).output)  # While a writer has the store open.
         assert stat["next_sequence"] == 602 and stat["runs"]
         assert run_command("compact", path).exit_code == 2
     assert "sound: " in run_command("verify", path).output
@@ -43,12 +43,12 @@
     assert run_command("verify", target).exit_code == 0
     assert run_command("repair", path, target).exit_code == 2
     for command in ("verify", "stat", "compact", "dump"):
-        gone = run_command(command, str(tmp_path / "none"))
-        assert gone.exit_code == 2 and "none" in gone.output and not (tmp_path / "none").exists()
+        result = run_command(command, str(tmp_path / "none"))
+        assert result.exit_code == 2 and "none" in result.output and not (tmp_path / "none").exists()
 
 
 def test_error_codes_of_json(tmp_path: Path) -> None:
-    """The names that --json prints for errors, which programs match on."""
+    """The error codes that --json prints are stable, because programs match on them."""
 
     def code(*arguments: str) -> object:
         return json.loads(run_command(*arguments).output)["error"]
@@ -68,7 +68,7 @@
     assert set(corrupt["lost"][0]) == {"file", "offset", "length", "records", "why"}
 
 
-def test_error_codes_stay_as_they_are() -> None:
+def test_error_codes_are_stable() -> None:
     codes = {error.__name__: error.code for error in StoreError.__subclasses__()}
     assert codes == {
         "InvalidArgumentError": "InvalidArgument",
