--- a/heronreel/store/checksum.py
+++ b/heronreel/store/checksum.py
@@ -37,7 +37,9 @@
         UnknownFormatError: The version is not `FORMAT_VERSION`.
     """
     if version != FORMAT_VERSION:
-        raise UnknownFormatError(f"{file}: format {version}, and this program knows {FORMAT_VERSION}")
+        raise UnknownFormatError(
+            f"{file}: format version {version} is not supported; expected version {FORMAT_VERSION}"
+        )
 
 
 def decode_header(data: bytes, layout: struct.Struct, magic: bytes, file: str) -> tuple[Any, ...] | None:
--- a/heronreel/store/group_commit.py
+++ b/heronreel/store/group_commit.py
@@ -115,6 +115,7 @@
                 write.wakeup.release()
 
     def _take_group(self) -> list[PendingWrite]:
+        """Remove the first group from the queue; an exclusive write ends it."""
         with self._lock:
             group: list[PendingWrite] = []
             size = 0
--- a/heronreel/store/log_reader.py
+++ b/heronreel/store/log_reader.py
@@ -126,6 +126,7 @@
         return self.state
 
     def _read_headers(self, numbers: list[int]) -> list[tuple[int, SegmentHeader | None]]:
+        """Read the segments' headers, without segments at the end whose creation was interrupted."""
         starts = {number: self._read(number, HEADER_BYTES + 1) for number in numbers}
         headers = [
             (number, SegmentHeader.decode(data, segment_name(number))) for number, data in starts.items()
@@ -178,6 +179,7 @@
         return next_header.previous_end if next_header and next_number == number + 1 else None
 
     def _read_frames(self, segment: _Segment) -> None:
+        """Process the segment's frames, and skip damaged ones or drop a torn end."""
         offset = HEADER_BYTES
         while offset < segment.end:
             frame = decode_frame(segment.data, offset, segment.end, segment.header.salt)
@@ -225,6 +227,7 @@
         return next_frame.offset
 
     def _process_frame(self, number: int, frame: Frame) -> None:
+        """Add the frame's payload to its group; apply the group after its last frame."""
         if frame.kind is FrameKind.MARK or not self._check_sequence(number, frame):
             return
         if frame.kind in (FrameKind.FULL, FrameKind.FIRST):
@@ -271,6 +274,7 @@
         self._apply(operations)
 
     def _drop_group(self, why: str) -> None:
+        """Drop the current, incomplete group, which was never acknowledged."""
         segment, offset = self._group_start
         self.state.dropped.append(DroppedTail(segment_name(segment), offset, 0, why))
         self._fragments = []
--- a/heronreel/store/maintenance.py
+++ b/heronreel/store/maintenance.py
@@ -244,9 +244,8 @@
         while True:
             with self.lock:
                 if self._compaction is not task:
-                    if (
-                        self._health.maintenance_error
-                    ):  # Another thread's step failed and abandoned this task.
+                    # A step of another thread has finished this task, or has failed and abandoned it.
+                    if self._health.maintenance_error:
                         self.raise_failure()
                     return
                 if not (step := self.step()):
--- a/heronreel/store/manifest_rebuild.py
+++ b/heronreel/store/manifest_rebuild.py
@@ -71,7 +71,7 @@
     store = tables[0].header.store.hex() if tables else ""
     runs = _group_by_run(tables, store)
     doubts = [
-        f"the run of groups {sequences.first} to {sequences.last} is not whole"
+        f"the run of groups {sequences.first} to {sequences.last} is incomplete"
         for sequences, parts in runs.items()
         if not _is_complete(parts)
     ]
--- a/heronreel/store/store.py
+++ b/heronreel/store/store.py
@@ -287,6 +287,7 @@
             raise StoreClosedError("the store was opened by the parent process before a fork")
 
     def _writable(self) -> StoreWriter:
+        """Return the writer; raises as `check_writable` does."""
         self._check_open()
         if self._writer is None:
             raise ReadOnlyError("the store was opened for reading")
