--- a/tests/store/test_crash_recovery.py
+++ b/tests/store/test_crash_recovery.py
@@ -79,7 +79,8 @@
 def test_stale_frames_of_an_earlier_segment_are_ignored() -> None:
     """Valid frames of an earlier segment follow the last frame of this one, with the expected sequences.
 
-    Only their salt differs.  This happens when a file is extended into disk blocks of a removed segment.
+    They fail the checksum only because each segment has its own salt.  Such frames appear if the file is
+    extended into disk blocks of a removed segment.
     """
     disk, states = FaultInjectingDisk(), []
     for value in (b"former", b"latter"):
