--- a/bench/store_mutations.py
+++ b/bench/store_mutations.py
@@ -46,7 +46,7 @@
     ("no fsync of the manifest", MANIFEST, "            write_all(file, encode_manifest(manifest))\n            file.sync()\n",
      "            write_all(file, encode_manifest(manifest))\n"),
     ("no directory sync before the rename", MANIFEST,
-     "        disk.sync_directory()  # the names of the tables that it refers to\n", ""),
+     "        disk.sync_directory()  # The manifest refers to new tables, whose names must be durable first.\n", ""),
     ("no directory sync after the rename", MANIFEST,
      "            disk.rename(NEW_MANIFEST_NAME, MANIFEST_NAME)\n            disk.sync_directory()\n",
      "            disk.rename(NEW_MANIFEST_NAME, MANIFEST_NAME)\n"),
@@ -58,12 +58,12 @@
     ("a block's checksum not checked", "sstable.py",
      "        if not complete or not block_is_valid(data, self.header.salt, offset):\n", "        if not complete:\n"),
     ("old tables removed before the manifest", MAINTENANCE,
-     "        self.manifests.install(replace(self.manifests.current, runs=[RunEntry.of(run.info) for run in runs]))\n",
+     "        self.manifest_file.install(\n            replace(self.manifest_file.current, runs=[RunEntry.of(run.info) for run in runs])\n        )\n",
      "        for run in merged:\n            for part in run.info.parts:\n                remove_table(self._disk, part.number)\n"
-     "        self.manifests.install(replace(self.manifests.current, runs=[RunEntry.of(run.info) for run in runs]))\n"),
+     "        self.manifest_file.install(\n            replace(self.manifest_file.current, runs=[RunEntry.of(run.info) for run in runs])\n        )\n"),
     ("old segments removed before the manifest", MAINTENANCE,
-     "        yield 1\n        manifest = self.manifests.current\n",
-     "        yield 1\n        self.remove_segments(end.next_segment)\n        manifest = self.manifests.current\n"),
+     "        yield 1\n        manifest = self.manifest_file.current\n",
+     "        yield 1\n        self.remove_segments(end.next_segment)\n        manifest = self.manifest_file.current\n"),
     ("a recovery segment counts like any other", READER, "and not header.recovery):\n", "):\n"),
     ("one salt for all segments", LOG, "            secrets.randbits(64),\n            recovery,\n", "            7,\n            recovery,\n"),
     ("a torn write is damage", READER, "and tail.durable <= offset:\n", "and tail.durable < 0:\n"),
@@ -89,7 +89,8 @@
      "    return None\n"),
     ("a first write tidies up tables too", WRITER, "            self._maintenance.remove_segments(first_segment)\n",
      "            self._remove_unnamed_files()\n"),
-    ("a write pays for four steps at most", MAINTENANCE, "max(earned, SAVED_STEPS * step_bytes)", "SAVED_STEPS * step_bytes"),
+    ("a write pays for four steps at most", MAINTENANCE, "max(earned, MAX_SAVED_STEPS * step_bytes)",
+     "MAX_SAVED_STEPS * step_bytes"),
 ]]  # fmt: skip
 
 
