--- a/heronreel/routes/reader.py
+++ b/heronreel/routes/reader.py
@@ -197,7 +197,7 @@
             if name in seen:
                 first = self.lines.get(seen[name], 0)
                 self.add_problem(
-                    path, f"{kind} {name!r} stands on line {first} already", f"each {kind} once", "duplicate"
+                    path, f"{kind} {name!r} is already used on line {first}", f"each {kind} once", "duplicate"
                 )
             seen.setdefault(name, path)
 
--- a/tests/coordination/test_settings.py
+++ b/tests/coordination/test_settings.py
@@ -16,8 +16,13 @@
 @pytest.mark.parametrize(
     ("text", "line", "field", "expected_message"),
     [
-        (THREE_MEMBERS + MEMBER_TABLE.format("b", 9009), 10, "members.b", "stands on line 4 already"),
-        (THREE_MEMBERS.replace("9002", "9001"), 4, "members.b", "address '127.0.0.1:9001' stands on line 1"),
+        (THREE_MEMBERS + MEMBER_TABLE.format("b", 9009), 10, "members.b", "is already used on line 4"),
+        (
+            THREE_MEMBERS.replace("9002", "9001"),
+            4,
+            "members.b",
+            "address '127.0.0.1:9001' is already used on line 1",
+        ),
         (MEMBER_TABLE.format("a", 1) + MEMBER_TABLE.format("b", 2), 1, "members", "even = true"),
         ("[group]\nlease_s = 4\n" + THREE_MEMBERS, 2, "group.lease_s", "at least 6"),
         ("[group]\npatience_ms = 200\n" + THREE_MEMBERS, 2, "group.patience_ms", "at least 300"),
--- a/tests/emulator/test_script_loader.py
+++ b/tests/emulator/test_script_loader.py
@@ -66,7 +66,7 @@
         ("version = 1", "version = 2", 1, "use a newer one"),
         ("version = 1", "version = 1\nfleeet = 3", 2, "did you mean 'fleet'"),
         ('name = "medio"', "cores = 2", 7, "name is missing"),
-        ('name = "etna"', 'name = "etna"\n[[tenants]]\nname = "etna"', 15, "stands on line"),
+        ('name = "etna"', 'name = "etna"\n[[tenants]]\nname = "etna"', 15, "is already used on line"),
         ("seconds = 20.0", "seconds = 20.0.0", 3, "is no TOML"),
         ('[[fleet.kinds]]\nname = "medio"', "", 4, "has no kinds"),
     ],
--- a/tests/fleet/test_agent_processes.py
+++ b/tests/fleet/test_agent_processes.py
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize(
     ("valid", "invalid", "expected_problem"),
     [
-        ('name = "p2"', 'name = "p1"', "'p1' stands on line"),
+        ('name = "p2"', 'name = "p1"', "'p1' is already used on line"),
         ("lease_s = 2", "lease_s = 1", "lease_s: is 1; at least 1.8"),
         ('run = ["false"]', "run = []", "expected a command as a list of words"),
         ("[[instances]]", "[[instance]]", "no such table"),
--- a/tests/fleet/test_disruption_budget.py
+++ b/tests/fleet/test_disruption_budget.py
@@ -245,7 +245,7 @@
         ("most_out = 1", "most_out = -1", "6: allow.one a zone.most_out: is -1"),
         ("most_out = 1", "", "allow.one a zone: allows anything; most_out or least_serving"),
         ('scope = "zone"', 'scope = "rack"', 'scope: is "rack"'),
-        ('name = "half of the backends"', 'name = "one a zone"', "stands on line 2 already"),
+        ('name = "half of the backends"', 'name = "one a zone"', "is already used on line 2"),
         ("least_serving = 0.5", "least_serving = 5", "least_serving: is 5"),
         ("[[allow]]", "[[allows]]", "no such table"),
     ],
