--- a/heronreel/routes/load.py
+++ b/heronreel/routes/load.py
@@ -312,7 +312,7 @@
         values = self.read_table(raw, path, schema.MatchTable)
         if not isinstance(raw, dict):
             return None
-        before = len(self.problems) + self.omitted_problems
+        problems_before = len(self.problems) + self.omitted_problems
         paths = [name for name in ("path", "path_prefix", "path_pattern") if name in raw]
         if len(paths) != 1:
             wrong = "no path" if not paths else " and ".join(paths) + " together"
@@ -320,7 +320,7 @@
             return None
         kind = paths[0]
         text = values.get(kind, "/")
-        self._path(text, kind, (*path, kind))
+        self._check_path(text, kind, (*path, kind))
         host = values.get("host", "").lower()
         if host and not _HOST.fullmatch(host):
             self.add_problem(
@@ -343,7 +343,7 @@
                 (*path, "methods"), "is empty", "leave it out to take any method", "never-matches"
             )
         headers = self._headers(values.get("headers", {}), (*path, "headers"))
-        if len(self.problems) + self.omitted_problems > before:
+        if len(self.problems) + self.omitted_problems > problems_before:
             return None
         return Match(host, **{kind: text}, methods=frozenset(methods), headers=headers)
 
@@ -370,7 +370,7 @@
             found[lower] = value
         return tuple(sorted(found.items()))
 
-    def _path(self, text: str, kind: str, path: Path) -> None:
+    def _check_path(self, text: str, kind: str, path: Path) -> None:
         if not text.startswith("/"):
             right = 'expected a path that begins with "/"'
             self.add_problem(path, f"is {describe_value(text)}", right, "never-matches")
@@ -380,17 +380,17 @@
             self.add_problem(path, f"has {len(segments)} segments", f"at most {MAX_SEGMENTS} are matched")
         if kind == "path_pattern":
             parameters = [segment for segment in segments if _PARAMETER.fullmatch(segment)]
-            self._segments([segment for segment in segments if segment not in parameters], kind, path)
+            self._check_segments([segment for segment in segments if segment not in parameters], kind, path)
             if len(set(parameters)) < len(parameters):
                 self.add_problem(path, "has one name twice", "each name in braces once", "duplicate")
             if not parameters:
                 self.add_problem(path, "has no name in braces", "use path for a fixed text")
         else:
-            self._segments(segments, kind, path)
+            self._check_segments(segments, kind, path)
         if text == HEALTH_PATH and kind == "path":
             self.add_problem(path, "is answered by the proxy itself", "another path", "never-matches")
 
-    def _segments(self, segments: Iterable[str], kind: str, path: Path) -> None:
+    def _check_segments(self, segments: Iterable[str], kind: str, path: Path) -> None:
         """Check the literal segments of a path."""
         right = "letters, digits and the marks of RFC 3986, 3.3"
         if kind == "path_pattern":
--- a/tests/routes/hostile_world.py
+++ b/tests/routes/hostile_world.py
@@ -113,7 +113,7 @@
             violations |= broken_rules(events, self.terms())
         for request in self.requests.values():
             if len(request.finals) != 1:
-                violations["lost"] = f"{len(request.finals)} answers"
+                violations["lost"] = f"{len(request.finals)} responses"
         return {rule: text for rule, text in violations.items() if rule in ("lost", "twice")}
 
     def handle(self, event: api.Event) -> None:
--- a/tests/serve/test_retries_and_hedging.py
+++ b/tests/serve/test_retries_and_hedging.py
@@ -28,7 +28,7 @@
 
 
 def test_a_request_is_retried_only_with_an_idempotency_key(tmp_path: Path) -> None:
-    async def talk() -> None:
+    async def scenario() -> None:
         async with ScriptedBackend(ok(b"first"), GONE, ok(b"second"), GONE) as node:
             async with served(tmp_path, file_of(SAVE, p=[(node.address, "r1")])) as proxy:
                 assert await proxy.ask(post("/save/1", "k0")) == ("200", b"first")
@@ -38,13 +38,13 @@
                 assert await proxy.ask(post("/save/1", "", "a2")) == ("502", b"")
                 assert node.seen[2:] == ["a2"]
 
-    run(talk())
+    run(scenario())
 
 
 def test_a_request_without_its_key_is_unsafe(tmp_path: Path) -> None:
     """Two backends are available for a retry, which is sent only if the request has a key."""
 
-    async def talk() -> None:
+    async def scenario() -> None:
         for key, count, status in (("", 1, "502"), ("k1", 2, "200")):
             async with ScriptedBackend(GONE) as one, ScriptedBackend(GONE) as two:
                 nodes = [one, two]
@@ -53,14 +53,14 @@
                     assert (await proxy.ask(post("/save/1", key, "a1")))[0] == status
                     assert len(one.seen + two.seen) == count
 
-    run(talk())
+    run(scenario())
 
 
 @pytest.mark.parametrize("winner", [0, 1])
 def test_one_of_two_responses_is_served(tmp_path: Path, winner: int) -> None:
     """The later response is discarded, and the client's connection still gets the right responses."""
 
-    async def talk() -> None:
+    async def scenario() -> None:
         async with ScriptedBackend(None) as one, ScriptedBackend(None) as two:
             nodes = [one, two]
             async with served(tmp_path, file_of(HEDGED_SAVE, p=[(n.address, "r1") for n in nodes])) as proxy:
@@ -74,13 +74,13 @@
                 assert await read_response(reader) == ("200", b"good")
                 assert sorted(one.seen + two.seen) == ["a1", "a1", "a2"]
 
-    run(talk())
+    run(scenario())
 
 
 def test_a_third_attempt_is_served_after_two_failed_ones(tmp_path: Path) -> None:
     """The first attempt and the hedged one fail, in either order; the third attempt's response is served."""
 
-    async def talk() -> None:
+    async def scenario() -> None:
         async with ScriptedBackend(None, ok(b"third")) as one, ScriptedBackend(None, ok(b"third")) as two:
             for node in (one, two):
                 node.reply = None  # type: ignore[assignment]
@@ -103,11 +103,11 @@
                 for task in waits:
                     task.cancel()
 
-    run(talk())
+    run(scenario())
 
 
 def test_a_draining_backend_gets_no_hedged_request(tmp_path: Path) -> None:
-    async def talk() -> None:
+    async def scenario() -> None:
         async with ScriptedBackend(None) as one, ScriptedBackend(None) as two:
             text = file_of(SAVE + "second_copy_after_ms = 600\n", p=[(n.address, "r1") for n in (one, two)])
             async with served(tmp_path, text) as proxy:
@@ -127,13 +127,13 @@
                 for task in waits:
                     task.cancel()
 
-    run(talk())
+    run(scenario())
 
 
 def test_a_process_stopped_past_the_window_sends_no_retry(tmp_path: Path) -> None:
     """The process is stopped from the first attempt until after the deduplication window."""
 
-    async def talk() -> None:
+    async def scenario() -> None:
         route = SAVE.replace("window_ms = 5000", "window_ms = 900").replace(
             "deadline_ms = 4000", "deadline_ms = 800"
         )
@@ -150,7 +150,7 @@
                 assert await proxy.ask(get("/_health")) == ("200", b"")
                 assert node.seen == ["a1"]
 
-    run(talk())
+    run(scenario())
 
 
 class FixedDecisions:
@@ -183,7 +183,7 @@
     The connection is established only after the event loop has stalled or the backend has begun to drain.
     """
 
-    async def talk() -> None:
+    async def scenario() -> None:
         async with ScriptedBackend() as node:
             listener = '[[listeners]]\nname = "in"\naddress = "127.0.0.1:0"\n'
             text = file_of(SAVE, more=listener, p=[(node.address, "r1")])
@@ -228,11 +228,11 @@
             assert writer.statuses == [200 if is_sent else 502]
             assert len(node.seen) == is_sent
 
-    run(talk())
+    run(scenario())
 
 
 def test_hedging_by_percentile_needs_latency_samples(tmp_path: Path) -> None:
-    async def talk() -> None:
+    async def scenario() -> None:
         async with ScriptedBackend(None) as one, ScriptedBackend(None) as two:
             nodes = (one, two)
             route = READ + "second_copy_percentile = 50\n"
@@ -257,13 +257,13 @@
                 two.go.set()
                 assert await read_response(reader) == ("200", b"late")
 
-    run(talk())
+    run(scenario())
 
 
 def test_a_retry_of_a_split_route_stays_in_its_pool_and_rack(tmp_path: Path) -> None:
     """Pool a has racks r1 and r2, pool b has r2 and r3; every first attempt fails after it ran."""
 
-    async def talk() -> None:
+    async def scenario() -> None:
         nodes = {name: ScriptedBackend() for name in ("a1", "a2", "b2", "b3")}
         async with nodes["a1"], nodes["a2"], nodes["b2"], nodes["b3"]:
             pools = {
@@ -284,13 +284,13 @@
                     seen.update(used)
                 assert {name[0] for name in seen} == {"a", "b"}
 
-    run(talk())
+    run(scenario())
 
 
 def test_responses_that_arrive_as_hedged_requests_start(tmp_path: Path) -> None:
     """Responses arrive just when hedged requests are sent; each request gets exactly its own response."""
 
-    async def talk() -> None:
+    async def scenario() -> None:
         effects: Counter[bytes] = Counter()
         rack = DeduplicationGroup("r1")
         behaviour = ServerBehaviour(work_s=0.02)  # Responses take 10 to 30 ms; the hedge delay is 20 ms.
@@ -309,4 +309,4 @@
                 # Some requests were hedged, but not all of them.
                 assert 5 < one.repeats_dropped + two.repeats_dropped < 75
 
-    run(talk())
+    run(scenario())
--- a/tests/serve/test_route_reload.py
+++ b/tests/serve/test_route_reload.py
@@ -18,7 +18,7 @@
 def test_requests_keep_the_policy_they_started_with(tmp_path: Path) -> None:
     """Routes get other deadlines or are removed while requests wait, are in backoff, or are hedged."""
 
-    async def talk() -> None:
+    async def scenario() -> None:
         async with ScriptedBackend(None, None) as one, ScriptedBackend(None, None) as two:
             members = [(one.address, "r1"), (two.address, "r1")]
             paused = READ.replace("/read", "/paused").replace('"read"', '"paused"') + "backoff_ms = 400\n"
@@ -59,11 +59,11 @@
                 assert await read_response(hedged) == ("200", b"late")
                 assert (await proxy.ask(get("/read/2")))[0] == "200"
 
-    run(talk())
+    run(scenario())
 
 
 def test_a_rejected_file_changes_nothing(tmp_path: Path) -> None:
-    async def talk() -> None:
+    async def scenario() -> None:
         async with ScriptedBackend() as node:
             text = file_of(SAVE, p=[(node.address, "r1")])
             async with served(tmp_path, text) as proxy:
@@ -87,13 +87,13 @@
                 proxy.signal(signal.SIGTERM)
                 assert await proxy.process.wait() == 0
 
-    run(talk())
+    run(scenario())
 
 
 def test_reloads_under_load_lose_no_request(tmp_path: Path) -> None:
     """The pool's backend is replaced and restored while requests are in progress."""
 
-    async def talk() -> None:
+    async def scenario() -> None:
         async with ScriptedBackend() as one, ScriptedBackend() as two:
             texts = [file_of(SAVE, READ, p=[(node.address, "r1")]) for node in (one, two)]
             async with served(tmp_path, texts[0]) as proxy:
@@ -124,11 +124,11 @@
                 assert set(statuses) == {"200"} and len(statuses) >= 240
                 assert one.seen and two.seen
 
-    run(talk())
+    run(scenario())
 
 
 def test_ten_thousand_routes_are_served_and_malformed_files_are_rejected(tmp_path: Path) -> None:
-    async def talk() -> None:
+    async def scenario() -> None:
         async with ScriptedBackend() as node:
             text = file_of(READ, p=[(node.address, "r1")])
             many = text + many_routes(10_000)
@@ -146,13 +146,13 @@
                     assert (await proxy.ask(get(f"/many/{number}")))[0] == "200"
                 assert (await proxy.ask(get("/many/10000")))[0] == "404"
 
-    run(talk())
+    run(scenario())
 
 
 def test_a_large_reload_does_not_delay_requests(tmp_path: Path) -> None:
     """Ten thousand routes take seconds to load and prove; requests are answered in the meantime."""
 
-    async def talk() -> None:
+    async def scenario() -> None:
         async with ScriptedBackend() as node:
             text = file_of(READ, p=[(node.address, "r1")])
             many = many_routes(10_000)
@@ -172,4 +172,4 @@
                 # A blocked event loop would answer one request only after nearly all of the load time.
                 assert max(latencies_s) < 0.5 * (time.monotonic() - started_at)
 
-    run(talk())
+    run(scenario())
--- a/tests/serve/test_serve.py
+++ b/tests/serve/test_serve.py
@@ -27,7 +27,7 @@
 
 
 def test_requests_without_a_route_are_not_forwarded(tmp_path: Path) -> None:
-    async def talk() -> None:
+    async def scenario() -> None:
         async with ScriptedBackend() as node:
             async with served(tmp_path, file_of(SAVE, READ, p=[(node.address, "r1")])) as proxy:
                 for sent, status in (
@@ -41,11 +41,11 @@
                 assert node.seen == []
                 assert (await proxy.ask(get("/%72ead/1")))[0] == "200"
 
-    run(talk())
+    run(scenario())
 
 
 def test_responses_with_any_status_are_forwarded(tmp_path: Path) -> None:
-    async def talk() -> None:
+    async def scenario() -> None:
         answers = (
             b"HTTP/1.1 201 Made\r\nLocation: /x\r\nContent-Length: 2\r\n\r\nok",
             b"HTTP/1.1 204 No Content\r\n\r\n",
@@ -57,11 +57,11 @@
                 for status, body in (("201", b"ok"), ("204", b""), ("404", b"?"), ("302", b"")):
                     assert await proxy.ask(get("/read/1")) == (status, body)
 
-    run(talk())
+    run(scenario())
 
 
 def test_accepted_requests_are_answered_after_sigterm(tmp_path: Path) -> None:
-    async def talk() -> None:
+    async def scenario() -> None:
         async with ScriptedBackend(None) as node:
             async with served(tmp_path, file_of(SAVE, p=[(node.address, "r1")])) as proxy:
                 reader, writer = await proxy.connect()
@@ -73,11 +73,11 @@
                 assert await read_response(reader) == ("200", b"late")
                 assert await proxy.process.wait() == 0
 
-    run(talk())
+    run(scenario())
 
 
 def test_several_listeners_share_one_proxy(tmp_path: Path) -> None:
-    async def talk() -> None:
+    async def scenario() -> None:
         async with ScriptedBackend() as node:
             listeners = "".join(
                 f'[[listeners]]\nname = "{n}"\naddress = "127.0.0.1:0"\n' for n in ("in", "out")
@@ -89,7 +89,7 @@
                     assert await read_response(reader) == ("200", b"good")
                 assert len(node.seen) == 2
 
-    run(talk())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -119,7 +119,7 @@
 def test_a_discovered_pool_and_a_pool_of_the_file_are_independent(tmp_path: Path) -> None:
     """Neither a reload nor a complete list from discovery removes members of the other pool."""
 
-    async def talk() -> None:
+    async def scenario() -> None:
         async with ScriptedBackend() as one, ScriptedBackend() as two, ScriptedBackend() as three:
             async with Discovery(entry("d1", two.address)) as discovery:
                 discovered_route = (
@@ -148,13 +148,13 @@
                         await asyncio.sleep(0.05)
                     assert (await proxy.ask(get("/read/3")))[0] == "200"
 
-    run(talk())
+    run(scenario())
 
 
 def test_routes_on_the_platform_are_limited_by_its_settings(tmp_path: Path) -> None:
     """The platform's classes, ids and list apply; a route adds its policy, which may not be weaker."""
 
-    async def talk() -> None:
+    async def scenario() -> None:
         async with ScriptedBackend(None) as one, ScriptedBackend(None) as two:
             entries = [entry("b1", one.address), entry("b2", two.address)]
             async with Discovery(*entries) as discovery:
@@ -197,4 +197,4 @@
                     proxy.signal(signal.SIGHUP)
                     await proxy.log_line("reload: done")
 
-    run(talk())
+    run(scenario())
