--- a/tests/routes/hostile_world.py
+++ b/tests/routes/hostile_world.py
@@ -18,7 +18,7 @@
 from heronreel.routes.timeline import EventKind, RequestTerms, TimelineEvent, broken_rules
 from heronreel.serve.policies import Router, discovered_pool, members_of, settings_of
 
-RESPONSE_GRACE_MS = 50.0  # how much longer than they say clients wait
+RESPONSE_GRACE_MS = 50.0  # How much longer clients wait than the file declares.
 HOUR_MS = 3.6e6
 
 
--- a/tests/serve/test_serve.py
+++ b/tests/serve/test_serve.py
@@ -133,9 +133,8 @@
                 async with served(tmp_path, text) as proxy:
                     await discovery.watched.wait()
                     while (await proxy.ask(get("/found/1")))[0] != "200":
-                        await asyncio.sleep(
-                            0.05
-                        )  # The proxy may not have processed the watch's response yet.
+                        # The proxy may not have processed the watch's response yet.
+                        await asyncio.sleep(0.05)
                     assert (await proxy.ask(get("/read/1")))[0] == "200"
                     proxy.path.write_text(text.replace(one.address, three.address))
                     proxy.signal(signal.SIGHUP)
@@ -174,9 +173,8 @@
                 async with served(tmp_path, text, "--platform", **env) as proxy:
                     await discovery.watched.wait()
                     proxy.ports["in"] = int((await proxy.log_line("listening")).split(":")[-1].split()[0])
-                    assert (await proxy.ask(post("/save/1", "k1")))[
-                        0
-                    ] == "400"  # The platform requires an id.
+                    # The platform requires an id.
+                    assert (await proxy.ask(post("/save/1", "k1")))[0] == "400"
                     reader, writer = await proxy.connect()
                     writer.write(request("a1"))
                     # The route allows a hedged request.
