--- a/heronreel/emulator/events.py
+++ b/heronreel/emulator/events.py
@@ -1,7 +1,8 @@
 """The event queue of virtual time.
 
-Events at the same time run in the order in which they were scheduled, so two plays of one seed are alike,
-also where times tie.  Callbacks and not processes: `docs/emulator-design.md` compares both by figures.
+Events with the same time run in the order in which they were scheduled, so two runs with the same seed are
+identical even where times tie.  Events are callbacks rather than coroutines or processes;
+`docs/emulator-design.md` compares the cost of both.
 """
 
 from __future__ import annotations
@@ -14,23 +15,23 @@
 
 
 class EventQueue:
-    """Scheduled callbacks and the current time, ms since the start of the rehearsal."""
+    """Scheduled callbacks and the current virtual time, in ms since the start of the rehearsal."""
 
     __slots__ = ("now", "pending", "processed", "scheduled")
 
     def __init__(self) -> None:
         self.now = 0.0
         self.pending: list[ScheduledEvent] = []
-        self.scheduled = 0  # so far; breaks ties
+        self.scheduled = 0  # number of events scheduled so far; breaks ties
         self.processed = 0
 
     def schedule(self, when: float, callback: Callable[..., object], *args: Any) -> None:
-        """Run `callback(*args)` at `when`, or now if that has passed."""
+        """Schedule `callback(*args)` at `when`, or at the current time if `when` has passed."""
         self.scheduled += 1
         heappush(self.pending, (when if when > self.now else self.now, self.scheduled, callback, args))
 
     def run_until(self, until: float) -> None:
-        """Run everything due up to and at `until`, and advance the time to it."""
+        """Run all events due up to and including `until`, and advance the time to it."""
         pending = self.pending
         while pending and pending[0][0] <= until:
             self.now, _, callback, args = heappop(pending)
--- a/heronreel/emulator/network.py
+++ b/heronreel/emulator/network.py
@@ -1,4 +1,4 @@
-"""The network between machines: latency within and between zones, and partitions."""
+"""Models the network between machines: latency within and between zones, and partitions."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 
 
 class Network:
-    """Latencies with jitter, and which zones are cut off from each other.  Times are ms."""
+    """Latencies with jitter, and the partitions between zones.  Times are ms."""
 
     __slots__ = ("config", "jitter_stream", "partitions")
 
     def __init__(self, config: NetworkConfig, streams: RandomStreams) -> None:
         self.config = config
         self.jitter_stream = streams.stream("network")
-        # pairs of zones, or one zone alone: how many partitions are in force
+        # number of active partitions by pair of zones; a single zone is a partition within that zone
         self.partitions: dict[frozenset[str], int] = {}
 
     def latency(self, zone: str, other: str) -> float:
-        """One way, with jitter drawn for each call."""
+        """Return a one-way latency, with new jitter drawn on each call."""
         config = self.config
         mean = config.same_zone_ms if zone == other else config.cross_zone_ms
         return mean * (1.0 + config.jitter * (2.0 * self.jitter_stream.uniform() - 1.0))
 
     def mean_latency(self, zone: str, other: str) -> float:
-        """One way, without jitter."""
+        """Return the one-way latency without jitter."""
         return self.config.same_zone_ms if zone == other else self.config.cross_zone_ms
 
     def client_latency(self) -> float:
-        """One way between a client and a proxy."""
+        """Return the one-way latency between a client and a proxy."""
         return self.config.client_ms
 
     def cut(self, zone: str, other: str) -> None:
-        """Begin a partition between two zones; several may overlap."""
+        """Start a partition between two zones.  Several may overlap."""
         pair = frozenset((zone, other))
         self.partitions[pair] = self.partitions.get(pair, 0) + 1
 
@@ -44,5 +44,5 @@
             del self.partitions[pair]
 
     def reachable(self, zone: str, other: str) -> bool:
-        """Whether anything gets from one zone to the other."""
+        """Return whether messages from one zone reach the other."""
         return not self.partitions or frozenset((zone, other)) not in self.partitions
--- a/heronreel/emulator/node.py
+++ b/heronreel/emulator/node.py
@@ -1,12 +1,13 @@
-"""A node: cores that process requests, a waiting queue, and everything that can go wrong with it.
+"""Models a node: cores that process requests, a waiting queue, and its faults.
 
-No I/O, no clock.  All running requests of a node progress at the same pace, so the node keeps one clock of
-work done by each of its cores (`clock`, ms of work): a request that starts at clock c with work w ends when
-the clock is at c + w, whatever the pace does in between.  Whoever changes anything calls `settle` first,
-`refresh` afterwards, and asks for `next_completion` then.
+The module does no I/O and reads no system clock.  All running requests of a node progress at the same pace,
+so a node needs only one work clock (`clock`, in ms of work done by each of its cores).  A request that starts
+at clock c with work w ends when the clock reaches c + w, however the pace changes in between.  A caller that
+changes the state of a node calls `settle` before the change, `refresh` after it, and then reads
+`next_completion`.
 
-Every feature can be disabled, by a zero in the kind's table: contention, the connection table, warm keys,
-warm-up, collapse, pauses, errors, the rack's hidden limit.
+A zero in the table of a node kind disables the feature: contention, the connection table, warm keys, warm-up,
+collapse, pauses, errors, or the hidden limit of the rack.
 """
 
 from __future__ import annotations
@@ -20,52 +21,53 @@
 from heronreel.emulator.model import NodeKind
 
 NEVER = float("inf")
-MIN_WORK_MS = 1e-6  # less is none, lest an end be scheduled for the same moment again and again
+# Less remaining work counts as none.  Otherwise a completion could be scheduled for the same time forever.
+MIN_WORK_MS = 1e-6
 
 
 class Admission(Enum):
-    """What a node does with a request."""
+    """The decision of a node about a request that arrives."""
 
     QUEUE_FULL = "full"
     ACCEPTED = "taken"
-    DUPLICATE = "repeat"  # dropped, since its rack has had it
+    DUPLICATE = "repeat"  # dropped, because its rack has already received the request
 
 
 @dataclass(slots=True)
 class Job:
-    """One attempt at a node.  `client_request` is the same for its repeats."""
+    """One attempt at a node.  Attempts with the same `client_request` are duplicates of each other."""
 
     client_request: int
     key: int
-    work: float  # ms of a core at speed 1, as this node would do it without warm keys
-    owner: Any  # the attempt it belongs to, opaque here
-    dedup_window_ms: float = 0.0  # for how long its rack drops a repeat
-    fails: bool = False  # ends as an error without being worked on
+    work: float  # ms of a core at speed 1, for this node and without warm keys
+    owner: Any  # the attempt that it belongs to; not interpreted here
+    dedup_window_ms: float = 0.0  # how long its rack drops duplicates
+    fails: bool = False  # ends with an error and takes no work
     started_at: float = -1.0
     arrived_at: float = 0.0
-    duplicates: list[Any] = field(default_factory=list)  # owners of repeats that were dropped meanwhile
+    duplicates: list[Any] = field(default_factory=list)  # owners of duplicates dropped before completion
 
     @property
     def completed(self) -> bool:
-        """Whether its work is done."""
+        """Whether the job has ended at its node."""
         return self.started_at == NEVER
 
 
 class Rack:
-    """Nodes that drop one another's repeats and may share a hidden limit."""
+    """Nodes that drop duplicates of one another's requests and may share a hidden capacity limit."""
 
     __slots__ = ("limit", "name", "nodes", "pace_share", "recent")
 
     def __init__(self, name: str, limit: float = 0.0) -> None:
         self.name = name
-        self.limit = limit  # share of the nodes' pace that they get together; 0: no limit
+        self.limit = limit  # share of their total pace that the nodes get together; 0 is no limit
         self.nodes: list[Node] = []
-        self.pace_share = 1.0  # part of its pace that each node gets now
-        # by client request: when it expires, and the first job
+        self.pace_share = 1.0  # share of its pace that each node gets at present
+        # by client request: the expiry time and the first job
         self.recent: OrderedDict[int, tuple[float, Job]] = OrderedDict()
 
     def first_job(self, client_request: int, now: float) -> Job | None:
-        """The job that a repeat duplicates, while it is remembered."""
+        """Return the job that a request with this number would duplicate, or None."""
         while self.recent:
             oldest = next(iter(self.recent))
             if self.recent[oldest][0] > now:
@@ -75,16 +77,16 @@
         return entry[1] if entry and entry[0] > now else None
 
     def remember(self, job: Job, now: float) -> None:
-        """Drop repeats of this job for its window."""
+        """Drop duplicates of this job for the duration of its window."""
         self.recent[job.client_request] = (now + job.dedup_window_ms, job)
         self.recent.move_to_end(job.client_request)
 
     def forget(self, client_request: int) -> None:
-        """Its work was lost undone: a repeat must not be dropped for it."""
+        """Stop dropping duplicates of a request whose job was lost before completion."""
         self.recent.pop(client_request, None)
 
     def share(self) -> float:
-        """How much of its pace each node gets, by what the running requests would progress at together."""
+        """Return the share of its pace that each node gets under the limit, given all running requests."""
         if not self.limit:
             return 1.0
         requested = sum(node.requested_pace * len(node.running) for node in self.nodes)
@@ -95,16 +97,19 @@
 
 @dataclass(slots=True)
 class OverloadWindow:
-    """Work that a warming node was sent lately, against what it withstands: the cause of a collapse."""
+    """Recent work that reached a warming node; a node collapses when it exceeds a limit."""
 
     window_ms: float
     factor: float
-    slack_ms: float  # of work that chance may add
+    slack_ms: float  # work above the limit that is tolerated as random variation
     arrivals: deque[tuple[float, float]] = field(default_factory=deque)
     total: float = 0.0
 
     def add(self, now: float, work: float, capacity: float) -> bool:
-        """Whether it is too much.  `capacity`: of the node at this moment, in cores at speed 1."""
+        """Add work and return whether the total exceeds the limit.
+
+        `capacity` is the present capacity of the node in cores at speed 1.
+        """
         self.arrivals.append((now, work))
         self.total += work
         while self.arrivals[0][0] <= now - self.window_ms:
@@ -113,7 +118,7 @@
 
 
 class Node:
-    """One machine and the process on it."""
+    """A machine and the server process on it."""
 
     __slots__ = (
         "busy_ms",
@@ -166,41 +171,44 @@
     ) -> None:
         self.ident, self.name, self.zone = ident, name, zone
         self.rack, self.kind, self.speed = rack, kind, speed
-        self.nominal_capacity = kind.cores * speed  # pace of all its cores when nothing is wrong
-        self.started_at = started_at  # of this process, as the list gives it; 0: long ago
+        self.nominal_capacity = kind.cores * speed  # pace of all cores without faults
+        self.started_at = started_at  # start of this process, as in the endpoint list; 0 is long ago
         self.cold = cold and kind.warm_up_floor < 1.0
         self.clock, self.settled_at = 0.0, started_at
-        self.running: list[tuple[float, int, Job]] = []  # by the clock at which each ends
+        self.running: list[tuple[float, int, Job]] = []  # heap ordered by the clock at the end
         self.waiting: deque[Job] = deque()
-        self.started = 0  # jobs ever; breaks ties of `running`
-        self.requested_pace = self.pace = speed  # of a core: without what the rack takes, and with it
-        self.next_end_at = NEVER  # of the event that is scheduled for its next end
-        self.incarnation = 0  # of the process: what was scheduled for an earlier one is void
+        self.started = 0  # number of jobs started; breaks ties in `running`
+        self.requested_pace = self.pace = speed  # of a core, before and after the limit of the rack
+        self.next_end_at = NEVER  # time of the scheduled event for the next completion
+        self.incarnation = 0  # number of the process; events scheduled for an earlier one are ignored
         self.open_connections = 0
-        self.recent_keys: OrderedDict[int, float] = OrderedDict()  # last used when
+        self.recent_keys: OrderedDict[int, float] = OrderedDict()  # time of last use by key
         self.slowdown = 1.0
-        self.noisy_neighbour = 0.0  # share of the machine that another program takes
+        self.noisy_neighbour = 0.0  # share of the machine that another program uses
         self.error_rate = kind.error_rate
-        self.response_loss = self.reset_rate = 0.0  # shares of responses lost, and of requests reset
-        self.silent = 0  # faults that keep it from responding at all; they outlast its process
+        self.response_loss = self.reset_rate = 0.0  # shares of responses lost and requests reset
+        self.silent = 0  # active faults that suppress all responses; they outlast the process
         self.down = self.draining = self.collapsed = False
         self.paused_until = 0.0
         self.overload: OverloadWindow | None = None
         self.work_done_ms = 0.0
-        self.busy_ms = self.load_ms = 0.0  # integrals of running and of all requests here over time
+        self.busy_ms = self.load_ms = 0.0  # integrals of running and of all jobs over time
         self.completed = 0
         rack.nodes.append(self)
 
     def slots(self) -> int:
-        """Requests that it runs at once."""
+        """Return how many requests the node runs concurrently."""
         return self.kind.cores * self.kind.slots
 
     def queue_full(self) -> bool:
-        """Whether there is no room for another request."""
+        """Return whether the queue has no room for another request."""
         return len(self.running) + len(self.waiting) >= self.slots() + self.kind.queue
 
     def warm_up_share(self, now: float) -> float:
-        """Share of its pace that it has by now: by time or by work, whichever is ahead."""
+        """Return the share of its full pace that the node has reached.
+
+        Warm-up progresses by elapsed time or by work done, whichever is further.
+        """
         kind = self.kind
         if not self.cold:
             return 1.0
@@ -213,7 +221,7 @@
         return kind.warm_up_floor + (1.0 - kind.warm_up_floor) * progress
 
     def settle(self, now: float) -> None:
-        """Bring the books up to now, at the pace that has applied since the last time."""
+        """Advance the work clock and the totals to `now`, at the pace in force since the last call."""
         elapsed = now - self.settled_at
         if elapsed > 0.0:
             running = len(self.running)
@@ -224,7 +232,7 @@
             self.settled_at = now
 
     def refresh(self, now: float) -> None:
-        """Find the pace that applies from now on.  `settle` comes before."""
+        """Compute the pace from `now` on.  Call `settle` first."""
         if now < self.paused_until or self.down:
             self.requested_pace = self.pace = 0.0
             return
@@ -242,17 +250,17 @@
         self.pace = pace * self.rack.pace_share
 
     def next_completion(self) -> float:
-        """When the first of the running ends if nothing changes."""
+        """Return when the first running job ends if the pace stays the same."""
         if not self.running or self.pace <= 0.0:
             return NEVER
         return self.settled_at + max(0.0, self.running[0][0] - self.clock) / self.pace
 
     def admit(self, now: float, job: Job) -> Admission:
-        """Start it, queue it, or turn it away.  `settle` comes before."""
+        """Start, queue or reject a job.  Call `settle` first."""
         if job.dedup_window_ms:
             first = self.rack.first_job(job.client_request, now)
             if first is not None:
-                if not first.completed:  # it waits or runs: the repeat is answered with it
+                if not first.completed:  # the duplicate gets the response of the first job
                     first.duplicates.append(job.owner)
                 return Admission.DUPLICATE
         slots = self.kind.cores * self.kind.slots
@@ -268,7 +276,7 @@
         return Admission.ACCEPTED
 
     def overloaded_by(self, now: float, work: float) -> bool:
-        """Count work that reached it, also what it rejects; True: more than it withstands while cold."""
+        """Count work that reached the node, rejected or not; return whether a warming node is overloaded."""
         if self.overload is None or not self.cold:
             return False
         return self.overload.add(now, work, self.nominal_capacity * self.warm_up_share(now))
@@ -288,7 +296,10 @@
         heappush(self.running, (self.clock + work, self.started, job))
 
     def finish(self, now: float) -> list[Job]:
-        """Those of the running that end now; the waiting take their places.  `settle` comes before."""
+        """Remove and return the jobs that end now, and start waiting jobs in their place.
+
+        Call `settle` first.
+        """
         ended = []
         while self.running and self.running[0][0] <= self.clock + MIN_WORK_MS:
             job = heappop(self.running)[2]
@@ -300,7 +311,7 @@
         return ended
 
     def stop_process(self) -> list[Job]:
-        """The process ends; returns the jobs that are lost undone.  `settle` comes before."""
+        """End the process and return the jobs that are lost before completion.  Call `settle` first."""
         lost = [job for _, _, job in sorted(self.running, key=lambda entry: entry[1])] + list(self.waiting)
         for job in lost:
             self.rack.forget(job.client_request)
@@ -315,7 +326,7 @@
         return lost
 
     def start_process(self, now: float, cold: bool, overload: OverloadWindow | None) -> None:
-        """A new process on the same machine.  `settle` comes before."""
+        """Start a new process on the same machine.  Call `settle` first."""
         self.started_at = self.settled_at = now
         self.cold = cold and self.kind.warm_up_floor < 1.0
         self.overload = overload if self.cold else None
--- a/heronreel/emulator/requests.py
+++ b/heronreel/emulator/requests.py
@@ -1,4 +1,4 @@
-"""What is in flight between clients, proxies and nodes: requests, attempts and connections."""
+"""Requests, attempts and connections in flight between clients, proxies and nodes."""
 
 from __future__ import annotations
 
@@ -11,11 +11,13 @@
 from heronreel.emulator.node import Node
 from heronreel.emulator.policies import Decider
 
-IN_USE, CLOSED = -1.0, -2.0  # in place of the time since which a connection is idle
+# Values of `Connection.idle_since` for a connection that is not idle.
+IN_USE = -1.0
+CLOSED = -2.0
 
 
 class Connection:
-    """A connection to a node's process."""
+    """A connection from a proxy to one process of a node."""
 
     __slots__ = ("idle_since", "incarnation", "node")
 
@@ -25,7 +27,7 @@
 
 
 class ProxyHandle(Protocol):
-    """A proxy, as clients, nodes and traces see it."""
+    """The interface of a proxy to clients, nodes and traces."""
 
     name: str
     zone: str
@@ -33,23 +35,23 @@
     known_endpoints: dict[int, Endpoint]
 
     def receive(self, request: InboundRequest, time_left_ms: float) -> None:
-        """The last byte of a request has come."""
+        """Handle a request whose last byte has arrived."""
 
     def client_disconnected(self, request: InboundRequest) -> None:
-        """The client of a request closes."""
+        """Handle the disconnection of the client of a request."""
 
     def send_response(self, attempt: NodeAttempt, outcome: Outcome) -> None:
-        """A response, or a reset, travels back from a node."""
+        """Send a response or a connection reset from a node back to this proxy."""
 
     def node_responded(self, attempt: NodeAttempt, outcome: Outcome) -> None:
-        """A node is done with an attempt; its response is sent."""
+        """Handle the end of an attempt at a node, and send its response."""
 
     def node_stopped(self, node: Node) -> None:
-        """A node's process is gone; connections to it are reset."""
+        """Handle the end of a node's process, which resets the connections to it."""
 
 
 class InboundRequest:
-    """One attempt of a client's request, at one proxy.  Times are ms."""
+    """One attempt of a client's request, as one proxy receives it.  Times are ms."""
 
     __slots__ = (
         "attempts",
@@ -75,28 +77,28 @@
         self.ident, self.client_request, self.request_class = ident, client_request, request_class
         self.proxy, self.deadline, self.is_retry = proxy, deadline, is_retry
         self.attempts: list[Attempt] = []
-        self.attempts_at_nodes = 0  # seen there, where proxies are real processes
+        self.attempts_at_nodes = 0  # counted at the nodes when the proxies are real processes
         self.finished = False
 
 
 class NodeAttempt(Protocol):
-    """An attempt as a node sees it, whichever engine made it."""
+    """An attempt as a node sees it, in the emulator or with real proxy processes."""
 
     @property
     def request(self) -> InboundRequest:
-        """The proxy's request that it belongs to."""
+        """The request at the proxy that this attempt belongs to."""
 
     @property
     def number(self) -> int:
-        """Its place among the request's attempts, from 0."""
+        """The position of this attempt among those of its request, from 0."""
 
     @property
     def node(self) -> Node:
-        """The node it goes to."""
+        """The node that this attempt is sent to."""
 
 
 class Attempt:
-    """One attempt of a proxy at a node.  Times are ms."""
+    """One attempt that a proxy sends to a node.  Times are ms."""
 
     __slots__ = (
         "connection",
