--- a/heronreel/experiments/__init__.py
+++ b/heronreel/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Rehearsals by the hundred: sweeps, paired comparisons, reports, smallest failing scripts."""
+"""Runs many rehearsals: sweeps, paired comparisons, HTML reports, and reduction of failing scripts."""
--- a/heronreel/experiments/charts.py
+++ b/heronreel/experiments/charts.py
@@ -1,4 +1,4 @@
-"""Charts of plays as SVG, to be embedded in a page.  Drawn by matplotlib, without a display."""
+"""Draws charts of plays as SVG for embedding in an HTML page.  Uses matplotlib without a display."""
 
 from __future__ import annotations
 
@@ -18,9 +18,11 @@
 
 COLOURS = ("#1b6ca8", "#d1495b", "#edae49", "#66a182", "#8d96a3", "#7b4b94", "#2e4057")
 FAULT_COLOUR = "#f3d9b1"
-MIN_SHADE_S = 0.15  # so that an instant can be seen
-LABEL_WIDTH_S = 2.0  # room for the kind of a fault
-MAX_NODES = 60  # rows of the chart of nodes
+# Faults without a duration are drawn this wide, because a shaded area without width is invisible.
+MIN_SHADE_S = 0.15
+# Width that is reserved for the label of a fault, in seconds of the time axis.
+LABEL_WIDTH_S = 2.0
+MAX_NODES = 60
 MAX_NODE_LABELS = 20
 OUTCOME_COLOURS = {
     "served": "#66a182",
@@ -32,7 +34,7 @@
 
 
 def render_svg(figure: Figure) -> str:
-    """The figure as SVG text that is the same in every run."""
+    """Return the figure as SVG text that is identical in every run."""
     buffer = io.StringIO()
     figure.savefig(buffer, format="svg", metadata={"Date": None}, bbox_inches="tight")
     text = buffer.getvalue()
@@ -40,7 +42,7 @@
 
 
 def _axes(title: str, x: str, y: str, height: float = 3.0) -> tuple[Figure, Axes]:
-    matplotlib.rcParams["svg.hashsalt"] = title  # names within the drawing depend on it alone
+    matplotlib.rcParams["svg.hashsalt"] = title  # makes the element ids depend on the title only
     figure = Figure(figsize=(9.0, height))
     axes = figure.subplots()
     axes.set_title(title, loc="left", fontsize=11)
@@ -53,7 +55,7 @@
 
 
 class FaultInterval(NamedTuple):
-    """When a fault was active, s, and its kind."""
+    """The interval in which a fault was active, and the kind of the fault."""
 
     start_s: float
     end_s: float
@@ -61,24 +63,27 @@
 
 
 def fault_intervals(result: Result) -> list[FaultInterval]:
-    """The faults of the timeline by start; one that never ended has no length."""
-    begun: dict[int, tuple[float, str]] = {}
+    """Return the faults of the timeline, ordered by start.
+
+    A fault without an end event gets an interval of length zero.
+    """
+    open_faults: dict[int, tuple[float, str]] = {}
     intervals = []
     for row in result.timeline:
         if "trouble" not in row:
             continue
         fault = row["trouble"]
         if row["event"] == "begins":
-            begun[fault] = (row["at_ms"] / 1000.0, row["kind"])
-        elif fault in begun:
-            start_s, kind = begun.pop(fault)
+            open_faults[fault] = (row["at_ms"] / 1000.0, row["kind"])
+        elif fault in open_faults:
+            start_s, kind = open_faults.pop(fault)
             intervals.append(FaultInterval(start_s, row["at_ms"] / 1000.0, kind))
-    instants = [FaultInterval(start_s, start_s, kind) for start_s, kind in begun.values()]
+    instants = [FaultInterval(start_s, start_s, kind) for start_s, kind in open_faults.values()]
     return sorted(intervals + instants)
 
 
 def _shade_faults(axes: Axes, result: Result) -> None:
-    """Mark the faults behind the curves, with their kinds in rows that don't overlap."""
+    """Shade the fault intervals behind the curves and label them in rows so that no labels overlap."""
     row_ends_s: list[float] = []
     for start_s, end_s, kind in fault_intervals(result):
         axes.axvspan(
@@ -99,7 +104,10 @@
 
 
 def service_over_time(results: Sequence[Result]) -> str:
-    """Share of priority weight served, for each second and policy; faults are those of the first result."""
+    """Draw the share of priority weight served by second, one line for each policy.
+
+    The shaded faults are those of the first result.
+    """
     figure, axes = _axes("Service by second in which requests were due", "s", "share of worth served")
     _shade_faults(axes, results[0])
     for index, result in enumerate(results):
@@ -117,7 +125,7 @@
 
 
 def outcomes_over_time(result: Result) -> str:
-    """Outcomes of the requests due in each second, stacked, against demand."""
+    """Draw the outcomes of the requests due in each second, stacked, and the demand as a line."""
     figure, axes = _axes(f"Demand and what became of it ({result.policy})", "s", "requests a second")
     _shade_faults(axes, result)
     seconds = [row["second"] + 0.5 for row in result.second_rows]
@@ -133,7 +141,7 @@
 
 
 def fleet_over_time(result: Result) -> str:
-    """Utilisation of the nodes, and requests at them."""
+    """Draw the utilisation of the nodes and the number of requests at them."""
     figure, axes = _axes(
         f"Nodes: utilisation and requests at them ({result.policy})", "s", "share of cores busy"
     )
@@ -149,7 +157,7 @@
 
 
 def nodes_over_time(result: Result, max_nodes: int = MAX_NODES) -> str:
-    """Requests waiting and running at each node by second; white where the node does not exist."""
+    """Draw the requests waiting and running at each node by second; white where the node does not exist."""
     rows = [row for row in result.timeline if row["event"] == "second"]
     names = sorted({name for row in rows for name in row["states"]}, key=lambda name: int(name[1:]))[
         :max_nodes
@@ -177,7 +185,7 @@
 
 
 def latency(results: Sequence[Result]) -> str:
-    """Latency percentiles of each policy."""
+    """Draw the latency percentiles of each policy."""
     figure, axes = _axes("Time to the answer, from when the request was due", "percentile", "ms")
     for index, result in enumerate(results):
         names = list(result.percentiles)
@@ -196,7 +204,7 @@
 
 
 def distribution_over_seeds(rows: Sequence[Mapping[str, Any]], metric: str = "score") -> str:
-    """Distribution of a metric over seeds, for each policy and settings."""
+    """Draw the distribution of a metric over seeds, for each combination of policy and settings."""
     groups: dict[str, list[float]] = {}
     for row in rows:
         groups.setdefault(row_label(row), []).append(float(row[metric]))
--- a/heronreel/experiments/compare.py
+++ b/heronreel/experiments/compare.py
@@ -1,9 +1,10 @@
-"""Paired comparison of two sets of plays: the same script and seed have the same arrivals and faults.
+"""Compares two sets of plays in pairs: plays of the same script and seed have the same arrivals and faults.
 
-What differs between two plays of one seed is what was changed, not the random draw, so the differences vary
-far less than the metrics do.  Computed are the mean difference, its confidence interval by Student's t and,
-since few differences are normal, one by bootstrap.  A difference is significant only where both intervals
-leave out zero, after Holm's correction for the metrics compared together.
+Two plays of one seed differ because of the change under test and not because of the random draw, so their
+differences vary far less than the metrics themselves.  The comparison computes the mean difference, its
+confidence interval by Student's t and a second interval by bootstrap, because few differences are normally
+distributed.  A difference is significant only if both intervals exclude zero, after Holm's correction for all
+metrics that are compared together.
 """
 
 from __future__ import annotations
@@ -22,36 +23,38 @@
     ("attempts_each", "handshakes_each", "p50", "p90", "p95", "p99", "refused", "failed")
 )
 CONFIDENCE_LEVEL = 0.95
-MIN_PAIRS = 5  # fewer allow no conclusion
+MIN_PAIRS = 5  # fewer pairs do not support a conclusion
 BOOTSTRAP_RESAMPLES = 4000
 BOOTSTRAP_SEED = 1
 EPSILON = 1e-12
 
 Row = Mapping[str, Any]
-"""A play's row of the results table, by column."""
+"""The row of one play in the results table, by column name."""
 RowPair = tuple[Row, Row]
-"""The plays of A and B with one script and seed."""
+"""The plays of A and of B that have the same script and seed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """B less A for one metric.  The fields are those of `rehearse compare --json`."""
+    """The difference B minus A for one metric.  `rehearse compare --json` prints these fields by name."""
 
     metric: str
     pairs: int
     mean_a: float
     mean_b: float
     mean: float
-    low: float  # confidence interval by Student's t
+    # confidence interval by Student's t
+    low: float
     high: float
-    boot_low: float  # confidence interval by bootstrap
+    # confidence interval by bootstrap
+    boot_low: float
     boot_high: float
     p: float
-    shown: bool = False  # significant, after the correction
+    shown: bool = False  # whether the difference is significant after Holm's correction
 
     @property
     def words(self) -> str:
-        """The verdict, as printed."""
+        """The verdict that is printed for this difference."""
         if self.pairs < MIN_PAIRS:
             return f"too few pairs ({self.pairs}; {MIN_PAIRS} at least)"
         if not self.shown:
@@ -61,24 +64,25 @@
 
     @property
     def intervals_exclude_zero(self) -> bool:
-        """Whether zero is outside of both confidence intervals."""
+        """Whether zero lies outside of both confidence intervals."""
         by_t = self.low > 0.0 or self.high < 0.0
         by_bootstrap = self.boot_low > 0.0 or self.boot_high < 0.0
         return by_t and by_bootstrap
 
 
 def script_and_seed(row: Row) -> object:
-    """What two plays of a pair have in common."""
+    """Return the default pairing key: the script digest and the seed of a play."""
     return row["script"], row["seed"]
 
 
 def pair_rows(
     a: Sequence[Row], b: Sequence[Row], key: Callable[[Row], object] | None = None
 ) -> list[RowPair]:
-    """The plays of A and B that have the same key (script and seed by default), by seed.
+    """Pair the plays of A and B that have the same key (script and seed by default), ordered by seed.
 
     Raises:
-        IncomparableResultsError: no play has a partner, or a seed has several plays on one side.
+        IncomparableResultsError: No play of A has the key of a play of B, or one side has several plays of
+            a seed.
     """
     key = key or script_and_seed
     rows_a: dict[object, Row] = {}
@@ -108,20 +112,21 @@
 
 
 def paired_difference(metric: str, pairs: Sequence[RowPair]) -> Difference:
-    """The mean difference of one metric with its confidence intervals, before any correction."""
+    """Return the mean difference of one metric with its confidence intervals, before Holm's correction."""
     a = np.array([float(left[metric]) for left, _ in pairs])
     b = np.array([float(right[metric]) for _, right in pairs])
     differences = b - a
     mean = float(differences.mean())
-    base = (metric, len(pairs), float(a.mean()), float(b.mean()), mean)
+    summary = (metric, len(pairs), float(a.mean()), float(b.mean()), mean)
     if len(pairs) < MIN_PAIRS:
-        return Difference(*base, -np.inf, np.inf, -np.inf, np.inf, 1.0)
-    if float(differences.std()) < EPSILON:  # alike in every pair: no spread to test against
+        return Difference(*summary, -np.inf, np.inf, -np.inf, np.inf, 1.0)
+    # Equal differences in all pairs have no variance, so neither test is defined.
+    if float(differences.std()) < EPSILON:
         equal = abs(mean) < EPSILON
-        return Difference(*base, mean, mean, mean, mean, 1.0 if equal else 0.0)
+        return Difference(*summary, mean, mean, mean, mean, 1.0 if equal else 0.0)
     test = stats.ttest_rel(b, a)
     interval = test.confidence_interval(CONFIDENCE_LEVEL)
-    # the percentile method: exact enough here, and defined for every sample
+    # The percentile method is accurate enough here and, unlike BCa, is defined for every sample.
     bootstrap = stats.bootstrap(
         (differences,),
         np.mean,
@@ -131,7 +136,7 @@
         rng=np.random.default_rng(BOOTSTRAP_SEED),
     ).confidence_interval
     return Difference(
-        *base,
+        *summary,
         float(interval.low),
         float(interval.high),
         float(bootstrap.low),
@@ -141,34 +146,41 @@
 
 
 def compare_results(a: Sequence[Row], b: Sequence[Row], metrics: Sequence[str] = METRICS) -> list[Difference]:
-    """The difference of each metric, with Holm's correction over all of them.
+    """Return the difference of each metric, with Holm's correction over all metrics.
 
     Raises:
-        IncomparableResultsError: the plays can't be paired.
+        IncomparableResultsError: The plays cannot be paired.
     """
     pairs = pair_rows(a, b)
     first_a, first_b = pairs[0]
     present = [metric for metric in metrics if metric in first_a and metric in first_b]
     differences = [paired_difference(metric, pairs) for metric in present]
     significant = _significant_after_holm(differences)
-    return [replace(one, shown=index in significant) for index, one in enumerate(differences)]
+    return [replace(difference, shown=index in significant) for index, difference in enumerate(differences)]
 
 
 def _significant_after_holm(differences: Sequence[Difference]) -> set[int]:
-    """Indices of the significant ones; the first p-value above its threshold rejects all that follow."""
+    """Return the indices of the significant differences by Holm's step-down method.
+
+    In order of p-value, the first one above its threshold ends the search: it and all larger ones are not
+    significant.
+    """
     by_p = sorted(range(len(differences)), key=lambda index: differences[index].p)
     significant = set()
     for rank, index in enumerate(by_p):
-        one = differences[index]
-        if not one.p <= (1.0 - CONFIDENCE_LEVEL) / (len(differences) - rank):
+        difference = differences[index]
+        if not difference.p <= (1.0 - CONFIDENCE_LEVEL) / (len(differences) - rank):
             break
-        if one.intervals_exclude_zero and one.pairs >= MIN_PAIRS:
+        if difference.intervals_exclude_zero and difference.pairs >= MIN_PAIRS:
             significant.add(index)
     return significant
 
 
 def filter_rows(rows: Sequence[Row], conditions: Mapping[str, str]) -> list[Row]:
-    """Rows whose columns have these values; a setting's column may be named by its key alone."""
+    """Return the rows whose columns have these values.
+
+    The column of a setting may be named by its key, without the prefix "set ".
+    """
 
     def matches(row: Row) -> bool:
         return all(str(row.get(key, row.get(f"set {key}"))) == value for key, value in conditions.items())
--- a/heronreel/experiments/errors.py
+++ b/heronreel/experiments/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the experiment tool.  Each message is one line, fit to be printed as it is."""
+"""Errors of the experiment tool.  Each message is one line that can be printed unchanged."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class IncomparableResultsError(ExperimentError, ValueError):
-    """Two sets of plays that have no pairs, or that are of different scripts."""
+    """Two sets of plays cannot be paired, or are plays of different scripts."""
 
 
 class InvalidSettingError(ExperimentError, ValueError):
-    """A setting or a list of seeds that can't be used."""
+    """A setting or a list of seeds is malformed, out of range or does not fit the script."""
 
 
 class InvalidIncidentError(ExperimentError, ValueError):
-    """A record of an incident that can't be turned into a script; names the line."""
+    """An incident record cannot be converted to a script; the message gives the line number."""
 
 
 class NoBreachError(ExperimentError, ValueError):
-    """A script that breaks no rule, so that there is nothing to shrink."""
+    """A script breaks no rule, so it cannot be shrunk."""
 
 
 class UnreadableResultsError(ExperimentError, ValueError):
-    """A results file that can't be read; names the file."""
+    """A results file cannot be read; the message gives its path."""
--- a/heronreel/experiments/identity.py
+++ b/heronreel/experiments/identity.py
@@ -1,4 +1,4 @@
-"""What identifies a play: digests of script and code, the policy, the seed, and the settings."""
+"""Identifies plays by the digests of script and code, the policy, the seed and the settings."""
 
 from __future__ import annotations
 
@@ -23,23 +23,28 @@
 CODE_PATHS = ("heronreel/balancer", "heronreel/emulator", "heronreel/serve/policies.py", "heronreel/routes")
 MAX_PLAYS = 100_000
 MAX_SEED = 2**63 - 1
-DIGEST_DIGITS = 16  # of scripts and code, hexadecimal
-KEY_DIGITS = 24  # of plays
-MAX_QUOTED_SEEDS = 40  # characters of bad input that an error quotes
+# Hexadecimal digits of the digests of scripts and code.
+DIGEST_DIGITS = 16
+# Hexadecimal digits of the keys of plays.
+KEY_DIGITS = 24
+# Characters of invalid input that an error message quotes.
+MAX_QUOTED_SEEDS = 40
 MAX_QUOTED_SETTING = 60
 _SEEDS = re.compile(r"(\d+)(?:\.\.(\d+))?")
-# "flintplank" was the balancer's package up to version 0.2.0: keys in scripts and tables of then still hold.
+# "flintplank" was the name of the balancer's package up to version 0.2.0.  Scripts and result tables of those
+# versions contain keys with that name, which stay valid.
 _CONSTANT = re.compile(r"(?:flintplank|heronreel\.balancer)\.([a-z_]+)\.([A-Z][A-Z0-9_]*)")
 
 
 class AddedFields(NamedTuple):
-    """The fields of a table that a script could not have when digests were first stored."""
+    """Fields that were added to a table of the script after digests were first stored."""
 
     record: type[msgspec.Struct]
     names: tuple[str, ...]
 
 
-# by table; left out of digests at their defaults, so that those of older scripts stay as they are
+# Added fields by table.  A digest leaves them out when they have their default values, so that the digests of
+# older scripts do not change.
 ADDED_FIELDS = {
     "list": AddedFields(EndpointListConfig, ("call_ms", "snapshot_share", "snapshot_omits_draining")),
     "rules": AddedFields(InvariantLimits, ("untold_ms", "failed_call_ms")),
@@ -48,7 +53,7 @@
 
 
 def script_digest(rehearsal: Rehearsal) -> str:
-    """Digest of what the script says; comments and the order of tables don't count."""
+    """Return the digest of the script's contents, independent of comments and of the order of tables."""
     script = msgspec.to_builtins(rehearsal)
     for table, added in ADDED_FIELDS.items():
         defaults = {field.encode_name: field.default for field in msgspec.structs.fields(added.record)}
@@ -61,7 +66,7 @@
 
 @cache
 def code_version() -> str:
-    """Digest of the code that decides a play's outcome."""
+    """Return the digest of the source files that determine the result of a play."""
     digest = hashlib.sha256()
     for code_path in CODE_PATHS:
         path = ROOT / code_path
@@ -71,21 +76,22 @@
 
 
 def parse_seeds(text: str) -> list[int]:
-    """Seeds from text such as `1..20` or `1,4,9..12`, each once, in the order given.
+    """Parse seeds from text such as `1..20` or `1,4,9..12`; duplicates are dropped and the order is kept.
 
     Raises:
-        InvalidSettingError: the text has another form, or the seeds are too many or too large.
+        InvalidSettingError: The text has another form, a range runs backwards, or the seeds are too many or
+            too large.
     """
     seeds: list[int] = []
     for part in text.split(","):
         match = _SEEDS.fullmatch(part.strip())
         quoted = repr(part[:MAX_QUOTED_SEEDS])
         if not match:
-            raise InvalidSettingError(f"seeds: {quoted} is no number and no range such as 1..20")
+            raise InvalidSettingError(f"seeds: {quoted} is neither a number nor a range such as 1..20")
         first = int(match[1])
         last = int(match[2] or match[1])
         if last < first or last > MAX_SEED or last - first >= MAX_PLAYS:
-            raise InvalidSettingError(f"seeds: {quoted} runs backwards, or is too many or too large")
+            raise InvalidSettingError(f"seeds: {quoted} runs backwards, or has too many or too large seeds")
         seeds += range(first, last + 1)
     return list(dict.fromkeys(seeds))
 
@@ -107,10 +113,10 @@
 
 
 def parse_settings(text: str) -> list[Setting]:
-    """A setting for each value of `KEY=A,B,C`.
+    """Parse `KEY=A,B,C` into one setting for each value.
 
     Raises:
-        InvalidSettingError: the text has another form.
+        InvalidSettingError: The text has another form.
     """
     key, equals, values = text.partition("=")
     if not equals or not key or not values:
@@ -130,15 +136,18 @@
 
 
 def setting_combinations(settings: list[list[Setting]]) -> Iterator[tuple[Setting, ...]]:
-    """Every combination of one setting from each list, the last list innermost."""
+    """Iterate over all combinations of one setting from each list; the last list varies fastest."""
     return itertools.product(*settings)
 
 
 def apply_settings(rehearsal: Rehearsal, settings: tuple[Setting, ...]) -> Rehearsal:
-    """The script with these settings; those of constants are only checked, see `overridden_constants`.
+    """Return the script with these settings applied.
+
+    Settings of constants are only checked here; `overridden_constants` applies them.
 
     Raises:
-        InvalidSettingError: the script or the balancer has no such place, or the value does not fit.
+        InvalidSettingError: The script has no such field, the balancer has no such constant, or the value has
+            the wrong type.
     """
     raw = msgspec.to_builtins(rehearsal)
     for setting in settings:
@@ -153,7 +162,7 @@
 
 
 def _set_field(raw: Any, setting: Setting) -> None:
-    """Set a field of the script's plain form, in place."""
+    """Set a field in the dict form of the script, in place."""
     *parents, last = setting.key.split(".")
     container = raw
     step = last
@@ -165,7 +174,7 @@
         old = container[key]
         container[key] = float(setting.value) if _needs_float(old, setting.value) else setting.value
     except (KeyError, IndexError, TypeError):
-        raise InvalidSettingError(f"set: the script has no {setting.key!r} (lost at {step!r})") from None
+        raise InvalidSettingError(f"set: the script has no {setting.key!r} (no such key: {step!r})") from None
 
 
 def _field_key(container: Any, step: str) -> Any:
@@ -177,7 +186,7 @@
 
 
 def _resolve_constant(setting: Setting) -> tuple[Any, str]:
-    """The module and the name of the constant that the setting's key names."""
+    """Return the module and the current name of the constant that the key of the setting refers to."""
     match = _CONSTANT.fullmatch(setting.key)
     assert match
     key = f"{match[1]}.{match[2]}"
@@ -188,16 +197,18 @@
     except ImportError:
         raise InvalidSettingError(f"set: there is no module {full_name!r}") from None
     if not isinstance(getattr(module, constant, None), int | float):
-        raise InvalidSettingError(f"set: {full_name} has no number {constant!r}")
+        raise InvalidSettingError(f"set: {full_name} has no numeric constant {constant!r}")
     return module, constant
 
 
 @contextmanager
 def overridden_constants(settings: tuple[Setting, ...]) -> Iterator[None]:
-    """Context in which constants of the balancer have the values of these settings; others are ignored.
+    """Set constants of the balancer to the values of these settings for the duration of the context.
+
+    Settings of script fields are ignored.
 
     Raises:
-        InvalidSettingError: the balancer has no such constant.
+        InvalidSettingError: The balancer has no such constant.
     """
     originals: list[tuple[Any, str, Any]] = []
     try:
@@ -214,7 +225,7 @@
 
 
 def play_key(script: str, code: str, policy: str, seed: int, settings: Mapping[str, Any]) -> str:
-    """Key of one play: plays with the same key have the same result."""
+    """Return the key of a play; plays with the same key have the same result."""
     identity = msgspec.json.encode(
         [script, code, policy, seed, sorted((key, repr(value)) for key, value in settings.items())]
     )
--- a/heronreel/experiments/renamed.py
+++ b/heronreel/experiments/renamed.py
@@ -1,6 +1,6 @@
-"""Maps earlier names of the balancer's constants to the present ones.
+"""Maps earlier names of the balancer's constants to their current names.
 
-Stored scripts and tables of results address the constants by the names that were valid at their time.
+Stored scripts and result tables refer to constants by the names that were valid when they were written.
 """
 
 RENAMED_CONSTANTS = {
@@ -92,4 +92,4 @@
     "watch_schedule.MIN_FULL_BACKOFF_MS": "watch_schedule.MIN_OVERLOAD_BACKOFF_MS",
     "watch_schedule.MAX_FULL_BACKOFF_SHARE": "watch_schedule.MAX_OVERLOAD_BACKOFF_SHARE",
 }
-"""Maps each earlier name to the present one; both are module.CONSTANT, relative to `heronreel.balancer`."""
+"""Maps each earlier name to the current one; both are module.CONSTANT, relative to `heronreel.balancer`."""
--- a/heronreel/experiments/report.py
+++ b/heronreel/experiments/report.py
@@ -1,4 +1,4 @@
-"""HTML page of a rehearsal or a sweep, complete in itself: without scripts, fonts or external resources."""
+"""Renders a self-contained HTML page of a rehearsal or a sweep, without scripts or external resources."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
 h1 { font-size: 1.5rem; } h2 { font-size: 1.15rem; margin-top: 2.2rem; }
 table { border-collapse: collapse; font-size: .86rem; margin: .6rem 0; display: block; overflow-x: auto; }
 th, td { padding: .25rem .7rem; text-align: right; border-bottom: 1px solid #ddd; white-space: nowrap; }
-th:first-child, td:first-child, td.words { text-align: left; }
-tr.ours { background: #eaf3fa; font-weight: 600; } .bad { color: #b3261e; } .dim { color: #666; }
+th:first-child, td:first-child, td.left { text-align: left; }
+tr.emphasised { background: #eaf3fa; font-weight: 600; } .bad { color: #b3261e; } .dim { color: #666; }
 svg { max-width: 100%; height: auto; } summary { cursor: pointer; }
 pre { font-size: .78rem; overflow-x: auto; background: #f6f6f6; padding: .6rem; }
 </style></head><body>
@@ -49,12 +49,12 @@
 <p class="dim">{{ subtitle }}</p>
 {% if verdict %}<p><strong>{{ verdict }}</strong></p>{% endif %}
 {% for section in sections %}<h2>{{ section.title }}</h2>
-{% if section.words %}<p>{{ section.words }}</p>{% endif %}
+{% if section.description %}<p>{{ section.description }}</p>{% endif %}
 {% for chart in section.charts %}<figure>{{ chart }}</figure>{% endfor %}
 {% for table in section.tables %}<table><thead>
 <tr>{% for head in table.heads %}<th>{{ head }}</th>{% endfor %}</tr>
-</thead><tbody>{% for row in table.rows %}<tr{% if row.ours %} class="ours"{% endif %}>
-{%- for cell in row.cells %}<td{% if cell.bad %} class="bad"{% elif cell.words %} class="words"{% endif %}>
+</thead><tbody>{% for row in table.rows %}<tr{% if row.emphasised %} class="emphasised"{% endif %}>
+{%- for cell in row.cells %}<td{% if cell.bad %} class="bad"{% elif cell.left %} class="left"{% endif %}>
 {%- if cell.link %}<a href="#{{ cell.link }}">{{ cell.text }}</a>{% else %}{{ cell.text }}{% endif %}</td>
 {%- endfor %}</tr>
 {% endfor %}</tbody></table>{% endfor %}
@@ -67,19 +67,19 @@
 
 
 class Cell(NamedTuple):
-    """A cell of a table."""
+    """A table cell with its text and formatting."""
 
     text: str
-    bad: bool = False  # highlighted
-    words: bool = False  # aligned as text
-    link: str = ""  # id of an element of the page
+    bad: bool = False  # highlighted as a failure
+    left: bool = False  # aligned on the left; numbers are aligned on the right
+    link: str = ""  # id of the element of the page that the cell links to
 
 
 class Row(NamedTuple):
-    """A row of a table."""
+    """A table row, emphasised if it is of the main policy or a significant difference."""
 
     cells: Sequence[Cell]
-    ours: bool = False  # emphasised
+    emphasised: bool = False
 
 
 class Table(NamedTuple):
@@ -90,7 +90,7 @@
 
 
 class Trace(NamedTuple):
-    """A folded block with the trace of a request."""
+    """A collapsed block with the trace of a request."""
 
     id: str
     title: str
@@ -98,18 +98,18 @@
 
 
 class Section(NamedTuple):
-    """A part of the page under a heading of its own."""
+    """A section of the page with its heading."""
 
     title: str
-    words: str = ""
+    description: str = ""
     charts: Sequence[Markup] = ()
     tables: Sequence[Table] = ()
     traces: Sequence[Trace] = ()
 
 
-def _cell(value: object, bad: bool = False, words: bool = False, link: str = "") -> Cell:
+def _cell(value: object, bad: bool = False, left: bool = False, link: str = "") -> Cell:
     text = f"{value:.3f}" if isinstance(value, float) else str(value)
-    return Cell(text, bad, words, link)
+    return Cell(text, bad, left, link)
 
 
 def _page(title: str, subtitle: str, sections: Sequence[Section], verdict: str = "") -> str:
@@ -122,21 +122,21 @@
 
 
 def render_rehearsal(rehearsal: Rehearsal, results: Sequence[Result]) -> str:
-    """The page of one script: the first result, and the others beside it on the same arrivals."""
-    ours = results[0]
+    """Render the page of one script: the first result, compared with the others on the same arrivals."""
+    main_result = results[0]
     sections = [_figures_section(results)]
-    if ours.breaches:
-        sections.append(_breaches_section(ours))
+    if main_result.breaches:
+        sections.append(_breaches_section(main_result))
     sections += [
         _timeline_section(results),
         Section("Latency", charts=_markup(charts.latency(results))),
-        _faults_section(ours),
+        _faults_section(main_result),
         _prices_section(results),
     ]
-    if ours.traces:
-        sections.append(_traces_section(ours))
-    verdict = f"{ours.policy}: score {ours.score:.3f}, {_rules_verdict(ours)}."
-    return _page(rehearsal.name, _rehearsal_subtitle(rehearsal, ours.seed), sections, verdict)
+    if main_result.traces:
+        sections.append(_traces_section(main_result))
+    verdict = f"{main_result.policy}: score {main_result.score:.3f}, {_rules_verdict(main_result)}."
+    return _page(rehearsal.name, _rehearsal_subtitle(rehearsal, main_result.seed), sections, verdict)
 
 
 def _rehearsal_subtitle(rehearsal: Rehearsal, seed: int) -> str:
@@ -154,10 +154,10 @@
 
 
 def _figures_section(results: Sequence[Result]) -> Section:
-    words = (
-        "The first row is the policy this page is about; the others met the same requests, work and troubles."
+    description = (
+        "The first row is the main policy; the other policies had the same requests, work and troubles."
     )
-    return Section("Figures", words, tables=[_result_table(results)])
+    return Section("Figures", description, tables=[_result_table(results)])
 
 
 def _result_table(results: Sequence[Result]) -> Table:
@@ -168,20 +168,20 @@
         cells = [
             _cell(result.policy),
             _cell(result.score, bad=broken),
-            _cell(result.broken_rules or "kept", bad=broken, words=True),
+            _cell(result.broken_rules or "kept", bad=broken, left=True),
             *(_cell(values[name]) for name in RESULT_COLUMNS),
             _cell(values.get("p50", 0.0)),
             _cell(values.get("p99", 0.0)),
         ]
-        rows.append(Row(cells, ours=index == 0))
+        rows.append(Row(cells, emphasised=index == 0))
     names = [name.replace("_", " ") for name in RESULT_COLUMNS]
     return Table(["policy", "score", "rules", *names, "p50 ms", "p99 ms"], rows)
 
 
 def _breaches_section(result: Result) -> Section:
     rows = [Row(_breach_cells(breach, result)) for breach in result.breaches[:MAX_BREACHES]]
-    words = f"{sum(result.breach_counts.values())} in all; the first {len(rows)} are shown."
-    return Section("Broken rules", words, tables=[Table(BREACH_HEADS, rows)])
+    description = f"{sum(result.breach_counts.values())} in total; the first {len(rows)} are shown."
+    return Section("Broken rules", description, tables=[Table(BREACH_HEADS, rows)])
 
 
 def _breach_cells(breach: Mapping[str, Any], result: Result) -> list[Cell]:
@@ -191,7 +191,7 @@
         _cell(breach["at_ms"] / 1000.0),
         _cell(breach["proxy"]),
         _cell(breach["node"]),
-        _cell(breach["words"], words=True),
+        _cell(breach["words"], left=True),
         _cell(
             f"request {line}" if line >= 0 else "", link=f"trace-{line}" if str(line) in result.traces else ""
         ),
@@ -199,19 +199,19 @@
 
 
 def _timeline_section(results: Sequence[Result]) -> Section:
-    ours = results[0]
-    drawn = _markup(
+    main_result = results[0]
+    timeline_charts = _markup(
         charts.service_over_time(results),
-        charts.outcomes_over_time(ours),
-        charts.fleet_over_time(ours),
-        charts.nodes_over_time(ours),
+        charts.outcomes_over_time(main_result),
+        charts.fleet_over_time(main_result),
+        charts.nodes_over_time(main_result),
     )
-    return Section("Over time", charts=drawn)
+    return Section("Over time", charts=timeline_charts)
 
 
 def _faults_section(result: Result) -> Section:
     rows = [
-        Row([_cell(interval.start_s), _cell(interval.end_s), _cell(interval.kind, words=True)])
+        Row([_cell(interval.start_s), _cell(interval.end_s), _cell(interval.kind, left=True)])
         for interval in charts.fault_intervals(result)
     ]
     return Section("What happened", tables=[Table(["from s", "to s", "trouble"], rows)])
@@ -219,11 +219,11 @@
 
 def _prices_section(results: Sequence[Result]) -> Section:
     rows = [
-        Row([_cell(result.policy), *(_cell(cost) for cost in result.costs.values())], ours=index == 0)
+        Row([_cell(result.policy), *(_cell(cost) for cost in result.costs.values())], emphasised=index == 0)
         for index, result in enumerate(results)
     ]
-    words = "Points of service paid for what was used."
-    return Section("Prices", words, tables=[Table(["policy", *results[0].costs], rows)])
+    description = "Points of service deducted for the resources used."
+    return Section("Prices", description, tables=[Table(["policy", *results[0].costs], rows)])
 
 
 def _traces_section(result: Result) -> Section:
@@ -231,16 +231,18 @@
         Trace(f"trace-{line}", f"request {line}: {len(steps)} steps", trace_text(steps))
         for line, steps in result.traces.items()
     ]
-    return Section("Traces", "What each proxy believed, and what the nodes really did.", traces=traces)
+    return Section(
+        "Traces", "The state that each proxy assumed, and the actual behaviour of the nodes.", traces=traces
+    )
 
 
 def trace_text(steps: Sequence[Mapping[str, Any]]) -> str:
-    """The trace of one request as text, a line for each step."""
+    """Return the trace of one request as text, one line for each step."""
     lines = []
     for step in list(steps)[:MAX_TRACE_STEPS]:
         details = {key: value for key, value in step.items() if key not in ("at_ms", "what", "others")}
-        words = "  ".join(f"{key}={value}" for key, value in details.items())
-        lines.append(f"{step['at_ms']:>12.3f} ms  {step['what']:<24} {words}")
+        detail_text = "  ".join(f"{key}={value}" for key, value in details.items())
+        lines.append(f"{step['at_ms']:>12.3f} ms  {step['what']:<24} {detail_text}")
         lines += [f"{'':>15}  also there: {other}" for other in step.get("others", ())]
     if len(steps) > MAX_TRACE_STEPS:
         lines.append(f"... and {len(steps) - MAX_TRACE_STEPS} more steps")
@@ -248,7 +250,10 @@
 
 
 def render_sweep(rows: Sequence[Mapping[str, Any]]) -> str:
-    """The page of a sweep: metrics by policy and settings, and each group against the first, by seed."""
+    """Render the page of a sweep.
+
+    It has the metrics by policy and settings, and a comparison of each group with the first, paired by seed.
+    """
     groups: dict[str, list[Mapping[str, Any]]] = {}
     for row in rows:
         groups.setdefault(row_label(row), []).append(row)
@@ -278,7 +283,7 @@
             *(_cell(mean) for mean in means),
             _cell(broken, bad=bool(broken)),
         ]
-        rows.append(Row(cells, ours=index == 0))
+        rows.append(Row(cells, emphasised=index == 0))
     names = [metric.replace("_", " ") for metric in SWEEP_METRICS]
     return Table(["policy and settings", "seeds", *names, "plays with a broken rule"], rows)
 
@@ -294,18 +299,18 @@
 
 
 def difference_table(differences: Sequence[Difference]) -> Table:
-    """The table of a paired comparison; significant differences are emphasised."""
+    """Return the table of a paired comparison, with significant differences emphasised."""
     rows = []
-    for one in differences:
+    for difference in differences:
         cells = [
-            _cell(one.metric),
-            _cell(one.pairs),
-            _cell(one.mean_a),
-            _cell(one.mean_b),
-            _cell(one.mean),
-            _cell(min(one.low, one.boot_low)),
-            _cell(max(one.high, one.boot_high)),
-            _cell(one.words, words=True),
+            _cell(difference.metric),
+            _cell(difference.pairs),
+            _cell(difference.mean_a),
+            _cell(difference.mean_b),
+            _cell(difference.mean),
+            _cell(min(difference.low, difference.boot_low)),
+            _cell(max(difference.high, difference.boot_high)),
+            _cell(difference.words, left=True),
         ]
-        rows.append(Row(cells, ours=one.shown))
+        rows.append(Row(cells, emphasised=difference.shown))
     return Table(DIFFERENCE_HEADS, rows)
--- a/heronreel/experiments/scripts.py
+++ b/heronreel/experiments/scripts.py
@@ -1,9 +1,8 @@
-"""Scripts as text: of a rehearsal, and made from the record of an incident.
+"""Writes rehearsal scripts as TOML, and creates scripts from incident records.
 
-An incident is JSON lines, each with the fields of a fault, such as `{"at_s": 12.0, "what": "slow",
-"names": ["n7"], "for_s": 9.0, "size": 4.0}`.  A line with `"event"` is one of a rehearsal's own timeline, so
-what a play drew at random can be replayed with its targets by name.  Lines without either are skipped and
-counted.
+An incident record is in JSON lines.  A line may have the fields of a fault, such as `{"at_s": 12.0, "what":
+"slow", "names": ["n7"], "for_s": 9.0, "size": 4.0}`.  A line with `"event"` comes from the timeline of a
+rehearsal; it allows a replay of randomly chosen targets by name.  Lines with neither are skipped and counted.
 """
 
 from __future__ import annotations
@@ -21,7 +20,8 @@
 SCRIPT_VERSION = 1
 MAX_LINES = 100_000
 MAX_NAME_LENGTH = 200
-QUIET_END_S = 5.0  # time played after the last fault of an incident
+# Time that is played after the last fault of an incident ends.
+QUIET_END_S = 5.0
 FAULT_FIELDS = {field.encode_name for field in msgspec.structs.fields(Fault)}
 LIST_TABLES: dict[str, type[msgspec.Struct]] = {
     "classes": model.RequestClass,
@@ -29,11 +29,12 @@
     "troubles": model.Fault,
 }
 ALWAYS_WRITTEN = ("name", "seconds")
-ZONE_FAULTS = ("zone_cut", "shift")  # kinds that keep their zone when replayed on named targets
+# Fault kinds that keep their zone when they are replayed on named targets.
+ZONE_FAULTS = ("zone_cut", "shift")
 
 
 def script_to_toml(rehearsal: Rehearsal) -> str:
-    """The script as TOML, without what has its default value."""
+    """Return the script as TOML, without fields that have their default values."""
     defaults = msgspec.to_builtins(Rehearsal())
     script: dict[str, Any] = {"version": SCRIPT_VERSION}
     for name, value in msgspec.to_builtins(rehearsal).items():
@@ -69,28 +70,28 @@
 
 
 class ReplayedIncident(NamedTuple):
-    """The script made from an incident, and how many of its lines were skipped."""
+    """The script that was created from an incident record, and the number of skipped lines."""
 
     script: Rehearsal
     skipped_lines: int
 
 
 def script_from_incident(base: Rehearsal, data: bytes) -> ReplayedIncident:
-    """The fleet and traffic of `base` with the faults of an incident.
+    """Return the script `base` with its faults replaced by those of an incident record.
 
     Raises:
-        InvalidIncidentError: a line can't be read, the lines are too many, or none has a fault.
+        InvalidIncidentError: A line cannot be parsed, there are too many lines, or no line has a fault.
     """
     lines = data.splitlines()
     if len(lines) > MAX_LINES:
-        raise InvalidIncidentError(f"has {len(lines):,} lines; at most {MAX_LINES:,} are read")
+        raise InvalidIncidentError(f"has {len(lines):,} lines; the limit is {MAX_LINES:,}")
     reader = _IncidentReader(base)
     for number, line in enumerate(lines, 1):
         if line.strip():
             reader.read_line(line, number)
     faults = reader.faults
     if not faults:
-        raise InvalidIncidentError('holds no trouble: no line has "what" or "event"')
+        raise InvalidIncidentError('contains no trouble: no line has "what" or "event"')
     last_end_s = max(fault.at_s + max(fault.for_s, fault.within_s) for fault in faults)
     script = msgspec.structs.replace(
         base,
@@ -102,13 +103,14 @@
 
 
 class _IncidentReader:
-    """Collects the faults of an incident, line by line."""
+    """Collects the faults of an incident record line by line."""
 
     def __init__(self, base: Rehearsal) -> None:
         self.faults: list[Fault] = []
         self.skipped_lines = 0
         self._base = base
-        self._begun: dict[int, int] = {}  # index of a fault in the base script: its index in `faults`
+        # Maps the index of a fault in the base script to its index in `faults`.
+        self._replayed_indices: dict[int, int] = {}
 
     def read_line(self, line: bytes, number: int) -> None:
         row = _decode_line(line, number)
@@ -120,27 +122,27 @@
             self.skipped_lines += 1
 
     def _read_timeline_row(self, row: dict[str, Any], number: int) -> None:
-        """A fault of the base script, with the targets and the duration that it had in the play."""
+        """Replay a fault of the base script with the targets and the duration that it had in the play."""
         index = row.get("trouble")
         if not isinstance(index, int) or not 0 <= index < len(self._base.faults):
             raise InvalidIncidentError(
-                f"line {number}: trouble {index!r} is none of the script that it is replayed on"
+                f"line {number}: trouble {index!r} does not exist in the script that it is replayed on"
             )
         if row["event"] == "begins":
             fault = _with_named_targets(self._base.faults[index], row.get("names", ()))
-            self._begun[index] = len(self.faults)
+            self._replayed_indices[index] = len(self.faults)
             self.faults.append(msgspec.structs.replace(fault, at_s=row["at_ms"] / 1000.0))
-        elif index in self._begun:
-            begun = self.faults[self._begun[index]]
-            duration_s = round(row["at_ms"] / 1000.0 - begun.at_s, 6)
-            self.faults[self._begun[index]] = msgspec.structs.replace(begun, for_s=duration_s)
+        elif index in self._replayed_indices:
+            started = self.faults[self._replayed_indices[index]]
+            duration_s = round(row["at_ms"] / 1000.0 - started.at_s, 6)
+            self.faults[self._replayed_indices[index]] = msgspec.structs.replace(started, for_s=duration_s)
 
 
 def _decode_line(line: bytes, number: int) -> dict[str, Any]:
     try:
         row = msgspec.json.decode(line)
     except msgspec.DecodeError as error:
-        raise InvalidIncidentError(f"line {number}: is no JSON: {error}") from None
+        raise InvalidIncidentError(f"line {number}: is not valid JSON: {error}") from None
     if not isinstance(row, dict):
         raise InvalidIncidentError(f"line {number}: expected an object")
     return row
@@ -149,7 +151,7 @@
 def _fault_from_row(row: dict[str, Any], number: int) -> Fault:
     unknown = sorted(row.keys() - FAULT_FIELDS)
     if unknown:
-        raise InvalidIncidentError(f"line {number}: no such field of a trouble: {', '.join(unknown)}")
+        raise InvalidIncidentError(f"line {number}: a trouble has no such field: {', '.join(unknown)}")
     try:
         return msgspec.convert(row, Fault)
     except msgspec.ValidationError as error:
@@ -157,7 +159,10 @@
 
 
 def _with_named_targets(fault: Fault, targets: Iterable[str]) -> Fault:
-    """The fault on these nodes and proxies in place of those it selects; unchanged where there are none."""
+    """Return the fault with these nodes and proxies as its only targets.
+
+    The fault is returned unchanged if no name is that of a node or proxy.
+    """
     names = [name for name in targets if name[:1] in "np" and name[1:].isdigit()]
     if not names:
         return fault
--- a/heronreel/experiments/shrink.py
+++ b/heronreel/experiments/shrink.py
@@ -1,9 +1,9 @@
-"""Reduces a failing script to the smallest one that still breaks the same rule.
+"""Reduces a failing script to the smallest one found that still breaks the same rule.
 
-The faults are reduced first, by delta debugging (Zeller and Hildebrandt, 2002): halves, then ever smaller
-parts are left out as long as the rule still breaks.  The rest follows: time after the breach, nodes, proxies,
-traffic, tenants and features of the nodes.  Every step is a play with the same seed, so the outcome breaks
-the rule again for whoever plays it.
+The faults are reduced first, by delta debugging (Zeller and Hildebrandt, 2002): halves and then successively
+smaller parts are removed as long as the rule still breaks.  Then the time after the breach, the nodes, the
+proxies, the traffic, the tenants and the features of the nodes are reduced.  Every step is verified by a play
+with the same seed, so the breach of the resulting script is reproducible.
 """
 
 from __future__ import annotations
@@ -18,9 +18,11 @@
 from heronreel.experiments.errors import NoBreachError
 
 MAX_PLAYS = 300
-TAIL_S = 1.0  # time kept after the breach
-SHRINK_SHARES = (0.5, 0.75)  # of nodes, proxies and traffic
-# features of a node kind, with the value that switches each off
+# Time that is kept after the breach.
+TAIL_S = 1.0
+# Shares to which the numbers of nodes and proxies and the request rate are reduced in one step.
+SHRINK_SHARES = (0.5, 0.75)
+# Maps each optional feature of a node kind to the value that disables it.
 NODE_FEATURES = {
     "thrash": 0.0,
     "full_tax": 0.0,
@@ -33,29 +35,29 @@
 }
 
 Candidate = tuple[str, Rehearsal]
-"""A smaller script, with a description of what was taken away or is left."""
+"""A smaller script, with a description of what was removed or what remains."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShrunkScript:
-    """The smallest script found."""
+    """The smallest failing script found, with the rule that it breaks."""
 
     rehearsal: Rehearsal
     rule: str
-    at_ms: float  # of its first breach
+    at_ms: float  # time of the first breach
     plays: int
 
 
 class Shrinker:
-    """Delta debugging of one script with one seed and policy."""
+    """Reduces one script by delta debugging, with one seed and policy."""
 
     def __init__(
         self, rehearsal: Rehearsal, seed: int, policy: str, on_progress: Callable[[str], None]
     ) -> None:
-        """Play the script once, to learn which rule it breaks first.
+        """Play the script once to determine which rule it breaks first.
 
         Raises:
-            NoBreachError: the script keeps all rules.
+            NoBreachError: The script breaks no rule.
         """
         self._seed = seed
         self._policy = policy
@@ -69,7 +71,7 @@
         self._at_ms = breaches[self._rule]
 
     def run(self) -> ShrunkScript:
-        """Reduce the script until no step makes it smaller, or `MAX_PLAYS` is reached."""
+        """Reduce the script until no step makes it smaller or `MAX_PLAYS` is reached."""
         self._shrink_faults()
         plays_before = -1
         while plays_before != self._plays and self._plays < MAX_PLAYS:
@@ -84,7 +86,7 @@
         return ShrunkScript(self._best, self._rule, self._at_ms, self._plays)
 
     def _first_breaches(self, rehearsal: Rehearsal) -> dict[str, float]:
-        """The rules broken by the script, each with the time of its first breach, ms."""
+        """Play the script and return the time in milliseconds of the first breach of each broken rule."""
         self._plays += 1
         first_ms: dict[str, float] = {}
         for breach in play(rehearsal, self._seed, self._policy).breaches:
@@ -92,7 +94,7 @@
         return first_ms
 
     def _accept(self, candidate: Rehearsal) -> bool:
-        """Whether the candidate still breaks the rule; if so it becomes the best so far."""
+        """Play the candidate and keep it as the best script if it still breaks the rule."""
         if self._plays >= MAX_PLAYS:
             return False
         breaches = self._first_breaches(candidate)
@@ -125,15 +127,15 @@
         return False
 
     def _candidates(self) -> Iterator[Candidate]:
-        """Smaller scripts, one step at a time, each made from the best at the time it is taken."""
-        yield from self._shorter()
+        """Generate smaller scripts, each derived from the best script at the time that it is requested."""
+        yield from self._truncated()
         yield from self._fewer_zones()
         for share in SHRINK_SHARES:
             yield from self._scaled_down(share)
-        yield from self._plainer_traffic()
-        yield from self._plainer_nodes()
+        yield from self._simplified_traffic()
+        yield from self._simplified_nodes()
 
-    def _shorter(self) -> Iterator[Candidate]:
+    def _truncated(self) -> Iterator[Candidate]:
         end_s = round(self._at_ms / 1000.0 + TAIL_S, 1)
         if end_s < self._best.seconds:
             yield f"{end_s:g} s", truncate_script(self._best, end_s)
@@ -157,7 +159,7 @@
         traffic = replace(self._best.traffic, requests_per_s=rate)
         yield f"{rate:.4g} a second", replace(self._best, traffic=traffic)
 
-    def _plainer_traffic(self) -> Iterator[Candidate]:
+    def _simplified_traffic(self) -> Iterator[Candidate]:
         replace = msgspec.structs.replace
         if self._best.traffic.points:
             yield "steady traffic", replace(self._best, traffic=replace(self._best.traffic, points=()))
@@ -166,7 +168,7 @@
         if self._best.clients.retries:
             yield "no client retries", replace(self._best, clients=replace(self._best.clients, retries=0))
 
-    def _plainer_nodes(self) -> Iterator[Candidate]:
+    def _simplified_nodes(self) -> Iterator[Candidate]:
         replace = msgspec.structs.replace
         if self._best.fleet.limited_racks:
             fleet = replace(self._best.fleet, limited_racks=0.0)
@@ -184,7 +186,7 @@
 
 
 def truncate_script(rehearsal: Rehearsal, end_s: float) -> Rehearsal:
-    """The script up to `end_s`; faults that would last longer end with it."""
+    """Return the script cut off at `end_s`; faults that would last longer end there."""
     replace = msgspec.structs.replace
     faults = []
     for fault in rehearsal.faults:
@@ -204,11 +206,11 @@
     policy: str = "",
     on_progress: Callable[[str], None] = lambda description: None,
 ) -> ShrunkScript:
-    """The smallest script found that breaks the same rule as `rehearsal` does first with this seed.
+    """Return the smallest script found that breaks the rule that `rehearsal` breaks first with this seed.
 
-    `on_progress` is called with a description of each step that was accepted.
+    `on_progress` is called with a description of each accepted step.
 
     Raises:
-        NoBreachError: the script keeps all rules.
+        NoBreachError: The script breaks no rule.
     """
     return Shrinker(rehearsal, seed, policy, on_progress).run()
--- a/heronreel/experiments/sweep.py
+++ b/heronreel/experiments/sweep.py
@@ -1,4 +1,4 @@
-"""Sweeps: plays of a script over seeds, policies and settings, on all cores; a stopped sweep is resumed."""
+"""Plays a script over seeds, policies and settings on all cores; an interrupted sweep can be resumed."""
 
 from __future__ import annotations
 
@@ -24,15 +24,16 @@
 )
 from heronreel.experiments.table import SETTING_PREFIX, ResultRow, ResultsTable
 
-QUEUED_PER_WORKER = 2  # plays submitted for each worker, so that none waits and none is far ahead
+# Plays submitted for each worker: two keep every worker busy without a long queue.
+QUEUED_PER_WORKER = 2
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedPlay:
-    """One play of a sweep, with the key of its row."""
+    """One play of a sweep, with the key of its row in the results table."""
 
     key: str
-    script: str  # digest of the script before the settings
+    script: str  # digest of the script before the settings are applied
     rehearsal: Rehearsal
     policy: str
     seed: int
@@ -42,18 +43,19 @@
 def plan_sweep(
     rehearsal: Rehearsal, seeds: list[int], policies: list[str], settings: list[list[Setting]]
 ) -> list[PlannedPlay]:
-    """Every combination, seeds and policies innermost: plays that are compared run one after another.
+    """Return the plays of all combinations of settings, seeds and policies.
 
-    `settings` has a list for each key, with a setting for each of its values.
+    Seeds and policies vary fastest, so that plays that will be compared run one after another.  `settings`
+    has a list for each key, with one setting for each value of the key.
 
     Raises:
-        InvalidSettingError: a setting does not fit the script, or the plays are too many.
+        InvalidSettingError: A setting does not fit the script, or there are too many plays.
     """
     count = len(seeds) * len(policies)
     for values in settings:
         count *= len(values)
     if count > MAX_PLAYS:
-        raise InvalidSettingError(f"set: {count:,} plays; at most {MAX_PLAYS:,} are played in one sweep")
+        raise InvalidSettingError(f"set: {count:,} plays; the limit of a sweep is {MAX_PLAYS:,}")
     script = script_digest(rehearsal)
     code = code_version()
     plays = []
@@ -68,7 +70,7 @@
 
 
 def run_play(planned: PlannedPlay) -> ResultRow:
-    """Run one play in this process; returns its row of the table."""
+    """Run one play in this process and return its row of the results table."""
     start_s = time.process_time()
     with overridden_constants(planned.settings):
         result = play(planned.rehearsal, planned.seed, planned.policy)
@@ -83,28 +85,29 @@
     plays: list[PlannedPlay],
     folder: Path,
     workers: int,
-    on_progress: Callable[[int, int], None] = lambda done, total: None,
+    on_progress: Callable[[int, int], None] = lambda completed, total: None,
 ) -> int:
-    """Run the plays that the folder has no row of; returns how many were run.
+    """Run the plays that have no row in the folder, and return how many were run.
 
-    `on_progress` is called with the number of plays done, those of earlier sweeps included, and of all.
+    `on_progress` is called with the number of completed plays, including those of earlier
+    sweeps, and the total.
     """
     table = ResultsTable(folder)
     table.prepare()
     done_keys = table.keys()
     remaining = [planned for planned in plays if planned.key not in done_keys]
-    done = len(plays) - len(remaining)
-    on_progress(done, len(plays))
+    completed = len(plays) - len(remaining)
+    on_progress(completed, len(plays))
     for key, row in _run_all(remaining, workers):
         table.add(key, row)
-        done += 1
-        on_progress(done, len(plays))
+        completed += 1
+        on_progress(completed, len(plays))
     table.merge_files()
     return len(remaining)
 
 
 def _run_all(plays: list[PlannedPlay], workers: int) -> Iterator[tuple[str, ResultRow]]:
-    """Keys and rows in the order in which the plays end."""
+    """Run the plays and yield their keys and rows in order of completion."""
     if workers <= 1:
         for planned in plays:
             yield planned.key, run_play(planned)
@@ -114,7 +117,7 @@
 
 def _run_in_processes(plays: list[PlannedPlay], workers: int) -> Iterator[tuple[str, ResultRow]]:
     queue = iter(plays)
-    # spawned, not forked: what this process has loaded can't change a result
+    # Workers are spawned: a forked worker would inherit state of this process that could change results.
     with ProcessPoolExecutor(workers, mp_context=multiprocessing.get_context("spawn")) as pool:
         pending: dict[Future[ResultRow], str] = {}
         try:
--- a/heronreel/experiments/table.py
+++ b/heronreel/experiments/table.py
@@ -1,9 +1,9 @@
-"""Results in a folder of columnar files (Parquet): one file for each play, until they are merged.
+"""Stores results in a folder of Parquet files: one file for each play, until the files are merged.
 
-A play's row is written whole to a temporary file, synced and renamed, so a sweep that is killed in the middle
-of a write leaves no partial row: a file without its final name is never read, and the next sweep deletes it.
-Merging writes one new file in the same way before the small ones are deleted; a row that is in both is the
-same row, by its key.
+The row of a play is written to a temporary file that is synced and renamed, so a sweep that is killed during
+a write leaves no partial row: a file without its final name is never read, and the next sweep deletes it.
+Merging writes one new file in the same way before the small files are deleted.  A row that is in both is
+recognised as the same row by its key.
 """
 
 from __future__ import annotations
@@ -22,35 +22,37 @@
 PART_PREFIX = "part-"
 UNFINISHED_SUFFIX = ".unfinished"
 UNREADABLE_SUFFIX = ".unreadable"
-FORMAT_VERSION = 1  # of the columns; any other is rejected
+# Version of the columns; files of any other version are rejected.
+FORMAT_VERSION = 1
 FORMAT_KEY = "heronreel.format"
-SETTING_PREFIX = "set "  # of the columns that hold settings
+# Prefix of the names of columns that hold settings.
+SETTING_PREFIX = "set "
 
 ResultRow = dict[str, Any]
-"""A play's row, by column."""
+"""The row of one play, by column name."""
 
 
 class ResultsTable:
-    """The rows of a folder of results; one process writes at a time."""
+    """The result rows in a folder; only one process may write at a time."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
 
     def prepare(self) -> None:
-        """Create the folder, and delete what a killed sweep left unfinished."""
+        """Create the folder and delete unfinished files of a killed sweep."""
         self.folder.mkdir(parents=True, exist_ok=True)
         for path in self.folder.glob(f"*{UNFINISHED_SUFFIX}"):
             path.unlink()
 
     def add(self, key: str, row: ResultRow) -> None:
-        """Write one row durably, to a file of its own."""
+        """Write one row durably to a separate file."""
         self._write(self.folder / f"{PART_PREFIX}{key}.parquet", [{"key": key, **row}])
 
     def rows(self) -> list[ResultRow]:
-        """All rows by key; one that is in two files only once.
+        """Return all rows, ordered by key; a row that is in two files is returned once.
 
         Raises:
-            UnreadableResultsError: a file can't be read.
+            UnreadableResultsError: A file cannot be read.
         """
         by_key: dict[str, ResultRow] = {}
         for path in self._files():
@@ -59,7 +61,10 @@
         return [by_key[key] for key in sorted(by_key)]
 
     def keys(self) -> set[str]:
-        """Keys of the plays that are done.  A file that can't be read is renamed; its plays aren't done."""
+        """Return the keys of the completed plays.
+
+        A file that cannot be read is renamed, and its plays count as not completed.
+        """
         keys: set[str] = set()
         for path in self._files():
             try:
@@ -69,7 +74,7 @@
         return keys
 
     def merge_files(self) -> int:
-        """Merge all rows into one file; returns their number."""
+        """Merge all rows into one file and return their number."""
         parts = [path for path in self._files() if path.name != MERGED_FILE]
         rows = self.rows()
         if parts:
@@ -84,7 +89,7 @@
         return [merged, *parts] if merged.exists() else parts
 
     def _write(self, path: Path, rows: Iterable[ResultRow]) -> None:
-        """Write a file so that it is there whole or not at all."""
+        """Write a file atomically: it either exists completely or not at all."""
         rows = list(rows)
         names = list(dict.fromkeys(name for row in rows for name in row))
         columns = {name: [row.get(name) for row in rows] for name in names}
@@ -106,7 +111,7 @@
 
 
 def row_label(row: Mapping[str, Any]) -> str:
-    """The policy and the settings of a row, as shown in reports."""
+    """Return the policy and the settings of a row in the form shown in reports."""
     settings = [
         f"{column.removeprefix(SETTING_PREFIX)}={value}"
         for column, value in row.items()
@@ -116,10 +121,10 @@
 
 
 def read_file(path: Path) -> list[ResultRow]:
-    """The rows of one file.
+    """Return the rows of one file.
 
     Raises:
-        UnreadableResultsError: it is no such file, or of another format version.
+        UnreadableResultsError: The file is not a results file, or has another format version.
     """
     try:
         table = pq.read_table(path)
@@ -127,16 +132,18 @@
         raise UnreadableResultsError(f"{path}: {error}") from None
     version = int((table.schema.metadata or {}).get(FORMAT_KEY.encode(), b"0"))
     if version != FORMAT_VERSION:
-        raise UnreadableResultsError(f"{path}: format {version}, and this program reads {FORMAT_VERSION}")
+        raise UnreadableResultsError(
+            f"{path}: format version {version}; this program reads version {FORMAT_VERSION}"
+        )
     rows: list[ResultRow] = table.to_pylist()
     return rows
 
 
 def read_results(path: Path) -> list[ResultRow]:
-    """The rows of a folder of results, or of one file.
+    """Return the rows of a results folder or of one results file.
 
     Raises:
-        UnreadableResultsError: there is none, or a file can't be read.
+        UnreadableResultsError: The path does not exist, or a file cannot be read.
     """
     if path.is_dir():
         return ResultsTable(path).rows()
--- a/tests/experiments/__init__.py
+++ b/tests/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the experiment tool."""
+"""Tests of sweeps, comparisons, reports and script reduction."""
--- a/tests/experiments/scripts.py
+++ b/tests/experiments/scripts.py
@@ -1,4 +1,4 @@
-"""The script that tests of the experiment tool play."""
+"""A small script that the tests of the experiment tool play."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def script_file(folder: Path, **changes: object) -> Path:
-    """Write SMALL with these changes to a file of the folder."""
+    """Write SMALL with these changes to a file in the folder and return its path."""
     path = folder / "script.toml"
     path.write_text(script_to_toml(msgspec.structs.replace(SMALL, **changes)))
     return path
--- a/tests/experiments/test_identity.py
+++ b/tests/experiments/test_identity.py
@@ -1,4 +1,4 @@
-"""Tests of keys of plays, seeds and settings."""
+"""Tests of play keys, and of the parsing of seeds and settings."""
 
 from __future__ import annotations
 
@@ -29,23 +29,25 @@
 
 def test_settings_apply_to_the_script_and_to_constants_and_are_restored() -> None:
     script = msgspec.structs.replace(SMALL, faults=(Fault(fault_kind="slow", at_s=0.5, for_s=1.0, size=3.0),))
-    one = apply_settings(
+    changed = apply_settings(
         script,
         (Setting("proxies.idle_ms", 9000), Setting("troubles.0.size", 5), Setting("list.lines_per_s", 9)),
     )
     assert (
-        one.proxies.idle_ms == 9000.0 and one.faults[0].size == 5.0 and one.endpoint_list.entries_per_s == 9.0
+        changed.proxies.idle_ms == 9000.0
+        and changed.faults[0].size == 5.0
+        and changed.endpoint_list.entries_per_s == 9.0
     )
-    before = subset.PROXIES_PER_BACKEND
+    original = subset.PROXIES_PER_BACKEND
     with overridden_constants((Setting("heronreel.balancer.subset.KEPT_BY", 77),)):
         assert subset.PROXIES_PER_BACKEND == 77
-    assert before == subset.PROXIES_PER_BACKEND
-    for text, words in (
-        ("proxies.idel_ms=3", "lost at 'idel_ms'"), ("troubles.7.size=2", "lost at '7'"),
-        ("proxies.idle_ms=fast", "idle_ms"), ("heronreel.balancer.subset.NONE=3", "no number"),
+    assert original == subset.PROXIES_PER_BACKEND
+    for text, message in (
+        ("proxies.idel_ms=3", "no such key: 'idel_ms'"), ("troubles.7.size=2", "no such key: '7'"),
+        ("proxies.idle_ms=fast", "idle_ms"), ("heronreel.balancer.subset.NONE=3", "no numeric constant"),
         ("heronreel.balancer.nowhere.NONE=3", "no module"), ("proxies.idle_ms", "KEY=A,B,C"),
     ):  # fmt: skip
-        with pytest.raises(InvalidSettingError, match=words):
+        with pytest.raises(InvalidSettingError, match=message):
             for setting in parse_settings(text):
                 apply_settings(script, (setting,))
     assert parse_seeds("1..3,7,2") == [1, 2, 3, 7]
--- a/tests/experiments/test_renamed_constants.py
+++ b/tests/experiments/test_renamed_constants.py
@@ -1,4 +1,4 @@
-"""Settings of `rehearse --set` under the names that constants had up to version 0.2.0."""
+"""Tests that `rehearse --set` accepts the names that constants had up to version 0.2.0."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 from heronreel.experiments.renamed import RENAMED_CONSTANTS
 from tests.experiments.scripts import SMALL
 
-# every number that the modules of then had, with its value now, but the place of a heap (choice.REST) that no
-# rehearsal could change, and the growth of waits while the list service is down, which is gone
+# All numeric constants of version 0.2.0 by their names then, with their current values.  Two are left out:
+# choice.REST, a heap index that no rehearsal could change, and asking.GONE_GROWTH, the backoff growth while
+# the list service is down, which no longer exists.
 VALUES = {
     "choice.PERIOD_MS": 200.0,
     "choice.BASE_MS": 10.0,
@@ -84,7 +85,7 @@
 }
 
 
-def current(key: str) -> float:
+def current_value(key: str) -> float:
     module, name = RENAMED_CONSTANTS.get(key, key).split(".")
     value = getattr(importlib.import_module(f"heronreel.balancer.{module}"), name)
     assert isinstance(value, int | float)
@@ -93,27 +94,27 @@
 
 @pytest.mark.parametrize("package", ["flintplank", "heronreel.balancer"])
 @pytest.mark.parametrize("key", VALUES)
-def test_an_old_name_sets_the_current_constant_and_restores_it(key: str, package: str) -> None:
-    before = current(key)
-    assert before == VALUES[key]
+def test_an_earlier_name_overrides_the_renamed_constant_and_restores_it(key: str, package: str) -> None:
+    original = current_value(key)
+    assert original == VALUES[key]
     (setting,) = parse_settings(f"{package}.{key}=7")
     assert apply_settings(SMALL, (setting,)) == SMALL
     with overridden_constants((setting,)):
-        assert current(key) == 7
-    assert current(key) == before
+        assert current_value(key) == 7
+    assert current_value(key) == original
 
 
-def test_current_names_are_valid_as_well() -> None:
+def test_current_names_are_accepted() -> None:
     for key in RENAMED_CONSTANTS.values():
         with overridden_constants((Setting(f"heronreel.balancer.{key}", 3),)):
-            assert current(key) == 3
+            assert current_value(key) == 3
 
 
-def test_a_constant_that_is_gone_is_rejected_and_not_passed_over() -> None:
+def test_a_removed_constant_is_rejected_and_not_ignored() -> None:
     with pytest.raises(InvalidSettingError, match="no module"):
         apply_settings(SMALL, (Setting("flintplank.asking.GONE_GROWTH", 1),))
 
 
-def test_an_unknown_name_is_rejected() -> None:
+def test_an_unknown_constant_name_is_rejected() -> None:
     with pytest.raises(InvalidSettingError, match="no module"):
         apply_settings(SMALL, (Setting("flintplank.asking.NONE", 1),))
--- a/tests/experiments/test_shrink.py
+++ b/tests/experiments/test_shrink.py
@@ -1,4 +1,4 @@
-"""Tests of the reduction of failing scripts."""
+"""Tests of reducing failing scripts."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.support.rehearsals import rehearsal
 
 
-def test_a_failing_script_is_shrunk_to_what_breaks_the_rule() -> None:
-    """Of seven faults one makes a policy that is careless about drains break the rule."""
+def test_a_failing_script_is_shrunk_to_the_fault_that_breaks_the_rule() -> None:
+    """Only one of the seven faults makes the policy that ignores drains break the rule."""
     faults = (
         Fault(fault_kind="slow", at_s=0.5, for_s=2.0, share=0.3, size=4.0),
         Fault(fault_kind="errors", at_s=1.0, for_s=2.0, share=0.3, size=0.3),
@@ -28,9 +28,9 @@
     script = rehearsal(12, 4, 0.5, 8.0, faults=faults)
     shrunk = shrink(script, 3, "careless-drain")
     assert shrunk.rule == "drain" and [fault.fault_kind for fault in shrunk.rehearsal.faults] == ["drain"]
-    small = shrunk.rehearsal
-    assert small.fleet.nodes < 12 and small.proxies.count < 4 and small.seconds < 8.0
-    again = play(load_script(script_to_toml(small).encode()), 3, "careless-drain")
-    assert again.breach_counts["drain"] and again.breaches[0]["at_ms"] == shrunk.at_ms
+    smallest = shrunk.rehearsal
+    assert smallest.fleet.nodes < 12 and smallest.proxies.count < 4 and smallest.seconds < 8.0
+    replayed = play(load_script(script_to_toml(smallest).encode()), 3, "careless-drain")
+    assert replayed.breach_counts["drain"] and replayed.breaches[0]["at_ms"] == shrunk.at_ms
     with pytest.raises(NoBreachError, match="breaks no rule"):
         shrink(SMALL, 1)
--- a/tests/experiments/test_sweep.py
+++ b/tests/experiments/test_sweep.py
@@ -1,4 +1,4 @@
-"""Tests of sweeps: resumed after a stop or a kill, with the same results from any number of workers."""
+"""Tests that sweeps resume after an interruption and that results do not depend on the number of workers."""
 
 from __future__ import annotations
 
@@ -40,43 +40,43 @@
 from heronreel.emulator.script_loader import load_script
 from heronreel.experiments.sweep import plan_sweep, run_sweep
 plays = plan_sweep(load_script(Path(sys.argv[1]).read_bytes()), list(range(1, 13)), ["heronreel"], [])
-print("played", run_sweep(plays, Path(sys.argv[2]), 1, lambda done, of: print(done, flush=True)))
+print("played", run_sweep(plays, Path(sys.argv[2]), 1, lambda completed, total: print(completed, flush=True)))
 """
 
 
 def test_a_sweep_killed_during_a_write_loses_only_unfinished_plays(tmp_path: Path) -> None:
-    """Killed outright twice, with a half-written file left behind each time."""
+    """The sweep is killed twice with SIGKILL, and a partially written file is left each time."""
     path, out = script_file(tmp_path), tmp_path / "out"
     command = [sys.executable, "-c", SWEEP, str(path), str(out)]
     environment = {**os.environ, "PYTHONPATH": str(ROOT)}
-    before: set[str] = set()
-    for wanted in (2, 5):
+    previous_keys: set[str] = set()
+    for min_plays in (2, 5):
         with subprocess.Popen(command, env=environment, stdout=subprocess.PIPE, text=True) as process:
             assert process.stdout
-            while int(process.stdout.readline()) < wanted:
+            while int(process.stdout.readline()) < min_plays:
                 pass
             process.send_signal(signal.SIGKILL)
-        (out / f"part-torn{wanted}.parquet.1.unfinished").write_bytes(b"PAR1 and half a row")
-        there = ResultsTable(out).keys()
-        assert before <= there and wanted <= len(there) < 12
-        before = there
-    done = subprocess.run(command, env=environment, capture_output=True, check=True, text=True)
-    assert done.stdout.splitlines()[-1] == f"played {12 - len(before)}"
+        (out / f"part-torn{min_plays}.parquet.1.unfinished").write_bytes(b"PAR1 and a partial row")
+        stored_keys = ResultsTable(out).keys()
+        assert previous_keys <= stored_keys and min_plays <= len(stored_keys) < 12
+        previous_keys = stored_keys
+    completed = subprocess.run(command, env=environment, capture_output=True, check=True, text=True)
+    assert completed.stdout.splitlines()[-1] == f"played {12 - len(previous_keys)}"
     assert len(read_results(out)) == 12 and not list(out.glob("*.unfinished"))
 
 
-def test_an_unreadable_results_file_is_set_aside_and_its_play_run_again(tmp_path: Path) -> None:
+def test_an_unreadable_results_file_is_renamed_and_its_play_run_again(tmp_path: Path) -> None:
     plays = plan_sweep(SMALL, [1, 2], ["random"], [])
     run_sweep(plays[:1], tmp_path, 1)
-    (tmp_path / f"part-{plays[1].key}.parquet").write_bytes(b"no parquet at all")
+    (tmp_path / f"part-{plays[1].key}.parquet").write_bytes(b"not a Parquet file")
     with pytest.raises(UnreadableResultsError, match=plays[1].key):
         read_results(tmp_path)
     assert run_sweep(plays, tmp_path, 1) == 1
     assert len(read_results(tmp_path)) == 2 and len(list(tmp_path.glob("*.unreadable"))) == 1
 
 
-def test_files_merged_twice_hold_each_play_once(tmp_path: Path) -> None:
-    """Killed between writing the gathered file and taking the small ones away: both have the same rows."""
+def test_repeated_merging_keeps_one_row_for_each_play(tmp_path: Path) -> None:
+    """A sweep killed after writing the merged file and before deleting the others leaves rows in both."""
     table = ResultsTable(tmp_path)
     table.prepare()
     for number in range(4):
@@ -88,14 +88,15 @@
     assert len(table.rows()) == 4 and table.merge_files() == 4
 
 
-def test_many_workers_have_the_results_of_one_process(tmp_path: Path) -> None:
+def test_results_with_several_workers_equal_those_of_one_process(tmp_path: Path) -> None:
     plays = plan_sweep(SMALL, [1, 2], ["heronreel"], [parse_settings("flintplank.subset.KEPT_BY=1,13")])
-    run_sweep(plays, tmp_path / "many", 2)
-    run_sweep(plays, tmp_path / "one", 1)
-    many, one = (
-        {row["key"]: row["digest"] for row in read_results(tmp_path / name)} for name in ("many", "one")
+    run_sweep(plays, tmp_path / "parallel", 2)
+    run_sweep(plays, tmp_path / "serial", 1)
+    parallel, serial = (
+        {row["key"]: row["digest"] for row in read_results(tmp_path / name)}
+        for name in ("parallel", "serial")
     )
-    assert many == one and len(many) == 4
+    assert parallel == serial and len(parallel) == 4
 
 
 def test_a_row_holds_the_metrics_of_its_play() -> None:
