--- a/bench/duty/request.py
+++ b/bench/duty/request.py
@@ -76,11 +76,12 @@
     parser.add_argument(
         "--play", nargs="+", metavar="NAME", choices=[*plays.PLAY_BY_NAME, ALL_PLAYS],
         default=list(plays.DEFAULT_PLAYS),
-        help=f"{', '.join(plays.PLAY_BY_NAME)}, or all; default: {' and '.join(plays.DEFAULT_PLAYS)}",
+        help=f"{', '.join(plays.PLAY_BY_NAME)}, all; default: {' and '.join(plays.DEFAULT_PLAYS)}",
     )  # fmt: skip
     parser.add_argument("--seeds", type=parse_seeds, default=(), help="seeds of the brink panel: 501,502")
     parser.add_argument(
-        "--deployment", choices=[deployment.value for deployment in Deployments], default=Deployments.FIRST.value,
+        "--deployment", choices=[deployment.value for deployment in Deployments],
+        default=Deployments.FIRST.value,
         help="all: also run the brink panel on the other deployments",
     )  # fmt: skip
     parser.add_argument(
