--- a/heronreel/realtime/__init__.py
+++ b/heronreel/realtime/__init__.py
@@ -1,1 +1,1 @@
-"""The second engine: plays a rehearsal script over real sockets with real proxy processes."""
+"""The real-time engine: runs a rehearsal script over loopback sockets with real proxy processes."""
--- a/heronreel/realtime/clock.py
+++ b/heronreel/realtime/clock.py
@@ -1,4 +1,7 @@
-"""The emulator's event queue on the wall clock, stretched: `scale` real ms for each ms of the rehearsal."""
+"""The emulator's event queue driven by the wall clock.
+
+Time is stretched by `scale`, the number of real milliseconds for each millisecond of the rehearsal.
+"""
 
 from __future__ import annotations
 
@@ -14,48 +17,55 @@
 
 
 class WallClockEventQueue(EventQueue):
-    """Runs events when they are due.  Callbacks from sockets call `update` before they read `now`."""
+    """Runs events when they are due by the wall clock.
+
+    Socket callbacks must call `update` before they read `now`, because `now` does not advance by itself.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, scale: float) -> None:
         super().__init__()
         self.loop, self.scale = loop, scale
-        self.max_lateness_ms = 0.0  # that an event was run after its time
-        self._started_at = NOT_SET  # of the loop's clock, s
-        self._handle: asyncio.TimerHandle | None = None
-        self._armed_for = NOT_SET
+        # The longest delay between the time for which an event was scheduled and the time when it ran.
+        self.max_lateness_ms = 0.0
+        # The time of the event loop's clock at the rehearsal's time 0, in seconds.
+        self._started_at_s = NOT_SET
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_due_ms = NOT_SET
         self._running = False
 
     def start(self) -> None:
-        """Let the time run from 0."""
-        self._started_at = self.loop.time()
-        self._arm()
+        """Start the clock at time 0 of the rehearsal."""
+        self._started_at_s = self.loop.time()
+        self._set_timer()
 
     def update(self) -> float:
-        """Bring `now` up to the wall clock, and return it."""
-        if self._started_at != NOT_SET:
-            elapsed_ms = (self.loop.time() - self._started_at) * MS_PER_S / self.scale
+        """Advance `now` to the wall clock's time and return it.  `now` never decreases."""
+        if self._started_at_s != NOT_SET:
+            elapsed_ms = (self.loop.time() - self._started_at_s) * MS_PER_S / self.scale
             self.now = max(self.now, elapsed_ms)
         return self.now
 
     def schedule(self, when: float, callback: Callable[..., object], *args: Any) -> None:
-        """Run `callback(*args)` at `when`, or as soon as possible if that has passed."""
+        """Run `callback(*args)` at `when`, or as soon as possible if `when` has passed."""
         super().schedule(when, callback, *args)
         if not self._running:
-            self._arm()
+            self._set_timer()
 
-    def _arm(self) -> None:
-        if not self.pending or self._started_at == NOT_SET:
+    def _set_timer(self) -> None:
+        if not self.pending or self._started_at_s == NOT_SET:
             return
-        first = self.pending[0][0]
-        if self._handle is not None and self._armed_for <= first:
+        next_due_ms = self.pending[0][0]
+        if self._timer is not None and self._timer_due_ms <= next_due_ms:
             return
-        if self._handle is not None:
-            self._handle.cancel()
-        self._armed_for = first
-        self._handle = self.loop.call_at(self._started_at + first * self.scale / MS_PER_S, self._run_due)
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer_due_ms = next_due_ms
+        self._timer = self.loop.call_at(
+            self._started_at_s + next_due_ms * self.scale / MS_PER_S, self._run_due
+        )
 
     def _run_due(self) -> None:
-        self._handle, self._armed_for, self._running = None, NOT_SET, True
+        self._timer, self._timer_due_ms, self._running = None, NOT_SET, True
         try:
             while self.pending and self.pending[0][0] <= self.update():
                 when, _, callback, args = heappop(self.pending)
@@ -64,12 +74,12 @@
                 callback(*args)
         finally:
             self._running = False
-            self._arm()
+            self._set_timer()
 
     def stop(self) -> None:
-        """Drop what is scheduled and stop the time."""
+        """Discard all scheduled events and stop the clock."""
         self.pending.clear()
-        if self._handle is not None:
-            self._handle.cancel()
-            self._handle = None
-        self._started_at = NOT_SET
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+        self._started_at_s = NOT_SET
--- a/heronreel/realtime/engine.py
+++ b/heronreel/realtime/engine.py
@@ -1,4 +1,7 @@
-"""The engine: the same script, cluster, nodes and scoring, on real sockets and real proxy processes."""
+"""Runs a rehearsal over real sockets and proxy processes.
+
+The script, the cluster, the models of the nodes and the scoring are those of the virtual-time emulator.
+"""
 
 from __future__ import annotations
 
@@ -19,18 +22,30 @@
 from heronreel.realtime.process_proxy import ProcessProxy
 from heronreel.realtime.runtime import MAX_REQUESTS, Runtime
 
-MAX_PROXIES, MAX_NODES = 16, 64
-MAX_REAL_SECONDS = 600.0  # traffic on loopback is bounded
+# Limits that bound the traffic on the loopback interface.
+MAX_PROXIES = 16
+MAX_NODES = 64
+MAX_REAL_TIME_S = 600.0
+
 LAUNCH_TIMEOUT_S = 60.0
-MAX_POLL_S, POLLS_PER_SECOND = 0.25, 4.0  # how often the end of a play is looked for
-Progress = Callable[[float], None]
+
+# The engine checks this often whether the rehearsal is over.
+MAX_POLL_INTERVAL_S = 0.25
+POLLS_PER_REHEARSAL_SECOND = 4.0
+
+MS_PER_S = 1000.0
+
+ProgressCallback = Callable[[float], None]
 
 
 class RealTimeEngine:
-    """One play, within a running loop.  `scale`: real ms for each ms of the script."""
+    """Runs one rehearsal within a running event loop.
+
+    `scale` is the number of real milliseconds for each millisecond of the script.
+    """
 
     def __init__(self, rehearsal: Rehearsal, seed: int, scale: float, folder: Path) -> None:
-        """`folder` gets the configurations and logs of the processes."""
+        """Prepare the simulation; the processes write their configurations and logs below `folder`."""
         self.rehearsal = rehearsal
         self.runtime = Runtime(asyncio.get_running_loop(), scale, folder)
         self.clock = self.runtime.clock
@@ -42,21 +57,27 @@
         self.simulation.cluster.on_process_started = self._node_started
 
     def _node_started(self, node: Node) -> None:
-        """Listen at the node's address, a new one for a new node."""
+        """Listen at the address of the node; a node without a server gets one at a new address."""
         if node.ident not in self.servers:
             server = NodeServer(self.runtime, self.simulation.cluster, node)
             self.servers[node.ident] = self.runtime.nodes[node.ident] = server
         self.servers[node.ident].listen()
 
-    async def play(self, progress: Progress | None = None) -> Result:
-        """Play it; `progress` gets the share of the time that is over.  Raises TimeoutError."""
+    async def play(self, progress: ProgressCallback | None = None) -> Result:
+        """Run the rehearsal and return its result.
+
+        `progress` is called with the share of the rehearsal's duration that has passed, from 0 to 1.
+
+        Raises:
+            TimeoutError: a proxy process did not become healthy in time.
+        """
         try:
             for node in self.simulation.fleet.nodes:
                 self._node_started(node)
-            self.runtime.epoch_unix_ms = time.time() * 1000.0
+            self.runtime.epoch_unix_ms = time.time() * MS_PER_S
             async with asyncio.timeout(LAUNCH_TIMEOUT_S):
                 await asyncio.gather(*(proxy.launch() for proxy in self.proxies))
-            self.runtime.epoch_unix_ms = time.time() * 1000.0
+            self.runtime.epoch_unix_ms = time.time() * MS_PER_S
             self.clock.start()
             faults = self.simulation.begin()
             await self._wait_until_over(progress)
@@ -65,14 +86,16 @@
         finally:
             await self._stop()
 
-    async def _wait_until_over(self, progress: Progress | None) -> None:
-        poll_s = min(MAX_POLL_S, SECOND_MS * self.clock.scale / (POLLS_PER_SECOND * 1000.0))
+    async def _wait_until_over(self, progress: ProgressCallback | None) -> None:
+        poll_interval_s = min(
+            MAX_POLL_INTERVAL_S, SECOND_MS * self.clock.scale / (POLLS_PER_REHEARSAL_SECOND * MS_PER_S)
+        )
         while not self.simulation.is_over():
-            await asyncio.sleep(poll_s)
+            await asyncio.sleep(poll_interval_s)
             now = self.clock.update()
             if progress is not None:
                 progress(min(1.0, now / self.rehearsal.duration_ms))
-        await asyncio.sleep(SETTLE_MS * self.clock.scale / 1000.0)
+        await asyncio.sleep(SETTLE_MS * self.clock.scale / MS_PER_S)
 
     async def _stop(self) -> None:
         self.runtime.stopping = True
@@ -84,18 +107,20 @@
 
 
 def play_over_sockets(
-    rehearsal: Rehearsal, seed: int, scale: float = 1.0, progress: Progress | None = None
+    rehearsal: Rehearsal, seed: int, scale: float = 1.0, progress: ProgressCallback | None = None
 ) -> tuple[Result, list[str]]:
-    """Play a script on loopback; the result, and what went wrong with the processes themselves.
+    """Run a script over loopback; return the result and the failures of processes and tasks.
 
-    Raises UnplayableScriptError and TimeoutError.
+    Raises:
+        UnplayableScriptError: the script exceeds a limit of this engine.
+        TimeoutError: a proxy process did not become healthy in time.
     """
     _check_size(rehearsal, scale)
     return asyncio.run(_play(rehearsal, seed, scale, progress))
 
 
 async def _play(
-    rehearsal: Rehearsal, seed: int, scale: float, progress: Progress | None
+    rehearsal: Rehearsal, seed: int, scale: float, progress: ProgressCallback | None
 ) -> tuple[Result, list[str]]:
     with tempfile.TemporaryDirectory(prefix="rehearsal-") as folder:
         engine = RealTimeEngine(rehearsal, seed, scale, Path(folder))
@@ -105,11 +130,13 @@
 
 def _check_size(rehearsal: Rehearsal, scale: float) -> None:
     requests = rehearsal.traffic.requests_per_s * rehearsal.seconds
-    for what, count, limit in (
+    for quantity, count, limit in (
         ("nodes", rehearsal.fleet.nodes, MAX_NODES),
         ("proxies", rehearsal.proxies.count, MAX_PROXIES),
         ("requests", int(requests), MAX_REQUESTS),
-        ("seconds of real time", int(rehearsal.seconds * scale), int(MAX_REAL_SECONDS)),
+        ("seconds of real time", int(rehearsal.seconds * scale), int(MAX_REAL_TIME_S)),
     ):
         if count > limit:
-            raise UnplayableScriptError(f"{count:,} {what}: at most {limit:,} are played over real sockets")
+            raise UnplayableScriptError(
+                f"the script has {count:,} {quantity}: at most {limit:,} can be run over real sockets"
+            )
--- a/heronreel/realtime/errors.py
+++ b/heronreel/realtime/errors.py
@@ -4,8 +4,8 @@
 
 
 class RealTimeError(Exception):
-    """Base of all errors of this package."""
+    """Base class of all errors of this package."""
 
 
 class UnplayableScriptError(RealTimeError, ValueError):
-    """A script that the real-time engine can't play; one line."""
+    """The script exceeds a limit of the real-time engine.  The message is a single line."""
--- a/heronreel/realtime/list_call.py
+++ b/heronreel/realtime/list_call.py
@@ -1,4 +1,4 @@
-"""The endpoint list service's side of a proxy process: its calls, and the list as the protocol has it."""
+"""The server side of the endpoint list protocol: calls of proxy processes, and the encoding of lists."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from heronreel.realtime.runtime import Runtime
 from heronreel.stubs.http_peer import HttpPeer
 
-STATUSES = {
+ENDPOINT_STATUSES = {
     EndpointState.UP: "active",
     EndpointState.LEAVING: "leaving",
     EndpointState.LEFT: "left",
@@ -20,7 +20,7 @@
 
 
 class ListCall(HttpPeer):
-    """One call of a proxy process to the list service."""
+    """A connection on which a proxy process calls the list service."""
 
     parser: httptools.HttpRequestParser
 
@@ -32,33 +32,33 @@
         self.is_stream = self.has_response = False
 
     def on_url(self, url: bytes) -> None:
-        """Called by the parser."""
+        """Collect the request's URL; called by the parser."""
         self.url += url
 
     def on_message_complete(self) -> None:
-        """Called by the parser: a whole request is here."""
+        """Handle a complete request; called by the parser."""
         self.has_response = False
         self.is_stream = b"stream=1" in self.url
         self.url = b""
         self.on_call(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The proxy's process has closed it, or is gone."""
+        """Handle the loss of the connection: the proxy process closed it or exited."""
         super().connection_lost(error)
         self.on_closed(self)
 
     def begin_stream(self) -> None:
-        """Write the head of a streamed response."""
+        """Mark the call as answered; write the response's header if the response is a stream."""
         self.has_response = True
         if self.is_stream and self.transport:
             self.transport.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n")
 
     def write(self, message: dict[str, Any]) -> None:
-        """Write a message: a line of the stream, or the whole response."""
+        """Write a message as a line of the stream or, for a single call, as the whole response."""
         self._write_line(json.dumps(message).encode() + b"\n")
 
     def write_heartbeat(self) -> None:
-        """Write an empty line."""
+        """Write an empty line, which keeps the stream alive."""
         self._write_line(b"\n")
 
     def _write_line(self, line: bytes) -> None:
@@ -70,7 +70,7 @@
             self.transport.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%b" % (len(line), line))
 
     def refuse(self) -> None:
-        """Respond that the service has too many calls."""
+        """Respond with status 503: the service has too many calls."""
         if self.transport:
             self.transport.write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
 
@@ -83,7 +83,11 @@
 def list_message(
     runtime: Runtime, index: int, is_snapshot: bool, endpoints: list[Endpoint]
 ) -> dict[str, Any]:
-    """A message of the list's protocol; start times are Unix times on the stretched clock."""
+    """Return a message of the list protocol.
+
+    Start times are Unix times in milliseconds, stretched by the clock's scale; 0 stands for an endpoint that
+    was running from the start.
+    """
     rows = []
     for endpoint in endpoints:
         host, port = runtime.nodes[endpoint.ident].address
@@ -95,7 +99,7 @@
                 "zone": endpoint.zone,
                 "type": endpoint.kind,
                 "group": endpoint.rack,
-                "status": STATUSES[endpoint.state],
+                "status": ENDPOINT_STATUSES[endpoint.state],
                 "weight": 1.0,
                 "since_ms": started_ms if endpoint.started_at else 0.0,
             }
--- a/heronreel/realtime/node_server.py
+++ b/heronreel/realtime/node_server.py
@@ -1,8 +1,8 @@
-"""The emulator's nodes as servers on loopback: HTTP/1.1 outside, the same model inside.
+"""Serves the emulator's nodes over HTTP/1.1 on loopback; the model of a node is that of the emulator.
 
-Latency between zones is added on the way in and out, since loopback has none; a handshake's round trips
-count on a connection's first request.  What loopback can't show: packets that vanish, so a silent node's
-connections come up and say nothing.
+Loopback has no latency, so the latency between zones is added to requests and responses.  The round trips of
+a handshake are added to the first request of a connection.  Loopback cannot lose packets, so connections to
+a silent node are established but never answered.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class NodeAttempt:
-    """One attempt that has come to a node: what the model's jobs belong to."""
+    """An attempt that has arrived at a node; the jobs of the node's model refer to it."""
 
     __slots__ = ("connection", "node", "number", "request")
 
@@ -40,7 +40,7 @@
 
 
 class NodeConnection(HttpPeer):
-    """A proxy's connection to a node's process."""
+    """A connection of a proxy to a node's process, which carries one attempt at a time."""
 
     parser: httptools.HttpRequestParser
 
@@ -54,10 +54,10 @@
         self.headers: dict[bytes, bytes] = {}
         self.is_first_request = True
         self.over_limit = False
-        self.attempt: NodeAttempt | None = None  # in flight
+        self.attempt: NodeAttempt | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the connection; beyond the node's limit its first request is rejected."""
+        """Count the connection; requests on a connection beyond the node's limit are rejected."""
         super().connection_made(transport)
         node = self.node
         self.runtime.clock.update()
@@ -67,7 +67,7 @@
         self.server.connections.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The proxy has closed it, or the node's process is gone."""
+        """End the attempt in flight: the proxy closed the connection or the node's process stopped."""
         super().connection_lost(error)
         self.server.connections.discard(self)
         if self.incarnation == self.node.incarnation:
@@ -80,15 +80,15 @@
             self.context.invariants.attempt_ended(attempt.request.ident, attempt.number, never_ran)
 
     def on_message_begin(self) -> None:
-        """Called by the parser."""
+        """Reset the headers for a new request; called by the parser."""
         self.headers = {}
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Called by the parser."""
+        """Collect a header; called by the parser."""
         self.headers[name.lower()] = value
 
     def on_message_complete(self) -> None:
-        """Called by the parser: a whole request is here."""
+        """Schedule the arrival of a complete request at the node; called by the parser."""
         now = self.runtime.clock.update()
         request = self.runtime.requests.get(self.headers.get(b"x-request-id", b""))
         if request is None:
@@ -102,10 +102,10 @@
         if self.over_limit:
             events.schedule(now + 2.0 * latency, self.respond, attempt, Outcome.REJECTED)
             return
-        trips = 1.0 + 2.0 * node.kind.handshake_rtts if self.is_first_request else 1.0
+        one_way_trips = 1.0 + 2.0 * node.kind.handshake_rtts if self.is_first_request else 1.0
         handshake_work = node.kind.handshake_ms if self.is_first_request else 0.0
         self.is_first_request = False
-        events.schedule(now + trips * latency, self._reach_node, attempt, handshake_work)
+        events.schedule(now + one_way_trips * latency, self._reach_node, attempt, handshake_work)
 
     def _record_attempt(self, attempt: NodeAttempt, now: float) -> None:
         request, node, meter = attempt.request, self.node, self.context.scoring.meter
@@ -117,7 +117,7 @@
             meter.crossings += 1
 
     def _reach_node(self, attempt: NodeAttempt, handshake_work: float) -> None:
-        """As `Proxy` does in virtual time."""
+        """Deliver an attempt to the node's model, under the same faults as `Proxy` in virtual time."""
         context, node, proxy = self.context, self.node, attempt.request.proxy
         if self.transport is None or node.silent or not context.network.reachable(proxy.zone, node.zone):
             return
@@ -133,7 +133,7 @@
             proxy.send_response(attempt, outcome)
 
     def respond(self, attempt: NodeAttempt, outcome: Outcome) -> None:
-        """Write the response of an attempt, unless the proxy has given it up."""
+        """Write the response to an attempt, unless the proxy has abandoned the attempt."""
         if self.attempt is not attempt or self.transport is None:
             return
         self._end_attempt(never_ran=outcome is Outcome.REJECTED)
@@ -150,7 +150,7 @@
 
 
 class NodeServer:
-    """One node's address; its process may end and come up again there."""
+    """Listens at the address of a node, which stays the same when the node's process restarts."""
 
     def __init__(self, runtime: Runtime, cluster: Cluster, node: Node) -> None:
         self.runtime, self.cluster, self.node = runtime, cluster, node
@@ -159,7 +159,7 @@
         self.address: SocketAddress = ("127.0.0.1", 0)
 
     def listen(self) -> None:
-        """Bound and listening at once; accepted from as soon as the loop comes to it."""
+        """Bind and listen immediately; connections are accepted once the event loop runs `_serve`."""
         listener = socket.create_server(self.address, backlog=LISTEN_BACKLOG)
         self.address = listener.getsockname()
         self.runtime.spawn(self._serve(listener))
@@ -170,7 +170,7 @@
             self.server.close()
 
     def process_stopped(self) -> None:
-        """Refuse connections, and reset those that are open."""
+        """Refuse new connections and reset open ones."""
         if self.server is not None:
             self.server.close()
             self.server = None
--- a/heronreel/realtime/process_proxy.py
+++ b/heronreel/realtime/process_proxy.py
@@ -1,8 +1,8 @@
-"""Real proxy processes, and their clients' side.
+"""Runs proxy processes and sends them the clients' requests.
 
-A `ProcessProxy` takes the place of the emulated one: it receives arrivals and carries them over a socket to
-`python -m heronreel.proxy`, and it speaks the list's protocol to that process.  What the process does on its
-way to the nodes is seen by `node_server`.
+A `ProcessProxy` replaces the emulated proxy.  It forwards the clients' requests over a socket to a process of
+`python -m heronreel.proxy`, and serves the endpoint list protocol to that process.  The attempts that the
+process sends to the nodes arrive at `node_server`.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from heronreel.emulator.requests import InboundRequest
 from heronreel.realtime.list_call import ListCall, list_message
 from heronreel.realtime.node_server import NodeAttempt
-from heronreel.realtime.proxy_config import LIMITS, platform_settings
+from heronreel.realtime.proxy_config import RESOURCE_LIMITS, platform_settings
 from heronreel.realtime.runtime import Runtime, SocketAddress, request_header
 from heronreel.stubs.http_client import ClientStats, HttpClient
 
@@ -37,15 +37,21 @@
 HEARTBEAT_S = 2.0
 READY_TIMEOUT_S = 20.0
 HEALTH_CHECK_INTERVAL_S = 0.05
-DEADLINE_SLACK_MS = 400.0  # of a busy machine: a response this late still counts as what it is
+
+# A response may be this late before the request counts as overdue, because a busy machine delays responses.
+DEADLINE_SLACK_MS = 400.0
+
 HEALTH_REQUEST = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
 REFUSAL_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
-BODY = b"xx"  # of requests that may change something
+
+# The body of requests that may have an effect.
+REQUEST_BODY = b"xx"
+
 MICROSECONDS_PER_MS = 1000.0
 
 
 class ProcessProxy(Proxy):
-    """The wire's side of one proxy; `alive` while its process is healthy."""
+    """Controls one proxy process and exchanges requests with it; `alive` while that process is healthy."""
 
     def __init__(
         self,
@@ -59,23 +65,29 @@
     ) -> None:
         super().__init__(context, cluster, deciders, name, zone, slot)
         self.runtime = runtime
-        self.on_response = self._carry_response
+        self.on_response = self._send_node_response
         self.subprocess: asyncio.subprocess.Process | None = None
         self.address = LOOPBACK
-        self.killed = False  # outright: its clients may retry what was in flight
+        # Whether the process was killed without a drain; clients may then retry the requests in flight.
+        self.killed = False
         self.http_clients = HttpClient(self.address, ClientStats())
-        self.list_call: ListCall | None = None  # the newest
+        # The most recent call, as long as its connection is open.
+        self.list_call: ListCall | None = None
         self.list_server: asyncio.Server | None = None
         self.list_index = 0
 
-    # Its process.
+    # Lifecycle of the process.
 
     def start(self) -> None:
-        """Start a process."""
+        """Start a process in the background."""
         self.runtime.spawn(self.launch())
 
     async def launch(self) -> None:
-        """Start a process and wait until it is healthy.  Raises TimeoutError."""
+        """Start a process and wait until it is healthy.
+
+        Raises:
+            TimeoutError: the process was not healthy after `READY_TIMEOUT_S`.
+        """
         self.incarnation += 1
         incarnation, runtime = self.incarnation, self.runtime
         if self.list_server is None:
@@ -92,7 +104,7 @@
         if incarnation == self.incarnation and not runtime.stopping:
             self.alive, self.draining, self.killed = True, False, False
             self.supervisor.process_started(self)
-            runtime.spawn(self._watch_end(process, incarnation))
+            runtime.spawn(self._watch_process_exit(process, incarnation))
 
     async def _spawn_process(self, incarnation: int) -> asyncio.subprocess.Process:
         folder = self.runtime.folder / f"{self.name}-{incarnation}"
@@ -102,7 +114,7 @@
         environment = {
             **{name: value for name, value in os.environ.items() if not name.startswith("LB_")},
             "LB_NAME": self.name,
-            "LB_LISTEN": _shown(self.address),
+            "LB_LISTEN": _format_address(self.address),
             "LB_CONFIG": str(config),
             "PYTHONPATH": str(ROOT),
             "PYTHONDONTWRITEBYTECODE": "1",
@@ -126,12 +138,12 @@
             return False
         return b" 200 " in status_line
 
-    async def _watch_end(self, process: asyncio.subprocess.Process, incarnation: int) -> None:
+    async def _watch_process_exit(self, process: asyncio.subprocess.Process, incarnation: int) -> None:
         code = await process.wait()
         if not self.runtime.stopping:
             self.runtime.clock.update()
             if not self.draining and code != -signal.SIGKILL:
-                self.runtime.failures.append(f"{self.name} ended by itself with {code}")
+                self.runtime.failures.append(f"{self.name} exited unexpectedly with status {code}")
             self._end(incarnation, not self.draining)
 
     def _running_process(self) -> asyncio.subprocess.Process | None:
@@ -139,7 +151,7 @@
         return process if process is not None and process.returncode is None else None
 
     def terminate(self, limit_ms: float) -> None:
-        """SIGTERM, and SIGKILL after the limit."""
+        """Send SIGTERM, and SIGKILL if the process still runs after `limit_ms`."""
         self.draining = True
         if self.subprocess:
             self.subprocess.send_signal(signal.SIGTERM)
@@ -152,24 +164,24 @@
             process.kill()
 
     def kill(self) -> None:
-        """SIGKILL."""
+        """Send SIGKILL."""
         self._kill_process(self.incarnation)
 
     def _end_if_idle(self) -> None:
-        """Its process ends by itself, and `_watch_end` sees it."""
+        """Do nothing: a drained process exits by itself, and `_watch_process_exit` handles the exit."""
 
     def _end(self, incarnation: int, killed: bool) -> None:
         self.http_clients.close()
         super()._end(incarnation, killed)
 
     def reload(self) -> None:
-        """SIGHUP."""
+        """Send SIGHUP, on which the process reloads its configuration."""
         process = self._running_process()
         if process is not None:
             process.send_signal(signal.SIGHUP)
 
     async def stop(self) -> None:
-        """End everything: the play is over."""
+        """Kill the process and close all connections at the end of the run."""
         process = self._running_process()
         if process is not None:
             process.kill()
@@ -183,15 +195,15 @@
         rehearsal, scale = self.context.rehearsal, self.runtime.clock.scale
         return {
             "name": self.name,
-            "listen": _shown(self.address),
-            "discovery": _shown(self.list_server.sockets[0].getsockname()),
+            "listen": _format_address(self.address),
+            "discovery": _format_address(self.list_server.sockets[0].getsockname()),
             "seed": f"{self.seed_stream.seed():x}",
-            "limits": LIMITS,
+            "limits": RESOURCE_LIMITS,
             "known": self._list_message(True, list(self.known_endpoints.values())),
             "settings": platform_settings(rehearsal, self.settings, self.slot, self.zone, scale),
         }
 
-    # The endpoint list.
+    # Endpoint list protocol.
 
     def _list_message(self, is_snapshot: bool, endpoints: list[Endpoint]) -> dict[str, Any]:
         self.list_index += 1
@@ -208,7 +220,8 @@
             self.context.endpoint_list.end_watch(self)
             self.context.invariants.list_polled(self.name, now, False)
             if not call.has_response:
-                self.context.invariants.list_call_failed(self.name, now)  # given up
+                # The process abandoned the call before it was answered.
+                self.context.invariants.list_call_failed(self.name, now)
 
     def _watches_list(self) -> bool:
         return self.list_call is not None
@@ -227,7 +240,7 @@
             self.runtime.loop.call_later(HEARTBEAT_S, self._send_heartbeat, call)
 
     def call_failed(self, end: CallEnd) -> None:
-        """The list service has failed the newest call, refused it, or closed its watch."""
+        """End the current call because the list service failed it, refused it or closed its watch."""
         if self.list_call is not None:
             call, self.list_call = self.list_call, None
             self._record_call_end(end)
@@ -236,16 +249,16 @@
             else:
                 call.fail()
 
-    # Requests.
+    # Client requests.
 
     def receive(self, request: InboundRequest, time_left_ms: float) -> None:
-        """Carry a request to the process."""
+        """Forward a client's request to the process."""
         self._accept(request)
         self.runtime.count_request()
         self.runtime.requests[request_header(request.ident)] = request
-        self.runtime.spawn(self._carry(request, time_left_ms))
+        self.runtime.spawn(self._exchange(request, time_left_ms))
 
-    async def _carry(self, request: InboundRequest, time_left_ms: float) -> None:
+    async def _exchange(self, request: InboundRequest, time_left_ms: float) -> None:
         runtime = self.runtime
         timeout_s = (time_left_ms + DEADLINE_SLACK_MS) * runtime.clock.scale / 1000.0
         data = self._request_bytes(request, time_left_ms)
@@ -253,15 +266,18 @@
         runtime.clock.update()
         runtime.requests.pop(request_header(request.ident), None)
         if request.finished or runtime.stopping or self.killed:
-            return  # a killed process takes what is in flight with it
+            return  # The requests in flight of a killed process were ended with it.
         if connection is None:
             self._close_request(request)
-            self.context.invariants.client_left(request.ident)  # it was never accepted
+            # The process never accepted the request.
+            self.context.invariants.client_left(request.ident)
             self.clients.connect_failed(request.client_request)
         elif not status or (status == HTTPStatus.OK and body != b"%x" % request.ident):
             self._overdue(request)
         else:
-            self._finish(request, _result_of(status), connection.retry_after_s * 1000.0 / runtime.clock.scale)
+            self._finish(
+                request, _request_result(status), connection.retry_after_s * 1000.0 / runtime.clock.scale
+            )
 
     def _request_bytes(self, request: InboundRequest, time_left_ms: float) -> bytes:
         request_class, client_request = request.request_class, request.client_request
@@ -283,30 +299,30 @@
         if request.is_retry and self.context.rehearsal.clients.mark_retries:
             lines.append("X-Retry: 1")
         if has_effect:
-            lines.append(f"Content-Length: {len(BODY)}")
-        return "\r\n".join([*lines, "", ""]).encode() + (BODY if has_effect else b"")
+            lines.append(f"Content-Length: {len(REQUEST_BODY)}")
+        return "\r\n".join([*lines, "", ""]).encode() + (REQUEST_BODY if has_effect else b"")
 
-    def _carry_response(self, attempt: NodeAttempt, outcome: Outcome) -> None:
-        """A node's model has responded: its connection carries it."""
+    def _send_node_response(self, attempt: NodeAttempt, outcome: Outcome) -> None:
+        """Send the outcome from a node's model over the connection on which the attempt arrived."""
         attempt.connection.respond(attempt, outcome)
 
     def node_stopped(self, node: Node) -> None:
-        """A node's process is gone, and the connections to it."""
+        """Close the node's server and its connections, because the node's process has stopped."""
         self.runtime.nodes[node.ident].process_stopped()
 
 
-def _result_of(status: int) -> RequestResult:
+def _request_result(status: int) -> RequestResult:
     if status == HTTPStatus.OK:
         return RequestResult.SERVED
     return RequestResult.REFUSED if status in REFUSAL_STATUSES else RequestResult.FAILED
 
 
 def _free_address() -> SocketAddress:
-    """A loopback port that was free a moment ago."""
+    """Return a loopback address whose port was free just now; another process may still take it."""
     with socket.create_server(LOOPBACK) as probe:
         address: SocketAddress = probe.getsockname()
         return address
 
 
-def _shown(address: SocketAddress) -> str:
+def _format_address(address: SocketAddress) -> str:
     return f"{address[0]}:{address[1]}"
--- a/heronreel/realtime/proxy_config.py
+++ b/heronreel/realtime/proxy_config.py
@@ -1,4 +1,4 @@
-"""The configuration of a proxy process, in the platform's words."""
+"""Builds the configuration of a proxy process under the names that the platform uses."""
 
 from __future__ import annotations
 
@@ -7,16 +7,19 @@
 from heronreel.balancer.interface import Settings
 from heronreel.emulator.model import Rehearsal
 
-EFFECTS = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
-SCOPES = {"rack": "cell", "zone": "zone", "all": "all"}
-LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
+PLATFORM_EFFECTS = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
+PLATFORM_DEDUP_SCOPES = {"rack": "cell", "zone": "zone", "all": "all"}
+RESOURCE_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 CONNECTION_IDLE_MS = 15_000.0
 
 
 def platform_settings(
     rehearsal: Rehearsal, settings: Settings, slot: int, zone: str, scale: float
 ) -> dict[str, Any]:
-    """The settings that the platform gives a proxy; times are stretched by `scale` as the clock is."""
+    """Return the settings that the platform gives a proxy.
+
+    Durations are multiplied and rates divided by `scale`, the factor by which the clock is stretched.
+    """
     return {
         "Balancers": rehearsal.proxies.count,
         "SlotNo": slot,
@@ -25,7 +28,8 @@
         "Discovery": "ask",
         "Categories": _categories(rehearsal, scale),
         "Tenants": [
-            {"Name": t.name, "Portion": t.share, "QuotaPerS": t.quota_per_s / scale} for t in settings.tenants
+            {"Name": tenant.name, "Portion": tenant.share, "QuotaPerS": tenant.quota_per_s / scale}
+            for tenant in settings.tenants
         ],
         "Limits": _limits(rehearsal, scale),
         "Rules": _rules(rehearsal, settings, scale),
@@ -38,16 +42,16 @@
 def _categories(rehearsal: Rehearsal, scale: float) -> list[dict[str, Any]]:
     return [
         {
-            "Name": one.name,
-            "OnTimeMs": one.latency_objective_ms * scale,
-            "HardLimitMs": one.deadline_ms * scale,
-            "Worth": one.weight,
-            "LateWorth": one.late_weight,
-            "Effect": EFFECTS[one.effect],
-            "DedupScope": SCOPES[one.dedup_scope],
-            "RepeatWindowMs": one.dedup_ms * scale,
+            "Name": request_class.name,
+            "OnTimeMs": request_class.latency_objective_ms * scale,
+            "HardLimitMs": request_class.deadline_ms * scale,
+            "Worth": request_class.weight,
+            "LateWorth": request_class.late_weight,
+            "Effect": PLATFORM_EFFECTS[request_class.effect],
+            "DedupScope": PLATFORM_DEDUP_SCOPES[request_class.dedup_scope],
+            "RepeatWindowMs": request_class.dedup_ms * scale,
         }
-        for one in rehearsal.classes
+        for request_class in rehearsal.classes
     ]
 
 
--- a/tests/realtime/test_realtime.py
+++ b/tests/realtime/test_realtime.py
@@ -83,5 +83,5 @@
     monkeypatch.setattr(runtime, "MAX_REQUESTS", 120)
     burst = rehearsal(4, 2, 0.1, 4.0, faults=(Fault(fault_kind="burst", at_s=0.1, for_s=3.5, size=6.0),))
     result, crashes = play_over_sockets(burst, 6)
-    assert crashes == ["stopped asking at 120 requests"] and result.counts["requests"] <= 130
+    assert crashes == ["stopped sending at 120 requests"] and result.counts["requests"] <= 130
     assert result.rules_kept and result.counts["lost"] == 0
