--- a/heronreel/demo/__init__.py
+++ b/heronreel/demo/__init__.py
@@ -1,5 +1,5 @@
-"""The demo: a proxy, stub servers with faults, and a steady client, all on loopback.
+"""A demo on loopback: a proxy, stub servers with faults, and a client with a constant request rate.
 
-* `scenario`: the file of routes, the servers, the faults and when they begin.
-* `runner`: runs the scenario against a proxy in a process of its own.
+* `scenario`: the routes file, the servers, and the schedule of faults.
+* `runner`: runs the scenario against a proxy in a separate process.
 """
--- a/tests/realtime/__init__.py
+++ b/tests/realtime/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the emulator over real sockets."""
+"""Tests of the real-time engine, which runs rehearsals over real sockets."""
--- a/tests/realtime/test_list_service.py
+++ b/tests/realtime/test_list_service.py
@@ -1,4 +1,4 @@
-"""The list service of the operators' renewed test over real sockets: the real program keeps the rules."""
+"""Tests that proxy processes keep the invariants with each kind of list response and with refusals."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("listed", "refuses"),
+    ("endpoint_list", "expects_refusals"),
     [
         (EndpointListConfig(call_ms=100.0, snapshot_share=0.0, addition_delay_ms=20.0), False),
         (
@@ -27,16 +27,16 @@
             True,
         ),
     ],
-    ids=["what has changed", "whole lists and refusals"],
+    ids=["changes only", "snapshots and refusals"],
 )
-def test_the_program_takes_both_kinds_of_responses_and_refusals(
-    listed: EndpointListConfig, refuses: bool
+def test_a_proxy_process_handles_changes_snapshots_and_refused_calls(
+    endpoint_list: EndpointListConfig, expects_refusals: bool
 ) -> None:
     rules = InvariantLimits(failed_call_ms=6000.0)
-    script = rehearsal(6, 4, 0.2, 6.0, kind=KIND, faults=FAULTS, endpoint_list=listed, rules=rules)
-    result, crashes = play_over_sockets(script, 3, SCALE)
+    script = rehearsal(6, 4, 0.2, 6.0, kind=KIND, faults=FAULTS, endpoint_list=endpoint_list, rules=rules)
+    result, failures = play_over_sockets(script, 3, SCALE)
     print(result.counts, result.meter)
-    assert not crashes
+    assert not failures
     assert result.rules_kept, result.breaches[:3]
-    assert result.meter["list_calls"] >= 12, "at the start, and after each reset"
-    assert (result.meter["list_failed"] > 0) == refuses
+    assert result.meter["list_calls"] >= 12, "each proxy calls at the start and after each reset"
+    assert (result.meter["list_failed"] > 0) == expects_refusals
