--- a/heronreel/emulator/__init__.py
+++ b/heronreel/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Deterministic fleet emulator: plays a rehearsal script in virtual time."""
+"""Deterministic fleet emulator that runs a rehearsal script in virtual time."""
--- a/heronreel/emulator/client_request.py
+++ b/heronreel/emulator/client_request.py
@@ -1,4 +1,4 @@
-"""One request of a client, over all its attempts, and its final result."""
+"""A client's request over all its attempts, and its final result."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class RequestResult(StrEnum):
-    """How a request ended.  The values are part of a play's result."""
+    """How a request ended.  The values are part of the result of a rehearsal."""
 
     SERVED = "served"
     LATE = "late"
@@ -30,5 +30,5 @@
     within_quota: bool
     key: int = 0
     zone: str = ""
-    attempts: int = 0  # of the client: the first and its retries
-    result: RequestResult | None = None  # while it is open
+    attempts: int = 0  # attempts by the client, including retries
+    result: RequestResult | None = None  # None until the request has ended
--- a/heronreel/emulator/connections.py
+++ b/heronreel/emulator/connections.py
@@ -1,4 +1,7 @@
-"""A proxy's idle connections to nodes: reused last in first out, closed when idle for too long."""
+"""A proxy's pool of idle connections to nodes.
+
+The most recently used connection is reused first, and a connection that is idle for too long is closed.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 
 class ConnectionPool:
-    """Idle connections by node.  Times are ms."""
+    """Idle connections, grouped by node.  Times are ms."""
 
     def __init__(self, idle_limit_ms: float) -> None:
         self.idle_limit_ms = idle_limit_ms
@@ -17,11 +20,11 @@
         self._by_age: deque[tuple[float, Connection]] = deque()
 
     def idle_count(self, node: Node) -> int:
-        """Idle connections to a node."""
+        """Return the number of idle connections to a node."""
         return len(self._idle.get(node.ident, ()))
 
     def take(self, node: Node, now: float) -> Connection | None:
-        """An idle connection to a node, which is in use from now on."""
+        """Remove an idle connection to a node from the pool and return it, or None if there is none."""
         idle = self._idle.get(node.ident)
         if not idle:
             return None
@@ -33,7 +36,7 @@
         return connection
 
     def release(self, connection: Connection, now: float) -> None:
-        """Keep a connection for reuse."""
+        """Return a connection to the pool for reuse."""
         connection.idle_since = now
         self._idle.setdefault(connection.node.ident, []).append(connection)
         self._by_age.append((now, connection))
@@ -58,12 +61,12 @@
         self._by_age.clear()
 
     def forget_node(self, ident: int) -> None:
-        """The node's process is gone, and its connections with it."""
+        """Drop the connections to a node whose process has ended."""
         for connection in self._idle.pop(ident, []):
             connection.idle_since = CLOSED
 
     def sweep(self, now: float) -> None:
-        """Close what has been idle for too long, the longest first."""
+        """Close the connections that have been idle for too long, oldest first."""
         limit = now - self.idle_limit_ms
         by_age = self._by_age
         while by_age and by_age[0][0] <= limit:
--- a/heronreel/emulator/context.py
+++ b/heronreel/emulator/context.py
@@ -1,4 +1,4 @@
-"""The services that all parts of one play share."""
+"""The services that all parts of a rehearsal share."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 @dataclass(slots=True)
 class SimulationContext:
-    """Time, chance, the network, and everything that keeps books."""
+    """Events, random streams, the network, and the recorders of one rehearsal."""
 
     rehearsal: Rehearsal
     events: EventQueue
     streams: RandomStreams
     network: Network
-    fault_stream: RandomStream  # which requests a fault hits
+    fault_stream: RandomStream  # decides which requests a fault affects
     invariants: InvariantChecker
     scoring: Scoring
     endpoint_list: EndpointListService
@@ -34,7 +34,7 @@
 
 
 def make_context(rehearsal: Rehearsal, seed: int, events: EventQueue) -> SimulationContext:
-    """The services of a play.  Raises InvalidSeedError."""
+    """Create the shared services of a rehearsal.  Raises InvalidSeedError."""
     streams = RandomStreams(seed)
     network = Network(rehearsal.network, streams)
     rules = rehearsal.rules
--- a/heronreel/emulator/deciders.py
+++ b/heronreel/emulator/deciders.py
@@ -1,4 +1,4 @@
-"""The deciders of proxy processes: their settings from the script, their policy, and the real routes."""
+"""Creates the deciders of proxy processes from the script's settings, a policy and optional routes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def proxy_settings(rehearsal: Rehearsal, zone: str, slot: int) -> api.Settings:
-    """What the platform would give the proxy in this slot as its settings."""
+    """Return the settings that the platform would give to the proxy in this slot."""
     rules, proxies = rehearsal.rules, rehearsal.proxies
     prices, kinds = rehearsal.prices, rehearsal.fleet.kinds
     quotas = rehearsal.tenant_quotas()
@@ -59,10 +59,10 @@
 
 
 class DeciderFactory:
-    """Makes the decider of each proxy process.
+    """Creates the decider of each proxy process.
 
-    With a file of routes, the real policies of its routes apply: a class's requests come under the path of
-    its name.
+    With a routes file the policies of its routes apply; the requests of a class use the path `/NAME` with the
+    name of the class.
     """
 
     def __init__(
@@ -72,12 +72,12 @@
         routes: RoutesFile | None = None,
         custom: MakeDecider | None = None,
     ) -> None:
-        """`custom` makes the deciders in place of a policy by name."""
+        """Use `custom`, if it is given, to create the deciders instead of the named policy."""
         self.policy, self.oracle, self.routes, self.custom = policy, oracle, routes, custom
         self.router = Router(routes) if routes is not None else None
 
     def make(self, settings: api.Settings, seed: int) -> Decider:
-        """The decider of one process.  Raises UnknownPolicyError."""
+        """Create the decider of one process.  Raises UnknownPolicyError."""
         if self.custom is not None:
             return self.custom(settings, seed)
         if self.routes is not None and self.policy == DEFAULT_POLICY:
@@ -85,7 +85,7 @@
         return make_policy(self.policy, settings, seed, self.oracle)
 
     def route_policy(self, request_class: RequestClass) -> api.RoutePolicy | None:
-        """The policy of the route that a request of this class takes, if there are routes."""
+        """Return the policy of the route that matches requests of this class, or None without routes."""
         if self.router is None:
             return None
         method = b"GET" if request_class.effect == "safe" else b"POST"
--- a/heronreel/emulator/errors.py
+++ b/heronreel/emulator/errors.py
@@ -1,19 +1,19 @@
-"""Errors of the emulator."""
+"""Exceptions of the emulator."""
 
 from __future__ import annotations
 
 
 class EmulatorError(Exception):
-    """Base of all errors of this package."""
+    """Base class of the emulator's exceptions."""
 
 
 class InvalidSeedError(EmulatorError, ValueError):
-    """A seed that is not within 0 and 2^63."""
+    """A seed is outside the range from 0 to 2^63."""
 
 
 class UnknownDistributionError(EmulatorError, ValueError):
-    """A distribution of work that is not implemented."""
+    """The name of a work distribution is unknown."""
 
 
 class UnknownPolicyError(EmulatorError, KeyError):
-    """A policy name that is not known."""
+    """The name of a policy is unknown."""
--- a/heronreel/emulator/fault_targets.py
+++ b/heronreel/emulator/fault_targets.py
@@ -1,4 +1,7 @@
-"""Which nodes or proxies a fault hits.  Pure: the candidates, and a stream for what is drawn."""
+"""Selects the nodes or proxies that a fault affects.
+
+The selection depends only on the fault, the candidates and a stream of random numbers.
+"""
 
 from __future__ import annotations
 
@@ -10,15 +13,15 @@
 
 
 class Target(Protocol):
-    """A candidate: something with a name in a zone."""
+    """A node or proxy that a fault may affect."""
 
     @property
     def name(self) -> str:
-        """Its name, as a script gives it."""
+        """The name by which a script refers to it."""
 
     @property
     def zone(self) -> str:
-        """The zone it is in."""
+        """The zone in which it runs."""
 
 
 T = TypeVar("T", bound=Target)
@@ -28,23 +31,24 @@
     fault: Fault,
     candidates: Sequence[T],
     stream: RandomStream,
-    rack_of: Callable[[T], str] = lambda one: "",
-    kind_of: Callable[[T], str] = lambda one: "",
-    load_of: Callable[[T], float] = lambda one: 0.0,
+    rack_of: Callable[[T], str] = lambda target: "",
+    kind_of: Callable[[T], str] = lambda target: "",
+    load_of: Callable[[T], float] = lambda target: 0.0,
 ) -> list[T]:
-    """Those named; else of the rack, zone and kind the busiest, a number, a share, or all.
+    """Return the candidates that the fault names, or else those that match its rack, zone and kind.
 
-    A share takes one at least, so that no fault is without a target where there is one.
+    The matching candidates are limited to the busiest, to a random count or to a random share if the fault
+    says so.  A share selects at least one, so that a fault has a target whenever a candidate matches.
     """
     if fault.names:
         wanted = set(fault.names)
-        return [one for one in candidates if one.name in wanted]
+        return [candidate for candidate in candidates if candidate.name in wanted]
     matching = [
-        one
-        for one in candidates
-        if (not fault.zone or one.zone == fault.zone)
-        and (not fault.rack or rack_of(one) == fault.rack)
-        and (not fault.node_kind or kind_of(one) == fault.node_kind)
+        candidate
+        for candidate in candidates
+        if (not fault.zone or candidate.zone == fault.zone)
+        and (not fault.rack or rack_of(candidate) == fault.rack)
+        and (not fault.node_kind or kind_of(candidate) == fault.node_kind)
     ]
     if fault.busiest:
         ranked = sorted(range(len(matching)), key=lambda index: (-load_of(matching[index]), index))
--- a/heronreel/emulator/front_end.py
+++ b/heronreel/emulator/front_end.py
@@ -1,4 +1,7 @@
-"""The front end: spreads the requests of a zone over its proxies, and notices late that one has died."""
+"""Models the front end, which distributes the requests of a zone over its proxies.
+
+It detects the end of a proxy only after a delay, which `ProxySupervisor` models.
+"""
 
 from __future__ import annotations
 
@@ -9,15 +12,18 @@
 from heronreel.emulator.proxy import Proxy
 from heronreel.emulator.random_streams import hashed_uniform
 
-ROUTE_PURPOSE = 1  # of a hashed draw
+ROUTE_PURPOSE = 1  # separates this use of `hashed_uniform` from others
 MIDDLE_RANK = 0.5
 
 
 class FrontEnd:
-    """Chooses a proxy by the request and its attempt alone."""
+    """Chooses a proxy from the number of a request and of its attempt only."""
 
     def __init__(self, proxies: Sequence[Proxy], skew: float, seed: int) -> None:
-        """`skew`: busiest proxy of a zone over the mean, less 1."""
+        """Set the weights of the proxies.
+
+        `skew` is the load of the busiest proxy of a zone over the mean load, minus 1.
+        """
         self.seed = seed
         self.zones: dict[str, list[Proxy]] = {}
         for proxy in proxies:
@@ -28,10 +34,10 @@
                 rank = index / (len(group) - 1) if len(group) > 1 else MIDDLE_RANK
                 self.weights[proxy.name] = 1.0 + skew * (1.0 - 2.0 * rank)
         self.excluded: set[str] = set()
-        self._candidates: dict[str, tuple[list[Proxy], list[float]]] = {}  # with cumulative weights
+        self._candidates: dict[str, tuple[list[Proxy], list[float]]] = {}  # by zone, with cumulative weights
 
     def set_available(self, proxy: Proxy, available: bool) -> None:
-        """Whether a proxy gets requests from now on."""
+        """Set whether a proxy receives requests from now on."""
         if available:
             self.excluded.discard(proxy.name)
         else:
@@ -39,7 +45,10 @@
         self._candidates.clear()
 
     def choose(self, zone: str, client_request: int, attempt: int) -> Proxy | None:
-        """The proxy for an attempt of a client's request; another zone's where this one has none."""
+        """Return the proxy for an attempt of a client's request, or None if no proxy is available.
+
+        If the zone has no available proxy, one of another zone is chosen.
+        """
         if zone not in self._candidates:
             self._candidates[zone] = self._available(zone)
         group, cumulative = self._candidates[zone]
--- a/heronreel/emulator/notification_terms.py
+++ b/heronreel/emulator/notification_terms.py
@@ -1,37 +1,39 @@
-"""When a change of the list counts as notified to a proxy: the terms of the drain rule.
+"""Decides from when a proxy counts as notified of a change of the endpoint list, for the drain rule.
 
-A part of the checker, which shares no code with any proxy.  Times are ms.
+This is a part of the invariant checker, which shares no code with any proxy.  Times are ms.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-UNTOLD_MS = 2000.0  # measured on the operators' bench; no page names it
+UNTOLD_MS = 2000.0  # default of `NotificationTerms.untold_ms`
 
 
 @dataclass(slots=True)
 class ProxyView:
-    """What a proxy has been sent of the endpoint list, and when it last polled."""
+    """The part of the endpoint list that a proxy has received, and the time of its last poll."""
 
     polled_at: float
     watching: bool = False
-    call_failed: bool = False  # its last call or watch failed, and none was answered since
-    unusable: dict[str, float] = field(default_factory=dict)  # draining or gone nodes: notified when
-    untold: dict[str, float] = field(default_factory=dict)  # nodes: when a watch ended in place of the change
-    starts: dict[str, float] = field(default_factory=dict)  # nodes: the start time it was sent
+    call_failed: bool = False  # the last call or watch failed, and no call was answered since
+    unusable: dict[str, float] = field(default_factory=dict)  # draining or removed nodes: time received
+    untold: dict[str, float] = field(default_factory=dict)  # nodes: end of the watch that omitted the change
+    starts: dict[str, float] = field(default_factory=dict)  # nodes: start time received
 
 
 @dataclass(slots=True, frozen=True)
 class NotificationTerms:
-    """From when a change that has not arrived counts as notified.  0 disables a term, but for polls.
+    """Time limits after which a change that has not arrived counts as notified.
+
+    0 disables a limit, except `poll_within_ms`.
 
     Attributes:
-        delivered_after_ms: After the service had the change.
-        poll_within_ms: After a proxy's last call or the end of its watch: it has to call by then.
-        untold_ms: After the end of a watch that ended in place of the change.
-        failed_call_ms: After the service had it and could be reached, for a proxy whose last call failed,
-            was refused or given up; no other term counts for it then.
+        delivered_after_ms: Counted from when the list service learned of the change.
+        poll_within_ms: Counted from a proxy's last call or the end of its watch; it must call again by then.
+        untold_ms: Counted from the end of a watch that was closed instead of sending the change.
+        failed_call_ms: Counted from when the service knew the change and was reachable.  It applies to a proxy
+            whose last call failed, was refused or was abandoned, and then replaces the other limits.
     """
 
     delivered_after_ms: float
@@ -42,13 +44,13 @@
     def notified_at(
         self, view: ProxyView, node: str, known_at: float | None, reachable_since: float | None
     ) -> float | None:
-        """When a proxy counts as notified that a node drains or is gone; None: not yet.
+        """Return when a proxy counts as notified that a node is draining or removed; None if not yet.
 
         Args:
-            view: What the proxy has been sent.
-            node: The node.
-            known_at: When the list service learned it; None: it has not.
-            reachable_since: From when the service could be reached; None: it can't be now.
+            view: What the proxy has received of the list.
+            node: The name of the node.
+            known_at: When the list service learned of the change; None if it has not.
+            reachable_since: Since when the service has been reachable; None if it is unreachable.
         """
         received = view.unusable.get(node)
         if known_at is None:
@@ -70,8 +72,8 @@
         counted = known_at + self.delivered_after_ms if self.delivered_after_ms else None
         ended_at = view.untold.get(node)
         if ended_at is not None and self.untold_ms:
-            told = ended_at + self.untold_ms
-            counted = told if counted is None else min(counted, told)
+            limit = ended_at + self.untold_ms
+            counted = limit if counted is None else min(counted, limit)
         if counted is None and node not in view.unusable and not view.watching:
             return max(known_at, view.polled_at + self.poll_within_ms)
         return counted
--- a/heronreel/emulator/sampler.py
+++ b/heronreel/emulator/sampler.py
@@ -1,4 +1,4 @@
-"""Once a second: the state of the fleet, and what is paid for by time."""
+"""Samples the state of the fleet once a second, and the costs that accrue over time."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     def __init__(self, context: SimulationContext, fleet: Fleet, proxies: Sequence[Proxy]) -> None:
         self.context, self.fleet, self.proxies = context, fleet, proxies
-        self.attempts, self.busy_ms, self.load_ms = 0, 0.0, 0.0  # at the last sample
+        self.attempts, self.busy_ms, self.load_ms = 0, 0.0, 0.0  # totals at the last sample
 
     def start(self) -> None:
         """Schedule the first sample."""
--- a/heronreel/emulator/timeline.py
+++ b/heronreel/emulator/timeline.py
@@ -1,4 +1,4 @@
-"""The timeline of a play: what happened, and once a second the state of the fleet."""
+"""The timeline of a rehearsal: its events, and the state of the fleet once a second."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Timeline:
-    """Rows in the order in which they happened.  Their keys are part of a result."""
+    """Rows in the order of their time.  Their keys are part of a result."""
 
     def __init__(self) -> None:
         self.rows: list[dict[str, Any]] = []
@@ -16,7 +16,10 @@
     def record(
         self, now: float, event: str, kind: str, names: list[str], fault_index: int = NO_FAULT
     ) -> None:
-        """Something that happened at `now`, ms, to those named; with a fault, its place in the script."""
+        """Add an event at `now` (ms) that affected `names`.
+
+        `fault_index` is the position of a fault in the script.
+        """
         row: dict[str, Any] = {"at_ms": round(now, 3), "event": event, "kind": kind, "names": names}
         if fault_index != NO_FAULT:
             row["trouble"] = fault_index
--- a/heronreel/emulator/watch_reset.py
+++ b/heronreel/emulator/watch_reset.py
@@ -1,7 +1,7 @@
-"""A fault of the list service: it closes all open watches and waiting calls, once.
+"""A fault of the list service that closes all open watches and waiting calls once.
 
-At a set moment; or instead of telling a change, which the list has from then on and no open watch is sent.
-Times are ms.
+The reset happens at a set time, or instead of sending the next change.  In the second case the list contains
+the change from then on, but no open watch receives it.  Times are ms.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class WatchReset:
-    """One such fault.  `begin` or `begin_with_next_change` starts it."""
+    """One reset of all watches and calls.  Start it with `begin` or `begin_with_next_change`."""
 
     def __init__(
         self,
@@ -22,12 +22,12 @@
         after_ms: float,
         spread_ms: float,
     ) -> None:
-        """Proxies see their connections closed `after_ms` after its start, spread over `spread_ms`."""
+        """Set when the connections close: `after_ms` after the start, spread over `spread_ms`."""
         self.events, self.service, self.stream = events, service, stream
         self.after_ms, self.spread_ms = after_ms, spread_ms
 
     def begin(self) -> None:
-        """Close the connections; no change is withheld."""
+        """Close the connections without withholding a change."""
         self.events.schedule(self.events.now + self.after_ms, self._close, False)
 
     def begin_with_next_change(self) -> None:
--- a/heronreel/emulator/work.py
+++ b/heronreel/emulator/work.py
@@ -1,4 +1,7 @@
-"""How much work an attempt is, and what clients hint about it: the same whatever policy plays."""
+"""Draws the work of each attempt and the clients' hints about it.
+
+The draws do not depend on the policy, so that policies can be compared on the same work.
+"""
 
 from __future__ import annotations
 
@@ -10,20 +13,23 @@
 from heronreel.emulator.random_streams import hashed_uniform
 from heronreel.emulator.requests import InboundRequest
 
-ATTEMPT_PURPOSE, HINT_PURPOSE = 5, 6  # of a hashed draw
-ATTEMPTS_PER_REQUEST = 16  # of a proxy at most; keeps the draws of a client's retries apart
+# Separate these uses of `hashed_uniform` from each other and from others.
+ATTEMPT_PURPOSE = 5
+HINT_PURPOSE = 6
+# Maximum attempts of a proxy per request; keeps the draws of a client's retries distinct.
+ATTEMPTS_PER_REQUEST = 16
 MIN_NOISE_FACTOR = 0.2
 STANDARD_NORMAL = NormalDist()
 
 
 class WorkModel:
-    """Work and hints, ms of a core at speed 1."""
+    """Work and hints, in ms of a core at speed 1."""
 
     def __init__(self, classes: Sequence[RequestClass], seed: int) -> None:
         self.classes, self.seed = classes, seed
 
     def attempt_work(self, request: InboundRequest, number: int) -> float:
-        """Of one attempt: the request's work with the attempt's own noise."""
+        """Return the work of an attempt: that of the request with the attempt's own noise."""
         client_request, noise = request.client_request, request.request_class.attempt_noise
         if not noise:
             return client_request.work
@@ -32,7 +38,7 @@
         return client_request.work * max(MIN_NOISE_FACTOR, 1.0 + noise * STANDARD_NORMAL.inv_cdf(drawn))
 
     def hint(self, client_request: ClientRequest) -> float:
-        """What the client says the work is; 0: it says nothing."""
+        """Return the client's estimate of the work, or 0 if the class sends no hints."""
         request_class = self.classes[client_request.class_index]
         if not request_class.hints:
             return 0.0
