--- a/tests/emulator/test_script_loader.py
+++ b/tests/emulator/test_script_loader.py
@@ -1,4 +1,4 @@
-"""Rehearsal scripts: every problem with its line, and the examples."""
+"""Tests of the loader of rehearsal scripts: each problem is reported with its line, and the examples load."""
 
 from __future__ import annotations
 
@@ -33,15 +33,15 @@
 """
 
 
-def problem(old: str, new: str) -> str:
+def problem_message(old: str, new: str) -> str:
     assert old in SCRIPT
-    with pytest.raises(ConfigFileError) as caught:
+    with pytest.raises(ConfigFileError) as raised:
         load_script(SCRIPT.replace(old, new).encode())
-    return str(caught.value)
+    return str(raised.value)
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "words"),
+    ("old", "new", "line", "expected_text"),
     [
         ("size = 3.0", 'size = 3.0\nnames = ["n13"]', 20, "known at the start: n1 to n12"),
         ("size = 3.0", 'size = 3.0\nzone = "c"', 20, "known here: a, b"),
@@ -72,19 +72,19 @@
     ],
 )
 def test_a_problem_is_reported_with_its_line_and_a_correction(
-    old: str, new: str, line: int, words: str
+    old: str, new: str, line: int, expected_text: str
 ) -> None:
-    message = problem(old, new)
-    assert f"{line}: " in message and words in message, message
+    message = problem_message(old, new)
+    assert f"{line}: " in message and expected_text in message, message
 
 
 def test_all_problems_are_reported_at_once() -> None:
-    with pytest.raises(ConfigFileError) as caught:
+    with pytest.raises(ConfigFileError) as raised:
         load_script(SCRIPT.replace("nodes = 12", "nodes = 0").replace("at_s = 5.0", 'at_s = "x"').encode())
-    assert [problem.line for problem in caught.value.problems] == [5, 17]
+    assert [problem.line for problem in raised.value.problems] == [5, 17]
 
 
 @pytest.mark.parametrize("path", EXAMPLES, ids=lambda path: path.stem)
-def test_the_examples_can_be_played(path: Path) -> None:
+def test_the_examples_load(path: Path) -> None:
     script = load_script(path.read_bytes())
     assert script.faults or script.name == "calm evening"
--- a/tests/emulator/test_watches_end.py
+++ b/tests/emulator/test_watches_end.py
@@ -1,7 +1,8 @@
-"""All watches end in place of telling that backends drain: the checker finds the fault that was mended.
+"""Tests of watches that all end instead of reporting that backends drain.
 
-The schedule as it was backed off before it opened a watch again that had ended after its response; the
-present one opens it at once, and keeps the rule on the same seeds.
+A schedule that backs off before it reopens a watch that ended after its response learns of the drain too
+late, and the checker reports it.  The current schedule reopens the watch immediately and keeps the invariant
+on the same seeds.
 """
 
 from __future__ import annotations
@@ -23,67 +24,66 @@
 
 EXAMPLE = Path(__file__).parents[2] / "examples" / "rehearsals" / "watches-end.toml"
 SEEDS = range(1, 31)
-MIN_FOUND = 20  # of those seeds, on which the schedule as it was has to break the rule
+
+# The schedule that backs off must break the invariant on at least this many of the seeds.
+MIN_BROKEN_SEEDS = 20
 
 
 class BackoffSchedule(WatchSchedule):
-    """Waits 0.5 to 1 s after a watch that ended, and twice that the second time, before it calls again."""
+    """Waits 0.5 to 1 s before it calls again after a watch ended, and 1 to 2 s from the second end on."""
 
     ended = 0
 
-    def call_failed(self, now: float, draw: random.Random, failure: WatchFailure) -> float | None:
+    def call_failed(self, now: float, rng: random.Random, failure: WatchFailure) -> float | None:
         answered = self.received_at >= self.called_at
-        delay = super().call_failed(now, draw, failure)
+        delay = super().call_failed(now, rng, failure)
         if delay is None or failure is not WatchFailure.ENDED or not answered or self.saved_resumes < 0.0:
             return delay
         self.ended += 1
-        return min(self.ended, 2) * draw.uniform(500.0, 1000.0)
+        return min(self.ended, 2) * rng.uniform(500.0, 1000.0)
 
 
-def balancer_as_it_was(settings: Settings, seed: int) -> HostedBalancer:
+def balancer_with_backoff(settings: Settings, seed: int) -> HostedBalancer:
     balancer = HostedBalancer(settings, seed)
     balancer.watch = BackoffSchedule(settings.watch_within_ms, settings.proxies)
     return balancer
 
 
-def example(**rules: float) -> Rehearsal:
+def example_script(**rules: float) -> Rehearsal:
     script = load_script(EXAMPLE.read_bytes())
     return msgspec.structs.replace(script, rules=msgspec.structs.replace(script.rules, **rules))
 
 
-def played_as_it_was(script: Rehearsal, seed: int) -> Result:
-    return Simulation(script, seed, deciders=balancer_as_it_was).run()
+def play_with_backoff(script: Rehearsal, seed: int) -> Result:
+    return Simulation(script, seed, deciders=balancer_with_backoff).run()
 
 
-def test_watches_that_end_in_place_of_a_change_are_resumed_in_time() -> None:
+def test_watches_that_end_instead_of_reporting_a_change_are_resumed_in_time() -> None:
     for seed in SEEDS:
-        result = play(example(), seed)
+        result = play(example_script(), seed)
         assert result.rules_kept, (seed, result.breaches[:3])
         assert result.service["whole"] > 0.9 and result.meter["list_calls"] <= 18, (seed, result.meter)
 
 
-def test_the_checker_finds_the_backoff_after_watches_that_ended() -> None:
-    found = {seed: played_as_it_was(example(), seed).breach_counts for seed in SEEDS}
-    broken = [seed for seed, counts in found.items() if counts["drain"]]
-    print(
-        f"broken on {len(broken)} of {len(SEEDS)} seeds, {sum(one['drain'] for one in found.values())} times"
-    )
-    assert len(broken) >= MIN_FOUND, broken
-    assert not any(counts[rule] for counts in found.values() for rule in ("lost", "twice", "cold"))
+def test_the_checker_reports_a_backoff_after_watches_that_ended() -> None:
+    breach_counts = {seed: play_with_backoff(example_script(), seed).breach_counts for seed in SEEDS}
+    broken = [seed for seed, counts in breach_counts.items() if counts["drain"]]
+    breaches = sum(counts["drain"] for counts in breach_counts.values())
+    print(f"broken on {len(broken)} of {len(SEEDS)} seeds, {breaches} times")
+    assert len(broken) >= MIN_BROKEN_SEEDS, broken
+    assert not any(counts[rule] for counts in breach_counts.values() for rule in ("lost", "twice", "cold"))
 
 
-def test_only_the_term_for_ended_watches_finds_it() -> None:
-    """Without it the same plays seem to keep the rule."""
+def test_without_the_limit_for_ended_watches_the_backoff_is_not_reported() -> None:
     for seed in SEEDS:
-        assert played_as_it_was(example(untold_ms=0.0), seed).rules_kept, seed
+        assert play_with_backoff(example_script(untold_ms=0.0), seed).rules_kept, seed
 
 
-def test_all_six_proxies_lose_their_connections_in_place_of_the_change() -> None:
-    """Within 0.2 s of it; those whose calls still waited, too."""
-    simulation = Simulation(example(), 1)
-    closed = dict[
-        str, tuple[float, int]
-    ]()  # by proxy, the last time: when, and how many changes were not told
+def test_all_six_proxies_lose_their_connections_instead_of_receiving_the_change() -> None:
+    """They lose them within 0.2 s of the change, also those whose calls were still waiting."""
+    simulation = Simulation(example_script(), 1)
+    # By proxy: the time of the last lost connection, and the number of changes that were withheld.
+    closed = dict[str, tuple[float, int]]()
     for proxy in simulation.proxies:
 
         def watch_closed(
