--- a/heronreel/fault_injection/budget_world.py
+++ b/heronreel/fault_injection/budget_world.py
@@ -286,7 +286,7 @@
         world = self.fork()
         world.limits = self.limits._replace(deaths=self.limits.deaths - 1)
         world._drop_messages_of(operation.fencing_token)
-        token = max(each.fencing_token for each in self.operations) + 1
+        token = max(other.fencing_token for other in self.operations) + 1
         instance_id = operation.instance_id
         successor = Operation(world._requester(token, instance_id), OperationStage.DISRUPTED)
         record = self.state.keys.get(DISRUPTION_CLAIM_PREFIX + instance_id.encode())
@@ -414,7 +414,9 @@
     def _drop_messages_of(self, fencing_token: int) -> None:
         """End an operation's wait; its writes may still reach the group, and its commands the owners."""
         kept = {
-            each for each in self.messages if isinstance(each, Command) or each.fencing_token != fencing_token
+            message
+            for message in self.messages
+            if isinstance(message, Command) or message.fencing_token != fencing_token
         }
         for message in self.messages - kept:
             if isinstance(message, GroupRequest) and message.request.writes:
@@ -463,6 +465,6 @@
 
 def _reports_failure(report: Txn) -> bool:
     """Return whether a report states that the instance has failed."""
-    values = [each.value for each in report.success if isinstance(each, Put) and each.key != REVISION_KEY]
+    values = [write.value for write in report.success if isinstance(write, Put) and write.key != REVISION_KEY]
     instances = [msgspec.json.decode(value, type=Instance) for value in values]
-    return any(each.condition is Condition.FAILED for each in instances)
+    return any(instance.condition is Condition.FAILED for instance in instances)
--- a/heronreel/routes/load.py
+++ b/heronreel/routes/load.py
@@ -41,9 +41,8 @@
 MAX_LISTENERS = 64
 MAX_TENANTS = 10_000
 MAX_SPLIT_POOLS = 1000
-METHODS = frozenset(
-    ("GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
-)  # The methods that the proxy accepts.
+# The methods that the proxy accepts.
+METHODS = frozenset(("GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"))
 _TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,64}")  # RFC 9110, 5.6.2
 _HOST = re.compile(
     r"(\*\.)?[a-z0-9_]([a-z0-9_-]*[a-z0-9_])?(\.[a-z0-9_]([a-z0-9_-]*[a-z0-9_])?)*|\[[0-9a-f:.]+\]"
@@ -313,15 +312,15 @@
         values = self.read_table(raw, path, schema.MatchTable)
         if not isinstance(raw, dict):
             return None
-        before = len(self.problems) + self.omitted_problems
+        problems_before = len(self.problems) + self.omitted_problems
         paths = [name for name in ("path", "path_prefix", "path_pattern") if name in raw]
         if len(paths) != 1:
-            what = "no path" if not paths else " and ".join(paths) + " together"
-            self.add_problem(path, what, "expected one of path, path_prefix and path_pattern")
+            wrong = "no path" if not paths else " and ".join(paths) + " together"
+            self.add_problem(path, wrong, "expected one of path, path_prefix and path_pattern")
             return None
         kind = paths[0]
         text = values.get(kind, "/")
-        self._path(text, kind, (*path, kind))
+        self._check_path(text, kind, (*path, kind))
         host = values.get("host", "").lower()
         if host and not _HOST.fullmatch(host):
             self.add_problem(
@@ -344,7 +343,7 @@
                 (*path, "methods"), "is empty", "leave it out to take any method", "never-matches"
             )
         headers = self._headers(values.get("headers", {}), (*path, "headers"))
-        if len(self.problems) + self.omitted_problems > before:
+        if len(self.problems) + self.omitted_problems > problems_before:
             return None
         return Match(host, **{kind: text}, methods=frozenset(methods), headers=headers)
 
@@ -361,7 +360,7 @@
                 )
             elif lower in found:
                 self.add_problem(
-                    (*path, name), "stands there in other letters already", "each header once", "duplicate"
+                    (*path, name), "is already set in other letter case", "each header once", "duplicate"
                 )
             elif value != value.strip() or not value.isascii() or not value.isprintable():
                 right = "expected visible ASCII without spaces around it"
@@ -371,7 +370,7 @@
             found[lower] = value
         return tuple(sorted(found.items()))
 
-    def _path(self, text: str, kind: str, path: Path) -> None:
+    def _check_path(self, text: str, kind: str, path: Path) -> None:
         if not text.startswith("/"):
             right = 'expected a path that begins with "/"'
             self.add_problem(path, f"is {describe_value(text)}", right, "never-matches")
@@ -381,17 +380,17 @@
             self.add_problem(path, f"has {len(segments)} segments", f"at most {MAX_SEGMENTS} are matched")
         if kind == "path_pattern":
             parameters = [segment for segment in segments if _PARAMETER.fullmatch(segment)]
-            self._segments([segment for segment in segments if segment not in parameters], kind, path)
+            self._check_segments([segment for segment in segments if segment not in parameters], kind, path)
             if len(set(parameters)) < len(parameters):
                 self.add_problem(path, "has one name twice", "each name in braces once", "duplicate")
             if not parameters:
                 self.add_problem(path, "has no name in braces", "use path for a fixed text")
         else:
-            self._segments(segments, kind, path)
+            self._check_segments(segments, kind, path)
         if text == HEALTH_PATH and kind == "path":
             self.add_problem(path, "is answered by the proxy itself", "another path", "never-matches")
 
-    def _segments(self, segments: Iterable[str], kind: str, path: Path) -> None:
+    def _check_segments(self, segments: Iterable[str], kind: str, path: Path) -> None:
         """Check the literal segments of a path."""
         right = "letters, digits and the marks of RFC 3986, 3.3"
         if kind == "path_pattern":
--- a/heronreel/soak/proxy_process.py
+++ b/heronreel/soak/proxy_process.py
@@ -76,10 +76,9 @@
 
     async def shut_down(self, shutdown: Shutdown, kill_after_s: float) -> None:
         """Send SIGTERM, the planned signals and, if needed, SIGKILL; return when the process has ended."""
-        first_at = min([0.0, *(each.at_s for each in shutdown.signals)])
-        begin = (
-            asyncio.get_running_loop().time() - first_at
-        )  # the time of SIGTERM, to which the plan's times are relative
+        first_at = min([0.0, *(planned.at_s for planned in shutdown.signals)])
+        # The time of SIGTERM, to which the plan's times are relative.
+        begin = asyncio.get_running_loop().time() - first_at
         tasks = [
             asyncio.create_task(self._signal_at(begin, planned.at_s, planned.number))
             for planned in shutdown.signals
