--- a/heronreel/emulator/clients.py
+++ b/heronreel/emulator/clients.py
@@ -1,8 +1,8 @@
 """Client behaviour: attempts, retries with backoff, Retry-After and patience.
 
-An open client's requests are due when they are due, however slow the responses are; a closed one sends its
-next request a while after it was answered.  Which proxy an attempt comes to depends on the request and the
-attempt alone.
+With open arrivals, requests are due at times that do not depend on the responses.  With closed arrivals, each
+user sends its next request after a think time that starts at the last response.  The proxy of an attempt
+depends only on the numbers of the request and the attempt, and on which proxies are available.
 """
 
 from __future__ import annotations
@@ -18,11 +18,13 @@
 from heronreel.emulator.traffic import Traffic
 
 MIN_TIME_LEFT_MS = 1.0
-HONOR_PURPOSE, ABANDON_PURPOSE = 2, 3  # of a hashed draw
+# Separate these uses of `hashed_uniform` from each other and from others.
+HONOR_PURPOSE = 2
+ABANDON_PURPOSE = 3
 
 
 class ClientPool:
-    """All clients of a play.  Times are ms."""
+    """All clients of a rehearsal.  Times are ms."""
 
     def __init__(self, context: SimulationContext, traffic: Traffic, front_end: FrontEnd) -> None:
         self.context, self.traffic, self.front_end = context, traffic, front_end
@@ -33,10 +35,10 @@
         self.inbound_requests = 0
         self.open_requests: dict[int, ClientRequest] = {}
         self.newest_attempts: dict[int, InboundRequest] = {}  # by client request
-        self.on_finished: dict[int, Callable[[], None]] = {}  # closed clients' requests: what follows
+        self.on_finished: dict[int, Callable[[], None]] = {}  # called at the end of a closed user's request
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending requests."""
         config = self.traffic.config
         if config.arrivals == "open":
             self._schedule_arrival(0.0)
@@ -46,7 +48,7 @@
             self.events.schedule(stream.uniform(0.0, config.think_ms), self._user_sends, stream)
 
     def stop_sending(self) -> None:
-        """No new request is due from now on."""
+        """Stop creating new requests."""
         self.traffic.ends_at = self.events.now
 
     def _schedule_arrival(self, now: float) -> None:
@@ -56,7 +58,10 @@
         self.events.schedule(at, self._open_arrival if is_arrival else self._schedule_arrival, at)
 
     def _open_arrival(self, at: float) -> None:
-        """A request is due at `at`; on a wall clock it may be later by now, the next is due as it is."""
+        """Send the request that is due at `at`, and schedule the next one.
+
+        On a wall clock this may run late; the next request is still scheduled from `at`.
+        """
         if at < self.traffic.ends_at:
             self._send_new_request(self.arrival_stream, at)
             self._schedule_arrival(at)
@@ -81,7 +86,7 @@
     # Attempts.
 
     def start_attempt(self, request: ClientRequest) -> None:
-        """Send a request, for the first time or again."""
+        """Send an attempt of a request, either the first or a retry."""
         if request.result:
             return
         now, config, network = self.events.now, self.config, self.context.network
@@ -124,7 +129,7 @@
         proxy.receive(request, time_left)
 
     def _abandon(self, request: ClientRequest) -> None:
-        """The client disconnects before its time is up."""
+        """Disconnect the client before the request's deadline."""
         if not request.result:
             newest = self.newest_attempts.get(request.ident)
             if newest is not None:
@@ -132,7 +137,7 @@
             self._finish(request, RequestResult.LEFT)
 
     def response_sent(self, request: InboundRequest, result: RequestResult, retry_after_ms: float) -> None:
-        """A proxy has responded; the client receives it a moment later."""
+        """Schedule the arrival of a proxy's response at the client after the network latency."""
         at = self.events.now + self.context.network.client_latency()
         self.events.schedule(at, self._response_received, request, result, retry_after_ms)
 
@@ -150,12 +155,12 @@
             self._finish(client_request, result)
 
     def connect_failed(self, client_request: ClientRequest) -> None:
-        """The client could not reach a proxy."""
+        """Retry or fail a request whose client could not reach a proxy."""
         if not client_request.result and not self._schedule_retry(client_request, 0.0):
             self._finish(client_request, RequestResult.FAILED)
 
     def connection_lost(self, request: InboundRequest) -> None:
-        """The proxy's process has ended with the request in flight."""
+        """Retry or fail a request that was in flight when the proxy's process ended."""
         client_request = request.client_request
         if client_request.result:
             return
@@ -163,7 +168,7 @@
             self._finish(client_request, RequestResult.FAILED)
 
     def _schedule_retry(self, request: ClientRequest, retry_after_ms: float) -> bool:
-        """Whether the client retries, after its own backoff or the advised wait."""
+        """Schedule a retry after the backoff or Retry-After; return whether the client retries."""
         config = self.config
         if request.attempts > config.retries:
             return False
@@ -186,7 +191,7 @@
             follow_up()
 
     def abandon_open_requests(self) -> None:
-        """The play is over: what is still open counts as lost."""
+        """Count the requests that are still open at the end of the rehearsal as lost."""
         for request in list(self.open_requests.values()):
             objective_ms = self.classes[request.class_index].latency_objective_ms
             self.context.scoring.request_finished(
--- a/heronreel/emulator/cluster.py
+++ b/heronreel/emulator/cluster.py
@@ -1,4 +1,7 @@
-"""What happens between nodes and the rest of the system: their lives, the requests they admit, the truth."""
+"""Connects the nodes to the rest of the system.
+
+It controls the nodes' processes, admits requests to nodes, and gives the oracle policy the real node state.
+"""
 
 from __future__ import annotations
 
@@ -12,13 +15,13 @@
 from heronreel.emulator.node import NEVER, Admission, Job, Node, Rack
 from heronreel.emulator.requests import NodeAttempt, ProxyHandle
 
-MIN_PACE_FACTOR = 0.01  # of its speed, where a node stands still
+MIN_PACE_FACTOR = 0.01  # share of its speed that is assumed for a node that makes no progress
 MIN_SUCCESS_RATE = 0.05
-OVERLOAD_MARGIN = 2.0  # times the work that is about to be sent to a warming node
+OVERLOAD_MARGIN = 2.0  # multiple of the next request's work that a warming node must have room for
 
 
 class Cluster:
-    """The nodes of a play, with the list service, the checker and the proxies kept informed."""
+    """The nodes of a rehearsal; reports their changes to the list service, the checker and the proxies."""
 
     def __init__(self, context: SimulationContext) -> None:
         self.context, self.events = context, context.events
@@ -32,7 +35,7 @@
         endpoint_list.endpoints.update((node.ident, self.endpoint(node)) for node in self.fleet.nodes)
 
     def endpoint(self, node: Node, state: EndpointState | None = None) -> Endpoint:
-        """A node's entry of the list, in its own state or the one given."""
+        """Return a node's entry of the endpoint list, in `state` or else in its present state."""
         if state is None:
             state = EndpointState.LEAVING if node.draining else EndpointState.UP
             state = EndpointState.LEFT if node.down else state
@@ -43,7 +46,7 @@
         usable = endpoint.state is EndpointState.UP
         self.context.invariants.node_state_known(endpoint.name, usable, self.events.now)
 
-    # The life of nodes.
+    # Starting, draining and ending node processes.
 
     def kill(self, node: Node) -> None:
         """End a node's process."""
@@ -71,7 +74,7 @@
         self._report(node, self.context.rehearsal.endpoint_list.addition_delay_ms)
 
     def drain(self, node: Node, after_ms: float) -> None:
-        """Finish what is there, reject what is new, and end the process after a while (0: never)."""
+        """Let a node finish its requests and reject new ones; end it after `after_ms` (0 means never)."""
         if node.down or node.draining:
             return
         node.draining = True
@@ -86,7 +89,7 @@
             self._report(node, delay, EndpointState.LEFT)
 
     def report_removed(self, node: Node) -> None:
-        """The list service will notice that a node has gone."""
+        """Report a removed node to the list service, which detects it after its removal delay."""
         delay = self.context.rehearsal.endpoint_list.removal_delay_ms
         self._report(node, delay, EndpointState.LEFT)
 
@@ -94,7 +97,7 @@
         self.context.endpoint_list.report(self.endpoint(node, state), delay_ms)
 
     def _collapsed(self, node: Node) -> None:
-        """A warming node has collapsed under its work."""
+        """Handle the collapse of an overloaded warming node."""
         now = self.events.now
         self.context.invariants.node_collapsed(node.name, now)
         self._reset_connections(node)
@@ -108,11 +111,11 @@
     # Notifications of the fleet.
 
     def node_warmed_up(self, node: Node) -> None:
-        """A warming node has its full pace."""
+        """Tell the checker that a node has reached its full pace."""
         self.context.invariants.node_warmed_up(node.name)
 
     def job_ended(self, node: Node, job: Job) -> None:
-        """A node has completed a job: its effect takes place, its response is sent."""
+        """Record the effect of a completed job, and send its response."""
         attempt: NodeAttempt = job.owner
         context, request = self.context, attempt.request
         now = self.events.now
@@ -134,7 +137,7 @@
         self._respond(job, api.Outcome.ERROR if job.fails else api.Outcome.SERVED)
 
     def job_lost(self, node: Node, job: Job) -> None:
-        """A node's process went with the job undone."""
+        """Send a connection reset for a job that was lost with its node's process."""
         self._respond(job, api.Outcome.RESET)
 
     def _respond(self, job: Job, outcome: api.Outcome) -> None:
@@ -144,9 +147,10 @@
     # Requests at nodes.
 
     def admit(self, node: Node, attempt: NodeAttempt, extra_work: float) -> api.Outcome | None:
-        """A request has reached a node that is up: the outcome that is sent at once, None for later.
+        """Handle an attempt that has reached a running node.
 
-        `extra_work`, ms: beside the request's own, such as a handshake's.
+        Returns the outcome if the node responds at once, or None if it responds later.  `extra_work` (ms) is
+        added to the work of the request, for example that of a handshake.
         """
         context, request, now = self.context, attempt.request, self.events.now
         client_request, request_class = request.client_request, request.request_class
@@ -163,17 +167,20 @@
         if admission is Admission.QUEUE_FULL:
             return api.Outcome.REJECTED
         if context.tracer is not None:
-            words = "its rack drops it as a repeat" if admission is Admission.DUPLICATE else "taken"
-            context.tracer.reached_node(now, attempt, words)
+            description = "its rack drops it as a repeat" if admission is Admission.DUPLICATE else "taken"
+            context.tracer.reached_node(now, attempt, description)
         if admission is Admission.ACCEPTED:
             return None
         first = node.rack.first_job(client_request.ident, now)
         return api.Outcome.SERVED if first is not None and first.completed else None
 
-    # The truth, for those who may see it.
+    # The real state of the nodes, for the oracle policy and for traces.
 
     def wait_ms(self, zone: str, backend: int, work: float) -> float:
-        """Until a node would have answered this work, if it were sent now; infinite where it would not."""
+        """Return the expected time until a node answers `work` that is sent now.
+
+        It is infinite if the node would not answer.
+        """
         node, now = self.nodes[backend], self.events.now
         if node.down or node.silent or node.draining or not self.context.network.reachable(zone, node.zone):
             return NEVER
@@ -188,11 +195,11 @@
         overload, warm_up = node.overload, node.warm_up_share(self.events.now)
         if overload is None or warm_up >= 1.0:
             return False
-        withstands = overload.factor * node.nominal_capacity * warm_up * overload.window_ms
-        return overload.total + OVERLOAD_MARGIN * work > withstands
+        max_work = overload.factor * node.nominal_capacity * warm_up * overload.window_ms
+        return overload.total + OVERLOAD_MARGIN * work > max_work
 
     def _queueing_ms(self, node: Node, pace: float) -> float:
-        """Until a slot is free for a request that comes now."""
+        """Return the time until a slot is free for a request that arrives now."""
         if len(node.running) < node.slots():
             return 0.0
         ends = sorted(max(0.0, end - node.clock) for end, _, _ in node.running)
--- a/heronreel/emulator/faults.py
+++ b/heronreel/emulator/faults.py
@@ -1,7 +1,7 @@
-"""Fault injection: each fault of the script begins, hits its targets, and is undone at its end.
+"""Injects the faults of a script: starts each fault on its targets and undoes it at its end.
 
-Several of one kind may overlap; what a fault changes by a factor is undone by the same factor, and what is
-on or off is counted, so their order of ending does not matter.
+Faults of one kind may overlap.  A change by a factor is undone by the same factor, and faults that switch
+something on are counted, so the order in which they end does not matter.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 from heronreel.emulator.watch_reset import WatchReset
 
 SECOND_MS = 1000.0
-HALF_PERIOD_MS = 500.0  # for each second of `every_s`
-CONNECTIONS_PER_REQUEST = 1e6  # which of equally busy nodes is the busiest
+HALF_PERIOD_MS = 500.0  # half a period for each second of `every_s`
+CONNECTIONS_PER_REQUEST = 1e6  # so large that connections only break ties between equally busy nodes
 LIST_TARGET = ["list"]
 T = TypeVar("T", Node, Proxy)
-NodeChange = Callable[[Node, bool], None]  # on, or off again
+NodeChange = Callable[[Node, bool], None]  # applies the change (True) or reverts it (False)
 
 
 @dataclass(slots=True)
 class ActiveFault:
-    """A fault that has begun: the names of its targets, and how it ends."""
+    """A fault that has started: the names of its targets, and the function that undoes it."""
 
     names: list[str]
     undo: Callable[[], None] | None = None
@@ -39,18 +39,18 @@
 
 @dataclass(slots=True)
 class Toggle:
-    """Something that several faults keep on."""
+    """A switch that stays on while at least one fault needs it."""
 
     switch: Callable[[bool], None]
     users: int = field(default=0)
 
     def acquire(self) -> None:
-        """One more fault needs it on."""
+        """Add a fault that needs the switch on."""
         self.users += 1
         self.switch(True)
 
     def release(self) -> None:
-        """One fault has ended."""
+        """Remove a fault, and switch off after the last one."""
         self.users -= 1
         if not self.users:
             self.switch(False)
@@ -74,12 +74,12 @@
         self._list_toggles = self._make_list_toggles()
         self.handlers = self._make_handlers()
         for index, fault in enumerate(context.rehearsal.faults):
-            # the stream's name is a seed: it keeps the words that it always had
+            # The name seeds the stream, so changing it would change the results of every rehearsal.
             stream = context.streams.stream(f"trouble {index} {fault.fault_kind}")
             self.events.schedule(fault.at_s * SECOND_MS, self._begin, index, fault, stream)
 
     def _make_handlers(self) -> Mapping[str, Callable[[Fault, RandomStream], ActiveFault]]:
-        """What carries out each kind of fault."""
+        """Return the handler of each kind of fault."""
         return {
             "slow": self._slow,
             "errors": self._errors,
@@ -138,28 +138,31 @@
         return select_targets(fault, serving, stream, load_of=lambda proxy: float(len(proxy.requests)))
 
     def _one_by_one(self, fault: Fault, targets: Sequence[T], action: Callable[[T], object]) -> ActiveFault:
-        """Each target at its own moment, spread over `within_s`; nothing to undo."""
+        """Apply `action` to the targets one after the other, spread over `within_s`; it is not undone."""
         for position, target in enumerate(targets):
             wait = fault.within_s * SECOND_MS * position / len(targets)
             self.events.schedule(self.events.now + wait, action, target)
         return ActiveFault([target.name for target in targets])
 
     def _change_nodes(self, nodes: list[Node], change: NodeChange, every_s: float = 0.0) -> ActiveFault:
-        """Change nodes at once, and back at the end; with `every_s` on and off meanwhile."""
-        state = _NodeSwitch(self.cluster, nodes, change)
-        state.set(True)
+        """Change all nodes now and revert them at the end of the fault.
+
+        With `every_s` the change alternates between on and off in the meantime.
+        """
+        node_switch = _NodeSwitch(self.cluster, nodes, change)
+        node_switch.set(True)
         if every_s:
             half_period = every_s * HALF_PERIOD_MS
 
             def alternate() -> None:
-                if not state.ended:
-                    state.set(not state.is_on)
+                if not node_switch.ended:
+                    node_switch.set(not node_switch.is_on)
                     self.events.schedule(self.events.now + half_period, alternate)
 
             self.events.schedule(self.events.now + half_period, alternate)
-        return ActiveFault([node.name for node in nodes], state.end)
+        return ActiveFault([node.name for node in nodes], node_switch.end)
 
-    # Of nodes.
+    # Node faults.
 
     def _slow(self, fault: Fault, stream: RandomStream) -> ActiveFault:
         def change(node: Node, on: bool) -> None:
@@ -175,8 +178,8 @@
 
     def _noisy_neighbour(self, fault: Fault, stream: RandomStream) -> ActiveFault:
         def change(node: Node, on: bool) -> None:
-            left, kept = 1.0 - node.noisy_neighbour, 1.0 - fault.size
-            node.noisy_neighbour = 1.0 - (left * kept if on else left / kept)
+            available, factor = 1.0 - node.noisy_neighbour, 1.0 - fault.size
+            node.noisy_neighbour = 1.0 - (available * factor if on else available / factor)
 
         return self._change_nodes(self._target_nodes(fault, stream), change, fault.every_s)
 
@@ -202,10 +205,10 @@
         nodes = self._target_nodes(fault, stream)
         for node in nodes:
             self.cluster.fleet.pause(node, fault.for_s * SECOND_MS)
-        return ActiveFault([node.name for node in nodes], lambda: None)  # it ends by itself
+        return ActiveFault([node.name for node in nodes], lambda: None)  # the pause ends by itself
 
     def _crash(self, fault: Fault, stream: RandomStream) -> ActiveFault:
-        """The process dies; after `after_s` (if set) one comes up at the same address."""
+        """Kill the nodes' processes, and restart them at the same address after `after_s` if it is set."""
 
         def crash(node: Node) -> None:
             self.cluster.kill(node)
@@ -218,7 +221,7 @@
         return self._one_by_one(fault, self._target_nodes(fault, stream), crash)
 
     def _drain(self, fault: Fault, stream: RandomStream) -> ActiveFault:
-        """Nodes finish what they have and go after `after_s`."""
+        """Drain nodes, and end their processes after `after_s`."""
 
         def drain(node: Node) -> None:
             self.cluster.drain(node, fault.after_s * SECOND_MS)
@@ -226,7 +229,7 @@
         return self._one_by_one(fault, self._target_nodes(fault, stream), drain)
 
     def _replace(self, fault: Fault, stream: RandomStream) -> ActiveFault:
-        """New machines are added and the old ones drain; or processes are replaced in place, at once."""
+        """Add new machines and drain the old ones, or with `same_address` restart processes in place."""
 
         def replace(node: Node) -> None:
             if node.down:
@@ -241,7 +244,7 @@
         return self._one_by_one(fault, self._target_nodes(fault, stream), replace)
 
     def _grow(self, fault: Fault, stream: RandomStream) -> ActiveFault:
-        """New machines, each like one that is there."""
+        """Add new machines, each with the kind, zone and rack of an existing one."""
         existing = self.cluster.fleet.in_service()
         count = fault.count or round(fault.share * len(existing))
         templates = [existing[index % len(existing)] for index in range(count)] if existing else []
@@ -252,7 +255,7 @@
         self._one_by_one(fault, templates, add)
         return ActiveFault([f"{count} new"])
 
-    # Of zones.
+    # Zone faults.
 
     def _lose_zone(self, fault: Fault, stream: RandomStream) -> ActiveFault:
         nodes = self._target_nodes(fault, stream)
@@ -277,7 +280,7 @@
 
         return ActiveFault([zone], heal)
 
-    # Of traffic.
+    # Traffic faults.
 
     def _burst(self, fault: Fault, stream: RandomStream) -> ActiveFault:
         traffic = self.traffic
@@ -289,17 +292,17 @@
         return ActiveFault([], undo)
 
     def _heavy_requests(self, fault: Fault, stream: RandomStream) -> ActiveFault:
-        """A share of the requests costs `size` times as much."""
-        heavy_work, this = self.traffic.heavy_work, (fault.share, fault.size)
-        heavy_work.append(this)
-        return ActiveFault([], lambda: heavy_work.remove(this))
+        """Multiply the work of a share of the requests by `size`."""
+        heavy_work, entry = self.traffic.heavy_work, (fault.share, fault.size)
+        heavy_work.append(entry)
+        return ActiveFault([], lambda: heavy_work.remove(entry))
 
     def _shift_zone_traffic(self, fault: Fault, stream: RandomStream) -> ActiveFault:
-        """One zone's part of the traffic, `size` times as large."""
+        """Multiply one zone's weight in the traffic by `size`."""
         return self._scale_weight(self.traffic.zone_weights, fault.zone, fault.size)
 
     def _increase_tenant(self, fault: Fault, stream: RandomStream) -> ActiveFault:
-        """One tenant's part of the traffic, `size` times as large."""
+        """Multiply one tenant's weight in the traffic by `size`."""
         factors = self.traffic.tenant_factors
         factors.setdefault(fault.tenant, 1.0)
         return self._scale_weight(factors, fault.tenant, fault.size)
@@ -314,7 +317,7 @@
 
         return ActiveFault([name], undo)
 
-    # Of the list service.
+    # List service faults.
 
     def _slow_list(self, fault: Fault, stream: RandomStream) -> ActiveFault:
         service = self.context.endpoint_list
@@ -351,7 +354,7 @@
         self.context.invariants.list_reachable(reachable, self.events.now)
 
     def _reset_watches(self, fault: Fault, stream: RandomStream) -> ActiveFault:
-        """All watches end, and the calls that wait: at once, or in place of the next change."""
+        """End all watches and waiting calls, after `after_s` or instead of sending the next change."""
         after_ms, spread_ms = fault.after_s * SECOND_MS, fault.within_s * SECOND_MS
         reset = WatchReset(self.events, self.context.endpoint_list, stream, after_ms, spread_ms)
         if fault.instead_of_change:
@@ -385,7 +388,7 @@
             "list_silent": Toggle(silence),
         }
 
-    # Of proxies.
+    # Proxy faults.
 
     def _kill_proxies(self, fault: Fault, stream: RandomStream) -> ActiveFault:
         return self._one_by_one(fault, self._target_proxies(fault, stream), lambda proxy: proxy.kill())
@@ -402,7 +405,7 @@
 
 
 class _NodeSwitch:
-    """A change of nodes that is on or off."""
+    """A change of several nodes that can be switched on and off."""
 
     def __init__(self, cluster: Cluster, nodes: list[Node], change: NodeChange) -> None:
         self.cluster, self.nodes, self.change = cluster, nodes, change
--- a/heronreel/emulator/notification_terms.py
+++ b/heronreel/emulator/notification_terms.py
@@ -32,7 +32,7 @@
         delivered_after_ms: Counted from when the list service learned of the change.
         poll_within_ms: Counted from a proxy's last call or the end of its watch; it must call again by then.
         untold_ms: Counted from the end of a watch that was closed instead of sending the change.
-        failed_call_ms: Counted from when the service knew the change and was reachable.  It applies to a proxy
+        failed_call_ms: Counted from when the service knew the change and was reachable.  Applies to a proxy
             whose last call failed, was refused or was abandoned, and then replaces the other limits.
     """
 
