--- a/tests/compatibility/__init__.py
+++ b/tests/compatibility/__init__.py
@@ -1,1 +1,1 @@
-"""Tests that what is stored, sent and printed keeps its form, and that the program decides as before."""
+"""Tests that the formats of stored, sent and printed data and the program's decisions do not change."""
--- a/tests/compatibility/fingerprints.py
+++ b/tests/compatibility/fingerprints.py
@@ -1,22 +1,22 @@
-"""Fingerprints of the program's behaviour: figures that a change of names must leave as they are.
+"""Computes fingerprints of the program's behaviour, which a refactoring must not change.
 
-Two kinds need nothing but the program.
+Two kinds of fingerprints need only the program itself.
 
-Rehearsals in virtual time: the bytes that `heronreel rehearse play --json` prints.  Nothing in them is
-normalised, because they hold no time of day and no digest of code.  Their `digest` fields are of the played
-timelines, so that a renamed field or value of a timeline shows as a difference.
+Rehearsals in virtual time: the bytes that `heronreel rehearse play --json` prints.  They are not normalised,
+because they contain neither a time of day nor a digest of the code.  Their `digest` fields cover the played
+timelines, so a renamed field or value of a timeline causes a difference.
 
-The explorers of small worlds, on the cases of the explorers' tests: how many states there are, whether all of
-them were seen, whether a promise was broken, and after how many steps.
+State space explorations, on the cases of the explorers' tests: the number of states, whether the search was
+complete, whether a guarantee was violated, and after how many steps.
 
-The words of a counterexample are not compared, and cases of guards are numbered, since words and names of
-guards may change.  Worlds hold sets, whose order differs from process to process; so states are counted where
-that order does not matter:
+The descriptions in counterexamples are not compared, and cases of guards are numbered, because descriptions
+and names of guards may change.  Worlds contain sets, whose order differs between processes.  Therefore states
+are counted only where that order does not matter:
 
-* in a search that saw all states: all of them;
-* in one that came to a broken promise after N steps: all that can be reached in N - 1 steps;
-* in one that was cut off: the limit at which that happened, which is no count of what there is;
-* in the one case of `UNCOUNTED`: nowhere; states that its world takes for the same differ in what follows.
+* a complete search: all states;
+* a search that found a violation after N steps: all states that can be reached in N - 1 steps;
+* a search that reached its limit: the limit, which does not say how many states there are;
+* the case in `UNCOUNTED`: no count, because its world treats states as equal that have different successors.
 """
 
 from __future__ import annotations
@@ -46,8 +46,8 @@
 WORKERS = 3
 
 
-def rehearsed(name: str) -> Fingerprint:
-    """Play an example: the exit code of the command, and length and SHA-256 of what it prints."""
+def play_rehearsal(name: str) -> Fingerprint:
+    """Play an example and return the exit code of the command, and the length and SHA-256 of its output."""
     file = ROOT / "examples" / "rehearsals" / f"{name}.toml"
     result = CliRunner().invoke(main, ["rehearse", "play", str(file), "--json"])
     printed = result.stdout_bytes
@@ -56,27 +56,29 @@
     }  # fmt: skip
 
 
-class Within:
-    """A world that ends after so many steps: breadth first, what is seen of it is all that these lead to."""
+class StepLimitedWorld:
+    """A world limited to a number of steps; a breadth-first search sees all states reachable in these."""
 
     def __init__(self, world: World, steps_left: int) -> None:
         self.world = world
         self.steps_left = steps_left
 
     def key(self) -> Hashable:
-        """That of the world: a breadth-first search meets each state with the most steps left first."""
+        """Return the key of the world.
+
+        A breadth-first search first meets each state with the largest number of steps left.
+        """
         return self.world.key()
 
     def steps(self) -> Iterator[tuple[str, World]]:
-        """The steps of the world, while there are any left."""
+        """Iterate over the steps of the world while any steps are left."""
         if self.steps_left:
-            for words, reached in self.world.steps():
-                yield words, Within(reached, self.steps_left - 1)
+            for description, reached in self.world.steps():
+                yield description, StepLimitedWorld(reached, self.steps_left - 1)
 
 
-Start = Callable[
-    [], tuple[World, int]
-]  # where a search starts, and the number of states at which it is cut off
+Start = Callable[[], tuple[World, int]]
+"""Creates the initial state of a search, and the maximum number of states to explore."""
 
 
 def _cases() -> dict[str, Start]:
@@ -109,30 +111,32 @@
 
 CASES = _cases()
 WALKS = "count: walks without the closer's guard"
-LARGE = {  # two seconds of a core and more: left out where time is short
+# Cases that take at least two seconds of one core; the tests leave them out to save time.
+LARGE = {
     "group: a crash of each", "group: shrinks", "group: without guard 3", "group: without guard 4",
     "group: without guard 5", "lease: all guards", "account: every order 1", "account: without guard 4",
     "account: without guard 5", "count: a kill", "count: without guard 1", "count: without guard 2",
     "count: without guard 3", "count: without guard 4", WALKS,
 }  # fmt: skip
-UNCOUNTED = {"account: without guard 4"}  # 38,819 to 39,192 states in five runs
+# The number of states varied between 38,819 and 39,192 in five runs.
+UNCOUNTED = {"account: without guard 4"}
 SMALL = [name for name in CASES if name not in LARGE]
 EXPLORED = [*CASES, WALKS]
 
 
-def explored(name: str) -> Fingerprint:
-    """Explore one case.  Of the random walks it records only whether one of them breaks a promise."""
+def explore_case(name: str) -> Fingerprint:
+    """Explore one case.  For the random walks, record only whether one of them violates a guarantee."""
     if name == WALKS:
         return {"broken": any(counting.walks_without_closing_fence())}
-    start, most = CASES[name]()
-    found = explore(start, most)
+    start, max_states = CASES[name]()
+    found = explore(start, max_states)
     states: int | None
     if name in UNCOUNTED:
         states = None
     elif found.violation is not None:
-        states = explore(Within(start, len(found.path) - 1), most).states
+        states = explore(StepLimitedWorld(start, len(found.path) - 1), max_states).states
     else:
-        states = found.states if found.complete else most
+        states = found.states if found.complete else max_states
     return {
         "states": states, "whole": found.complete, "broken": found.violation is not None,
         "length": len(found.path),
@@ -140,16 +144,17 @@
 
 
 def fingerprint(name: str) -> Fingerprint:
-    """The fingerprint of that name: `rehearsal: ` and an example, or a case of an explorer."""
+    """Compute the fingerprint of `rehearsal: ` and the name of an example, or of a case of an explorer."""
     kind, _, rest = name.partition(": ")
-    return rehearsed(rest) if kind == "rehearsal" else explored(name)
+    return play_rehearsal(rest) if kind == "rehearsal" else explore_case(name)
 
 
-def taken(names: Iterable[str], workers: int = WORKERS) -> dict[str, Fingerprint]:
-    """The fingerprints of these names, in this order, each taken in a process of its own.
+def compute_fingerprints(names: Iterable[str], workers: int = WORKERS) -> dict[str, Fingerprint]:
+    """Compute the fingerprints of these names, each in a separate process, and return them in this order.
 
-    What a process explored before moves some counts of broken searches by a few states, on the program at
-    60fa931 as well: there are states that a world takes for the same though what follows them differs.
+    Earlier explorations in the same process change the state counts of some searches that find a violation by
+    a few states, also with the program at commit 60fa931, because some worlds treat states as equal that have
+    different successors.
     """
     names = list(names)
     context = multiprocessing.get_context("spawn")
@@ -157,14 +162,14 @@
         return dict(zip(names, pool.map(fingerprint, names), strict=True))
 
 
-def committed() -> dict[str, Fingerprint]:
-    """The fingerprints in the file."""
-    found: dict[str, Fingerprint] = json.loads(FILE.read_text())
-    return found
+def load_committed() -> dict[str, Fingerprint]:
+    """Return the committed fingerprints."""
+    fingerprints: dict[str, Fingerprint] = json.loads(FILE.read_text())
+    return fingerprints
 
 
 def differences(before: Mapping[str, Fingerprint], now: Mapping[str, Fingerprint]) -> list[str]:
-    """What differs among the fingerprints taken now, in words, with both values."""
+    """Describe each current fingerprint that differs from the earlier one, with both values."""
     return [
         f"{name}: committed {before.get(name)}, now {value}"
         for name, value in now.items()
--- a/tests/compatibility/stored_control.py
+++ b/tests/compatibility/stored_control.py
@@ -1,12 +1,12 @@
-"""The control plane's stored and sent forms: one case for each committed file in `stored/control`.
+"""Data that the control plane stores and sends: one case for each committed file in `stored/control`.
 
-The committed files were written by the program as it was at commit 60fa931.  They must never be regenerated
-for a refactoring: a file that no longer matches means that disks, groups or members of earlier versions are
-no longer understood.  `write` makes the files of *new* forms; it leaves alone the ones that are there.
+The committed files were written by the program at commit 60fa931.  They must never be regenerated for a
+refactoring: a file that no longer matches means that disks, groups or members of earlier versions cannot be
+read any more.  `write` creates the files of *new* cases and does not touch existing files.
 
-Each case has the value that a file stands for, a function that writes the bytes as the program does, and one
-that reads them as the program does.  Values are built by position, so that a field may get another name while
-its place, or its name in the encoded form, stays.
+Each case has the value that a file represents, a function that writes the bytes as the program does, and one
+that reads them as the program does.  Values are constructed with positional arguments, so that a field may be
+renamed as long as its position, or its name in the encoded form, does not change.
 """
 
 from __future__ import annotations
@@ -46,18 +46,18 @@
 from heronreel.metering.records import TASK_NAME as COUNTING
 from tests.compatibility.stored_fleet import CLAIM, INSTANCE
 from tests.compatibility.stored_fleet import FORMS as FLEET_FORMS
-from tests.compatibility.stored_forms import FOLDER, Form, as_text, with_store
+from tests.compatibility.stored_forms import FOLDER, Form, as_constants, with_store
 from tests.compatibility.stored_group import FORMS as GROUP_FORMS
-from tests.compatibility.stored_group import kept_disk
+from tests.compatibility.stored_group import persisted_disk
 
-# -- constants that stand in keys, records and answers
+# -- constants that are part of keys, records and responses
 
 
 def _texts(names: Mapping[str, bytes | str]) -> dict[str, str]:
     return {name: text if isinstance(text, str) else text.decode("latin-1") for name, text in names.items()}
 
 
-NAMES_OF_KEYS = _texts(
+KEY_CONSTANTS = _texts(
     {
         "member: group": MEMBERSHIP_KEY,
         "member: confirmed": CONFIRMED_VERSIONS_KEY,
@@ -108,9 +108,10 @@
     "condition": fleet.Condition, "scope": fleet.Scope, "verb": fleet.OperationKind,
     "want": DesiredState, "stage": ProcessStage,
 }  # fmt: skip
-WORDS: dict[str, Any] = {name: [each.value for each in kind] for name, kind in ENUMS.items()}
-WORDS |= {
-    "urgency": {each.stored_name: int(each) for each in Priority},  # the names stand in keys of budgets
+ENUM_VALUES: dict[str, Any] = {name: [member.value for member in kind] for name, kind in ENUMS.items()}
+ENUM_VALUES |= {
+    # The names of priorities are part of the keys of budgets.
+    "urgency": {priority.stored_name: int(priority) for priority in Priority},
     "paths": sorted(REQUEST_PATHS.values()), "streamed": sorted(STREAMED_PATHS),
     "kinds of counts": list(KIND_NAMES),
     "budget": TOTAL_UNITS, "book given up": ABANDONED_PAGE,
@@ -118,15 +119,17 @@
 
 
 FORMS: dict[str, Form] = {
-    **GROUP_FORMS, **FLEET_FORMS, "keys.json": as_text(NAMES_OF_KEYS), "words.json": as_text(WORDS),
+    **GROUP_FORMS, **FLEET_FORMS,
+    "keys.json": as_constants(KEY_CONSTANTS), "words.json": as_constants(ENUM_VALUES),
 }  # fmt: skip
-MEMBER = FOLDER / "member"  # the folder of a member's store, as it was written
+# The folder of a member's store as the program wrote it.
+MEMBER = FOLDER / "member"
 
 
 def write() -> None:
-    """Write the files of forms that have none yet."""
+    """Write the files of cases that have no file yet."""
     for name, form in FORMS.items():
         if not (FOLDER / name).exists():
             (FOLDER / name).write_bytes(form.write())
     if not MEMBER.exists():
-        with_store(lambda folder: (kept_disk(folder), shutil.copytree(folder / "member", MEMBER)))
+        with_store(lambda folder: (persisted_disk(folder), shutil.copytree(folder / "member", MEMBER)))
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -1,9 +1,9 @@
-"""Fixed values and the files that the program makes of them.
+"""Fixed values, and the files that the program writes for them.
 
-The files below `stored/data` were written by the program at commit 60fa931, by `write`; those in
-`input` were written by hand.  They must never be regenerated for a refactoring: a difference means that the
-program does not read or write any more what it did.  Values are fixed, and what the store draws at random is
-counted here, so all files come out alike each time.
+The files in `stored/data` were written by `write` with the program at commit 60fa931; those in `input` were
+written by hand.  They must never be regenerated for a refactoring: a difference means that the program reads
+or writes another format.  Values are fixed, and counters replace the random numbers of the store, so all
+files are identical each time.
 """
 
 from __future__ import annotations
@@ -87,7 +87,7 @@
 
 
 def encoders() -> dict[str, bytes]:
-    """Each part of the store's files, made by its encoder from fixed values."""
+    """Return each part of the store's files as its encoder writes it for fixed values."""
     return {
         "segment.log": SEGMENT.encode() + b"".join(encode_frame(SALT, *frame) for frame in FRAMES),
         "header-and-block.table": TABLE.encode() + encode_block(OPERATIONS, SALT, 80),
@@ -100,14 +100,17 @@
 
 
 def store_content() -> dict[bytes, bytes]:
-    """What the whole store of `write_store` holds."""
-    kept = {b"key%02d" % number: b"%d:" % number + bytes(number) for number in range(1, 12) if number != 5}
-    kept |= {b"key%02d" % number: b"x" * 150 for number in (21, 22)}
-    return kept | {b"key03": b"again", b"large": bytes(range(256)), b"z\xff": b""}
+    """Return the content of the store that `write_store` writes."""
+    content = {b"key%02d" % number: b"%d:" % number + bytes(number) for number in range(1, 12) if number != 5}
+    content |= {b"key%02d" % number: b"x" * 150 for number in (21, 22)}
+    return content | {b"key03": b"again", b"large": bytes(range(256)), b"z\xff": b""}
 
 
 def write_store(folder: Path) -> None:
-    """Runs, deletions, log segments and a group in several frames, as a killed process leaves them."""
+    """Write a store as a killed process leaves it.
+
+    It has runs, deletions, log segments and a batch in several frames.
+    """
     numbers = count(1)
     salts = patch.object(secrets, "randbits", lambda bits: next(numbers) * SALT % 2**bits)
     names = patch.object(secrets, "token_hex", lambda size: STORE_ID.hex())
@@ -129,7 +132,7 @@
             shutil.copytree(place, folder)
 
 
-# -- a proxy's processes and its second address
+# -- a proxy's shared state and its admin address
 
 HOLDS = [Cordon("b1", 1700000000000.5), Cordon("zone/é", 1700000000000.0, 1700000001234.25)]
 CALLS = [
@@ -147,8 +150,8 @@
 ]
 
 
-class Kept(asyncio.Transport):
-    """A transport that keeps what is written."""
+class RecordingTransport(asyncio.Transport):
+    """A transport that records all written data."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -160,8 +163,8 @@
         pass
 
 
-def operators_answers() -> bytes:
-    """Every call with its answer; the date is left out."""
+def admin_responses() -> bytes:
+    """Return every admin request with its response; the date is removed."""
 
     async def talk() -> bytes:
         output = b""
@@ -174,11 +177,11 @@
 
         owner = AdminServer(asyncio.get_running_loop(), lambda: next(healthy), order)
         for call in CALLS:
-            caller, kept = AdminConnection(owner), Kept()
-            caller.connection_made(kept)
-            caller.data_received(call)
-            caller.connection_lost(None)
-            output += b"> " + call[:72] + b"\n" + re.sub(rb"date: [^\r]*", b"date: *", kept.data) + b"\n"
+            connection, transport = AdminConnection(owner), RecordingTransport()
+            connection.connection_made(transport)
+            connection.data_received(call)
+            connection.connection_lost(None)
+            output += b"> " + call[:72] + b"\n" + re.sub(rb"date: [^\r]*", b"date: *", transport.data) + b"\n"
         return output
 
     return asyncio.run(talk())
@@ -213,7 +216,8 @@
 POSTED = LedgerRecord("p1", "a", 3, False, True, {"": (1, 2, 3, 4), "t1": (5, 0, 0, 0)}, 7)
 SUMMED = Totals(6, {"t1": (1, 0, 0, 0)}, 2, {"t1": (10, 1, 0, 0)})
 CLOSED = ClosedPeriod(6, 9, "w1", {"t1": (3, 0, 0, 1)}, 4, ("p9",))
-LEFT = {11: (25, 30), 12: (3, 30), 13: (-1, 30)}  # seconds that leases have left, and had
+# By lease: the remaining and the granted time to live in seconds.
+LEFT = {11: (25, 30), 12: (3, 30), 13: (-1, 30)}
 RECORDS: list[tuple[bytes, bytes, int]] = [
     (CLAIM_PREFIX + b"count", b"w1", 11),
     (CLAIM_PREFIX + b"fleet", b"ada", 13),
@@ -240,7 +244,7 @@
 
 
 def group_content() -> dict[bytes, bytes]:
-    """The group's state with all the records, as a member writes it."""
+    """Return the state of a group with all records, as a member writes it."""
     state = Keyspace.from_content(Map())
     content: dict[bytes, bytes] = {}
     requests: list[LeaseGrant | Put] = [LeaseGrant(30, lease) for lease in LEFT]
@@ -252,12 +256,12 @@
 
 
 def lines_of(content: dict[bytes, bytes]) -> bytes:
-    """Names and values in hexadecimal, one pair a line."""
+    """Encode keys and values in hexadecimal, one pair per line."""
     return b"".join(b"%b %b\n" % (k.hex().encode(), v.hex().encode()) for k, v in sorted(content.items()))
 
 
 def content_of(lines: bytes) -> dict[bytes, bytes]:
-    """The opposite of `lines_of`."""
+    """Decode the output of `lines_of`."""
     pairs = (line.split(" ") for line in lines.decode().splitlines())
     return {bytes.fromhex(name): bytes.fromhex(value) for name, value in pairs}
 
@@ -300,7 +304,7 @@
 
 
 def write_plays(folder: Path) -> None:
-    """Results of plays: one gathered file, and one play in a file of its own."""
+    """Write results of plays: a merged file, and a separate file of one play."""
     table = ResultsTable(folder)
     table.prepare()
     table.add("k1", ROW)
@@ -310,17 +314,17 @@
 
 
 def shape(value: Any) -> Any:
-    """The keys of a value and the types at its leaves; of rows in a list each shape once."""
+    """Return the keys and the leaf types of a value; equal shapes in a list are listed once."""
     if isinstance(value, dict):
-        return {key: shape(each) for key, each in value.items()}
+        return {key: shape(field) for key, field in value.items()}
     if isinstance(value, list):
-        shapes = {json.dumps(shape(each)) for each in value}
-        return [json.loads(each) for each in sorted(shapes)]
+        shapes = {json.dumps(shape(item)) for item in value}
+        return [json.loads(item) for item in sorted(shapes)]
     return type(value).__name__
 
 
 def shown(value: Any) -> bytes:
-    """JSON as the files have it."""
+    """Return the value as JSON in the format of the files."""
     return json.dumps(value, indent=1).encode() + b"\n"
 
 
@@ -365,20 +369,25 @@
     "sweep-again": ("rehearse", "sweep", "script.toml", "--set", "proxies.idle_ms=500", "--seeds", "1..3",
                     "--out", "out", "--workers", "1", "--json"),
 }  # fmt: skip
-SPOILT = {"rotten": ("table", 90), "headless": ("table", 20), "forgetful": ("log", 110), "torn": ("log", 0)}
-"""Spoilt stores: a bit flipped at an offset of the first file of a kind, or bytes behind the last one."""
+DAMAGED_STORES = {
+    "rotten": ("table", 90),
+    "headless": ("table", 20),
+    "forgetful": ("log", 110),
+    "torn": ("log", 0),
+}
+"""Damaged stores: a bit flipped at an offset of the first file of a kind, or, for 0, bytes after the last."""
 PLAY = ("rehearse", "play", "script.toml", "--alone", "--json", "--trace", "1", "--timeline", "timeline")
 
 
 def prepare(folder: Path, source: Path) -> None:
-    """The files that the commands read: those of `source`, spoilt stores, and plays to compare."""
+    """Create the files that the commands read: those of `source`, damaged stores, and plays to compare."""
     for name in ("store", "plays"):
         shutil.copytree(source / name, folder / name)
     for path in [*(DATA / "input").iterdir(), source / "script.toml"]:
         shutil.copy(path, folder)
-    for name, place in SPOILT.items():
+    for name, damage in DAMAGED_STORES.items():
         shutil.copytree(source / "store", folder / name)
-        kind, offset = place
+        kind, offset = damage
         paths = sorted((folder / name).glob(f"*.{kind}"))
         path = paths[0 if offset else -1]
         data = bytearray(path.read_bytes())
@@ -394,7 +403,7 @@
 
 
 def commands(source: Path, content: dict[bytes, bytes]) -> dict[str, bytes]:
-    """What each command prints and ends with, on the files of `source` and the group's state `content`."""
+    """Return the output and exit code of each command on the files of `source` and the group `content`."""
     state = Keyspace.from_content(Map(content))
 
     async def ask(self: Client, request: Request, seconds: float = 3.0) -> Response:
@@ -408,19 +417,19 @@
     async def health(self: Client, address: str) -> dict[str, Any]:
         return HEALTH[address]
 
-    answers = patch.object(Client, Client.call.__name__, ask)
-    told_of = patch.object(Client, Client.health.__name__, health)
+    patched_call = patch.object(Client, Client.call.__name__, ask)
+    patched_health = patch.object(Client, Client.health.__name__, health)
     output: dict[str, bytes] = {}
-    with tempfile.TemporaryDirectory() as folder, chdir(folder), answers, told_of:
+    with tempfile.TemporaryDirectory() as folder, chdir(folder), patched_call, patched_health:
         prepare(Path(folder), source)
-        for name, words in COMMANDS.items():
+        for name, arguments in COMMANDS.items():
             state = Keyspace.from_content(Map(content))
-            done = CliRunner().invoke(main, words)
-            output[name] = f"{' '.join(words)}\nexit {done.exit_code}\n{done.stdout}".encode()
+            done = CliRunner().invoke(main, arguments)
+            output[name] = f"{' '.join(arguments)}\nexit {done.exit_code}\n{done.stdout}".encode()
         done = CliRunner().invoke(main, PLAY)
         output["play-shape"] = shown(shape(json.loads(done.stdout)))
         rows = [json.loads(line) for line in Path("timeline").read_text().splitlines()]
-        # which ends a second's row counts is a matter of the play
+        # The outcomes that the row of a second counts depend on the play, so they are left out.
         rows = [dict(list(row.items())[:4]) if "second" in row else row for row in rows]
         output["timeline-shape"] = shown(shape(rows))
         plays = read_results(Path("out"))
@@ -429,10 +438,13 @@
 
 
 def write(folder: Path) -> None:
-    """Write all files into an empty folder; see above for when not to put them in place of the old ones."""
+    """Write all files to an empty folder.
+
+    They must not replace the committed files for a refactoring: see the docstring of the module.
+    """
     folder = folder.resolve()
     files = {f"encoders/{name}": data for name, data in encoders().items()}
-    files["operators.txt"] = operators_answers()
+    files["operators.txt"] = admin_responses()
     files["group.state"] = lines_of(group_content())
     files["script.toml"] = script_to_toml(SCRIPT).encode()
     files["incident.toml"] = script_to_toml(script_from_incident(SCRIPT, INCIDENT)[0]).encode()
--- a/tests/compatibility/stored_fleet.py
+++ b/tests/compatibility/stored_fleet.py
@@ -1,6 +1,6 @@
-"""Cases of what counting, the fleet's account, agents and probers store and send.
+"""Cases of the data of metering, the disruption budget, agents and health checks.
 
-See `stored_control.py`.
+See `stored_control.py` for the rules that apply to the cases.
 """
 
 from __future__ import annotations
@@ -58,46 +58,46 @@
 from heronreel.serve.fleet import Presence
 from heronreel.store import Store
 from tests.compatibility.stored_forms import (
-    DRAWN,
+    FIXED_TOKEN,
     HEADER,
     Form,
     Server,
-    as_call,
     as_json,
     as_msgpack,
+    as_request,
     as_rows,
-    stored,
+    create_store,
     with_store,
 )
-from tests.compatibility.stored_group import asked
+from tests.compatibility.stored_group import sent_request
 
 COUNTS = {"": (1, 0, 0, 2), "gold": (5, 1, 0, 0)}
 LEDGER_RECORD = LedgerRecord("p1", "etna", 3, False, True, COUNTS, 7)
 TOTALS = Totals(8, {"gold": (1, 1, 1, 1)}, 2, {"": (9, 0, 0, 0)})
-LEDGER_HEADER = LedgerHeader(DRAWN, "p1", "etna", ("gold", "näm"))
+LEDGER_HEADER = LedgerHeader(FIXED_TOKEN, "p1", "etna", ("gold", "näm"))
 
 
 def upload() -> dict[str, Request]:
-    """What the upload of a ledger requests: read, create its record, add a page."""
+    """Return the requests of a ledger upload: read, create the record, add a page."""
     ledger_upload = LedgerUpload(LEDGER_HEADER, 0, None, 1.0, 0.0)
-    read = asked(ledger_upload.tick(0.0, False))
+    read = sent_request(ledger_upload.tick(0.0, False))
     nothing, total = (
         RangeResponse(4, (), 0, False),
         RangeResponse(4, ((TOTALS_KEY, Record(b"{}", 2, 3, 1, 0)),), 1, False),
     )
-    make = asked(ledger_upload.on_response(0.1, 1, TxnResponse(4, True, (nothing, total))))
+    make = sent_request(ledger_upload.on_response(0.1, 1, TxnResponse(4, True, (nothing, total))))
     ledger_upload = LedgerUpload(
         LEDGER_HEADER, 2, Page(3, COUNTS), 1.0, 0.0, registered=True, pending_is_last=True
     )
     ledger_upload.tick(0.0, False)
     record = Record(msgspec.json.encode(LedgerRecord("p1", "etna", 2, True, False, {}, 6)), 5, 9, 2, 0)
-    found = RangeResponse(9, ((ledger_key(DRAWN), record),), 1, False)
-    put = asked(ledger_upload.on_response(0.1, 1, TxnResponse(9, True, (found, total))))
+    found = RangeResponse(9, ((ledger_key(FIXED_TOKEN), record),), 1, False)
+    put = sent_request(ledger_upload.on_response(0.1, 1, TxnResponse(9, True, (found, total))))
     return {"count-read": read, "count-make": make, "count-put": put}
 
 
 def period_closing() -> dict[str, Request]:
-    """What the task that closes periods requests: read, aggregate pages, close a period."""
+    """Return the requests of the task that closes periods: read, aggregate pages, close a period."""
     calls: dict[str, Request] = {}
     for name, aggregated in (("count-take", False), ("count-close", True)):
         closing = PeriodClosing(100, 12, "m1", ["p2"])
@@ -136,7 +136,7 @@
 
 
 def claiming() -> dict[str, Request]:
-    """What an operation on an instance requests: acquire its claim, release it."""
+    """Return the requests of an operation on an instance: acquire the claim, release it."""
     serving = Instance(InstanceKind.PROXY, "p1", "", "", "", 1.0, Condition.SERVING, 1.0, "", "", 12, 9)
     instance = ((serving.key, Record(encode_record(serving), 3, 3, 1, 0)),)
     revision = RangeResponse(5, ((REVISION_KEY, Record(b"look", 2, 5, 3, 0)),), 1, False)
@@ -148,8 +148,8 @@
     free = TxnResponse(5, True, (revision, none, there, none, none, none))
     claimed = TxnResponse(5, True, (revision, none, there, claim, none, none))
     return {
-        "fleet-take": asked(acquire.response_received(0.1, 1, free)),
-        "fleet-give": asked(release.response_received(0.1, 1, claimed)),
+        "fleet-take": sent_request(acquire.response_received(0.1, 1, free)),
+        "fleet-give": sent_request(release.response_received(0.1, 1, claimed)),
     }
 
 
@@ -163,16 +163,16 @@
 }  # fmt: skip
 
 
-# -- books of counts
+# -- ledger files
 
 
 def ledger_file() -> bytes:
-    """The file of a ledger with a confirmed, a sealed and an open page, and a response in flight."""
+    """Return the file of a ledger with a confirmed, a sealed and an open page, and a response in flight."""
 
     def work(folder: Path) -> bytes:
         opened = LedgerDirectory(folder).create("p1", "etna", ("gold", "näm"))
         ledger, path = opened.ledger, opened.path
-        assert path.name == DRAWN + LEDGER_SUFFIX
+        assert path.name == FIXED_TOKEN + LEDGER_SUFFIX
         for tenants in (("gold",), ("gold", "", "gold", "näm")):
             for kind, tenant in enumerate(tenants):
                 ledger.settle(ledger.begin(tenant), kind)
@@ -196,27 +196,27 @@
 
 
 def ledger_of(data: bytes) -> tuple[object, ...]:
-    """What whoever adopts a ledger finds in it."""
+    """Return the state of a ledger that is adopted from this file."""
 
     def work(folder: Path) -> tuple[object, ...]:
-        (folder / (DRAWN + LEDGER_SUFFIX)).write_bytes(data)
+        (folder / (FIXED_TOKEN + LEDGER_SUFFIX)).write_bytes(data)
         (opened,), _ = LedgerDirectory(folder).adopt_orphans()
         ledger = opened.ledger
         flags = ledger.registered, ledger.is_complete
         pages = ledger.open_page, ledger.confirmed_page
         counts = list(ledger.in_flight()), ledger.open_counts(), ledger.pending_page()
-        all_of_it = ledger.header, *pages, *flags, *counts
+        state = ledger.header, *pages, *flags, *counts
         opened.close()
-        return all_of_it
+        return state
 
     return with_store(work)
 
 
-# -- an agent, and what is sent to it
+# -- agents and their commands
 
 
 def commanded(request: CommandRequest) -> bytes:
-    """The body with which a controller commands an agent; the agent's address is in its presence."""
+    """Return the body of a command to an agent, whose address is in its presence record."""
 
     async def talk() -> bytes:
         async with Server({"/order": b'{"taken": true, "number": 9, "looked": 4}'}) as server:
@@ -235,7 +235,7 @@
 
 
 def agent_settings(folder: Path) -> AgentSettings:
-    """One instance whose program is never started."""
+    """Return settings with one instance whose program is never started."""
     table = AgentTable("m1", str(folder), "127.0.0.1:1", ("127.0.0.1:1",))
     return AgentSettings(table, {"2": ("true",)}, (InstanceTable("p1", "127.0.0.1:1", "", "etna", "edge"),))
 
@@ -250,7 +250,7 @@
 
 
 def agent_run(folder: Path) -> tuple[str, dict[bytes, bytes]]:
-    """An agent's answers to `ORDERS` and to a question for its status, and its disk after them."""
+    """Return an agent's responses to `ORDERS` and to a status request, and its records afterwards."""
 
     async def talk() -> tuple[str, dict[bytes, bytes]]:
         with Store.open(folder / "orders") as store:
@@ -260,10 +260,10 @@
             lines = []
             async with TestClient(TestServer(app, host="127.0.0.1")) as client:
                 for order in ORDERS:
-                    async with client.post("/order", data=order) as answer:
-                        lines.append(f"{answer.status} {await answer.text()}")
-                async with client.get("/status") as answer:
-                    lines.append(f"{answer.status} {await answer.text()}")
+                    async with client.post("/order", data=order) as response:
+                        lines.append(f"{response.status} {await response.text()}")
+                async with client.get("/status") as response:
+                    lines.append(f"{response.status} {await response.text()}")
             for supervisor in server.supervisors.values():
                 supervisor.close()
             return "\n".join(lines), dict(store.scan())
@@ -272,28 +272,28 @@
 
 
 def agent_answers() -> bytes:
-    """Status and body of each of the agent's answers."""
+    """Return the status and body of each response of the agent."""
     return with_store(agent_run)[0].encode()
 
 
 def agent_disk(folder: Path) -> dict[bytes, bytes]:
-    """The agent's records after `ORDERS`."""
+    """Return the agent's records after `ORDERS`."""
     return agent_run(folder)[1]
 
 
 def agent_of(rows: Mapping[bytes, bytes]) -> tuple[PersistedState, int]:
-    """What an agent knows that begins with these records."""
+    """Return the state of an agent that starts with these records."""
 
     async def talk(folder: Path) -> tuple[PersistedState, int]:
-        with stored(folder / "orders", rows) as store:
+        with create_store(folder / "orders", rows) as store:
             lifecycle = AgentServer(agent_settings(folder), store).supervisors["p1"].lifecycle
             return lifecycle.durable_state, lifecycle.observation_count
 
     return with_store(lambda folder: asyncio.run(talk(folder)))
 
 
-def answers_told(data: bytes) -> list[tuple[int, Any]]:
-    """Status and body of each answer, of such a file."""
+def parse_responses(data: bytes) -> list[tuple[int, Any]]:
+    """Parse the status and body of each response from the file of an agent's responses."""
     lines = (line.split(b" ", 1) for line in data.splitlines())
     return [(int(status), json.loads(body)) for status, body in lines]
 
@@ -312,8 +312,8 @@
 
 
 FORMS: dict[str, Form] = {
-    **{f"call-{name}.txt": as_call(request) for name, request in CALLS.items()},
-    "presence.json": as_json(Presence("proxy", "etna", "127.0.0.1:80", "0.2.0", DRAWN, 81)),
+    **{f"call-{name}.txt": as_request(request) for name, request in CALLS.items()},
+    "presence.json": as_json(Presence("proxy", "etna", "127.0.0.1:80", "0.2.0", FIXED_TOKEN, 81)),
     "book.bin": Form(LEDGER, ledger_file, ledger_of),
     "posted.json": as_json(LEDGER_RECORD), "posted-least.json": as_json(LedgerRecord("p1")),
     "sum.json": as_json(TOTALS), "sum-empty.json": as_json(Totals()),
@@ -336,7 +336,7 @@
     ),
     "agent-kept-new.msgpack": as_msgpack(PersistedState()),
     "agent-order.json": as_json(CommandRequest("p1", 9, 3, DesiredState.RUNNING, "2"), commanded),
-    "agent-answers.txt": Form(AGENT_ANSWERS, agent_answers, answers_told),
+    "agent-answers.txt": Form(AGENT_ANSWERS, agent_answers, parse_responses),
     "probe-report.json": Form(REPORT, lambda: msgspec.json.encode(REPORT), report_of),
     "probe-report-least.json": as_json(HealthReport(1, "p1", 9)),
 }  # fmt: skip
--- a/tests/compatibility/stored_forms.py
+++ b/tests/compatibility/stored_forms.py
@@ -1,4 +1,4 @@
-"""Kinds of stored and sent forms: how each is written and read.  The cases: `stored_control.py`."""
+"""Defines how the kinds of stored and sent data are written and read; `stored_control.py` has the cases."""
 
 from __future__ import annotations
 
@@ -23,41 +23,43 @@
 from heronreel.store import Store
 
 FOLDER = Path(__file__).parent / "stored" / "control"
-DRAWN = "00112233aabbccdd"  # stands for what the program draws at random
+# Replaces the random hexadecimal tokens of the program.
+FIXED_TOKEN = "00112233aabbccdd"
 T = TypeVar("T")
-HEADER = ResponseHeader(123, 456, 3)  # of each answer
+# The header of each response.
+HEADER = ResponseHeader(123, 456, 3)
 
 
 class Form(NamedTuple):
-    """One committed file: what it stands for, and the program's way to write it and to read it."""
+    """A committed file: the value that it represents, and how the program writes and reads it."""
 
     value: Any
     write: Callable[[], bytes]
     read: Callable[[bytes], Any]
 
 
-# -- kinds of forms
+# -- kinds of data
 
 
 def as_json(value: T, write: Callable[[T], bytes] = msgspec.json.encode) -> Form:
-    """A record of its own type in JSON."""
+    """Describe a record that is stored as JSON and decoded with its type."""
     return Form(value, lambda: write(value), lambda data: msgspec.json.decode(data, type=type(value)))
 
 
 def as_msgpack(value: object) -> Form:
-    """A record of its own type in MessagePack."""
+    """Describe a record that is stored as MessagePack and decoded with its type."""
     kind: Any = type(value)
     encode, decode = msgspec.msgpack.encode, msgspec.msgpack.decode
     return Form(value, lambda: encode(value), lambda data: decode(data, type=kind))
 
 
 def as_message(message: Any) -> Form:
-    """What one member posts to another: a list of messages."""
+    """Describe a message as one member posts it to another, in a list of messages."""
     return Form([message], lambda: encode_messages([message]), decode_messages)
 
 
-def as_call(request: Request) -> Form:
-    """A client's call: a line with the path, and the body."""
+def as_request(request: Request) -> Form:
+    """Describe a client request as a line with the path, followed by the body."""
 
     def write() -> bytes:
         return f"{request_path(request)}\n{json.dumps(encode_request(request))}".encode()
@@ -69,8 +71,8 @@
     return Form(request, write, read)
 
 
-def as_answer(request: Request, result: Response) -> Form:
-    """The body of an answer."""
+def as_response(request: Request, result: Response) -> Form:
+    """Describe the body of a response."""
 
     def write() -> bytes:
         raw = encode_response(HEADER, result)
@@ -80,7 +82,7 @@
 
 
 def as_rows(value: object, rows: Callable[[], Mapping[bytes, bytes]], read: Callable[[Content], Any]) -> Form:
-    """A map or a store of records, as JSON with keys and values in hex."""
+    """Describe the records of a map or store as JSON with hexadecimal keys and values."""
 
     def write() -> bytes:
         return json.dumps({key.hex(): data.hex() for key, data in sorted(rows().items())}, indent=1).encode()
@@ -88,29 +90,29 @@
     return Form(value, write, lambda data: read(rows_of(data)))
 
 
-def as_text(value: dict[str, Any]) -> Form:
-    """Constants by names that belong to this file alone; read and written as JSON."""
+def as_constants(value: dict[str, Any]) -> Form:
+    """Describe constants as JSON, by names that are used only in that file."""
     return Form(value, lambda: json.dumps(value, indent=1).encode(), json.loads)
 
 
 def rows_of(data: bytes) -> Content:
-    """The records of a file that `as_rows` wrote."""
+    """Return the records of a file that `as_rows` wrote."""
     return Map({bytes.fromhex(key): bytes.fromhex(row) for key, row in json.loads(data).items()})
 
 
-def drawn(size: int) -> str:
-    """In the place of `secrets.token_hex`: as many digits as are asked for."""
-    return DRAWN * (size // 8)
+def fixed_token_hex(size: int) -> str:
+    """Replace `secrets.token_hex` with a fixed token of the same length."""
+    return FIXED_TOKEN * (size // 8)
 
 
 def with_store(work: Callable[[Path], T]) -> T:
-    """What `work` returns for an empty folder, while what is drawn at random is `DRAWN`."""
-    with tempfile.TemporaryDirectory() as folder, patch("secrets.token_hex", drawn):
+    """Call `work` with an empty folder while all random tokens are `FIXED_TOKEN`."""
+    with tempfile.TemporaryDirectory() as folder, patch("secrets.token_hex", fixed_token_hex):
         return work(Path(folder))
 
 
-def stored(path: Path, rows: Mapping[bytes, bytes]) -> Store:
-    """A new store with these records."""
+def create_store(path: Path, rows: Mapping[bytes, bytes]) -> Store:
+    """Create a store with these records."""
     store = Store.open(path)
     for key, data in rows.items():
         store.put(key, data)
@@ -118,7 +120,7 @@
 
 
 class Server:
-    """Answers every call with what is set for its path, and keeps what it got."""
+    """Responds to every request with the response set for its path, and records the requests."""
 
     def __init__(self, answers: Mapping[str, bytes]) -> None:
         self.answers = dict(answers)
--- a/tests/compatibility/stored_group.py
+++ b/tests/compatibility/stored_group.py
@@ -1,6 +1,6 @@
-"""Cases of what a group of members stores and sends: messages, disks, the keyspace, calls and answers.
+"""Cases of the data of a member group: messages, disks, the keyspace, requests and responses.
 
-See `stored_control.py`.
+See `stored_control.py` for the rules that apply to the cases.
 """
 
 from __future__ import annotations
@@ -64,16 +64,16 @@
 from heronreel.leases.tasks import Cursor, Priority, Task, decode_cursor, encode_cursor
 from heronreel.store import Store
 from tests.compatibility.stored_forms import (
-    DRAWN,
+    FIXED_TOKEN,
     HEADER,
     Form,
-    as_answer,
-    as_call,
     as_json,
     as_message,
     as_msgpack,
+    as_request,
+    as_response,
     as_rows,
-    stored,
+    create_store,
     with_store,
 )
 
@@ -83,7 +83,7 @@
 OLDER = Version(2, "b/bb02", 4)
 WRITES = ((b"kx", b"\x01\x02"), (b"ky", None))
 MESSAGES = {
-    "hello": Hello("a", DRAWN),
+    "hello": Hello("a", FIXED_TOKEN),
     "status": Status("b", "bb02", True),
     "prepare": Prepare("a", "aa01", "aa01", "bb02", BALLOT, VERSION, True),
     "promise": Promise("b", "bb02", BALLOT, False, True, BALLOT, OLDER),
@@ -97,11 +97,11 @@
     Persist(1, "aa01", BALLOT, OLDER, ((b"old", b"gone"), (b"h", b"\x93\x02\x00\x00")), False, ()),
     Persist(2, "aa01", BALLOT, VERSION, ((b"h", b"\x93\x03\x01\x05"), (b"kx", b"\xff")), True, ()),
 )
-DURABLE = DurableState(DRAWN, "aa01", BALLOT, VERSION, Map({b"h": b"\x93\x03\x01\x05", b"kx": b"\xff"}))
+DURABLE = DurableState(FIXED_TOKEN, "aa01", BALLOT, VERSION, Map({b"h": b"\x93\x03\x01\x05", b"kx": b"\xff"}))
 
 
-def kept_disk(folder: Path) -> dict[bytes, bytes]:
-    """What a member's store holds after `PERSISTS`."""
+def persisted_disk(folder: Path) -> dict[bytes, bytes]:
+    """Return the records of a member's store after `PERSISTS`."""
     disk = MemberDisk(folder / "member", "a")
     disk.persist(PERSISTS)
     rows = dict(disk.store.scan())
@@ -109,9 +109,9 @@
     return rows
 
 
-def wiped_disk(folder: Path) -> dict[bytes, bytes]:
-    """What is left in a member's store once it was wiped."""
-    kept_disk(folder)
+def erased_disk(folder: Path) -> dict[bytes, bytes]:
+    """Return the records that remain in a member's store after it was erased."""
+    persisted_disk(folder)
     disk = MemberDisk(folder / "member", "a")
     disk.erase()
     rows = dict(disk.store.scan())
@@ -120,10 +120,10 @@
 
 
 def durable_of(rows: Mapping[bytes, bytes]) -> DurableState:
-    """What a member finds on a disk with these records."""
+    """Return the durable state that a member loads from a disk with these records."""
 
     def work(folder: Path) -> DurableState:
-        stored(folder / "member", rows).close()
+        create_store(folder / "member", rows).close()
         disk = MemberDisk(folder / "member", "a")
         disk.close()
         return disk.durable
@@ -132,7 +132,7 @@
 
 
 def opened_folder(folder: Path) -> DurableState:
-    """What a member finds in a copy of a store's folder."""
+    """Return the durable state that a member loads from a copy of a store folder."""
 
     def work(scratch: Path) -> DurableState:
         disk = MemberDisk(shutil.copytree(folder, scratch / "member"), "a")
@@ -143,25 +143,27 @@
 
 
 def founded() -> Content:
-    """The map of three members that found a group, after three rounds of writes."""
+    """Return the content of a new group of three members after three rounds of writes."""
     members = {name: ConsensusMember(name, "abc", DurableState(f"disk-{name}"), 0.0) for name in "abc"}
     for moment in range(4):
-        now = moment / 20  # sooner than the leader's next round without writes
+        now = moment / 20  # earlier than the leader's next round without writes
         waiting = deque((name, action) for name in members for action in members[name].tick(now))
         if members["a"].is_leader and not members["a"].has_round_in_flight:
             waiting.extend(("a", action) for action in members["a"].propose(now, ((b"kx", b"%d" % moment),)))
         while waiting:
             name, action = waiting.popleft()
             if isinstance(action, Send):
-                waiting.extend((action.to, each) for each in members[action.to].receive(now, action.message))
+                waiting.extend(
+                    (action.to, reaction) for reaction in members[action.to].receive(now, action.message)
+                )
             elif isinstance(action, Persist):
-                waiting.extend((name, each) for each in action.sends)
-                waiting.extend((name, each) for each in members[name].persisted(now, action.number))
+                waiting.extend((name, send) for send in action.sends)
+                waiting.extend((name, reaction) for reaction in members[name].persisted(now, action.number))
     return members["a"].content
 
 
 def group_of(content: Content) -> tuple[dict[str, str], dict[str, Version]]:
-    """Members and what they are known to have, as a member reads them in the map."""
+    """Return the members and their confirmed versions as a member reads them from the content."""
     member = ConsensusMember("a", "abc", DurableState("disk-a", "disk-a", BALLOT, VERSION, content), 0.0)
     return dict(member.members), dict(member.confirmed_versions)
 
@@ -178,7 +180,7 @@
 
 
 def changed() -> Content:
-    """The map after `CHANGES`."""
+    """Return the content after `CHANGES`."""
     content, state = EMPTY_CONTENT, Keyspace.from_content(EMPTY_CONTENT)
     for request in CHANGES:
         assert isinstance(request, Range | Put | DeleteRange | Txn | LeaseGrant | LeaseRevoke)
@@ -188,14 +190,14 @@
 
 
 def state_of(content: Content) -> tuple[object, ...]:
-    """All that a state reads in the map."""
+    """Return everything that a keyspace reads from the content."""
     state = Keyspace.from_content(content)
     attached = {lease: sorted(keys) for lease, keys in state.lease_keys.items()}
     return tuple(msgspec.structs.astuple(state.header)), dict(state.keys), dict(state.leases), attached
 
 
 def fenced(folder: Path) -> dict[bytes, bytes]:
-    """The records of a place whose writes carry a number."""
+    """Return the records of a store whose writes are checked with fencing tokens."""
     with Store.open(folder / "place") as store:
         table = FencedTable(store)
         table.register_holder(b"t", 5)
@@ -204,67 +206,67 @@
 
 
 def fence_of(rows: Mapping[bytes, bytes]) -> tuple[object, ...]:
-    """What such a place knows, from its records."""
+    """Return the state that a fenced table loads from these records."""
 
     def work(folder: Path) -> tuple[object, ...]:
-        with stored(folder / "place", rows) as store:
+        with create_store(folder / "place", rows) as store:
             table = FencedTable(store)
             return table.guard.highest_tokens, table.step_count(b"t"), table.entries(b"t")
 
     return with_store(work)
 
 
-# -- questions of the cores
+# -- requests of the protocol state machines
 
 
-def asked(actions: Iterable[object]) -> Request:
-    """The question among some actions."""
-    (ask,) = (action for action in actions if isinstance(action, SendRequest))
-    return ask.request
+def sent_request(actions: Iterable[object]) -> Request:
+    """Return the only request among these actions."""
+    (send,) = (action for action in actions if isinstance(action, SendRequest))
+    return send.request
 
 
 def session() -> LeaseClient:
-    """A process's lease, granted."""
-    made = LeaseClient(LeaseTerms(), 0.0, lambda: 77)
-    made.tick(0.0)
-    made.on_response(0.1, 1, LeaseResponse(1, 77, 6, 6))
-    return made
+    """Return the client of a lease that has been granted."""
+    client = LeaseClient(LeaseTerms(), 0.0, lambda: 77)
+    client.tick(0.0)
+    client.on_response(0.1, 1, LeaseResponse(1, 77, 6, 6))
+    return client
 
 
 def claims() -> dict[str, Request]:
-    """What a claim asks while it is wanted, held and given back."""
+    """Return the requests of a claim: acquire, check and release."""
     held = session()
     claim = held.claim(CLAIM_PREFIX + b"t", b"m1")
-    wanted = asked(claim.tick(0.2))
+    wanted = sent_request(claim.tick(0.2))
     claim.on_response(0.3, TxnResponse(5, True, (PutResponse(5, None),)))
-    look = asked(claim.tick(4.0))
+    look = sent_request(claim.tick(4.0))
     claim.on_response(4.1, TxnResponse(5, True, (RangeResponse(5, (), 0, False),)))
     claim.release(4.2)
-    return {"claim-take": wanted, "claim-look": look, "claim-release": asked(claim.tick(4.2))}
+    return {"claim-take": wanted, "claim-look": look, "claim-release": sent_request(claim.tick(4.2))}
 
 
 def shares() -> dict[str, Request]:
-    """What a process asks for its part of a budget: all there is, and a wish where there is nothing left."""
+    """Return the requests for a share of a budget: take the whole budget, and queue if nothing is left."""
     calls: dict[str, Request] = {}
     for name, others in (("budget-take", 0), ("budget-wish", TOTAL_UNITS)):
         share = BudgetShare(session(), Priority.IDLE.stored_name, "m1", lambda: 0.5)
         share.acquire(0.2)
-        calls["budget-read"] = asked(share.tick(0.2))
+        calls["budget-read"] = sent_request(share.tick(0.2))
         part = Record(msgspec.json.encode(StoredShare(others)), 3, 3, 1, 9)
         rows = ((BUDGETS + b"idle/part/m2", part), (BUDGETS + b"idle/register", Record(b"", 2, 4, 2, 0)))
-        calls[name] = asked(share.on_response(0.3, RangeResponse(4, rows, 2, False)))
+        calls[name] = sent_request(share.on_response(0.3, RangeResponse(4, rows, 2, False)))
     return calls
 
 
 def steps() -> dict[str, Request]:
-    """What the holder of a task asks: begin a step, confirm it."""
+    """Return the requests of the holder of a task: read its cursor, begin a step, confirm the step."""
     task = TaskProgress(Task("t", 5.0), 9, "m1", 0.0)
-    read = asked(task.tick(0.0))
+    read = sent_request(task.tick(0.0))
     cursor = Record(encode_cursor(Cursor(4, 0, 0, 8, "m2", False, 1)), 3, 6, 4, 0)
     task.on_response(0.1, 1, RangeResponse(6, ((CURSOR_PREFIX + b"t", cursor),), 1, False))
-    begin = asked(task.tick(5.1))
+    begin = sent_request(task.tick(5.1))
     task.on_response(5.2, 2, TxnResponse(7, True, (PutResponse(7, None),)))
-    return {"task-read": read, "task-begin": begin, "task-confirm": asked(task.step_succeeded(5.3, 5))}
+    return {"task-read": read, "task-begin": begin, "task-confirm": sent_request(task.step_succeeded(5.3, 5))}
 
 
 COMPARES = (
@@ -298,7 +300,7 @@
 }
 
 
-# -- answers
+# -- responses
 
 X, Y = Record(b"\x00\xff", 2, 9, 3, 77), Record(b"", 3, 3, 1, 0)
 ANSWERS: dict[str, tuple[Request, Response]] = {
@@ -335,7 +337,7 @@
 
 
 def refusals() -> bytes:
-    """Status and body of the answer to each of `BAD_CALLS`, and to a refusal with each code."""
+    """Return the status and body of the error response for each status code and each of `BAD_CALLS`."""
     rows: list[tuple[object, ...]] = [
         ("", "", *encode_error(RequestError(code, "why"))) for code in StatusCode
     ]
@@ -344,28 +346,28 @@
             request = decode_request(path, body.encode())
             assert isinstance(request, Range | Put | DeleteRange | Txn | LeaseGrant | LeaseRevoke)
             Keyspace.from_content(changed()).apply(request)
-        except RequestError as refused:
-            rows.append((path, body, *encode_error(refused)))
+        except RequestError as error:
+            rows.append((path, body, *encode_error(error)))
     return b"[\n" + b",\n".join(json.dumps(row).encode() for row in rows) + b"\n]"
 
 
 def refused(data: bytes) -> list[int]:
-    """The codes of refusals as a client reads them; nothing else is in a body than it says."""
+    """Return the codes of error responses as a client decodes them, and check that encoding restores them."""
     found = [(decode_error(status, body), status, body) for _, _, status, body in json.loads(data)]
-    assert all(encode_error(each) == (status, body) for each, status, body in found)
-    return [int(each.code) for each, _, _ in found]
+    assert all(encode_error(error) == (status, body) for error, status, body in found)
+    return [int(error.code) for error, _, _ in found]
 
 
 class Recorder:
-    """In the place of a client: keeps the one question and answers nothing."""
+    """Replaces a client: records the request and returns no response."""
 
     async def call(self, request: Request) -> None:
-        """Keep it."""
+        """Record the request."""
         self.request = request
 
 
 def resized(names: str) -> bytes:
-    """The record of who should be in the group, as an operator's command writes it."""
+    """Return the record of the desired members that the operator's command writes."""
     recorder: Any = Recorder()
     asyncio.run(resize_group(recorder, names))
     assert recorder.request.key == DESIRED_MEMBERS_KEY
@@ -374,8 +376,8 @@
 
 FORMS: dict[str, Form] = {
     **{f"message-{name}.msgpack": as_message(message) for name, message in MESSAGES.items()},
-    **{f"call-{name}.txt": as_call(request) for name, request in CALLS.items()},
-    **{f"answer-{name}.json": as_answer(*pair) for name, pair in ANSWERS.items()},
+    **{f"call-{name}.txt": as_request(request) for name, request in CALLS.items()},
+    **{f"answer-{name}.json": as_response(*pair) for name, pair in ANSWERS.items()},
     "watch-events.json": Form(
         (11, EVENTS), lambda: encode_line(encode_events(HEADER, 11, EVENTS, with_previous=True)),
         lambda data: decode_events(json.loads(data)["result"]),
@@ -383,9 +385,9 @@
     "refusals.json": Form(
         [*map(int, StatusCode), 3, 11, 11, 5, 3, 3, 9, 5], refusals, refused
     ),
-    "disk-names.msgpack": as_msgpack(MemberRecord("a", DRAWN, "aa01", BALLOT, VERSION)),
-    "disk-rows.json": as_rows(DURABLE, lambda: with_store(kept_disk), durable_of),
-    "disk-wiped.json": as_rows(DurableState(DRAWN), lambda: with_store(wiped_disk), durable_of),
+    "disk-names.msgpack": as_msgpack(MemberRecord("a", FIXED_TOKEN, "aa01", BALLOT, VERSION)),
+    "disk-rows.json": as_rows(DURABLE, lambda: with_store(persisted_disk), durable_of),
+    "disk-wiped.json": as_rows(DurableState(FIXED_TOKEN), lambda: with_store(erased_disk), durable_of),
     "group.json": as_rows(
         (
             {"a": "disk-a", "b": "disk-b", "c": "disk-c"},
--- a/tests/compatibility/test_stored_control.py
+++ b/tests/compatibility/test_stored_control.py
@@ -1,7 +1,7 @@
-"""What the control plane stores and sends has the form that earlier versions wrote and read.
+"""Tests that the control plane writes and reads its data in the same format as earlier versions.
 
-The files in `stored/control` were written by the program as it was at commit 60fa931, and must never be
-regenerated for a refactoring: see `stored_control.py`, which holds a case for each of them.
+The files in `stored/control` were written by the program at commit 60fa931 and must never be regenerated for
+a refactoring.  `stored_control.py` has a case for each file.
 """
 
 import asyncio
@@ -22,30 +22,30 @@
 from heronreel.coordinator.http_listener import HttpListener
 from heronreel.coordinator.node import MemberNode
 from tests.compatibility.stored_control import FORMS, MEMBER
-from tests.compatibility.stored_forms import DRAWN, FOLDER, Server, drawn
+from tests.compatibility.stored_forms import FIXED_TOKEN, FOLDER, Server, fixed_token_hex
 from tests.compatibility.stored_group import ANSWERS, DURABLE, EVENTS, opened_folder
 
 
 @pytest.mark.parametrize("name", FORMS)
-def test_the_program_writes_the_bytes_it_wrote(name: str) -> None:
+def test_the_program_writes_the_committed_bytes(name: str) -> None:
     assert FORMS[name].write() == (FOLDER / name).read_bytes()
 
 
 @pytest.mark.parametrize("name", FORMS)
-def test_the_program_reads_what_it_wrote(name: str) -> None:
+def test_the_program_reads_the_committed_bytes(name: str) -> None:
     form = FORMS[name]
     assert form.read((FOLDER / name).read_bytes()) == form.value
 
 
-def test_each_committed_file_has_its_case() -> None:
+def test_each_committed_file_has_a_case() -> None:
     assert {path.name for path in FOLDER.iterdir()} == {*FORMS, MEMBER.name}
 
 
-def test_a_member_opens_a_store_folder_that_was_written_earlier() -> None:
+def test_a_member_opens_the_committed_store_folder() -> None:
     assert opened_folder(MEMBER) == DURABLE
 
 
-def test_a_client_sends_these_calls_and_takes_these_answers() -> None:
+def test_a_client_sends_requests_and_accepts_the_committed_responses() -> None:
     async def talk() -> None:
         async with Server({WATCH_PATH: (FOLDER / "watch-events.json").read_bytes()}) as server:
             async with Client([server.address]) as client:
@@ -68,10 +68,10 @@
     asyncio.run(talk())
 
 
-def test_a_member_posts_messages_to_another(tmp_path: Path) -> None:
+def test_a_member_posts_the_committed_message_to_another(tmp_path: Path) -> None:
     async def talk() -> None:
         async with Server({}) as server:
-            with patch("secrets.token_hex", drawn):
+            with patch("secrets.token_hex", fixed_token_hex):
                 disk = MemberDisk(tmp_path, "a")
             node = MemberNode(
                 GroupConfig((MemberAddress("a", "127.0.0.1:1"), MemberAddress("b", server.address))),
@@ -88,9 +88,9 @@
     asyncio.run(talk())
 
 
-def test_a_member_answers_on_these_paths(tmp_path: Path) -> None:
+def test_a_member_serves_exactly_these_paths(tmp_path: Path) -> None:
     async def talk() -> None:
-        with patch("secrets.token_hex", drawn):
+        with patch("secrets.token_hex", fixed_token_hex):
             disk = MemberDisk(tmp_path, "a")
         node = MemberNode(GroupConfig((MemberAddress("a", "127.0.0.1:1"),)), "a", disk)
         await node.start()
@@ -105,23 +105,24 @@
             async with asyncio.timeout(5):
                 while not node.service.member.is_leader:
                     await asyncio.sleep(0.005)
-            async with client.post("/v3/kv/put", data=b'{"key": "eA==", "value": "AA=="}') as answer:
+            async with client.post("/v3/kv/put", data=b'{"key": "eA==", "value": "AA=="}') as response:
                 head = {
                     "cluster_id": "2656889371",
                     "member_id": "3904355907",
                     "revision": "2",
                     "raft_term": "1",
                 }
-                assert answer.status == 200 and await answer.json() == {"header": head}
+                assert response.status == 200 and await response.json() == {"header": head}
             hello = (FOLDER / "message-hello.msgpack").read_bytes()
-            async with client.post("/member", data=hello) as answer:
-                assert answer.status == 204
-            async with client.get("/health") as answer:
-                health = await answer.json()
-            assert health.pop("version")[:2] == [1, f"a/{DRAWN}"]
+            async with client.post("/member", data=hello) as response:
+                assert response.status == 204
+            async with client.get("/health") as response:
+                health = await response.json()
+            assert health.pop("version")[:2] == [1, f"a/{FIXED_TOKEN}"]
             assert health == {
-                "member": "a", "leader": "a", "role": "leader", "disk": DRAWN, "disks": {"a": DRAWN},
-                "wish": None, "listed": ["a"], "promised": [1, f"a/{DRAWN}"],
+                "member": "a", "leader": "a", "role": "leader", "disk": FIXED_TOKEN,
+                "disks": {"a": FIXED_TOKEN},
+                "wish": None, "listed": ["a"], "promised": [1, f"a/{FIXED_TOKEN}"],
             }  # fmt: skip
         await node.stop()
 
@@ -139,12 +140,14 @@
         ("/v3/lease/timetolive", {"ID": 77, "keys": True}, LeaseTimeToLive(77, True)),
     ],
 )  # fmt: skip
-def test_other_spellings_of_calls_are_taken(path: str, body: dict[str, object], request_: object) -> None:
+def test_alternative_spellings_of_requests_are_accepted(
+    path: str, body: dict[str, object], request_: object
+) -> None:
     assert decode_request(path, json.dumps(body).encode()) == request_
 
 
 @pytest.mark.parametrize("body", [b"{", b'{"key": "eA==", "values": ""}', b'{"key": 5}'])
-def test_a_call_that_is_none_is_refused(body: bytes) -> None:
-    with pytest.raises(RequestError) as refused:
+def test_a_malformed_request_is_rejected(body: bytes) -> None:
+    with pytest.raises(RequestError) as raised:
         decode_request("/v3/kv/put", body)
-    assert refused.value.code is StatusCode.INVALID_ARGUMENT
+    assert raised.value.code is StatusCode.INVALID_ARGUMENT
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -1,7 +1,7 @@
-"""What the program has written to disks, groups and programs' readers stays readable, and is written alike.
+"""Tests that the program reads and writes disks, group records and command output as before.
 
-The files below `stored/data` were written at commit 60fa931.  They say what the forms are; a
-refactoring that needs other files has changed a form.
+The files in `stored/data` were written at commit 60fa931 and define the formats.  A refactoring that needs
+other files has changed a format.
 """
 
 from __future__ import annotations
@@ -70,33 +70,35 @@
 
 
 @pytest.fixture(scope="module")
-def again(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """All files, written by the program as it is now."""
+def rewritten(tmp_path_factory: pytest.TempPathFactory) -> Path:
+    """All files, written by the current program."""
     folder = tmp_path_factory.mktemp("stored")
     stored_data.write(folder)
     return folder
 
 
-def test_the_same_files_are_written_as_before(again: Path) -> None:
-    assert sorted(str(path.relative_to(again)) for path in again.rglob("*") if path.is_file()) == FILES
+def test_the_same_set_of_files_is_written(rewritten: Path) -> None:
+    assert (
+        sorted(str(path.relative_to(rewritten)) for path in rewritten.rglob("*") if path.is_file()) == FILES
+    )
     assert len(FILES) > 50
 
 
 @pytest.mark.parametrize("name", FILES)
-def test_each_file_is_written_as_before(name: str, again: Path) -> None:
-    """Byte for byte; a Parquet file names the library that wrote it, so there by its columns and rows."""
+def test_each_file_is_written_identically(name: str, rewritten: Path) -> None:
+    """Files are compared by their bytes; Parquet files name the library version, so by columns and rows."""
     if name.endswith(".parquet"):
-        old, new = pq.read_table(DATA / name), pq.read_table(again / name)
+        old, new = pq.read_table(DATA / name), pq.read_table(rewritten / name)
         assert new.schema.equals(old.schema, check_metadata=True) and new.to_pylist() == old.to_pylist()
         assert old.schema.metadata == {b"heronreel.format": b"1"}
     else:
-        assert (again / name).read_bytes() == (DATA / name).read_bytes()
+        assert (rewritten / name).read_bytes() == (DATA / name).read_bytes()
 
 
 # -- the store
 
 
-def test_the_log_s_bytes_are_read() -> None:
+def test_the_log_is_decoded() -> None:
     data = (ENCODERS / "segment.log").read_bytes()
     assert SegmentHeader.decode(data, "segment.log") == stored_data.SEGMENT
     at = HEADER_BYTES
@@ -116,7 +118,7 @@
     assert verified_body((ENCODERS / "sealed").read_bytes(), 6, 5) == b"a body"
 
 
-def test_the_tables_bytes_are_read() -> None:
+def test_tables_are_decoded() -> None:
     data = (ENCODERS / "header-and-block.table").read_bytes()
     assert TableHeader.decode(data, "a table") == stored_data.TABLE
     block = data[TABLE_HEADER_BYTES:]
@@ -135,15 +137,15 @@
 
 
 @pytest.mark.parametrize("read_only", [True, False])
-def test_a_whole_store_is_read_key_by_key(read_only: bool, tmp_path: Path) -> None:
+def test_a_complete_store_is_read(read_only: bool, tmp_path: Path) -> None:
     folder = tmp_path / "store"
     shutil.copytree(DATA / "store", folder)
     before = {path.name: path.read_bytes() for path in folder.iterdir()}
-    wanted = stored_data.store_content()
-    assert len(wanted) == 14 and STORE_ID.hex().encode() in before["MANIFEST"]
+    expected = stored_data.store_content()
+    assert len(expected) == 14 and STORE_ID.hex().encode() in before["MANIFEST"]
     with Store.open(folder, read_only=read_only, limits=stored_data.LIMITS) as store:
-        assert dict(store.scan()) == wanted
-        assert all(store.get(key) == value for key, value in wanted.items())
+        assert dict(store.scan()) == expected
+        assert all(store.get(key) == value for key, value in expected.items())
         assert [store.get(key) for key in (b"key00", b"key05", b"key20", b"none")] == [None] * 4
         assert not store.lost and not store.dropped
         if not read_only:
@@ -152,13 +154,13 @@
     assert (after == before) is read_only
     if not read_only:
         with Store.open(folder, read_only=True) as store:
-            assert dict(store.scan()) == wanted | {b"more": b"of it"}
+            assert dict(store.scan()) == expected | {b"more": b"of it"}
 
 
 # -- a proxy's processes
 
 
-def test_what_operators_told_a_former_process_is_known(tmp_path: Path) -> None:
+def test_operator_commands_to_an_earlier_process_are_loaded(tmp_path: Path) -> None:
     folder = tmp_path / "shared"
     shutil.copytree(DATA / "shared", folder)
     holds, emptying = SharedState(folder).read()
@@ -167,11 +169,11 @@
     assert SharedState(folder).read() == (holds, False)
 
 
-def test_a_process_finds_the_folder_and_socket_that_it_is_given(tmp_path: Path) -> None:
-    """By the names of variables and files that every version of the program has used."""
+def test_a_process_uses_the_shared_folder_and_inherited_socket(tmp_path: Path) -> None:
+    """The environment variables and file names are those of all versions of the program."""
     backend = entry("b1", "127.0.0.1:2")
-    told_in_file = configuration("127.0.0.1:3", backend) | {"mgmt": "127.0.0.1:4"}
-    (tmp_path / "config").write_text(json.dumps(told_in_file))
+    file_settings = configuration("127.0.0.1:3", backend) | {"mgmt": "127.0.0.1:4"}
+    (tmp_path / "config").write_text(json.dumps(file_settings))
     environ = {"LB_NAME": "p1", "LB_LISTEN": "127.0.0.1:1", "LB_CONFIG": str(tmp_path / "config")}
     shared = open_shared_state(environ | {"TMPDIR": str(tmp_path)}, config_of(environ))
     assert shared is not None and shared.folder == tmp_path / "heronreel-p1"
@@ -187,7 +189,7 @@
 # -- the group's records, and all commands
 
 
-def test_the_group_s_records_are_read() -> None:
+def test_group_records_are_decoded() -> None:
     state = Keyspace.from_content(Map(stored_data.content_of((DATA / "group.state").read_bytes())))
     assert state.revision == 1 + len(stored_data.RECORDS)
     assert dict(state.leases) == {lease: 30 for lease in stored_data.LEFT}
@@ -196,7 +198,7 @@
         for place, (key, value, lease) in enumerate(stored_data.RECORDS, 2)
     }
     values = {key: record.value for key, record in state.keys.items()}
-    wanted: list[tuple[bytes, Any, Any]] = [
+    expected: list[tuple[bytes, Any, Any]] = [
         (ledger_key("book1"), LedgerRecord, stored_data.POSTED),
         (TOTALS_KEY, Totals, stored_data.SUMMED),
         (closed_period_key(6), ClosedPeriod, stored_data.CLOSED),
@@ -206,32 +208,32 @@
         (fleet.OPERATION_KEY, fleet.FleetOperation, stored_data.WORK),
         *((instance.key, fleet.Instance, instance) for instance in stored_data.INSTANCES),
     ]
-    for key, kind, value in wanted:
+    for key, kind, value in expected:
         assert msgspec.json.decode(values[key], type=kind) == value
     for name, cursor in stored_data.CURSORS.items():
         assert decode_cursor(values[CURSOR_PREFIX + name]) == cursor
 
 
-def test_commands_tell_the_same_of_the_old_files() -> None:
-    """Each `--json` form and exit code, on the committed store, plays, script and group."""
+def test_commands_print_the_same_output_for_the_old_files() -> None:
+    """Compares the `--json` output and exit codes on the committed store, plays, script and group."""
     content = stored_data.content_of((DATA / "group.state").read_bytes())
-    found = stored_data.commands(DATA, content)
-    assert found == {path.stem: path.read_bytes() for path in (DATA / "commands").iterdir()}
+    outputs = stored_data.commands(DATA, content)
+    assert outputs == {path.stem: path.read_bytes() for path in (DATA / "commands").iterdir()}
 
 
 # -- experiments
 
 
-def test_scripts_are_read_and_known_by_the_same_digests() -> None:
+def test_scripts_are_loaded_and_have_the_same_digests() -> None:
     script = load_script((DATA / "script.toml").read_bytes())
     assert script_digest(script) == script_digest(stored_data.SCRIPT) == "9751dab712d71513"
     assert script_digest(Rehearsal()) == "cd0403b9cd317132"
-    replayed, passed = script_from_incident(script, stored_data.INCIDENT)
-    assert passed == 1
+    replayed, skipped_lines = script_from_incident(script, stored_data.INCIDENT)
+    assert skipped_lines == 1
     assert script_digest(load_script((DATA / "incident.toml").read_bytes())) == script_digest(replayed)
 
 
-def test_plays_are_read_and_known_by_the_same_keys() -> None:
+def test_results_are_loaded_and_play_keys_are_unchanged() -> None:
     settings = {"proxies.idle_ms": 500, "flintplank.subset.KEPT_BY": 0.5, "a": True}
     assert play_key("s" * 16, "c" * 16, "random", 7, settings) == "d404a695fbc4eaafb8b4a974"
     row = stored_data.ROW
