--- a/bench/added_cost.py
+++ b/bench/added_cost.py
@@ -1,9 +1,10 @@
-"""What a file in force adds to a request, as a ratio of processor time within one run.
+"""Measures the processor time that a routes file adds to a request, as a ratio within one run.
 
     .venv-cli/bin/python bench/added_cost.py [--seconds 4] [--routes 1000]
 
-Plays the decisions and the lookup of a request in process, in turns: the platform's way (a class from the
-path, one Balancer) and the routes' way (lookup, policy, Pools), on the same backends, both served at once.
+Runs the decisions and the lookup of a request in process, alternating between the platform's program (request
+class from the path, one Balancer) and the routes file (lookup, policy, Pools).  Both have the same backends,
+which serve every request immediately.
 """
 
 from __future__ import annotations
@@ -22,10 +23,10 @@
 from heronreel.routes.load import load_routes
 from heronreel.serve.policies import Router, members_of, settings_of
 
-BATCH = 2000
+BATCH_REQUESTS = 2000
 
 
-def text_of(routes: int) -> str:
+def routes_file(routes: int) -> str:
     members = "".join(
         f'[[pools.members]]\nname = "n{n}"\naddress = "127.0.0.1:{9000 + n}"\nrack = "r{n % 4}"\n'
         for n in range(24)
@@ -40,18 +41,18 @@
     return f'[[pools]]\nname = "p"\n{members}[defaults]\ndeadline_ms = 2500\naim_ms = 500\n{tables}'
 
 
-class Way:
-    """One way through the decisions; `ask` plays one request from head to served."""
+class Variant:
+    """One of the two measured variants; `run_batch` runs a batch of requests end_s they are served."""
 
     def __init__(self, decisions: Balancer | Pools, arrival: Callable[[int], api.Arrival], pool: str) -> None:
         self.decisions, self.arrival = decisions, arrival
-        self.number, self.now, self.spent = 0, 1000.0, 0.0
+        self.number, self.now, self.spent_s = 0, 1000.0, 0.0
         infos = [api.BackendInfo(n, cell=n % 4, pool=pool) for n in range(24)]
         decisions.handle(self.now, api.BackendList(api.ListKind.CACHED, infos))
 
-    def batch(self) -> None:
-        began = time.process_time()
-        for _ in range(BATCH):
+    def run_batch(self) -> None:
+        start_s = time.process_time()
+        for _ in range(BATCH_REQUESTS):
             self.number += 1
             self.now += 3.0
             if not self.number % 67:
@@ -62,7 +63,7 @@
                         action.request, 0, action.backend, api.Outcome.SERVED, 60.0, True
                     )
                     self.decisions.handle(self.now, ended)
-        self.spent += time.process_time() - began
+        self.spent_s += time.process_time() - start_s
 
     def tick(self) -> None:
         token = max(self.decisions.timers, default=0) if isinstance(self.decisions, Pools) else 0
@@ -76,19 +77,19 @@
     parser.add_argument("--seconds", type=float, default=4.0)
     parser.add_argument("--routes", type=int, default=1000)
     options = parser.parse_args()
-    file = load_routes(text_of(options.routes).encode())
+    file = load_routes(routes_file(options.routes).encode())
     settings, router = settings_of(file), Router(file)
     assert len(members_of(file).endpoints) == 24
     names = [f"r{n}".encode() for n in range(options.routes)]
     classes = {klass.name: klass for klass in settings.classes}
     klass = next(iter(classes))
 
-    def plain(number: int) -> api.Arrival:
+    def platform_arrival(number: int) -> api.Arrival:
         path = b"/%b/x" % names[number % len(names)]
         classes.get(path.split(b"/")[1].decode())
         return api.Arrival(number, klass, 2500.0, hint_ms=60.0)
 
-    def routed(number: int) -> api.Arrival:
+    def routes_arrival(number: int) -> api.Arrival:
         path = b"/%b/x" % names[number % len(names)]
         policy = router.find(b"h", path, b"POST", {b"idempotency-key": b"k"})
         assert policy
@@ -96,16 +97,20 @@
             number, policy.request_class.name, 2500.0, hint_ms=60.0, policy=policy, idempotency_key=number
         )
 
-    ways = (Way(Balancer(settings, 1), plain, ""), Way(Pools(settings, 1), routed, "p"))
-    until = time.monotonic() + options.seconds
-    while time.monotonic() < until:
-        for way in ways:
-            way.batch()
-    costs = [way.spent / way.number * 1e6 for way in ways]
-    print(f"decisions and lookup of a request, {options.routes:,} routes, {ways[0].number:,} requests a way")
+    variants = (
+        Variant(Balancer(settings, 1), platform_arrival, ""),
+        Variant(Pools(settings, 1), routes_arrival, "p"),
+    )
+    end_s = time.monotonic() + options.seconds
+    while time.monotonic() < end_s:
+        for variant in variants:
+            variant.run_batch()
+    costs = [variant.spent_s / variant.number * 1e6 for variant in variants]
     print(
-        f"platform's way {costs[0]:6.1f} us, routes' way {costs[1]:6.1f} us, ratio {costs[1] / costs[0]:.2f}"
+        f"decisions and lookup of a request, {options.routes:,} routes, "
+        f"{variants[0].number:,} requests per variant"
     )
+    print(f"platform {costs[0]:6.1f} us, routes {costs[1]:6.1f} us, ratio {costs[1] / costs[0]:.2f}")
 
 
 if __name__ == "__main__":
--- a/bench/agreement.py
+++ b/bench/agreement.py
@@ -1,8 +1,9 @@
-"""Virtual time beside real sockets on the same scripts: shares by result, percentiles, attempts, by fault.
+"""Compares virtual time with real sockets on the same scripts: result shares, percentiles and attempts.
 
     .venv-rehearse/bin/python bench/agreement.py [--scale 2] [--seeds 2]
 
-Plays the cases of `tests/realtime/test_realtime.py`, longer, one after the other; a minute or two each.
+Plays the cases of `tests/realtime/test_realtime.py` one after another, with longer scripts.  Each case takes
+one or two minutes.
 """
 
 from __future__ import annotations
@@ -24,11 +25,11 @@
 
 def summary(name: str, result: Result) -> str:
     counts, requests = result.counts, result.counts["requests"]
-    shares = "  ".join(f"{one} {counts[one] / requests:6.1%}" for one in RequestResult if one != "left")
+    shares = "  ".join(f"{kind} {counts[kind] / requests:6.1%}" for kind in RequestResult if kind != "left")
     latencies = "  ".join(f"{p} {result.percentiles[p]:6.0f}" for p in ("p50", "p90", "p99"))
     rules = "kept" if result.rules_kept else str(result.breach_counts)
-    each = result.meter["attempts"] / requests
-    return f"    {name:<8} {shares}  {latencies} ms  attempts {each:.2f}  rules {rules}"
+    attempts_per_request = result.meter["attempts"] / requests
+    return f"    {name:<8} {shares}  {latencies} ms  attempts {attempts_per_request:.2f}  rules {rules}"
 
 
 def main() -> None:
@@ -36,13 +37,13 @@
     parser.add_argument("--scale", type=float, default=2.0)
     parser.add_argument("--seeds", type=int, default=2)
     options = parser.parse_args()
-    for case, faults in {"nothing wrong": (), **CASES}.items():
-        one = msgspec.structs.replace(script(*faults), seconds=8.0)
+    for case, faults in {"no fault": (), **CASES}.items():
+        rehearsal = msgspec.structs.replace(script(*faults), seconds=8.0)
         for seed in range(1, options.seeds + 1):
-            real, failures = play_over_sockets(one, seed, options.scale)
+            real, failures = play_over_sockets(rehearsal, seed, options.scale)
             print(f"{case}, seed {seed}, {real.counts['requests']} requests {failures or ''}")
             print(summary("real", real))
-            print(summary("virtual", play(one, seed)), flush=True)
+            print(summary("virtual", play(rehearsal, seed)), flush=True)
 
 
 if __name__ == "__main__":
--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -1,9 +1,10 @@
-"""What a request's decisions cost as the fleet grows, as ratios of processor time within one run.
+"""Measures the cost of a request's decisions by fleet size, as ratios of processor time within one run.
 
     .venv-cli/bin/python bench/decision_cost.py [--requests 4000] [--proxies 40]
 
-Plays one proxy's module in process on 30, 60 and 150 backends in turns: arrivals 40 ms apart, each served at
-once or, one in five, turned away first, its timers in between.  The lowest of several turns counts.
+Runs the balancer of one proxy in process, alternating between 30, 60 and 150 backends.  Requests arrive every
+40 ms and timers run between them.  Four of five requests are served by the first attempt; in every fifth one
+the first attempt is rejected.  The lowest cost of several rounds is used.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from heronreel.balancer import interface as api
 
 SIZES = (30, 60, 150)
-TURNS = 5
+ROUNDS = 5
 
 
 def settings(proxies: int) -> api.Settings:
@@ -41,17 +42,17 @@
 
 
 def play(backends: int, proxies: int, requests: int) -> float:
-    """Processor microseconds a request."""
-    draw = random.Random(backends)
+    """Return the processor time per request in microseconds."""
+    generator = random.Random(backends)
     balancer, now = Balancer(settings(proxies), seed=1), 0.0
     due: list[tuple[float, int]] = []
-    lines = [
-        api.BackendInfo(draw.getrandbits(53), zone=f"z{n % 2}", kind="abc"[n % 3], cell=n // 5)
+    infos = [
+        api.BackendInfo(generator.getrandbits(53), zone=f"z{n % 2}", kind="abc"[n % 3], cell=n // 5)
         for n in range(backends)
     ]
-    balancer.handle(now, api.BackendList(api.ListKind.CACHED, lines))
+    balancer.handle(now, api.BackendList(api.ListKind.CACHED, infos))
     due.append((200.0, 0))
-    began = time.process_time()
+    start_s = time.process_time()
     for ident in range(requests):
         now += 40.0
         while due and due[0][0] <= now:
@@ -59,15 +60,15 @@
             for action in balancer.handle(at, api.TimerFired(token)):
                 if isinstance(action, api.SetTimer):
                     due.append((at + action.delay_ms, action.token))
-        key = int(1000 * draw.random() ** 3)
+        key = int(1000 * generator.random() ** 3)
         actions = balancer.handle(now, api.Arrival(ident, "save", 1700.0, key=key, hint_ms=75.0))
         number = 0
         while actions and isinstance(actions[0], api.StartAttempt):
-            full = number == 0 and ident % 5 == 0
-            outcome = api.Outcome.REJECTED if full else api.Outcome.SERVED
-            ended = api.AttemptEnded(ident, number, actions[0].backend, outcome, 80.0, not full)
+            rejected = number == 0 and ident % 5 == 0
+            outcome = api.Outcome.REJECTED if rejected else api.Outcome.SERVED
+            ended = api.AttemptEnded(ident, number, actions[0].backend, outcome, 80.0, not rejected)
             actions, number = balancer.handle(now, ended), number + 1
-    return (time.process_time() - began) * 1e6 / requests
+    return (time.process_time() - start_s) * 1e6 / requests
 
 
 def main() -> None:
@@ -76,11 +77,13 @@
     parser.add_argument("--proxies", type=int, default=40)
     options = parser.parse_args()
     lowest = {size: float("inf") for size in SIZES}
-    for _ in range(TURNS):
+    for _ in range(ROUNDS):
         for size in SIZES:
             lowest[size] = min(lowest[size], play(size, options.proxies, options.requests))
     for size in SIZES:
-        print(f"{size:4d} backends  {lowest[size] / lowest[SIZES[0]]:.2f} of {SIZES[0]} backends' cost")
+        print(
+            f"{size:4d} backends  {lowest[size] / lowest[SIZES[0]]:.2f} of the cost with {SIZES[0]} backends"
+        )
 
 
 if __name__ == "__main__":
--- a/bench/emulator.py
+++ b/bench/emulator.py
@@ -1,10 +1,10 @@
-"""What the emulator costs: simulated seconds a second, memory, growth with requests, sweeps over cores.
+"""Measures the emulator: simulated seconds per second, memory, growth with requests, sweeps over cores.
 
     .venv-rehearse/bin/python bench/emulator.py [--speed] [--growth] [--sweep] [--queues] [--profile]
 
-Without an option: speed and growth.  Each size is played in a process of its own, so that peak memory is
-its own.  Times are processor seconds; compare ratios within one run.  `--queues` sets SimPy (4.1, installed
-by hand) beside the event queue.
+Without an option, speed and growth are measured.  Each size runs in a separate process, so that its peak
+memory can be measured.  Times are processor seconds; compare ratios within one run.  `--queues` compares the
+event queue with SimPy (4.1, which has to be installed by hand).
 """
 
 from __future__ import annotations
@@ -37,25 +37,27 @@
 )
 from heronreel.emulator.simulation import play
 
-SIZES = ((12, 30, 640), (60, 150, 3200), (200, 200, 640), (200, 200, 3200))  # proxies, nodes, rate
-LOAD, SECONDS = 0.6, 10.0
+# Numbers of proxies and nodes, and requests per second.
+SIZES = ((12, 30, 640), (60, 150, 3200), (200, 200, 640), (200, 200, 3200))
+LOAD_RATIO = 0.6
+DURATION_S = 10.0
 MAX_WORK_MS = 150.0
-PARTS = {
+NODE_SETTINGS = {
     "cores": 2, "speed_cv": 0.15, "queue": 4, "thrash": 0.3, "connections": 104, "full_tax": 0.3,
     "handshake_ms": 1.5, "handshake_rtts": 2.5, "warm_gain": 0.5, "warm_ms": 6000.0, "warm_up_floor": 0.15,
     "warm_up_ms": 20_000.0, "error_rate": 0.001, "pause_every_ms": 6000.0, "pause_ms": 60.0,
 }  # fmt: skip
 KINDS = tuple(
-    NodeKind(name=name, share=share, speed=speed, **PARTS)  # type: ignore[arg-type]
+    NodeKind(name=name, share=share, speed=speed, **NODE_SETTINGS)  # type: ignore[arg-type]
     for name, share, speed in (("veloce", 0.33, 1.6), ("medio", 0.5, 1.0), ("lento", 0.17, 0.6))
 )
 
 
 def script(proxies: int, nodes: int, rate: float, seconds: float) -> Rehearsal:
-    """A fleet like the site's, with one node in eight slow; work as large as makes it busy."""
+    """Return a script with a fleet like the site's, one slow node in eight and a load of `LOAD_RATIO`."""
     fleet = FleetConfig(nodes=nodes, zones=["a", "b"], limited_racks=0.3, kinds=KINDS)
     base = Rehearsal(seconds=seconds, fleet=fleet)
-    work = min(MAX_WORK_MS, LOAD * base.capacity() * 1000.0 / rate)
+    work = min(MAX_WORK_MS, LOAD_RATIO * base.capacity() * 1000.0 / rate)
     return Rehearsal(
         seconds=seconds,
         fleet=fleet,
@@ -68,26 +70,26 @@
     )
 
 
-def one(proxies: int, nodes: int, rate: float, seconds: float, policy: str) -> str:
-    began = time.process_time()
+def measure_play(proxies: int, nodes: int, rate: float, seconds: float, policy: str) -> str:
+    start_s = time.process_time()
     result = play(script(proxies, nodes, rate, seconds), 1, policy)
-    took = time.process_time() - began
+    elapsed_s = time.process_time() - start_s
     peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
     requests = result.counts["requests"]
     return (
-        f"{proxies:>4} x {nodes:<4} {rate:>6.0f}/s {policy:<14} {seconds / took:>7.2f} simulated s/s "
-        f"{took * 1e6 / requests:>7.0f} us/request {result.events / requests:>6.1f} events "
+        f"{proxies:>4} x {nodes:<4} {rate:>6.0f}/s {policy:<14} {seconds / elapsed_s:>7.2f} simulated s/s "
+        f"{elapsed_s * 1e6 / requests:>7.0f} us/request {result.events / requests:>6.1f} events "
         f"{peak:>6.0f} MB"
     )
 
 
-def apart(*arguments: object) -> None:
+def measure_in_process(*arguments: object) -> None:
     command = [sys.executable, __file__, "--one", ",".join(map(str, arguments))]
     print(subprocess.run(command, capture_output=True, check=True, text=True).stdout, end="", flush=True)
 
 
-def queues(attempts: int = 50_000) -> None:
-    """Attempts that end by a response or a timeout, whichever is first: callbacks, and processes."""
+def compare_queues(attempts: int = 50_000) -> None:
+    """Compare callbacks with SimPy processes on attempts that end by a response or a timeout."""
     queue = EventQueue()
     ended = [0]
 
@@ -103,15 +105,15 @@
         if left:
             queue.schedule(queue.now + 1.0, begin, left - 1)
 
-    began = time.process_time()
+    start_s = time.process_time()
     begin(attempts - 1)
     queue.run_until(1e12)
-    heap = (time.process_time() - began) * 1e6 / attempts
+    heap = (time.process_time() - start_s) * 1e6 / attempts
     assert ended[0] == attempts
     try:
         import simpy
     except ImportError:
-        print(f"callbacks on a heap {heap:.1f} us an attempt; SimPy is not installed")
+        print(f"callbacks on a heap {heap:.1f} us per attempt; SimPy is not installed")
         return
     environment = simpy.Environment()
 
@@ -123,29 +125,29 @@
             environment.process(attempt())
             yield environment.timeout(1.0)
 
-    began = time.process_time()
+    start_s = time.process_time()
     environment.process(source())
     environment.run()
-    library = (time.process_time() - began) * 1e6 / attempts
-    print(f"heap {heap:.1f} us an attempt, SimPy {library:.1f}: {library / heap:.1f} times")
+    library = (time.process_time() - start_s) * 1e6 / attempts
+    print(f"heap {heap:.1f} us per attempt, SimPy {library:.1f}: {library / heap:.1f} times")
 
 
-def sweeps(plays: int = 16) -> None:
-    """How near a sweep over all cores comes to so many times the pace of one process."""
+def measure_sweeps(plays: int = 16) -> None:
+    """Measure the parallel efficiency of a sweep over all cores, compared with one process."""
     from heronreel.experiments.sweep import plan_sweep, run_sweep
 
     cores = len(os.sched_getaffinity(0))
     base = script(12, 30, 640, 5.0)
-    took = {}
+    elapsed_s = {}
     for workers in (1, cores):
         with tempfile.TemporaryDirectory() as folder:
-            began = time.monotonic()
+            start_s = time.monotonic()
             seeds = list(range(plays * (1 if workers == 1 else cores) // 2))
             run_sweep(plan_sweep(base, seeds, ["heronreel"], []),
                   Path(folder), workers)  # fmt: skip
-            took[workers] = (time.monotonic() - began) / (plays * (1 if workers == 1 else cores) // 2)
-    print(f"one worker {took[1]:.2f} s a play, {cores} workers {took[cores]:.3f}: "
-          f"efficiency {took[1] / took[cores] / cores:.2f}")  # fmt: skip
+            elapsed_s[workers] = (time.monotonic() - start_s) / (plays * (1 if workers == 1 else cores) // 2)
+    print(f"one worker {elapsed_s[1]:.2f} s per play, {cores} workers {elapsed_s[cores]:.3f}: "
+          f"efficiency {elapsed_s[1] / elapsed_s[cores] / cores:.2f}")  # fmt: skip
 
 
 def main() -> None:
@@ -156,20 +158,20 @@
     options = parser.parse_args()
     if options.one:
         proxies, nodes, rate, seconds, policy = options.one.split(",")
-        print(one(int(proxies), int(nodes), float(rate), float(seconds), policy))
+        print(measure_play(int(proxies), int(nodes), float(rate), float(seconds), policy))
         return
-    plain = not (options.speed or options.growth or options.sweep or options.queues or options.profile)
-    if options.speed or plain:
+    no_option = not (options.speed or options.growth or options.sweep or options.queues or options.profile)
+    if options.speed or no_option:
         for size in SIZES:
             for policy in ("heronreel", "random"):
-                apart(*size, SECONDS, policy)
-    if options.growth or plain:
+                measure_in_process(*size, DURATION_S, policy)
+    if options.growth or no_option:
         for rate in (400, 800, 1600, 3200, 6400):
-            apart(60, 150, rate, SECONDS, "heronreel")
+            measure_in_process(60, 150, rate, DURATION_S, "heronreel")
     if options.sweep:
-        sweeps()
+        measure_sweeps()
     if options.queues:
-        queues()
+        compare_queues()
     if options.profile:
         profile = cProfile.Profile()
         profile.runcall(play, script(60, 150, 3200, 5.0), 1)
--- a/bench/lease_proof.py
+++ b/bench/lease_proof.py
@@ -1,9 +1,11 @@
-"""The evidence for leases in its long form: small worlds explored exhaustively, and many seeded trials.
+"""Checks the guarantees of leases by exhaustive exploration of small worlds and by many seeded trials.
 
-    python bench/lease_proof.py explore [STATES]                # every order of events, up to STATES per
-    world python bench/lease_proof.py schedules [SEEDS] [CONCURRENT]  # 100 trials with faults, 2 at a time
+    python bench/lease_proof.py explore [STATES]
+    python bench/lease_proof.py schedules [SEEDS] [CONCURRENT]
 
-A schedule that breaks a guarantee is shrunk, and its faults are printed; the exit code is 1 then.
+`explore` runs every order of events, up to STATES states per world.  `schedules` runs trials with faults, by
+default 100 with 2 at a time.  A schedule that violates a guarantee is shrunk and its faults are printed; the
+exit code is then 1.
 """
 
 from __future__ import annotations
@@ -28,23 +30,24 @@
 
 NAMES = ("a", "b", "c")
 SETTINGS = TrialSettings(members=NAMES, workers=8, schedule_s=10.0, recovery_timeout_s=30.0)
-MAX_STATES = 1_000_000  # of each world
+MAX_STATES = 1_000_000  # per world
 SEEDS = 100
 CONCURRENT_TRIALS = 2
 SHRUNK_SCHEDULES = 3
 MAX_SHRINK_ATTEMPTS = 12
-NO_COPIES = Guards(rollback=False)  # fewer states: what members confirmed is not written down
+# Without the guard against restored disks, confirmed versions are not stored, which reduces the states.
+NO_ROLLBACK_GUARD = Guards(rollback=False)
 
 WORLDS: dict[str, World] = {
     "one leader, a write, a read, a crash of each": GroupWorld(
-        NAMES, Budget(elections="a", writes=1, reads=1, crashes="abc"), NO_COPIES
+        NAMES, Budget(elections="a", writes=1, reads=1, crashes="abc"), NO_ROLLBACK_GUARD
     ),
-    "two leaders, a write": GroupWorld(NAMES, Budget(elections="ab", writes=1), NO_COPIES),
+    "two leaders, a write": GroupWorld(NAMES, Budget(elections="ab", writes=1), NO_ROLLBACK_GUARD),
     "two leaders, a write, a crash": GroupWorld(
-        NAMES, Budget(elections="ab", writes=1, crashes="c"), NO_COPIES
+        NAMES, Budget(elections="ab", writes=1, crashes="c"), NO_ROLLBACK_GUARD
     ),
     "two leaders, a write, a lost disk": GroupWorld(
-        NAMES, Budget(elections="ab", writes=1, lost_disks="c"), NO_COPIES
+        NAMES, Budget(elections="ab", writes=1, lost_disks="c"), NO_ROLLBACK_GUARD
     ),
     "two leaders, a write, an old copy": GroupWorld(
         NAMES, Budget(elections="ab", writes=1, restored_disks="c")
@@ -59,30 +62,30 @@
 
 
 def explore_world(name: str, max_states: int) -> tuple[str, ExplorationResult, float]:
-    """Explore one world; returns its name, what was found, and the seconds it took."""
-    began = time.perf_counter()
-    found = explore(WORLDS[name], max_states)
-    return name, found, time.perf_counter() - began
+    """Explore one world and return its name, the result and the duration in seconds."""
+    start_s = time.perf_counter()
+    result = explore(WORLDS[name], max_states)
+    return name, result, time.perf_counter() - start_s
 
 
 def explore_all(max_states: int) -> bool:
-    """Explore all worlds, and print what was found; False if a guarantee was broken."""
+    """Explore all worlds and print the results; return False if a guarantee was violated."""
     succeeded = True
     with ProcessPoolExecutor(len(WORLDS)) as pool:
-        for name, found, seconds in pool.map(explore_world, WORLDS, [max_states] * len(WORLDS)):
-            print(f"{name}: {found} ({seconds:.0f} s)", flush=True)
-            succeeded = succeeded and found.violation is None
+        for name, result, seconds in pool.map(explore_world, WORLDS, [max_states] * len(WORLDS)):
+            print(f"{name}: {result} ({seconds:.0f} s)", flush=True)
+            succeeded = succeeded and result.violation is None
     return succeeded
 
 
 async def run_seed(seed: int, faults: Sequence[Fault] | None = None) -> TrialResult:
-    """One trial in a folder of its own."""
+    """Run one trial in a temporary folder."""
     with tempfile.TemporaryDirectory() as folder:
         return await run_trial(Path(folder), seed, SETTINGS, faults)
 
 
 async def run_seeds(seeds: int, concurrent: int) -> bool:
-    """Run trials, and print a summary; False if a guarantee was broken."""
+    """Run trials and print a summary; return False if a guarantee was violated."""
     slots = asyncio.Semaphore(concurrent)
     results: dict[int, TrialResult] = {}
 
@@ -101,10 +104,10 @@
 
 
 def print_summary(results: Sequence[TrialResult], failed: int) -> None:
-    """Print the sums over all trials."""
+    """Print the totals of all trials."""
     recovery = sorted(result.recovery_s for result in results)
     print(
-        f"{len(results)} schedules, {failed} broke a guarantee: "
+        f"{len(results)} schedules, {failed} violated a guarantee: "
         f"{sum(result.steps for result in results):,} steps by "
         f"{sum(result.grants for result in results)} grants, "
         f"{sum(result.rejected for result in results)} rejected, "
@@ -115,7 +118,7 @@
 
 
 async def shrink_schedule(seed: int) -> list[Fault]:
-    """The faults of a trial that failed, without those that do not matter."""
+    """Return a reduced list of faults with which the trial still fails."""
 
     async def fails(faults: Sequence[Fault]) -> bool:
         return bool((await run_seed(seed, faults)).problems)
@@ -124,7 +127,7 @@
 
 
 def main(mode: str = "explore", count: str = "", concurrent: str = "") -> None:
-    """Run one of the two modes."""
+    """Run the exploration or the trials, and exit with 1 if a guarantee was violated."""
     if mode == "explore":
         succeeded = explore_all(int(count or MAX_STATES))
     else:
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -1,9 +1,9 @@
-"""The cost of a group: renewals and writes per second, time to fail over, memory, and bytes while idle.
+"""Measures the cost of a group: renewals and writes per second, failover time, memory and idle traffic.
 
     python bench/leases.py [HOLDERS...]
 
-Idle means that the holders only renew their leases; bytes are counted over all of the group's connections.
-Times hold for one machine and one run: compare the rows with one another.
+Idle means that the holders only renew their leases; bytes are counted over all connections of the group.
+Absolute times depend on the machine and the run; compare the rows with one another.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 DEFAULT_HOLDERS = 200
 GROUP_SIZES = (1, 3, 5)
-MEASURED_S = 3.0  # of renewals, and of writes
+MEASURED_S = 3.0  # duration of each rate measurement
 IDLE_S = 12.0
 SETTLING_S = 2.0
 MAX_CALLERS = 64
@@ -37,14 +37,14 @@
 
 
 class TrafficRates(NamedTuple):
-    """Bytes per second."""
+    """The traffic of a group in bytes per second."""
 
     between_members: float
     with_holders: float
 
 
 class Row(NamedTuple):
-    """What was measured with one size of a group."""
+    """The measurements with one group size."""
 
     members: int
     holders: int
@@ -62,7 +62,7 @@
             f"{self.writes:6.0f} writes/s, {self.leader_mb:.0f} MB; "
             f"failover after a kill {_median_and_worst(self.kill_failovers)}, "
             f"after a partition {_median_and_worst(self.partition_failovers)}; "
-            f"a released task is held again after {self.handover_s:.2f} s; "
+            f"a released task is acquired again after {self.handover_s:.2f} s; "
             f"idle {self.idle.between_members / 1000:.1f} kB/s between members, "
             f"{self.idle.with_holders / 1000:.1f} kB/s with holders"
         )
@@ -73,7 +73,7 @@
 
 
 async def grant_leases(client: Client, count: int) -> list[int]:
-    """The ids of new leases."""
+    """Grant leases and return their ids."""
     leases = []
     for _ in range(count):
         granted = await client.call(LeaseGrant(600), REQUEST_TIMEOUT_S)
@@ -83,7 +83,7 @@
 
 
 async def request_rate(client: Client, leases: list[int], *, writes: bool) -> float:
-    """Requests per second by as many callers as there are leases, up to MAX_CALLERS."""
+    """Return the requests per second of one caller per lease, with at most MAX_CALLERS callers."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + MEASURED_S
     completed = 0
@@ -102,7 +102,7 @@
 
 
 def resident_mb(pid: int) -> float:
-    """A process's resident memory in megabytes."""
+    """Return the resident memory of a process in megabytes."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
@@ -110,7 +110,7 @@
 
 
 async def kill_failover(harness: Harness) -> float:
-    """Seconds from a kill of the leader until the next write is committed."""
+    """Return the seconds from killing the leader until the next write is committed."""
     await harness.wait_until_healthy()
     leader = await harness.wait_for_leader()
     await harness.members[leader].kill()
@@ -120,7 +120,7 @@
 
 
 async def partition_failover(harness: Harness) -> float:
-    """Seconds from a partition of the leader until the next write is committed."""
+    """Return the seconds from partitioning the leader until the next write is committed."""
     await harness.wait_until_healthy()
     leader = await harness.wait_for_leader()
     harness.network.partition(leader)
@@ -131,30 +131,30 @@
 
 async def _seconds_until_write(harness: Harness, lost_leader: str) -> float:
     others = [harness.address(name) for name in harness.names if name != lost_leader]
-    began = time.perf_counter()
+    start_s = time.perf_counter()
     async with Client(others, response_timeout_s=0.2) as client:
         while True:
             try:
                 await client.call(Put(b"over", b""), 0.3)
-                return time.perf_counter() - began
+                return time.perf_counter() - start_s
             except RequestError:
                 continue
 
 
 async def handover(harness: Harness) -> float:
-    """Seconds from the release of a task until the next holder has it."""
+    """Return the seconds from the release of a task until the next holder acquires it."""
     terms = LeaseTerms(ttl_s=3, safety_margin_s=0.4, response_timeout_s=0.5)
     async with LeaseSession(harness.addresses, "two", terms) as second:
         async with LeaseSession(harness.addresses, "one", terms) as first:
             await first.wait_acquired(first.claim("task"))
             claim = second.claim("task")
-        began = time.perf_counter()
+        start_s = time.perf_counter()
         await second.wait_acquired(claim)
-        return time.perf_counter() - began
+        return time.perf_counter() - start_s
 
 
 async def idle_traffic(harness: Harness, holders: int) -> TrafficRates:
-    """The traffic of holders of one task each."""
+    """Return the traffic while each of the holders holds one task."""
     async with AsyncExitStack() as stack:
         for number in range(holders):
             session = await stack.enter_async_context(LeaseSession(harness.addresses, f"h{number}"))
@@ -167,14 +167,14 @@
 
 
 def relayed_bytes(harness: Harness) -> tuple[int, int]:
-    """Bytes so far between members, and between members and clients."""
+    """Return the bytes relayed so far between members, and between members and clients."""
     peers = sum(relay.relayed_bytes for relay in harness.network.peer_relays.values())
     clients = sum(relay.relayed_bytes for relay in harness.network.client_relays.values())
     return peers, clients
 
 
 async def measure(members: int, holders: int) -> Row:
-    """Measure one size of a group."""
+    """Measure one group size."""
     names = "abcde"[:members]
     with tempfile.TemporaryDirectory() as folder:
         async with Harness(Path(folder), names, 1) as harness, Client(harness.addresses) as client:
@@ -194,7 +194,7 @@
 
 
 async def main(*sizes: int) -> None:
-    """Print a row for each size of a group and each number of holders."""
+    """Print a row for each group size and number of holders."""
     for holders in sizes or (DEFAULT_HOLDERS,):
         for members in GROUP_SIZES:
             print(await measure(members, holders), flush=True)
--- a/bench/long_bodies.py
+++ b/bench/long_bodies.py
@@ -1,10 +1,11 @@
-"""Long bodies through the proxy against the same straight from the backend: bytes a second and memory.
+"""Measures long bodies through the proxy and directly from the backend: bytes per second and memory.
 
     .venv-cli/bin/python bench/long_bodies.py [MB] [STREAMS]
 
-Bodies of MB (16) in STREAMS (8) at once, up and down, in turns with and without the proxy; each row is the
-median of five turns.  A last row has clients that read nothing: what the proxy then holds for each.  All on
-loopback; the ratio within a run is what counts.
+Transfers bodies of MB (default 16) megabytes in STREAMS (default 8) concurrent streams, up and down,
+alternating between the proxy and a direct connection.  Each row is the median of five rounds.  The last row
+shows the memory that the proxy holds for each client that does not read its response.  All connections use
+the loopback interface; compare only the ratios within one run.
 """
 
 from __future__ import annotations
@@ -18,54 +19,54 @@
 import time
 from pathlib import Path
 
-HERE = Path(__file__).parent.parent
-TURNS = 5
-PIECE = os.urandom(1 << 16)
+ROOT = Path(__file__).parent.parent
+ROUNDS = 5
+CHUNK = os.urandom(1 << 16)
 
 
 async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Reads a request of any length; a GET is answered with as many bytes as its path says."""
+    """Serve requests of any length; the response to a GET has the number of bytes given in its path."""
     try:
         while True:
             head = (await reader.readuntil(b"\r\n\r\n")).lower()
             left = int(head.partition(b"content-length:")[2].split(b"\r\n")[0] or 0)
             while left:
                 left -= len(await reader.read(min(left, 1 << 18)))
-            gives = int(head.split()[1].rpartition(b"/")[2]) if head.startswith(b"get") else 0
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % gives)
-            for _ in range(gives // len(PIECE)):
-                writer.write(PIECE)
+            response_bytes = int(head.split()[1].rpartition(b"/")[2]) if head.startswith(b"get") else 0
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % response_bytes)
+            for _ in range(response_bytes // len(CHUNK)):
+                writer.write(CHUNK)
                 await writer.drain()
     except (OSError, asyncio.IncompleteReadError):
         writer.close()
 
 
-async def one(address: tuple[str, int], up: bool, size: int, number: int) -> None:
+async def transfer(address: tuple[str, int], up: bool, size: int, number: int) -> None:
     reader, writer = await asyncio.open_connection(*address)
     ident = f"{time.monotonic_ns()}-{number}"
     common = f"Host: x\r\nX-Request-Id: {ident}\r\n"
     if up:
-        keyed = f"Idempotency-Key: {ident}\r\nContent-Length: {size}\r\n\r\n"
-        writer.write(f"POST /save/{size} HTTP/1.1\r\n{common}{keyed}".encode())
-        for _ in range(size // len(PIECE)):
-            writer.write(PIECE)
+        idempotency_headers = f"Idempotency-Key: {ident}\r\nContent-Length: {size}\r\n\r\n"
+        writer.write(f"POST /save/{size} HTTP/1.1\r\n{common}{idempotency_headers}".encode())
+        for _ in range(size // len(CHUNK)):
+            writer.write(CHUNK)
             await writer.drain()
     else:
         writer.write(f"GET /read/{size} HTTP/1.1\r\n{common}\r\n".encode())
     head = await reader.readuntil(b"\r\n\r\n")
     if b" 200 " not in head.split(b"\r\n")[0]:
-        raise SystemExit(f"long_bodies: answered {head!r}")
+        raise SystemExit(f"long_bodies: unexpected response {head!r}")
     left = 0 if up else size
     while left:
         left -= len(await reader.read(1 << 18))
     writer.close()
 
 
-async def many(address: tuple[str, int], up: bool, size: int, streams: int) -> float:
-    """Bytes a second of all streams together."""
-    began = time.perf_counter()
-    await asyncio.gather(*(one(address, up, size, number) for number in range(streams)))
-    return size * streams / (time.perf_counter() - began)
+async def transfer_rate(address: tuple[str, int], up: bool, size: int, streams: int) -> float:
+    """Return the total bytes per second of all streams."""
+    start_s = time.perf_counter()
+    await asyncio.gather(*(transfer(address, up, size, number) for number in range(streams)))
+    return size * streams / (time.perf_counter() - start_s)
 
 
 def memory_mb(process: int, field: str) -> float:
@@ -91,13 +92,13 @@
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         json.dump(config, file)
         file.flush()
-        names = {"LB_NAME": "bench", "LB_LISTEN": "127.0.0.1:0", "LB_CONFIG": file.name}
+        environment = {"LB_NAME": "bench", "LB_LISTEN": "127.0.0.1:0", "LB_CONFIG": file.name}
         proxy = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "heronreel.proxy",
-            cwd=HERE,
-            env=os.environ | names,
+            cwd=ROOT,
+            env=os.environ | environment,
             stderr=asyncio.subprocess.PIPE,
         )
         assert proxy.stderr
@@ -105,29 +106,30 @@
             while b"listening" not in (line := await proxy.stderr.readline()):
                 if not line:
                     raise SystemExit("long_bodies: the proxy did not start")
-            through = ("127.0.0.1", int(line.rsplit(b":", 1)[1]))
+            proxy_address = ("127.0.0.1", int(line.rsplit(b":", 1)[1]))
             idle = memory_mb(proxy.pid, "VmRSS:")
             for up, name in ((True, "up"), (False, "down")):
-                rates = [(await many((host, port), up, size, streams), await many(through, up, size, streams))
-                         for _ in range(TURNS)]  # fmt: skip
-                straight = statistics.median(rate for rate, _ in rates)
+                rates = [(await transfer_rate((host, port), up, size, streams),
+                          await transfer_rate(proxy_address, up, size, streams))
+                         for _ in range(ROUNDS)]  # fmt: skip
+                direct = statistics.median(rate for rate, _ in rates)
                 proxied = statistics.median(rate for _, rate in rates)
                 ratio = statistics.median(b / a for a, b in rates)
-                both = f"{straight / 1e6:7.0f} MB/s straight {proxied / 1e6:7.0f} through"
-                print(f"{name:5}{both}, ratio {ratio:.2f}")
-            print(f"memory {idle:.1f} MB before, {memory_mb(proxy.pid, 'VmHWM:'):.1f} MB at most")
-            stuck = []
+                rate_text = f"{direct / 1e6:7.0f} MB/s direct {proxied / 1e6:7.0f} proxied"
+                print(f"{name:5}{rate_text}, ratio {ratio:.2f}")
+            print(f"memory {idle:.1f} MB idle, {memory_mb(proxy.pid, 'VmHWM:'):.1f} MB peak")
+            stalled = []
             for number in range(32):
-                _, writer = await asyncio.open_connection(*through)
+                _, writer = await asyncio.open_connection(*proxy_address)
                 writer.transport.pause_reading()  # type: ignore[attr-defined]
-                asked = f"GET /read/{size} HTTP/1.1\r\nHost: x\r\nX-Request-Id: s{number}\r\n\r\n"
-                writer.write(asked.encode())
-                stuck.append(writer)
+                request = f"GET /read/{size} HTTP/1.1\r\nHost: x\r\nX-Request-Id: s{number}\r\n\r\n"
+                writer.write(request.encode())
+                stalled.append(writer)
             before = memory_mb(proxy.pid, "VmRSS:")
             await asyncio.sleep(2.0)
-            each = (memory_mb(proxy.pid, "VmRSS:") - before) * 1024 / len(stuck)
-            print(f"{len(stuck)} clients that read nothing: {each:.0f} KiB each")
-            for writer in stuck:
+            kib_per_client = (memory_mb(proxy.pid, "VmRSS:") - before) * 1024 / len(stalled)
+            print(f"{len(stalled)} clients that do not read: {kib_per_client:.0f} KiB each")
+            for writer in stalled:
                 writer.transport.abort()
         finally:
             proxy.terminate()
--- a/bench/lookups.py
+++ b/bench/lookups.py
@@ -1,8 +1,9 @@
-"""Lookups a second at 10, 1,000 and 10,000 routes, and the time to compile them.
+"""Measures route lookups per second with 10, 1,000 and 10,000 routes, and the time to compile the routes.
 
     .venv-cli/bin/python bench/lookups.py
 
-Four kinds of tables; each figure is the best of five rounds, and the ratio is to the same kind at 10 routes.
+There are four kinds of route tables.  Each rate is the best of five rounds; the ratio compares it with the
+same kind of table with 10 routes.
 """
 
 from __future__ import annotations
@@ -18,7 +19,8 @@
 from heronreel.routes.model import Match, Policy, Route
 
 Case = tuple[Match, bytes, bytes, dict[bytes, bytes]]
-ROUNDS, ASKS = 5, 20_000
+ROUNDS = 5
+LOOKUPS = 20_000
 
 
 def exact(n: int) -> Case:
@@ -40,28 +42,29 @@
 def measure(make: Callable[[int], Case], count: int) -> tuple[float, float]:
     cases = [make(n) for n in range(count)]
     routes = [Route(f"r{n}", n, case[0], Policy(f"r{n}"), ()) for n, case in enumerate(cases)]
-    began = time.perf_counter()
+    start_s = time.perf_counter()
     index = RouteIndex(routes)
-    compiled = time.perf_counter() - began
-    asked = [cases[n * 7919 % count] for n in range(ASKS)]
+    compile_s = time.perf_counter() - start_s
+    lookups = [cases[n * 7919 % count] for n in range(LOOKUPS)]
     best = 0.0
     for _ in range(ROUNDS):
-        began = time.perf_counter()
-        for _, host, path, fields in asked:
+        start_s = time.perf_counter()
+        for _, host, path, fields in lookups:
             index.find(host, path, b"GET", fields)
-        best = max(best, ASKS / (time.perf_counter() - began))
-    return best, compiled
+        best = max(best, LOOKUPS / (time.perf_counter() - start_s))
+    return best, compile_s
 
 
 def main() -> None:
-    print(f"{'kind':10} {'routes':>7} {'lookups/s':>11} {'ratio':>6} {'compiled in':>12}")
+    print(f"{'kind':10} {'routes':>7} {'lookups/s':>11} {'ratio':>6} {'compile_s in':>12}")
     for make in (exact, patterns, hosts, headers):
-        first = 0.0
+        base_rate = 0.0
         for count in (10, 1000, 10_000):
-            rate, compiled = measure(make, count)
-            first = first or rate
+            rate, compile_s = measure(make, count)
+            base_rate = base_rate or rate
             print(
-                f"{make.__name__:10} {count:7,} {rate:11,.0f} {rate / first:6.2f} {compiled * 1000:9.0f} ms"
+                f"{make.__name__:10} {count:7,} {rate:11,.0f} {rate / base_rate:6.2f} "
+                f"{compile_s * 1000:9.0f} ms"
             )
 
 
--- a/bench/probing.py
+++ b/bench/probing.py
@@ -1,8 +1,9 @@
-"""Health checks over a fleet: probes a second with each proxy for itself, and with one prober a zone.
+"""Measures health check probes per second, with a prober in each proxy and with one prober per zone.
 
 `python bench/probing.py [PROXIES] [SERVERS]`
 
-Real proxies in two zones, a group of one, servers that count their probes; averages over ten seconds.
+Runs real proxies in two zones, a group with one member, and servers that count their probes.  Rates are
+averages over ten seconds.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 class Servers:
-    """Servers that are healthy, and count all their probes."""
+    """Healthy servers that count all probes."""
 
     def __init__(self) -> None:
         self.ports: list[int] = []
@@ -60,8 +61,8 @@
 def routes(name: str, zone: str, ports: list[int], group: list[str]) -> str:
     fleet = f"[fleet]\ngroup = {json.dumps(group)}\nlease_s = 6" if group else ""
     members = "".join(
-        f'[[pools.members]]\nname = "m{place}"\naddress = "127.0.0.1:{port}"\n'
-        for place, port in enumerate(ports)
+        f'[[pools.members]]\nname = "m{index}"\naddress = "127.0.0.1:{port}"\n'
+        for index, port in enumerate(ports)
     )
     return (
         f'[proxy]\nname = "{name}"\nzone = "{zone}"\n[[listeners]]\nname = "in"\naddress = "127.0.0.1:0"\n'
@@ -81,11 +82,11 @@
         await process.wait_for_line("listening on", timeout_s=120)
 
 
-async def until_reported(client: Client, zone: str) -> None:
+async def wait_for_report(client: Client, zone: str) -> None:
     while True:
-        found = await client.call(Range(report_key(zone)), 5.0)
-        assert isinstance(found, RangeResponse)
-        if found.records:
+        response = await client.call(Range(report_key(zone)), 5.0)
+        assert isinstance(response, RangeResponse)
+        if response.records:
             return
         await asyncio.sleep(0.2)
 
@@ -100,11 +101,11 @@
         await start_proxies(harness, proxies, probed.ports, harness.addresses if shared else [])
         if shared:
             for zone in ZONES:
-                await until_reported(client, zone)
+                await wait_for_report(client, zone)
         await asyncio.sleep(WARM_UP_S)
-        before = probed.probes
+        count_before = probed.probes
         await asyncio.sleep(MEASURED_S)
-        return (probed.probes - before) / MEASURED_S
+        return (probed.probes - count_before) / MEASURED_S
 
 
 async def main(proxies: int, servers: int) -> None:
@@ -112,7 +113,7 @@
     for shared in (False, True):
         with tempfile.TemporaryDirectory() as folder:
             rate = await probes_per_second(Path(folder), proxies, servers, shared)
-        mode = "one prober a zone" if shared else "each proxy for itself"
+        mode = "one prober per zone" if shared else "a prober in each proxy"
         print(f"{setting}, {mode}: {rate:.1f} probes/s", flush=True)
 
 
--- a/bench/request_cost.py
+++ b/bench/request_cost.py
@@ -1,11 +1,11 @@
-"""What a routes file adds to a request over sockets: the proxy's processor time, a ratio in one run.
+"""Measures the processor time that a routes file adds to a request over sockets, as a ratio in one run.
 
     .venv-cli/bin/python bench/request_cost.py [--rounds 6] [--routes 1000] [--other CHECKOUT [--module NAME]]
 
-The platform's program and `heronreel serve` run side by side before the same stub servers and get the same
-requests, in turns, on 16 kept connections each.  With another checkout, its program takes turns with them;
-`--module` is what that one is started by, where it had another name then.
-Ratios are of pairs of rounds, so that noise shows.
+The platform's program and `heronreel serve` run concurrently with the same stub servers and alternately get
+the same requests on 16 persistent connections each.  With `--other`, the program of another checkout
+alternates with them; `--module` is the module that starts it, if it had another name then.  Ratios are
+computed for pairs of rounds, so that noise is visible.
 """
 
 from __future__ import annotations
@@ -28,7 +28,9 @@
 from heronreel.stubs.http_client import ClientStats, HttpClient
 from heronreel.stubs.http_server import DeduplicationGroup, ServerBehaviour, StubServer
 
-NODES, CONNECTIONS, BATCH = 8, 16, 1500
+NODES = 8
+CONNECTIONS = 16
+BATCH_REQUESTS = 1500
 CLASS = {
     "Name": "r7", "OnTimeMs": 500.0, "HardLimitMs": 2500.0, "Effect": "deduplicated", "DedupScope": "cell",
     "RepeatWindowMs": 5000.0,
@@ -49,7 +51,8 @@
     return {
         "seed": "1", "discovery": "127.0.0.1:9", "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 1024},
         "known": {"index": 1, "snapshot": True, "endpoints": entries},
-        # calls to a discovery that is not there are few so, and leave the log to the line that is waited for
+        # Polling causes few calls to the missing discovery service, so that the log has little
+        # besides the line that `start` waits for.
         "settings": {
             "Categories": [CLASS], "Limits": {"MostTries": 2, "ConnectTimeoutMs": 250.0}, "Discovery": "ask",
         },
@@ -72,26 +75,31 @@
 
 
 def processor_s(pid: int) -> float:
-    """Processor seconds of a process's threads, to the nanosecond; `stat` has hundredths only."""
+    """Return the processor seconds of a process's threads in nanosecond resolution; `stat` has only 10 ms."""
     threads = Path(f"/proc/{pid}/task").iterdir()
     return sum(int((thread / "schedstat").read_text().split()[0]) for thread in threads) / 1e9
 
 
 async def start(
-    words: list[str], env: dict[str, str], checkout: Path = ROOT
+    arguments: list[str], env: dict[str, str], checkout: Path = ROOT
 ) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", *words, cwd=checkout, env={**os.environ, **env}, stderr=asyncio.subprocess.PIPE
+        sys.executable,
+        "-m",
+        *arguments,
+        cwd=checkout,
+        env={**os.environ, **env},
+        stderr=asyncio.subprocess.PIPE,
     )
     assert process.stderr
     while line := (await process.stderr.readline()).decode():
         if found := re.search(r"listening on (\S+):(\d+)", line):
             return process, (found[1], int(found[2]))
-    raise SystemExit(f"{words[0]} did not start")
+    raise SystemExit(f"{arguments[0]} did not start")
 
 
-async def batch(clients: HttpClient, first: int) -> None:
-    left = iter(range(first, first + BATCH))
+async def send_batch(clients: HttpClient, first: int) -> None:
+    left = iter(range(first, first + BATCH_REQUESTS))
 
     async def send_requests() -> None:
         for number in left:
@@ -122,24 +130,24 @@
         if other:
             programs.append(([module], other))
         running = []
-        for words, checkout in programs:
+        for arguments, checkout in programs:
             env = {
                 "LB_NAME": "n", "LB_LISTEN": f"127.0.0.1:{free_port()}", "LB_CONFIG": f"{folder}/config.json"
             }  # fmt: skip
-            process, address = await start(words, env, checkout)
+            process, address = await start(arguments, env, checkout)
             stack.callback(process.kill)
             stats = ClientStats()
             running.append((process.pid, HttpClient(address, stats), stats))
         costs: list[list[float]] = [[] for _ in running]
-        for turn in range(rounds + 1):
-            for place, (pid, clients, _) in enumerate(running):
+        for round_number in range(rounds + 1):
+            for index, (pid, clients, _) in enumerate(running):
                 before = processor_s(pid)
-                await batch(clients, (len(running) * turn + place) * BATCH)
-                if turn:  # the first round warms up
-                    costs[place].append((processor_s(pid) - before) / BATCH * 1e6)
+                await send_batch(clients, (len(running) * round_number + index) * BATCH_REQUESTS)
+                if round_number:  # the first round is a warm-up
+                    costs[index].append((processor_s(pid) - before) / BATCH_REQUESTS * 1e6)
     for (_, _, stats), name, row in zip(running, ("platform", "routes", "other"), costs, strict=False):
         mean, served = sum(row) / len(row), f"{stats.counts['served']:,} of {stats.requests:,} served"
-        print(f"{name:9} {mean:6.0f} us a request ({min(row):.0f} to {max(row):.0f}), {served}")
+        print(f"{name:9} {mean:6.0f} us per request ({min(row):.0f} to {max(row):.0f}), {served}")
     print_ratio(f"ratio with {routes:,} routes", costs[1], costs[0])
     if other:
         print_ratio("ratio to the other checkout", costs[0], costs[2])
@@ -152,10 +160,12 @@
 
 
 def print_ratio(label: str, costs: list[float], reference: list[float]) -> None:
-    ratios = sorted(one / two for one, two in zip(costs, reference, strict=True))
+    ratios = sorted(cost / base for cost, base in zip(costs, reference, strict=True))
     of_sums = sum(costs) / sum(reference)
     median = ratios[len(ratios) // 2]
-    print(f"{label}: median {median:.2f} ({ratios[0]:.2f} to {ratios[-1]:.2f}), of the sums {of_sums:.3f}")
+    print(
+        f"{label}: median {median:.2f} ({ratios[0]:.2f} to {ratios[-1]:.2f}), ratio of the sums {of_sums:.3f}"
+    )
 
 
 def main() -> None:
--- a/bench/start_cost.py
+++ b/bench/start_cost.py
@@ -1,10 +1,11 @@
-"""What a start costs a proxy in processor time, with and without bytecode of our own, and its largest parts.
+"""Measures the processor time of a proxy's start with and without compiled bytecode, and its largest imports.
 
     .venv/bin/python bench/start_cost.py [--starts 8] [--other CHECKOUT]
 
-Copies the two packages to a folder of its own, imports the program there in fresh interpreters, and gives the
-ratios to a bare interpreter's start within one run; then the modules that take most, by `-X importtime`.
-With another checkout, its program is started in turns with this one, and the ratio of both is printed.
+Copies the two packages to a temporary folder, imports the program there in new interpreters, and prints the
+ratio to the start of a bare interpreter in the same run.  Then it lists the modules with the longest import
+times according to `-X importtime`.  With another checkout, its program starts alternately with this one, and
+the ratio of both is printed.
 """
 
 from __future__ import annotations
@@ -22,21 +23,21 @@
 ROOT = Path(__file__).parent.parent
 PACKAGES = ("heronreel/proxy", "heronreel/balancer")
 PROGRAM = "import heronreel.proxy.__main__"
-LARGEST = 8  # modules that are listed
+LISTED_MODULES = 8
 
 
 def run_python(folder: Path, program: str, *options: str) -> tuple[float, str]:
-    """Processor seconds of one interpreter, and its standard error."""
+    """Run one interpreter and return its processor seconds and standard error."""
     before = resource.getrusage(resource.RUSAGE_CHILDREN)
-    environ = {**os.environ, "PYTHONDONTWRITEBYTECODE": "1"}  # as on a read-only disk
+    environ = {**os.environ, "PYTHONDONTWRITEBYTECODE": "1"}  # as with a read-only disk
     command = [sys.executable, *options, "-c", program]
-    done = subprocess.run(command, cwd=folder, env=environ, capture_output=True, text=True, check=True)
+    completed = subprocess.run(command, cwd=folder, env=environ, capture_output=True, text=True, check=True)
     after = resource.getrusage(resource.RUSAGE_CHILDREN)
-    return after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime, done.stderr
+    return after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime, completed.stderr
 
 
 def copy_program(checkout: Path, folder: Path) -> None:
-    """The packages that the program loads, without bytecode."""
+    """Copy the packages that the program loads, without bytecode."""
     (folder / "heronreel").mkdir(parents=True)
     shutil.copy(checkout / "heronreel/__init__.py", folder / "heronreel")
     for package in PACKAGES:
@@ -50,15 +51,15 @@
 
 
 def start_costs(folders: list[Path], starts: int) -> list[float]:
-    """The least processor seconds of each folder's program, started in turns."""
+    """Start the programs of the folders alternately and return the lowest processor seconds of each."""
     costs = [[run_python(folder, PROGRAM)[0] for folder in folders] for _ in range(starts)]
     return [min(column) for column in zip(*costs, strict=True)]
 
 
 def print_costs(label: str, costs: list[float], bare: float) -> None:
-    line = f"{label:17} {costs[0] / bare:5.1f} of a bare interpreter's start"
+    line = f"{label:17} {costs[0] / bare:5.1f} of the start of a bare interpreter"
     for other in costs[1:]:
-        line += f", {costs[0] / other:.3f} of the other checkout's"
+        line += f", {costs[0] / other:.3f} of the cost of the other checkout"
     print(line)
 
 
@@ -79,9 +80,11 @@
         print_costs("with bytecode", start_costs(folders, options.starts), bare)
         _, log = run_python(folders[0], PROGRAM, "-X", "importtime")
     rows = [line.removeprefix("import time:").split("|") for line in log.splitlines()[1:]]
-    own = sorted(((int(row[0]), row[2].strip()) for row in rows if row[0].strip().isdigit()), reverse=True)
-    total = sum(cost for cost, _ in own) or 1
-    for cost, module in own[:LARGEST]:
+    self_times = sorted(
+        ((int(row[0]), row[2].strip()) for row in rows if row[0].strip().isdigit()), reverse=True
+    )
+    total = sum(cost for cost, _ in self_times) or 1
+    for cost, module in self_times[:LISTED_MODULES]:
         print(f"{100 * cost / total:5.1f} % of the imports  {module}")
 
 
--- a/bench/start_memory.py
+++ b/bench/start_memory.py
@@ -1,8 +1,8 @@
-"""Resident memory of the platform's program after its imports, here and in another checkout, and of `serve`.
+"""Measures resident memory after imports: the platform's program, also of another checkout, and `serve`.
 
     .venv-cli/bin/python bench/start_memory.py [OTHER_CHECKOUT]
 
-Medians of nine processes each, interleaved; a difference under 0.1 MB is noise.
+Prints medians of nine interleaved processes each; differences below 0.1 MB are noise.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 import sys
 from pathlib import Path
 
-HERE = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent
 ROUNDS = 9
 PRINT_RSS = "\nimport gc; gc.collect()\nprint(open('/proc/self/status').read().split('VmRSS:')[1].split()[0])"
 
 
 def resident_kb(folder: Path, module: str) -> int:
-    """Kilobytes of a process that has imported that module."""
-    done = subprocess.run(
+    """Return the resident kilobytes of a process that has imported the module."""
+    completed = subprocess.run(
         [sys.executable, "-c", f"import {module}{PRINT_RSS}"],
         cwd=folder,
         capture_output=True,
         text=True,
         check=True,
     )
-    return int(done.stdout)
+    return int(completed.stdout)
 
 
 def main() -> None:
-    rows = [("run, here", HERE, "heronreel.proxy.__main__"), ("serve, here", HERE, "heronreel.serve.program")]
+    rows = [("run, here", ROOT, "heronreel.proxy.__main__"), ("serve, here", ROOT, "heronreel.serve.program")]
     if len(sys.argv) > 1:
         rows.insert(0, ("run, other", Path(sys.argv[1]), "heronreel.proxy.__main__"))
     sizes: dict[str, list[int]] = {name: [] for name, _, _ in rows}
--- a/bench/store.py
+++ b/bench/store.py
@@ -1,10 +1,10 @@
-"""The store beside sqlite3 (WAL, full synchronisation), in turns, in one run and on one disk.
+"""Compares the store with sqlite3 (WAL, full synchronisation), alternating in one run on one disk.
 
     PYTHONPATH=. .venv-cli/bin/python bench/store.py [--folder FOLDER] [--keys 1000000] [--seconds 2]
 
-Durable writes a second for 1, 8 and 64 writers (threads; and coroutines of the asyncio interface), point
-reads, the time to open at a million keys, bytes on disk over bytes of live data, resident memory, write
-amplification, longest pause.
+Measures durable writes per second with 1, 8 and 64 writers (threads, and coroutines of the asyncio
+interface), point reads, the time to open a store with a million keys, the ratio of disk bytes to live data,
+resident memory, write amplification and the longest pause.
 """
 
 from __future__ import annotations
@@ -36,17 +36,17 @@
 
 
 def sqlite(path: Path) -> sqlite3.Connection:
-    made = sqlite3.connect(path / "db", isolation_level=None, check_same_thread=False, timeout=60)
-    made.execute("pragma journal_mode=wal")
-    made.execute("pragma synchronous=full")
-    made.execute("create table if not exists t(k blob primary key, v blob) without rowid")
-    return made
+    connection = sqlite3.connect(path / "db", isolation_level=None, check_same_thread=False, timeout=60)
+    connection.execute("pragma journal_mode=wal")
+    connection.execute("pragma synchronous=full")
+    connection.execute("create table if not exists t(k blob primary key, v blob) without rowid")
+    return connection
 
 
-def threads(
+def run_threads(
     count: int, seconds: float, make: Callable[[int], Callable[[bytes], None]]
 ) -> tuple[float, float]:
-    """Writes a second of `count` threads, and the longest of them in milliseconds."""
+    """Return the writes per second of `count` threads, and the longest write in milliseconds."""
     end, done, worst = time.perf_counter() + seconds, [0] * count, [0.0] * count
 
     def work(name: int) -> None:
@@ -65,12 +65,12 @@
     return sum(done) / seconds, max(worst) * 1000
 
 
-def ours(folder: Path, writers: int, seconds: float) -> tuple[float, float]:
+def store_threads(folder: Path, writers: int, seconds: float) -> tuple[float, float]:
     with Store.open(folder) as store:
-        return threads(writers, seconds, lambda name: lambda key: store.put(key, VALUE))
+        return run_threads(writers, seconds, lambda name: lambda key: store.put(key, VALUE))
 
 
-def ours_asyncio(folder: Path, writers: int, seconds: float) -> tuple[float, float]:
+def store_asyncio(folder: Path, writers: int, seconds: float) -> tuple[float, float]:
     async def play() -> tuple[float, float]:
         worst = 0.0
         async with await AsyncStore.open(folder) as store:
@@ -90,29 +90,29 @@
     return asyncio.run(play())
 
 
-def theirs(folder: Path, writers: int, seconds: float) -> tuple[float, float]:
-    """A connection a thread, each write a transaction of its own: what sqlite3 offers to many writers."""
+def sqlite_connections(folder: Path, writers: int, seconds: float) -> tuple[float, float]:
+    """Use one connection per thread and one transaction per write, as sqlite3 offers for many writers."""
     sqlite(folder).close()
 
     def make(name: int) -> Callable[[bytes], None]:
         connection = sqlite(folder)
         return lambda key: connection.execute("insert or replace into t values (?, ?)", (key, VALUE)) and None
 
-    return threads(writers, seconds, make)
+    return run_threads(writers, seconds, make)
 
 
-def theirs_one(folder: Path, writers: int, seconds: float) -> tuple[float, float]:
-    """All threads on one connection behind one lock: its best case without batching by hand."""
+def sqlite_shared(folder: Path, writers: int, seconds: float) -> tuple[float, float]:
+    """Share one locked connection between all threads, the best case of sqlite3 without manual batching."""
     connection, lock = sqlite(folder), threading.Lock()
 
     def put(key: bytes) -> None:
         with lock:
             connection.execute("insert or replace into t values (?, ?)", (key, VALUE))
 
-    return threads(writers, seconds, lambda name: put)
+    return run_threads(writers, seconds, lambda name: put)
 
 
-def fill_ours(folder: Path, keys: int) -> dict[str, float]:
+def fill_store(folder: Path, keys: int) -> dict[str, float]:
     began, steps = time.perf_counter(), 0.0
     with Store.open(folder) as store:
         for start in range(0, keys, 100):
@@ -128,7 +128,7 @@
     }  # fmt: skip
 
 
-def fill_theirs(folder: Path, keys: int) -> dict[str, float]:
+def fill_sqlite(folder: Path, keys: int) -> dict[str, float]:
     began, connection = time.perf_counter(), sqlite(folder)
     for start in range(0, keys, 100):
         connection.execute("begin")
@@ -150,7 +150,7 @@
 from heronreel.store import Store
 def rss(): return int(open('/proc/self/status').read().split('VmRSS:')[1].split()[0]) / 1024
 before, began = rss(), time.perf_counter()
-if which == 'ours':
+if which == 'store':
     store = Store.open(folder); get = store.get
 else:
     db = sqlite(Path(folder))
@@ -173,14 +173,14 @@
 """
 
 
-def measured(which: str, folder: Path, keys: int) -> dict[str, float]:
-    """In processes of their own, in turns with the other: medians of five."""
+def measure_reads(which: str, folder: Path, keys: int) -> dict[str, float]:
+    """Return the medians of five measurements, each in a separate process."""
     root = str(Path(__file__).parent.parent)
     command = [sys.executable, "-c", CHILD.format(root=root), which, str(folder), str(keys)]
     rounds = []
     for _ in range(5):
         rounds.append(json.loads(subprocess.run(command, capture_output=True, check=True, text=True).stdout))
-    return {name: statistics.median(each[name] for each in rounds) for name in rounds[0]}
+    return {name: statistics.median(values[name] for values in rounds) for name in rounds[0]}
 
 
 def size(folder: Path) -> int:
@@ -190,7 +190,7 @@
 def main() -> None:
     parser = argparse.ArgumentParser()
     parser.add_argument(
-        "--folder", default=None, help="on the disk to measure; a new one in the current folder"
+        "--folder", default=None, help="folder on the disk to measure; default: the current folder"
     )
     parser.add_argument("--keys", type=int, default=1_000_000)
     parser.add_argument("--seconds", type=float, default=2.0)
@@ -198,57 +198,57 @@
     options = parser.parse_args()
     base = Path(tempfile.mkdtemp(dir=options.folder or ".", prefix="bench-store-"))
     try:
-        ways = {
-            "ours, threads": ours,
-            "ours, asyncio": ours_asyncio,
-            "sqlite3": theirs,
-            "sqlite3, one": theirs_one,
+        variants = {
+            "store, threads": store_threads,
+            "store, asyncio": store_asyncio,
+            "sqlite3": sqlite_connections,
+            "sqlite3, one": sqlite_shared,
         }
-        print("durable writes a second (longest write), median of rounds in turns")
+        print("durable writes per second (longest write), median of alternating rounds")
         for writers in (1, 8, 64):
-            seen: dict[str, list[tuple[float, float]]] = {name: [] for name in ways}
+            results: dict[str, list[tuple[float, float]]] = {name: [] for name in variants}
             for turn in range(options.rounds):
-                for name, way in ways.items():
+                for name, variant in variants.items():
                     folder = base / f"{name}-{writers}-{turn}"
                     folder.mkdir()
-                    seen[name].append(way(folder, writers, options.seconds))
+                    results[name].append(variant(folder, writers, options.seconds))
                     shutil.rmtree(folder)
-            rates = {name: statistics.median(rate for rate, _ in values) for name, values in seen.items()}
+            rates = {name: statistics.median(rate for rate, _ in values) for name, values in results.items()}
             best = max(rate for name, rate in rates.items() if "sqlite3" in name)
             for name, rate in rates.items():
-                worst = statistics.median(each for _, each in seen[name])
+                worst = statistics.median(longest_ms for _, longest_ms in results[name])
                 ratio = rate / best
                 print(f"  {writers:2} {name:14} {rate:9,.0f}  {ratio:5.2f} of sqlite3  ({worst:.0f} ms)")
-        stores = {"ours": base / "a", "sqlite3": base / "b"}
+        stores = {"store": base / "a", "sqlite3": base / "b"}
         for folder in stores.values():
             folder.mkdir()
         filled = {
-            "ours": fill_ours(stores["ours"], options.keys),
-            "sqlite3": fill_theirs(stores["sqlite3"], options.keys),
+            "store": fill_store(stores["store"], options.keys),
+            "sqlite3": fill_sqlite(stores["sqlite3"], options.keys),
         }
         live = sum(len(key_of(number)) for number in range(options.keys)) + len(VALUE) * options.keys
         print(f"{options.keys:,} keys of 13 bytes, values of {len(VALUE)}, in batches of 100")
         for name, folder in stores.items():
-            text = ", ".join(f"{what} {value:.2f}" for what, value in filled[name].items())
+            text = ", ".join(f"{metric} {value:.2f}" for metric, value in filled[name].items())
             print(f"  {name:8} filled: {text}")
             print(f"  {name:8} disk over live data: {size(folder) / live:.2f}")
-            for what, value in measured(name, folder, options.keys).items():
-                print(f"  {name:8} {what:14} {value:12,.2f}")
-        with Store.open(stores["ours"]) as store:
+            for metric, value in measure_reads(name, folder, options.keys).items():
+                print(f"  {name:8} {metric:14} {value:12,.2f}")
+        with Store.open(stores["store"]) as store:
             stat = store.stat()
             for key in (key_of(random.randrange(options.keys)) for _ in range(1000)):
                 store.get(key)
             stat = store.stat()
             per_key, runs = stat["index_bytes"] / options.keys, len(stat["runs"])
-            print(f"  ours     index bytes a key: {per_key:.2f}, runs {runs}")
+            print(f"  store    index bytes per key: {per_key:.2f}, runs {runs}")
             began = time.perf_counter()
             store.compact()
             took, step = time.perf_counter() - began, store.counters.longest_step_ms
-            over = size(stores["ours"]) / live
+            over = size(stores["store"]) / live
             print(
-                f"  ours     compacted in {took:.1f} s, longest step {step:.0f} ms, disk over live {over:.2f}"
+                f"  store    compacted in {took:.1f} s, longest step {step:.0f} ms, disk over live {over:.2f}"
             )
-        # an opening after a crash: the log is full
+        # Opening after a crash has to replay a full log.
         crashed = base / "c"
         crashed.mkdir()
         code = (
@@ -263,7 +263,7 @@
         began = time.perf_counter()
         with Store.open(crashed) as store:
             took = (time.perf_counter() - began) * 1000
-            print(f"  ours     opened after a crash with a full log: {took:.0f} ms")
+            print(f"  store    opened after a crash with a full log: {took:.0f} ms")
     finally:
         shutil.rmtree(base)
 
--- a/bench/store_mutations.py
+++ b/bench/store_mutations.py
@@ -1,8 +1,8 @@
-"""Takes one guard out of the store at a time, in a copy, and says which of its tests fail then.
+"""Removes one safety measure of the store at a time, in a copy, and checks that the store's tests fail.
 
     .venv-ci/bin/python bench/store_mutations.py [--workers 6]
 
-Exit 1 if a mutation passes all tests, or if its text is no more in the code.
+The exit code is 1 if all tests pass with a mutation, or if the text it replaces is no longer in the code.
 """
 
 from __future__ import annotations
@@ -17,9 +17,11 @@
 from typing import NamedTuple
 
 ROOT = Path(__file__).parent.parent
-MAINTENANCE, MANIFEST, LOG, READER, WRITER = (
-    "maintenance.py", "manifest_file.py", "write_ahead_log.py", "log_reader.py", "writer.py",
-)  # fmt: skip
+MAINTENANCE = "maintenance.py"
+MANIFEST = "manifest_file.py"
+LOG = "write_ahead_log.py"
+READER = "log_reader.py"
+WRITER = "writer.py"
 
 TESTS = [
     f"tests/store/test_{name}.py"
@@ -29,7 +31,7 @@
 
 
 class Mutation(NamedTuple):
-    """A change of one file of the store: `old` stands in it exactly once."""
+    """A change of one file of the store, in which `old` must occur exactly once."""
 
     name: str
     file: str
@@ -52,10 +54,10 @@
      "            disk.rename(NEW_MANIFEST_NAME, MANIFEST_NAME)\n"),
     ("no fsync of a table", "sstable_writer.py", "        self._flush_buffer()\n        self._file.sync()\n        self._file.close()\n",
      "        self._flush_buffer()\n        self._file.close()\n"),
-    ("a frame's checksum not checked", "log_format.py",
+    ("checksum of a frame not checked", "log_format.py",
      "    if xxhash.xxh3_64_intdigest(covered, salt) != checksum:\n        return None\n",
      "    del checksum, salt, covered\n"),
-    ("a block's checksum not checked", "sstable.py",
+    ("checksum of a block not checked", "sstable.py",
      "        if not complete or not block_is_valid(data, self.header.salt, offset):\n", "        if not complete:\n"),
     ("old tables removed before the manifest", MAINTENANCE,
      "        self.manifest_file.install(\n            replace(self.manifest_file.current, runs=[RunEntry.of(run.info) for run in runs])\n        )\n",
@@ -64,45 +66,45 @@
     ("old segments removed before the manifest", MAINTENANCE,
      "        yield 1\n        manifest = self.manifest_file.current\n",
      "        yield 1\n        self.remove_segments(end.next_segment)\n        manifest = self.manifest_file.current\n"),
-    ("a recovery segment counts like any other", READER, "and not header.recovery):\n", "):\n"),
-    ("one salt for all segments", LOG, "            secrets.randbits(64),\n            recovery,\n", "            7,\n            recovery,\n"),
-    ("a torn write is damage", READER, "and tail.durable <= offset:\n", "and tail.durable < 0:\n"),
-    ("damage is a torn write", READER,
+    ("recovery segment treated as a normal segment", READER, "and not header.recovery):\n", "):\n"),
+    ("same salt for all segments", LOG, "            secrets.randbits(64),\n            recovery,\n", "            7,\n            recovery,\n"),
+    ("torn write treated as damage", READER, "and tail.durable <= offset:\n", "and tail.durable < 0:\n"),
+    ("damage treated as a torn write", READER,
      "            if not segment.end_known and not segment.has_successor and tail.durable <= offset:\n", "            if True:\n"),
-    ("a former segment not synced before the next", LOG,
+    ("previous segment not synced before the next", LOG,
      "                self.sync()\n                self.start_segment()\n", "                self.start_segment()\n"),
-    ("a group cut off is taken", READER,
+    ("incomplete group applied", READER,
      "        if self._fragments:\n            self._drop_group(\"a group begun and not ended\")\n",
      "        if self._fragments:\n            with suppress(ValueError):\n                self._apply(decode_operations(b\"\".join(self._fragments)))\n"
      "            self._drop_group(\"a group begun and not ended\")\n"),
-    ("writes go on after a failed fsync", LOG,
+    ("writes continue after a failed fsync", LOG,
      "            self._health.fail(f\"an fsync of the log failed: {error}\")\n", "            self._segment_failed = True\n"),
-    ("a failed write leaves its segment in use", WRITER,
+    ("segment still used after a failed write", WRITER,
      "            self._log.append_group(payload)\n        except OSError as error:\n            self._log.fail_segment()\n",
      "            self._log.append_group(payload)\n        except OSError as error:\n"),
-    ("deletions dropped while older runs are there", MAINTENANCE, "keep_deletions=not oldest)", "keep_deletions=False)"),
-    ("writes are seen before they are durable", WRITER, "            self._append(payload)\n            self._apply(group)\n",
+    ("deletions dropped while older runs exist", MAINTENANCE, "keep_deletions=not oldest)", "keep_deletions=False)"),
+    ("writes visible before they are durable", WRITER, "            self._append(payload)\n            self._apply(group)\n",
      "            self._apply(group)\n            self._append(payload)\n"),
-    ("damage met is not remembered", MANIFEST,
+    ("detected damage not recorded", MANIFEST,
      "            self.install(replace(self.current, damage=[*self.current.damage, *unknown]))\n", "            pass\n"),
-    ("a reader beside a writer reads on", "durable_note.py", "    return LogPosition(segment, offset) if magic == _MAGIC else None\n",
+    ("concurrent reader ignores the durable position", "durable_note.py", "    return LogPosition(segment, offset) if magic == _MAGIC else None\n",
      "    return None\n"),
-    ("a first write tidies up tables too", WRITER, "            self._maintenance.remove_segments(first_segment)\n",
+    ("first write also removes unnamed tables", WRITER, "            self._maintenance.remove_segments(first_segment)\n",
      "            self._remove_unnamed_files()\n"),
-    ("a write pays for four steps at most", MAINTENANCE, "max(earned, MAX_SAVED_STEPS * step_bytes)",
+    ("maintenance work per write limited to four steps", MAINTENANCE, "max(earned, MAX_SAVED_STEPS * step_bytes)",
      "MAX_SAVED_STEPS * step_bytes"),
 ]]  # fmt: skip
 
 
 class Outcome(NamedTuple):
-    """Whether the tests caught a mutation, and by which, or why it could not be tried."""
+    """Whether the tests detected a mutation, and the failed test or the reason why it was not run."""
 
     name: str
     caught: bool
-    how: str
+    detail: str
 
 
-def tested(mutation: Mutation) -> Outcome:
+def run_mutation(mutation: Mutation) -> Outcome:
     """Run the store's tests on a copy of the code with one mutation."""
     name, file, old, new = mutation
     with tempfile.TemporaryDirectory(prefix="mutation-") as folder:
@@ -111,7 +113,7 @@
         path = Path(folder) / "heronreel/store" / file
         text = path.read_text()
         if text.count(old) != 1:
-            return Outcome(name, False, f"its text is {text.count(old)} times in {file}")
+            return Outcome(name, False, f"the text to replace occurs {text.count(old)} times in {file}")
         mutated = text.replace(old, new)
         if "suppress" in new and "import suppress" not in text:
             first_import = "from __future__ import annotations\n"
@@ -128,17 +130,17 @@
 
 
 def main() -> None:
-    """Test all mutations, or those whose names have a part."""
+    """Test all mutations, or those whose names contain the text of `--only`."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--workers", type=int, default=6)
-    parser.add_argument("--only", default="", help="part of a name")
+    parser.add_argument("--only", default="", help="test only mutations whose names contain this")
     options = parser.parse_args()
     chosen = [mutation for mutation in MUTATIONS if options.only in mutation.name]
     all_caught = True
     with ThreadPoolExecutor(options.workers) as pool:
-        for name, caught, how in pool.map(tested, chosen):
+        for name, caught, detail in pool.map(run_mutation, chosen):
             all_caught = all_caught and caught
-            print(f"{'caught' if caught else 'MISSED'}  {name:48} {how}", flush=True)
+            print(f"{'caught' if caught else 'MISSED'}  {name:48} {detail}", flush=True)
     sys.exit(0 if all_caught else 1)
 
 
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""The tests, a folder for each package; `support` has what several of them share."""
+"""The tests, with a folder for each package; `support` has shared helpers."""
