--- a/heronreel/realtime/process_proxy.py
+++ b/heronreel/realtime/process_proxy.py
@@ -266,7 +266,8 @@
         runtime.clock.update()
         runtime.requests.pop(request_header(request.ident), None)
         if request.finished or runtime.stopping or self.killed:
-            return  # The requests in flight of a killed process were ended with it.
+            # The requests in flight of a killed process were ended with it.
+            return
         if connection is None:
             self._close_request(request)
             # The process never accepted the request.
--- a/heronreel/realtime/proxy_config.py
+++ b/heronreel/realtime/proxy_config.py
@@ -7,8 +7,12 @@
 from heronreel.balancer.interface import Settings
 from heronreel.emulator.model import Rehearsal
 
+# The platform's names of the effects of requests.
 PLATFORM_EFFECTS = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
+
+# The platform's names of the scopes within which repeated requests are deduplicated.
 PLATFORM_DEDUP_SCOPES = {"rack": "cell", "zone": "zone", "all": "all"}
+
 RESOURCE_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 CONNECTION_IDLE_MS = 15_000.0
 
