--- a/heronreel/fault_injection/budget_world.py
+++ b/heronreel/fault_injection/budget_world.py
@@ -54,7 +54,7 @@
 RULE = BudgetRule("one", InstanceKind.PROXY, max_unavailable=MAX_UNAVAILABLE)
 INSTANCE_IDS = ("proxy/x", "proxy/y")
 OPERATOR = "x"
-NO_OPERATION = 0  # in place of the fencing token of an operation that no longer waits for the response
+NO_OPERATION = 0  # fencing token of a request whose operation no longer waits for the response
 
 
 class OperationStage(enum.Enum):
