--- a/heronreel/soak/__main__.py
+++ b/heronreel/soak/__main__.py
@@ -139,22 +139,22 @@
     ]
     zero_at = lives[0].signalled_at if lives else request.begun_at
 
-    def relative(at: float | None) -> str:
+    def offset(at: float | None) -> str:
         return "never" if at is None else f"{at - zero_at:.3f}"
 
     text += (
-        f" | {request.ident} {request.class_name} {request.kind.value}, connection {request.connection}, "
-        f"place {request.place}, deadline {request.deadline_s} s, begun {relative(request.begun_at)}, "
-        f"sent {relative(request.sent_at)}, ended {relative(request.ended_at)}"
+        f" | {request.request_id} {request.class_name} {request.kind.value}, "
+        f"connection {request.connection}, place {request.place}, deadline {request.deadline_s} s, "
+        f"begun {offset(request.begun_at)}, sent {offset(request.sent_at)}, ended {offset(request.ended_at)}"
     )
     for attempt in records.attempts:
-        if attempt.ident == request.ident:
+        if attempt.request_id == request.request_id:
             text += (
-                f" | {attempt.backend} began {relative(attempt.began_at)}, told {attempt.deadline_ms} ms, "
-                f"{'complete' if attempt.complete else 'incomplete'}, ended {relative(attempt.ended_at)}"
+                f" | {attempt.backend} began {offset(attempt.began_at)}, told {attempt.deadline_ms} ms, "
+                f"{'complete' if attempt.complete else 'incomplete'}, ended {offset(attempt.ended_at)}"
             )
     if lives:
-        text += f" | process ended {relative(lives[0].ended_at)}, held {lives[0].held_s:.3f} s"
+        text += f" | process ended {offset(lives[0].ended_at)}, held {lives[0].held_s:.3f} s"
     return text
 
 
--- a/heronreel/soak/clients.py
+++ b/heronreel/soak/clients.py
@@ -48,7 +48,7 @@
     connect_until: float  # no connection is opened later
     stop_at: float  # no request is sent later
     connections: count[int]
-    idents: count[int]
+    request_ids: count[int]
     think_s: float
 
 
@@ -113,7 +113,7 @@
     def _new_request(self) -> tuple[RequestRecord, bytes]:
         request_class = SAVE if self.kind is ClientKind.UPLOADING else self.random.choice(CLASSES)
         deadline_s = self.context.longest_deadline_s * self.random.choice((1.0, 1.0, 0.5, 0.1))
-        request_id = f"{self.context.proxy}-{next(self.context.idents)}"
+        request_id = f"{self.context.proxy}-{next(self.context.request_ids)}"
         record = RequestRecord(
             request_id, request_class.name, self.kind, self.context.proxy, deadline_s, self.connection,
             self.place, begun_at=now(),
--- a/heronreel/soak/fleet_run.py
+++ b/heronreel/soak/fleet_run.py
@@ -64,7 +64,7 @@
         ]
         self.service: ListService
         self.lives: list[ProxyProcess] = []
-        self.connections, self.idents = count(1), count(1)
+        self.connections, self.request_ids = count(1), count(1)
 
     async def play(self) -> None:
         """Start everything, cause the planned faults while clients send requests, and stop everything."""
@@ -116,7 +116,7 @@
         context = ClientContext(
             self.records, life.name, life.port, self.plan.longest_deadline_s,
             connect_until=terminate_at + shutdown.new_connections_s, stop_at=terminate_at + kill_after_s,
-            connections=self.connections, idents=self.idents, think_s=THINK_S,
+            connections=self.connections, request_ids=self.request_ids, think_s=THINK_S,
         )  # fmt: skip
         sampling = asyncio.create_task(life.sample_waits())
         clients = [
--- a/heronreel/soak/judge.py
+++ b/heronreel/soak/judge.py
@@ -66,13 +66,13 @@
     """Check all records of a run, and return the verdict."""
     attempts: dict[str, list[AttemptRecord]] = defaultdict(list)
     for attempt in records.attempts:
-        attempts[attempt.ident].append(attempt)
+        attempts[attempt.request_id].append(attempt)
     breaches: list[Breach] = []
     statuses: dict[int, int] = defaultdict(int)
     crossed = 0
     for request in records.requests.values():
         slack_s = _slack_s(records, request)
-        request_attempts = attempts[request.ident]
+        request_attempts = attempts[request.request_id]
         if request.status is not None:
             statuses[request.status] += 1
         breaches += _judge_end(request, request_attempts, slack_s)
@@ -95,7 +95,7 @@
     """
     breaches = []
     for attempt in records.attempts:
-        request = records.requests.get(attempt.ident)
+        request = records.requests.get(attempt.request_id)
         if request is not None and request.proxy in histories:
             histories[request.proxy].note(RequestBegan(attempt.began_at, attempt.backend))
     lives = {life.proxy: life for life in records.lives}
--- a/heronreel/soak/records.py
+++ b/heronreel/soak/records.py
@@ -23,7 +23,7 @@
 class RequestRecord:
     """One request as recorded by its client."""
 
-    ident: str
+    request_id: str
     class_name: str
     kind: ClientKind
     proxy: str
@@ -44,7 +44,7 @@
 class AttemptRecord:
     """One attempt as recorded by its backend."""
 
-    ident: str
+    request_id: str
     backend: str
     began_at: float  # when its first byte arrived
     deadline_ms: int | None  # deadline that the proxy sent
--- a/heronreel/soak/run.py
+++ b/heronreel/soak/run.py
@@ -48,7 +48,7 @@
         self.plan = plan
         self.folder = folder
         self.records = RunRecord()
-        self.idents, self.connections = count(1), count(1)
+        self.request_ids, self.connections = count(1), count(1)
 
     async def play(self) -> RunRecord:
         lag = asyncio.create_task(measure_lag(self.records))
@@ -112,7 +112,7 @@
                 self.records, name, life.port, self.plan.longest_deadline_s,
                 connect_until=terminate_at + shutdown.new_connections_s,
                 stop_at=terminate_at + self.plan.kill_after_s,
-                connections=self.connections, idents=self.idents,
+                connections=self.connections, request_ids=self.request_ids,
                 think_s=THINK_S + THINK_S_PER_CLIENT * len(shutdown.clients),
             )  # fmt: skip
             clients = [
--- a/tests/soak/test_judge.py
+++ b/tests/soak/test_judge.py
@@ -18,7 +18,7 @@
 
 
 def broken_rules(request: RequestRecord, *attempts: AttemptRecord, life: LifeRecord = LIFE) -> list[Rule]:
-    records = RunRecord({request.ident: request}, list(attempts), [life])
+    records = RunRecord({request.request_id: request}, list(attempts), [life])
     return [breach.rule for breach in judge(records).breaches]
 
 
