--- a/bench/added_cost.py
+++ b/bench/added_cost.py
@@ -42,7 +42,7 @@
 
 
 class Variant:
-    """One of the two measured variants; `run_batch` runs a batch of requests end_s they are served."""
+    """One of the two measured variants; `run_batch` runs a batch of requests until they are served."""
 
     def __init__(self, decisions: Balancer | Pools, arrival: Callable[[int], api.Arrival], pool: str) -> None:
         self.decisions, self.arrival = decisions, arrival
--- a/bench/lookups.py
+++ b/bench/lookups.py
@@ -56,7 +56,7 @@
 
 
 def main() -> None:
-    print(f"{'kind':10} {'routes':>7} {'lookups/s':>11} {'ratio':>6} {'compile_s in':>12}")
+    print(f"{'kind':10} {'routes':>7} {'lookups/s':>11} {'ratio':>6} {'compiled in':>12}")
     for make in (exact, patterns, hosts, headers):
         base_rate = 0.0
         for count in (10, 1000, 10_000):
--- a/heronreel/experiments/charts.py
+++ b/heronreel/experiments/charts.py
@@ -22,6 +22,7 @@
 MIN_SHADE_S = 0.15
 # Width that is reserved for the label of a fault, in seconds of the time axis.
 LABEL_WIDTH_S = 2.0
+# Maximum number of rows in the chart of nodes.
 MAX_NODES = 60
 MAX_NODE_LABELS = 20
 OUTCOME_COLOURS = {
