--- a/heronreel/emulator/policies.py
+++ b/heronreel/emulator/policies.py
@@ -1,9 +1,9 @@
-"""The policies a rehearsal can play: the balancer, baselines to compare it with, and faulty ones.
+"""The policies that a rehearsal can run: the balancer, baselines for comparison, and faulty policies.
 
-Each takes the events of `heronreel.balancer.interface` and returns its actions, as the real module does, so
-one host plays them all.  The baselines keep the rules as anybody would who reads them, and poll the endpoint
-list at the same pace as the balancer: what differs is which node they choose and whether they retry.  The
-faulty ones break one rule each, to show that the invariant checker reports it.
+Each policy takes the events of `heronreel.balancer.interface` and returns its actions, like the real module,
+so the same host runs all of them.  The baselines follow the rules and poll the endpoint list as often as the
+balancer.  They differ only in the choice of the node and in whether they retry.  Each faulty policy breaks
+one rule, to show that the invariant checker reports it.
 """
 
 from __future__ import annotations
@@ -25,33 +25,33 @@
 from heronreel.emulator.errors import UnknownPolicyError
 
 WATCH_TIMER = 1
-ADVICE = 0.5  # of the latency objective: the Retry-After of baselines
-HOMES = 8  # nodes in a key's order that bounded-load hashing looks at
-MAX_CACHED_KEYS = 4096  # whose homes one proxy caches
-LOAD_BOUND = 1.25  # times the mean load that a node may have there (the usual choice)
+RETRY_AFTER_RATIO = 0.5  # mean Retry-After of the baselines, as a share of the latency objective
+MAX_HOMES = 8  # nodes of a key's preference order that bounded-load hashing considers
+MAX_CACHED_KEYS = 4096  # keys whose homes one proxy caches
+LOAD_BOUND = 1.25  # maximum load of a node over the mean in bounded-load hashing; the usual value
 MAX_RANKS = 20_000  # backends whose ranks are cached
 MAX_SHARED_HOMES = 500_000  # keys whose homes are cached for all proxies
-NEW_FOR_MS = 10_000.0  # how long the policy of cold nodes takes one for new
-MAX_COMPARED = 40  # nodes that the oracle policy compares at most
+NEW_FOR_MS = 10_000.0  # how long `ColdNodePolicy` prefers a new node
+MAX_COMPARED = 40  # maximum number of nodes that the oracle policy compares
 
 
 class Decider(Protocol):
     """Makes the decisions of one proxy process."""
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        """The actions that follow from an event."""
+        """Handle an event and return the resulting actions."""
 
 
 class NodeOracle(Protocol):
-    """What only an emulator knows: the true state of a node, at once."""
+    """Access to the real, current state of the nodes, which only an emulator has."""
 
     def wait_ms(self, zone: str, backend: int, work: float) -> float:
-        """Until it would have responded, ms; infinite where it would not."""
+        """Return the ms until a node would respond; infinite if it would not respond."""
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that is not answered yet.  Times are ms."""
+    """A request without a response.  Times are ms."""
 
     arrival: api.Arrival
     request_class: api.RequestClass
@@ -62,7 +62,10 @@
 
 
 class BaselinePolicy:
-    """Keeps the rules, chooses by `pick`, and attempts what never ran up to `max_attempts` times."""
+    """Base of the baselines: follows the rules and chooses nodes with `pick`.
+
+    A request is attempted up to `max_attempts` times as long as no attempt may have run.
+    """
 
     def __init__(
         self, settings: api.Settings, seed: int, oracle: NodeOracle | None = None, max_attempts: int = 1
@@ -76,12 +79,12 @@
         self.order: list[int] = []
         self.load: dict[int, int] = {}  # attempts in flight
         self.pending: dict[int, PendingRequest] = {}
-        self.sent_at: dict[tuple[int, int], float] = {}  # of attempts in flight
+        self.sent_at: dict[tuple[int, int], float] = {}  # (request, attempt) in flight
         self.started = False
         self.actions: list[api.Action] = []
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        """The actions that follow from an event."""
+        """Handle an event and return the resulting actions."""
         self.actions = []
         match event:
             case api.Arrival():
@@ -102,26 +105,26 @@
                 self.settings = event.settings
         return self.actions
 
-    def _list(self, now: float, news: api.BackendList) -> None:
+    def _list(self, now: float, update: api.BackendList) -> None:
         if not self.started:
             self.started = True
             if self.settings.watch_list:
                 self.actions.append(api.SetTimer(WATCH_TIMER, self.watch.first_delay(self.random)))
-        if news.kind is api.ListKind.FAILED:
-            wait = self.watch.call_failed(now, self.random, news.failure)
+        if update.kind is api.ListKind.FAILED:
+            wait = self.watch.call_failed(now, self.random, update.failure)
             if wait is not None:
                 self.actions.append(api.SetTimer(WATCH_TIMER, wait))
             return
         self.watch.list_received(now)
-        if news.kind is not api.ListKind.CHANGES:
+        if update.kind is not api.ListKind.CHANGES:
             self.infos.clear()
-        for info in news.backends:
+        for info in update.backends:
             self.entry(info)
         self.order = list(self.infos)
         self.random.shuffle(self.order)
 
     def entry(self, info: api.BackendInfo) -> None:
-        """Take over one entry of the endpoint list."""
+        """Apply one entry of the endpoint list."""
         if info.state is api.BackendState.UP:
             self.infos[info.backend] = info
         else:
@@ -145,7 +148,7 @@
             self._go_on(now, pending, ended.outcome)
 
     def may_retry(self, now: float, pending: PendingRequest) -> bool:
-        """Whether another attempt is wanted after one that may have run."""
+        """Return whether to retry after an attempt that may have run."""
         return False
 
     def _go_on(self, now: float, pending: PendingRequest, last: api.Outcome | None = None) -> None:
@@ -160,7 +163,7 @@
         self.give_up(now, pending)
 
     def send(self, now: float, pending: PendingRequest, chosen: int) -> None:
-        """Start an attempt at the chosen node."""
+        """Start an attempt at node `chosen`."""
         ident = pending.arrival.request
         self.sent_at[ident, len(pending.attempted)] = now
         pending.attempted.append(chosen)
@@ -169,26 +172,26 @@
         self.actions.append(api.StartAttempt(ident, chosen, self.timeout(pending)))
 
     def timeout(self, pending: PendingRequest) -> float:
-        """Of an attempt, ms; 0: none."""
+        """Return the timeout of an attempt in ms; 0 is none."""
         return 0.0
 
     def give_up(self, now: float, pending: PendingRequest) -> None:
-        """Refuse the request where nothing may have run, else fail it."""
+        """Refuse the request if a client may safely retry it, else fail it."""
         ident, klass = pending.arrival.request, pending.request_class
         del self.pending[ident]
-        everywhere = klass.effect is api.Effect.KEYED and klass.dedup_scope is api.DedupScope.ALL
-        if pending.uncertain is None or everywhere or klass.effect is api.Effect.IDEMPOTENT:
-            advice = klass.latency_objective_ms * ADVICE * self.random.uniform(0.5, 1.5)
-            self.actions.append(api.Reject(ident, min(advice, self.settings.max_retry_after_ms)))
+        deduped_everywhere = klass.effect is api.Effect.KEYED and klass.dedup_scope is api.DedupScope.ALL
+        if pending.uncertain is None or deduped_everywhere or klass.effect is api.Effect.IDEMPOTENT:
+            retry_after_ms = klass.latency_objective_ms * RETRY_AFTER_RATIO * self.random.uniform(0.5, 1.5)
+            self.actions.append(api.Reject(ident, min(retry_after_ms, self.settings.max_retry_after_ms)))
         else:
             self.actions.append(api.Fail(ident))
 
     def pick(self, now: float, pending: PendingRequest) -> int | None:
-        """The node for the next attempt; None: there is none."""
+        """Choose the node for the next attempt, or None if there is none."""
         raise NotImplementedError
 
     def not_attempted(self, pending: PendingRequest) -> list[int]:
-        """Nodes that the request was not sent to."""
+        """Return the nodes to which the request has not been sent."""
         return (
             [ident for ident in self.order if ident not in pending.attempted]
             if pending.attempted
@@ -197,21 +200,21 @@
 
 
 class RandomPolicy(BaselinePolicy):
-    """Chooses at random."""
+    """Chooses a node at random."""
 
     def pick(self, now: float, pending: PendingRequest) -> int | None:
-        """Any node."""
+        """Choose a random node."""
         left = self.not_attempted(pending)
         return self.random.choice(left) if left else None
 
 
 class RoundRobinPolicy(BaselinePolicy):
-    """Takes nodes in turn."""
+    """Chooses the nodes in turn."""
 
     turn = 0
 
     def pick(self, now: float, pending: PendingRequest) -> int | None:
-        """The next node in turn."""
+        """Choose the next node in turn."""
         if not self.order:
             return None
         self.turn += 1
@@ -219,19 +222,22 @@
 
 
 class PowerOfTwoPolicy(BaselinePolicy):
-    """Draws two, takes the one with fewer attempts of its own in flight (power of two choices)."""
+    """Draws two nodes and chooses the one with fewer of this proxy's attempts in flight.
+
+    This is the power of two choices.
+    """
 
     def pick(self, now: float, pending: PendingRequest) -> int | None:
-        """The less loaded of two."""
+        """Choose the less loaded of two random nodes."""
         left = self.not_attempted(pending)
         if not left:
             return None
-        one, other = self.random.choice(left), self.random.choice(left)
-        return one if self.load.get(one, 0) <= self.load.get(other, 0) else other
+        first, second = self.random.choice(left), self.random.choice(left)
+        return first if self.load.get(first, 0) <= self.load.get(second, 0) else second
 
 
 class BoundedLoadHashPolicy(BaselinePolicy):
-    """A key's own node, unless that has more than its share in flight: then the next in the key's order."""
+    """Chooses the first node of a key's preference order that is not over the load bound."""
 
     def __init__(
         self, settings: api.Settings, seed: int, oracle: NodeOracle | None = None, max_attempts: int = 1
@@ -239,58 +245,58 @@
         super().__init__(settings, seed, oracle, max_attempts)
         self.homes: dict[int, list[int]] = {}
 
-    def _list(self, now: float, news: api.BackendList) -> None:
-        super()._list(now, news)
+    def _list(self, now: float, update: api.BackendList) -> None:
+        super()._list(now, update)
         self.homes.clear()
 
     def pick(self, now: float, pending: PendingRequest) -> int | None:
-        """The first of the key's nodes with room, else the least loaded."""
+        """Choose the first of the key's homes below the load bound, else the least loaded node."""
         if not self.order:
             return None
         key = pending.arrival.key or 0
         if key not in self.homes:
             if len(self.homes) >= MAX_CACHED_KEYS:
                 self.homes.clear()
-            self.homes[key] = nlargest(HOMES, self.order, key=lambda ident: rendezvous_hash(key, ident))
-        most = LOAD_BOUND * (sum(self.load.values()) + 1) / len(self.order)
+            self.homes[key] = nlargest(MAX_HOMES, self.order, key=lambda ident: rendezvous_hash(key, ident))
+        max_load = LOAD_BOUND * (sum(self.load.values()) + 1) / len(self.order)
         for home in self.homes[key]:
-            if home not in pending.attempted and self.load.get(home, 0) + 1 <= max(1.0, most):
+            if home not in pending.attempted and self.load.get(home, 0) + 1 <= max(1.0, max_load):
                 return home
         left = self.not_attempted(pending)
         return min(left, key=lambda ident: self.load.get(ident, 0), default=None)
 
 
 class OraclePolicy(BaselinePolicy):
-    """Knows what every node has to do at this moment, and refuses what none would serve in time."""
+    """Knows the real load of every node, and refuses a request that no node would serve in time."""
 
     def pick(self, now: float, pending: PendingRequest) -> int | None:
-        """The node that responds first, if any does in time."""
+        """Choose the node that responds first, or None if none responds in time."""
         assert self.oracle is not None
         left = self.not_attempted(pending)
         if len(left) > MAX_COMPARED:
             left = self.random.sample(left, MAX_COMPARED)
-        best, least = None, pending.deadline - now
+        best, shortest = None, pending.deadline - now
         for ident in left:
             wait = self.oracle.wait_ms(self.settings.zone, ident, pending.arrival.hint_ms or 1.0)
-            if wait < least:
-                best, least = ident, wait
+            if wait < shortest:
+                best, shortest = ident, wait
         return best
 
 
 class RetryStormPolicy(PowerOfTwoPolicy):
-    """Times out at the latency objective and retries anywhere, as often as it may, without a budget."""
+    """Times out at the latency objective, and retries at any node up to the limit, without a retry budget."""
 
     def timeout(self, pending: PendingRequest) -> float:
         """The latency objective."""
         return pending.request_class.latency_objective_ms
 
     def may_retry(self, now: float, pending: PendingRequest) -> bool:
-        """Whatever may run twice."""
+        """Retry idempotent requests."""
         return pending.request_class.effect is api.Effect.IDEMPOTENT
 
 
 class RequestLosingPolicy(PowerOfTwoPolicy):
-    """Forgets a request whose attempts are used up."""
+    """Drops a request without a response when it has no attempts left."""
 
     def give_up(self, now: float, pending: PendingRequest) -> None:
         """Drop the request without a response."""
@@ -298,30 +304,30 @@
 
 
 class UnsafeRetryPolicy(PowerOfTwoPolicy):
-    """Retries whatever may have happened, wherever."""
+    """Retries at any node, even if an earlier attempt may have run."""
 
     def timeout(self, pending: PendingRequest) -> float:
         """The latency objective."""
         return pending.request_class.latency_objective_ms
 
     def may_retry(self, now: float, pending: PendingRequest) -> bool:
-        """Always."""
+        """Always retry."""
         return True
 
 
 class DrainIgnoringPolicy(PowerOfTwoPolicy):
-    """Keeps using nodes that drain."""
+    """Keeps using draining nodes."""
 
     def entry(self, info: api.BackendInfo) -> None:
-        """Take every listed node as up."""
+        """Treat every listed node as up."""
         super().entry(replace(info, state=api.BackendState.UP))
 
 
 class ColdNodePolicy(PowerOfTwoPolicy):
-    """Takes the newest node, which is idle, for the best."""
+    """Prefers the newest node because it is idle."""
 
     def pick(self, now: float, pending: PendingRequest) -> int | None:
-        """The newest node while it is new."""
+        """Choose the newest node while it is new, else the less loaded of two."""
         newest = max((info.started_ms for info in self.infos.values()), default=0.0)
         fresh = [
             i for i, info in self.infos.items() if info.started_ms == newest and now - newest < NEW_FOR_MS
@@ -331,16 +337,16 @@
 
 
 class SharedRanks(Subset):
-    """Ranks of all proxies for a backend, sorted once for the whole fleet; the module counts them by proxy.
+    """Ranks of all proxies for a backend, sorted once for the whole fleet.
 
-    The ranks are the same (`tests/emulator/test_fleet_scenarios.py`); at 200 proxies and 200 nodes counting
-    took a third of the time of a play of ten seconds.
+    `Subset` counts the rank for each proxy, which took a third of the run time of a rehearsal of ten seconds
+    with 200 proxies and 200 nodes.  The ranks are equal (`tests/emulator/test_fleet_scenarios.py`).
     """
 
     tables: ClassVar[dict[tuple[int, int], list[int]]] = {}
 
     def rank(self, backend: int) -> int:
-        """This proxy's rank for a backend."""
+        """Return this proxy's rank for a backend."""
         if self.proxies <= subset.PROXIES_PER_BACKEND:
             return 0
         table = self.tables.get((backend, self.proxies))
@@ -356,10 +362,10 @@
 
 
 class SharedKeyHomes(dict[int, list[int]]):
-    """One proxy's homes of keys, shared by all proxies that look among the same near nodes."""
+    """One proxy's homes of keys, shared by all proxies with the same set of near nodes."""
 
     tables: ClassVar[dict[tuple[int, int], list[int]]] = {}
-    places: ClassVar[dict[frozenset[int], int]] = {}  # sets of near nodes, numbered
+    places: ClassVar[dict[frozenset[int], int]] = {}  # numbers of the sets of near nodes
     numbers: ClassVar[Iterator[int]] = itertools.count()
 
     def __init__(self) -> None:
@@ -367,9 +373,10 @@
         self.place = -1
 
     def among(self, near: frozenset[int]) -> None:
-        """Look among these nodes from now on."""
+        """Use the homes among this set of nodes from now on."""
         if len(self.places) >= MAX_RANKS:
-            self.places.clear()  # no number is given twice, so what others found under theirs stays right
+            # Numbers are never reused, so homes stored under earlier numbers stay valid.
+            self.places.clear()
         if near not in self.places:
             self.places[near] = next(self.numbers)
         self.place = self.places[near]
@@ -393,13 +400,13 @@
 
 
 class SharedEndpoints(Endpoints):
-    """Endpoints whose ranks are found once for all proxies."""
+    """Endpoints whose ranks are computed once for all proxies."""
 
     subset_type = SharedRanks
 
 
 class SharedTurns(TurnQueue):
-    """Turns whose owners of keys are found once for all proxies."""
+    """A turn queue whose owners of keys are computed once for all proxies."""
 
     def __init__(self, endpoints: Endpoints) -> None:
         super().__init__(endpoints)
@@ -407,7 +414,7 @@
         self.key_owners = self.shared
 
     def rebuild(self) -> None:
-        """Find the owners of keys anew among the near backends."""
+        """Recompute the owners of keys among the near backends."""
         super().rebuild()
         endpoints = self.endpoints
         near = (
@@ -417,45 +424,45 @@
 
 
 class HostedBalancer(Balancer):
-    """The balancer itself, with what is the same for all proxies computed once."""
+    """The real balancer, with the values that all proxies share computed once."""
 
     endpoints_type = SharedEndpoints
     turns_type = SharedTurns
 
 
-def _ours(settings: api.Settings, seed: int, oracle: NodeOracle | None) -> Decider:
+def _make_balancer(settings: api.Settings, seed: int, oracle: NodeOracle | None) -> Decider:
     return HostedBalancer(settings, seed)
 
 
-def _plain(
-    made: Callable[..., BaselinePolicy], max_attempts: int
+def _baseline(
+    policy_class: Callable[..., BaselinePolicy], max_attempts: int
 ) -> Callable[[api.Settings, int, NodeOracle | None], Decider]:
-    return lambda settings, seed, oracle: made(settings, seed, oracle, max_attempts)
+    return lambda settings, seed, oracle: policy_class(settings, seed, oracle, max_attempts)
 
 
 DEFAULT_POLICY = "heronreel"
 POLICIES: dict[str, Callable[[api.Settings, int, NodeOracle | None], Decider]] = {
-    DEFAULT_POLICY: _ours,
-    "random": _plain(RandomPolicy, 1),
-    "round-robin": _plain(RoundRobinPolicy, 1),
-    "least-of-two": _plain(PowerOfTwoPolicy, 1),
-    "least-of-two-retry": _plain(PowerOfTwoPolicy, 2),
-    "bounded-hash": _plain(BoundedLoadHashPolicy, 2),
-    "sees-all": _plain(OraclePolicy, 2),
+    DEFAULT_POLICY: _make_balancer,
+    "random": _baseline(RandomPolicy, 1),
+    "round-robin": _baseline(RoundRobinPolicy, 1),
+    "least-of-two": _baseline(PowerOfTwoPolicy, 1),
+    "least-of-two-retry": _baseline(PowerOfTwoPolicy, 2),
+    "bounded-hash": _baseline(BoundedLoadHashPolicy, 2),
+    "sees-all": _baseline(OraclePolicy, 2),
 }
 BASELINES = tuple(name for name in POLICIES if name != DEFAULT_POLICY)
 FAULTY_POLICIES: dict[str, Callable[[api.Settings, int, NodeOracle | None], Decider]] = {
-    "careless-lost": _plain(RequestLosingPolicy, 1),
-    "careless-twice": _plain(UnsafeRetryPolicy, 4),
-    "careless-drain": _plain(DrainIgnoringPolicy, 1),
-    "careless-cold": _plain(ColdNodePolicy, 4),
-    "storm": _plain(RetryStormPolicy, 4),
+    "careless-lost": _baseline(RequestLosingPolicy, 1),
+    "careless-twice": _baseline(UnsafeRetryPolicy, 4),
+    "careless-drain": _baseline(DrainIgnoringPolicy, 1),
+    "careless-cold": _baseline(ColdNodePolicy, 4),
+    "storm": _baseline(RetryStormPolicy, 4),
 }
 
 
 def make_policy(name: str, settings: api.Settings, seed: int, oracle: NodeOracle | None = None) -> Decider:
-    """A decider by its name.  Raises UnknownPolicyError."""
-    made = (POLICIES | FAULTY_POLICIES).get(name)
-    if made is None:
+    """Create the decider of a named policy.  Raises UnknownPolicyError."""
+    factory = (POLICIES | FAULTY_POLICIES).get(name)
+    if factory is None:
         raise UnknownPolicyError(name)
-    return made(settings, seed, oracle)
+    return factory(settings, seed, oracle)
--- a/heronreel/emulator/proxy.py
+++ b/heronreel/emulator/proxy.py
@@ -1,8 +1,8 @@
-"""One emulated proxy: carries out what its decider says, as the network code does, in virtual time.
+"""An emulated proxy that carries out the actions of its decider in virtual time, like the network code.
 
-Connections are reused and closed when idle, a new one costs round trips and work at the node, responses come
-late, out of order or never, and a process can be drained, killed and restarted.  The invariant checker is
-given what the proxy does on the wire, the clients what it responds.
+Connections are reused and closed when idle, and a new connection costs round trips and work at the node.
+Responses may arrive late, out of order or never, and a process can be drained, killed and restarted.  The
+proxy reports what it sends and receives to the invariant checker, and sends its responses to the clients.
 """
 
 from __future__ import annotations
@@ -26,37 +26,38 @@
     EndpointState.LEAVING: api.BackendState.DRAINING,
     EndpointState.LEFT: api.BackendState.REMOVED,
 }
-SWEEP_INTERVAL_MS = 500.0  # how often idle connections are looked through where nothing else happens
-AFTER_GRACE_MS = 1e-3
+SWEEP_INTERVAL_MS = 500.0  # interval of closing idle connections when no request triggers it
+AFTER_GRACE_MS = 1e-3  # the check for an overdue response runs this long after the grace period
 REUSABLE_OUTCOMES = (api.Outcome.SERVED, api.Outcome.ERROR, api.Outcome.REJECTED)
-RESET_UNTAKEN_SHARE = 0.5  # of the requests whose connection is reset: never taken; the others run
+# Share of the requests with a reset connection that the node never executes; it executes the others.
+RESET_UNTAKEN_SHARE = 0.5
 
 
 class ClientSide(Protocol):
-    """The clients, as a proxy sees them."""
+    """The interface of the clients to a proxy."""
 
     def response_sent(self, request: InboundRequest, result: RequestResult, retry_after_ms: float) -> None:
-        """A proxy has responded: served, refused, failed or lost."""
+        """Handle a proxy's response: served, refused, failed or lost."""
 
     def connection_lost(self, request: InboundRequest) -> None:
-        """The proxy's process has ended with the request in flight."""
+        """Handle the end of the proxy's process while the request is in flight."""
 
     def connect_failed(self, client_request: ClientRequest) -> None:
-        """The client could not reach a proxy."""
+        """Handle a failed attempt to connect to a proxy."""
 
 
 class Supervisor(Protocol):
-    """What watches the proxies' processes."""
+    """The platform component that is notified of the proxies' processes."""
 
     def process_started(self, proxy: Proxy) -> None:
-        """A process is ready for requests."""
+        """Handle a process that is ready for requests."""
 
     def process_ended(self, proxy: Proxy) -> None:
-        """A process has ended, by itself or killed."""
+        """Handle the end of a process, whether it exited or was killed."""
 
 
 class Proxy:
-    """One proxy over all its processes.  Times are ms."""
+    """One proxy, across restarts of its process.  Times are ms."""
 
     clients: ClientSide
     supervisor: Supervisor
@@ -70,30 +71,30 @@
         zone: str,
         slot: int,
     ) -> None:
-        """`connect` has to follow before the first `start`."""
+        """Create a proxy without a process.  Call `connect` before the first `start`."""
         self.context, self.cluster, self.deciders = context, cluster, deciders
         self.events = context.events
         self.name, self.zone, self.slot = name, zone, slot
         self.seed_stream = context.streams.stream(f"proxy {slot}")
         self.settings = proxy_settings(context.rehearsal, zone, slot)
-        self.incarnation = 0  # processes so far
+        self.incarnation = 0  # number of processes started so far
         self.alive = self.draining = False
         self.decider: Decider | None = None
         self.requests: dict[int, InboundRequest] = {}  # in flight
         self.attempts: dict[Attempt, None] = {}  # in flight
         self.connections = ConnectionPool(context.rehearsal.proxies.idle_ms)
-        self.known_endpoints: dict[int, Endpoint] = {}  # the list as it last received it
-        # what a response does here: over real sockets, attempts are of another type
+        self.known_endpoints: dict[int, Endpoint] = {}  # the list as last received
+        # Called when a response arrives.  With real sockets, attempts have another type.
         self.on_response: Callable[[Any, api.Outcome], None] = self._attempt_ended
 
     def connect(self, clients: ClientSide, supervisor: Supervisor) -> None:
-        """Set who gets its responses and who watches its processes."""
+        """Set the receiver of its responses and the supervisor of its processes."""
         self.clients, self.supervisor = clients, supervisor
 
-    # Its process.
+    # The process of the proxy.
 
     def start(self) -> None:
-        """Start a process, with the list as the last one had it."""
+        """Start a process with the endpoint list that the previous process had."""
         self.incarnation += 1
         self.alive, self.draining = True, False
         self.decider = self.deciders.make(self.settings, self.seed_stream.seed())
@@ -104,14 +105,14 @@
         self._schedule_sweep()
 
     def _record_start(self) -> None:
-        """Give the checker a process and the list that it begins with."""
+        """Report the new process and its initial list to the checker."""
         now, invariants = self.events.now, self.context.invariants
         invariants.proxy_started(self.name, now)
         starts = {endpoint.name: endpoint.started_at for endpoint in self.known_endpoints.values()}
         invariants.snapshot_received(self.name, starts, now)
 
     def terminate(self, limit_ms: float) -> None:
-        """SIGTERM: it answers what it has, accepts what still comes, and ends within the limit."""
+        """Handle SIGTERM: finish the requests, still accept new ones, and end within `limit_ms`."""
         self.draining = True
         self.events.schedule(self.events.now + limit_ms, self._end, self.incarnation, False)
 
@@ -120,7 +121,7 @@
             self._end(self.incarnation, False)
 
     def kill(self) -> None:
-        """End its process outright."""
+        """Kill its process."""
         self._end(self.incarnation, True)
 
     def _end(self, incarnation: int, killed: bool) -> None:
@@ -149,7 +150,7 @@
         self.connections.close_all()
 
     def reload(self) -> None:
-        """Its settings are read anew."""
+        """Make the decider read its settings again."""
         self.handle(api.NewSettings(self.settings))
 
     # The endpoint list.
@@ -165,19 +166,21 @@
         )
 
     def receive_snapshot(self, endpoints: list[Endpoint]) -> None:
-        """The whole list has come."""
+        """Handle a snapshot of the whole list."""
         now, context = self.events.now, self.context
         if not self._watches_list():
             context.endpoint_list.end_watch(self)
             return
         self.known_endpoints = {endpoint.ident: endpoint for endpoint in endpoints}
-        starts = {one.name: one.started_at for one in endpoints if one.state is EndpointState.UP}
+        starts = {
+            endpoint.name: endpoint.started_at for endpoint in endpoints if endpoint.state is EndpointState.UP
+        }
         context.invariants.snapshot_received(self.name, starts, now)
         context.invariants.list_call_answered(self.name, now)
         self._forward_list(True, endpoints)
 
     def receive_missed_changes(self, endpoints: list[Endpoint]) -> None:
-        """The response to its call has come: the changes since the list that it has."""
+        """Handle the response to its call that holds the changes since the list that it has."""
         if not self._watches_list():
             self.context.endpoint_list.end_watch(self)
             return
@@ -185,7 +188,7 @@
         self.receive_changes(endpoints)
 
     def receive_changes(self, endpoints: list[Endpoint]) -> None:
-        """Changes of the list have come."""
+        """Handle changes of the list."""
         if not self._watches_list():
             return
         now, invariants = self.events.now, self.context.invariants
@@ -202,35 +205,35 @@
         return self.alive
 
     def _forward_list(self, is_snapshot: bool, endpoints: list[Endpoint]) -> None:
-        """To its process."""
+        """Pass a snapshot or changes of the list to the decider."""
         kind = api.ListKind.FULL if is_snapshot else api.ListKind.CHANGES
         self.handle(api.BackendList(kind, [self._backend_info(endpoint) for endpoint in endpoints]))
 
     def call_failed(self, end: CallEnd) -> None:
-        """Its call of the list service has failed, or its watch has ended."""
+        """Handle the failure of a call to the list service, or the end of a watch."""
         if self.alive:
             self._record_call_end(end)
             failure = api.WatchFailure.BUSY if end is CallEnd.REFUSED else api.WatchFailure.ENDED
             self.handle(api.BackendList(api.ListKind.FAILED, failure=failure))
 
     def watch_closed(self, untold: list[Endpoint]) -> None:
-        """The service has closed its watch, in place of telling these changes."""
+        """Handle a watch that the service closed instead of sending the changes in `untold`."""
         if self.alive:
             names = [endpoint.name for endpoint in untold]
             self.context.invariants.watch_ended_untold(self.name, names, self.events.now)
         self.call_failed(CallEnd.CLOSED)
 
     def _record_call_end(self, end: CallEnd) -> None:
-        """Give the checker the end of a call or a watch."""
+        """Report the end of a call or a watch to the checker."""
         if end is CallEnd.CLOSED:
             self.context.invariants.list_polled(self.name, self.events.now, False)
         else:
             self.context.invariants.list_call_failed(self.name, self.events.now)
 
-    # What its decider says.
+    # Events and actions of the decider.
 
     def handle(self, event: api.Event) -> None:
-        """Give an event to the decider and carry out its actions."""
+        """Pass an event to the decider and carry out its actions."""
         decider = self.decider
         if decider is None:
             return
@@ -265,10 +268,10 @@
         else:
             self._finish(request, result, retry_after_ms)
 
-    # The life of a request.
+    # Requests.
 
     def receive(self, request: InboundRequest, time_left_ms: float) -> None:
-        """The last byte of a request has come.  `time_left_ms`: how long the client waits."""
+        """Handle a request whose last byte has arrived; the client waits for `time_left_ms`."""
         context, now = self.context, self.events.now
         request_class, client_request = request.request_class, request.client_request
         self._accept(request)
@@ -304,7 +307,7 @@
         )
 
     def client_disconnected(self, request: InboundRequest) -> None:
-        """The client of a request closes."""
+        """Handle the disconnection of the client of a request."""
         if request.finished or request.ident not in self.requests:
             return
         self._close_request(request)
@@ -343,7 +346,7 @@
             self.handle(api.RequestClosed(request.ident))
             self._end_if_idle()
 
-    # The life of an attempt.
+    # Attempts.
 
     def _start_attempt(self, now: float, action: api.StartAttempt) -> None:
         context, request = self.context, self.requests.get(action.request)
@@ -374,7 +377,9 @@
         timeout = context.rehearsal.proxies.connect_timeout_ms
         latency = context.network.latency(self.zone, node.zone)
         unreachable = node.silent or not context.network.reachable(self.zone, node.zone)
-        accepts_late = not node.down and node.paused_until - now > timeout  # a pause stops accepts, too
+        accepts_late = (
+            not node.down and node.paused_until - now > timeout
+        )  # a paused node accepts no connections
         if unreachable or accepts_late:
             events.schedule(now + timeout, self._attempt_ended, attempt, api.Outcome.UNREACHABLE)
         elif node.down:
@@ -390,7 +395,7 @@
             events.schedule(established, self._write, attempt)
 
     def _write(self, attempt: Attempt) -> None:
-        """Its first byte is sent, if it still may."""
+        """Send the first byte of an attempt, unless it has ended or must not be sent any more."""
         if attempt.ended:
             return
         context, now, request, node = self.context, self.events.now, attempt.request, attempt.node
@@ -407,10 +412,10 @@
         self.events.schedule(now + latency, self._reach_node, attempt)
 
     def _reach_node(self, attempt: Attempt) -> None:
-        """Its last byte is at the node."""
+        """Handle the arrival of the last byte of an attempt at its node."""
         context, now, node = self.context, self.events.now, attempt.node
         if node.silent or not context.network.reachable(self.zone, node.zone):
-            return  # no response, no reset
+            return  # the proxy gets neither a response nor a reset
         connection = attempt.connection
         if node.down or connection is None or connection.incarnation != node.incarnation:
             if not attempt.ended:
@@ -428,25 +433,25 @@
             self.send_response(attempt, outcome)
 
     def node_responded(self, attempt: NodeAttempt, outcome: api.Outcome) -> None:
-        """A node is done with an attempt; its response is sent, unless a fault loses it."""
+        """Send the response of a node to this proxy, unless a fault loses it."""
         loss = attempt.node.response_loss
         if loss and self.context.fault_stream.bernoulli(loss):
             return
         self.send_response(attempt, outcome)
 
     def send_response(self, attempt: NodeAttempt, outcome: api.Outcome) -> None:
-        """A response, or a reset, travels back from the node."""
+        """Schedule the arrival of a response or a reset from the node."""
         network, node = self.context.network, attempt.node
         if network.reachable(self.zone, node.zone) and not node.silent:
-            arrives = self.events.now + network.latency(self.zone, node.zone)
-            self.events.schedule(arrives, self.on_response, attempt, outcome)
+            arrives_at = self.events.now + network.latency(self.zone, node.zone)
+            self.events.schedule(arrives_at, self.on_response, attempt, outcome)
 
     def _attempt_timed_out(self, attempt: Attempt) -> None:
         if not attempt.ended:
             self._attempt_ended(attempt, api.Outcome.TIMEOUT if attempt.written else api.Outcome.UNREACHABLE)
 
     def _attempt_ended(self, attempt: Attempt, outcome: api.Outcome) -> None:
-        """The proxy learns how an attempt ended: once, whatever comes later."""
+        """Record the end of an attempt and report it to the decider.  Later outcomes are ignored."""
         context, now, request = self.context, self.events.now, attempt.request
         if attempt.ended or attempt.incarnation != self.incarnation:
             return
@@ -496,5 +501,5 @@
             self._schedule_sweep()
 
     def node_stopped(self, node: Node) -> None:
-        """A node's process is gone, and the connections to it."""
+        """Drop the idle connections to a node whose process has ended."""
         self.connections.forget_node(node.ident)
