--- a/tests/emulator/test_fleet_scenarios.py
+++ b/tests/emulator/test_fleet_scenarios.py
@@ -41,22 +41,22 @@
         self.snapshot_at: dict[str, float] = {}
         call = simulation.context.endpoint_list.call
 
-        def recorded(subscriber: ListSubscriber) -> None:
+        def record_call(subscriber: ListSubscriber) -> None:
             self.called_at.append(simulation.events.now)
             call(subscriber)
 
-        simulation.context.endpoint_list.call = recorded  # type: ignore[method-assign]
+        simulation.context.endpoint_list.call = record_call  # type: ignore[method-assign]
         for proxy in simulation.proxies:
             self._record_snapshots(proxy)
 
     def _record_snapshots(self, proxy: Proxy) -> None:
         receive_snapshot = proxy.receive_snapshot
 
-        def recorded(endpoints: list[Endpoint]) -> None:
+        def record_snapshot(endpoints: list[Endpoint]) -> None:
             self.snapshot_at[proxy.name] = self.simulation.events.now
             receive_snapshot(endpoints)
 
-        proxy.receive_snapshot = recorded  # type: ignore[method-assign]
+        proxy.receive_snapshot = record_snapshot  # type: ignore[method-assign]
 
     def calls_between(self, low_s: float, high_s: float) -> int:
         return sum(low_s * 1000.0 <= at < high_s * 1000.0 for at in self.called_at)
@@ -68,7 +68,7 @@
 ) -> None:
     """70 % of proxies are killed at once while the service is three times slower and nodes drain."""
     seed, killed_at_s = 21 + seed_offset, 4.0
-    calls_per_s = LIST_CAPACITY_RATIO * proxies / 10.0
+    capacity_calls_per_s = LIST_CAPACITY_RATIO * proxies / 10.0
     script = fleet(
         proxies,
         nodes,
@@ -77,7 +77,7 @@
         Fault(fault_kind="list_slow", at_s=killed_at_s, for_s=8.0, size=3.0),
         Fault(fault_kind="drain", at_s=6.0, share=0.1, after_s=10.0),
         endpoint_list=EndpointListConfig(
-            entries_per_s=calls_per_s * (EndpointListConfig().call_cost + nodes)
+            entries_per_s=capacity_calls_per_s * (EndpointListConfig().call_cost + nodes)
         ),
     )
     simulation = Simulation(script, seed)
@@ -87,8 +87,8 @@
     restarted = [row["names"][0] for row in result.timeline if row["event"] == "ended"]
     assert len(restarted) == round(0.7 * proxies)
     late_calls_per_s = list_traffic.calls_between(killed_at_s + 14.0, killed_at_s + 22.0) / 8.0
-    assert late_calls_per_s <= calls_per_s, (
-        f"seed {seed}: {late_calls_per_s:.1f} calls a second, the service handles {calls_per_s:.1f}"
+    assert late_calls_per_s <= capacity_calls_per_s, (
+        f"seed {seed}: {late_calls_per_s:.1f} calls a second, the service handles {capacity_calls_per_s:.1f}"
     )
     deadline_ms = (
         killed_at_s + script.proxies.restart_ms / 1000.0
@@ -171,11 +171,11 @@
     work_by_node: dict[str, float] = defaultdict(float)
     cold_work_arrived = simulation.context.invariants.cold_work_arrived
 
-    def recorded(node: str, proxy: str, work: float, now: float) -> None:
+    def record_cold_work(node: str, proxy: str, work: float, now: float) -> None:
         work_by_node[node] += work
         cold_work_arrived(node, proxy, work, now)
 
-    simulation.context.invariants.cold_work_arrived = recorded  # type: ignore[method-assign]
+    simulation.context.invariants.cold_work_arrived = record_cold_work  # type: ignore[method-assign]
     result = simulation.run()
     assert result.rules_kept, (seed, result.breaches[:3])
     # The work that the cold nodes could do while they warmed up, and the work that they received.
