--- a/tests/emulator/test_queueing_theory.py
+++ b/tests/emulator/test_queueing_theory.py
@@ -10,7 +10,7 @@
 from heronreel.emulator.model import Fault, NodeKind, TrafficConfig
 from heronreel.emulator.node import Job, Node
 from heronreel.emulator.simulation import Simulation
-from tests.support.rehearsals import KIND, queue_of, rehearsal
+from tests.support.rehearsals import KIND, rehearsal, single_node_rehearsal
 
 SERVICE_MS = 10.0
 
@@ -22,7 +22,9 @@
     kind: NodeKind, dist: str, cv: float, load: float, seed: int
 ) -> tuple[float, float, float]:
     """Return the mean wait before service in ms, and the first and second moment of the drawn work."""
-    simulation = Simulation(queue_of(kind, SERVICE_MS, dist, cv, load, 500.0 / kind.cores), seed, "random")
+    simulation = Simulation(
+        single_node_rehearsal(kind, SERVICE_MS, dist, cv, load, 500.0 / kind.cores), seed, "random"
+    )
     works: list[float] = []
     on_job_ended = simulation.fleet.on_job_ended
 
--- a/tests/serve/test_serve.py
+++ b/tests/serve/test_serve.py
@@ -23,13 +23,13 @@
     run,
 )
 from tests.support.scripted_backend import ScriptedBackend
-from tests.support.serve_process import HEDGED_SAVE, READ, SAVE, file_of, get, post, served
+from tests.support.serve_process import HEDGED_SAVE, READ, SAVE, get, post, routes_file, served
 
 
 def test_requests_without_a_route_are_not_forwarded(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with ScriptedBackend() as node:
-            async with served(tmp_path, file_of(SAVE, READ, p=[(node.address, "r1")])) as proxy:
+            async with served(tmp_path, routes_file(SAVE, READ, p=[(node.address, "r1")])) as proxy:
                 for sent, status in (
                     (get("/other"), "404"),
                     (get("/save/1"), "404"),
@@ -53,7 +53,7 @@
             b"HTTP/1.1 302 Go\r\nLocation: /y\r\nContent-Length: 0\r\n\r\n",
         )
         async with ScriptedBackend(*answers) as node:
-            async with served(tmp_path, file_of(READ, p=[(node.address, "r1")])) as proxy:
+            async with served(tmp_path, routes_file(READ, p=[(node.address, "r1")])) as proxy:
                 for status, body in (("201", b"ok"), ("204", b""), ("404", b"?"), ("302", b"")):
                     assert await proxy.ask(get("/read/1")) == (status, body)
 
@@ -63,7 +63,7 @@
 def test_accepted_requests_are_answered_after_sigterm(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with ScriptedBackend(None) as node:
-            async with served(tmp_path, file_of(SAVE, p=[(node.address, "r1")])) as proxy:
+            async with served(tmp_path, routes_file(SAVE, p=[(node.address, "r1")])) as proxy:
                 reader, writer = await proxy.connect()
                 writer.write(post("/save/1", "k1"))
                 await node.requested.wait()
@@ -82,7 +82,7 @@
             listeners = "".join(
                 f'[[listeners]]\nname = "{n}"\naddress = "127.0.0.1:0"\n' for n in ("in", "out")
             )
-            async with served(tmp_path, file_of(READ, more=listeners, p=[(node.address, "r1")])) as proxy:
+            async with served(tmp_path, routes_file(READ, more=listeners, p=[(node.address, "r1")])) as proxy:
                 for name in ("in", "out"):
                     reader, writer = await proxy.connect(name)
                     writer.write(get("/read/1"))
@@ -106,7 +106,7 @@
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         port = str(taken.getsockname()[1])
-        text = file_of(SAVE, p=[("127.0.0.1:9", "r1")]).replace(
+        text = routes_file(SAVE, p=[("127.0.0.1:9", "r1")]).replace(
             change[0], change[1].replace("{taken}", port), 1
         )
         path = tmp_path / "routes.toml"
@@ -127,7 +127,7 @@
                     .replace("/read", "/found")
                     .replace('"read"', '"f"')
                 )
-                text = file_of(READ, discovered_route, p=[(one.address, "r1")])
+                text = routes_file(READ, discovered_route, p=[(one.address, "r1")])
                 text = text.replace("[proxy]", f'[proxy]\ndiscovery = "{discovery.address}"')
                 text += '[[pools]]\nname = "found"\ndiscovery = "platform"\n'
                 async with served(tmp_path, text) as proxy:
