--- a/heronreel/emulator/endpoint_list.py
+++ b/heronreel/emulator/endpoint_list.py
@@ -1,11 +1,11 @@
-"""The endpoint list service: what it knows of the nodes, late, and how it serves a fleet of proxies.
-
-One service for all proxies works through calls in turn; each costs a fixed number of entries and one for each
-entry returned.  Changes are batched and sent to all watchers, which costs an entry for each of them, and so a
-large fleet learns slowly.  With `call_ms`, each call takes that long in turn instead, a call that would wait
-for too long is refused, and calls that nobody waits for any more are worked off all the same.  Faults are set
-from outside: `slowdown`, `extra_delay_ms`, `refusing`, `silent`, `breaking_streams`, `corrupting`; a
-`WatchReset` closes connections.
+"""Models the endpoint list service, which learns of node changes late and serves the list to the proxies.
+
+A single service processes the calls of all proxies one after the other.  A call costs a fixed number of
+entries, plus one for each entry of the list.  Changes are batched and sent to all watchers, which costs an
+entry per change and watcher, so a large fleet learns of them slowly.  With `call_ms` each call takes that
+time instead, a call that would wait too long is refused, and abandoned calls are still processed.
+Faults are set from outside: `slowdown`, `extra_delay_ms`, `refusing`, `silent`, `breaking_streams` and
+`corrupting`; a `WatchReset` closes connections.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class EndpointState(Enum):
-    """Where an endpoint is in its life."""
+    """The state of an endpoint."""
 
     UP = "up"
     LEAVING = "leaving"
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """An entry of the list."""
+    """An entry of the endpoint list."""
 
     ident: int
     name: str
@@ -41,45 +41,45 @@
     kind: str
     rack: int
     state: EndpointState
-    started_at: float  # ms; 0: before the rehearsal
+    started_at: float  # ms; 0 is before the rehearsal
 
 
 class CallEnd(Enum):
-    """How a call, or the watch that it became, has ended."""
+    """How a call, or the watch that followed it, ended."""
 
     FAILED = "failed"  # an error, or no response in time
-    REFUSED = "refused"  # 503: the service has too many calls
-    CLOSED = "closed"  # a watch that had its response: the service closed the connection
+    REFUSED = "refused"  # status 503: the service has too many calls
+    CLOSED = "closed"  # the service closed the connection of a watch
 
 
 class ListSubscriber(Protocol):
-    """A proxy's process, as the service sees it."""
+    """The interface of a proxy's process to the service."""
 
     def receive_snapshot(self, endpoints: list[Endpoint]) -> None:
-        """The whole list has come."""
+        """Handle a snapshot of the whole list."""
 
     def receive_missed_changes(self, endpoints: list[Endpoint]) -> None:
-        """The response to a call has come: all that changed since the last message."""
+        """Handle the response to a call that holds all changes since the last message."""
 
     def receive_changes(self, endpoints: list[Endpoint]) -> None:
-        """Changes since the last message have come."""
+        """Handle changes since the last message."""
 
     def call_failed(self, end: CallEnd) -> None:
-        """The call or the watch has ended."""
+        """Handle the end of a call or a watch."""
 
     def watch_closed(self, untold: list[Endpoint]) -> None:
-        """The service has closed the watch, in place of telling these changes."""
+        """Handle a watch that the service closed instead of sending the changes in `untold`."""
 
 
 @dataclass(slots=True, eq=False)
 class PendingCall:
-    """A call that has no response yet."""
+    """A call without a response."""
 
     subscriber: ListSubscriber
 
 
 class EndpointListService:
-    """The service.  Times are ms."""
+    """The endpoint list service.  Times are ms."""
 
     def __init__(
         self,
@@ -88,17 +88,17 @@
         latency: Callable[[], float],
         stream: RandomStream,
     ) -> None:
-        """`stream` draws which responses are whole lists."""
+        """Create a service; `stream` draws which responses are whole lists."""
         self.events, self.config, self.latency, self.stream = events, config, latency, stream
-        self.endpoints: dict[int, Endpoint] = {}  # in the order in which they were added
+        self.endpoints: dict[int, Endpoint] = {}  # in the order of addition
         self.watchers: dict[ListSubscriber, None] = {}
         self.pending_calls: dict[PendingCall, None] = {}
-        self.closing: dict[ListSubscriber, None] = {}  # their connections are closed; they don't know it yet
+        self.closing: dict[ListSubscriber, None] = {}  # closed, but not noticed yet
         self.change_log = ChangeLog[Endpoint]()
-        self.known_index: dict[ListSubscriber, int] = {}  # of the list that a proxy has; at the start: 0
+        self.known_index: dict[ListSubscriber, int] = {}  # of the proxy's list; 0 at the start
         self.unsent: dict[int, Endpoint] = {}  # changes since the last batch
-        self.withholding = 0  # faults that keep changes from being sent
-        self.before_changes: list[Callable[[], None]] = []  # each called once, by one change
+        self.withholding = 0  # number of active faults that withhold changes
+        self.before_changes: list[Callable[[], None]] = []  # each is called once, by one change
         self.busy_until = 0.0
         self.queued_calls = 0
         self.failed_calls = 0
@@ -109,11 +109,11 @@
         self.on_learned: Callable[[Endpoint], None] = lambda endpoint: None
 
     def report(self, endpoint: Endpoint, delay: float) -> None:
-        """A change of state that the service will learn after `delay`."""
+        """Report a change of state that the service learns after `delay`."""
         self.events.schedule(self.events.now + delay, self._learn, endpoint)
 
     def _learn(self, endpoint: Endpoint) -> None:
-        if self.silent:  # down: it finds out when it is back
+        if self.silent:  # a silent service learns of the change when it is back
             self.events.schedule(self.events.now + self.config.batch_ms, self._learn, endpoint)
             return
         if endpoint.state is EndpointState.LEFT:
@@ -122,7 +122,7 @@
         else:
             known = self.endpoints.get(endpoint.ident)
             if known is not None and known.started_at > endpoint.started_at:
-                return  # out of order: it is about an earlier process
+                return  # a late report about an earlier process
             self.endpoints[endpoint.ident] = endpoint
         self.change_log.record(endpoint.ident, endpoint)
         self.on_learned(endpoint)
@@ -134,17 +134,17 @@
             self.events.schedule(self.events.now + self.config.batch_ms, self._send_batch)
 
     def _enqueue_work(self, entries: float) -> float:
-        """When the service has done this much more."""
+        """Add work to the queue and return when the service will have done it."""
         return self._enqueue(entries * SECOND_MS * self.slowdown / self.config.entries_per_s)
 
     def _enqueue_call(self) -> float:
-        """When the service has done a call more."""
+        """Add a call to the queue and return when the service will have processed it."""
         if self.config.call_ms:
             return self._enqueue(self.config.call_ms * self.slowdown)
         return self._enqueue_work(self.config.call_cost + len(self.endpoints))
 
-    def _enqueue(self, took: float) -> float:
-        self.busy_until = max(self.busy_until, self.events.now) + took
+    def _enqueue(self, duration_ms: float) -> float:
+        self.busy_until = max(self.busy_until, self.events.now) + duration_ms
         return self.busy_until
 
     def _send_batch(self) -> None:
@@ -170,7 +170,7 @@
             watcher.receive_changes(changes)
 
     def call(self, subscriber: ListSubscriber) -> None:
-        """A proxy requests the list and watches its changes."""
+        """Request the list for a proxy, which then watches its changes."""
         self.watchers.pop(subscriber, None)
         self.closing.pop(subscriber, None)
         call = PendingCall(subscriber)
@@ -182,7 +182,8 @@
         elif self.refusing or self.queued_calls >= config.max_backlog:
             self.events.schedule(now + 2.0 * self.latency(), self._fail, call, refusal)
         elif self.busy_until - now > config.timeout_ms:
-            # it would wait too long: dropped unread once its time is over, or refused and worked off in turn
+            # The call would wait too long.  With `call_ms` it is refused but still processed; otherwise it is
+            # dropped unread after the timeout.
             if config.call_ms:
                 self._enqueue_call()
             self.events.schedule(now + config.timeout_ms, self._fail, call, refusal)
@@ -192,7 +193,7 @@
             self.events.schedule(arrives, self._respond, call)
 
     def _is_awaited(self, call: PendingCall) -> bool:
-        """Whether a call still waits; from now on it does not."""
+        """Remove a call from the pending ones and return whether it was still pending."""
         if call not in self.pending_calls:
             return False
         del self.pending_calls[call]
@@ -221,13 +222,13 @@
             self._report_failure(subscriber, CallEnd.FAILED)
 
     def _send_list(self, subscriber: ListSubscriber) -> None:
-        """The whole list, or all that changed since the one that a proxy has."""
+        """Send the whole list, or all changes since the list that a proxy has."""
         share = self.config.snapshot_share
         if share >= 1.0 or self.stream.bernoulli(share):
             subscriber.receive_snapshot(self._snapshot())
         else:
             subscriber.receive_missed_changes(self.change_log.since(self.known_index.get(subscriber, 0)))
-        if subscriber in self.watchers:  # its process is there
+        if subscriber in self.watchers:  # the process is still running
             self.known_index[subscriber] = self.change_log.index
 
     def _snapshot(self) -> list[Endpoint]:
@@ -237,7 +238,10 @@
         return endpoints
 
     def end_watch(self, subscriber: ListSubscriber) -> None:
-        """A watch is over, by either side; in turn, calls that still wait are given up and worked off."""
+        """End a watch from either side.
+
+        With `call_ms`, the waiting calls of the subscriber are abandoned too, but are still processed.
+        """
         self.watchers.pop(subscriber, None)
         self.closing.pop(subscriber, None)
         if self.config.call_ms:
@@ -245,7 +249,7 @@
                 del self.pending_calls[call]
 
     def go_silent(self) -> None:
-        """End all watches: the watchers notice by a timeout."""
+        """Stop responding and end all watches; the watchers notice it by a timeout."""
         self.silent = True
         for watcher in list(self.watchers):
             self.end_watch(watcher)
@@ -255,15 +259,15 @@
     # A reset of all connections.
 
     def before_next_change_is_told(self, callback: Callable[[], None]) -> None:
-        """Call `callback` once: when the list has its next change, which nobody has been sent."""
+        """Call `callback` once, when the list has its next change and before the change is sent."""
         self.before_changes.append(callback)
 
     def withhold_changes(self) -> None:
-        """Send no changes from now on, until as many calls of `end_withholding`."""
+        """Send no changes until `end_withholding` has been called as often as this method."""
         self.withholding += 1
 
     def end_withholding(self) -> list[Endpoint]:
-        """The changes that were withheld.  After the last call, those to come are sent again."""
+        """Return the withheld changes.  After the last call, new changes are sent again."""
         self.withholding -= 1
         withheld = list(self.unsent.values())
         if not self.withholding:
@@ -271,9 +275,9 @@
         return withheld
 
     def close_connections(self, untold: list[Endpoint], notice_delay: Callable[[], float]) -> None:
-        """Close all watches, in place of telling these changes, and the calls that wait.
+        """Close all watches, instead of sending the changes in `untold`, and all waiting calls.
 
-        Each proxy notices after a delay of its own.  The work for the calls is done all the same.
+        Each proxy notices after a delay of its own.  The service still does the work for the calls.
         """
         watchers, calls = list(self.watchers), list(self.pending_calls)
         self.watchers.clear()
@@ -293,6 +297,6 @@
     def _notice_close(
         self, subscriber: ListSubscriber, notify: Callable[..., None], arguments: tuple[object, ...]
     ) -> None:
-        if subscriber in self.closing:  # else its process has ended, or called again
+        if subscriber in self.closing:  # otherwise its process has ended or called again
             del self.closing[subscriber]
             notify(*arguments)
--- a/heronreel/emulator/fleet.py
+++ b/heronreel/emulator/fleet.py
@@ -1,4 +1,4 @@
-"""The nodes of a rehearsal and their lives: built from the script, advanced by events."""
+"""The nodes of a rehearsal: builds them from the script and advances their state by events."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 from heronreel.emulator.node import NEVER, Admission, Job, Node, OverloadWindow, Rack
 from heronreel.emulator.random_streams import RandomStream, RandomStreams
 
-WARM_UP_TICK_MS = 200.0  # how often the pace of a warming node is found anew
-MIN_SHARE_CHANGE = 0.005  # of a rack's pace share, for its nodes to be updated
-MIN_SPEED_FACTOR = 0.2  # of a machine's own speed over its kind's
+WARM_UP_TICK_MS = 200.0  # interval of updating the pace of a warming node
+MIN_SHARE_CHANGE = 0.005  # smaller changes of a rack's pace share are not applied to its nodes
+MIN_SPEED_FACTOR = 0.2  # minimum speed of a machine over the speed of its kind
 IDENT_LIMIT = 2**40
 
 
 class FleetListener(Protocol):
-    """Who is notified of what happens on nodes."""
+    """Receives notifications about jobs and warm-up of the nodes."""
 
     def job_ended(self, node: Node, job: Job) -> None:
-        """A node has completed a job."""
+        """Handle a job that a node has completed."""
 
     def job_lost(self, node: Node, job: Job) -> None:
-        """The node's process went with the job undone."""
+        """Handle a job that was lost with its node's process."""
 
     def node_warmed_up(self, node: Node) -> None:
-        """A warming node has its full pace."""
+        """Handle a node that has reached its full pace."""
 
 
 def counts_by_share(shares: list[float], count: int) -> list[int]:
-    """Whole numbers that sum to `count`, as near to the shares as can be (largest remainder)."""
+    """Return whole numbers in proportion to `shares` that sum to `count` (largest remainder method)."""
     total = sum(shares) or 1.0
     exact = [share / total * count for share in shares]
     counts = [int(number) for number in exact]
@@ -41,7 +41,7 @@
 
 
 class Fleet:
-    """All nodes of a play.  Times are ms."""
+    """All nodes of a rehearsal.  Times are ms."""
 
     def __init__(
         self, rehearsal: Rehearsal, streams: RandomStreams, events: EventQueue, listener: FleetListener
@@ -51,7 +51,7 @@
         self.listener = listener
         self.build_stream: RandomStream = streams.stream("fleet")
         self.pause_stream: RandomStream = streams.stream("pauses")
-        self.nodes: list[Node] = []  # all that ever were
+        self.nodes: list[Node] = []  # including nodes whose process has ended
         self.racks: list[Rack] = []
         self._build()
 
@@ -71,7 +71,7 @@
             self.add(kind, fleet.zones[number % len(fleet.zones)], self.racks[number])
 
     def add(self, kind: NodeKind, zone: str, rack: Rack, started_at: float = 0.0, cold: bool = False) -> Node:
-        """A new machine under an id of its own."""
+        """Add a machine with a new ident and a running process."""
         factor = max(MIN_SPEED_FACTOR, 1.0 + kind.speed_cv * self.build_stream.normal())
         ident = self.build_stream.seed() % IDENT_LIMIT
         name = f"n{len(self.nodes) + 1}"
@@ -89,11 +89,11 @@
         return OverloadWindow(rules.collapse_window_ms, rules.overload_factor, rules.collapse_slack_ms)
 
     def in_service(self) -> list[Node]:
-        """Nodes that are up and not draining."""
+        """Return the nodes that are up and not draining."""
         return [node for node in self.nodes if not node.down and not node.draining]
 
     def admit(self, node: Node, job: Job) -> Admission:
-        """A request has come to a node whose process is up and not paused."""
+        """Start, queue or reject a job at a node whose process is up and not paused."""
         now = self.events.now
         node.settle(now)
         admission = node.admit(now, job)
@@ -102,7 +102,7 @@
         return admission
 
     def update(self, node: Node, change: Callable[[], None] | None = None) -> None:
-        """Apply a change that affects a node's pace now."""
+        """Apply a change that affects the pace of a node from now on."""
         node.settle(self.events.now)
         if change is not None:
             change()
@@ -125,7 +125,10 @@
         self._schedule_end(node)
 
     def _schedule_end(self, node: Node) -> None:
-        """One event for the next end; one that comes too early finds nothing done and sets the next."""
+        """Schedule one event for the next completion.
+
+        An event that fires too early, because the pace has dropped, finds no job done and schedules the next.
+        """
         at = node.next_completion()
         if at < node.next_end_at:
             node.next_end_at = at
@@ -133,7 +136,7 @@
 
     def _end(self, node: Node, due: float) -> None:
         if node.next_end_at != due:
-            return  # an earlier one was scheduled since, or the process has gone
+            return  # an earlier event was scheduled since, or the process has ended
         node.next_end_at = NEVER
         now = self.events.now
         node.settle(now)
@@ -141,21 +144,21 @@
             self.on_job_ended(node, job)
         self._pace_changed(node)
 
-    # Pauses, warm-up and the life of processes.
+    # Pauses, warm-up, and the start and end of processes.
 
     def pause(self, node: Node, duration: float) -> None:
-        """It stands still, accepts included, and continues as if nothing had been."""
+        """Stop all progress of a node, including accepts, for `duration`; then it continues unchanged."""
         now = self.events.now
         if node.down:
             return
         node.settle(now)
         node.paused_until = max(node.paused_until, now + duration)
         self._pace_changed(node)
-        node.next_end_at = NEVER  # what was scheduled is void: nothing ends before the pause does
+        node.next_end_at = NEVER  # voids the scheduled event: no job ends before the pause
         self.events.schedule(node.paused_until, self.update, node)
 
     def _schedule_pause(self, node: Node) -> None:
-        """The next of the pauses that its kind makes by itself."""
+        """Schedule the next of the random pauses of the node's kind."""
         kind = node.kind
         if not (kind.pause_every_ms and kind.pause_ms):
             return
@@ -182,7 +185,7 @@
             self.listener.node_warmed_up(node)
 
     def kill(self, node: Node) -> None:
-        """The process dies; its connections are reset."""
+        """End the process of a node; its jobs are lost."""
         if node.down:
             return
         node.settle(self.events.now)
@@ -192,7 +195,7 @@
             node.rack.pace_share = node.rack.share()
 
     def restart(self, node: Node, cold: bool) -> None:
-        """A new process at the same address."""
+        """Start a new process at the same address."""
         if not node.down:
             self.kill(node)
         node.start_process(self.events.now, cold, self._overload_window())
@@ -202,7 +205,7 @@
         self._schedule_pause(node)
 
     def collapses(self, node: Node, work: float) -> bool:
-        """Count what reached a warming node; True: it has just collapsed, and stays down."""
+        """Count work that reached a warming node; if it is overloaded, end its process and return True."""
         if not node.overloaded_by(self.events.now, work):
             return False
         self.kill(node)
--- a/heronreel/emulator/random_streams.py
+++ b/heronreel/emulator/random_streams.py
@@ -1,8 +1,8 @@
 """Named streams of random numbers from one seed.
 
-Everything that is drawn has a stream of its own, so that two policies meet the very same arrivals, work and
-faults, however differently they act: their results can be compared pair by pair.  Numbers are generated in
-blocks, since a draw by itself costs 1.17 us and one from a block 0.33.
+Each kind of draw has a stream of its own.  Two policies therefore meet the same arrivals, work and faults
+whatever they do, and their results can be compared in pairs.  Numbers are generated in blocks, because a
+single draw costs 1.17 us and a draw from a block 0.33 us.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class RandomStream:
-    """Numbers of one stream, in order.  Kinds may be mixed: each kind has blocks of its own."""
+    """The numbers of one stream.  Each distribution has its own blocks, so draws of several may be mixed."""
 
     __slots__ = ("_exponential", "_generator", "_normal", "_uniform")
 
@@ -34,40 +34,40 @@
         self._normal: list[float] = []
 
     def uniform(self, low: float = 0.0, high: float = 1.0) -> float:
-        """A uniform number from `low` to `high`."""
+        """Draw a uniform number from `low` to `high`."""
         if not self._uniform:
             self._uniform = self._generator.random(BLOCK_SIZE).tolist()
         return low + (high - low) * self._uniform.pop()
 
     def exponential(self, mean: float) -> float:
-        """An exponential number of this mean."""
+        """Draw an exponential number with this mean."""
         if not self._exponential:
             self._exponential = self._generator.standard_exponential(BLOCK_SIZE).tolist()
         return mean * self._exponential.pop()
 
     def normal(self) -> float:
-        """A standard normal number."""
+        """Draw a standard normal number."""
         if not self._normal:
             self._normal = self._generator.standard_normal(BLOCK_SIZE).tolist()
         return self._normal.pop()
 
     def bernoulli(self, probability: float) -> bool:
-        """True with this probability.  At 0 nothing is drawn."""
+        """Return True with this probability.  At 0 no number is drawn."""
         return probability > 0.0 and self.uniform() < probability
 
     def shuffled(self, items: Sequence[T]) -> list[T]:
-        """The items in random order."""
+        """Return the items in random order."""
         return [items[position] for position in self._generator.permutation(len(items)).tolist()]
 
     def sample(self, items: Sequence[T], count: int) -> list[T]:
-        """`count` of the items without repeats, in their own order."""
+        """Return `count` distinct items in their original order."""
         if count >= len(items):
             return list(items)
         positions = sorted(self._generator.permutation(len(items))[:count].tolist())
         return [items[position] for position in positions]
 
     def seed(self) -> int:
-        """A seed for a generator of its own, from 0 to 2^63."""
+        """Draw a seed for another generator, from 0 to 2^63."""
         return int(self._generator.integers(0, SEED_LIMIT))
 
 
@@ -82,19 +82,19 @@
         self.seed = seed
 
     def stream(self, name: str) -> RandomStream:
-        """The stream of this name, from its beginning."""
+        """Return a new stream of this name, at its beginning."""
         return RandomStream(self.seed, name)
 
 
 def hashed_uniform(seed: int, *numbers: int) -> float:
-    """A number from 0 to 1 by these numbers alone, for what must not depend on the order of draws."""
+    """Return a number from 0 to 1 that depends only on the arguments, not on the order of draws."""
     return (xxhash.xxh3_64_intdigest(repr(numbers).encode(), seed) + 0.5) / 2.0**64
 
 
 def work_sampler(distribution: str, mean: float, cv: float) -> WorkSampler:
-    """A sampler of one request's work, ms of a core at speed 1.  `cv`: deviation over the mean.
+    """Return a sampler of a request's work in ms of a core at speed 1.
 
-    Raises UnknownDistributionError.
+    `cv` is the standard deviation over the mean.  Raises UnknownDistributionError.
     """
     if distribution == "fixed" or cv == 0.0:
         return lambda stream: mean
--- a/heronreel/emulator/result.py
+++ b/heronreel/emulator/result.py
@@ -1,4 +1,4 @@
-"""The result of a play: figures, timeline, breaches, traces, and the bytes two plays are compared by."""
+"""The result of a rehearsal: figures, timeline, breaches and traces, and a digest to compare two runs."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class Result(msgspec.Struct):
-    """One play.  Field names and keys are the stored form."""
+    """The result of one run.  Field names and keys are the stored form."""
 
     name: str
     policy: str
     seed: int
     seconds: float
-    service: dict[str, float]  # whole, worst_window, worst_tenant, service: before prices, 0 to 1
-    costs: dict[str, float] = msgspec.field(name="paid")  # points by what they are for
-    score: float  # service less the costs; 0 where a rule is broken
-    counts: dict[str, int]  # requests by their result
+    service: dict[str, float]  # whole, worst_window, worst_tenant, service; before costs, 0 to 1
+    costs: dict[str, float] = msgspec.field(name="paid")  # points by kind of cost
+    score: float  # service minus costs; 0 if a rule is broken
+    counts: dict[str, int]  # requests by result
     breach_counts: dict[str, int] = msgspec.field(name="rules")  # by rule
-    percentiles: dict[str, float]  # ms, from when the request was due
+    percentiles: dict[str, float]  # latency in ms since the request was due
     meter: dict[str, float]
     events: int
     second_rows: list[dict[str, Any]] = msgspec.field(name="seconds_rows")
@@ -34,20 +34,20 @@
 
     @property
     def rules_kept(self) -> bool:
-        """Whether no rule was broken."""
+        """Return whether no rule was broken."""
         return not any(self.breach_counts.values())
 
     @property
     def broken_rules(self) -> str:
-        """The rules that were broken, and how often, in words."""
+        """Describe the rules that were broken and how often."""
         return ", ".join(f"{rule} {count}" for rule, count in self.breach_counts.items() if count)
 
     def breached_requests(self) -> list[int]:
-        """The clients' requests that breaches belong to."""
+        """Return the numbers of the client requests that have breaches."""
         return sorted({row["line"] for row in self.breaches if row["line"] >= 0})
 
     def json_lines(self) -> bytes:
-        """The timeline as JSON lines, byte-identical for the same play."""
+        """Return the timeline as JSON lines, byte-identical for identical runs."""
         rows = [
             *self.timeline,
             *self.second_rows,
@@ -57,11 +57,11 @@
         return b"".join(msgspec.json.encode(row) + b"\n" for row in rows)
 
     def digest(self) -> str:
-        """A hash of `json_lines`."""
+        """Return a hash of `json_lines`."""
         return hashlib.sha256(self.json_lines()).hexdigest()
 
     def table_row(self) -> dict[str, Any]:
-        """Its figures, flat, as a table holds them."""
+        """Return the figures as one flat row of a table."""
         row: dict[str, Any] = {
             "policy": self.policy,
             "seed": self.seed,
@@ -81,7 +81,7 @@
 
 
 def collect_result(context: SimulationContext, policy: str, seed: int, reloads: int) -> Result:
-    """The result of a play that is over.  `reloads`: of proxies, by faults."""
+    """Collect the result of a finished run; `reloads` counts proxy reloads by faults."""
     rehearsal, scoring, invariants = context.rehearsal, context.scoring, context.invariants
     service = {name: round(value, 6) for name, value in scoring.service().items()}
     costs = {name: round(value, 6) for name, value in scoring.costs().items()}
--- a/heronreel/emulator/simulation.py
+++ b/heronreel/emulator/simulation.py
@@ -1,4 +1,4 @@
-"""A whole rehearsal in virtual time: fleet, proxies, clients, list service, faults, checker and scoring."""
+"""Runs a whole rehearsal in virtual time: fleet, proxies, clients, list service, faults and scoring."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 from heronreel.emulator.traffic import Traffic
 from heronreel.routes.model import RoutesFile
 
-SETTLE_MS = 1000.0  # after the last request's time, for what is still in flight
-DRAIN_STEP_MS = 250.0  # how often it is checked whether the last request is over
-GC_THRESHOLDS = (50_000, 20, 100)  # new objects before each generation is looked through for cycles
+SETTLE_MS = 1000.0  # run time after the last request for messages that are still in flight
+DRAIN_STEP_MS = 250.0  # interval of checking whether the last request has ended
+GC_THRESHOLDS = (50_000, 20, 100)  # arguments of `gc.set_threshold`
 
 MakeProxy = Callable[[SimulationContext, Cluster, DeciderFactory, str, str, int], Proxy]
 Progress = Callable[[float], None]
 
 
 class Simulation:
-    """One play."""
+    """One run of a rehearsal with a seed and a policy."""
 
     def __init__(
         self,
@@ -49,13 +49,13 @@
 
         Args:
             rehearsal: The script.
-            seed: Of all random streams.
-            policy: In place of the script's.
-            trace: Client requests to follow, by number.
-            routes: A file of routes whose policies apply.
-            deciders: Makes the decider of each proxy process, in place of the policy.
-            events: In place of a queue of virtual time.
-            make_proxy: Makes each proxy.
+            seed: The seed of all random streams.
+            policy: The name of a policy that replaces that of the script.
+            trace: The numbers of client requests to trace.
+            routes: A routes file whose policies apply.
+            deciders: Creates the decider of each proxy process instead of the policy.
+            events: An event queue that replaces the queue of virtual time.
+            make_proxy: Creates each proxy.
         """
         self.rehearsal, self.seed = rehearsal, seed
         self.policy = policy or rehearsal.proxies.policy
@@ -78,7 +78,7 @@
             self.context.tracer = Tracer(traced, self.cluster, self.fleet.in_service)
 
     def _make_proxies(self, make_proxy: MakeProxy, deciders: DeciderFactory) -> list[Proxy]:
-        """Proxies in the zones by turn, each knowing the list as it is."""
+        """Create the proxies, in the zones by turn, each with the present endpoint list."""
         zones, proxies = self.rehearsal.fleet.zones, []
         for slot in range(self.rehearsal.proxies.count):
             zone = zones[slot % len(zones)]
@@ -88,7 +88,7 @@
         return proxies
 
     def run(self, progress: Progress | None = None) -> Result:
-        """Play it to its end; `progress` gets the share of the time that is over."""
+        """Run to the end; `progress` is called with the share of the time that has passed."""
         with _rare_collections():
             return self._run(progress)
 
@@ -108,34 +108,37 @@
         return self.finish(faults)
 
     def begin(self) -> FaultInjector:
-        """Schedule what happens by itself: faults, the samples of each second, the clients."""
+        """Schedule the faults, the samples of each second and the clients' requests."""
         faults = FaultInjector(self.context, self.cluster, self.traffic, self.proxies, self.supervisor)
         FleetSampler(self.context, self.fleet, self.proxies).start()
         self.clients.start()
         return faults
 
     def is_over(self) -> bool:
-        """The time is up and every request has its result, or never will."""
+        """Return whether the time is over and no request can get a result any more."""
         now, rehearsal = self.events.now, self.rehearsal
         if now < rehearsal.duration_ms:
             return False
         return not self.clients.open_requests or now >= self._latest_end()
 
     def _latest_end(self) -> float:
-        """When every request's attempts and waits are over."""
+        """Return the time by which all attempts and waits of all requests have ended."""
         rehearsal, attempts = self.rehearsal, 1 + self.rehearsal.clients.retries
         longest = max(one.deadline_ms for one in rehearsal.classes) + rehearsal.proxies.max_retry_after_ms
         return rehearsal.duration_ms + attempts * (longest + rehearsal.clients.backoff_ms * 2.0**attempts)
 
     def finish(self, faults: FaultInjector) -> Result:
-        """Close the books; requests that are still open are lost."""
+        """Count requests that are still open as lost, and return the result."""
         self.clients.abandon_open_requests()
         return collect_result(self.context, self.policy, self.seed, faults.reloads)
 
 
 @contextmanager
 def _rare_collections() -> Iterator[None]:
-    """Look for cycles seldom: the many objects here live long, and often would cost a seventh."""
+    """Collect cyclic garbage rarely within the context.
+
+    A rehearsal has many long-lived objects; the default thresholds would cost a seventh of the run time.
+    """
     before = gc.get_threshold()
     gc.set_threshold(*GC_THRESHOLDS)
     try:
@@ -152,5 +155,5 @@
     routes: RoutesFile | None = None,
     progress: Progress | None = None,
 ) -> Result:
-    """Play a script in virtual time.  Raises InvalidSeedError and UnknownPolicyError."""
+    """Run a script in virtual time.  Raises InvalidSeedError and UnknownPolicyError."""
     return Simulation(rehearsal, seed, policy, trace, routes).run(progress)
