--- a/heronreel/coordination/keyspace.py
+++ b/heronreel/coordination/keyspace.py
@@ -330,7 +330,7 @@
             size -= len(previous.value)
         if size > MAX_STATE_BYTES and size > self.size:
             raise RequestError(
-                StatusCode.RESOURCE_EXHAUSTED, f"the state would exceed {MAX_STATE_BYTES} bytes"
+                StatusCode.RESOURCE_EXHAUSTED, f"the state would pass {MAX_STATE_BYTES} bytes"
             )
         self.size = size
 
--- a/heronreel/coordinator/forwarding.py
+++ b/heronreel/coordinator/forwarding.py
@@ -37,12 +37,12 @@
                 return await forwarding.stream(response)
             return await forwarding.relay(response)
     except aiohttp.ClientConnectorError:
-        raise RequestError(StatusCode.UNAVAILABLE, "etcdserver: the leader is unreachable") from None
+        raise RequestError(StatusCode.UNAVAILABLE, "etcdserver: the leader is not reached") from None
     except (aiohttp.ClientError, TimeoutError, OSError):
         if forwarding.streamed is not None:
             request.protocol.force_close()
             return forwarding.streamed
-        raise RequestError(StatusCode.UNKNOWN, "etcdserver: the leader did not respond") from None
+        raise RequestError(StatusCode.UNKNOWN, "etcdserver: the leader did not answer") from None
 
 
 class _Forwarding:
--- a/heronreel/coordinator/request_body.py
+++ b/heronreel/coordinator/request_body.py
@@ -34,7 +34,7 @@
                     raise _rejected(request, StatusCode.RESOURCE_EXHAUSTED, f"body: over {max_bytes} bytes")
                 chunks.append(chunk)
     except TimeoutError:
-        reason = f"body: not received within {MAX_BODY_S:g} s"
+        reason = f"body: not here within {MAX_BODY_S:g} s"
         raise _rejected(request, StatusCode.INVALID_ARGUMENT, reason) from None
     return b"".join(chunks)
 
--- a/heronreel/proxy/__main__.py
+++ b/heronreel/proxy/__main__.py
@@ -93,7 +93,7 @@
         shared = SharedState(Path(environ["TMPDIR"]) / f"heronreel-{config.name}")
         shared.register_process()
     except OSError as error:
-        log.error("shared folder: %s; cordons will be lost when this process ends", error)
+        log.error("shared folder: %s; cordons end with this process", error)
         return None
     return shared
 
--- a/tests/coordination/test_keyspace.py
+++ b/tests/coordination/test_keyspace.py
@@ -124,7 +124,7 @@
 def test_the_size_of_the_state_is_limited_and_can_shrink_at_the_limit() -> None:
     state = Keyspace.from_content(EMPTY_CONTENT)
     value = bytes(256 << 10)
-    with pytest.raises(RequestError, match="would exceed") as raised:
+    with pytest.raises(RequestError, match="would pass") as raised:
         for number in range(40):
             state = state.apply(Put(b"k%d" % number, value)).state
     assert raised.value.code is StatusCode.RESOURCE_EXHAUSTED
--- a/tests/coordinator/test_http_interface.py
+++ b/tests/coordinator/test_http_interface.py
@@ -98,7 +98,7 @@
             async with asyncio.timeout(30):
                 head = await reader.readline()
                 # The server closes the connection, so the client reads to the end.
-                assert b" 400 " in head and b"not received within" in await reader.read()
+                assert b" 400 " in head and b"not here within" in await reader.read()
             dripping.cancel()
             await harness.wait_until_available()
 
