--- a/heronreel/emulator/script_checks.py
+++ b/heronreel/emulator/script_checks.py
@@ -1,7 +1,7 @@
-"""Checks of a rehearsal script beyond the form of its fields: what refers to what, and what makes sense.
+"""Checks a rehearsal script for invalid references and combinations of values.
 
-Each check is a function that yields its findings; `SCRIPT_CHECKS` and `FAULT_CHECKS` list them in the order
-in which their findings are reported.
+Each check is a function that yields its findings.  `SCRIPT_CHECKS` and `FAULT_CHECKS` list the checks in the
+order in which their findings are reported.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from heronreel.routes.reader import describe_value
 
 MAX_NAMES_SHOWN = 8
-TINY = 1e-9  # in place of "over 0"
+TINY = 1e-9  # the lower bound of a range that excludes 0
 
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """Something wrong with the value at a path, and what would be right."""
+    """A problem with the value at a path, and the expected value."""
 
     path: Path
     wrong: str
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SizeRange:
-    """What the size of a kind of fault means, and its bounds."""
+    """The meaning and the bounds of the size of a kind of fault."""
 
     meaning: str
     low: float
@@ -69,16 +69,16 @@
 PROXY_FAULTS = frozenset(("kill", "restart", "reload"))
 INSTANT_FAULTS = frozenset(
     ("crash", "drain", "replace", "grow", "list_resets", "kill", "restart", "reload")
-)  # no end
+)  # these have no duration
 ZONE_FAULTS = frozenset(("zone_lost", "zone_cut", "shift"))
 
 
 def rack_count(rehearsal: Rehearsal) -> int:
-    """Racks that the fleet fills."""
+    """Return the number of racks that the nodes of the fleet need."""
     return -(-rehearsal.fleet.nodes // rehearsal.fleet.rack_size)
 
 
-# Of the whole script.
+# Checks of the whole script.
 
 
 def _check_zones(rehearsal: Rehearsal) -> Iterator[Finding]:
@@ -102,16 +102,16 @@
     right = "give one of them a share over 0"
     if not sum(kind.share for kind in rehearsal.fleet.kinds):
         yield Finding(("fleet", "kinds"), "have shares that sum to 0", right)
-    if not sum(one.share for one in rehearsal.classes):
+    if not sum(request_class.share for request_class in rehearsal.classes):
         yield Finding(("classes",), "have shares that sum to 0", right)
 
 
 def _check_classes(rehearsal: Rehearsal) -> Iterator[Finding]:
-    for index, one in enumerate(rehearsal.classes):
-        if one.latency_objective_ms > one.deadline_ms:
-            right = f"expected at most deadline_ms ({one.deadline_ms:g})"
-            yield Finding(("classes", index, "aim_ms"), f"is {one.latency_objective_ms:g}", right)
-        if one.effect == "keyed" and not one.dedup_window_ms:
+    for index, request_class in enumerate(rehearsal.classes):
+        if request_class.latency_objective_ms > request_class.deadline_ms:
+            right = f"expected at most deadline_ms ({request_class.deadline_ms:g})"
+            yield Finding(("classes", index, "aim_ms"), f"is {request_class.latency_objective_ms:g}", right)
+        if request_class.effect == "keyed" and not request_class.dedup_window_ms:
             right = "a keyed class needs the time for which repeats are dropped"
             yield Finding(("classes", index, "window_ms"), "is 0", right)
 
@@ -139,7 +139,7 @@
         previous = point.at_s
 
 
-# Of one fault.
+# Checks of one fault.
 
 
 def _check_start(fault: Fault, rehearsal: Rehearsal) -> Iterator[Finding]:
@@ -229,8 +229,8 @@
 
 
 def _check_selection(fault: Fault, rehearsal: Rehearsal) -> Iterator[Finding]:
-    ways = sum(bool(way) for way in (fault.busiest, fault.count, fault.share, fault.names))
-    if fault.fault_kind in NODE_FAULTS | PROXY_FAULTS and ways > 1:
+    selectors = sum(bool(value) for value in (fault.busiest, fault.count, fault.share, fault.names))
+    if fault.fault_kind in NODE_FAULTS | PROXY_FAULTS and selectors > 1:
         right = "use one of names, busiest, count and share"
         yield Finding((), "names its targets in several ways", right)
 
@@ -255,11 +255,11 @@
 
 
 def check_script(rehearsal: Rehearsal) -> Iterator[Finding]:
-    """Everything that is wrong with a script whose fields have the right form."""
+    """Yield all findings for a script whose fields are valid by themselves."""
     for check in SCRIPT_CHECKS:
         yield from check(rehearsal)
     for index, fault in enumerate(rehearsal.faults):
         for check_fault in FAULT_CHECKS:
-            for found in check_fault(fault, rehearsal):
-                path: Path = ("troubles", index, *found.path)
-                yield Finding(path, found.wrong, found.right, found.rule)
+            for finding in check_fault(fault, rehearsal):
+                path: Path = ("troubles", index, *finding.path)
+                yield Finding(path, finding.wrong, finding.right, finding.rule)
--- a/heronreel/emulator/script_loader.py
+++ b/heronreel/emulator/script_loader.py
@@ -1,4 +1,4 @@
-"""Reads a rehearsal script: a checked `Rehearsal`, or every problem at once, each with its line."""
+"""Reads a rehearsal script into a checked `Rehearsal`, or reports all its problems with their lines."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def load_script(data: bytes) -> model.Rehearsal:
-    """The script's record.  Raises `heronreel.routes.reader.BadFile` with every problem."""
+    """Parse and check a script.  Raises `heronreel.routes.reader.BadFile` with every problem."""
     raw, lines = parse_toml(data)
     return _ScriptReader(raw, lines).load()
 
@@ -43,9 +43,9 @@
         plain = {key: value for key, value in self.raw.items() if key in PLAIN_FIELDS}
         values: dict[str, Any] = self.read_table(plain, (), model.Rehearsal)
         for key, spec in TABLES.items():
-            part = self._optional(key, spec)
-            if part is not None:
-                values[key] = part
+            record = self._optional(key, spec)
+            if record is not None:
+                values[key] = record
         values["fleet"] = self._fleet()
         values["traffic"] = self._traffic()
         values["classes"] = self._rows(("classes",), self.raw.get("classes"), model.RequestClass)
@@ -72,13 +72,13 @@
             self.raise_problems()
 
     def _struct(self, raw: object, path: Path, spec: type[S]) -> S | None:
-        """The record of a table; None where a problem was found in it."""
+        """Return the record of a table, or None if it has a problem."""
         problems = len(self.problems)
         values = self.read_table(raw, path, spec)
         return msgspec.convert(values, spec) if len(self.problems) == problems else None
 
     def _optional(self, key: str, spec: type[S], without: str = "") -> S | None:
-        """The record of a table that may be missing, read without one of its fields."""
+        """Return the record of an optional table, ignoring the field `without`."""
         raw = self.raw.get(key)
         if raw is None:
             return None
@@ -89,7 +89,7 @@
     def _rows(
         self, path: Path, raw: object, spec: type[S], limit: int = MAX_TABLES, named: bool = True
     ) -> tuple[S, ...]:
-        """The records of an array of tables; where they are named, each name once."""
+        """Return the records of an array of tables; if they are `named`, report duplicate names."""
         rows = self.read_tables(raw, path, limit)
         records = [self._struct(row, place, spec) for place, row in rows]
         if named:
--- a/heronreel/emulator/trace.py
+++ b/heronreel/emulator/trace.py
@@ -1,4 +1,4 @@
-"""What happened to one request: what each proxy believed when it decided, and what the nodes really did."""
+"""Traces selected requests: the state each proxy assumed when it decided, and the real state of the nodes."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from heronreel.emulator.policies import BaselinePolicy, NodeOracle
 from heronreel.emulator.requests import Attempt, InboundRequest, NodeAttempt
 
-NODES_COMPARED = 5  # other nodes that a decision is shown beside
+NODES_COMPARED = 5  # number of other nodes shown with a decision
 MIN_ERROR_RATE_SHOWN = 0.05
 
 
 class Tracer:
-    """Keeps the steps of the client requests (with all attempts) that it is asked to follow.
+    """Records the steps of the selected client requests, with all their attempts.
 
-    The keys and words of a step are part of a result.
+    The keys and texts of a step are part of a result.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
             )
 
     def request_received(self, now: float, request: InboundRequest) -> None:
-        """A proxy has received a request."""
+        """Record that a proxy has received a request."""
         client_request = request.client_request
         self._step(
             now,
@@ -58,7 +58,7 @@
         )
 
     def attempt_decided(self, now: float, attempt: Attempt) -> None:
-        """A proxy has chosen a node."""
+        """Record that a proxy has chosen a node."""
         request = attempt.request
         if request.client_request.ident not in self.steps:
             return
@@ -79,14 +79,14 @@
         )
 
     def _fastest_others(self, request: InboundRequest, attempt: Attempt) -> list[Node]:
-        """Nodes that would have responded soonest, as only the emulator knows."""
+        """Return the other nodes that would have responded first, by their real state."""
         zone, work = request.proxy.zone, request.client_request.work
         others = [node for node in self.in_service() if node is not attempt.node]
         others.sort(key=lambda node: (self.oracle.wait_ms(zone, node.ident, work), node.name))
         return others[:NODES_COMPARED]
 
     def reached_node(self, now: float, attempt: NodeAttempt, what: str) -> None:
-        """A node has admitted an attempt, or dropped it as a repeat."""
+        """Record that a node has admitted an attempt, or dropped it as a duplicate."""
         self._step(
             now,
             attempt.request,
@@ -97,12 +97,12 @@
         )
 
     def job_ended(self, now: float, attempt: NodeAttempt, failed: bool) -> None:
-        """A node is done with an attempt."""
+        """Record that a node has finished an attempt."""
         what = "the node answers with an error" if failed else "its work is done"
         self._step(now, attempt.request, what, attempt=attempt.number, node=attempt.node.name)
 
     def attempt_ended(self, now: float, attempt: Attempt, outcome: api.Outcome) -> None:
-        """A proxy has learned how an attempt ended."""
+        """Record that a proxy has learned how an attempt ended."""
         self._step(
             now,
             attempt.request,
@@ -115,12 +115,12 @@
     def request_answered(
         self, now: float, request: InboundRequest, result: RequestResult, retry_after_ms: float
     ) -> None:
-        """A proxy has responded to its client."""
+        """Record that a proxy has responded to its client."""
         self._step(now, request, f"answered: {result.value}", retry_after_ms=round(retry_after_ms, 1))
 
 
 def node_truth(now: float, node: Node) -> dict[str, Any]:
-    """The state of a node as it is."""
+    """Return the real state of a node."""
     truth: dict[str, Any] = {
         "running": len(node.running),
         "waiting": len(node.waiting),
@@ -147,7 +147,7 @@
 
 
 def believes(decider: object, now: float, ident: int) -> dict[str, Any]:
-    """What a decider believes of a node: read, never changed."""
+    """Return the state of a node as its decider assumes it, without changing the decider."""
     if isinstance(decider, Balancer):
         backend = decider.endpoints.backends.get(ident)
         if backend is None:
