--- a/heronreel/emulator/model.py
+++ b/heronreel/emulator/model.py
@@ -1,8 +1,8 @@
-"""The configuration read from a rehearsal script: one frozen record for each table, with its defaults.
+"""The configuration read from a rehearsal script: one frozen record per table, with its defaults.
 
-A field's stored name, where it differs from the attribute, is the key in the file and never changes.  The
-descriptions in the annotations follow the word "expected" in error messages.  Durations end in their unit;
-shares run from 0 to 1; work is ms of one core at speed 1.
+`field(name=...)` gives the key in the file if it differs from the attribute; keys never change.  Error
+messages print the descriptions in the annotations after the word "expected".  The names of durations end in
+their unit, shares run from 0 to 1, and work is in ms of one core at speed 1.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
 from heronreel.routes.schema import Count, DurationMs, Flag, Name, PositiveDurationMs, Share
 
 SCRIPT_VERSION = 1
-MAX_PROXIES, MAX_FAULTS = 2_000, 1_000
+MAX_PROXIES = 2_000
+MAX_FAULTS = 1_000
 MAX_DURATION_S = 6 * 3600.0
 
 
@@ -36,7 +37,7 @@
 
 
 class NodeKind(Struct, frozen=True):
-    """One kind of node (`[[fleet.kinds]]`).  0 disables a feature (for `warm_up_floor`: 1)."""
+    """One kind of node (`[[fleet.kinds]]`).  0 disables a feature, except that `warm_up_floor` needs 1."""
 
     name: Name
     share: Share = 1.0
@@ -45,16 +46,16 @@
     speed: Speed = 1.0
     speed_cv: Share = 0.0
     queue: Annotated[int, _meta("a whole number from 0 to 1,000,000", ge=0, le=1_000_000)] = 4
-    thrash: Share = 0.0  # largest share of its pace lost to contention
-    thrash_at: Speed = 6.0  # requests for each core, beyond its cores, at which that loss is reached
-    connections: Count = 0  # limit of open connections; 0: unlimited
-    full_tax: Share = 0.0  # share of its pace lost when the connection table is full
+    thrash: Share = 0.0  # maximum share of the pace lost to contention
+    thrash_at: Speed = 6.0  # requests per core, beyond the cores, at which `thrash` is reached
+    connections: Count = 0  # maximum number of open connections; 0 is unlimited
+    full_tax: Share = 0.0  # share of the pace lost when the connection table is full
     handshake_ms: DurationMs = 0.0  # work of a new connection
     handshake_rtts: Factor = 1.0
     warm_gain: Share = 0.0  # share of the work saved for a recently used key
     warm_ms: DurationMs = 5000.0
     warm_keys: Count = 20
-    warm_up_floor: Share = field(default=1.0, name="cold_from")  # share of its pace right after a start
+    warm_up_floor: Share = field(default=1.0, name="cold_from")  # share of the pace right after a start
     warm_up_ms: DurationMs = field(default=0.0, name="cold_ms")
     warm_up_work_ms: DurationMs = field(default=0.0, name="warm_work_ms")  # ends the warm-up early
     error_rate: Share = 0.0
@@ -68,8 +69,8 @@
     nodes: Many = 12
     zones: Names = field(default_factory=lambda: ["z0"])
     rack_size: Many = 6
-    limited_racks: Share = 0.0  # share of racks with a hidden common limit
-    rack_limit: Share = 0.6  # of what their nodes could do
+    limited_racks: Share = 0.0  # share of racks with a hidden limit common to their nodes
+    rack_limit: Share = 0.6  # share of the total capacity of the rack's nodes
     kinds: tuple[NodeKind, ...] = ()
 
 
@@ -86,7 +87,7 @@
     """The proxies and what they may do (`[proxies]`)."""
 
     count: Many = 6
-    skew: Share = 0.0  # of traffic between proxies: busiest over mean, less 1, by steps of rank
+    skew: Share = 0.0  # load of the busiest proxy over the mean, minus 1; linear in the rank
     policy: Name = "heronreel"
     routes: Annotated[str, _meta("the path of a file of routes")] = ""
     idle_ms: DurationMs = 1000.0  # idle connections to nodes are closed after this
@@ -101,7 +102,7 @@
 
 
 class FrontEndConfig(Struct, frozen=True):
-    """What spreads requests over proxies (`[front]`)."""
+    """The front end, which distributes requests over proxies (`[front]`)."""
 
     detection_ms: DurationMs = field(
         default=2000.0, name="notice_ms"
@@ -149,7 +150,7 @@
 
     @property
     def dedup_ms(self) -> float:
-        """For how long nodes drop a repeat: 0 without an idempotency key."""
+        """Return how long nodes drop duplicates: 0 without an idempotency key."""
         return self.dedup_window_ms if self.effect == "keyed" else 0.0
 
 
@@ -157,9 +158,9 @@
     """A tenant and its quota (`[[tenants]]`)."""
 
     name: Name
-    share: Share = 1.0  # of the traffic it is entitled to
-    usage: Factor = 1.0  # what it sends over that
-    quota_per_s: PerSecond = 0.0  # requests beyond it weigh little; 0: its share of the rate
+    share: Share = 1.0  # share of the traffic that it is entitled to
+    usage: Factor = 1.0  # its traffic over that share
+    quota_per_s: PerSecond = 0.0  # requests beyond it have little weight; 0 is its share of the rate
 
 
 class KeyDistribution(Struct, frozen=True):
@@ -175,10 +176,16 @@
     retries: Annotated[int, _meta("a whole number from 0 to 20", ge=0, le=20)] = 1
     backoff_ms: DurationMs = 100.0
     backoff: Annotated[Literal["fixed", "exp"], _meta('"fixed" or "exp"')] = "exp"
-    honor_retry_after: Share = field(default=1.0, name="honour")  # share that waits as Retry-After says
-    abandon_share: Share = field(default=0.0, name="impatient")  # share that disconnects early
-    abandon_after: Share = field(default=0.5, name="patience")  # of the deadline, when those disconnect
-    attempt_timeout_share: Share = field(default=1.0, name="try_share")  # of the deadline, for each attempt
+    honor_retry_after: Share = field(default=1.0, name="honour")  # share of clients that obey Retry-After
+    abandon_share: Share = field(
+        default=0.0, name="impatient"
+    )  # share of requests whose client disconnects early
+    abandon_after: Share = field(
+        default=0.5, name="patience"
+    )  # share of the deadline after which those disconnect
+    attempt_timeout_share: Share = field(
+        default=1.0, name="try_share"
+    )  # share of the deadline allowed per attempt
     mark_retries: Flag = field(default=True, name="marks")
 
 
@@ -192,17 +199,17 @@
     timeout_ms: PositiveDurationMs = 3000.0
     removal_delay_ms: DurationMs = field(
         default=2500.0, name="notice_ms"
-    )  # until it knows that a node has gone
-    addition_delay_ms: DurationMs = field(default=1000.0, name="add_ms")  # until it knows a new one
-    batch_ms: PositiveDurationMs = field(default=500.0, name="period_ms")  # changes are sent together
+    )  # until it learns that a node is removed
+    addition_delay_ms: DurationMs = field(default=1000.0, name="add_ms")  # until it learns of a new node
+    batch_ms: PositiveDurationMs = field(default=500.0, name="period_ms")  # interval of sending changes
     max_backlog: Annotated[int, _meta("a whole number from 1 to 1,000,000", ge=1, le=1_000_000)] = field(
         default=10_000, name="backlog"
     )
-    # of the service's time for each call in turn, in place of entries; calls that would wait for over
-    # `timeout_ms` are then refused with 503 and worked off; 0: off
+    # Service time of each call, which replaces the cost in entries.  Calls that would wait for longer than
+    # `timeout_ms` are then refused with 503 but still processed.  0 disables it.
     call_ms: DurationMs = 0.0
-    snapshot_share: Share = 1.0  # of responses that are the whole list; the others hold what has changed
-    snapshot_omits_draining: Flag = False  # whole lists leave out nodes that drain
+    snapshot_share: Share = 1.0  # share of responses with the whole list; the others hold the changes
+    snapshot_omits_draining: Flag = False  # whole lists omit draining nodes
 
 
 class InvariantLimits(Struct, frozen=True):
@@ -210,39 +217,41 @@
 
     response_grace_ms: DurationMs = field(default=50.0, name="answer_grace_ms")
     drain_grace_ms: DurationMs = 500.0
-    # after which what the list service knows counts as delivered; 0: only what has arrived
+    # A change counts as delivered this long after the list service learned of it; 0: only when it arrives.
     delivered_after_ms: DurationMs = field(default=0.0, name="told_ms")
-    # after the end of a watch that ended in place of a change (`instead_of_change`); 0: off
+    # Limit after the end of a watch that ended instead of sending a change (`instead_of_change`); 0: off.
     untold_ms: DurationMs = UNTOLD_MS
-    # after the list service had a change and could be reached, for a proxy whose last call of it failed,
-    # whatever else would count; 0: off
+    # Limit after the list service knew a change and was reachable, for a proxy whose last call failed.  It
+    # then replaces the other limits.  0 disables it.
     failed_call_ms: DurationMs = 0.0
     poll_within_ms: PositiveDurationMs = field(default=10_000.0, name="ask_within_ms")
     overload_factor: Annotated[float, _meta("a number from 1 to 100", ge=1.0, le=100.0)] = 4.0
     collapse_window_ms: PositiveDurationMs = field(default=2000.0, name="fall_ms")
-    collapse_slack_ms: DurationMs = field(default=400.0, name="fall_slack_ms")  # of work that chance may add
+    collapse_slack_ms: DurationMs = field(
+        default=400.0, name="fall_slack_ms"
+    )  # tolerated random excess of work
 
 
 class Prices(Struct, frozen=True):
     """Points of service lost for each unit of cost (`[prices]`)."""
 
-    handshake: Price = 0.0  # for a handshake for each request
-    connection: Price = 0.0  # for 100 connections at each node
+    handshake: Price = 0.0  # for one handshake per request
+    connection: Price = 0.0  # for 100 connections per node
     cross_zone: Price = 0.0
     late_failure: Price = 0.0
     waste: Price = 0.0
-    list_calls: Price = 0.0  # for a call a second from each proxy
+    list_calls: Price = 0.0  # for one call per second and proxy
 
 
 class ScoreWeights(Struct, frozen=True):
-    """How the parts of a score are weighed (`[score]`)."""
+    """The weights of the parts of a score (`[score]`)."""
 
     whole: Share = 0.6
     worst_window: Share = 0.15
     worst_tenant: Share = 0.25
     window_s: Duration = 10.0
     over_quota_weight: Share = field(default=0.05, name="over_share_worth")
-    by_work: Flag = True  # a request's weight is counted for each ms of work
+    by_work: Flag = True  # multiply a request's weight by its work in ms
 
 
 FaultKind = Literal[
@@ -277,30 +286,30 @@
 
 
 class Fault(Struct, frozen=True):
-    """One fault to inject (`[[troubles]]`); `docs/emulator.md` says which fields count for which kind."""
+    """One fault to inject (`[[troubles]]`); `docs/emulator.md` lists the fields of each kind."""
 
     fault_kind: Annotated[FaultKind, _meta("a kind of trouble")] = field(name="what")
     at_s: Seconds
     for_s: Seconds = 0.0
     size: Factor = 0.0
-    share: Share = 0.0  # of its candidates, drawn
+    share: Share = 0.0  # random share of the candidates
     names: Names = field(default_factory=list)
     rack: Annotated[str, _meta("the name of a rack")] = ""
     zone: Annotated[str, _meta("the name of a zone")] = ""
     node_kind: Annotated[str, _meta("the name of a kind")] = field(default="", name="kind")
     tenant: Annotated[str, _meta("the name of a tenant")] = ""
-    busiest: Count = 0  # this many, those with the most to do now
-    count: Count = 0  # this many, drawn; of `grow`: new nodes
-    within_s: Seconds = 0.0  # the targets' turns are spread over this
-    every_s: Seconds = 0.0  # on and off: half of it each
+    busiest: Count = 0  # number of targets: those with the most load at the start
+    count: Count = 0  # number of random targets; for `grow`, of new nodes
+    within_s: Seconds = 0.0  # the targets are affected one after the other over this time
+    every_s: Seconds = 0.0  # period of switching on and off, half of it each
     cold_start: Flag = field(default=True, name="cold")
-    same_address: Flag = field(default=False, name="same")  # of `replace`: in place, at once
-    after_s: Seconds = 0.0  # from the drain or death to what comes next; of `list_resets`: to the ends
-    instead_of_change: Flag = False  # of `list_resets`: it waits for the next change, which no watch is sent
+    same_address: Flag = field(default=False, name="same")  # for `replace`: restart in place, at once
+    after_s: Seconds = 0.0  # from drain to end, or crash to restart; for `list_resets`, delay
+    instead_of_change: Flag = False  # for `list_resets`: at the next change, which no watch gets
 
     @property
     def end_s(self) -> float:
-        """When it is over, seconds from the start."""
+        """Return the end of the fault in seconds from the start of the rehearsal."""
         return self.at_s + max(self.for_s, self.within_s)
 
 
@@ -326,17 +335,17 @@
 
     @property
     def duration_ms(self) -> float:
-        """How long requests arrive, ms."""
+        """Return for how many ms requests arrive."""
         return self.seconds * 1000.0
 
     def capacity(self) -> float:
-        """Work a ms that the whole fleet does at nominal speeds."""
+        """Return the work per ms that the whole fleet does at nominal speed."""
         fleet = self.fleet
         total = sum(kind.share for kind in fleet.kinds) or 1.0
         return fleet.nodes * sum(k.share * k.cores * k.speed for k in fleet.kinds) / total
 
     def tenant_quotas(self) -> dict[str, float]:
-        """Requests a second by tenant, beyond which they weigh little."""
+        """Return the quota of each tenant in requests per second; requests beyond it have little weight."""
         return {
             tenant.name: tenant.quota_per_s or tenant.share * self.traffic.requests_per_s
             for tenant in self.tenants
