--- a/heronreel/coordination/keyspace.py
+++ b/heronreel/coordination/keyspace.py
@@ -329,9 +329,7 @@
         else:
             size -= len(previous.value)
         if size > MAX_STATE_BYTES and size > self.size:
-            raise RequestError(
-                StatusCode.RESOURCE_EXHAUSTED, f"the state would pass {MAX_STATE_BYTES} bytes"
-            )
+            raise RequestError(StatusCode.RESOURCE_EXHAUSTED, f"the state would pass {MAX_STATE_BYTES} bytes")
         self.size = size
 
     def _delete(self, request: DeleteRange) -> DeleteRangeResponse:
