--- a/bench/duty/__init__.py
+++ b/bench/duty/__init__.py
@@ -1,1 +1,1 @@
-"""The standing duty: the operators' measuring programs played one after the other, and their figures read."""
+"""Runs the operators' measuring programs one after another and reads their results."""
--- a/bench/duty/output.py
+++ b/bench/duty/output.py
@@ -1,4 +1,4 @@
-"""Read the result of a play from what the kit's program printed."""
+"""Parses the result of a play from the output of the kit's program."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 from bench.duty.plays import Reading
 
-# a day's figures; whatever follows its score is a breach: "BROKEN: drain"
+# The line of one day.  Any text after the score reports a breach, such as "BROKEN: drain".
 DAY = re.compile(r"^(\S+) +G -?\d\S* .* score (-?\d+\.\d+)(?: +(?:BROKEN: )?(\S.*))?$", re.MULTILINE)
 SCORE = re.compile(r"^score of the real nodes (-?\d+\.\d+)\b", re.MULTILINE)
 GATE = re.compile(r"^GATE (passed|failed)\b[: ]*(.*)$", re.MULTILINE)
-# by itself, or indented under its day
+# A broken rule is reported on a separate line or on an indented line below its day.
 RULE = re.compile(r"^(?: +| *RULE BROKEN \([^)]*\): )(\w[\w ]*), (\d+ times?|once)\b", re.MULTILINE)
-# the comparison with an earlier estimate, and with each day of it, is missing from the first one
+# The first estimate has no comparison with an earlier estimate, neither in total nor by day.
 ESTIMATE = re.compile(r"^quick estimate on the standard days of .*?: (-?\d+\.\d+)[,;] (.*)$", re.MULTILINE)
 ESTIMATED_DAY = re.compile(r"(\S+) (-?\d+\.\d+)(?: \([+-][\d.]+\))?[,;]")
 
 
 class OutputError(ValueError):
-    """An output that holds no result."""
+    """An output contains no complete result."""
 
 
 @dataclass(frozen=True)
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Gate:
-    """The judgement on a play, with the rule and day that failed it."""
+    """The verdict of the gate on a play, with the rule and day for which it failed."""
 
     passed: bool
     detail: str = ""
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class BrokenRule:
-    """A rule that was broken on some day, and how often there."""
+    """A rule that was broken on a day, and the reported number of breaches."""
 
     rule: str
     count: str
@@ -49,12 +49,12 @@
 
 @dataclass(frozen=True)
 class Result:
-    """What a play came to.
+    """The result of a play.
 
     Attributes:
         score: The play's score.
-        days: The days, in the order printed.
-        gate: The judgement; none where the program gives none.
+        days: The days, in the order in which they were printed.
+        gate: The verdict of the gate, or None if the program prints none.
         broken_rules: The rules reported as broken, with their counts.
     """
 
@@ -75,7 +75,7 @@
 
 
 def read_result(output: str, reading: Reading) -> Result:
-    """The result that an output holds.
+    """Parse the result of a play from its output.
 
     Raises:
         OutputError: The output lacks the score, the days or the gate.
@@ -87,10 +87,10 @@
         raise OutputError("no score was printed")
     days = tuple(Day(name, float(day_score), broken) for name, day_score, broken in DAY.findall(output))
     if not days:
-        raise OutputError("a score was printed, and no day")
+        raise OutputError("a score was printed, but no day")
     gate = _last_gate(output)
     if gate is None and reading is Reading.GATED_SCORE:
-        raise OutputError("a score was printed, and no judgement of the gate")
+        raise OutputError("a score was printed, but no verdict of the gate")
     return Result(float(score[-1]), days, gate, _broken_rules(output))
 
 
@@ -101,15 +101,15 @@
     score, rest = estimates[-1]
     days = tuple(Day(name, float(day_score)) for name, day_score in ESTIMATED_DAY.findall(rest))
     if not days:
-        raise OutputError("an estimate was printed, and no day")
+        raise OutputError("an estimate was printed, but no day")
     return Result(float(score), days, broken_rules=_broken_rules(output))
 
 
 def _last_gate(output: str) -> Gate | None:
-    judgements = GATE.findall(output)
-    if not judgements:
+    verdicts = GATE.findall(output)
+    if not verdicts:
         return None
-    verdict, detail = judgements[-1]
+    verdict, detail = verdicts[-1]
     return Gate(verdict == "passed", detail.strip())
 
 
--- a/bench/duty/page.py
+++ b/bench/duty/page.py
@@ -1,4 +1,4 @@
-"""Insert rows at the end of the tables of a page."""
+"""Appends rows to the tables of a Markdown page."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 class TableNotFound(LookupError):
-    """A table that the page does not have under its heading, with its columns."""
+    """The page has no table with these columns under the heading."""
 
     def __init__(self, table: Table) -> None:
         super().__init__(f"no table ({', '.join(table.columns)}) under the heading '{table.heading}'")
 
 
 def write_rows(page: Path, rows: Sequence[Row]) -> None:
-    """Insert the rows into the page, which is changed as a whole or not at all.
+    """Insert all rows into the page, or leave it unchanged.
 
     Raises:
-        TableNotFound: The page lacks the table of a row; it is left as it was.
+        TableNotFound: The page lacks the table of a row; the page is unchanged.
     """
     changed = with_rows(page.read_text(encoding="utf-8"), rows)
     _replace_file(page, changed)
 
 
 def with_rows(text: str, rows: Sequence[Row]) -> str:
-    """The text of the page with each row at the end of its table."""
+    """Return the text of the page with each row appended to its table."""
     lines = text.split("\n")
     for row in rows:
         lines.insert(_end_of_table(lines, row.table), row.text())
@@ -38,7 +38,7 @@
 
 
 def _end_of_table(lines: list[str], table: Table) -> int:
-    """The index of the first line after the table."""
+    """Return the index of the first line after the table."""
     if table.heading not in lines:
         raise TableNotFound(table)
     header = f"| {' | '.join(table.columns)} |"
@@ -55,7 +55,7 @@
 
 
 def _replace_file(file: Path, text: str) -> None:
-    """Write a temporary file beside the file, and rename it."""
+    """Replace the file atomically by renaming a temporary file in the same folder."""
     descriptor, name = tempfile.mkstemp(dir=file.parent, prefix=f".{file.name}.")
     temporary = Path(name)
     try:
--- a/bench/duty/tables.py
+++ b/bench/duty/tables.py
@@ -1,4 +1,4 @@
-"""The tables of the roadmap that keep the figures of plays."""
+"""Defines the tables of the roadmap that record the scores of plays."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class Table:
-    """A table of the page: the heading that it stands under, and the names of its columns."""
+    """A table of the page, identified by its heading and the names of its columns."""
 
     heading: str
     columns: tuple[str, ...]
